--- /dev/null
+++ b/tests/pins/test_gossip_payloads.py
@@ -0,0 +1,175 @@
+"""What balancers tell each other inside membership datagrams: health of upstreams, leases, shared limits.
+
+Pinned are the bytes and how they are read, the fencing numbers and holders of leases over a takeover, and the
+order in which members come to a task: all balancers have to work out the same one.
+"""
+
+import json
+from random import Random
+from types import SimpleNamespace
+
+import msgspec
+from golden_files import as_json, read_golden, write_golden
+
+from dahliabend.model import Outcome
+from dahliabend.net.program.probing import named
+from dahliabend.signals.board import Parted, Report, Row
+from dahliabend.signals.gossip import Gossip
+from dahliabend.turns.duties import Done, Duties
+from dahliabend.turns.owner import order
+
+GOSSIP_GOLDEN = "gossip_payloads.json"
+LEASES_GOLDEN = "leases.json"
+SECOND = 1_000_000
+BEAT = SECOND // 2
+START = 100 * SECOND
+MEMBERS = ["b1", "b2", "b3", "b4", "b5"]
+
+# Values go by name: one that changes its place in the encoded array shows.
+FROM_OTHERS = [
+    Report(
+        origin="b2", life=9, number=4, age=250, hops=0,
+        rows=[
+            Row(pool="records", name="s-1", tried=5, bad=4), Row(pool="records", name="s-9", tried=2, bad=2),
+        ],
+    ),
+    Report(
+        origin="b3", life=8, number=1, age=0, hops=2, rows=[],
+        turns=[Done(duty="probe records s-1", fence=5 << 16 | 77, owner="b3", count=6, age=40, result=1)],
+        parts=[Parted(limit="submits", part=0.25, ask=0.5), Parted(limit="rest", part=0.125, ask=0.0)],
+    ),
+]  # fmt: skip
+
+
+def plain(value) -> list:
+    """A message as the arrays that stand for it on the wire."""
+    return msgspec.to_builtins(value)
+
+
+def produce_gossip() -> str:
+    """Reports of one member over three beats, with those of others passed on, and how a report is read."""
+    gossip = Gossip("b1", 1_764_653_000_000_000, Random(5))
+    leases = [
+        Done(duty="probe records s-2", fence=3 << 16 | 12, owner="b1", count=9, age=120, result=5),
+        Done(duty="probe records s-3", fence=9, owner="b1", count=0, age=0),
+    ]
+    gossip.turns = lambda now: leases
+    gossip.parts = lambda: [Parted(limit="submits", part=0.333333, ask=0.4)]
+    heard: list = []
+    gossip.heard = lambda now, done: heard.append([now, plain(done)])
+    gossip.parted = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
+    for number, outcome in enumerate(Outcome):
+        gossip.ended(START + number, "records", "s-1", outcome)
+    gossip.ended(START, "records", "s-2", Outcome.COMMITTED)
+    gossip.ended(START, "archive", "a-1", Outcome.RESET)
+    sent = []
+    for beat in range(3):
+        now = START + beat * BEAT
+        if beat == 1:
+            gossip.received(now, msgspec.msgpack.encode(FROM_OTHERS))
+            gossip.received(now, b"unreadable")
+        gossip.beat(now, MEMBERS)
+        sent.append([[name, data.hex()] for name, data in gossip.out])
+        gossip.out = []
+    held = {
+        name: [origin.since, plain(origin.report)]
+        for name, origin in sorted(gossip.board.fresh(START + 2 * BEAT).items())
+    }
+    return as_json({"sent": sent, "heard": heard, "held": held, "unread": gossip.unread})
+
+
+def test_reports_are_encoded_and_passed_on_as_before() -> None:
+    assert produce_gossip() == read_golden(GOSSIP_GOLDEN)
+
+
+def test_a_payload_of_the_version_before_is_read() -> None:
+    """The newest payload of the golden file, as another member gets it."""
+    payload = json.loads(read_golden(GOSSIP_GOLDEN))["sent"][1][0][1]
+    reader, leases, parts = Gossip("b5", 1, Random(1)), [], []
+    reader.heard = lambda now, done: leases.append(plain(done))
+    reader.parted = lambda now, origin, parted: parts.append([now, origin, plain(parted)])
+    reader.received(START + SECOND, bytes.fromhex(payload))
+    held = reader.board.fresh(START + SECOND)
+    assert plain(held["b1"].report.rows) == [["records", "s-1", 5, 4], ["archive", "a-1", 1, 1]]
+    rows = [["records", "s-1", 5, 4], ["records", "s-9", 2, 2]]
+    assert plain(held["b2"].report) == ["b2", 9, 4, 250, 1, rows, [], []]
+    assert leases == [
+        ["probe records s-2", 3 << 16 | 12, "b1", 9, 120, 5],
+        ["probe records s-3", 9, "b1", 0, 0, 0],
+        ["probe records s-1", 5 << 16 | 77, "b3", 6, 40, 1],
+    ]
+    assert parts == [
+        [START + SECOND, "b1", ["submits", 0.333333, 0.4]],
+        [START + SECOND, "b3", ["submits", 0.25, 0.5]],
+        [START + SECOND, "b3", ["rest", 0.125, 0.0]],
+    ]
+
+
+def test_fields_that_an_older_report_lacks_take_their_defaults() -> None:
+    reader = Gossip("b5", 1, Random(1))
+    reader.received(START, msgspec.msgpack.encode([["b2", 9, 4, 0, 0, [["records", "s-1", 5, 4]]]]))
+    assert plain(reader.board.fresh(START)["b2"].report)[6:] == [[], []]
+
+
+def test_the_numbers_of_outcomes_stay() -> None:
+    """A lease's result is one of them: how the health check ended."""
+    numbers = [
+        Outcome.COMMITTED, Outcome.ERROR, Outcome.FULL, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET,
+        Outcome.CANCELLED, Outcome.MOOT,
+    ]  # fmt: skip
+    assert [int(number) for number in numbers] == [1, 2, 3, 4, 5, 6, 7, 8]
+
+
+def test_the_name_of_a_health_checks_lease_stays() -> None:
+    assert named("records-next", SimpleNamespace(name="s-1")) == "probe records-next s-1"
+
+
+def produce_leases() -> str:
+    """Three members do four tasks; one stops, another joins. Who works when, under which number."""
+    zones = {f"probe records s-{number}": "ab"[number % 2] for number in range(4)}
+    members = [("b1", "a"), ("b2", "b"), ("b3", "b")]
+    instances = {name: Duties(name, 4 * SECOND) for name, _ in members}
+    wire: list[Done] = []
+    worked, told_last = [], {}
+    for beat in range(60):
+        now = START + beat * BEAT
+        if beat == 25:  # b2 stops without a word; the others know after three seconds
+            del instances["b2"]
+        if beat == 31:
+            members.remove(("b2", "b"))
+        if beat == 44:
+            instances["b4"] = Duties("b4", 4 * SECOND)
+            members.append(("b4", "b"))
+        told, wire = wire, []
+        for name, instance in instances.items():
+            instance.follow(now, members, True)
+            instance.are(now, zones)
+            for done in told:
+                instance.heard(now, done)
+            for turn in instance.wake(now):
+                worked.append([beat, name, turn.duty, turn.fence, instance.worked(now, turn, 1)])
+            wire += instance.tell(now)
+            told_last[name] = [plain(done) for done in instance.tell(now)]
+    names = [f"b{number}" for number in range(8)]
+    orders = {
+        f"{task}, zone {zone!r}": order(task, [(name, "ab"[n % 2]) for n, name in enumerate(names)], zone)
+        for task in (*zones, "probe archive bälter")
+        for zone in ("", "a")
+    }
+    return as_json({"worked": worked, "told_at_the_end": told_last, "orders": orders})
+
+
+def test_leases_change_hands_under_the_same_numbers_as_before() -> None:
+    assert produce_leases() == read_golden(LEASES_GOLDEN)
+
+
+def test_the_golden_leases_change_hands() -> None:
+    worked = json.loads(read_golden(LEASES_GOLDEN))["worked"]
+    holders = {task: {name for _, name, each, *_ in worked if each == task} for _, _, task, *_ in worked}
+    assert len(holders) == 4 and {"b1", "b2", "b3", "b4"} == set.union(*holders.values())
+    assert any(len(names) > 1 for names in holders.values())
+
+
+if __name__ == "__main__":
+    write_golden(GOSSIP_GOLDEN, produce_gossip())
+    write_golden(LEASES_GOLDEN, produce_leases())
