--- /dev/null
+++ b/tests/pins/test_handed_over_state.py
@@ -0,0 +1,236 @@
+"""What one process leaves for the next: files of today are read, and what is written stays byte for byte.
+
+Three forms: the runtime directory that two processes of a balancer share (`PROXY_FD`), the state in it that a
+successor goes on from, and the file in which a member keeps who was known, also handed over on SIGUSR2.
+"""
+
+import asyncio
+import json
+import os
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+import msgspec
+import pytest
+from golden_files import DATA, as_json, read_golden, write_golden
+
+from dahliabend.config import read_node
+from dahliabend.members.wire import Ping
+from dahliabend.net.program.fleet import Fleet
+from dahliabend.net.program.handover import VERSION, Handover
+from dahliabend.net.program.serve import Program
+from dahliabend.net.transport import machine as computer
+from dahliabend.net.transport.deadlines import Deadlines
+from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.settings.types import Members
+from dahliabend.settings.units import Span
+
+FOLDER = DATA / "handed_over"
+STATE = "for-2-12434"  # the second process in the folder, and its process id
+HANDED_ON_GOLDEN = "handed_over/for-3-99"
+KEPT = "member.keep"
+KEPT_AGAIN_GOLDEN = "handed_over/member_again.keep"
+SUCCESSOR_GOLDEN = "handed_over/successor.json"
+KEPT_AT = 1_764_653_000_000_000  # Unix microseconds
+
+
+class LogLines(list):
+    """A log that keeps its events with their fields."""
+
+    verbose = False
+
+    def __call__(self, event: str, **fields) -> None:
+        self.append([event, fields])
+
+    def debug(self, event: str, **fields) -> None:
+        self(event, **fields)
+
+
+def copy(name: str, folder: Path) -> None:
+    """A file of the data, into a folder that a process may change."""
+    (folder / name).write_bytes((FOLDER / name).read_bytes())
+
+
+# The state of a balancer in service.
+
+
+def handed_on(folder: Path) -> tuple[str, LogLines, dict[str, list]]:
+    """A successor reads the state written for it, and writes its own for the one after it.
+
+    Returns that file, the log, and what the decisions of the successor go by, by upstream and over all.
+    """
+    log, values = LogLines(), {}
+
+    async def go_on() -> None:
+        node = read_node({"PROXY_CONFIG": str(FOLDER / "platform.json")})
+        program = Program(node, {}, log)
+        mine = Handover(str(folder), log)
+        mine.key = (2, 12434)
+        state = mine.received()
+        assert state is not None
+        program.go_on_from(state)
+        decisions, upstreams = program.router.balancer, program.router.table.upstreams
+        for index, u in sorted(decisions.upstreams.items()):
+            values[upstreams[index].name] = [
+                u.born, u.pace, u.heard, u.answered, u.turn, u.aside, u.since, u.strikes, u.budget, u.filled,
+            ]  # fmt: skip
+        values["all"] = [
+            decisions.ceiling, decisions.crowd, decisions.borne, decisions.stretch, decisions.low,
+            decisions.took, decisions.beats, decisions.pressed, decisions.gap, *decisions.usual,
+        ]  # fmt: skip
+        mine.hand((3, 99), program.state)
+
+    asyncio.run(go_on())
+    return (folder / "for-3-99").read_text(), log, values
+
+
+def test_state_of_the_version_before_is_read_and_handed_on_byte_for_byte(tmp_path: Path) -> None:
+    copy(STATE, tmp_path)
+    written, log, _ = handed_on(tmp_path)
+    assert written == read_golden(HANDED_ON_GOLDEN)
+    assert ["list", {"version": 12, "full": True, "entries": 3}] in log
+    assert ["followed", {"kept": 3, "upstreams": 3}] in log and ["handed_over", {"to": 99}] in log
+    assert "handover.unread" not in {event for event, _ in log}
+    assert not (tmp_path / STATE).exists()
+
+
+def test_each_value_of_the_state_reaches_the_decisions_it_was_taken_from(tmp_path: Path) -> None:
+    """The lists of the file go by place: one that changes its place would pass for another."""
+    copy(STATE, tmp_path)
+    state = json.loads((FOLDER / STATE).read_text())
+    expected = state["upstreams"] | {"all": [*state["crowd"], state["gap"], *state["usual"]]}
+    assert handed_on(tmp_path)[2] == expected
+
+
+def test_handed_on_state_is_what_was_read_but_for_the_halved_budgets() -> None:
+    """So the golden file shows that each value came through, and none is a default."""
+    before, after = (json.loads((FOLDER / name).read_text()) for name in (STATE, "for-3-99"))
+    for values in before["upstreams"].values():
+        values[8] /= 2
+    for state in (before, after):  # in the order in which they were last named
+        state["once"].sort()
+        state["list"]["servers"].sort(key=lambda server: server["id"])
+    assert after == before
+    assert list(after) == [
+        "version", "shape", "usual", "gap", "upstreams", "crowd", "epoch", "profiles", "returned", "once",
+        "list", "discovery",
+    ]  # fmt: skip
+
+
+# The runtime directory.
+
+
+def test_names_and_contents_of_the_runtime_directory(tmp_path: Path) -> None:
+    shared = tmp_path / "dahliabend"
+    log, own = LogLines(), os.getpid()
+    mine = Handover(str(shared), log)
+    mine.open()
+    mine.tell(37)
+    mine.exclude("s-1", True)
+    mine.exclude("s-1/../bälter", True)
+    mine.hand((2, 4711), lambda: {"epoch": 5, "list": {"version": 1}})
+    files = {str(path.relative_to(shared)): path for path in shared.rglob("*") if path.is_file()}
+    assert {name: path.read_bytes().decode() for name, path in files.items()} == {
+        f"alive-1-{own}": "      37",
+        "excluded/d8f869c69505c294cde2a4fffd0d696e": "s-1",
+        "excluded/a40d7184ecfec4237917bfe1837ebae3": "s-1/../bälter",
+        "for-2-4711": '{"version":1,"epoch":5,"list":{"version":1}}',
+    }
+    assert files[f"alive-1-{own}"].stat().st_mode & 0o777 == 0o600
+    assert log == [["handed_over", {"to": 4711}]] and VERSION == 1
+    mine.exclude("s-1", False)
+    assert mine.excluded() == {"s-1/../bälter"}
+
+
+def test_exclusions_written_by_the_version_before_hold(tmp_path: Path) -> None:
+    (tmp_path / "excluded").mkdir()
+    (tmp_path / "excluded" / "d8f869c69505c294cde2a4fffd0d696e").write_bytes(b"s-1")
+    mine = Handover(str(tmp_path), LogLines())
+    mine.open()
+    assert mine.excluded() == {"s-1"}
+    mine.exclude("s-1", False)
+    assert mine.excluded() == set()
+
+
+def test_the_runtime_directory_is_where_it_was() -> None:
+    platform = {"PROXY_CONFIG": str(FOLDER / "platform.json")}
+    assert read_node(platform).shared == ""
+    assert read_node({**platform, "PROXY_FD": "7"}).shared == "/tmp/dahliabend"
+    assert read_node({**platform, "PROXY_FD": "7", "TMPDIR": "/run/b1"}).shared == "/run/b1/dahliabend"
+
+
+# What a member keeps.
+
+
+@contextmanager
+def wall_clock(microseconds: int) -> Iterator[None]:
+    """The wall clock stands at a time."""
+    real = computer.wall
+    computer.wall = lambda: microseconds * 1_000
+    try:
+        yield
+    finally:
+        computer.wall = real
+
+
+def member(folder: Path, log: LogLines) -> Fleet:
+    """The member whose file it is, as it starts; nothing is opened."""
+    (folder / "key").write_text("k" * 32)
+    settings = Members(
+        address="127.0.0.1:7946", name="b1", zone="zone-a", key_files=["key"], keep=KEPT,
+        seeds=["10.0.0.9:7946"], period=Span(1_000_000),
+    )  # fmt: skip
+    loop = asyncio.new_event_loop()
+    try:
+        return Fleet(settings, str(folder), Deadlines(loop), Descriptors(64), 1, log)
+    finally:
+        loop.close()
+
+
+def succeed(folder: Path) -> tuple[dict, str]:
+    """A successor goes on from the file half a second later: what it is then, and what it hands over."""
+    log = LogLines()
+    with wall_clock(KEPT_AT + 500_000):
+        successor = member(folder, log)
+        assert successor.kept is not None and successor.kept.handed
+        machine = successor.machine
+        machine.resume(7_000_000, msgspec.structs.asdict(successor.kept))
+        machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
+        found = {
+            "seeds": successor.seeds(), "life": machine.life, "incarnation": machine.me.incarnation,
+            "datagrams": [[address, data.hex()] for address, data in machine.out],
+            "members": [msgspec.to_builtins(each.rumour) for each in machine.members.values()],
+        }  # fmt: skip
+        successor.keep(handed=True)
+    assert not log
+    return found, (folder / KEPT).read_text()
+
+
+def test_a_members_file_of_the_version_before_is_read_and_written_again(tmp_path: Path) -> None:
+    copy(KEPT, tmp_path)
+    found, written = succeed(tmp_path)
+    assert as_json(found) == read_golden(SUCCESSOR_GOLDEN)
+    assert written == read_golden(KEPT_AGAIN_GOLDEN)
+    assert {path.name for path in tmp_path.iterdir()} == {"key", KEPT}
+
+
+@pytest.mark.parametrize(("later", "goes_on"), [(29_999_999, True), (30_000_000, False), (-1, False)])
+def test_a_members_file_is_gone_on_from_for_thirty_periods(tmp_path: Path, later: int, goes_on: bool) -> None:
+    copy(KEPT, tmp_path)
+    with wall_clock(KEPT_AT + later):
+        successor = member(tmp_path, LogLines())
+    assert successor.kept is not None and successor.kept.handed is goes_on
+    assert successor.machine.life == KEPT_AT + max(later, 1_000_001)  # newer than the life that was kept
+
+
+if __name__ == "__main__":
+    from tempfile import TemporaryDirectory
+
+    with TemporaryDirectory() as scratch:
+        copy(STATE, Path(scratch))
+        write_golden(HANDED_ON_GOLDEN, handed_on(Path(scratch))[0])
+        copy(KEPT, Path(scratch))
+        kept_found, kept_written = succeed(Path(scratch))
+        write_golden(SUCCESSOR_GOLDEN, as_json(kept_found))
+        write_golden(KEPT_AGAIN_GOLDEN, kept_written)
