--- /dev/null
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -0,0 +1,31 @@
+"""The checker's messages for operators' files with one planted fault of each kind, against golden text."""
+
+import sys
+from pathlib import Path
+
+sys.path.insert(0, str(Path(__file__).parents[1] / "settings"))
+
+from corpus import FAULTS, make  # noqa: E402
+from golden_files import read_golden, write_golden  # noqa: E402
+
+from dahliabend.routes import plan as plans  # noqa: E402
+
+GOLDEN = "checker_corpus_messages.txt"
+
+
+def produce() -> str:
+    """The messages for one file of each kind of fault, and for the sound file before it."""
+    lines = []
+    for seed in range(2 * len(FAULTS)):
+        made = make(seed)
+        plan = plans.plan("file.toml", environment={}, read=made.read)
+        lines += [f"seed {seed}: {'usable' if plan.usable else 'refused'}", *map(str, plan.faults)]
+    return "\n".join(lines) + "\n"
+
+
+def test_messages_name_file_line_key_and_reason_exactly_as_before() -> None:
+    assert produce() == read_golden(GOLDEN)
+
+
+if __name__ == "__main__":
+    write_golden(GOLDEN, produce())
