--- a/dahliabend/benchlink/__main__.py
+++ b/dahliabend/simulator_adapter/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m dahliabend.benchlink`: batches on standard input, replies on standard output."""
+"""`python -m dahliabend.simulator_adapter`: batches on standard input, replies on standard output."""
 
 import sys
 
-from dahliabend.benchlink.host import Host
-from dahliabend.benchlink.wire import Malformed, read_frame
+from dahliabend.simulator_adapter.codec import Malformed, read_frame
+from dahliabend.simulator_adapter.host import Host
 
 
 def main() -> int:
@@ -14,7 +14,7 @@
             sink.write(host.batch(*frame))
             sink.flush()
     except Malformed as error:
-        print(f"dahliabend.benchlink: {error}", file=sys.stderr)
+        print(f"dahliabend.simulator_adapter: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/dahliabend/benchlink/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,9 +1,9 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
 from dahliabend import config
-from dahliabend.benchlink import wire
 from dahliabend.decide import Balancer, Transaction
 from dahliabend.model import Outcome, State
+from dahliabend.simulator_adapter import codec as wire
 
 _DELTA, _FULL, _CACHED, _FAILED = range(4)
 
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.emulator.fleets.model import Model  # noqa: E402
-from dahliabend.emulator.fleets.script import S, Fleet  # noqa: E402
+from dahliabend.emulator.fleets.script import Fleet, S  # noqa: E402
 from dahliabend.emulator.fleets.town import Town  # noqa: E402
 from dahliabend.members.machine import Terms  # noqa: E402
 
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.emulator.fleets.script import S, Fleet, Step  # noqa: E402
+from dahliabend.emulator.fleets.script import Fleet, S, Step  # noqa: E402
 from dahliabend.emulator.fleets.subsets import Subsets  # noqa: E402
 from dahliabend.settings.units import Span  # noqa: E402
 from dahliabend.subsets.keeper import Terms  # noqa: E402
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.emulator.fleets.script import S, Fleet, Step  # noqa: E402
+from dahliabend.emulator.fleets.script import Fleet, S, Step  # noqa: E402
 from dahliabend.emulator.fleets.work import Work, names  # noqa: E402
 from dahliabend.settings.units import Span  # noqa: E402
 from dahliabend.subsets.keeper import Terms  # noqa: E402
--- a/tests/test_wire.py
+++ b/tests/simulator_adapter/test_codec.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from dahliabend.benchlink import wire
-from dahliabend.benchlink.host import Host
 from dahliabend.config import read
+from dahliabend.simulator_adapter import codec as wire
+from dahliabend.simulator_adapter.host import Host
 
 EMPTY = bytes.fromhex("40c06e2000000000 00000004 00000000")
 BATCH = bytes.fromhex(
@@ -106,7 +106,7 @@
 )  # fmt: skip
 def test_malformed_input_ends_with_one_plain_message(raw, word):
     done = subprocess.run(
-        [sys.executable, "-m", "dahliabend.benchlink"], input=EMPTY + raw, capture_output=True
+        [sys.executable, "-m", "dahliabend.simulator_adapter"], input=EMPTY + raw, capture_output=True
     )
     assert done.returncode == 1 and word in done.stderr.decode() and done.stderr.count(b"\n") == 1
     assert done.stdout == wire.reply([])
