--- a/dahliabend/config.py
+++ b/dahliabend/config.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dahliabend.model import Effect, Group, Profile, Settings
-from dahliabend.net.transport import machine
+from dahliabend.transport import host_info as machine
 
 
 class _Wire(msgspec.Struct, rename="kebab"):
--- a/dahliabend/emulator/stand_ins.py
+++ b/dahliabend/emulator/stand_ins.py
@@ -1,6 +1,6 @@
 """The modelled machine under the network code: its clocks, sockets, files and shared folders.
 
-`standing_in` puts them in the place of `dahliabend.net.transport.machine`'s for as long as it lasts. One
+`standing_in` puts them in the place of `dahliabend.transport.host_info`'s for as long as it lasts. One
 world at a time, in one thread.
 """
 
@@ -10,7 +10,7 @@
 
 from dahliabend.emulator.kernel import EPOCH, Kernel, Process
 from dahliabend.emulator.network import Listening, Network, Socket
-from dahliabend.net.transport import machine
+from dahliabend.transport import host_info as machine
 
 _NAMES = ("ticks", "wall", "process_id", "folder", "stream_socket", "inherited_socket", "read_file",
           "hung_up")  # fmt: skip
@@ -25,7 +25,7 @@
 
 
 class MemoryFolder:
-    """As `dahliabend.net.transport.folder.Folder`, in memory; locks end with their process."""
+    """As `dahliabend.transport.runtime_directory.Folder`, in memory; locks end with their process."""
 
     def __init__(self, kernel: Kernel, files: dict[str, bytes | MemoryClaim]) -> None:
         self.kernel, self.files = kernel, files
--- a/dahliabend/members/shell.py
+++ b/dahliabend/members/shell.py
@@ -8,8 +8,8 @@
 from dahliabend.members.machine import Event, Machine
 from dahliabend.members.seal import Seal
 from dahliabend.members.wire import MOST
-from dahliabend.net.transport import machine as computer
-from dahliabend.net.transport.deadlines import Deadlines, clock
+from dahliabend.transport import host_info as computer
+from dahliabend.transport.timers import Deadlines, clock
 
 MOST_PLACES = 20_000  # addresses remembered as read
 
--- a/dahliabend/net/program/fleet.py
+++ b/dahliabend/net/program/fleet.py
@@ -18,12 +18,12 @@
 from dahliabend.model import State
 from dahliabend.net.program.lists import ListFile
 from dahliabend.net.protocol.discovery import Book, Discovery
-from dahliabend.net.transport import machine as computer
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
 from dahliabend.settings.types import Members
 from dahliabend.signals.gossip import BEAT, MS, Gossip
 from dahliabend.subsets.demand import UNTOLD, Demand
+from dahliabend.transport import host_info as computer
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 KEEP_BEATS = 30  # periods between two writings of what is kept
 DIAL_TIME = 250_000
--- a/dahliabend/net/program/handover.py
+++ b/dahliabend/net/program/handover.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.folder import Claim
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.runtime_directory import Claim
 
 VERSION = 1  # of the files' form: what another version wrote is not read
 BANS = "excluded"
--- a/dahliabend/net/program/lists.py
+++ b/dahliabend/net/program/lists.py
@@ -5,8 +5,8 @@
 import orjson
 
 from dahliabend.net.protocol.discovery import Book
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.deadlines import Deadlines, clock
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.timers import Deadlines, clock
 
 LOOK = 1_000_000  # how often the file is read again
 
--- a/dahliabend/net/program/narrowed.py
+++ b/dahliabend/net/program/narrowed.py
@@ -7,10 +7,10 @@
 
 from dahliabend.model import State
 from dahliabend.net.routing.router import Router
-from dahliabend.net.transport.deadlines import Deadlines, clock
 from dahliabend.settings import types
 from dahliabend.subsets.choice import Party
 from dahliabend.subsets.keeper import Keeper, Subset, Terms, answering
+from dahliabend.transport.timers import Deadlines, clock
 
 LOOK = 250_000  # how often it looks whether something has to move
 
--- a/dahliabend/net/program/probing.py
+++ b/dahliabend/net/program/probing.py
@@ -5,7 +5,7 @@
 from dahliabend.model import Outcome, State
 from dahliabend.net.routing.router import Policy, Router
 from dahliabend.net.routing.upstreams import Upstream
-from dahliabend.net.transport.deadlines import clock
+from dahliabend.transport.timers import clock
 from dahliabend.turns.shared import Shared, Told
 
 
--- a/dahliabend/net/program/serve.py
+++ b/dahliabend/net/program/serve.py
@@ -16,9 +16,9 @@
 from dahliabend.net.protocol.operators import Operator
 from dahliabend.net.routing.router import Router
 from dahliabend.net.routing.upstreams import UpstreamTable
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import DOOR, OTHERS, Descriptors
-from dahliabend.net.transport.listener import Listener
+from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
+from dahliabend.transport.listener import Listener
+from dahliabend.transport.timers import Deadlines, clock
 
 ACCEPTING = 500_000  # new connections come for 0.4 s after SIGTERM at the most
 LONGEST_STOP = 3_000_000  # SIGKILL comes no sooner than the longest limit, this at most,
--- a/dahliabend/net/program/service.py
+++ b/dahliabend/net/program/service.py
@@ -20,16 +20,16 @@
 from dahliabend.net.routing.desk import Desk, Pool
 from dahliabend.net.routing.router import Router
 from dahliabend.net.routing.upstreams import UpstreamTable
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import DOOR, OTHERS, Descriptors
-from dahliabend.net.transport.listener import Listener
 from dahliabend.routes.checks import Effective, targets
 from dahliabend.routes.choice import Choice
 from dahliabend.routes.plan import Plan, diff, passed_over, plan
 from dahliabend.settings import types
 from dahliabend.settings.source import path_of
 from dahliabend.settings.types import File
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
+from dahliabend.transport.listener import Listener
+from dahliabend.transport.timers import Deadlines, clock
 
 SOCKETS = 4096  # descriptors, where the environment says nothing
 MOST_HELD = 20_000
--- a/dahliabend/net/program/shares.py
+++ b/dahliabend/net/program/shares.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Callable, Iterable
 
-from dahliabend.net.transport.deadlines import clock
 from dahliabend.routes.choice import Choice
 from dahliabend.signals.board import Parted
+from dahliabend.transport.timers import clock
 from dahliabend.turns.parts import Share
 
 SMOOTH = 1 / 4  # weight of the newest beat in what is asked
--- a/dahliabend/net/protocol/bodies.py
+++ b/dahliabend/net/protocol/bodies.py
@@ -3,8 +3,8 @@
 from typing import Protocol
 
 from dahliabend.net.protocol.headers import KEPT
-from dahliabend.net.transport.connection import Connection
-from dahliabend.net.transport.deadlines import clock
+from dahliabend.transport.connection import Connection
+from dahliabend.transport.timers import clock
 
 
 class Reader(Protocol):
--- a/dahliabend/net/protocol/callers.py
+++ b/dahliabend/net/protocol/callers.py
@@ -10,9 +10,9 @@
 
 from dahliabend.net.protocol import headers as wire
 from dahliabend.net.protocol.bodies import Body
-from dahliabend.net.transport.connection import Connection
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.connection import Connection
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 LONGEST_ID = 128
 SEND = 2_500_000  # for a request to come whole, the first one counted from connecting; 3 s are owed
--- a/dahliabend/net/protocol/discovery.py
+++ b/dahliabend/net/protocol/discovery.py
@@ -11,9 +11,9 @@
 
 from dahliabend.config import address
 from dahliabend.model import State
-from dahliabend.net.transport.connection import Connection, dial
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.connection import Connection, dial
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 BEAT = 2_000_000  # an empty line comes that often while nothing changes
 SILENT = BEAT * 9 // 8  # nothing for longer: the watch is dead, and changes are missed
--- a/dahliabend/net/protocol/operators.py
+++ b/dahliabend/net/protocol/operators.py
@@ -5,9 +5,9 @@
 import httptools
 
 from dahliabend.net.protocol import headers as wire
-from dahliabend.net.transport.connection import Connection
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.connection import Connection
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 MOST_CALL = 8192  # bytes, head and body
 SEND = 2_500_000  # for a call to come whole, counted from connecting, and for its answer to be read
--- a/dahliabend/net/protocol/upstreams.py
+++ b/dahliabend/net/protocol/upstreams.py
@@ -6,8 +6,8 @@
 
 from dahliabend.net.protocol import headers as wire
 from dahliabend.net.protocol.bodies import Body
-from dahliabend.net.transport.connection import Connection
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.connection import Connection
+from dahliabend.transport.descriptor_budget import Descriptors
 
 
 class Asker(Protocol):
--- a/dahliabend/net/routing/desk.py
+++ b/dahliabend/net/routing/desk.py
@@ -7,11 +7,11 @@
 from dahliabend.net.protocol.bodies import Body
 from dahliabend.net.protocol.headers import EXPIRES, TRACE
 from dahliabend.net.routing.router import Router
-from dahliabend.net.transport.deadlines import clock
 from dahliabend.routes.checks import METHODS
 from dahliabend.routes.choice import Choice, choices
 from dahliabend.routes.table import Table
 from dahliabend.settings.types import File
+from dahliabend.transport.timers import clock
 
 MOST_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
 ADVICE = 1_000_000  # microseconds at the most that a limit's turning away tells a caller to wait
--- a/dahliabend/net/routing/router.py
+++ b/dahliabend/net/routing/router.py
@@ -10,8 +10,8 @@
 from dahliabend.net.protocol.headers import EXPIRES, TRACE
 from dahliabend.net.routing.probes import Probe
 from dahliabend.net.routing.upstreams import MOST_ONCE, Exchange, Upstream, UpstreamTable
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.slots import Slots
+from dahliabend.transport.handles import Slots
+from dahliabend.transport.timers import Deadlines, clock
 
 STANDSTILL = 20_000_000  # peers may take seconds to read or write; this long without a byte is an end
 HURRY = 500_000  # how long an answer of unknown length is kept
--- a/dahliabend/net/routing/upstreams.py
+++ b/dahliabend/net/routing/upstreams.py
@@ -7,9 +7,9 @@
 
 from dahliabend.model import Outcome, State
 from dahliabend.net.protocol.upstreams import Link
-from dahliabend.net.transport.connection import dial
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.connection import dial
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 MOST_ONCE = 4096  # ids remembered: an operator's call may name one that is not listed now
 SETTLE = 8  # of the dialling time: for as long after an answer a second one may come on its connection
--- a/dahliabend/net/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -5,9 +5,9 @@
 import socket
 from collections import deque
 
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.descriptors import Descriptors
-from dahliabend.net.transport.ring import Ring
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.ring_buffer import Ring
 
 RING = 8192
 # The system's own buffer grows to megabytes otherwise: what lies there counts as written, and a peer that
--- a/dahliabend/net/transport/descriptors.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -2,7 +2,7 @@
 
 from itertools import chain
 
-from dahliabend.net.transport.slots import Slots
+from dahliabend.transport.handles import Slots
 
 DOOR = 16  # of the limit: the operators' own, never lent to callers
 OTHERS = 16  # what the program holds beside connections: standard streams, listener, loop, files at the start
--- a/dahliabend/net/transport/machine.py
+++ b/dahliabend/transport/host_info.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from time import monotonic_ns, time_ns
 
-from dahliabend.net.transport.folder import Folder
+from dahliabend.transport.runtime_directory import Folder
 
 ticks = monotonic_ns  # monotonic time in nanoseconds
 wall = time_ns  # Unix time in nanoseconds; all machines read one clock
--- a/dahliabend/net/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -5,10 +5,10 @@
 import socket
 from collections.abc import Callable
 
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.connection import Connection, tune
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.connection import Connection, tune
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines, clock
 
 BACKLOG = 1024
 AT_ONCE = 64  # accepted in one turn of the loop
--- a/dahliabend/net/transport/deadlines.py
+++ b/dahliabend/transport/timers.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
 
-from dahliabend.net.transport import machine
+from dahliabend.transport import host_info as machine
 
 FEW = 64  # entries below which dropped ones are not worth clearing out
 
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -24,11 +24,11 @@
 from dahliabend.net.routing import router
 from dahliabend.net.routing.router import Hop, Router
 from dahliabend.net.routing.upstreams import Exchange, Phase, UpstreamTable
-from dahliabend.net.transport.deadlines import clock
-from dahliabend.net.transport.descriptors import Descriptors
-from dahliabend.net.transport.listener import Listener
-from dahliabend.net.transport.slots import Slots
 from dahliabend.order import Lines
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.handles import Slots
+from dahliabend.transport.listener import Listener
+from dahliabend.transport.timers import clock
 
 S = 1_000_000
 
--- a/tests/emulator/test_sweep.py
+++ b/tests/emulator/test_sweep.py
@@ -14,7 +14,7 @@
 from dahliabend.emulator.shrink import shrink
 from dahliabend.emulator.sweep import look, sweep
 from dahliabend.emulator.world import World, play
-from dahliabend.net.transport import machine
+from dahliabend.transport import host_info as machine
 
 HERE = Path(__file__).parent
 MS, S = 1_000, 1_000_000
--- a/tests/members/test_sockets.py
+++ b/tests/members/test_sockets.py
@@ -13,13 +13,13 @@
 from dahliabend.members.seal import Seal, key
 from dahliabend.members.shell import Shell
 from dahliabend.net.program.fleet import Fleet
-from dahliabend.net.transport import machine as computer
-from dahliabend.net.transport.deadlines import Deadlines
-from dahliabend.net.transport.descriptors import Descriptors
 from dahliabend.rig.processes import free_ports
 from dahliabend.routes.plan import passed_over, plan
 from dahliabend.settings.types import Members
 from dahliabend.settings.units import Span
+from dahliabend.transport import host_info as computer
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines
 
 OLD, NEW = b"o" * 32, b"n" * 32
 TERMS = Terms(period=100_000)
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -20,11 +20,11 @@
 from dahliabend.net.program.fleet import Fleet
 from dahliabend.net.program.handover import VERSION, Handover
 from dahliabend.net.program.serve import Program
-from dahliabend.net.transport import machine as computer
-from dahliabend.net.transport.deadlines import Deadlines
-from dahliabend.net.transport.descriptors import Descriptors
 from dahliabend.settings.types import Members
 from dahliabend.settings.units import Span
+from dahliabend.transport import host_info as computer
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines
 
 FOLDER = DATA / "handed_over"
 STATE = "for-2-12434"  # the second process in the folder, and its process id
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,10 +16,10 @@
 from dahliabend.net.protocol.upstreams import Link
 from dahliabend.net.routing.router import Policy, Request, Router
 from dahliabend.net.routing.upstreams import Exchange, UpstreamTable
-from dahliabend.net.transport.connection import RING, Connection
-from dahliabend.net.transport.deadlines import Deadlines, clock
-from dahliabend.net.transport.descriptors import Descriptors
-from dahliabend.net.transport.slots import Slots
+from dahliabend.transport.connection import RING, Connection
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.handles import Slots
+from dahliabend.transport.timers import Deadlines, clock
 
 DESK = SimpleNamespace(
     closing=lambda: False, methods=(b"GET", b"POST"), sort=lambda *_: None, ready=lambda: True
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,8 +10,8 @@
 from dahliabend.model import Outcome
 from dahliabend.net.protocol.callers import PAUSE
 from dahliabend.net.protocol.callers import Caller as Taker
-from dahliabend.net.transport.deadlines import clock
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import clock
 
 LONG = bytes(range(256)) * 8192  # 2 MiB
 
