--- a/dahliabend/net/protocol/operators.py
+++ b/dahliabend/http/admin_connection.py
@@ -4,7 +4,7 @@
 
 import httptools
 
-from dahliabend.net.protocol import headers as wire
+from dahliabend.http import headers as wire
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/net/protocol/callers.py
+++ b/dahliabend/http/client_connection.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from dahliabend.net.protocol import headers as wire
-from dahliabend.net.protocol.bodies import Body
+from dahliabend.http import headers as wire
+from dahliabend.http.streaming import Body
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/net/protocol/bodies.py
+++ b/dahliabend/http/streaming.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from dahliabend.net.protocol.headers import KEPT
+from dahliabend.http.headers import KEPT
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.timers import clock
 
--- a/dahliabend/net/program/fleet.py
+++ b/dahliabend/net/program/fleet.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from dahliabend.config import address
+from dahliabend.http.discovery import Book, Discovery
 from dahliabend.members.machine import Event, Machine, Terms
 from dahliabend.members.seal import Seal, key
 from dahliabend.members.shell import Shell
@@ -17,7 +18,6 @@
 from dahliabend.members.wire import Rumour, Standing
 from dahliabend.model import State
 from dahliabend.net.program.lists import ListFile
-from dahliabend.net.protocol.discovery import Book, Discovery
 from dahliabend.settings.types import Members
 from dahliabend.signals.gossip import BEAT, MS, Gossip
 from dahliabend.subsets.demand import UNTOLD, Demand
--- a/dahliabend/net/program/operations.py
+++ b/dahliabend/net/program/operations.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from dahliabend.net.protocol.operators import Answer
+from dahliabend.http.admin_connection import Answer
 
 _JSON = b"Content-Type: application/json\r\n"
 
--- a/dahliabend/net/program/serve.py
+++ b/dahliabend/net/program/serve.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Mapping
 
 from dahliabend.config import Node, reread_node
+from dahliabend.http.admin_connection import Operator
+from dahliabend.http.client_connection import Caller
+from dahliabend.http.discovery import Book, Discovery
 from dahliabend.net.program.figures import Figures
 from dahliabend.net.program.handover import Handover
 from dahliabend.net.program.log import Log
 from dahliabend.net.program.operations import Operations
-from dahliabend.net.protocol.callers import Caller
-from dahliabend.net.protocol.discovery import Book, Discovery
-from dahliabend.net.protocol.operators import Operator
 from dahliabend.net.routing.router import Router
 from dahliabend.net.routing.upstreams import UpstreamTable
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
--- a/dahliabend/net/program/service.py
+++ b/dahliabend/net/program/service.py
@@ -8,6 +8,8 @@
 from importlib.util import find_spec
 
 from dahliabend.config import REST, Node, address
+from dahliabend.http.discovery import Book, Discovery
+from dahliabend.http.headers import MOST
 from dahliabend.model import Effect, Group, Profile, Settings
 from dahliabend.net.program.figures import Figures
 from dahliabend.net.program.lists import ListFile
@@ -15,8 +17,6 @@
 from dahliabend.net.program.operations import Operations
 from dahliabend.net.program.serve import BEAT, Program, live
 from dahliabend.net.program.structured import Structured
-from dahliabend.net.protocol.discovery import Book, Discovery
-from dahliabend.net.protocol.headers import MOST
 from dahliabend.net.routing.desk import Desk, Pool
 from dahliabend.net.routing.router import Router
 from dahliabend.net.routing.upstreams import UpstreamTable
--- a/dahliabend/net/routing/desk.py
+++ b/dahliabend/net/routing/desk.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from dahliabend.net.protocol.bodies import Body
-from dahliabend.net.protocol.headers import EXPIRES, TRACE
+from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.streaming import Body
 from dahliabend.net.routing.router import Router
 from dahliabend.routes.checks import METHODS
 from dahliabend.routes.choice import Choice, choices
--- a/dahliabend/net/routing/probes.py
+++ b/dahliabend/net/routing/probes.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
+from dahliabend.http import load_reports as loads
+from dahliabend.http.headers import HEALTHY, LOAD_PATH
 from dahliabend.model import Outcome
-from dahliabend.net.protocol import loads
-from dahliabend.net.protocol.headers import HEALTHY, LOAD_PATH
 from dahliabend.net.routing.upstreams import Exchange, Upstream
 
 
--- a/dahliabend/net/routing/router.py
+++ b/dahliabend/net/routing/router.py
@@ -4,10 +4,10 @@
 
 from dahliabend.config import Node
 from dahliabend.decide import Balancer, Transaction
+from dahliabend.http.client_connection import Caller
+from dahliabend.http.discovery import Discovery
+from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, Outcome, State
-from dahliabend.net.protocol.callers import Caller
-from dahliabend.net.protocol.discovery import Discovery
-from dahliabend.net.protocol.headers import EXPIRES, TRACE
 from dahliabend.net.routing.probes import Probe
 from dahliabend.net.routing.upstreams import MOST_ONCE, Exchange, Upstream, UpstreamTable
 from dahliabend.transport.handles import Slots
--- a/dahliabend/net/routing/upstreams.py
+++ b/dahliabend/net/routing/upstreams.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from enum import IntEnum
 
+from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
-from dahliabend.net.protocol.upstreams import Link
 from dahliabend.transport.connection import dial
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -14,13 +14,13 @@
 
 from dahliabend.decide import Balancer, Transaction
 from dahliabend.emulator import sweep
+from dahliabend.http import discovery
+from dahliabend.http.client_connection import Caller
+from dahliabend.http.discovery import Book
+from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
 from dahliabend.net.program.handover import Handover
 from dahliabend.net.program.serve import Program
-from dahliabend.net.protocol import discovery
-from dahliabend.net.protocol.callers import Caller
-from dahliabend.net.protocol.discovery import Book
-from dahliabend.net.protocol.upstreams import Link
 from dahliabend.net.routing import router
 from dahliabend.net.routing.router import Hop, Router
 from dahliabend.net.routing.upstreams import Exchange, Phase, UpstreamTable
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,10 +10,10 @@
 import pytest
 from helpers import MS, Notes, S
 
+from dahliabend.http.client_connection import Caller
+from dahliabend.http.discovery import Book, Discovery
+from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
-from dahliabend.net.protocol.callers import Caller
-from dahliabend.net.protocol.discovery import Book, Discovery
-from dahliabend.net.protocol.upstreams import Link
 from dahliabend.net.routing.router import Policy, Request, Router
 from dahliabend.net.routing.upstreams import Exchange, UpstreamTable
 from dahliabend.transport.connection import RING, Connection
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,9 +7,9 @@
 from helpers import MS, PATIENCE, Caller, S, Upstream, answer, balancer, call, program, until
 from test_net import DESK, Pipe, feed, upstream_table
 
+from dahliabend.http.client_connection import PAUSE
+from dahliabend.http.client_connection import Caller as Taker
 from dahliabend.model import Outcome
-from dahliabend.net.protocol.callers import PAUSE
-from dahliabend.net.protocol.callers import Caller as Taker
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import clock
 
