--- /dev/null
+++ b/dahliabend/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoint discovery: the watch that keeps the endpoint list current."""
--- a/dahliabend/net/program/fleet.py
+++ b/dahliabend/net/program/fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from dahliabend.config import address
-from dahliabend.http.discovery import Book, Discovery
+from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.members.machine import Event, Machine, Terms
 from dahliabend.members.seal import Seal, key
 from dahliabend.members.shell import Shell
--- a/dahliabend/net/program/lists.py
+++ b/dahliabend/net/program/lists.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from dahliabend.http.discovery import Book
+from dahliabend.discovery.watch import Book
 from dahliabend.transport import host_info as machine
 from dahliabend.transport.timers import Deadlines, clock
 
--- a/dahliabend/net/program/serve.py
+++ b/dahliabend/net/program/serve.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Mapping
 
 from dahliabend.config import Node, reread_node
+from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.admin_connection import Operator
 from dahliabend.http.client_connection import Caller
-from dahliabend.http.discovery import Book, Discovery
 from dahliabend.net.program.figures import Figures
 from dahliabend.net.program.handover import Handover
 from dahliabend.net.program.log import Log
--- a/dahliabend/net/program/service.py
+++ b/dahliabend/net/program/service.py
@@ -8,7 +8,7 @@
 from importlib.util import find_spec
 
 from dahliabend.config import REST, Node, address
-from dahliabend.http.discovery import Book, Discovery
+from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.headers import MOST
 from dahliabend.model import Effect, Group, Profile, Settings
 from dahliabend.net.program.figures import Figures
--- a/dahliabend/net/routing/router.py
+++ b/dahliabend/net/routing/router.py
@@ -4,8 +4,8 @@
 
 from dahliabend.config import Node
 from dahliabend.decide import Balancer, Transaction
+from dahliabend.discovery.watch import Discovery
 from dahliabend.http.client_connection import Caller
-from dahliabend.http.discovery import Discovery
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, Outcome, State
 from dahliabend.net.routing.probes import Probe
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 
 from dahliabend.decide import Balancer, Transaction
+from dahliabend.discovery import watch as discovery
+from dahliabend.discovery.watch import Book
 from dahliabend.emulator import sweep
-from dahliabend.http import discovery
 from dahliabend.http.client_connection import Caller
-from dahliabend.http.discovery import Book
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
 from dahliabend.net.program.handover import Handover
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,8 +10,8 @@
 import pytest
 from helpers import MS, Notes, S
 
+from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.client_connection import Caller
-from dahliabend.http.discovery import Book, Discovery
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
 from dahliabend.net.routing.router import Policy, Request, Router
