--- a/dahliabend/net/program/narrowed.py
+++ b/dahliabend/net/program/narrowed.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from dahliabend.model import State
-from dahliabend.net.routing.router import Router
+from dahliabend.proxy.router import Router
 from dahliabend.settings import types
 from dahliabend.subsets.choice import Party
 from dahliabend.subsets.keeper import Keeper, Subset, Terms, answering
--- a/dahliabend/net/program/probing.py
+++ b/dahliabend/net/program/probing.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable
 
 from dahliabend.model import Outcome, State
-from dahliabend.net.routing.router import Policy, Router
-from dahliabend.net.routing.upstreams import Upstream
+from dahliabend.proxy.endpoint_table import Upstream
+from dahliabend.proxy.router import Policy, Router
 from dahliabend.transport.timers import clock
 from dahliabend.turns.shared import Shared, Told
 
--- a/dahliabend/net/program/serve.py
+++ b/dahliabend/net/program/serve.py
@@ -14,8 +14,8 @@
 from dahliabend.net.program.handover import Handover
 from dahliabend.net.program.log import Log
 from dahliabend.net.program.operations import Operations
-from dahliabend.net.routing.router import Router
-from dahliabend.net.routing.upstreams import UpstreamTable
+from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.router import Router
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
 from dahliabend.transport.listener import Listener
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/net/program/service.py
+++ b/dahliabend/net/program/service.py
@@ -17,9 +17,9 @@
 from dahliabend.net.program.operations import Operations
 from dahliabend.net.program.serve import BEAT, Program, live
 from dahliabend.net.program.structured import Structured
-from dahliabend.net.routing.desk import Desk, Pool
-from dahliabend.net.routing.router import Router
-from dahliabend.net.routing.upstreams import UpstreamTable
+from dahliabend.proxy.dispatcher import Desk, Pool
+from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.router import Router
 from dahliabend.routes.checks import Effective, targets
 from dahliabend.routes.choice import Choice
 from dahliabend.routes.plan import Plan, diff, passed_over, plan
--- a/dahliabend/net/routing/desk.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -6,7 +6,7 @@
 
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import Body
-from dahliabend.net.routing.router import Router
+from dahliabend.proxy.router import Router
 from dahliabend.routes.checks import METHODS
 from dahliabend.routes.choice import Choice, choices
 from dahliabend.routes.table import Table
--- a/dahliabend/net/routing/probes.py
+++ b/dahliabend/proxy/health_checks.py
@@ -5,7 +5,7 @@
 from dahliabend.http import load_reports as loads
 from dahliabend.http.headers import HEALTHY, LOAD_PATH
 from dahliabend.model import Outcome
-from dahliabend.net.routing.upstreams import Exchange, Upstream
+from dahliabend.proxy.endpoint_table import Exchange, Upstream
 
 
 class Probe(Exchange):
--- a/dahliabend/net/routing/router.py
+++ b/dahliabend/proxy/router.py
@@ -8,8 +8,8 @@
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, Outcome, State
-from dahliabend.net.routing.probes import Probe
-from dahliabend.net.routing.upstreams import MOST_ONCE, Exchange, Upstream, UpstreamTable
+from dahliabend.proxy.endpoint_table import MOST_ONCE, Exchange, Upstream, UpstreamTable
+from dahliabend.proxy.health_checks import Probe
 from dahliabend.transport.handles import Slots
 from dahliabend.transport.timers import Deadlines, clock
 
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -21,10 +21,10 @@
 from dahliabend.model import Outcome, State
 from dahliabend.net.program.handover import Handover
 from dahliabend.net.program.serve import Program
-from dahliabend.net.routing import router
-from dahliabend.net.routing.router import Hop, Router
-from dahliabend.net.routing.upstreams import Exchange, Phase, UpstreamTable
 from dahliabend.order import Lines
+from dahliabend.proxy import router
+from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
+from dahliabend.proxy.router import Hop, Router
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.handles import Slots
 from dahliabend.transport.listener import Listener
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,8 +14,8 @@
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
-from dahliabend.net.routing.router import Policy, Request, Router
-from dahliabend.net.routing.upstreams import Exchange, UpstreamTable
+from dahliabend.proxy.endpoint_table import Exchange, UpstreamTable
+from dahliabend.proxy.router import Policy, Request, Router
 from dahliabend.transport.connection import RING, Connection
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.handles import Slots
