--- a/dahliabend/__main__.py
+++ b/dahliabend/__main__.py
@@ -18,8 +18,8 @@
     import uvloop
 
     from dahliabend.config import read_node
-    from dahliabend.net.program.log import Log
-    from dahliabend.net.program.serve import HELD_BACK, serve
+    from dahliabend.server.log import Log
+    from dahliabend.server.serve import HELD_BACK, serve
 
     # Its default would end the program, and the file may be replaced just after it was read here.
     signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)
--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -94,7 +94,7 @@
     """Every event that a balancer logs, as docs/events.md has them."""
     import json
 
-    from dahliabend.net.program.events import EVENTS, page
+    from dahliabend.server.events import EVENTS, page
 
     if as_json:
         rows = {name: {"level": e.level, "when": e.when, "fields": e.fields} for name, e in EVENTS.items()}
@@ -115,9 +115,9 @@
 
     import uvloop
 
-    from dahliabend.net.program.serve import HELD_BACK
-    from dahliabend.net.program.service import Refused, serve_file
-    from dahliabend.net.program.structured import Structured
+    from dahliabend.server.serve import HELD_BACK
+    from dahliabend.server.service import Refused, serve_file
+    from dahliabend.server.structured_log import Structured
 
     signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)
     log = Structured("dahliabend")
--- a/dahliabend/emulator/services.py
+++ b/dahliabend/emulator/services.py
@@ -20,9 +20,9 @@
 from dahliabend.emulator.stand_ins import Machines
 from dahliabend.emulator.witness import HopTap, Witness
 from dahliabend.emulator.world import Log
-from dahliabend.net.program.service import Service
 from dahliabend.routes.checks import METHODS, Effective
 from dahliabend.routes.plan import Plan, plan
+from dahliabend.server.service import Service
 from dahliabend.settings.types import File, Member
 
 FILE = "/etc/dahliabend/file.toml"
--- a/dahliabend/emulator/world.py
+++ b/dahliabend/emulator/world.py
@@ -22,7 +22,7 @@
 from dahliabend.emulator.script import LoadSpec, Scenario
 from dahliabend.emulator.stand_ins import Machines
 from dahliabend.emulator.witness import HopTap, Witness
-from dahliabend.net.program.serve import Program
+from dahliabend.server.serve import Program
 
 LEAD = 600_000  # microseconds from the balancers' start to the load's
 REST = 6_500_000  # after the run, until nothing is to be left of it
--- a/dahliabend/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The balancer on sockets. Layers import downwards only: program, routing, protocol, transport."""
--- a/dahliabend/net/program/fleet.py
+++ b/dahliabend/server/clustering.py
@@ -17,7 +17,7 @@
 from dahliabend.members.view import View
 from dahliabend.members.wire import Rumour, Standing
 from dahliabend.model import State
-from dahliabend.net.program.lists import ListFile
+from dahliabend.server.lists import ListFile
 from dahliabend.settings.types import Members
 from dahliabend.signals.gossip import BEAT, MS, Gossip
 from dahliabend.subsets.demand import UNTOLD, Demand
@@ -86,7 +86,7 @@
         self.shares = None  # of limits, where a route is shared
         self.probing = None
         if settings.probing:
-            from dahliabend.net.program.probing import Probing
+            from dahliabend.server.probing import Probing
 
             self.probing = Probing(self.name, settings.probing, log)
             shared = self.probing.shared
@@ -128,7 +128,7 @@
     def share(self, choices: Callable) -> None:
         """Routes share their limits from now on."""
         if self.shares is None:
-            from dahliabend.net.program.shares import Shares
+            from dahliabend.server.shares import Shares
 
             self.shares = Shares(self.name, choices, self.log)
             self.gossip.parts, self.gossip.parted = self.shares.told, self.shares.heard
--- a/dahliabend/net/program/serve.py
+++ b/dahliabend/server/serve.py
@@ -10,12 +10,12 @@
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.admin_connection import Operator
 from dahliabend.http.client_connection import Caller
-from dahliabend.net.program.figures import Figures
-from dahliabend.net.program.handover import Handover
-from dahliabend.net.program.log import Log
-from dahliabend.net.program.operations import Operations
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
+from dahliabend.server.admin import Operations
+from dahliabend.server.hot_restart import Handover
+from dahliabend.server.log import Log
+from dahliabend.server.metrics import Figures
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
 from dahliabend.transport.listener import Listener
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/net/program/service.py
+++ b/dahliabend/server/service.py
@@ -11,18 +11,18 @@
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.headers import MOST
 from dahliabend.model import Effect, Group, Profile, Settings
-from dahliabend.net.program.figures import Figures
-from dahliabend.net.program.lists import ListFile
-from dahliabend.net.program.log import Log
-from dahliabend.net.program.operations import Operations
-from dahliabend.net.program.serve import BEAT, Program, live
-from dahliabend.net.program.structured import Structured
 from dahliabend.proxy.dispatcher import Desk, Pool
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
 from dahliabend.routes.checks import Effective, targets
 from dahliabend.routes.choice import Choice
 from dahliabend.routes.plan import Plan, diff, passed_over, plan
+from dahliabend.server.admin import Operations
+from dahliabend.server.lists import ListFile
+from dahliabend.server.log import Log
+from dahliabend.server.metrics import Figures
+from dahliabend.server.serve import BEAT, Program, live
+from dahliabend.server.structured_log import Structured
 from dahliabend.settings import types
 from dahliabend.settings.source import path_of
 from dahliabend.settings.types import File
@@ -162,7 +162,7 @@
         """None where the file has no `[members]`: nothing of it is loaded then."""
         if made.file.members is None:
             return None
-        from dahliabend.net.program.fleet import Fleet
+        from dahliabend.server.clustering import Fleet
 
         folder = os.path.dirname(os.path.abspath(self.path))
         fleet = Fleet(made.file.members, folder, self.deadlines, self.descriptors, self.seed, self.log)
@@ -273,7 +273,7 @@
         running.narrowed = None
         if pool.subset is not None:
             running.router.shares = None  # who is first in a duty's order may not use that upstream
-            from dahliabend.net.program.narrowed import Narrowed
+            from dahliabend.server.subset_filter import Narrowed
 
             running.narrowed = Narrowed(
                 running.router, pool.subset, pool.balancers, self.fleet, f"{self.seed:x}", self.deadlines,
--- a/dahliabend/net/program/structured.py
+++ b/dahliabend/server/structured_log.py
@@ -9,8 +9,8 @@
 import orjson
 import structlog
 
-from dahliabend.net.program.events import EVENTS
-from dahliabend.net.program.log import Log
+from dahliabend.server.events import EVENTS
+from dahliabend.server.log import Log
 from dahliabend.settings import types
 
 SECRET = {"authorization", "cookie", "set-cookie", "password", "passwd", "secret", "token", "api-key"}
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -19,12 +19,12 @@
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
-from dahliabend.net.program.handover import Handover
-from dahliabend.net.program.serve import Program
 from dahliabend.order import Lines
 from dahliabend.proxy import router
 from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
 from dahliabend.proxy.router import Hop, Router
+from dahliabend.server.hot_restart import Handover
+from dahliabend.server.serve import Program
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.handles import Slots
 from dahliabend.transport.listener import Listener
--- a/tests/members/test_sockets.py
+++ b/tests/members/test_sockets.py
@@ -12,9 +12,9 @@
 from dahliabend.members.machine import Machine, Terms
 from dahliabend.members.seal import Seal, key
 from dahliabend.members.shell import Shell
-from dahliabend.net.program.fleet import Fleet
 from dahliabend.rig.processes import free_ports
 from dahliabend.routes.plan import passed_over, plan
+from dahliabend.server.clustering import Fleet
 from dahliabend.settings.types import Members
 from dahliabend.settings.units import Span
 from dahliabend.transport import host_info as computer
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -12,7 +12,7 @@
 from golden_files import as_json, read_golden, write_golden
 
 from dahliabend.model import Outcome
-from dahliabend.net.program.probing import named
+from dahliabend.server.probing import named
 from dahliabend.signals.board import Parted, Report, Row
 from dahliabend.signals.gossip import Gossip
 from dahliabend.turns.duties import Done, Duties
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -17,9 +17,9 @@
 
 from dahliabend.config import read_node
 from dahliabend.members.wire import Ping
-from dahliabend.net.program.fleet import Fleet
-from dahliabend.net.program.handover import VERSION, Handover
-from dahliabend.net.program.serve import Program
+from dahliabend.server.clustering import Fleet
+from dahliabend.server.hot_restart import VERSION, Handover
+from dahliabend.server.serve import Program
 from dahliabend.settings.types import Members
 from dahliabend.settings.units import Span
 from dahliabend.transport import host_info as computer
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -11,9 +11,9 @@
 
 from golden_files import as_json, read_golden, write_golden
 
-from dahliabend.net.program.events import CONTEXT
-from dahliabend.net.program.log import Log as PlainLog
-from dahliabend.net.program.structured import Structured
+from dahliabend.server.events import CONTEXT
+from dahliabend.server.log import Log as PlainLog
+from dahliabend.server.structured_log import Structured
 from dahliabend.settings.types import Log as LogSettings
 
 ROOT = Path(__file__).parents[2]
--- a/tests/test_operations.py
+++ b/tests/server/test_admin.py
@@ -18,7 +18,7 @@
     until,
 )
 
-from dahliabend.net.program.figures import MOST, Figures
+from dahliabend.server.metrics import MOST, Figures
 
 
 def telemetry(process):
--- a/tests/program/test_events.py
+++ b/tests/server/test_events.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 import dahliabend
-from dahliabend.net.program import log as plain
-from dahliabend.net.program.events import CONTEXT, ENDED, EVENTS, page
-from dahliabend.net.program.structured import Structured
+from dahliabend.server import log as plain
+from dahliabend.server.events import CONTEXT, ENDED, EVENTS, page
+from dahliabend.server.structured_log import Structured
 from dahliabend.settings.types import Log
 from dahliabend.settings.units import Share
 
--- a/tests/test_handover.py
+++ b/tests/server/test_hot_restart.py
@@ -10,7 +10,7 @@
 
 from helpers import PATIENCE, Agent, Caller, Upstream, call, entry, logged, program, until
 
-from dahliabend.net.program.handover import VERSION, Handover
+from dahliabend.server.hot_restart import VERSION, Handover
 
 
 @contextmanager
--- a/tests/subsets/test_narrowed.py
+++ b/tests/subsets/test_narrowed.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dahliabend.model import State
-from dahliabend.net.program.narrowed import Narrowed
 from dahliabend.routes.plan import plan
+from dahliabend.server.subset_filter import Narrowed
 from dahliabend.settings.types import Subset
 
 
--- a/tests/turns/test_shares.py
+++ b/tests/turns/test_shares.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from dahliabend.net.program.service import Service
-from dahliabend.net.program.shares import Shares
 from dahliabend.routes.limits import Limit
+from dahliabend.server.service import Service
+from dahliabend.server.shares import Shares
 from dahliabend.settings.types import Route
 from dahliabend.signals.board import Parted
 
