--- a/dahliabend/emulator/fleets/claims.py
+++ b/dahliabend/emulator/fleets/claims.py
@@ -7,7 +7,7 @@
 from math import log10
 
 from dahliabend.emulator.fleets.truth import Truth
-from dahliabend.members.machine import Terms
+from dahliabend.membership.failure_detector import Terms
 
 MOST = 40  # violations kept
 
--- a/dahliabend/emulator/fleets/model.py
+++ b/dahliabend/emulator/fleets/model.py
@@ -6,9 +6,9 @@
 from dahliabend.emulator.fleets.script import WAYS, Fleet, S, Step
 from dahliabend.emulator.fleets.town import SOON, Town
 from dahliabend.emulator.fleets.truth import Truth
-from dahliabend.members import wire
-from dahliabend.members.machine import Machine, Member, Terms
-from dahliabend.members.wire import pack
+from dahliabend.membership import codec as wire
+from dahliabend.membership.codec import pack
+from dahliabend.membership.failure_detector import Machine, Member, Terms
 
 LOOK = 4  # looks a period at whether a condition holds
 
--- a/dahliabend/emulator/fleets/search.py
+++ b/dahliabend/emulator/fleets/search.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from dahliabend.members.machine import Machine, Terms
-from dahliabend.members.wire import Standing
+from dahliabend.membership.codec import Standing
+from dahliabend.membership.failure_detector import Machine, Terms
 
 Letter = tuple[str, str, bytes]  # source, target, datagram
 
--- a/dahliabend/emulator/fleets/subsets.py
+++ b/dahliabend/emulator/fleets/subsets.py
@@ -8,7 +8,7 @@
 
 from dahliabend.emulator.fleets.model import Model
 from dahliabend.emulator.fleets.script import Fleet, S
-from dahliabend.members.machine import Terms
+from dahliabend.membership.failure_detector import Terms
 from dahliabend.subsets.choice import Party
 from dahliabend.subsets.keeper import Keeper
 from dahliabend.subsets.keeper import Terms as SubsetTerms
--- a/dahliabend/emulator/fleets/town.py
+++ b/dahliabend/emulator/fleets/town.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.members.machine import Machine, Terms
+from dahliabend.membership.failure_detector import Machine, Terms
 
 S = 1_000_000
 SOON = (200, 20_000)  # microseconds of a datagram's way, where nothing else is said
--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/emulator/fleets/work.py
@@ -16,8 +16,8 @@
 from dahliabend.emulator.fleets.model import Model
 from dahliabend.emulator.fleets.nodes import Kind, Node
 from dahliabend.emulator.fleets.script import Fleet, S
-from dahliabend.members.machine import Machine
-from dahliabend.members.machine import Terms as MemberTerms
+from dahliabend.membership.failure_detector import Machine
+from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
 from dahliabend.signals.board import Report, Row
 from dahliabend.signals.gossip import BEAT, Gossip
--- a/dahliabend/members/seal.py
+++ b/dahliabend/membership/encryption.py
@@ -6,7 +6,7 @@
 
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
-from dahliabend.members.wire import MOST, SEAL
+from dahliabend.membership.codec import MOST, SEAL
 
 LEAST = 32  # bytes of a key
 ABOUT = b"dahliabend members 1\0"  # a key used elsewhere too seals nothing that is valid here
--- a/dahliabend/members/machine.py
+++ b/dahliabend/membership/failure_detector.py
@@ -12,10 +12,22 @@
 
 from msgspec.structs import replace
 
-from dahliabend.members import wire
-from dahliabend.members.serials import Serials
-from dahliabend.members.view import Seen, State, View, mark
-from dahliabend.members.wire import Ack, Ask, Body, Nack, Packet, Ping, Refused, Rumour, Said, Standing, Whole
+from dahliabend.membership import codec as wire
+from dahliabend.membership.codec import (
+    Ack,
+    Ask,
+    Body,
+    Nack,
+    Packet,
+    Ping,
+    Refused,
+    Rumour,
+    Said,
+    Standing,
+    Whole,
+)
+from dahliabend.membership.serials import Serials
+from dahliabend.membership.view import Seen, State, View, mark
 
 HERE = (Standing.ALIVE, Standing.SUSPECT)
 MUTE, BACK = 8, 2  # probes that others had to help with until one is told as unreachable; each own answer
--- a/dahliabend/members/shell.py
+++ b/dahliabend/membership/udp_transport.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from dahliabend.config import address
-from dahliabend.members.machine import Event, Machine
-from dahliabend.members.seal import Seal
-from dahliabend.members.wire import MOST
+from dahliabend.membership.codec import MOST
+from dahliabend.membership.encryption import Seal
+from dahliabend.membership.failure_detector import Event, Machine
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.timers import Deadlines, clock
 
--- a/dahliabend/rig/play.py
+++ b/dahliabend/rig/play.py
@@ -17,9 +17,9 @@
 from dahliabend.emulator.fleets.model import LOOK, Player
 from dahliabend.emulator.fleets.script import WAYS, Fleet, S, Step
 from dahliabend.emulator.world import joined
-from dahliabend.members.machine import Terms
-from dahliabend.members.seal import Seal
-from dahliabend.members.wire import Ping, encode
+from dahliabend.membership.codec import Ping, encode
+from dahliabend.membership.encryption import Seal
+from dahliabend.membership.failure_detector import Terms
 from dahliabend.rig.processes import Instance, free_ports
 from dahliabend.rig.relay import Relay
 from dahliabend.rig.traffic import CLASSES, Traffic
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -11,11 +11,11 @@
 
 from dahliabend.config import address
 from dahliabend.discovery.watch import Book, Discovery
-from dahliabend.members.machine import Event, Machine, Terms
-from dahliabend.members.seal import Seal, key
-from dahliabend.members.shell import Shell
-from dahliabend.members.view import View
-from dahliabend.members.wire import Rumour, Standing
+from dahliabend.membership.codec import Rumour, Standing
+from dahliabend.membership.encryption import Seal, key
+from dahliabend.membership.failure_detector import Event, Machine, Terms
+from dahliabend.membership.udp_transport import Shell
+from dahliabend.membership.view import View
 from dahliabend.model import State
 from dahliabend.server.lists import ListFile
 from dahliabend.settings.types import Members
--- a/tests/fleets/test_fleets.py
+++ b/tests/fleets/test_fleets.py
@@ -7,7 +7,7 @@
 from dahliabend.emulator.fleets.model import Model, play
 from dahliabend.emulator.fleets.script import Fleet, S, Step
 from dahliabend.emulator.fleets.truth import Truth
-from dahliabend.members.machine import Terms
+from dahliabend.membership.failure_detector import Terms
 from dahliabend.settings.units import Span
 
 AGREE = Step(until="agree")
--- a/tests/fleets/test_search.py
+++ b/tests/fleets/test_search.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dahliabend.emulator.fleets.search import agreed, begin, search, sound
-from dahliabend.members.machine import Machine, Terms
-from dahliabend.members.wire import Standing
+from dahliabend.membership.codec import Standing
+from dahliabend.membership.failure_detector import Machine, Terms
 
 QUICK = Terms(others=1, whole=5, least=1.0, longest=1.0)
 DEPTH = 6
--- a/tests/members/test_machine.py
+++ b/tests/membership/test_failure_detector.py
@@ -6,8 +6,8 @@
 from msgspec.structs import replace
 from town import S, Town
 
-from dahliabend.members import wire
-from dahliabend.members.machine import Machine, Terms
+from dahliabend.membership import codec as wire
+from dahliabend.membership.failure_detector import Machine, Terms
 
 
 @pytest.mark.parametrize("count", [2, 5, 40])
--- a/tests/members/test_fuzz.py
+++ b/tests/membership/test_fuzz.py
@@ -1,6 +1,6 @@
 """Whatever comes in at the datagram's door: no exception, no growth.
 
-A million: `PYTHONPATH=. python tests/members/test_fuzz.py`.
+A million: `PYTHONPATH=. python tests/membership/test_fuzz.py`.
 """
 
 import sys
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dahliabend.members import wire
-from dahliabend.members.machine import PARTS, Machine, Terms
-from dahliabend.members.seal import Seal
-from dahliabend.members.wire import Ack, Ask, Nack, Ping, Rumour, Standing, Whole
+from dahliabend.membership import codec as wire
+from dahliabend.membership.codec import Ack, Ask, Nack, Ping, Rumour, Standing, Whole
+from dahliabend.membership.encryption import Seal
+from dahliabend.membership.failure_detector import PARTS, Machine, Terms
 
 MOST = 40
 EACH = 100  # datagrams an example
--- a/tests/members/test_sockets.py
+++ b/tests/membership/test_udp_transport.py
@@ -8,10 +8,10 @@
 import pytest
 
 from dahliabend.emulator.peers.discovery import Agent, Registry
-from dahliabend.members import wire
-from dahliabend.members.machine import Machine, Terms
-from dahliabend.members.seal import Seal, key
-from dahliabend.members.shell import Shell
+from dahliabend.membership import codec as wire
+from dahliabend.membership.encryption import Seal, key
+from dahliabend.membership.failure_detector import Machine, Terms
+from dahliabend.membership.udp_transport import Shell
 from dahliabend.rig.processes import free_ports
 from dahliabend.routes.plan import passed_over, plan
 from dahliabend.server.clustering import Fleet
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -16,7 +16,7 @@
 from golden_files import DATA, as_json, read_golden, write_golden
 
 from dahliabend.config import read_node
-from dahliabend.members.wire import Ping
+from dahliabend.membership.codec import Ping
 from dahliabend.server.clustering import Fleet
 from dahliabend.server.hot_restart import VERSION, Handover
 from dahliabend.server.serve import Program
--- a/tests/pins/test_membership_datagrams.py
+++ b/tests/pins/test_membership_datagrams.py
@@ -9,10 +9,10 @@
 import pytest
 from golden_files import as_json, read_golden, write_golden
 
-from dahliabend.members import wire
-from dahliabend.members.machine import Machine, Terms
-from dahliabend.members.seal import Seal, key
-from dahliabend.members.wire import Ack, Ask, Body, Nack, Packet, Ping, Rumour, Said, Standing, Whole
+from dahliabend.membership import codec as wire
+from dahliabend.membership.codec import Ack, Ask, Body, Nack, Packet, Ping, Rumour, Said, Standing, Whole
+from dahliabend.membership.encryption import Seal, key
+from dahliabend.membership.failure_detector import Machine, Terms
 
 KINDS_GOLDEN = "membership_datagrams.json"
 TRANSCRIPT_GOLDEN = "membership_transcript.json"
