--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/emulator/fleets/work.py
@@ -16,11 +16,11 @@
 from dahliabend.emulator.fleets.model import Model
 from dahliabend.emulator.fleets.nodes import Kind, Node
 from dahliabend.emulator.fleets.script import Fleet, S
+from dahliabend.health_gossip.board import Report, Row
+from dahliabend.health_gossip.gossip import BEAT, Gossip
 from dahliabend.membership.failure_detector import Machine
 from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
-from dahliabend.signals.board import Report, Row
-from dahliabend.signals.gossip import BEAT, Gossip
 from dahliabend.subsets.choice import Party
 from dahliabend.subsets.demand import UNTOLD, Demand
 from dahliabend.subsets.keeper import Keeper, Terms, answering
--- a/dahliabend/signals/belief.py
+++ b/dahliabend/health_gossip/belief.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from dahliabend.signals.board import Held
+from dahliabend.health_gossip.board import Held
 
 
 @dataclass(frozen=True, slots=True)
--- a/dahliabend/signals/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
+from dahliabend.health_gossip.belief import Believed, Terms, believed
+from dahliabend.health_gossip.board import MOST_COUNT, MOST_ROWS, Board, Parted, Report, Row
+from dahliabend.health_gossip.seen import Seen
 from dahliabend.model import Outcome
-from dahliabend.signals.belief import Believed, Terms, believed
-from dahliabend.signals.board import MOST_COUNT, MOST_ROWS, Board, Parted, Report, Row
-from dahliabend.signals.seen import Seen
 from dahliabend.turns.duties import Done
 
 MS = 1_000
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -11,6 +11,7 @@
 
 from dahliabend.config import address
 from dahliabend.discovery.watch import Book, Discovery
+from dahliabend.health_gossip.gossip import BEAT, MS, Gossip
 from dahliabend.membership.codec import Rumour, Standing
 from dahliabend.membership.encryption import Seal, key
 from dahliabend.membership.failure_detector import Event, Machine, Terms
@@ -19,7 +20,6 @@
 from dahliabend.model import State
 from dahliabend.server.lists import ListFile
 from dahliabend.settings.types import Members
-from dahliabend.signals.gossip import BEAT, MS, Gossip
 from dahliabend.subsets.demand import UNTOLD, Demand
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/shares.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Callable, Iterable
 
+from dahliabend.health_gossip.board import Parted
 from dahliabend.routes.choice import Choice
-from dahliabend.signals.board import Parted
 from dahliabend.transport.timers import clock
 from dahliabend.turns.parts import Share
 
--- a/tests/signals/test_signals.py
+++ b/tests/health_gossip/test_health_gossip.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from dahliabend.health_gossip.belief import Terms, believed
+from dahliabend.health_gossip.board import Board, Report, Row
+from dahliabend.health_gossip.gossip import BEAT, FAN, ROOM, WINDOW, Gossip
+from dahliabend.health_gossip.seen import MOST, Seen
 from dahliabend.model import Outcome
-from dahliabend.signals.belief import Terms, believed
-from dahliabend.signals.board import Board, Report, Row
-from dahliabend.signals.gossip import BEAT, FAN, ROOM, WINDOW, Gossip
-from dahliabend.signals.seen import MOST, Seen
 
 S = 1_000_000
 NAMES = {f"u{n}" for n in range(12)}
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -11,10 +11,10 @@
 import msgspec
 from golden_files import as_json, read_golden, write_golden
 
+from dahliabend.health_gossip.board import Parted, Report, Row
+from dahliabend.health_gossip.gossip import Gossip
 from dahliabend.model import Outcome
 from dahliabend.server.probing import named
-from dahliabend.signals.board import Parted, Report, Row
-from dahliabend.signals.gossip import Gossip
 from dahliabend.turns.duties import Done, Duties
 from dahliabend.turns.owner import order
 
--- a/tests/turns/test_shares.py
+++ b/tests/turns/test_shares.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from dahliabend.health_gossip.board import Parted
 from dahliabend.routes.limits import Limit
 from dahliabend.server.service import Service
 from dahliabend.server.shares import Shares
 from dahliabend.settings.types import Route
-from dahliabend.signals.board import Parted
 
 
 def service(shared, gossip=None, part=1.0):
