--- a/dahliabend/cli/turns.py
+++ b/dahliabend/cli/turns.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from dahliabend.cli.members import ago, ask
-from dahliabend.turns.duties import OWN
+from dahliabend.leases.duties import OWN
 
 
 @click.command()
--- a/dahliabend/emulator/fleets/duty_search.py
+++ b/dahliabend/emulator/fleets/duty_search.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from itertools import product
 
-from dahliabend.turns.duties import Done, Duties, Known
+from dahliabend.leases.duties import Done, Duties, Known
 
 PERIOD = 8_000_000
 EIGHTH = PERIOD // 8
--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/emulator/fleets/work.py
@@ -18,13 +18,13 @@
 from dahliabend.emulator.fleets.script import Fleet, S
 from dahliabend.health_gossip.board import Report, Row
 from dahliabend.health_gossip.gossip import BEAT, Gossip
+from dahliabend.leases.shared import Shared
 from dahliabend.membership.failure_detector import Machine
 from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
 from dahliabend.subsets.choice import Party
 from dahliabend.subsets.demand import UNTOLD, Demand
 from dahliabend.subsets.keeper import Keeper, Terms, answering
-from dahliabend.turns.shared import Shared
 
 MS = 1_000
 LOOK = 250 * MS  # how often a subset is looked at, as in a pool
--- a/dahliabend/health_gossip/board.py
+++ b/dahliabend/health_gossip/board.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dahliabend.turns.duties import Done
+from dahliabend.leases.duties import Done
 
 MOST_ROWS = 64  # upstreams of one report
 MOST_COUNT = 1_000  # hops that a row may tell of
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -14,8 +14,8 @@
 from dahliabend.health_gossip.belief import Believed, Terms, believed
 from dahliabend.health_gossip.board import MOST_COUNT, MOST_ROWS, Board, Parted, Report, Row
 from dahliabend.health_gossip.seen import Seen
+from dahliabend.leases.duties import Done
 from dahliabend.model import Outcome
-from dahliabend.turns.duties import Done
 
 MS = 1_000
 BEAT = 500 * MS
--- a/dahliabend/turns/duties.py
+++ b/dahliabend/leases/duties.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dahliabend.turns.owner import order
+from dahliabend.leases.owner import order
 
 # Periods after the last time: the turns of the owner, of the next, and so on. Between one's turn and the next
 # one's claim what was done has to come round, else the claim would outdo it.
--- a/dahliabend/turns/shared.py
+++ b/dahliabend/leases/shared.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from functools import partial
 
+from dahliabend.leases.duties import Done, Duties, Turn
 from dahliabend.model import Outcome
-from dahliabend.turns.duties import Done, Duties, Turn
 
 PATIENCE = 2  # periods that a result is waited for: then this one probes itself
 SAID = frozenset(int(outcome) for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.MOOT))
--- a/dahliabend/rig/play.py
+++ b/dahliabend/rig/play.py
@@ -17,6 +17,7 @@
 from dahliabend.emulator.fleets.model import LOOK, Player
 from dahliabend.emulator.fleets.script import WAYS, Fleet, S, Step
 from dahliabend.emulator.world import joined
+from dahliabend.leases.parts import OVER
 from dahliabend.membership.codec import Ping, encode
 from dahliabend.membership.encryption import Seal
 from dahliabend.membership.failure_detector import Terms
@@ -24,7 +25,6 @@
 from dahliabend.rig.relay import Relay
 from dahliabend.rig.traffic import CLASSES, Traffic
 from dahliabend.routes.limits import FEW
-from dahliabend.turns.parts import OVER
 
 TICK, LATE = (
     20_000,
--- a/dahliabend/server/probing.py
+++ b/dahliabend/server/probing.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable, Iterable
 
+from dahliabend.leases.shared import Shared, Told
 from dahliabend.model import Outcome, State
 from dahliabend.proxy.endpoint_table import Upstream
 from dahliabend.proxy.router import Policy, Router
 from dahliabend.transport.timers import clock
-from dahliabend.turns.shared import Shared, Told
 
 
 def named(pool: str, upstream: Upstream) -> str:
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/shares.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterable
 
 from dahliabend.health_gossip.board import Parted
+from dahliabend.leases.parts import Share
 from dahliabend.routes.choice import Choice
 from dahliabend.transport.timers import clock
-from dahliabend.turns.parts import Share
 
 SMOOTH = 1 / 4  # weight of the newest beat in what is asked
 MOVED = 1 / 10  # of the part last logged: a smaller change is not told
--- a/tests/fleets/test_duty_search.py
+++ b/tests/fleets/test_duty_search.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dahliabend.emulator.fleets.duty_search import search
-from dahliabend.turns.duties import MS, Duties, Turn
+from dahliabend.leases.duties import MS, Duties, Turn
 
 
 @pytest.mark.parametrize(
--- a/tests/turns/test_duties.py
+++ b/tests/leases/test_duties.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dahliabend.turns.duties import OWN, Done, Duties
-from dahliabend.turns.owner import order
+from dahliabend.leases.duties import OWN, Done, Duties
+from dahliabend.leases.owner import order
 
 MS, S = 1_000, 1_000_000
 PERIOD = 4 * S
--- a/tests/turns/test_parts.py
+++ b/tests/leases/test_parts.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dahliabend.turns.parts import BEAT, FLOOR, OVER, Share, divide
+from dahliabend.leases.parts import BEAT, FLOOR, OVER, Share, divide
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/turns/test_shared.py
+++ b/tests/leases/test_shared.py
@@ -1,8 +1,8 @@
 """Shared probing: wishes are answered by the next result; nobody's word keeps an upstream out for long."""
 
+from dahliabend.leases.duties import Done
+from dahliabend.leases.shared import Shared
 from dahliabend.model import Outcome
-from dahliabend.turns.duties import Done
-from dahliabend.turns.shared import Shared
 
 S = 1_000_000
 PERIOD = 4 * S
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -13,10 +13,10 @@
 
 from dahliabend.health_gossip.board import Parted, Report, Row
 from dahliabend.health_gossip.gossip import Gossip
+from dahliabend.leases.duties import Done, Duties
+from dahliabend.leases.owner import order
 from dahliabend.model import Outcome
 from dahliabend.server.probing import named
-from dahliabend.turns.duties import Done, Duties
-from dahliabend.turns.owner import order
 
 GOSSIP_GOLDEN = "gossip_payloads.json"
 LEASES_GOLDEN = "leases.json"
