--- a/dahliabend/cli/subset.py
+++ b/dahliabend/cli/subset.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 
 from dahliabend.cli.members import ask
-from dahliabend.subsets.choice import DEGREE, LEAST, Party, Relation, choose, parts
+from dahliabend.subsetting.selection import DEGREE, LEAST, Party, Relation, choose, parts
 
 MOST = 2_000  # of each
 
--- a/dahliabend/emulator/fleets/subsets.py
+++ b/dahliabend/emulator/fleets/subsets.py
@@ -9,9 +9,9 @@
 from dahliabend.emulator.fleets.model import Model
 from dahliabend.emulator.fleets.script import Fleet, S
 from dahliabend.membership.failure_detector import Terms
-from dahliabend.subsets.choice import Party
-from dahliabend.subsets.keeper import Keeper
-from dahliabend.subsets.keeper import Terms as SubsetTerms
+from dahliabend.subsetting.controller import Keeper
+from dahliabend.subsetting.controller import Terms as SubsetTerms
+from dahliabend.subsetting.selection import Party
 
 
 @dataclass(slots=True)
--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/emulator/fleets/work.py
@@ -22,9 +22,9 @@
 from dahliabend.membership.failure_detector import Machine
 from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
-from dahliabend.subsets.choice import Party
-from dahliabend.subsets.demand import UNTOLD, Demand
-from dahliabend.subsets.keeper import Keeper, Terms, answering
+from dahliabend.subsetting.controller import Keeper, Terms, answering
+from dahliabend.subsetting.demand import UNTOLD, Demand
+from dahliabend.subsetting.selection import Party
 
 MS = 1_000
 LOOK = 250 * MS  # how often a subset is looked at, as in a pool
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -20,7 +20,7 @@
 from dahliabend.model import State
 from dahliabend.server.lists import ListFile
 from dahliabend.settings.types import Members
-from dahliabend.subsets.demand import UNTOLD, Demand
+from dahliabend.subsetting.demand import UNTOLD, Demand
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -8,8 +8,8 @@
 from dahliabend.model import State
 from dahliabend.proxy.router import Router
 from dahliabend.settings import types
-from dahliabend.subsets.choice import Party
-from dahliabend.subsets.keeper import Keeper, Subset, Terms, answering
+from dahliabend.subsetting.controller import Keeper, Subset, Terms, answering
+from dahliabend.subsetting.selection import Party
 from dahliabend.transport.timers import Deadlines, clock
 
 LOOK = 250_000  # how often it looks whether something has to move
--- a/dahliabend/subsets/baselines.py
+++ b/dahliabend/subsetting/baselines.py
@@ -5,7 +5,7 @@
 
 import numpy as np
 
-from dahliabend.subsets.choice import DEGREE, LEAST, Party, Relation, first, parts, ranks
+from dahliabend.subsetting.selection import DEGREE, LEAST, Party, Relation, first, parts, ranks
 
 Way = Callable[[Sequence[Party], Sequence[Party]], Relation]
 
--- a/dahliabend/subsets/keeper.py
+++ b/dahliabend/subsetting/controller.py
@@ -8,9 +8,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from dahliabend.subsets.choice import DEGREE, LEAST, Party, choose, ranks
-from dahliabend.subsets.demand import UNTOLD
-from dahliabend.subsets.flaps import Flaps
+from dahliabend.subsetting.demand import UNTOLD
+from dahliabend.subsetting.flap_damping import Flaps
+from dahliabend.subsetting.selection import DEGREE, LEAST, Party, choose, ranks
 
 FLAPS = 1 / 2  # of the list: more that go at once are no flapping of theirs
 SILENT = 3  # upstreams asked in vain since anybody answered: all are taken for silent
--- a/experiments/subsets.py
+++ b/experiments/subsets.py
@@ -11,8 +11,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.subsets.baselines import WAYS  # noqa: E402
-from dahliabend.subsets.choice import Party, choose, parts  # noqa: E402
+from dahliabend.subsetting.baselines import WAYS  # noqa: E402
+from dahliabend.subsetting.selection import Party, choose, parts  # noqa: E402
 
 GRID = [(1, 500), (7, 5), (8, 24), (40, 60), (100, 100), (200, 100), (500, 3), (10, 300), (50, 1000), (1000, 1000), (2000, 1000)]
 EVENTS = 3  # of each kind: a balancer goes, comes, an upstream goes, comes
--- a/tests/fleets/test_subsets.py
+++ b/tests/fleets/test_subsets.py
@@ -5,7 +5,7 @@
 from dahliabend.emulator.fleets.script import Fleet, S, Step
 from dahliabend.emulator.fleets.subsets import Subsets
 from dahliabend.settings.units import Span
-from dahliabend.subsets.keeper import Terms
+from dahliabend.subsetting.controller import Terms
 
 
 def fleet(seed=0, many=30, pool=24):
--- a/tests/fleets/test_work.py
+++ b/tests/fleets/test_work.py
@@ -10,7 +10,7 @@
 from dahliabend.emulator.fleets.work import Work
 from dahliabend.model import Outcome
 from dahliabend.settings.units import Span
-from dahliabend.subsets.keeper import Terms
+from dahliabend.subsetting.controller import Terms
 
 MANY, POOL = 20, 30
 SUBSETS = Terms(least=8, degree=8, balancers=MANY)
--- a/tests/subsets/test_keeper.py
+++ b/tests/subsetting/test_controller.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dahliabend.subsets.choice import Party, choose
-from dahliabend.subsets.keeper import Keeper, Terms
+from dahliabend.subsetting.controller import Keeper, Terms
+from dahliabend.subsetting.selection import Party, choose
 
 S = 1_000_000
 
--- a/tests/subsets/test_demand.py
+++ b/tests/subsetting/test_demand.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from dahliabend.subsets.choice import Party
-from dahliabend.subsets.demand import UNTOLD, Demand
-from dahliabend.subsets.keeper import counted
+from dahliabend.subsetting.controller import counted
+from dahliabend.subsetting.demand import UNTOLD, Demand
+from dahliabend.subsetting.selection import Party
 
 S = 1_000_000
 
--- a/tests/subsets/test_flaps.py
+++ b/tests/subsetting/test_flap_damping.py
@@ -1,8 +1,8 @@
 """Upstreams that flap rest at each return, and none for good."""
 
-from dahliabend.subsets.choice import Party
-from dahliabend.subsets.flaps import Flaps
-from dahliabend.subsets.keeper import Keeper, Terms
+from dahliabend.subsetting.controller import Keeper, Terms
+from dahliabend.subsetting.flap_damping import Flaps
+from dahliabend.subsetting.selection import Party
 
 S = 1_000_000
 
--- a/tests/subsets/test_subset_choice.py
+++ b/tests/subsetting/test_selection.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dahliabend.subsets.choice import LEAST, Party, choose, parts
+from dahliabend.subsetting.selection import LEAST, Party, choose, parts
 
 
 def fleet(count, of="b", zones=1, weight=lambda n: 1.0):
