--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -13,7 +13,7 @@
 
 import path
 
-from dahliabend.routes.table import Table
+from dahliabend.routing_rules.table import Table
 from dahliabend.settings.types import Route
 
 TREE = Path(__file__).parents[1]
--- a/dahliabend/cli/members.py
+++ b/dahliabend/cli/members.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from dahliabend.config import address
-from dahliabend.routes import plan as plans
+from dahliabend.routing_rules import plan as plans
 
 PATIENCE = 5.0  # seconds
 
--- a/dahliabend/cli/routes.py
+++ b/dahliabend/cli/routes.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from dahliabend.routes import plan as plans
+from dahliabend.routing_rules import plan as plans
 
 JSON = click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
 FINDINGS = 1
--- a/dahliabend/emulator/services.py
+++ b/dahliabend/emulator/services.py
@@ -20,8 +20,8 @@
 from dahliabend.emulator.stand_ins import Machines
 from dahliabend.emulator.witness import HopTap, Witness
 from dahliabend.emulator.world import Log
-from dahliabend.routes.checks import METHODS, Effective
-from dahliabend.routes.plan import Plan, plan
+from dahliabend.routing_rules.checks import METHODS, Effective
+from dahliabend.routing_rules.plan import Plan, plan
 from dahliabend.server.service import Service
 from dahliabend.settings.types import File, Member
 
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -7,9 +7,9 @@
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import Body
 from dahliabend.proxy.router import Router
-from dahliabend.routes.checks import METHODS
-from dahliabend.routes.choice import Choice, choices
-from dahliabend.routes.table import Table
+from dahliabend.routing_rules.checks import METHODS
+from dahliabend.routing_rules.choice import Choice, choices
+from dahliabend.routing_rules.table import Table
 from dahliabend.settings.types import File
 from dahliabend.transport.timers import clock
 
--- a/dahliabend/rig/play.py
+++ b/dahliabend/rig/play.py
@@ -24,7 +24,7 @@
 from dahliabend.rig.processes import Instance, free_ports
 from dahliabend.rig.relay import Relay
 from dahliabend.rig.traffic import CLASSES, Traffic
-from dahliabend.routes.limits import FEW
+from dahliabend.routing_rules.limits import FEW
 
 TICK, LATE = (
     20_000,
--- a/dahliabend/routes/checks.py
+++ b/dahliabend/routing_rules/checks.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from dahliabend.config import address
-from dahliabend.routes.table import Table
+from dahliabend.routing_rules.table import Table
 from dahliabend.settings.read import nearest
 from dahliabend.settings.source import Key, Source
 from dahliabend.settings.types import Class, File, Members, Pool, Route, Treatment
--- a/dahliabend/routes/choice.py
+++ b/dahliabend/routing_rules/choice.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Mapping
 
-from dahliabend.routes.checks import Effective, targets
-from dahliabend.routes.limits import Limit
-from dahliabend.routes.split import Split
+from dahliabend.routing_rules.checks import Effective, targets
+from dahliabend.routing_rules.limits import Limit
+from dahliabend.routing_rules.split import Split
 from dahliabend.settings.types import File, Route
 
 DEEP = 8  # fallbacks of fallbacks that are followed
--- a/dahliabend/routes/plan.py
+++ b/dahliabend/routing_rules/plan.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from dahliabend.routes.checks import FIELDS, Effective, check, targets, written
-from dahliabend.routes.table import Table
+from dahliabend.routing_rules.checks import FIELDS, Effective, check, targets, written
+from dahliabend.routing_rules.table import Table
 from dahliabend.settings.read import read
 from dahliabend.settings.source import Fault, Key, Source, load, path_of
 from dahliabend.settings.types import File
--- a/dahliabend/server/service.py
+++ b/dahliabend/server/service.py
@@ -14,9 +14,9 @@
 from dahliabend.proxy.dispatcher import Desk, Pool
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
-from dahliabend.routes.checks import Effective, targets
-from dahliabend.routes.choice import Choice
-from dahliabend.routes.plan import Plan, diff, passed_over, plan
+from dahliabend.routing_rules.checks import Effective, targets
+from dahliabend.routing_rules.choice import Choice
+from dahliabend.routing_rules.plan import Plan, diff, passed_over, plan
 from dahliabend.server.admin import Operations
 from dahliabend.server.lists import ListFile
 from dahliabend.server.log import Log
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/shares.py
@@ -7,7 +7,7 @@
 
 from dahliabend.health_gossip.board import Parted
 from dahliabend.leases.parts import Share
-from dahliabend.routes.choice import Choice
+from dahliabend.routing_rules.choice import Choice
 from dahliabend.transport.timers import clock
 
 SMOOTH = 1 / 4  # weight of the newest beat in what is asked
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliabend.health_gossip.board import Parted
-from dahliabend.routes.limits import Limit
+from dahliabend.routing_rules.limits import Limit
 from dahliabend.server.service import Service
 from dahliabend.server.shares import Shares
 from dahliabend.settings.types import Route
--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -8,7 +8,7 @@
 from corpus import FAULTS, make  # noqa: E402
 from golden_files import read_golden, write_golden  # noqa: E402
 
-from dahliabend.routes import plan as plans  # noqa: E402
+from dahliabend.routing_rules import plan as plans  # noqa: E402
 
 GOLDEN = "checker_corpus_messages.txt"
 
--- a/tests/routes/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -1,7 +1,7 @@
 """Serves sound files of the corpus on real loopback sockets for some minutes, with a trouble every ten
 seconds; not in CI.
 
-    python tests/routes/loopback.py --files 0 4 10 --minutes 5
+    python tests/routing_rules/loopback.py --files 0 4 10 --minutes 5
 
 What peers saw is checked: one answer to each request, within its limit; none that has an effect runs twice;
 every 200 holds what an upstream made for it.
@@ -28,7 +28,7 @@
 from dahliabend.emulator.peers.discovery import Agent, Registry  # noqa: E402
 from dahliabend.emulator.peers.operators import call  # noqa: E402
 from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec  # noqa: E402
-from dahliabend.routes.plan import plan  # noqa: E402
+from dahliabend.routing_rules.plan import plan  # noqa: E402
 
 S, RATE, LATE = 1_000_000, 8, 50_000
 TROUBLES = ("hung", "failing", "garbled", "slower", "reset")
--- a/tests/routes/play.py
+++ b/tests/routing_rules/play.py
@@ -1,7 +1,7 @@
 """Plays every sound file of the corpus in the modelled world, for five virtual minutes with a trouble every
 ten seconds; not in CI.
 
-    python tests/routes/play.py --files 500 --jobs 8 --minutes 5
+    python tests/routing_rules/play.py --files 500 --jobs 8 --minutes 5
 """
 
 import argparse
--- a/tests/routes/test_choice.py
+++ b/tests/routing_rules/test_choice.py
@@ -7,11 +7,11 @@
 from helpers import MS, balancer
 
 from dahliabend.model import Outcome, State
-from dahliabend.routes import plan as plans
-from dahliabend.routes.choice import Choice, choices
-from dahliabend.routes.limits import Limit
-from dahliabend.routes.split import Split
-from dahliabend.routes.table import Table
+from dahliabend.routing_rules import plan as plans
+from dahliabend.routing_rules.choice import Choice, choices
+from dahliabend.routing_rules.limits import Limit
+from dahliabend.routing_rules.split import Split
+from dahliabend.routing_rules.table import Table
 from dahliabend.settings.types import Route
 
 S = 1_000_000
--- a/tests/routes/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -15,7 +15,7 @@
 from dahliabend.emulator.peers.operators import call
 from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
 from dahliabend.emulator.services import TROUBLES, ServiceWorld
-from dahliabend.routes.split import Split
+from dahliabend.routing_rules.split import Split
 
 MS, S = 1_000, 1_000_000
 TOP = """
@@ -287,7 +287,7 @@
 
 @pytest.mark.parametrize("seed", [0, 4, 10, 22, 36, 58])
 def test_sound_files_are_served_through_troubles_without_a_broken_rule(seed):
-    """Some of the corpus, for half a minute each; tests/routes/play.py plays all for five."""
+    """Some of the corpus, for half a minute each; tests/routing_rules/play.py plays all for five."""
     drawn = Random(seed)
     made = ServiceWorld(make(seed).files, seed)
 
--- a/tests/settings/test_file.py
+++ b/tests/settings/test_file.py
@@ -8,7 +8,7 @@
 import pytest
 from corpus import FAULTS, make
 
-from dahliabend.routes import plan as plans
+from dahliabend.routing_rules import plan as plans
 from dahliabend.settings.source import lines, load
 
 ROOT = Path(__file__).parents[2]
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliabend.model import State
-from dahliabend.routes.plan import plan
+from dahliabend.routing_rules.plan import plan
 from dahliabend.server.subset_filter import Narrowed
 from dahliabend.settings.types import Subset
 
