--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -13,8 +13,8 @@
 
 import path
 
+from dahliabend.config.operator_file.types import Route
 from dahliabend.routing_rules.table import Table
-from dahliabend.settings.types import Route
 
 TREE = Path(__file__).parents[1]
 
--- a/dahliabend/__main__.py
+++ b/dahliabend/__main__.py
@@ -17,7 +17,7 @@
 def run() -> int:
     import uvloop
 
-    from dahliabend.config import read_node
+    from dahliabend.config.platform import read_node
     from dahliabend.server.log import Log
     from dahliabend.server.serve import HELD_BACK, serve
 
--- a/dahliabend/cli/members.py
+++ b/dahliabend/cli/members.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from dahliabend.config import address
+from dahliabend.config.platform import address
 from dahliabend.routing_rules import plan as plans
 
 PATIENCE = 5.0  # seconds
--- a/dahliabend/settings/read.py
+++ b/dahliabend/config/operator_file/read.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from dahliabend.settings import units
-from dahliabend.settings.source import Key, Source
-from dahliabend.settings.types import File
+from dahliabend.config.operator_file import units
+from dahliabend.config.operator_file.source import Key, Source
+from dahliabend.config.operator_file.types import File
 
 
 def nearest(name: str, among) -> str:
--- a/dahliabend/settings/types.py
+++ b/dahliabend/config/operator_file/types.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dahliabend.settings.units import Rate, Share, Size, Span
+from dahliabend.config.operator_file.units import Rate, Share, Size, Span
 
 MS, S = 1_000, 1_000_000
 Effect = Literal["idempotent", "journalled", "non-idempotent"]
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -9,7 +9,7 @@
 import httptools
 import orjson
 
-from dahliabend.config import address
+from dahliabend.config.platform import address
 from dahliabend.model import State
 from dahliabend.transport.connection import Connection, dial
 from dahliabend.transport.descriptor_budget import Descriptors
--- a/dahliabend/emulator/script.py
+++ b/dahliabend/emulator/script.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from dahliabend.settings import units
-from dahliabend.settings.units import Span
+from dahliabend.config.operator_file import units
+from dahliabend.config.operator_file.units import Span
 
 MS, S = 1_000, 1_000_000
 
--- a/dahliabend/emulator/services.py
+++ b/dahliabend/emulator/services.py
@@ -8,7 +8,8 @@
 
 import orjson
 
-from dahliabend.config import address
+from dahliabend.config.operator_file.types import File, Member
+from dahliabend.config.platform import address
 from dahliabend.emulator import transports
 from dahliabend.emulator.checks import Class, Rules
 from dahliabend.emulator.kernel import START, Kernel, Process
@@ -23,7 +24,6 @@
 from dahliabend.routing_rules.checks import METHODS, Effective
 from dahliabend.routing_rules.plan import Plan, plan
 from dahliabend.server.service import Service
-from dahliabend.settings.types import File, Member
 
 FILE = "/etc/dahliabend/file.toml"
 SEMANTICS = {"idempotent": "idempotent", "journalled": "deduplicated", "non-idempotent": "at_most_once"}
--- a/dahliabend/emulator/world.py
+++ b/dahliabend/emulator/world.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from dahliabend.config import read_node
+from dahliabend.config.platform import read_node
 from dahliabend.emulator import transports
 from dahliabend.emulator.checks import Class, Rules, Violation
 from dahliabend.emulator.faults import Faults
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import Callable
 
-from dahliabend.config import address
+from dahliabend.config.platform import address
 from dahliabend.membership.codec import MOST
 from dahliabend.membership.encryption import Seal
 from dahliabend.membership.failure_detector import Event, Machine
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from dahliabend.config.operator_file.types import File
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import Body
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.checks import METHODS
 from dahliabend.routing_rules.choice import Choice, choices
 from dahliabend.routing_rules.table import Table
-from dahliabend.settings.types import File
 from dahliabend.transport.timers import clock
 
 MOST_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.config import Node
+from dahliabend.config.platform import Node
 from dahliabend.decide import Balancer, Transaction
 from dahliabend.discovery.watch import Discovery
 from dahliabend.http.client_connection import Caller
--- a/dahliabend/routing_rules/checks.py
+++ b/dahliabend/routing_rules/checks.py
@@ -5,12 +5,12 @@
 
 from collections.abc import Iterator
 
-from dahliabend.config import address
+from dahliabend.config.operator_file.read import nearest
+from dahliabend.config.operator_file.source import Key, Source
+from dahliabend.config.operator_file.types import Class, File, Members, Pool, Route, Treatment
+from dahliabend.config.operator_file.units import Span
+from dahliabend.config.platform import address
 from dahliabend.routing_rules.table import Table
-from dahliabend.settings.read import nearest
-from dahliabend.settings.source import Key, Source
-from dahliabend.settings.types import Class, File, Members, Pool, Route, Treatment
-from dahliabend.settings.units import Span
 
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
 MOST_ATTEMPTS = 64
--- a/dahliabend/routing_rules/choice.py
+++ b/dahliabend/routing_rules/choice.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Mapping
 
+from dahliabend.config.operator_file.types import File, Route
 from dahliabend.routing_rules.checks import Effective, targets
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.routing_rules.split import Split
-from dahliabend.settings.types import File, Route
 
 DEEP = 8  # fallbacks of fallbacks that are followed
 
--- a/dahliabend/routing_rules/plan.py
+++ b/dahliabend/routing_rules/plan.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
+from dahliabend.config.operator_file.read import read
+from dahliabend.config.operator_file.source import Fault, Key, Source, load, path_of
+from dahliabend.config.operator_file.types import File
+from dahliabend.config.operator_file.units import UNITS, Span
 from dahliabend.routing_rules.checks import FIELDS, Effective, check, targets, written
 from dahliabend.routing_rules.table import Table
-from dahliabend.settings.read import read
-from dahliabend.settings.source import Fault, Key, Source, load, path_of
-from dahliabend.settings.types import File
-from dahliabend.settings.units import UNITS, Span
 
 RESTART = ("listeners", "members")  # what a reload passes over,
 TAKEN = {"zone", "weight", "seeds", "seeds-file", "seeds-discovery", "key-files"}  # but for these of members
--- a/dahliabend/routing_rules/table.py
+++ b/dahliabend/routing_rules/table.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 
-from dahliabend.settings.types import Route
+from dahliabend.config.operator_file.types import Route
 
 Shape = tuple[bool, tuple[str, ...]]  # does it name methods, and which headers
 
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from dahliabend.config import address
+from dahliabend.config.operator_file.types import Members
+from dahliabend.config.platform import address
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.health_gossip.gossip import BEAT, MS, Gossip
 from dahliabend.membership.codec import Rumour, Standing
@@ -19,7 +20,6 @@
 from dahliabend.membership.view import View
 from dahliabend.model import State
 from dahliabend.server.lists import ListFile
-from dahliabend.settings.types import Members
 from dahliabend.subsetting.demand import UNTOLD, Demand
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
--- a/dahliabend/server/serve.py
+++ b/dahliabend/server/serve.py
@@ -6,7 +6,7 @@
 import signal
 from collections.abc import Callable, Mapping
 
-from dahliabend.config import Node, reread_node
+from dahliabend.config.platform import Node, reread_node
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.admin_connection import Operator
 from dahliabend.http.client_connection import Caller
--- a/dahliabend/server/service.py
+++ b/dahliabend/server/service.py
@@ -7,7 +7,10 @@
 from functools import partial
 from importlib.util import find_spec
 
-from dahliabend.config import REST, Node, address
+from dahliabend.config.operator_file import types
+from dahliabend.config.operator_file.source import path_of
+from dahliabend.config.operator_file.types import File
+from dahliabend.config.platform import REST, Node, address
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.headers import MOST
 from dahliabend.model import Effect, Group, Profile, Settings
@@ -23,9 +26,6 @@
 from dahliabend.server.metrics import Figures
 from dahliabend.server.serve import BEAT, Program, live
 from dahliabend.server.structured_log import Structured
-from dahliabend.settings import types
-from dahliabend.settings.source import path_of
-from dahliabend.settings.types import File
 from dahliabend.transport import host_info as machine
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
 from dahliabend.transport.listener import Listener
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -9,9 +9,9 @@
 import orjson
 import structlog
 
+from dahliabend.config.operator_file import types
 from dahliabend.server.events import EVENTS
 from dahliabend.server.log import Log
-from dahliabend.settings import types
 
 SECRET = {"authorization", "cookie", "set-cookie", "password", "passwd", "secret", "token", "api-key"}
 SECRET |= {"x-api-key", "private-key"}
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Callable
 
+from dahliabend.config.operator_file import types
 from dahliabend.model import State
 from dahliabend.proxy.router import Router
-from dahliabend.settings import types
 from dahliabend.subsetting.controller import Keeper, Subset, Terms, answering
 from dahliabend.subsetting.selection import Party
 from dahliabend.transport.timers import Deadlines, clock
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,6 +1,6 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
-from dahliabend import config
+from dahliabend.config import platform as config
 from dahliabend.decide import Balancer, Transaction
 from dahliabend.model import Outcome, State
 from dahliabend.simulator_adapter import codec as wire
--- a/tests/settings/test_file.py
+++ b/tests/config/test_file.py
@@ -8,8 +8,8 @@
 import pytest
 from corpus import FAULTS, make
 
+from dahliabend.config.operator_file.source import lines, load
 from dahliabend.routing_rules import plan as plans
-from dahliabend.settings.source import lines, load
 
 ROOT = Path(__file__).parents[2]
 CORPUS = 500
--- a/tests/fleets/test_fleets.py
+++ b/tests/fleets/test_fleets.py
@@ -2,13 +2,13 @@
 
 import pytest
 
+from dahliabend.config.operator_file.units import Span
 from dahliabend.emulator.fleets import script
 from dahliabend.emulator.fleets.claims import Claim, Outcome, judge
 from dahliabend.emulator.fleets.model import Model, play
 from dahliabend.emulator.fleets.script import Fleet, S, Step
 from dahliabend.emulator.fleets.truth import Truth
 from dahliabend.membership.failure_detector import Terms
-from dahliabend.settings.units import Span
 
 AGREE = Step(until="agree")
 
--- a/tests/fleets/test_subsets.py
+++ b/tests/fleets/test_subsets.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from dahliabend.config.operator_file.units import Span
 from dahliabend.emulator.fleets.script import Fleet, S, Step
 from dahliabend.emulator.fleets.subsets import Subsets
-from dahliabend.settings.units import Span
 from dahliabend.subsetting.controller import Terms
 
 
--- a/tests/fleets/test_work.py
+++ b/tests/fleets/test_work.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from dahliabend.config.operator_file.units import Span
 from dahliabend.emulator.fleets.nodes import Kind, Node
 from dahliabend.emulator.fleets.script import Fleet, S, Step
 from dahliabend.emulator.fleets.work import Work
 from dahliabend.model import Outcome
-from dahliabend.settings.units import Span
 from dahliabend.subsetting.controller import Terms
 
 MANY, POOL = 20, 30
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from dahliabend.config.operator_file.types import Route
 from dahliabend.health_gossip.board import Parted
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.server.service import Service
 from dahliabend.server.shares import Shares
-from dahliabend.settings.types import Route
 
 
 def service(shared, gossip=None, part=1.0):
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -7,6 +7,8 @@
 import msgspec
 import pytest
 
+from dahliabend.config.operator_file.types import Members
+from dahliabend.config.operator_file.units import Span
 from dahliabend.emulator.peers.discovery import Agent, Registry
 from dahliabend.membership import codec as wire
 from dahliabend.membership.encryption import Seal, key
@@ -15,8 +17,6 @@
 from dahliabend.rig.processes import free_ports
 from dahliabend.routing_rules.plan import passed_over, plan
 from dahliabend.server.clustering import Fleet
-from dahliabend.settings.types import Members
-from dahliabend.settings.units import Span
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -15,13 +15,13 @@
 import pytest
 from golden_files import DATA, as_json, read_golden, write_golden
 
-from dahliabend.config import read_node
+from dahliabend.config.operator_file.types import Members
+from dahliabend.config.operator_file.units import Span
+from dahliabend.config.platform import read_node
 from dahliabend.membership.codec import Ping
 from dahliabend.server.clustering import Fleet
 from dahliabend.server.hot_restart import VERSION, Handover
 from dahliabend.server.serve import Program
-from dahliabend.settings.types import Members
-from dahliabend.settings.units import Span
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -11,10 +11,10 @@
 
 from golden_files import as_json, read_golden, write_golden
 
+from dahliabend.config.operator_file.types import Log as LogSettings
 from dahliabend.server.events import CONTEXT
 from dahliabend.server.log import Log as PlainLog
 from dahliabend.server.structured_log import Structured
-from dahliabend.settings.types import Log as LogSettings
 
 ROOT = Path(__file__).parents[2]
 EVENTS_GOLDEN = "log_events.json"
--- a/tests/routing_rules/test_choice.py
+++ b/tests/routing_rules/test_choice.py
@@ -6,13 +6,13 @@
 import pytest
 from helpers import MS, balancer
 
+from dahliabend.config.operator_file.types import Route
 from dahliabend.model import Outcome, State
 from dahliabend.routing_rules import plan as plans
 from dahliabend.routing_rules.choice import Choice, choices
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.routing_rules.split import Split
 from dahliabend.routing_rules.table import Table
-from dahliabend.settings.types import Route
 
 S = 1_000_000
 
--- a/tests/server/test_events.py
+++ b/tests/server/test_events.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 import dahliabend
+from dahliabend.config.operator_file.types import Log
+from dahliabend.config.operator_file.units import Share
 from dahliabend.server import log as plain
 from dahliabend.server.events import CONTEXT, ENDED, EVENTS, page
 from dahliabend.server.structured_log import Structured
-from dahliabend.settings.types import Log
-from dahliabend.settings.units import Share
 
 ROOT = Path(dahliabend.__file__).parent
 OUTCOMES = {"committed", "cut", "left", "rolled_back", "abandoned", "passed_on"}  # `how`, in Router.note
--- a/tests/simulator_adapter/test_codec.py
+++ b/tests/simulator_adapter/test_codec.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dahliabend.config import read
+from dahliabend.config.platform import read
 from dahliabend.simulator_adapter import codec as wire
 from dahliabend.simulator_adapter.host import Host
 
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from dahliabend.config.operator_file.types import Subset
 from dahliabend.model import State
 from dahliabend.routing_rules.plan import plan
 from dahliabend.server.subset_filter import Narrowed
-from dahliabend.settings.types import Subset
 
 
 class Router:
