--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/emulator/fleets/work.py
@@ -12,7 +12,6 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.decide import Balancer, Transaction
 from dahliabend.emulator.fleets.model import Model
 from dahliabend.emulator.fleets.nodes import Kind, Node
 from dahliabend.emulator.fleets.script import Fleet, S
@@ -22,6 +21,7 @@
 from dahliabend.membership.failure_detector import Machine
 from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
+from dahliabend.policy.balancer import Balancer, Transaction
 from dahliabend.subsetting.controller import Keeper, Terms, answering
 from dahliabend.subsetting.demand import UNTOLD, Demand
 from dahliabend.subsetting.selection import Party
--- a/dahliabend/emulator/remains.py
+++ b/dahliabend/emulator/remains.py
@@ -100,7 +100,7 @@
             continue
         seen.add(id(item))
         kind = type(item)
-        own = kind.__module__.startswith(("dahliabend.net", "dahliabend.decide"))
+        own = kind.__module__.startswith(("dahliabend.net", "dahliabend.policy.balancer"))
         if own or isinstance(item, dict | list | tuple | set | deque):
             name = kind.__qualname__
             kinds[name] = kinds.get(name, 0) + 1
--- a/dahliabend/decide.py
+++ b/dahliabend/policy/balancer.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from dahliabend.model import Effect, Group, Outcome, Port, Settings, State
-from dahliabend.order import REST, Lines
+from dahliabend.policy.key_order import REST, Lines
 
 BEAT = 1 / 4  # of the shortest service goal: how often health is looked at
 WINDOW = 4  # beats in a window over which a metric is taken
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 
 from dahliabend.config.platform import Node
-from dahliabend.decide import Balancer, Transaction
 from dahliabend.discovery.watch import Discovery
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, Outcome, State
+from dahliabend.policy.balancer import Balancer, Transaction
 from dahliabend.proxy.endpoint_table import MOST_ONCE, Exchange, Upstream, UpstreamTable
 from dahliabend.proxy.health_checks import Probe
 from dahliabend.transport.handles import Slots
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,8 +1,8 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
 from dahliabend.config import platform as config
-from dahliabend.decide import Balancer, Transaction
 from dahliabend.model import Outcome, State
+from dahliabend.policy.balancer import Balancer, Transaction
 from dahliabend.simulator_adapter import codec as wire
 
 _DELTA, _FULL, _CACHED, _FAILED = range(4)
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -17,7 +17,7 @@
 from helpers import FREE, MARKED, MS, S, balancer  # noqa: E402
 
 from dahliabend.model import Outcome  # noqa: E402
-from dahliabend.order import REST  # noqa: E402
+from dahliabend.policy.key_order import REST  # noqa: E402
 
 KEYS, OUT = 1_000_000, 200
 UNSURE = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
--- a/tests/emulator/defects.py
+++ b/tests/emulator/defects.py
@@ -12,14 +12,14 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-from dahliabend.decide import Balancer, Transaction
 from dahliabend.discovery import watch as discovery
 from dahliabend.discovery.watch import Book
 from dahliabend.emulator import sweep
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
-from dahliabend.order import Lines
+from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.policy.key_order import Lines
 from dahliabend.proxy import router
 from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
 from dahliabend.proxy.router import Hop, Router
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,8 +12,8 @@
 from tempfile import NamedTemporaryFile
 from threading import Thread
 
-from dahliabend.decide import Balancer
 from dahliabend.model import Effect, Group, Profile, Settings, State
+from dahliabend.policy.balancer import Balancer
 
 MS, S = 1_000, 1_000_000
 FREE = Profile(Effect.IDEMPOTENT, Group.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
--- a/tests/test_decide.py
+++ b/tests/policy/test_balancer.py
@@ -2,8 +2,8 @@
 
 from helpers import FREE, MARKED, MS, ONCE, S, balancer, taken
 
-from dahliabend.decide import FLOOR, LINGER, SET, START, TIER_FLOOR, UNWELL, VALIDITY, Entry
 from dahliabend.model import Effect, Group, Outcome, Profile, State
+from dahliabend.policy.balancer import FLOOR, LINGER, SET, START, TIER_FLOOR, UNWELL, VALIDITY, Entry
 
 T = 100 * S
 
--- a/tests/test_order.py
+++ b/tests/policy/test_key_order.py
@@ -6,9 +6,9 @@
 import pytest
 from helpers import FREE, MARKED, MS, S, balancer
 
-from dahliabend.decide import BEAT
 from dahliabend.model import Outcome
-from dahliabend.order import REST
+from dahliabend.policy.balancer import BEAT
+from dahliabend.policy.key_order import REST
 
 T = 100 * S
 PAUSE = 100 * MS
