--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -37,8 +37,8 @@
 SWAPS = {a: b for pair in _PAIRS for a, b in (pair, pair[::-1])}
 PLAY = """
 import sys
-from dahliabend.emulator.script import draw
-from dahliabend.emulator.sweep import look
+from dahliabend.simulation.script import draw
+from dahliabend.simulation.sweep import look
 for seed in range(int(sys.argv[1])):
     rules = look(draw(seed)).rules
     if rules:
--- a/dahliabend/cli/emulate.py
+++ b/dahliabend/cli/emulate.py
@@ -10,8 +10,8 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from dahliabend.emulator import script, shrink, sweep, timeline
-from dahliabend.emulator.world import play
+from dahliabend.simulation import script, shrink, sweep, timeline
+from dahliabend.simulation.world import play
 
 FEW = 20  # violations that a sweep prints in full
 
--- a/dahliabend/cli/rig.py
+++ b/dahliabend/cli/rig.py
@@ -8,8 +8,8 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator.fleets import model, script
-from dahliabend.emulator.fleets.claims import Outcome
+from dahliabend.simulation.cluster import model, script
+from dahliabend.simulation.cluster.invariants import Outcome
 
 
 def fleet_of(what: str, instances: int, period: str, minutes: float) -> script.Fleet:
--- a/dahliabend/rig/play.py
+++ b/dahliabend/rig/play.py
@@ -13,10 +13,6 @@
 from pathlib import Path
 from random import Random
 
-from dahliabend.emulator.fleets.claims import Bounds, Claim, judge
-from dahliabend.emulator.fleets.model import LOOK, Player
-from dahliabend.emulator.fleets.script import WAYS, Fleet, S, Step
-from dahliabend.emulator.world import joined
 from dahliabend.leases.parts import OVER
 from dahliabend.membership.codec import Ping, encode
 from dahliabend.membership.encryption import Seal
@@ -25,6 +21,10 @@
 from dahliabend.rig.relay import Relay
 from dahliabend.rig.traffic import CLASSES, Traffic
 from dahliabend.routing_rules.limits import FEW
+from dahliabend.simulation.cluster.invariants import Bounds, Claim, judge
+from dahliabend.simulation.cluster.model import LOOK, Player
+from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
+from dahliabend.simulation.world import joined
 
 TICK, LATE = (
     20_000,
--- a/dahliabend/rig/processes.py
+++ b/dahliabend/rig/processes.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from dahliabend.emulator.fleets.script import Fleet
-from dahliabend.emulator.peers.operators import call
-from dahliabend.emulator.world import joined
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.peers.operators import call
+from dahliabend.simulation.world import joined
 
 PATIENCE = 30.0  # seconds until a process has to take callers, or to be gone
 FIRST, LAST = 20_000, 30_000  # ports, below those that the system hands out
--- a/dahliabend/rig/relay.py
+++ b/dahliabend/rig/relay.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from random import Random
 
-from dahliabend.emulator.fleets.script import S
+from dahliabend.simulation.cluster.script import S
 
 MOST_WAITING = 20_000  # datagrams on their way at once: more are lost, as in a full queue
 
--- a/dahliabend/rig/traffic.py
+++ b/dahliabend/rig/traffic.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from random import Random
 
-from dahliabend.emulator.peers.clients import Ask, Clients, Front
-from dahliabend.emulator.peers.discovery import Agent, Registry
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
 
 MS, S = 1_000, 1_000_000
 LIMIT, GRACE, SLACK = 2 * S, 1_500 * MS, 400 * MS  # the slack covers a loaded machine
--- a/dahliabend/emulator/fleets/claims.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from math import log10
 
-from dahliabend.emulator.fleets.truth import Truth
 from dahliabend.membership.failure_detector import Terms
+from dahliabend.simulation.cluster.ground_truth import Truth
 
 MOST = 40  # violations kept
 
--- a/dahliabend/emulator/fleets/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -2,13 +2,13 @@
 
 from random import Random
 
-from dahliabend.emulator.fleets.claims import Bounds, Claim, Outcome, judge
-from dahliabend.emulator.fleets.script import WAYS, Fleet, S, Step
-from dahliabend.emulator.fleets.town import SOON, Town
-from dahliabend.emulator.fleets.truth import Truth
 from dahliabend.membership import codec as wire
 from dahliabend.membership.codec import pack
 from dahliabend.membership.failure_detector import Machine, Member, Terms
+from dahliabend.simulation.cluster.ground_truth import Truth
+from dahliabend.simulation.cluster.invariants import Bounds, Claim, Outcome, judge
+from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
+from dahliabend.simulation.cluster.town import SOON, Town
 
 LOOK = 4  # looks a period at whether a condition holds
 
--- a/dahliabend/emulator/fleets/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator import script as scenarios
-from dahliabend.emulator.script import Table, plain
+from dahliabend.simulation import script as scenarios
+from dahliabend.simulation.script import Table, plain
 
 MS, S = 1_000, 1_000_000
 MOST = 5_000  # instances
--- a/dahliabend/emulator/fleets/subsets.py
+++ b/dahliabend/simulation/cluster/subsets.py
@@ -6,9 +6,9 @@
 
 import numpy as np
 
-from dahliabend.emulator.fleets.model import Model
-from dahliabend.emulator.fleets.script import Fleet, S
 from dahliabend.membership.failure_detector import Terms
+from dahliabend.simulation.cluster.model import Model
+from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.subsetting.controller import Keeper
 from dahliabend.subsetting.controller import Terms as SubsetTerms
 from dahliabend.subsetting.selection import Party
--- a/dahliabend/emulator/fleets/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -12,9 +12,6 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.emulator.fleets.model import Model
-from dahliabend.emulator.fleets.nodes import Kind, Node
-from dahliabend.emulator.fleets.script import Fleet, S
 from dahliabend.health_gossip.board import Report, Row
 from dahliabend.health_gossip.gossip import BEAT, Gossip
 from dahliabend.leases.shared import Shared
@@ -22,6 +19,9 @@
 from dahliabend.membership.failure_detector import Terms as MemberTerms
 from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
 from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.simulation.cluster.model import Model
+from dahliabend.simulation.cluster.nodes import Kind, Node
+from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.subsetting.controller import Keeper, Terms, answering
 from dahliabend.subsetting.demand import UNTOLD, Demand
 from dahliabend.subsetting.selection import Party
--- a/dahliabend/emulator/faults.py
+++ b/dahliabend/simulation/faults.py
@@ -5,9 +5,9 @@
 
 import orjson
 
-from dahliabend.emulator.peers.clients import Ask, Flooding, Rude
-from dahliabend.emulator.peers.operators import call
-from dahliabend.emulator.script import GROUP_OF, MS, Fault
+from dahliabend.simulation.peers.clients import Ask, Flooding, Rude
+from dahliabend.simulation.peers.operators import call
+from dahliabend.simulation.script import GROUP_OF, MS, Fault
 
 BACK = 200 * MS  # from a kill until the process starts again, where the span says nothing
 CROWD = 80  # requests that come at once, times the fault's size
--- a/dahliabend/emulator/checks.py
+++ b/dahliabend/simulation/invariants.py
@@ -6,8 +6,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from dahliabend.emulator.kernel import START, Kernel
-from dahliabend.emulator.witness import Witness
+from dahliabend.simulation.event_loop import START, Kernel
+from dahliabend.simulation.recorder import Witness
 
 SLACK = 50_000
 UNHEARD = 100_000  # how long a caller's leaving may take to be known
--- a/dahliabend/emulator/network.py
+++ b/dahliabend/simulation/network.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from dahliabend.emulator.kernel import Kernel, Process
+from dahliabend.simulation.event_loop import Kernel, Process
 
 SYN_AGAIN = (1_000_000, 3_000_000)  # after a lost first packet, as Linux waits
 MOST_CONNECT = 20_000_000  # microseconds that a connect without an answer stays open
--- a/dahliabend/emulator/witness.py
+++ b/dahliabend/simulation/recorder.py
@@ -8,8 +8,8 @@
 
 import httptools
 
-from dahliabend.emulator.kernel import START, Kernel
-from dahliabend.emulator.network import End
+from dahliabend.simulation.event_loop import START, Kernel
+from dahliabend.simulation.network import End
 
 MOST_LINES = 400_000  # a longer time line is cut, and its digest goes on
 
--- a/dahliabend/emulator/services.py
+++ b/dahliabend/simulation/services.py
@@ -10,20 +10,20 @@
 
 from dahliabend.config.operator_file.types import File, Member
 from dahliabend.config.platform import address
-from dahliabend.emulator import transports
-from dahliabend.emulator.checks import Class, Rules
-from dahliabend.emulator.kernel import START, Kernel, Process
-from dahliabend.emulator.network import End, Network, Shape
-from dahliabend.emulator.peers.clients import Ask, Clients, Front
-from dahliabend.emulator.peers.discovery import Agent, Registry
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
-from dahliabend.emulator.remains import Remains
-from dahliabend.emulator.stand_ins import Machines
-from dahliabend.emulator.witness import HopTap, Witness
-from dahliabend.emulator.world import Log
 from dahliabend.routing_rules.checks import METHODS, Effective
 from dahliabend.routing_rules.plan import Plan, plan
 from dahliabend.server.service import Service
+from dahliabend.simulation import transports
+from dahliabend.simulation.event_loop import START, Kernel, Process
+from dahliabend.simulation.invariants import Class, Rules
+from dahliabend.simulation.leaks import Remains
+from dahliabend.simulation.network import End, Network, Shape
+from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.recorder import HopTap, Witness
+from dahliabend.simulation.stand_ins import Machines
+from dahliabend.simulation.world import Log
 
 FILE = "/etc/dahliabend/file.toml"
 SEMANTICS = {"idempotent": "idempotent", "journalled": "deduplicated", "non-idempotent": "at_most_once"}
--- a/dahliabend/emulator/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dahliabend.emulator.script import MS, LoadSpec, Scenario, Span, WorldSpec, check
-from dahliabend.emulator.world import play
+from dahliabend.simulation.script import MS, LoadSpec, Scenario, Span, WorldSpec, check
+from dahliabend.simulation.world import play
 
 MOST = 400  # runs that a shrinking takes at the most
 
--- a/dahliabend/emulator/stand_ins.py
+++ b/dahliabend/simulation/stand_ins.py
@@ -8,8 +8,8 @@
 from contextlib import contextmanager
 from fnmatch import fnmatchcase
 
-from dahliabend.emulator.kernel import EPOCH, Kernel, Process
-from dahliabend.emulator.network import Listening, Network, Socket
+from dahliabend.simulation.event_loop import EPOCH, Kernel, Process
+from dahliabend.simulation.network import Listening, Network, Socket
 from dahliabend.transport import host_info as machine
 
 _NAMES = ("ticks", "wall", "process_id", "folder", "stream_socket", "inherited_socket", "read_file",
--- a/dahliabend/emulator/sweep.py
+++ b/dahliabend/simulation/sweep.py
@@ -8,8 +8,8 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from dataclasses import dataclass, field
 
-from dahliabend.emulator.script import Scenario, draw
-from dahliabend.emulator.world import Result, play
+from dahliabend.simulation.script import Scenario, draw
+from dahliabend.simulation.world import Result, play
 
 CHUNK = 20  # seeds that a process takes at a time
 CRASHED = "emulator"  # the rule under which a fault of the emulator itself is counted
--- a/dahliabend/emulator/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from dahliabend.emulator.network import Socket
+from dahliabend.simulation.network import Socket
 
 AT_ONCE = 262_144  # bytes read in one turn
 
--- a/dahliabend/emulator/world.py
+++ b/dahliabend/simulation/world.py
@@ -9,20 +9,20 @@
 import orjson
 
 from dahliabend.config.platform import read_node
-from dahliabend.emulator import transports
-from dahliabend.emulator.checks import Class, Rules, Violation
-from dahliabend.emulator.faults import Faults
-from dahliabend.emulator.kernel import EPOCH, START, Kernel, Process, Runaway
-from dahliabend.emulator.network import End, Network, Shape, Socket
-from dahliabend.emulator.peers.clients import Ask, Clients, Front
-from dahliabend.emulator.peers.discovery import Agent, Registry
-from dahliabend.emulator.peers.operators import call
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
-from dahliabend.emulator.remains import Remains, weigh
-from dahliabend.emulator.script import LoadSpec, Scenario
-from dahliabend.emulator.stand_ins import Machines
-from dahliabend.emulator.witness import HopTap, Witness
 from dahliabend.server.serve import Program
+from dahliabend.simulation import transports
+from dahliabend.simulation.event_loop import EPOCH, START, Kernel, Process, Runaway
+from dahliabend.simulation.faults import Faults
+from dahliabend.simulation.invariants import Class, Rules, Violation
+from dahliabend.simulation.leaks import Remains, weigh
+from dahliabend.simulation.network import End, Network, Shape, Socket
+from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.simulation.peers.operators import call
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.recorder import HopTap, Witness
+from dahliabend.simulation.script import LoadSpec, Scenario
+from dahliabend.simulation.stand_ins import Machines
 
 LEAD = 600_000  # microseconds from the balancers' start to the load's
 REST = 6_500_000  # after the run, until nothing is to be left of it
--- a/dahliabend/transport/host_info.py
+++ b/dahliabend/transport/host_info.py
@@ -1,5 +1,5 @@
 """What the program takes from the machine that it runs on: clocks, sockets, files, the folder that processes
-share. Everything else calls these by way of the module, so that `dahliabend.emulator` can stand in for them.
+share. Everything else calls these by way of the module, so that `dahliabend.simulation` can stand in for them.
 """
 
 import os
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -16,10 +16,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.emulator.fleets.model import Model  # noqa: E402
-from dahliabend.emulator.fleets.script import Fleet, S  # noqa: E402
-from dahliabend.emulator.fleets.town import Town  # noqa: E402
 from dahliabend.membership.failure_detector import Terms  # noqa: E402
+from dahliabend.simulation.cluster.model import Model  # noqa: E402
+from dahliabend.simulation.cluster.script import Fleet, S  # noqa: E402
+from dahliabend.simulation.cluster.town import Town  # noqa: E402
 
 WAYS = {
     "as it is": {},
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -17,8 +17,8 @@
 from subset_work import AFTER, BEFORE, MANY, POOL, RATE, ZONES, S, interval  # noqa: E402
 
 from dahliabend.config.operator_file.units import Span  # noqa: E402
-from dahliabend.emulator.fleets.script import Fleet  # noqa: E402
-from dahliabend.emulator.fleets.work import Work  # noqa: E402
+from dahliabend.simulation.cluster.script import Fleet  # noqa: E402
+from dahliabend.simulation.cluster.work import Work  # noqa: E402
 
 
 def cut(made, chance):
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -12,8 +12,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.config.operator_file.units import Span  # noqa: E402
-from dahliabend.emulator.fleets.script import Fleet, S, Step  # noqa: E402
-from dahliabend.emulator.fleets.subsets import Subsets  # noqa: E402
+from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
+from dahliabend.simulation.cluster.subsets import Subsets  # noqa: E402
 from dahliabend.subsetting.controller import Terms  # noqa: E402
 
 CALM, AFTER, LAST = 40, 60, 30  # seconds
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -18,8 +18,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.config.operator_file.units import Span  # noqa: E402
-from dahliabend.emulator.fleets.script import Fleet, S, Step  # noqa: E402
-from dahliabend.emulator.fleets.work import Work, names  # noqa: E402
+from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
+from dahliabend.simulation.cluster.work import Work, names  # noqa: E402
 from dahliabend.subsetting.controller import Terms  # noqa: E402
 
 MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
--- a/tests/health_gossip/test_health_gossip.py
+++ b/tests/health_gossip/test_health_gossip.py
@@ -184,10 +184,10 @@
 
 
 def test_the_decisions_set_aside_by_what_they_were_told_as_by_own_hops():
-    from dahliabend.emulator.fleets.script import Fleet
-    from dahliabend.emulator.fleets.work import Work
     from dahliabend.model import State
     from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
+    from dahliabend.simulation.cluster.script import Fleet
+    from dahliabend.simulation.cluster.work import Work
 
     port = SimpleNamespace(wake=lambda *_: None, probe=lambda *_: None)
     made = Balancer(Work(Fleet(instances=1), 1).settings(), port, 1)
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -9,7 +9,6 @@
 
 from dahliabend.config.operator_file.types import Members
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator.peers.discovery import Agent, Registry
 from dahliabend.membership import codec as wire
 from dahliabend.membership.encryption import Seal, key
 from dahliabend.membership.failure_detector import Machine, Terms
@@ -17,6 +16,7 @@
 from dahliabend.rig.processes import free_ports
 from dahliabend.routing_rules.plan import passed_over, plan
 from dahliabend.server.clustering import Fleet
+from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines
--- a/tests/membership/town.py
+++ b/tests/membership/town.py
@@ -1,5 +1,5 @@
 """The town that these tests play in."""
 
-from dahliabend.emulator.fleets.town import S, Town
+from dahliabend.simulation.cluster.town import S, Town
 
 __all__ = ["S", "Town"]
--- a/tests/rig/test_rig.py
+++ b/tests/rig/test_rig.py
@@ -3,9 +3,9 @@
 import asyncio
 from pathlib import Path
 
-from dahliabend.emulator.fleets import script
-from dahliabend.emulator.fleets.model import Model
 from dahliabend.rig.play import Rig
+from dahliabend.simulation.cluster import script
+from dahliabend.simulation.cluster.model import Model
 
 SCRIPT = Path(__file__).parent / "scripts" / "members.toml"
 
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -24,11 +24,11 @@
 from corpus import make  # noqa: E402
 from helpers import free_addresses  # noqa: E402
 
-from dahliabend.emulator.peers.clients import Ask, Clients, Front  # noqa: E402
-from dahliabend.emulator.peers.discovery import Agent, Registry  # noqa: E402
-from dahliabend.emulator.peers.operators import call  # noqa: E402
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec  # noqa: E402
 from dahliabend.routing_rules.plan import plan  # noqa: E402
+from dahliabend.simulation.peers.clients import Ask, Clients, Front  # noqa: E402
+from dahliabend.simulation.peers.discovery import Agent, Registry  # noqa: E402
+from dahliabend.simulation.peers.operators import call  # noqa: E402
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec  # noqa: E402
 
 S, RATE, LATE = 1_000_000, 8, 50_000
 TROUBLES = ("hung", "failing", "garbled", "slower", "reset")
--- a/tests/routing_rules/play.py
+++ b/tests/routing_rules/play.py
@@ -16,7 +16,7 @@
 
 from corpus import make  # noqa: E402
 
-from dahliabend.emulator.services import TROUBLES, ServiceWorld  # noqa: E402
+from dahliabend.simulation.services import TROUBLES, ServiceWorld  # noqa: E402
 
 S = 1_000_000
 RATE = 8.0  # transactions a second, all routes in turn
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -11,11 +11,11 @@
 from corpus import make
 from helpers import free_addresses
 
-from dahliabend.emulator.peers.clients import Ask, Clients, Front
-from dahliabend.emulator.peers.operators import call
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
-from dahliabend.emulator.services import TROUBLES, ServiceWorld
 from dahliabend.routing_rules.split import Split
+from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.operators import call
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.services import TROUBLES, ServiceWorld
 
 MS, S = 1_000, 1_000_000
 TOP = """
--- a/tests/fleets/test_fleets.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -3,12 +3,12 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator.fleets import script
-from dahliabend.emulator.fleets.claims import Claim, Outcome, judge
-from dahliabend.emulator.fleets.model import Model, play
-from dahliabend.emulator.fleets.script import Fleet, S, Step
-from dahliabend.emulator.fleets.truth import Truth
 from dahliabend.membership.failure_detector import Terms
+from dahliabend.simulation.cluster import script
+from dahliabend.simulation.cluster.ground_truth import Truth
+from dahliabend.simulation.cluster.invariants import Claim, Outcome, judge
+from dahliabend.simulation.cluster.model import Model, play
+from dahliabend.simulation.cluster.script import Fleet, S, Step
 
 AGREE = Step(until="agree")
 
--- a/tests/fleets/test_duty_search.py
+++ b/tests/simulation/cluster/test_duty_search.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from dahliabend.emulator.fleets.duty_search import search
 from dahliabend.leases.duties import MS, Duties, Turn
+from dahliabend.simulation.cluster.duty_search import search
 
 
 @pytest.mark.parametrize(
--- a/tests/fleets/test_search.py
+++ b/tests/simulation/cluster/test_search.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from dahliabend.emulator.fleets.search import agreed, begin, search, sound
 from dahliabend.membership.codec import Standing
 from dahliabend.membership.failure_detector import Machine, Terms
+from dahliabend.simulation.cluster.search import agreed, begin, search, sound
 
 QUICK = Terms(others=1, whole=5, least=1.0, longest=1.0)
 DEPTH = 6
--- a/tests/fleets/test_subsets.py
+++ b/tests/simulation/cluster/test_subsets.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator.fleets.script import Fleet, S, Step
-from dahliabend.emulator.fleets.subsets import Subsets
+from dahliabend.simulation.cluster.script import Fleet, S, Step
+from dahliabend.simulation.cluster.subsets import Subsets
 from dahliabend.subsetting.controller import Terms
 
 
--- a/tests/fleets/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -6,10 +6,10 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.emulator.fleets.nodes import Kind, Node
-from dahliabend.emulator.fleets.script import Fleet, S, Step
-from dahliabend.emulator.fleets.work import Work
 from dahliabend.model import Outcome
+from dahliabend.simulation.cluster.nodes import Kind, Node
+from dahliabend.simulation.cluster.script import Fleet, S, Step
+from dahliabend.simulation.cluster.work import Work
 from dahliabend.subsetting.controller import Terms
 
 MANY, POOL = 20, 30
--- a/tests/emulator/defects.py
+++ b/tests/simulation/defects.py
@@ -1,6 +1,6 @@
 """Defects planted into the program, to show that the checks can fail.
 
-    python tests/emulator/defects.py --seeds 500 --jobs 8
+    python tests/simulation/defects.py --seeds 500 --jobs 8
 
 prints for each how many seeds were needed until a check named it.
 """
@@ -14,7 +14,6 @@
 
 from dahliabend.discovery import watch as discovery
 from dahliabend.discovery.watch import Book
-from dahliabend.emulator import sweep
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import Outcome, State
@@ -25,6 +24,7 @@
 from dahliabend.proxy.router import Hop, Router
 from dahliabend.server.hot_restart import Handover
 from dahliabend.server.serve import Program
+from dahliabend.simulation import sweep
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.handles import Slots
 from dahliabend.transport.listener import Listener
--- a/tests/emulator/test_checks.py
+++ b/tests/simulation/test_checks.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from dahliabend.emulator.checks import SLACK, Class, Rules
-from dahliabend.emulator.kernel import Kernel
-from dahliabend.emulator.witness import Witness
+from dahliabend.simulation.event_loop import Kernel
+from dahliabend.simulation.invariants import SLACK, Class, Rules
+from dahliabend.simulation.recorder import Witness
 
 S = 1_000_000
 CLASSES = {
--- a/tests/emulator/test_loopback.py
+++ b/tests/simulation/test_loopback.py
@@ -9,10 +9,10 @@
 
 from helpers import CONF, free_addresses
 
-from dahliabend.emulator.peers.clients import Ask, Clients, Front
-from dahliabend.emulator.peers.discovery import Agent, Registry
-from dahliabend.emulator.peers.operators import call
-from dahliabend.emulator.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.simulation.peers.operators import call
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
 
 S = 1_000_000
 REQUESTS = 60
--- a/tests/emulator/test_network.py
+++ b/tests/simulation/test_network.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from dahliabend.emulator.kernel import START, Kernel, Process, Runaway
-from dahliabend.emulator.network import Network, Shape
-from dahliabend.emulator.transports import Transport
+from dahliabend.simulation.event_loop import START, Kernel, Process, Runaway
+from dahliabend.simulation.network import Network, Shape
+from dahliabend.simulation.transports import Transport
 
 PLACE = ("10.0.0.2", 80)
 
--- a/tests/emulator/test_script.py
+++ b/tests/simulation/test_script.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dahliabend.emulator.script import GROUP_OF, S, Scenario, decode, draw, encode, read
+from dahliabend.simulation.script import GROUP_OF, S, Scenario, decode, draw, encode, read
 
 
 @pytest.mark.parametrize(
--- a/tests/emulator/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -10,10 +10,10 @@
 import pytest
 from defects import DEFECTS, SHOWN, caught
 
-from dahliabend.emulator.script import Fault, LoadSpec, Scenario, Span, WorldSpec, draw, read
-from dahliabend.emulator.shrink import shrink
-from dahliabend.emulator.sweep import look, sweep
-from dahliabend.emulator.world import World, play
+from dahliabend.simulation.script import Fault, LoadSpec, Scenario, Span, WorldSpec, draw, read
+from dahliabend.simulation.shrink import shrink
+from dahliabend.simulation.sweep import look, sweep
+from dahliabend.simulation.world import World, play
 from dahliabend.transport import host_info as machine
 
 HERE = Path(__file__).parent
@@ -61,8 +61,8 @@
 import sys
 sys.path.insert(0, sys.argv[1])
 from defects import DEFECTS
-from dahliabend.emulator.sweep import look
-from dahliabend.emulator.script import draw
+from dahliabend.simulation.sweep import look
+from dahliabend.simulation.script import draw
 with DEFECTS["bytes mixed between answers"].plant():
     for seed in range(52):
         seen = look(draw(seed))
