--- a/dahliabend/cli/rig.py
+++ b/dahliabend/cli/rig.py
@@ -46,7 +46,7 @@
 
     Bounded by its script; everything stays on 127.0.0.1, and every process that it starts it ends.
     """
-    from dahliabend.rig.play import Rig
+    from dahliabend.process_tests.runner import Rig
 
     fleet = fleet_of(what, instances, period, minutes)
     console, broken, shown = Console(stderr=True), 0, []
--- a/dahliabend/rig/play.py
+++ b/dahliabend/process_tests/runner.py
@@ -17,9 +17,9 @@
 from dahliabend.membership.codec import Ping, encode
 from dahliabend.membership.encryption import Seal
 from dahliabend.membership.failure_detector import Terms
-from dahliabend.rig.processes import Instance, free_ports
-from dahliabend.rig.relay import Relay
-from dahliabend.rig.traffic import CLASSES, Traffic
+from dahliabend.process_tests.fault_proxy import Relay
+from dahliabend.process_tests.load import CLASSES, Traffic
+from dahliabend.process_tests.processes import Instance, free_ports
 from dahliabend.routing_rules.limits import FEW
 from dahliabend.simulation.cluster.invariants import Bounds, Claim, judge
 from dahliabend.simulation.cluster.model import LOOK, Player
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -13,7 +13,7 @@
 from dahliabend.membership.encryption import Seal, key
 from dahliabend.membership.failure_detector import Machine, Terms
 from dahliabend.membership.udp_transport import Shell
-from dahliabend.rig.processes import free_ports
+from dahliabend.process_tests.processes import free_ports
 from dahliabend.routing_rules.plan import passed_over, plan
 from dahliabend.server.clustering import Fleet
 from dahliabend.simulation.peers.discovery import Agent, Registry
--- a/tests/rig/test_rig.py
+++ b/tests/process_tests/test_rig.py
@@ -3,7 +3,7 @@
 import asyncio
 from pathlib import Path
 
-from dahliabend.rig.play import Rig
+from dahliabend.process_tests.runner import Rig
 from dahliabend.simulation.cluster import script
 from dahliabend.simulation.cluster.model import Model
 
