--- a/dahliabend/transport/host_info.py
+++ b/dahliabend/transport/host_info.py
@@ -1,5 +1,6 @@
-"""What the program takes from the machine that it runs on: clocks, sockets, files, the folder that processes
-share. Everything else calls these by way of the module, so that `dahliabend.simulation` can stand in for them.
+"""What the program takes from its host: clocks, sockets, files, and the directory that processes share.
+
+Everything else calls these by way of the module, so that `dahliabend.simulation` can stand in for them.
 """
 
 import os
