--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dahliabend.model import Effect, Group, Profile, Settings
+from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 from dahliabend.transport import host_info as machine
 
 
@@ -153,10 +153,10 @@
 
 _EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
-    "deduplicated": Effect.JOURNALLED,
+    "deduplicated": Effect.DEDUPLICATED,
     "at_most_once": Effect.NON_IDEMPOTENT,
 }
-_GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+_GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 def us(ms: float) -> int:
@@ -246,7 +246,7 @@
         profiles={name.encode(): index for index, name in enumerate(names)},
         customers={t.name.encode(): index for index, t in enumerate(conf.tenants)},
         zones={name: index for index, name in enumerate(conf.localities)},
-        longest=tuple(p.hard_limit for p in settings.profiles),
+        longest=tuple(p.deadline for p in settings.request_classes),
         slack=us(conf.contract.answer_slack),
         dial_time=us(conf.caps.dial_timeout),
         rest=round(us(conf.caps.conn_idle) * REST),
@@ -318,38 +318,38 @@
         _within(f"{above}profiles[{number}].service-goal", p.service_goal, 0.001, 1e9)
         _within(f"{above}profiles[{number}].hard-limit", p.hard_limit, 0.001, 1e9)
         profiles.append(
-            Profile(
+            RequestClass(
                 effect=_EFFECTS[p.semantics],
-                group=_GROUPS[p.group],
-                repeat_window=us(p.dedup_window),
-                service_goal=us(p.service_goal),
-                hard_limit=us(p.hard_limit),
-                revenue=p.revenue,
-                late_share=p.tardy_revenue,
-                in_order=p.in_order,
+                deduplication_scope=_GROUPS[p.group],
+                deduplication_window=us(p.dedup_window),
+                latency_objective=us(p.service_goal),
+                deadline=us(p.hard_limit),
+                priority_weight=p.revenue,
+                late_weight=p.tardy_revenue,
+                is_ordered=p.in_order,
             )
         )
     return Settings(
-        balancers=max(1, conf.balancers),
-        number=conf.self_index,
+        instance_count=max(1, conf.balancers),
+        instance_index=conf.self_index,
         tier=conf.tier,
         zone=conf.locality,
-        profiles=tuple(profiles),
-        allowances=tuple(t.allowance_per_s for t in conf.tenants),
-        excess_share=conf.excess_revenue,
-        whole_weight=conf.goal.whole,
-        class_weight=conf.goal.worst_class,
-        cross_zone_fee=conf.fees.cross_zone,
-        most_hops=caps.most_hops,
-        may_cancel=caps.may_cancel,
-        may_probe=caps.probing,
-        advises=caps.retry_after,
-        longest_advice=us(caps.max_retry_after),
-        ask_for_list=conf.discovery == "on_request",
-        ask_within=us(contract.ask_within),
-        cold_share=contract.cold_share,
-        cold_time=us(contract.cold),
-        cold_multiple=contract.fall_multiple,
-        order_pause=us(contract.order_pause),
-        drain_alone=contract.drain_binds_alone,
+        request_classes=tuple(profiles),
+        tenant_quotas=tuple(t.allowance_per_s for t in conf.tenants),
+        over_quota_weight=conf.excess_revenue,
+        overall_weight=conf.goal.whole,
+        worst_class_weight=conf.goal.worst_class,
+        cross_zone_cost=conf.fees.cross_zone,
+        max_attempts=caps.most_hops,
+        can_cancel=caps.may_cancel,
+        can_health_check=caps.probing,
+        sends_retry_after=caps.retry_after,
+        max_retry_after=us(caps.max_retry_after),
+        polls_endpoints=conf.discovery == "on_request",
+        poll_deadline=us(contract.ask_within),
+        initial_capacity=contract.cold_share,
+        warmup_time=us(contract.cold),
+        warmup_multiple=contract.fall_multiple,
+        key_rest=us(contract.order_pause),
+        only_draining_binds=contract.drain_binds_alone,
     )
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -10,7 +10,7 @@
 import orjson
 
 from dahliabend.config.platform import address
-from dahliabend.model import State
+from dahliabend.model import EndpointState
 from dahliabend.transport.connection import Connection, dial
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
@@ -22,12 +22,12 @@
 FIRST, LONGEST = BEAT // 20, BEAT // 2  # what is waited before a watch is opened again
 MOST_LINE = 8 * 1024 * 1024
 
-_STATES = {"up": State.READY, "draining": State.DRAINING, "removed": State.GONE}
+_STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 
 
 class Reader(Protocol):
     def listed(self, rows: list[tuple], full: bool) -> None: ...
-    def list_failed(self) -> None: ...
+    def endpoint_poll_failed(self) -> None: ...
 
 
 def entry(raw: dict) -> tuple:
@@ -39,7 +39,7 @@
     state, name = _STATES[raw["state"]], raw["id"]
     if not isinstance(name, str) or not name:
         raise ValueError("no id")
-    place = ("", 0) if state is State.GONE else address(str(raw.get("addr")))
+    place = ("", 0) if state is EndpointState.REMOVED else address(str(raw.get("addr")))
     started, cell = int(raw.get("started_ms") or 0), int(raw.get("cell") or 0)
     return name, place, state, started, float(raw.get("weight") or 1.0), cell, str(raw.get("zone", ""))
 
@@ -242,7 +242,7 @@
         wait = round(self.wait * (1 + self.chance()) / 2)
         self.wait = min(LONGEST, self.wait * 2)
         self.again = self.deadlines.at(clock() + wait, self.open)
-        self.book.reader.list_failed()
+        self.book.reader.endpoint_poll_failed()
 
     def stop(self) -> None:
         self.deadlines.drop(self.again)
--- a/dahliabend/health_gossip/seen.py
+++ b/dahliabend/health_gossip/seen.py
@@ -8,8 +8,8 @@
 
 from dahliabend.model import Outcome
 
-BAD = frozenset({Outcome.ERROR, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET})
-SPOKEN = BAD | {Outcome.COMMITTED}
+BAD = frozenset({Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET})
+SPOKEN = BAD | {Outcome.SUCCEEDED}
 MOST = 32  # ends remembered of one upstream
 
 
--- a/dahliabend/leases/shared.py
+++ b/dahliabend/leases/shared.py
@@ -11,7 +11,7 @@
 from dahliabend.model import Outcome
 
 PATIENCE = 2  # periods that a result is waited for: then this one probes itself
-SAID = frozenset(int(outcome) for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.MOOT))
+SAID = frozenset(int(outcome) for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT))
 Told = Callable[[int, Outcome], None]
 
 
@@ -70,7 +70,7 @@
             elif known.count and known.at >= since:
                 del self.wanted[duty]
                 outcome, before = Outcome(known.result), self.bad.pop(duty, None)
-                failed = outcome is not Outcome.COMMITTED and known.owner != self.duties.me
+                failed = outcome is not Outcome.SUCCEEDED and known.owner != self.duties.me
                 if failed and before == known.owner:
                     self.look(duty, told)
                     continue
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from random import Random
 
-from dahliabend.model import Effect, Group, Outcome, Port, Settings, State
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, Port, Settings
 from dahliabend.policy.key_order import REST, Lines
 
 BEAT = 1 / 4  # of the shortest service goal: how often health is looked at
@@ -34,7 +34,7 @@
 SET = 2  # upstreams in use at the least, of each side of a zone border that costs
 FORGET = 1 / 1024  # by which the least hop time seen creeps up at each look
 # What holds on for decisions that follow: of an upstream, its start first, and of the crowd.
-CARRIED = "born", "pace", "heard", "answered", "turn", "aside", "since", "strikes", "budget", "filled"
+CARRIED = "born", "pace", "heard", "answered", "turn", "ejected", "since", "strikes", "budget", "filled"
 CROWD = "ceiling", "crowd", "borne", "stretch", "low", "took", "beats", "pressed"
 
 
@@ -76,10 +76,10 @@
     """The one record of an upstream."""
 
     def __init__(self, index: int, rank: bytes, profiles: int) -> None:
-        self.index, self.rank, self.state, self.born = index, rank, State.GONE, -1
-        self.weight, self.cell, self.zone, self.aside = 1.0, 0, 0, False
+        self.index, self.rank, self.state, self.born = index, rank, EndpointState.REMOVED, -1
+        self.weight, self.cell, self.zone, self.ejected = 1.0, 0, 0, False
         self.entries = [Entry() for _ in range(profiles + 1)]  # by profile; the last is the upstream's own
-        self.held: dict[Transaction, Hop] = {}  # the hops out
+        self.held: dict[RequestState, Hop] = {}  # the hops out
 
     def begin(self, born: int, now: int, chance: float) -> None:
         """A process just started, or seen for the first time: nothing known of an earlier one holds."""
@@ -87,48 +87,70 @@
         self.entries = [Entry() for _ in self.entries]
         self.turn = self.budget = chance  # a random start, else all balancers turn to it at once
         self.heard = self.filled = self.ended = now
-        self.aside, self.sounding, self.since, self.strikes, self.answered = False, False, 0, 0, 0
+        self.ejected, self.sounding, self.since, self.strikes, self.answered = False, False, 0, 0, 0
 
 
 class Hop:
     """One sending of a transaction. Cell and zone are kept as they were then: its group remembers it."""
 
-    __slots__ = ("cell", "idle", "may_have_run", "sent", "upstream", "zone")
+    __slots__ = ("cell", "idle", "may_have_executed", "sent", "upstream", "zone")
 
     def __init__(self, upstream: Upstream, now: int) -> None:
         self.upstream, self.sent, self.cell, self.zone = upstream, now, upstream.cell, upstream.zone
-        self.may_have_run, self.idle = True, 0 if upstream.held else now - upstream.ended
+        self.may_have_executed, self.idle = True, 0 if upstream.held else now - upstream.ended
 
 
-class Transaction:
+class RequestState:
     """The handle of a transaction taken."""
 
-    def __init__(self, home, ref: int, profile: int, deadline: int, coming: bool, key=0) -> None:
-        self.coming, self.spent, self.flowing, self.twins = coming, False, False, 0  # twins: beside another
-        self.home, self.ref, self.profile, self.end, self.key = home, ref, profile, deadline, key
-        self.kind, self.value = home.profiles[profile], home.values[profile]
-        self.hops, self.out, self.done, self.most = [], 0, False, self.kind.most_hops or home.most_hops
+    def __init__(self, home, ref: int, profile: int, deadline: int, body_pending: bool, key=0) -> None:
+        self.body_pending, self.spent, self.flowing, self.twins = (
+            body_pending,
+            False,
+            False,
+            0,
+        )  # twins: beside another
+        self.home, self.ref, self.profile, self.deadline, self.key = home, ref, profile, deadline, key
+        self.request_class, self.value = home.profiles[profile], home.values[profile]
+        self.attempts, self.out, self.done, self.most = (
+            [],
+            0,
+            False,
+            self.request_class.max_attempts or home.max_attempts,
+        )
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         return self.done and not self.out
 
-    def risk(self) -> Hop | None:
+    def first_possibly_executed(self) -> Hop | None:
         """The first hop that may have run, or is still out."""
-        return next((hop for hop in self.hops if hop.may_have_run), None)
+        return next((hop for hop in self.attempts if hop.may_have_executed), None)
 
     def repeatable(self, now: int) -> bool:
         """May it be sent again? None has an effect twice, and never are two hops out at once."""
-        risk, effect = self.risk(), self.kind.effect
-        if self.spent or self.out or 0 <= self.kind.replays < sum(hop.may_have_run for hop in self.hops):
+        risk, effect = self.first_possibly_executed(), self.request_class.effect
+        if (
+            self.spent
+            or self.out
+            or 0
+            <= self.request_class.max_retries_after_execution
+            < sum(hop.may_have_executed for hop in self.attempts)
+        ):
             return False
-        journalled = effect is Effect.JOURNALLED and risk and now < risk.sent + self.kind.repeat_window
+        journalled = (
+            effect is Effect.DEDUPLICATED
+            and risk
+            and now < risk.sent + self.request_class.deduplication_window
+        )
         return not risk or effect is Effect.IDEMPOTENT or journalled
 
-    def returned(self, now, number: int, outcome: Outcome, took: int, complete: bool, idle=None) -> None:
-        hop = self.hops[number]
+    def attempt_finished(
+        self, now, number: int, outcome: Outcome, took: int, complete: bool, idle=None
+    ) -> None:
+        hop = self.attempts[number]
         hop.idle = hop.idle if idle is None else idle  # of its connection, where the driver can tell
-        hop.may_have_run, self.out = not outcome.proves_unrun, self.out - 1
+        hop.may_have_executed, self.out = not outcome.proves_not_executed, self.out - 1
         if hop.idle and not self.done:
             unheard = outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and now - hop.upstream.heard >= took
             cut = outcome is Outcome.RESET and took < self.home.usual[self.profile] * STEP
@@ -143,116 +165,145 @@
             self.home.call_off(self)
         self.end_turn(now)
 
-    def begun(self, now: int, number: int) -> None:
+    def response_started(self, now: int, number: int) -> None:
         """A streamed answer has started: the client has it, so its hop is not called off any more."""
         self.flowing = True
-        self.home.let_out(self, self.hops[number].upstream)
+        self.home.let_out(self, self.attempts[number].upstream)
 
-    def passed_by(self) -> None:
+    def body_consumed(self) -> None:
         self.spent = True  # a part of its body is gone: there is nothing whole to send once more
 
-    def arrived(self, now: int, deadline: int) -> int:
+    def body_received(self, now: int, deadline: int) -> int:
         """The hop out has had the last byte: it begins now, whatever the sending took. Its time-out."""
-        self.coming, self.end, hop = False, self.home.limit(self, now, deadline), self.hops[-1]
+        self.body_pending, self.deadline, hop = False, self.home.limit(self, now, deadline), self.attempts[-1]
         hop.sent = now
         self.home.let_in(self, hop)
-        return self.home.hop_time(self, now)
+        return self.home.attempt_timeout(self, now)
 
-    def slow(self, now: int) -> None:
+    def hedge_timer_fired(self, now: int) -> None:
         """The hop out is slow: a second beside it, where hops and retries are left for one."""
-        home, may = self.home, self.out == 1 and len(self.hops) < self.most and now < self.end
+        home, may = self.home, self.out == 1 and len(self.attempts) < self.most and now < self.deadline
         u = home.choose(self, now) if may and home.credit >= 1 and not (self.done or self.flowing) else None
-        if u and all(hop.upstream is not u for hop in self.hops):
+        if u and all(hop.upstream is not u for hop in self.attempts):
             home.credit, self.twins = home.credit - 1, 1
             home.dispatch(self, u, now)
 
-    def left(self, now: int) -> None:
+    def client_disconnected(self, now: int) -> None:
         self.done = True
         self.home.call_off(self)
         self.end_turn(now)
 
     def end_turn(self, now: int) -> None:
-        if self.key and self.over:
+        if self.key and self.is_finished:
             self.home.lines.leave(self, now)
 
 
 class Balancer:
     def __init__(self, settings: Settings, port: Port, seed: int) -> None:
-        s, self.port, self.chance, self.balancers = settings, port, Random(seed).random, settings.balancers
-        self.profiles, self.most_hops, self.zone = s.profiles, s.most_hops, s.zone
-        self.may_cancel, self.may_probe = s.may_cancel, s.may_probe
+        s, self.port, self.chance, self.instance_count = (
+            settings,
+            port,
+            Random(seed).random,
+            settings.instance_count,
+        )
+        self.profiles, self.max_attempts, self.zone = s.request_classes, s.max_attempts, s.zone
+        self.can_cancel, self.can_health_check = s.can_cancel, s.can_health_check
         self.entrance = s.tier == 0  # calls of the tiers behind are work already paid for
-        self.drain_alone, self.may_try = s.drain_alone, any(p.effect is Effect.IDEMPOTENT for p in s.profiles)
-        self.fee, self.excess, self.retries = s.cross_zone_fee, s.excess_share, s.retry_share
-        self.advice, self.ask_again = s.longest_advice * s.advises, s.ask_within // 8 * s.ask_for_list
-        self.cold_from, self.cold_time, self.cold_excess = s.cold_share, s.cold_time, s.cold_multiple / 2
-        self.beat = max(1000, round(min(p.service_goal for p in s.profiles) * BEAT))
+        self.only_draining_binds, self.may_try = (
+            s.only_draining_binds,
+            any(p.effect is Effect.IDEMPOTENT for p in s.request_classes),
+        )
+        self.fee, self.excess, self.retries = s.cross_zone_cost, s.over_quota_weight, s.retry_budget_ratio
+        self.advice, self.ask_again = (
+            s.max_retry_after * s.sends_retry_after,
+            s.poll_deadline // 8 * s.polls_endpoints,
+        )
+        self.cold_from, self.warmup_time, self.cold_excess = (
+            s.initial_capacity,
+            s.warmup_time,
+            s.warmup_multiple / 2,
+        )
+        self.beat = max(1000, round(min(p.latency_objective for p in s.request_classes) * BEAT))
         self.window = self.beat * WINDOW
         self.span = self.validity = round(self.window * VALIDITY)  # the least, and as long as the floor needs
-        self.shape = [s.balancers, s.tier, self.window]
-        top = max(p.revenue for p in s.profiles) or 1.0
+        self.shape = [s.instance_count, s.tier, self.window]
+        top = max(p.priority_weight for p in s.request_classes) or 1.0
         # Revenue decides the less, the more the worst-served profile weighs beside the whole.
-        bias = s.whole_weight / ((s.whole_weight + s.class_weight) or 1.0)
-        self.values = [1 - bias * (1 - p.revenue / top) for p in s.profiles]
-        self.rates = [(a or 1e12) / s.balancers / 1e6 for a in s.allowances]  # its part of each share
+        bias = s.overall_weight / ((s.overall_weight + s.worst_class_weight) or 1.0)
+        self.values = [1 - bias * (1 - p.priority_weight / top) for p in s.request_classes]
+        self.rates = [(a or 1e12) / s.instance_count / 1e6 for a in s.tenant_quotas]  # its part of each share
         self.spare = [(rate * self.window, 0) for rate in self.rates]
         self.upstreams: dict[int, Upstream] = {}  # those listed, by index
         self.ready, self.near, self.far = [], [], []  # the highest ranks first; far: where crossing costs
         self.using, self.abroad = [], []  # the sets in use of near and of far ones
         self.trials: dict[Upstream, None] = {}  # set aside for long enough to be tried
-        self.number, self.reach, self.most = s.number, 0, 1  # upstreams in use, and ever ready at once
+        self.instance_index, self.reach, self.most = (
+            s.instance_index,
+            0,
+            1,
+        )  # upstreams in use, and ever ready at once
         self.tier, self.home, self.rested, self.gap = Entry(), Entry(), Entry(), 0.0
-        self.usual = [0.0] * len(s.profiles)  # the mean hop time, by profile
-        self.kinds = [Entry() for _ in s.profiles]  # of the whole tier with one profile
-        self.drags = [False] * len(s.profiles)  # does it fail at every upstream, and others not?
+        self.usual = [0.0] * len(s.request_classes)  # the mean hop time, by profile
+        self.kinds = [Entry() for _ in s.request_classes]  # of the whole tier with one profile
+        self.drags = [False] * len(s.request_classes)  # does it fail at every upstream, and others not?
         self.took = self.stretch = self.low = self.mean_value = 0.0  # over all
         # Hops in flight, but for those at upstreams set aside; how many are let in, found, were served well.
-        self.out, self.ceiling, self.crowd, self.borne, self.others = 0, 0.0, 0.0, 0.0, 1 - 1 / s.balancers
+        self.out, self.ceiling, self.crowd, self.borne, self.others = (
+            0,
+            0.0,
+            0.0,
+            0.0,
+            1 - 1 / s.instance_count,
+        )
         self.weighed = self.served = self.last_heard = self.beats = self.sent = self.first_tries = 0
         self.held_back, self.pressed, self.awake, self.beside = False, False, False, 0  # hops of its twin
         self.send_rate, self.credit = 0.0, 1.0  # hops a microsecond; retries to spend
-        self.lines = Lines(s.order_pause, port)
+        self.lines = Lines(s.key_rest, port)
 
-    def listed(self, now: int, rows, full: bool) -> None:
+    def update_endpoints(self, now: int, rows, full: bool) -> None:
         if not self.awake:
             self.awake, self.tier.opened = True, now
-            self.port.wake(now + self.beat, 0)
+            self.port.set_timer(now + self.beat, 0)
             if self.ask_again:
-                self.port.ask_list()
-        gone = {row[0] for row in rows if row[1] is State.GONE}
+                self.port.poll_endpoints()
+        gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         gone |= self.upstreams.keys() - {row[0] for row in rows} if full else set()
         for index, state, born, weight, cell, zone, ident in (row for row in rows if row[0] not in gone):
             if index not in self.upstreams:
-                rank = blake2b(ident, key=b"%d" % self.number, digest_size=8).digest()
+                rank = blake2b(ident, key=b"%d" % self.instance_index, digest_size=8).digest()
                 self.upstreams[index] = Upstream(index, rank, len(self.profiles))
             u = self.upstreams[index]
             if born != u.born:
-                self.out += len(u.held) if u.aside else 0
+                self.out += len(u.held) if u.ejected else 0
                 u.begin(born, now, self.chance())
             u.state, u.cell, u.zone, u.listed = state, cell, zone, True
             u.weight = weight if weight > 0 else 1.0
         for u in (self.upstreams[index] for index in gone & self.upstreams.keys()):
             u.listed = False
             # Where only draining binds, a wrong list would take out what serves: kept while it answers.
-            u.state = u.state if self.drain_alone and u.state is State.READY else State.GONE
+            u.state = (
+                u.state
+                if self.only_draining_binds and u.state is EndpointState.READY
+                else EndpointState.REMOVED
+            )
         self.arrange()
 
     def arrange(self) -> None:
         # Hops still out keep the record of one that is gone until they end.
-        self.upstreams = {i: u for i, u in self.upstreams.items() if u.state is not State.GONE}
-        ready = (u for u in self.upstreams.values() if u.state is State.READY)
+        self.upstreams = {i: u for i, u in self.upstreams.items() if u.state is not EndpointState.REMOVED}
+        ready = (u for u in self.upstreams.values() if u.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda u: u.rank, reverse=True)
         self.near = [u for u in self.ready if not self.fee or u.zone == self.zone]
         self.far = [u for u in self.ready if self.fee and u.zone != self.zone]
         self.most = max(self.most, len(self.ready))
         # Of more balancers than upstreams each has but a part of a hop for one: the root leaves it chance.
-        part = len(self.ready) / self.balancers
+        part = len(self.ready) / self.instance_count
         self.ceiling = self.ceiling or START * max(part, part**0.5)
         # Connections opened to all by very many balancers at once would leave none for most of them.
-        self.reach = self.reach or max(SET, self.most if self.most >= self.balancers else 0)
+        self.reach = self.reach or max(SET, self.most if self.most >= self.instance_count else 0)
         self.narrow()
 
-    def known(self, ends: bool) -> dict:
+    def snapshot(self, ends: bool) -> dict:
         """What is known, in plain values; `ends`: these take nothing more. A cold upstream has one budget."""
         upstreams = {}
         for index, u in self.upstreams.items():
@@ -262,7 +313,7 @@
         known = {"shape": self.shape, "usual": self.usual, "gap": self.gap, "upstreams": upstreams}
         return known | {"crowd": [getattr(self, name) for name in CROWD]}
 
-    def follow(self, known: dict, same: list[tuple[int, int]]) -> int:
+    def restore(self, known: dict, same: list[tuple[int, int]]) -> int:
         """Takes over from others; `same` pairs the profiles. Returns of how many upstreams it holds on."""
         for profile, was in same:
             self.usual[profile] = known["usual"][was]
@@ -281,47 +332,53 @@
 
     def narrow(self) -> None:
         """The set in use: the highest ranks, as many as this balancer's few hops can tell of."""
-        reach = self.reach if self.number >= 0 else None
-        self.using = [u for u in self.near if not u.aside][:reach]
-        self.abroad = [u for u in self.far if not u.aside][:reach]
+        reach = self.reach if self.instance_index >= 0 else None
+        self.using = [u for u in self.near if not u.ejected][:reach]
+        self.abroad = [u for u in self.far if not u.ejected][:reach]
 
-    def list_failed(self, now: int) -> None:
+    def endpoint_poll_failed(self, now: int) -> None:
         if self.ask_again:  # after a while, at random: a registry that failed under load is not stormed
-            self.port.wake(now + round(self.ask_again * (1 + self.chance()) / 2), 1)
+            self.port.set_timer(now + round(self.ask_again * (1 + self.chance()) / 2), 1)
 
-    def take(self, now, ref, profile, customer, deadline, repeat=False, coming=False, key=0) -> Transaction:
-        key = key if self.profiles[profile].in_order else 0
-        tx = Transaction(self, ref, profile, deadline, coming, key)
+    def admit(
+        self, now, ref, profile, customer, deadline, repeat=False, body_pending=False, key=0
+    ) -> RequestState:
+        key = key if self.profiles[profile].is_ordered else 0
+        request = RequestState(self, ref, profile, deadline, body_pending, key)
         self.first_tries += not repeat
         if self.entrance:
-            tx.end = deadline if coming else self.limit(tx, now, deadline)
+            request.deadline = deadline if body_pending else self.limit(request, now, deadline)
             if customer < len(self.rates) and not self.inside_share(customer, now):
-                tx.value *= self.excess  # turned away first: else one customer's burst costs all the others
-            self.mean_value = blend(self.mean_value, tx.value)
-            limit = self.ceiling * (EQUAL + (1 - EQUAL) * tx.value)
+                request.value *= (
+                    self.excess
+                )  # turned away first: else one customer's burst costs all the others
+            self.mean_value = blend(self.mean_value, request.value)
+            limit = self.ceiling * (EQUAL + (1 - EQUAL) * request.value)
             # Crowded upstreams choke before they refuse. Room for chance: many balancers have few hops each.
             out = self.out + self.beside
             self.crowd = blend(self.crowd, out)
             if out >= limit + ((limit * self.others) ** 0.5 if self.crowd < limit else 0.0):
                 self.held_back = True
-                self.give_up(tx)
-                return tx
+                self.give_up(request)
+                return request
         ahead = self.lines.ahead(key) if key else 0
         wait = round(ahead * self.usual[profile])
-        if ahead and (coming or tx.end - now <= wait + self.least(tx)):
-            self.give_up(tx, wait)  # a popular key's line would grow beyond what can still be served in time
-        elif not key or self.lines.join(tx):
-            self.send(tx, now)
-            tx.end_turn(now)
-        return tx
-
-    def least(self, tx: Transaction) -> int:  # of its time, that has to be left at its turn
-        return max(self.beat, round(self.usual[tx.profile]))
-
-    def limit(self, tx: Transaction, now: int, deadline: int) -> int:
+        if ahead and (body_pending or request.deadline - now <= wait + self.least(request)):
+            self.give_up(
+                request, wait
+            )  # a popular key's line would grow beyond what can still be served in time
+        elif not key or self.lines.join(request):
+            self.send(request, now)
+            request.end_turn(now)
+        return request
+
+    def least(self, request: RequestState) -> int:  # of its time, that has to be left at its turn
+        return max(self.beat, round(self.usual[request.profile]))
+
+    def limit(self, request: RequestState, now: int, deadline: int) -> int:
         """An answer after the goal may be worth nothing: then no work for it."""
-        worthless = self.entrance and not tx.kind.late_share
-        return min(deadline, now + tx.kind.service_goal) if worthless else deadline
+        worthless = self.entrance and not request.request_class.late_weight
+        return min(deadline, now + request.request_class.latency_objective) if worthless else deadline
 
     def inside_share(self, customer: int, now: int) -> bool:
         rate, (left, then) = self.rates[customer], self.spare[customer]
@@ -329,66 +386,87 @@
         self.spare[customer] = (left - (left >= 1), now)
         return left >= 1
 
-    def send(self, tx: Transaction, now: int) -> None:
-        if now >= tx.end or len(tx.hops) >= tx.most or not tx.repeatable(now):
-            return self.give_up(tx)
-        dragging = self.kinds[tx.profile].share(now) if self.drags[tx.profile] else 0.0
+    def send(self, request: RequestState, now: int) -> None:
+        if now >= request.deadline or len(request.attempts) >= request.most or not request.repeatable(now):
+            return self.give_up(request)
+        dragging = self.kinds[request.profile].share(now) if self.drags[request.profile] else 0.0
         if dragging and self.out >= EQUAL * self.ceiling and self.chance() < dragging:
             # It would hold places until it fails too, here and above, and choke what serves the others.
-            return self.give_up(tx)
-        u = self.try_aside(tx, now) or self.choose(tx, now)
-        if u and not tx.hops:
-            entry = self.governing(u, tx.profile, now)
+            return self.give_up(request)
+        u = self.try_aside(request, now) or self.choose(request, now)
+        if u and not request.attempts:
+            entry = self.governing(u, request.profile, now)
             if entry is not self.tier and self.chance() < entry.share(now):
-                clean = self.choose(tx, now, clean=True)
+                clean = self.choose(request, now, clean=True)
                 # Where all hold shares none is in trouble alone: each refusing its own would spare nobody.
                 u, entry = (clean, entry) if clean else (u, self.tier)
             # Behind the entrance a refusal wastes the work done above.
             if entry is self.tier and self.entrance and (share := entry.share(now)):
-                u = None if self.chance() < share * (1 + self.mean_value - tx.value) else u
+                u = None if self.chance() < share * (1 + self.mean_value - request.value) else u
         if not u:
-            return self.give_up(tx)
-        self.credit = self.credit if tx.hops else min(SAVED, self.credit + self.retries)
-        self.dispatch(tx, u, now)
-
-    def hop_time(self, tx: Transaction, now: int) -> int:
-        hop_time = min(tx.end - now, tx.kind.hop_time or tx.end - now)
-        if self.usual[tx.profile] and not self.tier.metric and self.credit >= 1 and self.may_follow(tx):
-            hop_time = min(hop_time, self.patience(tx))
-        return max(1, hop_time)
-
-    def try_aside(self, tx: Transaction, now: int) -> Upstream | None:
+            return self.give_up(request)
+        self.credit = self.credit if request.attempts else min(SAVED, self.credit + self.retries)
+        self.dispatch(request, u, now)
+
+    def attempt_timeout(self, request: RequestState, now: int) -> int:
+        attempt_timeout = min(
+            request.deadline - now, request.request_class.attempt_timeout or request.deadline - now
+        )
+        if (
+            self.usual[request.profile]
+            and not self.tier.metric
+            and self.credit >= 1
+            and self.may_follow(request)
+        ):
+            attempt_timeout = min(attempt_timeout, self.patience(request))
+        return max(1, attempt_timeout)
+
+    def try_aside(self, request: RequestState, now: int) -> Upstream | None:
         """A hop that may run again tells if one set aside answers, whatever probes say; others cost more."""
-        fit = tx.kind.effect is Effect.IDEMPOTENT and not tx.hops and self.usual[tx.profile]
+        fit = (
+            request.request_class.effect is Effect.IDEMPOTENT
+            and not request.attempts
+            and self.usual[request.profile]
+        )
         if not self.trials or not fit:
             return None
         u = self.trials.popitem()[0]
         # All balancers may try a cold one in the same second: its budget holds for tries too.
-        return u if u.aside and u.state is State.READY and not u.held and self.warmth(u, now) else None
-
-    def may_follow(self, tx: Transaction) -> bool:
-        return tx.kind.effect is not Effect.NON_IDEMPOTENT and len(tx.hops) < tx.most and not tx.spent
-
-    def patience(self, tx: Transaction) -> int:
-        return max(tx.kind.service_goal // 2, round(PATIENCE * self.usual[tx.profile]))
+        return (
+            u if u.ejected and u.state is EndpointState.READY and not u.held and self.warmth(u, now) else None
+        )
+
+    def may_follow(self, request: RequestState) -> bool:
+        return (
+            request.request_class.effect is not Effect.NON_IDEMPOTENT
+            and len(request.attempts) < request.most
+            and not request.spent
+        )
+
+    def patience(self, request: RequestState) -> int:
+        return max(
+            request.request_class.latency_objective // 2, round(PATIENCE * self.usual[request.profile])
+        )
 
     def governing(self, u: Upstream, profile: int, now: int) -> Entry:
         """The finest entry that holds a share; the tier's where the upstream has none."""
         return next((e for e in (u.entries[profile], u.entries[-1]) if e.share(now)), self.tier)
 
-    def choose(self, tx: Transaction, now: int, clean: bool = False) -> Upstream | None:
+    def choose(self, request: RequestState, now: int, clean: bool = False) -> Upstream | None:
         """Smooth weighted rotation over those not far above the mean in flight, the near ones first."""
-        risk = tx.risk() if tx.kind.effect is Effect.JOURNALLED else None
-        used = [hop.upstream for hop in tx.hops]
+        risk = (
+            request.first_possibly_executed() if request.request_class.effect is Effect.DEDUPLICATED else None
+        )
+        used = [hop.upstream for hop in request.attempts]
         # Crossing zones is priced: for the share that the near ones serve too badly, or for want of them.
         out = self.abroad and self.chance() < self.home.share(now)
         first, second = (self.abroad, self.using) if out else (self.using, self.abroad)
         for pool, careful in (first, True), (second, True), (self.ready, True), (self.ready, False):
-            well, total, best = [u for u in pool if not u.aside], 0.0, None
+            well, total, best = [u for u in pool if not u.ejected], 0.0, None
             weights, loads = sum(u.weight for u in well), sum(len(u.held) for u in well)
             mean = loads / weights if weights else 0.0
             for u in pool:
-                if careful and (u.aside or u in used) or risk and not self.same_group(tx, u, risk):
+                if careful and (u.ejected or u in used) or risk and not self.same_group(request, u, risk):
                     continue
                 # A slow upstream that answers in time shows no refusals: its turn shrinks with its pace.
                 weight = u.weight / u.pace
@@ -396,7 +474,7 @@
                     weight *= self.warmth(u, now)
                 if not weight or careful and len(u.held) > mean * weight:
                     continue
-                if clean and (not u.entries[-1].until or self.governing(u, tx.profile, now).share(now)):
+                if clean and (not u.entries[-1].until or self.governing(u, request.profile, now).share(now)):
                     continue  # one not yet heard counts at the others' mean, which is not zero here
                 u.turn += weight
                 total += weight
@@ -407,63 +485,75 @@
                 return best
         return None
 
-    def same_group(self, tx: Transaction, u: Upstream, risk: Hop) -> bool:
-        group = tx.kind.group
-        return group is Group.ALL or (u.cell == risk.cell if group is Group.CELL else u.zone == risk.zone)
+    def same_group(self, request: RequestState, u: Upstream, risk: Hop) -> bool:
+        group = request.request_class.deduplication_scope
+        return group is DeduplicationScope.ALL or (
+            u.cell == risk.cell if group is DeduplicationScope.CELL else u.zone == risk.zone
+        )
 
     def warmth(self, u: Upstream, now: int) -> float:
         """The least share of its capacity that an upstream has; 0 if it is cold and its budget is spent."""
-        if not u.born or now - u.born >= self.cold_time:
+        if not u.born or now - u.born >= self.warmup_time:
             return 1.0
         # All must not push it over: each sends that share of half the multiple of its mean rate, one by one.
-        warm = self.cold_from + (1 - self.cold_from) * max(0, now - u.born) / self.cold_time
+        warm = self.cold_from + (1 - self.cold_from) * max(0, now - u.born) / self.warmup_time
         rate = self.send_rate / self.most * warm * self.cold_excess
         u.budget = min(1.0, u.budget + (now - u.filled) * rate)
         u.filled = now
         return warm if u.budget >= 1 else 0.0
 
-    def dispatch(self, tx: Transaction, u: Upstream, now: int) -> None:
+    def dispatch(self, request: RequestState, u: Upstream, now: int) -> None:
         u.budget -= 1
         hop = Hop(u, now)
         if self.rested.share(now) >= UNWELL and (u.held or hop.idle >= self.gap / 2):
-            self.port.close_idle(u.index, round(self.gap / 2))
+            self.port.close_idle_connections(u.index, round(self.gap / 2))
             hop.idle = 0  # tells nothing of idle connections any more
-        if not tx.coming:  # nothing runs there before the last byte
-            self.let_in(tx, hop)
+        if not request.body_pending:  # nothing runs there before the last byte
+            self.let_in(request, hop)
         self.sent += 1
-        tx.out += 1
-        tx.hops.append(hop)
-        self.port.send(tx.ref, u.index, self.hop_time(tx, now))
+        request.out += 1
+        request.attempts.append(hop)
+        self.port.send(request.ref, u.index, self.attempt_timeout(request, now))
 
-    def let_in(self, tx: Transaction, hop: Hop) -> None:
+    def let_in(self, request: RequestState, hop: Hop) -> None:
         u = hop.upstream
         u.heard = u.heard if u.held else hop.sent
-        u.held[tx] = hop
-        self.out += not u.aside
+        u.held[request] = hop
+        self.out += not u.ejected
 
-    def let_out(self, tx: Transaction, u: Upstream) -> None:
-        self.out -= u.held.pop(tx, None) is not None and not u.aside
+    def let_out(self, request: RequestState, u: Upstream) -> None:
+        self.out -= u.held.pop(request, None) is not None and not u.ejected
 
-    def resend(self, tx: Transaction, now: int, outcome: Outcome) -> None:
-        costs = not outcome.proves_unrun  # retries multiply across tiers
-        if outcome is Outcome.MOOT or costs and self.credit < 1:
-            return self.give_up(tx)
+    def resend(self, request: RequestState, now: int, outcome: Outcome) -> None:
+        costs = not outcome.proves_not_executed  # retries multiply across tiers
+        if outcome is Outcome.NOT_SENT or costs and self.credit < 1:
+            return self.give_up(request)
         self.credit -= costs
-        self.send(tx, now)
-
-    def give_up(self, tx: Transaction, wait: int = 0) -> None:
-        tx.done = True
-        self.call_off(tx)
-        known = tx.kind.effect is Effect.JOURNALLED and tx.kind.group is Group.ALL
-        if tx.kind.effect is Effect.IDEMPOTENT or known or not tx.risk():  # harmless to try again
-            self.port.roll_back(tx.ref, min(self.advice, max(wait, round(tx.kind.service_goal * ADVICE))))
+        self.send(request, now)
+
+    def give_up(self, request: RequestState, wait: int = 0) -> None:
+        request.done = True
+        self.call_off(request)
+        known = (
+            request.request_class.effect is Effect.DEDUPLICATED
+            and request.request_class.deduplication_scope is DeduplicationScope.ALL
+        )
+        if (
+            request.request_class.effect is Effect.IDEMPOTENT
+            or known
+            or not request.first_possibly_executed()
+        ):  # harmless to try again
+            self.port.reject(
+                request.ref,
+                min(self.advice, max(wait, round(request.request_class.latency_objective * ADVICE))),
+            )
         else:
-            self.port.abandon(tx.ref)
+            self.port.fail(request.ref)
 
-    def call_off(self, tx: Transaction) -> None:
-        if self.may_cancel and tx.out and not tx.flowing:
-            for number in range(len(tx.hops) - 1 - tx.twins, len(tx.hops)):
-                self.port.cancel(tx.ref, number)
+    def call_off(self, request: RequestState) -> None:
+        if self.can_cancel and request.out and not request.flowing:
+            for number in range(len(request.attempts) - 1 - request.twins, len(request.attempts)):
+                self.port.cancel(request.ref, number)
 
     def learn_rested(self, idle: int, lost: int) -> None:
         """Idle connections may die unseen and swallow the next hop: past half that gap they are closed."""
@@ -472,109 +562,115 @@
             self.rested.tried += lost or 1
             self.rested.bad += lost
 
-    def learn(self, now: int, tx: Transaction, u: Upstream, outcome: Outcome, took: int) -> None:
-        self.let_out(tx, u)
+    def learn(self, now: int, request: RequestState, u: Upstream, outcome: Outcome, took: int) -> None:
+        self.let_out(request, u)
         u.ended = now
-        if outcome in (Outcome.CANCELLED, Outcome.MOOT):
+        if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
-        if outcome in (Outcome.COMMITTED, Outcome.ERROR, Outcome.FULL):
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED):
             u.heard = u.answered = self.last_heard = now
-        bad = outcome is not Outcome.COMMITTED  # quick failures too: an upstream failing fast draws load
-        usual = self.usual[tx.profile]
-        if usual and outcome in (Outcome.COMMITTED, Outcome.TIMED_OUT):
+        bad = outcome is not Outcome.SUCCEEDED  # quick failures too: an upstream failing fast draws load
+        usual = self.usual[request.profile]
+        if usual and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
             u.pace = blend(u.pace, min(took / usual, SAVED), RECENT)
         if not bad:
-            self.usual[tx.profile] = blend(usual, took)
+            self.usual[request.profile] = blend(usual, took)
             self.took = blend(self.took, took)
             self.served, u.strikes = self.served + 1, 0
         # One profile that drags everywhere, by what it waits for, is no upstream's fault, and no crowd.
-        kind = self.kinds[tx.profile]
-        kind.tried, kind.bad = kind.tried + 1, kind.bad + (bad and not outcome.proves_unrun)
-        if u.aside and now - took > u.since and not (bad and self.drags[tx.profile]):
+        kind = self.kinds[request.profile]
+        kind.tried, kind.bad = kind.tried + 1, kind.bad + (bad and not outcome.proves_not_executed)
+        if u.ejected and now - took > u.since and not (bad and self.drags[request.profile]):
             u.since, u.strikes = now, u.strikes + bad  # a try; what was sent before says nothing new
             if not bad:
                 self.bring_back(u, now)
-        if self.drags[tx.profile]:
+        if self.drags[request.profile]:
             return
         # One slow or silent upstream is hardly a crowd, and throttling the tier would not mend it.
-        if outcome in (Outcome.COMMITTED, Outcome.TIMED_OUT) and u.heard > now - took:
+        if outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT) and u.heard > now - took:
             # Nor is one costly hop among few: none tells of more than its whole goal.
-            slowness = min(1.0, took / tx.kind.service_goal) / max(1.0, min(u.pace, SLOW))
+            slowness = min(1.0, took / request.request_class.latency_objective) / max(1.0, min(u.pace, SLOW))
             self.stretch = blend(self.stretch, slowness)
-        bad = bad or self.pressed and took > LATE * tx.kind.service_goal
-        for entry in (u.entries[tx.profile], u.entries[-1]):
+        bad = bad or self.pressed and took > LATE * request.request_class.latency_objective
+        for entry in (u.entries[request.profile], u.entries[-1]):
             entry.tried += 1
             entry.bad += bad
         # Quick failures draw load until the window's end, and again whenever one that answers probes is back.
         unwell = u.entries[-1].tried >= FLOOR and u.entries[-1].bad >= UNWELL * u.entries[-1].tried
-        quick = outcome is Outcome.ERROR and took < usual * STEP
+        quick = outcome is Outcome.FAILED and took < usual * STEP
         if quick and (u.strikes or unwell) and self.tier.metric < UNWELL / 2:
-            self.set_aside(u, now)
+            self.eject(u, now)
         if self.fee and u.zone == self.zone:
             self.home.tried += 1
-            self.home.bad += (bad or took > LATE * tx.kind.service_goal) - self.fee * EASE
+            self.home.bad += (bad or took > LATE * request.request_class.latency_objective) - self.fee * EASE
         # One slow or costly hop says nothing of the tier: time-outs count only while hops take long.
         # Of one transaction the first hop tells: one that finds five full in a row would count as five.
-        if tx.hops[0].upstream is u:
+        if request.attempts[0].upstream is u:
             self.tier.tried += 1
-            self.tier.bad += bad and (self.pressed or outcome.proves_unrun)
+            self.tier.bad += bad and (self.pressed or outcome.proves_not_executed)
         # One that takes no new connection but answers on open ones is full: set aside, those would close too.
         if outcome is Outcome.UNREACHABLE and now - u.answered >= self.validity:
-            self.set_aside(u, now)
+            self.eject(u, now)
 
-    def set_aside(self, u: Upstream, now: int) -> None:
-        if not u.aside:
-            u.aside, u.since, u.strikes = True, now, u.strikes + 1
+    def eject(self, u: Upstream, now: int) -> None:
+        if not u.ejected:
+            u.ejected, u.since, u.strikes = True, now, u.strikes + 1
             self.out -= len(u.held)  # what hangs there is no crowd elsewhere
             self.narrow()
 
-    def probed(self, now: int, index: int, outcome: Outcome) -> None:
+    def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
         if u := self.upstreams.get(index):
             u.sounding = False
-            if u.aside and outcome is not Outcome.COMMITTED:
+            if u.ejected and outcome is not Outcome.SUCCEEDED:
                 u.since, u.strikes = now, u.strikes + 1  # probed at each beat by all, probes are load too
-            elif u.aside and self.may_try and u.strikes > 1 and u not in self.trials:
+            elif u.ejected and self.may_try and u.strikes > 1 and u not in self.trials:
                 self.trials[u] = None  # found so again, and untried: back as it is, not out for good
-            elif u.aside:
+            elif u.ejected:
                 self.bring_back(u, now)
 
-    def told(self, index: int, tried: int, bad: int) -> None:
+    def add_peer_report(self, index: int, tried: int, bad: int) -> None:
         """Hops of others there, so many as are believed: in its window they count as own ones do."""
         if u := self.upstreams.get(index):
             u.entries[-1].tried, u.entries[-1].bad = u.entries[-1].tried + tried, u.entries[-1].bad + bad
 
     def bring_back(self, u: Upstream, now: int) -> None:
-        u.aside, u.heard, u.entries[-1].metric = False, now, 0.0
+        u.ejected, u.heard, u.entries[-1].metric = False, now, 0.0
         self.out += len(u.held)
         self.narrow()
 
-    def woken(self, now: int, token: int) -> None:
+    def timer_fired(self, now: int, token: int) -> None:
         if token:
-            return self.lines.woken(now) if token == REST else self.port.ask_list()
-        self.port.wake(now + self.beat, 0)
+            return self.lines.timer_fired(now) if token == REST else self.port.poll_endpoints()
+        self.port.set_timer(now + self.beat, 0)
         self.beats += 1
-        for tx in self.lines.waiting():
-            if tx.end - now <= tx.home.least(tx):  # unsent at its limit it would have no answer in time
-                tx.home.give_up(tx)
-                tx.end_turn(now)
+        for request in self.lines.waiting():
+            if request.deadline - now <= request.home.least(
+                request
+            ):  # unsent at its limit it would have no answer in time
+                request.home.give_up(request)
+                request.end_turn(now)
         for u in self.ready:
-            if u.aside:
-                waited, times = now - u.since, min(u.strikes, 5 if self.may_probe else 6)
-                wait = self.beat << times if self.may_probe else max(self.validity, self.span << times)
-                if waited >= wait and self.may_probe and not u.sounding:
+            if u.ejected:
+                waited, times = now - u.since, min(u.strikes, 5 if self.can_health_check else 6)
+                wait = self.beat << times if self.can_health_check else max(self.validity, self.span << times)
+                if waited >= wait and self.can_health_check and not u.sounding:
                     u.sounding = True
-                    self.port.probe(u.index)
-                elif waited >= LINGER * wait and not self.may_probe:
+                    self.port.check_health(u.index)
+                elif waited >= LINGER * wait and not self.can_health_check:
                     self.bring_back(u, now)  # nothing came by that may run again
-                elif waited >= wait and not self.may_probe:
+                elif waited >= wait and not self.can_health_check:
                     self.trials[u] = None
             elif self.last_heard > u.heard and now - u.heard > SILENT * self.took + self.beat:
                 # Hung upstreams are silent until time-outs: others answer, this one does not.
-                if not all(self.drags[tx.profile] for tx in u.held):
-                    self.set_aside(u, now)
-                for tx, hop in tuple(u.held.items()) if u.aside else ():
-                    if not tx.done and self.may_follow(tx) and now - hop.sent >= self.patience(tx):
-                        self.call_off(tx)
+                if not all(self.drags[request.profile] for request in u.held):
+                    self.eject(u, now)
+                for request, hop in tuple(u.held.items()) if u.ejected else ():
+                    if (
+                        not request.done
+                        and self.may_follow(request)
+                        and now - hop.sent >= self.patience(request)
+                    ):
+                        self.call_off(request)
         looked = now - self.weighed
         enough = self.floor(looked) if self.weighed else TIER_FLOOR  # a full one for the first look
         if self.served >= enough and looked >= max(self.window // 2, 2 * self.took):
@@ -596,7 +692,7 @@
             self.borne = blend(self.borne, self.out + self.beside)
             if self.held_back:
                 self.ceiling *= min(RAMP if self.beats <= WINDOW * VALIDITY else GROW, change)
-        self.ceiling = max(self.ceiling, LEAST * len(self.ready) / self.balancers, self.borne / 2)
+        self.ceiling = max(self.ceiling, LEAST * len(self.ready) / self.instance_count, self.borne / 2)
         self.served, self.held_back, self.weighed = 0, False, now
 
     def close_window(self, now: int) -> None:
@@ -608,17 +704,17 @@
         clean = any(kind.until > now and kind.metric < UNWELL / 2 for kind in self.kinds)
         self.drags = [clean and kind.share(now) >= 1 - UNWELL for kind in self.kinds]
         # What has not answered for as long as a start takes has nothing to speak for it but an old list.
-        if stale := [u for u in self.ready if not u.listed and now - u.answered > self.cold_time]:
+        if stale := [u for u in self.ready if not u.listed and now - u.answered > self.warmup_time]:
             for u in stale:
-                u.state = State.GONE
+                u.state = EndpointState.REMOVED
             self.arrange()
-        some_warm = any(now - u.born >= self.cold_time for u in self.ready)
+        some_warm = any(now - u.born >= self.warmup_time for u in self.ready)
         for u in self.ready:
             for entry in u.entries:
                 entry.close(now, FLOOR, self.validity, self.span)
             own = u.entries[-1].metric
             if own >= UNWELL and self.tier.metric < own / 2:
-                self.set_aside(u, now)
+                self.eject(u, now)
         # With nothing warm to send to, what is sent says nothing of what could be; first tries do.
         seen = (self.sent if some_warm else self.first_tries) / self.window
         self.send_rate += (seen - self.send_rate) / 4 if self.send_rate else seen
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -21,54 +21,54 @@
         self.lines: dict[int | bytes, Line] = {}
         self.rests: list[tuple[int, int | bytes]] = []  # until when, the key
 
-    def follow(self, before: "Lines") -> None:
+    def restore(self, before: "Lines") -> None:
         """Goes on with those lines, for decisions that take over in this process; what rests wakes these."""
         self.lines, self.rests = before.lines, before.rests
         for until, _ in self.rests:
-            self.port.wake(until, REST)
+            self.port.set_timer(until, REST)
 
     def ahead(self, key: int | bytes) -> int:  # turns that come first, a rest among them
         return len(self.lines[key].waiting) + 1 if key in self.lines else 0
 
     def waiting(self) -> list:
-        return [tx for line in self.lines.values() for tx in line.waiting]
+        return [request for line in self.lines.values() for request in line.waiting]
 
-    def join(self, tx) -> bool:
+    def join(self, request) -> bool:
         """Behind all of its key taken before. Is it its turn?"""
-        line = self.lines.setdefault(tx.key, Line())
+        line = self.lines.setdefault(request.key, Line())
         if line.turn or line.until:
-            line.waiting[tx] = None
+            line.waiting[request] = None
             return False
-        line.turn = tx
+        line.turn = request
         return True
 
-    def unsure(self, tx, now: int) -> None:
+    def unsure(self, request, now: int) -> None:
         """A hop of the one whose turn it is may go on: sent now, the next could overtake it there."""
-        self.lines[tx.key].until = now + self.pause
+        self.lines[request.key].until = now + self.pause
 
-    def leave(self, tx, now: int) -> None:
+    def leave(self, request, now: int) -> None:
         """It is over, whether its turn had come or not."""
-        line = self.lines.get(tx.key)
-        if line and line.turn is tx:
+        line = self.lines.get(request.key)
+        if line and line.turn is request:
             line.turn = None
-            self.advance(tx.key, line, now)
+            self.advance(request.key, line, now)
         elif line:
-            line.waiting.pop(tx, None)
+            line.waiting.pop(request, None)
 
     def advance(self, key: int | bytes, line: Line, now: int) -> None:
         if now < line.until:
             heappush(self.rests, (line.until, key))
-            return self.port.wake(line.until, REST)
+            return self.port.set_timer(line.until, REST)
         line.until = 0
         while line.waiting and not line.turn:
-            line.turn = tx = next(iter(line.waiting))
-            del line.waiting[tx]
-            tx.home.send(tx, now)
-            line.turn = None if tx.over else tx  # given up unsent
+            line.turn = request = next(iter(line.waiting))
+            del line.waiting[request]
+            request.home.send(request, now)
+            line.turn = None if request.is_finished else request  # given up unsent
         if not line.turn:
             del self.lines[key]  # else a key seen once would be kept for ever
 
-    def woken(self, now: int) -> None:
+    def timer_fired(self, now: int) -> None:
         while self.rests and self.rests[0][0] <= now:
             key = heappop(self.rests)[1]
             self.advance(key, self.lines[key], now)
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -61,7 +61,7 @@
     def part_ready(self) -> float:
         """Of its upstreams, how many can be sent to."""
         balancer = self.router.balancer
-        return sum(not u.aside for u in balancer.ready) / max(1, len(balancer.upstreams))
+        return sum(not u.ejected for u in balancer.ready) / max(1, len(balancer.upstreams))
 
 
 @dataclass(slots=True)
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 from dahliabend.http.upstream_connection import Link
-from dahliabend.model import Outcome, State
+from dahliabend.model import EndpointState, Outcome
 from dahliabend.transport.connection import dial
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
@@ -59,7 +59,7 @@
         if link is not None:
             self.send_on(link)
         elif table.descriptors.full(self.sent):
-            self.end_soon(Outcome.MOOT)  # no socket left: the upstream is not to blame
+            self.end_soon(Outcome.NOT_SENT)  # no socket left: the upstream is not to blame
         else:
             # Its place in the table is taken here: taken once the dialling begins, a turn of the loop later,
             # all that start in one turn would find the same room, and overrun the table.
@@ -76,7 +76,7 @@
             self.why = f"connect: {error or 'no answer'}"
             # Out of its own time before the connection was: nothing to hold against the upstream.
             late = self.send_by <= min(clock(), self.sent + table.dial_time)
-            return self.end(Outcome.MOOT if late else Outcome.UNREACHABLE)
+            return self.end(Outcome.NOT_SENT if late else Outcome.UNREACHABLE)
         finally:
             table.deadlines.drop(limit)
             self.dialing = None
@@ -91,7 +91,7 @@
         if not self.awaited():
             unsent = Outcome.CANCELLED
         elif now >= self.send_by:
-            unsent = Outcome.MOOT
+            unsent = Outcome.NOT_SENT
         elif not self.upstream.wanted:
             self.why, unsent = "not to be sent to any more", Outcome.UNREACHABLE
         if self.over or unsent is not None:
@@ -111,10 +111,10 @@
 
     def answered(self, status: int, never_ran: bool, load: bytes, passed: bytes, body: bytes) -> None:
         if status == 200:
-            self.end(Outcome.COMMITTED, (passed, body, load))
+            self.end(Outcome.SUCCEEDED, (passed, body, load))
         else:
             unrun = never_ran and status in (503, 504)
-            self.end(Outcome.FULL if unrun else Outcome.ERROR, (b"", b"", load))
+            self.end(Outcome.REJECTED if unrun else Outcome.FAILED, (b"", b"", load))
 
     def broke(self, written: bool) -> None:
         """Only a request that was written whole may have run."""
@@ -163,7 +163,7 @@
         self.table, self.index, self.name = table, index, name
         self.address = ("", 0)
         # As the list last had it: other settings read it anew.
-        self.state, self.born, self.weight, self.cell, self.zone = State.GONE, 0, 1.0, 0, ""
+        self.state, self.born, self.weight, self.cell, self.zone = EndpointState.REMOVED, 0, 1.0, 0, ""
         self.returned = 0  # when an operator last put it back: it may have started again meanwhile
         self.wanted = False  # may connections rest here?
         self.links: set[Link] = set()
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -6,8 +6,8 @@
 from dahliabend.discovery.watch import Discovery
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.headers import EXPIRES, TRACE
-from dahliabend.model import Effect, Outcome, State
-from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.model import Effect, EndpointState, Outcome
+from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.proxy.endpoint_table import MOST_ONCE, Exchange, Upstream, UpstreamTable
 from dahliabend.proxy.health_checks import Probe
 from dahliabend.transport.handles import Slots
@@ -22,9 +22,25 @@
     """A transaction taken: its caller, its handle and its hops."""
 
     __slots__ = (
-        "answered", "body", "caller", "expires", "handle", "head", "hops", "name", "number", "otherwise",
-        "passed", "profile", "route", "policy", "taken", "trace", "trail", "upload",
-    )  # fmt: skip
+        "answered",
+        "body",
+        "caller",
+        "expires",
+        "handle",
+        "head",
+        "hops",
+        "name",
+        "number",
+        "otherwise",
+        "passed",
+        "profile",
+        "route",
+        "policy",
+        "taken",
+        "trace",
+        "trail",
+        "upload",
+    )
 
     def __init__(self, caller: Caller, profile: int, head: bytes, passed: bytes, body: bytes, trace: bytes):
         self.caller, self.profile, self.head, self.passed, self.body = caller, profile, head, passed, body
@@ -33,13 +49,13 @@
         self.otherwise: Callable | None = None
         self.route = ""  # its name, where it came by an operator's
         self.expires, self.upload = 0, None  # how long its caller waits; a body that still comes
-        self.handle: Transaction | None = None
+        self.handle: RequestState | None = None
         self.policy: Policy | None = None
         self.hops: list[Hop] = []
         self.trail: list[tuple] = []  # of its hops: upstream, outcome, milliseconds
 
     def passed_by(self) -> None:
-        self.handle.passed_by()
+        self.handle.body_consumed()
 
     def close(self, by: "Hop | None" = None) -> None:
         """It has its answer, which `by` may still bring, or its caller has gone. Nothing more is sent."""
@@ -49,13 +65,17 @@
                 hop.unsend()
 
 
-def repeat_until(handle: Transaction | None) -> int:
+def repeat_until(handle: RequestState | None) -> int:
     """Until when its newest hop may go out beside earlier ones that may have run: their group remembers them
     for the repeat window, which goes on while a connection comes up."""
-    if handle is None or handle.kind.effect is not Effect.JOURNALLED:
+    if handle is None or handle.request_class.effect is not Effect.DEDUPLICATED:
         return FAR
-    risk = handle.risk()
-    return FAR if risk is None or risk is handle.hops[-1] else risk.sent + handle.kind.repeat_window
+    first = handle.first_possibly_executed()
+    return (
+        FAR
+        if first is None or first is handle.attempts[-1]
+        else first.sent + handle.request_class.deduplication_window
+    )
 
 
 class Hop(Exchange):
@@ -80,11 +100,14 @@
             length, left = self.upload.length, min(left, request.expires)
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
-            self.head, max(1, left // 1000), request.passed, framing,
-        )  # fmt: skip
+            self.head,
+            max(1, left // 1000),
+            request.passed,
+            framing,
+        )
 
     def slow(self) -> None:
-        self.request.handle.slow(clock())
+        self.request.handle.hedge_timer_fired(clock())
 
     def start(self) -> None:
         super().start()
@@ -95,19 +118,19 @@
     def written(self) -> None:
         request, self.moved = self.request, clock()
         self.router.figures.relayed(request.name)
-        after = request.policy.balancer.profiles[request.profile].second_after
+        after = request.policy.balancer.profiles[request.profile].hedge_delay
         if after and not self.order and request.upload is None:
             self.late = self.upstream.table.deadlines.at(self.sent + after, self.slow)
-        if request.upload is not None and request.handle.coming:
+        if request.upload is not None and request.handle.body_pending:
             # Until now nothing could run there: what the caller took to send counts against nobody.
-            wait = request.handle.arrived(self.moved, request.upload.ended_at + request.expires)
+            wait = request.handle.body_received(self.moved, request.upload.ended_at + request.expires)
             self.sent, self.until = self.moved, self.moved + wait
             self.upstream.table.deadlines.drop(self.deadline)
             self.deadline = self.upstream.table.deadlines.at(self.until, self.timed_out)
 
     def timed_out(self) -> None:
         """A body that comes, or an answer that has begun, ends only once nothing moves for long."""
-        coming = self.upload is not None and self.request.handle.coming
+        coming = self.upload is not None and self.request.handle.body_pending
         now, wait = clock(), STANDSTILL
         if coming and (self.link is None or self.link.backlog):
             # It is the upstream that takes nothing, and its caller may have sent all: held back, that can't
@@ -136,7 +159,7 @@
             return self.give_up(Outcome.CANCELLED)
         self.flowing, self.moved, self.first = True, clock(), clock()
         request.close(by=self)
-        request.handle.begun(self.moved, self.order)
+        request.handle.response_started(self.moved, self.order)
         request.caller.begin(passed, length, self.link)
         self.upstream.table.deadlines.drop(self.deadline)
         self.timed_out()
@@ -161,20 +184,28 @@
     def __init__(self, router: "Router", node: Node) -> None:
         self.router, self.held, self.zones = router, 0, node.zones
         self.probe_time, self.report_fields = node.probe_time, node.report_fields
-        self.send, self.roll_back, self.abandon = router.send, router.roll_back, router.abandon
-        self.cancel, self.close_idle, self.ask_list = router.cancel, router.close_idle, router.ask_list
+        self.send, self.reject, self.fail = router.send, router.reject, router.fail
+        self.cancel, self.poll_endpoints = router.cancel, router.poll_endpoints
+        self.close_idle_connections = router.close_idle_connections
         self.balancer = Balancer(node.settings, self, node.seed)
 
-    def listed(self, upstreams: list[tuple[Upstream, State]], full: bool) -> None:
+    def listed(self, upstreams: list[tuple[Upstream, EndpointState]], full: bool) -> None:
         out = self.router.excluded
         rows = [
-            (u.index, State.EXCLUDED if u.name in out and state is not State.GONE else state,
-             max(u.born, u.returned), u.weight, u.cell, self.zones.get(u.zone, -1), u.name.encode())
+            (
+                u.index,
+                EndpointState.EXCLUDED if u.name in out and state is not EndpointState.REMOVED else state,
+                max(u.born, u.returned),
+                u.weight,
+                u.cell,
+                self.zones.get(u.zone, -1),
+                u.name.encode(),
+            )
             for u, state in upstreams
-        ]  # fmt: skip
-        self.balancer.listed(clock(), rows, full)
+        ]
+        self.balancer.update_endpoints(clock(), rows, full)
 
-    def probe(self, upstream: int) -> None:
+    def check_health(self, upstream: int) -> None:
         known = self.router.table.upstreams[upstream]
         if self.router.shares is None or not self.router.shares(known, self):
             self.sound(known, self.probed)
@@ -183,16 +214,16 @@
         Probe(upstream, self.report_fields, self.probe_time, told).start()
 
     def probed(self, upstream: int, outcome: Outcome) -> None:
-        self.balancer.probed(clock(), upstream, outcome)
+        self.balancer.health_check_finished(clock(), upstream, outcome)
 
-    def wake(self, at: int, token: int) -> None:
-        self.router.deadlines.at(at, self.woken, token)
+    def set_timer(self, at: int, token: int) -> None:
+        self.router.deadlines.at(at, self.timer_fired, token)
 
-    def woken(self, token: int) -> None:
+    def timer_fired(self, token: int) -> None:
         if self in self.router.policies:
-            self.balancer.woken(clock(), token)
+            self.balancer.timer_fired(clock(), token)
 
-    def tell(self, peer: int, text: bytes) -> None:
+    def send_to_peer(self, peer: int, payload: bytes) -> None:
         """Balancers have no way to each other here."""
 
 
@@ -237,15 +268,15 @@
         self.install(node)
         self.policies[-1].listed([(u, u.state) for u in self.table.upstreams.values()], full=True)
         # Else one of a key could be sent beside another that the ones before still have out.
-        self.balancer.lines.follow(before.lines)
-        return self.balancer.follow(before.known(ends=True), self.pairs(profiles))
+        self.balancer.lines.restore(before.lines)
+        return self.balancer.restore(before.snapshot(ends=True), self.pairs(profiles))
 
     def pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
         return [(new, before[name]) for name, new in self.profiles.items() if name in before]
 
     def known(self) -> dict:
         """What a successor in another process goes on from, upstreams and profiles by name."""
-        known, upstreams = self.balancer.known(ends=False), self.table.upstreams
+        known, upstreams = self.balancer.snapshot(ends=False), self.table.upstreams
         known["upstreams"] = {upstreams[i].name: values for i, values in known["upstreams"].items()}
         return known | {
             "epoch": self.epoch,
@@ -259,7 +290,7 @@
         indices = self.table.indices
         upstreams = {indices[name]: values for name, values in known["upstreams"].items() if name in indices}
         profiles = {name.encode("latin-1"): number for name, number in known["profiles"].items()}
-        return self.balancer.follow({**known, "upstreams": upstreams}, self.pairs(profiles))
+        return self.balancer.restore({**known, "upstreams": upstreams}, self.pairs(profiles))
 
     def out(self) -> int:
         """Hops in flight, of all sets of decisions."""
@@ -268,11 +299,17 @@
     def servers(self) -> list[dict]:
         """The list as it stands, in discovery's form."""
         return [
-            {"id": u.name, "addr": f"{u.address[0]}:{u.address[1]}", "zone": u.zone, "cell": u.cell,
-             "weight": u.weight, "state": "up" if u.state is State.READY else "draining",
-             "started_ms": (u.born - self.epoch) // 1000 if u.born else 0}
+            {
+                "id": u.name,
+                "addr": f"{u.address[0]}:{u.address[1]}",
+                "zone": u.zone,
+                "cell": u.cell,
+                "weight": u.weight,
+                "state": "up" if u.state is EndpointState.READY else "draining",
+                "started_ms": (u.born - self.epoch) // 1000 if u.born else 0,
+            }
             for u in self.table.upstreams.values()
-        ]  # fmt: skip
+        ]
 
     # What callers and the list bring.
 
@@ -286,9 +323,23 @@
         return fields.get(TRACE, b""), fields.get(EXPIRES, b"")
 
     def take(
-        self, caller, profile, method, target, passed, body, *,
-        expires, began, customer, again, trace, upload=None, otherwise=None, key=b"",
-    ) -> int:  # fmt: skip
+        self,
+        caller,
+        profile,
+        method,
+        target,
+        passed,
+        body,
+        *,
+        expires,
+        began,
+        customer,
+        again,
+        trace,
+        upload=None,
+        otherwise=None,
+        key=b"",
+    ) -> int:
         """`otherwise`, where given, is told in place of its caller of one turned away unseen here and now."""
         if trace in self.traces:
             # Another's open transaction: sent on, it would be a second copy of that one at an upstream.
@@ -314,10 +365,16 @@
             deadline = min(deadline, self.stop_at)
         request.policy = policy = self.policies[-1]
         policy.held += 1
-        request.handle = policy.balancer.take(
-            request.taken, number, profile, self.customers.get(customer, len(self.customers)), deadline,
-            again, upload is not None, key,
-        )  # fmt: skip
+        request.handle = policy.balancer.admit(
+            request.taken,
+            number,
+            profile,
+            self.customers.get(customer, len(self.customers)),
+            deadline,
+            again,
+            upload is not None,
+            key,
+        )
         if upload is not None:
             upload.reader = request
         request.otherwise = None
@@ -332,7 +389,7 @@
         if not request.answered:
             request.close()
             self.note("left", request)
-            request.handle.left(clock())
+            request.handle.client_disconnected(clock())
             self.drop_if_over(request)
         else:  # in the middle of a long answer
             for hop in tuple(request.hops):
@@ -355,20 +412,26 @@
 
     def shown(self) -> dict:
         """Of the list: how many upstreams it has, and how many of them nothing is sent to now."""
-        aside = sum(u.aside or u.state is not State.READY for u in self.balancer.upstreams.values())
-        return {"registry_entries": len(self.table.upstreams), "out_of_rotation": aside}
+        ejected = sum(
+            u.ejected or u.state is not EndpointState.READY for u in self.balancer.upstreams.values()
+        )
+        return {"registry_entries": len(self.table.upstreams), "out_of_rotation": ejected}
 
     def listed(self, rows: list[tuple], full: bool) -> None:
         told = []
         for name, address, state, started, weight, cell, zone in rows:
-            if state is State.GONE and name not in self.table.indices:
+            if state is EndpointState.REMOVED and name not in self.table.indices:
                 continue
             upstream = self.table.find(name)
-            if not (state is State.GONE and self.balancer.drain_alone and upstream.state is State.READY):
+            if not (
+                state is EndpointState.REMOVED
+                and self.balancer.only_draining_binds
+                and upstream.state is EndpointState.READY
+            ):
                 upstream.state = state
             upstream.weight, upstream.cell, upstream.zone = weight, cell, zone
             upstream.born = (started * 1000 + self.epoch or 1) if started else 0
-            if state is not State.GONE:
+            if state is not EndpointState.REMOVED:
                 upstream.move(address)
             self.admit(upstream)
             told.append((upstream, state))
@@ -383,7 +446,7 @@
 
     def admit(self, upstream: Upstream) -> None:
         """May connections rest there?"""
-        if upstream.state is State.READY and upstream.name not in self.excluded:
+        if upstream.state is EndpointState.READY and upstream.name not in self.excluded:
             upstream.use()
         else:
             upstream.leave()
@@ -406,9 +469,9 @@
                     policy.listed([(upstream, upstream.state)], full=False)
         return True
 
-    def list_failed(self) -> None:
+    def endpoint_poll_failed(self) -> None:
         for policy in self.policies:
-            policy.balancer.list_failed(clock())
+            policy.balancer.endpoint_poll_failed(clock())
 
     # The port.
 
@@ -417,22 +480,22 @@
         hop = Hop(self, request, self.table.upstreams[upstream], timeout)
         request.hops.append(hop)
         if self.stop_at and clock() >= self.stop_at:
-            hop.end_soon(Outcome.MOOT)  # the program ends before this could
+            hop.end_soon(Outcome.NOT_SENT)  # the program ends before this could
         else:
             hop.start()
 
-    def roll_back(self, ref: int, come_back_in: int) -> None:
+    def reject(self, ref: int, retry_after: int) -> None:
         request = self.requests.get(ref)
         if request is not None and request.otherwise is not None and not request.hops:
             request.close()
             self.note("passed_on", request)
             return request.otherwise(ref)
-        advice = b"Retry-After: %.3f\r\n" % (come_back_in / 1e6) if come_back_in else b""
+        advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
         self.answer(ref, "rolled_back", 503, advice, b"rolled back\n")
         if request is not None and request.handle is not None and not request.hops:
             self.drop_if_over(request)  # it waited for its turn: no hop's end will come for it
 
-    def abandon(self, ref: int) -> None:
+    def fail(self, ref: int) -> None:
         self.answer(ref, "abandoned", 502, b"", b"abandoned\n")
 
     def cancel(self, ref: int, hop: int) -> None:
@@ -440,10 +503,10 @@
         if request is not None:
             request.hops[hop].give_up(Outcome.CANCELLED)
 
-    def close_idle(self, upstream: int, age: int) -> None:
+    def close_idle_connections(self, upstream: int, age: int) -> None:
         self.table.upstreams[upstream].close_idle(clock() - age)
 
-    def ask_list(self) -> None:
+    def poll_endpoints(self) -> None:
         if self.discovery is not None:
             self.discovery.ask()
 
@@ -454,17 +517,24 @@
         request.trail.append((hop.upstream.name, outcome.name, took // 1000))
         if self.tells is not None:
             self.tells(hop.upstream.name, outcome)
-        if outcome is not Outcome.COMMITTED:
-            self.log("hop", tx=request.trace.decode("latin-1"), order=hop.order, upstream=hop.upstream.name,
-                     outcome=outcome.name, ms=took // 1000, why=hop.why)  # fmt: skip
+        if outcome is not Outcome.SUCCEEDED:
+            self.log(
+                "hop",
+                tx=request.trace.decode("latin-1"),
+                order=hop.order,
+                upstream=hop.upstream.name,
+                outcome=outcome.name,
+                ms=took // 1000,
+                why=hop.why,
+            )
         if hop.flowing:  # its answer's time is that of the first byte
             took = hop.first - hop.sent
-            whole = outcome is Outcome.COMMITTED
+            whole = outcome is Outcome.SUCCEEDED
             self.note("committed" if whole else "cut", request)
             request.caller.end() if whole else request.caller.cut()
-        elif outcome is Outcome.COMMITTED:
+        elif outcome is Outcome.SUCCEEDED:
             self.answer(request.number, "committed", 200, *answer[:2])
-        request.handle.returned(clock(), hop.order, outcome, took, request.answered, hop.rested)
+        request.handle.attempt_finished(clock(), hop.order, outcome, took, request.answered, hop.rested)
         self.drop_if_over(request)
 
     def answer(self, ref: int, how: str, status: int, headers: bytes, body: bytes) -> None:
@@ -479,20 +549,30 @@
     def note(self, how: str, request: Request) -> None:
         self.counts[how] = self.counts.get(how, 0) + 1
         if self.access and how != "passed_on":
-            self.log("access", tx=request.trace.decode("latin-1"), how=how, hops=request.trail,
-                     ms=(clock() - request.taken) // 1000, **self.kind_of(request))  # fmt: skip
+            self.log(
+                "access",
+                tx=request.trace.decode("latin-1"),
+                how=how,
+                hops=request.trail,
+                ms=(clock() - request.taken) // 1000,
+                **self.kind_of(request),
+            )
         if how != "committed":
             self.log(
-                how, tx=request.trace.decode("latin-1"), **self.kind_of(request), hops=request.trail,
-                out=len(request.hops) - len(request.trail), ms=(clock() - request.taken) // 1000,
-            )  # fmt: skip
+                how,
+                tx=request.trace.decode("latin-1"),
+                **self.kind_of(request),
+                hops=request.trail,
+                out=len(request.hops) - len(request.trail),
+                ms=(clock() - request.taken) // 1000,
+            )
 
     def kind_of(self, request: Request) -> dict:
         """For a line of the log."""
         return {"route": request.route} if request.route else {"profile": request.profile}
 
     def drop_if_over(self, request: Request) -> None:
-        if request.handle.over:
+        if request.handle.is_finished:
             request.policy.held -= 1
             if not request.policy.held and request.policy is not self.policies[-1]:
                 self.policies.remove(request.policy)
@@ -506,7 +586,7 @@
         self.stop_at = when
         for request in self.requests:
             if not request.hops:  # in line: without a hop nothing would end it when the program does
-                request.handle.end = min(request.handle.end, when)
+                request.handle.deadline = min(request.handle.deadline, when)
         self.deadlines.at(when, self.give_up_all)
 
     def give_up_all(self) -> None:
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -18,7 +18,7 @@
 from dahliabend.membership.failure_detector import Event, Machine, Terms
 from dahliabend.membership.udp_transport import Shell
 from dahliabend.membership.view import View
-from dahliabend.model import State
+from dahliabend.model import EndpointState
 from dahliabend.server.lists import ListFile
 from dahliabend.subsetting.demand import UNTOLD, Demand
 from dahliabend.transport import host_info as computer
@@ -54,13 +54,13 @@
         if full:
             self.places = {}
         for name, place, state, *_ in rows:
-            if state is State.GONE:
+            if state is EndpointState.REMOVED:
                 self.places.pop(name, None)
             else:
                 self.places[name] = f"{place[0]}:{place[1]}"
         self.changed()
 
-    def list_failed(self) -> None: ...
+    def endpoint_poll_failed(self) -> None: ...
 
 
 class Fleet:
@@ -145,10 +145,10 @@
         members = {m.name for m in view.members if m.state != "unreached"}
         for pool, router in self.pools():
             balancer, places = router.balancer, router.table.upstreams
-            indices = {places[u.index].name: u.index for u in balancer.ready if not u.aside}
+            indices = {places[u.index].name: u.index for u in balancer.ready if not u.ejected}
 
             def told(name: str, tried: int, bad: int, balancer=balancer, indices=indices) -> None:
-                balancer.told(indices[name], tried, bad)
+                balancer.add_peer_report(indices[name], tried, bad)
 
             for each in gossip.tell(now, pool, set(indices), members, told):
                 told_now = {"pool": pool, "upstream": each.name, "at": now, "origins": each.origins}
--- a/dahliabend/server/probing.py
+++ b/dahliabend/server/probing.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 
 from dahliabend.leases.shared import Shared, Told
-from dahliabend.model import Outcome, State
+from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint_table import Upstream
 from dahliabend.proxy.router import Policy, Router
 from dahliabend.transport.timers import clock
@@ -30,7 +30,7 @@
             named(pool, upstream): (router, upstream)
             for pool, router in pools
             for upstream in router.table.upstreams.values()
-            if upstream.state is State.READY
+            if upstream.state is EndpointState.READY
         }
         zones = {duty: upstream.zone for duty, (_, upstream) in self.places.items()}
         self.shared.beat(clock(), members, settled, zones)
--- a/dahliabend/server/serve.py
+++ b/dahliabend/server/serve.py
@@ -46,7 +46,7 @@
         self.book = book = Book(self.router, log)
         self.discovery = self.router.discovery = Discovery(
             node.discovery, book, self.deadlines, self.descriptors, node.dial_time,
-            self.router.balancer.chance, log, node.settings.ask_for_list,
+            self.router.balancer.chance, log, node.settings.polls_endpoints,
         )  # fmt: skip
         self.listener = Listener(self.deadlines, self.descriptors, self.accept)
         self.door, self.operations = Descriptors(OTHERS + DOOR), Operations(self, log)
@@ -211,7 +211,7 @@
             "figures", counts=self.router.counts, held=len(self.router.requests),
             connections=len(self.descriptors.connections), out=balancer.out, crowd=round(balancer.ceiling, 1),
             tier=round(balancer.tier.metric, 2), ready=len(balancer.ready), using=len(balancer.using),
-            aside=[self.router.table.upstreams[u.index].name for u in balancer.ready if u.aside],
+            aside=[self.router.table.upstreams[u.index].name for u in balancer.ready if u.ejected],
         )  # fmt: skip
         self.deadlines.at(clock() + BEAT, self.beat)
 
--- a/dahliabend/server/service.py
+++ b/dahliabend/server/service.py
@@ -13,7 +13,7 @@
 from dahliabend.config.platform import REST, Node, address
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.headers import MOST
-from dahliabend.model import Effect, Group, Profile, Settings
+from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 from dahliabend.proxy.dispatcher import Desk, Pool
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
@@ -38,10 +38,10 @@
 
 _EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
-    "journalled": Effect.JOURNALLED,
+    "journalled": Effect.DEDUPLICATED,
     "non-idempotent": Effect.NON_IDEMPOTENT,
 }
-_GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+_GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 class Refused(ValueError):
@@ -67,17 +67,24 @@
     return found
 
 
-def profile_of(file: File, number: int) -> Profile:
+def profile_of(file: File, number: int) -> RequestClass:
     """A route as the decisions know it: its class, with its own times and counts."""
     route = file.routes[number]
     kind, made = file.classes[route.class_], Effective(file, route, number)
     limit = min(kind.hard_limit, made.total_time)
-    return Profile(
-        effect=_EFFECTS[kind.effect], group=_GROUPS[kind.group], repeat_window=kind.repeat_window,
-        service_goal=min(kind.service_goal, limit), hard_limit=limit, revenue=kind.revenue,
-        late_share=float(kind.late_share), hop_time=made.hop_time or 0, most_hops=made.attempts,
-        replays=made.replays, second_after=made.second_copy_after or 0,
-    )  # fmt: skip
+    return RequestClass(
+        effect=_EFFECTS[kind.effect],
+        deduplication_scope=_GROUPS[kind.group],
+        deduplication_window=kind.repeat_window,
+        latency_objective=min(kind.service_goal, limit),
+        deadline=limit,
+        priority_weight=kind.revenue,
+        late_weight=float(kind.late_share),
+        attempt_timeout=made.hop_time or 0,
+        max_attempts=made.attempts,
+        max_retries_after_execution=made.replays,
+        hedge_delay=made.second_copy_after or 0,
+    )
 
 
 def settings_of(file: File, name: str, numbers: list[int]) -> Settings:
@@ -85,16 +92,33 @@
     shares = [s for n in numbers if (s := Effective(file, file.routes[n], n).retry_share) is not None]
     profiles = tuple(profile_of(file, number) for number in numbers)
     return Settings(
-        balancers=pool.balancers, number=-1, tier=0, zone=0, profiles=profiles or (IDLE,), allowances=(),
-        excess_share=1.0, whole_weight=1.0, class_weight=0.0, cross_zone_fee=0.0,
-        most_hops=max((p.most_hops for p in profiles), default=1), may_cancel=pool.cancels,
-        may_probe=pool.probes, advises=True, longest_advice=3_000_000, ask_for_list=False, ask_within=0,
-        cold_share=float(pool.cold.share), cold_time=pool.cold.time, cold_multiple=pool.cold.multiple,
-        retry_share=float(min(shares, default=0.1)),
-    )  # fmt: skip
-
-
-IDLE = Profile(Effect.IDEMPOTENT, Group.ALL, 0, 1_000_000, 2_000_000, 1.0, 0.0)  # of a pool without a route
+        instance_count=pool.balancers,
+        instance_index=-1,
+        tier=0,
+        zone=0,
+        request_classes=profiles or (IDLE,),
+        tenant_quotas=(),
+        over_quota_weight=1.0,
+        overall_weight=1.0,
+        worst_class_weight=0.0,
+        cross_zone_cost=0.0,
+        max_attempts=max((p.max_attempts for p in profiles), default=1),
+        can_cancel=pool.cancels,
+        can_health_check=pool.probes,
+        sends_retry_after=True,
+        max_retry_after=3_000_000,
+        polls_endpoints=False,
+        poll_deadline=0,
+        initial_capacity=float(pool.cold.share),
+        warmup_time=pool.cold.time,
+        warmup_multiple=pool.cold.multiple,
+        retry_budget_ratio=float(min(shares, default=0.1)),
+    )
+
+
+IDLE = RequestClass(
+    Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1_000_000, 2_000_000, 1.0, 0.0
+)  # of a pool without a route
 
 
 def node_of(made: Plan, name: str, seed: int, sockets: int) -> tuple[Node, dict[int, int]]:
@@ -104,15 +128,31 @@
     settings = settings_of(file, name, numbers)
     zones = sorted({member.zone for member in pool.members or ()})
     node = Node(
-        name=name, listen=("", 0), discovery=("", 0), admin=None, inherited=None, shared="", seed=seed,
-        sockets=sockets, known={}, verbose=False, settings=settings,
+        name=name,
+        listen=("", 0),
+        discovery=("", 0),
+        admin=None,
+        inherited=None,
+        shared="",
+        seed=seed,
+        sockets=sockets,
+        known={},
+        verbose=False,
+        settings=settings,
         profiles={file.routes[number].name.encode(): n for n, number in enumerate(numbers)},
-        customers={}, zones={zone: n for n, zone in enumerate(zones)},
-        longest=tuple(profile.hard_limit for profile in settings.profiles), slack=SLACK,
-        dial_time=pool.dial_time, rest=round(pool.idle * REST), probe_time=2 * pool.dial_time,
-        most_held=MOST_HELD, report_fields=(), unmet=(), keys=frozenset(),
+        customers={},
+        zones={zone: n for n, zone in enumerate(zones)},
+        longest=tuple(profile.deadline for profile in settings.request_classes),
+        slack=SLACK,
+        dial_time=pool.dial_time,
+        rest=round(pool.idle * REST),
+        probe_time=2 * pool.dial_time,
+        most_held=MOST_HELD,
+        report_fields=(),
+        unmet=(),
+        keys=frozenset(),
         epoch=machine.ticks() // 1000 - machine.wall() // 1000,
-    )  # fmt: skip
+    )
     return node, {number: n for n, number in enumerate(numbers)}
 
 
@@ -276,9 +316,14 @@
             from dahliabend.server.subset_filter import Narrowed
 
             running.narrowed = Narrowed(
-                running.router, pool.subset, pool.balancers, self.fleet, f"{self.seed:x}", self.deadlines,
+                running.router,
+                pool.subset,
+                pool.balancers,
+                self.fleet,
+                f"{self.seed:x}",
+                self.deadlines,
                 self.log.bind(pool=running.name) if isinstance(self.log, Structured) else self.log,
-            )  # fmt: skip
+            )
         if running.router.discovery is not None:
             running.router.discovery.stop()
             running.router.discovery = None
@@ -295,9 +340,14 @@
                 return before.move(address(pool.discovery))
             book = Book(reader, self.log)
             keeper = Discovery(
-                address(pool.discovery), book, self.deadlines, self.descriptors, router.table.dial_time,
-                router.balancer.chance, self.log,
-            )  # fmt: skip
+                address(pool.discovery),
+                book,
+                self.deadlines,
+                self.descriptors,
+                router.table.dial_time,
+                router.balancer.chance,
+                self.log,
+            )
             self.deadlines.loop.call_soon(keeper.open)
         else:
             keeper = before
@@ -388,10 +438,16 @@
         for pool in self.desk:
             balancer = pool.router.balancer
             self.log(
-                "figures", pool=pool.name, counts=pool.router.counts, held=len(pool.router.requests),
-                out=balancer.out, crowd=round(balancer.ceiling, 1), tier=round(balancer.tier.metric, 2),
-                ready=len(balancer.ready), retired=pool.retired,
-            )  # fmt: skip
+                "figures",
+                pool=pool.name,
+                counts=pool.router.counts,
+                held=len(pool.router.requests),
+                out=balancer.out,
+                crowd=round(balancer.ceiling, 1),
+                tier=round(balancer.tier.metric, 2),
+                ready=len(balancer.ready),
+                retired=pool.retired,
+            )
         if self.fleet is not None and self.fleet.opened:
             self.log("members.figures", **self.fleet.figures())
         self.deadlines.at(clock() + BEAT, self.beat)
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from dahliabend.config.operator_file import types
-from dahliabend.model import State
+from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
 from dahliabend.subsetting.controller import Keeper, Subset, Terms, answering
 from dahliabend.subsetting.selection import Party
@@ -46,19 +46,20 @@
         if full:
             self.rows = {}
         for row in rows:
-            if row[2] is State.GONE:
+            if row[2] is EndpointState.REMOVED:
                 self.rows.pop(row[0], None)
             else:
                 self.rows[row[0]] = row
                 self.router.table.remember(row[0])  # an operator may take it out before it is in use
         self.keeper.lists(
-            clock(), [Party(name, row[6], row[4]) for name, row in self.rows.items() if row[2] is State.READY]
+            clock(),
+            [Party(name, row[6], row[4]) for name, row in self.rows.items() if row[2] is EndpointState.READY],
         )
         self.move()
         self.tell()  # drains of those in use are heard at once, whatever moves
 
-    def list_failed(self) -> None:
-        self.router.list_failed()
+    def endpoint_poll_failed(self) -> None:
+        self.router.endpoint_poll_failed()
 
     def look(self) -> None:
         self.timer = self.deadlines.at(clock() + LOOK, self.look)
@@ -90,11 +91,11 @@
             weight = self.now.weights.get(name)
             if weight is not None:
                 rows.append((*row[:4], weight, *row[5:]))
-            elif row[2] is not State.READY and name in known:
+            elif row[2] is not EndpointState.READY and name in known:
                 rows.append(row)  # it drains: kept until it is gone, for what is out there
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
-        self.router.balancer.balancers = self.now.sharing
+        self.router.balancer.instance_count = self.now.sharing
         self.router.listed(rows, full=True)
 
     def stop(self) -> None:
--- a/dahliabend/simulation/cluster/nodes.py
+++ b/dahliabend/simulation/cluster/nodes.py
@@ -6,7 +6,7 @@
 from heapq import heapify, heappop, heappush
 from random import Random
 
-from dahliabend.model import Outcome, State
+from dahliabend.model import EndpointState, Outcome
 
 MS, S = 1_000, 1_000_000
 
@@ -30,7 +30,7 @@
     def __init__(self, index: int, name: str, zone: str, kind: Kind, born: int, chance: Random) -> None:
         self.index, self.name, self.zone, self.kind = index, name, zone, kind
         self.born, self.chance = born, chance  # born 0: long ago, it is warm
-        self.state = State.READY
+        self.state = EndpointState.READY
         self.free = [0] * kind.cores  # when each core is free
         self.inside = 0
         self.failing, self.slower, self.hung, self.gone = 0.0, 1.0, False, False
@@ -68,13 +68,13 @@
         if self.hung:
             return None, now
         if self.inside >= self.kind.depth * self.kind.cores:
-            return Outcome.FULL, now
+            return Outcome.REJECTED, now
         if self.failing and self.chance.random() < self.failing:
-            return Outcome.ERROR, now + self.kind.work // 50
+            return Outcome.FAILED, now + self.kind.work // 50
         self.inside += 1
         end = max(now, heappop(self.free)) + round(work * self.slower / warm)
         heappush(self.free, end)
-        return Outcome.COMMITTED, end
+        return Outcome.SUCCEEDED, end
 
     def end(self, now: int) -> None:
         """Its process ends; whoever waits for it is reset by the player."""
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -17,8 +17,8 @@
 from dahliabend.leases.shared import Shared
 from dahliabend.membership.failure_detector import Machine
 from dahliabend.membership.failure_detector import Terms as MemberTerms
-from dahliabend.model import Effect, Group, Outcome, Profile, Settings, State
-from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
+from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S
@@ -37,8 +37,8 @@
 SEEN = S  # a line of figures for each
 GOAL, LIMIT = 1_500 * MS, 3 * S
 PROFILES = (
-    Profile(Effect.IDEMPOTENT, Group.ALL, 0, GOAL, LIMIT, 1.0, 0.0),
-    Profile(Effect.NON_IDEMPOTENT, Group.ALL, 0, GOAL, LIMIT, 2.0, 0.0),
+    RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, GOAL, LIMIT, 1.0, 0.0),
+    RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, GOAL, LIMIT, 2.0, 0.0),
 )
 POOL = "main"
 SUBMITS = 0.3  # of the transactions
@@ -66,7 +66,7 @@
 
     def __init__(self, at: int, profile: int) -> None:
         self.at, self.profile, self.answered, self.effects = at, profile, False, 0
-        self.handle: Transaction | None = None
+        self.handle: RequestState | None = None
         self.hops: list[list] = []  # node, sent, over
 
 
@@ -87,9 +87,11 @@
         self.gossip: Gossip | None = None
         if work.signals:
             chance = Random(f"signals {work.fleet.seed} {number} {life}")
-            self.gossip = Liar(work, number, life, chance) if number in work.liars else Gossip(
-                f"b{number}", life, chance
-            )  # fmt: skip
+            self.gossip = (
+                Liar(work, number, life, chance)
+                if number in work.liars
+                else Gossip(f"b{number}", life, chance)
+            )
         self.shared: Shared | None = None
         if work.probing:
             self.shared = Shared(f"b{number}", work.probing, self.look_at, lambda *_, **__: None)
@@ -127,7 +129,7 @@
             return
         node, work = asked.hops[number][0], self.work
         outcome, when = node.arrived(work.now, self.number)
-        if outcome is Outcome.COMMITTED:
+        if outcome is Outcome.SUCCEEDED:
             asked.effects += 1
             if asked.effects > 1 and PROFILES[asked.profile].effect is Effect.NON_IDEMPOTENT:
                 work.figures.broken.append(f"{work.now / 1e6:.3f} s: no effect twice: at {node.name}")
@@ -143,19 +145,19 @@
         if asked is None or asked.hops[number][2] or not self.alive:
             return
         node, sent, _ = asked.hops[number]
-        if node.gone and outcome is Outcome.COMMITTED:
+        if node.gone and outcome is Outcome.SUCCEEDED:
             outcome = Outcome.RESET
         asked.hops[number][2] = True
         self.busy[node.index] -= 1
-        if outcome in (Outcome.COMMITTED, Outcome.ERROR, Outcome.FULL) and node.index in self.links:
+        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED) and node.index in self.links:
             self.links[node.index].append(work.now)  # else it has left the list, or the subset, meanwhile
         if self.gossip is not None:
             self.gossip.ended(work.now, POOL, node.name, outcome)
-        if outcome is Outcome.COMMITTED and not asked.answered:
+        if outcome is Outcome.SUCCEEDED and not asked.answered:
             self.answer(asked, "served" if work.now - asked.at <= GOAL else "late")
         if asked.handle is not None:
-            asked.handle.returned(work.now, number, outcome, work.now - sent, asked.answered)
-            if asked.handle.over:
+            asked.handle.attempt_finished(work.now, number, outcome, work.now - sent, asked.answered)
+            if asked.handle.is_finished:
                 self.held.pop(ref, None)
 
     def answer(self, asked: Asked, how: str) -> None:
@@ -169,17 +171,17 @@
         if how == "served":
             work.figures.took.append(work.now - asked.at)
 
-    def roll_back(self, ref: int, come_back_in: int) -> None:
+    def reject(self, ref: int, retry_after: int) -> None:
         self.answer(self.held[ref], "rolled back")
 
-    def abandon(self, ref: int) -> None:
+    def fail(self, ref: int) -> None:
         self.answer(self.held[ref], "abandoned")
 
     def cancel(self, ref: int, hop: int) -> None:
         if not self.held[ref].hops[hop][2]:
             self.work.at(self.work.now, self.ended, ref, hop, Outcome.CANCELLED)
 
-    def probe(self, upstream: int) -> None:
+    def check_health(self, upstream: int) -> None:
         name, shared = self.work.nodes[upstream].name, self.shared
 
         def told(_: int, outcome: Outcome) -> None:
@@ -197,7 +199,7 @@
         work, node = self.work, self.work.nodes[upstream]
         work.counts["probes"] += 1
         silent = node.hung or node.gone or self.number in node.deaf_to
-        outcome = Outcome.TIMED_OUT if silent else Outcome.ERROR if node.failing > 0.5 else Outcome.COMMITTED
+        outcome = Outcome.TIMED_OUT if silent else Outcome.FAILED if node.failing > 0.5 else Outcome.SUCCEEDED
         work.at(work.now + (2 * DIAL if silent else 2 * WAY), self.sounded, told, outcome)
 
     def sounded(self, told: Callable, outcome: Outcome) -> None:
@@ -206,21 +208,21 @@
 
     def probed(self, upstream: int, outcome: Outcome) -> None:
         if self.alive:
-            self.balancer.probed(self.work.now, upstream, outcome)
+            self.balancer.health_check_finished(self.work.now, upstream, outcome)
 
-    def close_idle(self, upstream: int, age: int) -> None:
+    def close_idle_connections(self, upstream: int, age: int) -> None:
         resting = self.links.get(upstream, [])
         self.links[upstream] = [since for since in resting if self.work.now - since < age]
 
-    def wake(self, at: int, token: int) -> None:
+    def set_timer(self, at: int, token: int) -> None:
         self.work.at(at, self.woken, token)
 
     def woken(self, token: int) -> None:
         if self.alive:
-            self.balancer.woken(self.work.now, token)
+            self.balancer.timer_fired(self.work.now, token)
 
-    def ask_list(self) -> None: ...
-    def tell(self, peer: int, text: bytes) -> None: ...
+    def poll_endpoints(self) -> None: ...
+    def send_to_peer(self, peer: int, payload: bytes) -> None: ...
 
     # What comes.
 
@@ -231,21 +233,24 @@
         ref = self.next
         self.next += 1
         self.held[ref] = asked
-        asked.handle = handle = self.balancer.take(work.now, ref, profile, 0, work.now + LIMIT)
-        if handle.over:
+        asked.handle = handle = self.balancer.admit(work.now, ref, profile, 0, work.now + LIMIT)
+        if handle.is_finished:
             self.held.pop(ref, None)
 
     def listed(self, changed: dict[str, tuple]) -> None:
         if not self.alive:
             return
         self.rows.update(changed)
-        self.rows = {name: row for name, row in self.rows.items() if row[1] is not State.GONE}
+        self.rows = {name: row for name, row in self.rows.items() if row[1] is not EndpointState.REMOVED}
         if self.keeper is not None:
             self.keeper.lists(
                 self.work.now,
-                [Party(name, self.work.zone_names[row[5]], row[3]) for name, row in self.rows.items()
-                 if row[1] is State.READY]
-            )  # fmt: skip
+                [
+                    Party(name, self.work.zone_names[row[5]], row[3])
+                    for name, row in self.rows.items()
+                    if row[1] is EndpointState.READY
+                ],
+            )
             self.move()
         self.tell_rows()
 
@@ -267,17 +272,17 @@
             return
         work.at(work.now + BEAT, self.gossips)
         members = machine.view(work.now).names()
-        indices = {work.nodes[u.index].name: u.index for u in self.balancer.ready if not u.aside}
+        indices = {work.nodes[u.index].name: u.index for u in self.balancer.ready if not u.ejected}
 
         def told(name: str, tried: int, bad: int) -> None:
             work.counts["believed"] += 1
-            self.balancer.told(indices[name], tried, bad)
+            self.balancer.add_peer_report(indices[name], tried, bad)
 
         gossip.tell(work.now, POOL, set(indices), members, told)
         if self.shared is not None:
             settled = machine.settled(work.now)
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
-            duties = {name: "" for name, row in self.rows.items() if row[1] is State.READY}
+            duties = {name: "" for name, row in self.rows.items() if row[1] is EndpointState.READY}
             self.shared.beat(work.now, rows, bool(rows) and work.now >= machine.asking, duties)
         gossip.beat(work.now, sorted(members))
         out, gossip.out = gossip.out, []
@@ -299,7 +304,7 @@
             return False
         work.counts["moved"] += len(made.added) + len(made.dropped)
         self.weights = made.weights
-        self.balancer.balancers = made.sharing
+        self.balancer.instance_count = made.sharing
         return True
 
     def tell_rows(self) -> None:
@@ -310,9 +315,9 @@
                 weight = self.weights.get(name)
                 if weight is not None:
                     rows.append((*row[:3], weight, *row[4:]))
-                elif row[1] is not State.READY and row[0] in known:
+                elif row[1] is not EndpointState.READY and row[0] in known:
                     rows.append(row)
-        self.balancer.listed(self.work.now, rows, full=True)
+        self.balancer.update_endpoints(self.work.now, rows, full=True)
         for index in [index for index in self.links if index not in self.balancer.upstreams]:
             del self.links[index]
 
@@ -338,10 +343,19 @@
     """As the model, at work. `subset` None: each uses all, and there is no membership."""
 
     def __init__(
-        self, fleet: Fleet, upstreams: int = 60, rate: float = 330.0, subset: Terms | None = None,
-        kind: Kind | None = None, members: MemberTerms | None = None, zones: int = 1, demand: bool = False,
-        signals: bool = False, liars: dict[int, str] | None = None, probing: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        fleet: Fleet,
+        upstreams: int = 60,
+        rate: float = 330.0,
+        subset: Terms | None = None,
+        kind: Kind | None = None,
+        members: MemberTerms | None = None,
+        zones: int = 1,
+        demand: bool = False,
+        signals: bool = False,
+        liars: dict[int, str] | None = None,
+        probing: int = 0,
+    ) -> None:
         """`signals`: balancers tell each other of upstreams, `liars` of them what is not so. `demand`: they
         tell the others how much they are asked. `heavy` of the balancers' callers go
         to the first one where it is set, else all to all alike."""
@@ -396,11 +410,27 @@
     def settings(self) -> Settings:
         kind = self.kind
         return Settings(
-            balancers=self.fleet.instances, number=-1, tier=0, zone=0, profiles=PROFILES, allowances=(),
-            excess_share=1.0, whole_weight=1.0, class_weight=0.0, cross_zone_fee=0.0, most_hops=3,
-            may_cancel=True, may_probe=True, advises=True, longest_advice=3 * S, ask_for_list=False,
-            ask_within=0, cold_share=kind.cold_share, cold_time=kind.cold, cold_multiple=kind.fall_multiple,
-        )  # fmt: skip
+            instance_count=self.fleet.instances,
+            instance_index=-1,
+            tier=0,
+            zone=0,
+            request_classes=PROFILES,
+            tenant_quotas=(),
+            over_quota_weight=1.0,
+            overall_weight=1.0,
+            worst_class_weight=0.0,
+            cross_zone_cost=0.0,
+            max_attempts=3,
+            can_cancel=True,
+            can_health_check=True,
+            sends_retry_after=True,
+            max_retry_after=3 * S,
+            polls_endpoints=False,
+            poll_deadline=0,
+            initial_capacity=kind.cold_share,
+            warmup_time=kind.cold,
+            warmup_multiple=kind.fall_multiple,
+        )
 
     def party(self, number: int) -> Party:
         return Party(f"b{number}", self.zone_of(number))
@@ -455,8 +485,14 @@
     def bring_up(self, name: str, born: int | None = None) -> Node:
         number = int(name[1:])
         born = self.clock if born is None else born
-        node = Node(len(self.nodes), name, self.zone_of(number), self.kind, born,
-                    Random(f"{self.fleet.seed} {name} {born}"))  # fmt: skip
+        node = Node(
+            len(self.nodes),
+            name,
+            self.zone_of(number),
+            self.kind,
+            born,
+            Random(f"{self.fleet.seed} {name} {born}"),
+        )
         self.nodes.append(node)
         self.places[name] = node
         self.announce(node)
@@ -471,14 +507,14 @@
     def drain(self, name: str) -> None:
         """It is listed as draining, and gone 3 s later."""
         node = self.places[name]
-        node.state = State.DRAINING
+        node.state = EndpointState.DRAINING
         self.announce(node)
         self.at(self.clock + 3 * S, self.take_down, node)
 
     def take_down(self, node: Node, silent: bool = False, told: bool = True) -> None:
         """Its process ends: what it had is lost; `silent`: its machine too, nothing says so."""
         node.end(self.clock)
-        node.state, node.silent = State.GONE, silent
+        node.state, node.silent = EndpointState.REMOVED, silent
         if self.places.get(node.name) is node:
             del self.places[node.name]
         if told:
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,8 +1,8 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
 from dahliabend.config import platform as config
-from dahliabend.model import Outcome, State
-from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.model import EndpointState, Outcome
+from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.simulator_adapter import codec as wire
 
 _DELTA, _FULL, _CACHED, _FAILED = range(4)
@@ -16,7 +16,7 @@
         self.out = out
         self.addresses: list[bytes] = []  # by upstream index
         self.indices: dict[bytes, int] = {}
-        self.handles: dict[int, Transaction] = {}
+        self.handles: dict[int, RequestState] = {}
         try:
             own = config.read(conf)
         except ValueError as error:
@@ -28,31 +28,31 @@
     def send(self, ref: int, upstream: int, timeout: int) -> None:
         self.out.append(wire.transmit(self.number, ref, self.addresses[upstream], timeout / 1000))
 
-    def roll_back(self, ref: int, come_back_in: int) -> None:
-        self.out.append(wire.refuse(self.number, ref, come_back_in / 1000))
-        if ref in self.handles and self.handles[ref].over:
+    def reject(self, ref: int, retry_after: int) -> None:
+        self.out.append(wire.refuse(self.number, ref, retry_after / 1000))
+        if ref in self.handles and self.handles[ref].is_finished:
             del self.handles[ref]  # it waited for its turn
 
-    def abandon(self, ref: int) -> None:
+    def fail(self, ref: int) -> None:
         self.out.append(wire.finish_error(self.number, ref))
 
     def cancel(self, ref: int, hop: int) -> None:
         self.out.append(wire.cancel(self.number, ref, hop))
 
-    def probe(self, upstream: int) -> None:
+    def check_health(self, upstream: int) -> None:
         self.out.append(wire.sound_out(self.number, self.addresses[upstream]))
 
-    def close_idle(self, upstream: int, age: int) -> None:
+    def close_idle_connections(self, upstream: int, age: int) -> None:
         self.out.append(wire.hang_up(self.number, self.addresses[upstream]))
 
-    def wake(self, at: int, token: int) -> None:
+    def set_timer(self, at: int, token: int) -> None:
         self.out.append(wire.wake_me(self.number, token, at / 1000))
 
-    def ask_list(self) -> None:
+    def poll_endpoints(self) -> None:
         self.out.append(wire.subscribe(self.number, 1))
 
-    def tell(self, peer: int, text: bytes) -> None:
-        self.out.append(wire.memo_to(self.number, peer, text))
+    def send_to_peer(self, peer: int, payload: bytes) -> None:
+        self.out.append(wire.memo_to(self.number, peer, payload))
 
     # What happens to it.
 
@@ -69,42 +69,44 @@
             self.happened(now, code, fields)
         elif code == wire.JOB_IN:
             _, ref, lane, billing, item, deadline, _, options = fields
-            tx = balancer.take(now, ref, lane, billing, config.us(deadline), bool(options & 2), key=item)
-            if not tx.over:
-                self.handles[ref] = tx
+            request = balancer.admit(
+                now, ref, lane, billing, config.us(deadline), bool(options & 2), key=item
+            )
+            if not request.is_finished:
+                self.handles[ref] = request
         elif code == wire.BELL:
-            balancer.woken(now, fields[1])
+            balancer.timer_fired(now, fields[1])
         elif code == wire.HEALTH:
             found = self.indices.get(fields[1])
             if found is not None:  # one in no list of this instance was never probed by it
-                balancer.probed(now, found, Outcome(fields[2]))
+                balancer.health_check_finished(now, found, Outcome(fields[2]))
         elif code == wire.UPDATE:
             self.update(now, fields[2], lists.get(fields[3], b""))
 
     def happened(self, now: int, code: int, fields: tuple) -> None:
         """One of the events of a transaction; one already dropped may still be named."""
-        tx = self.handles.get(fields[1])
-        if tx is None:
+        request = self.handles.get(fields[1])
+        if request is None:
             return
         if code == wire.RETURNED:
             _, _, shot, took, complete, how, _, _ = fields
-            tx.returned(now, shot, Outcome(how), config.us(took), bool(complete))
+            request.attempt_finished(now, shot, Outcome(how), config.us(took), bool(complete))
         elif code == wire.CLIENT_GONE:
-            tx.left(now)
+            request.client_disconnected(now)
         else:
-            tx.begun(now, fields[2])
-        if tx.over:
+            request.response_started(now, fields[2])
+        if request.is_finished:
             self.handles.pop(fields[1], None)
 
     def update(self, now: int, scope: int, lines: bytes) -> None:
         if scope == _FAILED:
-            self.balancer.list_failed(now)
+            self.balancer.endpoint_poll_failed(now)
             return
         rows = [
-            (self.index(address), State(state), config.us(born), weight, cell, zone, address)
+            (self.index(address), EndpointState(state), config.us(born), weight, cell, zone, address)
             for born, weight, cell, zone, address, state, _ in wire.ENTRY.iter_unpack(lines)
         ]
-        self.balancer.listed(now, rows, full=scope != _DELTA)
+        self.balancer.update_endpoints(now, rows, full=scope != _DELTA)
 
 
 class Host:
@@ -120,7 +122,7 @@
         out.clear()
         for code, fields, rest in wire.records(body, count):
             if code == wire.CENSUS:
-                if any(row[5] > State.DRAINING for row in wire.ENTRY.iter_unpack(rest)):
+                if any(row[5] > EndpointState.DRAINING for row in wire.ENTRY.iter_unpack(rest)):
                     raise wire.Malformed(f"CENSUS: unknown health in list {fields[0]}")
                 self.lists[fields[0]] = rest
                 continue
@@ -152,9 +154,9 @@
     def check(self, code: int, fields: tuple) -> None:
         """Values outside the wire's tables are no decision's fault."""
         outcome = (
-            fields[5] if code == wire.RETURNED else fields[2] if code == wire.HEALTH else Outcome.COMMITTED
+            fields[5] if code == wire.RETURNED else fields[2] if code == wire.HEALTH else Outcome.SUCCEEDED
         )
-        if not Outcome.COMMITTED <= outcome <= Outcome.MOOT:
+        if not Outcome.SUCCEEDED <= outcome <= Outcome.NOT_SENT:
             raise wire.Malformed(f"{wire.NAMES[code]}: unknown outcome")
         if code == wire.UPDATE:
             if fields[2] > _FAILED:
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -65,7 +65,7 @@
         # The decisions set nobody aside while all are silent: that is the tier's trouble. But these are only
         # some of it, and the rest may answer.
         return 0
-    return sum(not upstream.aside for upstream in balancer.ready)
+    return sum(not upstream.ejected for upstream in balancer.ready)
 
 
 class Keeper:
--- a/dahliabend/subsetting/flap_damping.py
+++ b/dahliabend/subsetting/flap_damping.py
@@ -8,7 +8,7 @@
 RESTS, WELL = 2.5, 1.0  # it rests from the third departure close together, until so little is left
 MOST = 4.0  # a penalty at the most: two of its halves, and it is used again
 PART = 1 / 8  # of the pool, that may rest at once
-GONE = 1 / 4  # a penalty that is not remembered
+REMOVED = 1 / 4  # a penalty that is not remembered
 
 
 class Flaps:
@@ -26,7 +26,7 @@
 
     def rest(self, now: int, listed: Iterable[str]) -> set[str]:
         """Those of the listed ones that are not to be used yet: the worst, never more than a part of all."""
-        for name in [name for name in self.penalties if self.penalty(name, now) <= GONE]:
+        for name in [name for name in self.penalties if self.penalty(name, now) <= REMOVED]:
             del self.penalties[name]
         listed = set(listed)
         found = {}
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -24,24 +24,24 @@
 
 
 def main() -> None:
-    made, port = balancer(profiles=(replace(MARKED, in_order=True), FREE), order_pause=100 * MS, most_hops=1)
+    made, port = balancer(request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1)
     made.ceiling = 1e9  # the crowd is not what is looked at
     chance, now, out = Random(1), 100 * S, deque()
     tracemalloc.start()
     for number in range(1, KEYS + 1):
         now += MS
         key = chance.randrange(1, 21) if number % 10 == 0 else 1_000 + number
-        tx = made.take(now, number, 0, 0, now + 5 * S, key=key)
-        if not tx.over:
-            out.append(tx)
+        request = made.admit(now, number, 0, 0, now + 5 * S, key=key)
+        if not request.is_finished:
+            out.append(request)
         while len(out) > OUT:
-            tx = out.popleft()
-            if tx.out:
-                outcome = chance.choice(UNSURE) if chance.random() < 1 / 3 else Outcome.COMMITTED
-                tx.returned(now, 0, outcome, MS, outcome is Outcome.COMMITTED)
-            elif not tx.over:
-                tx.left(now)
-        made.woken(now, REST)
+            request = out.popleft()
+            if request.out:
+                outcome = chance.choice(UNSURE) if chance.random() < 1 / 3 else Outcome.SUCCEEDED
+                request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
+            elif not request.is_finished:
+                request.client_disconnected(now)
+        made.timer_fired(now, REST)
         port.clear()
         if number % 100_000 == 0:
             kept = tracemalloc.get_traced_memory()[0] // 1024
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -23,7 +23,7 @@
 from dahliabend.subsetting.controller import Terms  # noqa: E402
 
 MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
-FULL = {"uneven": 450.0, "most": 120.0}  # another rate
+REJECTED = {"uneven": 450.0, "most": 120.0}  # another rate
 BEFORE, AFTER = 20, 25  # seconds
 EACH = 24  # runs between two writings
 DRAWS = 2_000  # of a bootstrap
@@ -148,7 +148,7 @@
 
 def play(task) -> dict:
     scenario, way, seed = task
-    made = Work(Fleet(seed=seed, instances=MANY, delay=Span(2_000)), POOL, FULL.get(scenario, RATE), WAYS[way][0], zones=ZONES, demand=WAYS[way][1])
+    made = Work(Fleet(seed=seed, instances=MANY, delay=Span(2_000)), POOL, REJECTED.get(scenario, RATE), WAYS[way][0], zones=ZONES, demand=WAYS[way][1])
     made.begin()
     made.run(BEFORE * S)
     made.forget()
--- a/tests/health_gossip/test_health_gossip.py
+++ b/tests/health_gossip/test_health_gossip.py
@@ -108,8 +108,8 @@
 def test_seen_forgets_and_is_bounded():
     seen = Seen(WINDOW)
     for n in range(1000):
-        seen.ended(S + n, "u1", Outcome.ERROR if n % 2 else Outcome.COMMITTED)
-        seen.ended(S + n, "u2", Outcome.FULL)
+        seen.ended(S + n, "u1", Outcome.FAILED if n % 2 else Outcome.SUCCEEDED)
+        seen.ended(S + n, "u2", Outcome.REJECTED)
     assert seen.rows(S + 1000) == {"u1": (MOST, MOST // 2)}
     assert seen.rows(S + 2 * WINDOW) == {} and not seen.ends
 
@@ -135,7 +135,7 @@
 def test_in_calm_nothing_is_sent_and_what_fails_is_known_to_all_within_a_window():
     machines = fleet(20)
     for machine in machines.values():
-        machine.ended(S, "main", "u5", Outcome.COMMITTED)
+        machine.ended(S, "main", "u5", Outcome.SUCCEEDED)
     assert beats(machines, S, 4) == 0
     for name in ("b1", "b2", "b3"):
         machines[name].ended(4 * S, "main", "u1", Outcome.RESET)
@@ -152,7 +152,7 @@
 def test_where_one_is_said_to_be_bad_those_that_it_serves_say_so():
     machines = fleet(12)
     for name, machine in machines.items():
-        outcome = Outcome.TIMED_OUT if name in ("b1", "b2", "b3") else Outcome.COMMITTED
+        outcome = Outcome.TIMED_OUT if name in ("b1", "b2", "b3") else Outcome.SUCCEEDED
         for _ in range(3):
             machine.ended(S, "main", "u1", outcome)
     beats(machines, S, 4)
@@ -184,16 +184,16 @@
 
 
 def test_the_decisions_set_aside_by_what_they_were_told_as_by_own_hops():
-    from dahliabend.model import State
+    from dahliabend.model import EndpointState
     from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
     from dahliabend.simulation.cluster.script import Fleet
     from dahliabend.simulation.cluster.work import Work
 
-    port = SimpleNamespace(wake=lambda *_: None, probe=lambda *_: None)
+    port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
     made = Balancer(Work(Fleet(instances=1), 1).settings(), port, 1)
-    made.listed(S, [(n, State.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)], True)
-    made.told(1, FLOOR, FLOOR)
-    made.told(7, FLOOR, FLOOR)  # not listed any more
+    made.update_endpoints(S, [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)], True)
+    made.add_peer_report(1, FLOOR, FLOOR)
+    made.add_peer_report(7, FLOOR, FLOOR)  # not listed any more
     for beat in range(WINDOW):
-        made.woken(S + (beat + 1) * made.beat, 0)
-    assert [u.aside for _, u in sorted(made.upstreams.items())] == [False, True, False]
+        made.timer_fired(S + (beat + 1) * made.beat, 0)
+    assert [u.ejected for _, u in sorted(made.upstreams.items())] == [False, True, False]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,19 +12,35 @@
 from tempfile import NamedTemporaryFile
 from threading import Thread
 
-from dahliabend.model import Effect, Group, Profile, Settings, State
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, RequestClass, Settings
 from dahliabend.policy.balancer import Balancer
 
 MS, S = 1_000, 1_000_000
-FREE = Profile(Effect.IDEMPOTENT, Group.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
-MARKED = Profile(Effect.JOURNALLED, Group.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
-ONCE = Profile(Effect.NON_IDEMPOTENT, Group.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+FREE = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+MARKED = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
+ONCE = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
 BASE = dict(
-    balancers=2, number=0, tier=0, zone=0, profiles=(FREE, MARKED, ONCE), allowances=(), excess_share=0.2,
-    whole_weight=1.0, class_weight=0.0, cross_zone_fee=0.0, most_hops=3, may_cancel=True, may_probe=True,
-    advises=True, longest_advice=S, ask_for_list=False, ask_within=10 * S, cold_share=0.2, cold_time=10 * S,
-    cold_multiple=3.0,
-)  # fmt: skip
+    instance_count=2,
+    instance_index=0,
+    tier=0,
+    zone=0,
+    request_classes=(FREE, MARKED, ONCE),
+    tenant_quotas=(),
+    over_quota_weight=0.2,
+    overall_weight=1.0,
+    worst_class_weight=0.0,
+    cross_zone_cost=0.0,
+    max_attempts=3,
+    can_cancel=True,
+    can_health_check=True,
+    sends_retry_after=True,
+    max_retry_after=S,
+    polls_endpoints=False,
+    poll_deadline=10 * S,
+    initial_capacity=0.2,
+    warmup_time=10 * S,
+    warmup_multiple=3.0,
+)
 
 
 class Notes(list):
@@ -40,31 +56,41 @@
 def balancer(upstreams=4, cells=2, born=0, now=100 * S, **changes):
     port = Notes()
     made = Balancer(Settings(**{**BASE, **changes}), port, 7)
-    made.listed(
+    made.update_endpoints(
         now,
-        [(n, State.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(upstreams)],
+        [(n, EndpointState.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(upstreams)],
         full=True,
     )
     return made, port
 
 
 def taken(made, profile, now=100 * S, ref=1, **more):
-    return made.take(now, ref, profile, 0, now + 5 * S, **more)
+    return made.admit(now, ref, profile, 0, now + 5 * S, **more)
 
 
 # The program on sockets, and stand-ins for what it speaks to. All waits end: at an event, or at PATIENCE.
 
 PATIENCE = 10.0
 CONF = {
-    "balancers": 1, "discovery": "pushed", "self-index": 0, "localities": ["a"],
+    "balancers": 1,
+    "discovery": "pushed",
+    "self-index": 0,
+    "localities": ["a"],
     "profiles": [
         {"name": "query", "service-goal": 1000.0, "hard-limit": 3000.0, "semantics": "idempotent"},
         {"name": "submit", "service-goal": 1000.0, "hard-limit": 3000.0, "semantics": "at_most_once"},
     ],
-    "caps": {"most-hops": 4, "may-cancel": True, "probing": True, "retry-after": True,
-             "max-retry-after": 3000.0, "conn-idle": 5000.0, "dial-timeout": 200.0},
+    "caps": {
+        "most-hops": 4,
+        "may-cancel": True,
+        "probing": True,
+        "retry-after": True,
+        "max-retry-after": 3000.0,
+        "conn-idle": 5000.0,
+        "dial-timeout": 200.0,
+    },
     "contract": {"cold-share": 0.5, "cold": 1000.0, "fall-multiple": 3.0},
-}  # fmt: skip
+}
 
 
 def read_message(file):
@@ -243,9 +269,11 @@
         json.dump(raw, file)
         file.flush()
         process = Popen(
-            [sys.executable, "-m", "dahliabend"], stderr=PIPE, pass_fds=passed,
+            [sys.executable, "-m", "dahliabend"],
+            stderr=PIPE,
+            pass_fds=passed,
             env={**os.environ, "PROXY_CONFIG": file.name, **env},
-        )  # fmt: skip
+        )
         process.path, process.conf, process.log, process.admin = file.name, raw, Queue(), admin
         try:
             first = b""
--- a/tests/leases/test_shared.py
+++ b/tests/leases/test_shared.py
@@ -24,12 +24,12 @@
 def test_a_wish_is_answered_by_what_was_found_after_it_and_not_before():
     made, _ = shared()
     told = []
-    result(made, 2 * S, 1, Outcome.COMMITTED)
+    result(made, 2 * S, 1, Outcome.SUCCEEDED)
     assert made.want(3 * S, "d", lambda now, outcome: told.append(outcome))
     made.serve(3 * S)
     assert told == []
-    result(made, 5 * S, 2, Outcome.COMMITTED, age=1_000)
-    assert told == [Outcome.COMMITTED] and not made.wanted
+    result(made, 5 * S, 2, Outcome.SUCCEEDED, age=1_000)
+    assert told == [Outcome.SUCCEEDED] and not made.wanted
 
 
 def test_alone_or_for_what_nobody_shares_it_probes_itself():
@@ -57,13 +57,13 @@
         made.want(count * PERIOD, "d", lambda now, outcome: told.append(outcome))
         result(made, count * PERIOD + S, count, Outcome.TIMED_OUT)
     assert told == [Outcome.TIMED_OUT, Outcome.TIMED_OUT] and len(asked) == 1
-    asked[0][1](3 * PERIOD, Outcome.COMMITTED)
-    assert told[-1] is Outcome.COMMITTED
+    asked[0][1](3 * PERIOD, Outcome.SUCCEEDED)
+    assert told[-1] is Outcome.SUCCEEDED
 
 
 def test_a_result_that_is_none_is_refused():
     made, _ = shared()
-    for outcome in (Outcome.CANCELLED, Outcome.MOOT, 0, 99):
+    for outcome in (Outcome.CANCELLED, Outcome.NOT_SENT, 0, 99):
         made.heard(2 * S, Done("d", 50, "b1", 1, 0, int(outcome)))
     assert made.duties.refused == 4 and made.duties.known["d"].owner != "b1"
 
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -60,7 +60,7 @@
     gossip.parted = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
     for number, outcome in enumerate(Outcome):
         gossip.ended(START + number, "records", "s-1", outcome)
-    gossip.ended(START, "records", "s-2", Outcome.COMMITTED)
+    gossip.ended(START, "records", "s-2", Outcome.SUCCEEDED)
     gossip.ended(START, "archive", "a-1", Outcome.RESET)
     sent = []
     for beat in range(3):
@@ -114,9 +114,15 @@
 def test_the_numbers_of_outcomes_stay() -> None:
     """A lease's result is one of them: how the health check ended."""
     numbers = [
-        Outcome.COMMITTED, Outcome.ERROR, Outcome.FULL, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET,
-        Outcome.CANCELLED, Outcome.MOOT,
-    ]  # fmt: skip
+        Outcome.SUCCEEDED,
+        Outcome.FAILED,
+        Outcome.REJECTED,
+        Outcome.TIMED_OUT,
+        Outcome.UNREACHABLE,
+        Outcome.RESET,
+        Outcome.CANCELLED,
+        Outcome.NOT_SENT,
+    ]
     assert [int(number) for number in numbers] == [1, 2, 3, 4, 5, 6, 7, 8]
 
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -2,7 +2,7 @@
 
 from helpers import FREE, MARKED, MS, ONCE, S, balancer, taken
 
-from dahliabend.model import Effect, Group, Outcome, Profile, State
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import FLOOR, LINGER, SET, START, TIER_FLOOR, UNWELL, VALIDITY, Entry
 
 T = 100 * S
@@ -10,61 +10,63 @@
 
 def test_a_transaction_past_its_limit_is_answered_at_once():
     made, port = balancer()
-    tx = made.take(T, 1, 0, 0, T)
-    assert tx.over and port[-1][0] == "roll_back" and not port.of("send")
+    request = made.admit(T, 1, 0, 0, T)
+    assert request.is_finished and port[-1][0] == "reject" and not port.of("send")
 
 
 def test_no_hop_outlasts_the_limit_and_the_last_timeout_is_answered():
     made, port = balancer()
-    tx = taken(made, 2)
+    request = taken(made, 2)
     assert port[-1][3] == 5 * S
-    tx.returned(T + 5 * S, 0, Outcome.TIMED_OUT, 5 * S, False)
-    assert tx.over and port[-1] == ("abandon", 1)
+    request.attempt_finished(T + 5 * S, 0, Outcome.TIMED_OUT, 5 * S, False)
+    assert request.is_finished and port[-1] == ("fail", 1)
 
 
 def test_no_upstreams_at_all_is_an_early_rollback_with_advice():
     made, port = balancer(upstreams=0)
-    assert taken(made, 0).over and port[-1] == ("roll_back", 1, S // 2)
+    assert taken(made, 0).is_finished and port[-1] == ("reject", 1, S // 2)
 
 
 def test_nothing_follows_once_the_client_has_left():
     made, port = balancer()
-    tx = taken(made, 0)
-    tx.left(T)
-    assert port[-1] == ("cancel", 1, 0) and not tx.over
-    tx.returned(T, 0, Outcome.CANCELLED, 0, True)
-    assert tx.over and len(port.of("send")) == 1
+    request = taken(made, 0)
+    request.client_disconnected(T)
+    assert port[-1] == ("cancel", 1, 0) and not request.is_finished
+    request.attempt_finished(T, 0, Outcome.CANCELLED, 0, True)
+    assert request.is_finished and len(port.of("send")) == 1
 
 
 def test_non_idempotent_follows_only_what_proved_unrun():
     for outcome in Outcome:
         made, port = balancer()
-        tx = taken(made, 2)
-        tx.returned(T, 0, outcome, MS, outcome is Outcome.COMMITTED)
-        again = outcome in (Outcome.FULL, Outcome.UNREACHABLE)
+        request = taken(made, 2)
+        request.attempt_finished(T, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
+        again = outcome in (Outcome.REJECTED, Outcome.UNREACHABLE)
         assert len(port.of("send")) == 1 + again, outcome
-        rolled_back = bool(port.of("roll_back"))
-        assert rolled_back == (outcome is Outcome.MOOT), outcome
+        rolled_back = bool(port.of("reject"))
+        assert rolled_back == (outcome is Outcome.NOT_SENT), outcome
 
 
 def test_journalled_stays_in_its_group_and_window():
     made, port = balancer()
-    tx = taken(made, 1)
+    request = taken(made, 1)
     made.credit = 5
-    tx.returned(T + S, 0, Outcome.ERROR, S, False)
+    request.attempt_finished(T + S, 0, Outcome.FAILED, S, False)
     first, second = (note[2] for note in port.of("send"))
     assert first % 2 == second % 2 and first != second  # cells by parity
-    hop = tx.risk()
+    hop = request.first_possibly_executed()
     assert hop.sent == T
-    tx.out = 0
-    assert tx.repeatable(T + MARKED.repeat_window - 1) and not tx.repeatable(T + MARKED.repeat_window)
+    request.out = 0
+    assert request.repeatable(T + MARKED.deduplication_window - 1) and not request.repeatable(
+        T + MARKED.deduplication_window
+    )
 
 
 def test_journalled_that_may_have_run_is_abandoned_unless_any_upstream_knows_it():
-    anywhere = Profile(Effect.JOURNALLED, Group.ALL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
-    for profile, end in ((MARKED, "abandon"), (anywhere, "roll_back")):
-        made, port = balancer(profiles=(profile,), most_hops=1)
-        taken(made, 0).returned(T, 0, Outcome.RESET, MS, False)
+    anywhere = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.ALL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
+    for profile, end in ((MARKED, "fail"), (anywhere, "reject")):
+        made, port = balancer(request_classes=(profile,), max_attempts=1)
+        taken(made, 0).attempt_finished(T, 0, Outcome.RESET, MS, False)
         assert port[-1][0] == end
 
 
@@ -76,8 +78,12 @@
 
 def test_drained_and_left_out_upstreams_get_nothing_new():
     made, port = balancer(upstreams=3)
-    made.listed(T, [(0, State.DRAINING, 0, 1.0, 0, 0, b"")], full=False)
-    made.listed(T, [(0, State.DRAINING, 0, 1.0, 0, 0, b""), (2, State.READY, 0, 1.0, 0, 0, b"")], full=True)
+    made.update_endpoints(T, [(0, EndpointState.DRAINING, 0, 1.0, 0, 0, b"")], full=False)
+    made.update_endpoints(
+        T,
+        [(0, EndpointState.DRAINING, 0, 1.0, 0, 0, b""), (2, EndpointState.READY, 0, 1.0, 0, 0, b"")],
+        full=True,
+    )
     for ref in range(6):
         taken(made, 0, ref=ref)
     assert {note[2] for note in port.of("send")} == {2}
@@ -86,43 +92,46 @@
 def test_an_upstream_that_has_gone_leaves_nothing_and_late_news_of_it_finds_nobody():
     for full in (False, True):
         made, port = balancer(upstreams=2)
-        tx = taken(made, 0)
+        request = taken(made, 0)
         gone = port[-1][2]
-        made.set_aside(made.upstreams[gone], T)
-        rows = [(1 - gone, State.READY, 0, 1.0, 0, 0, b"1"), (gone, State.GONE, 0, 1.0, 0, 0, b"0")]
-        made.listed(T, rows[: 1 if full else 2], full)
+        made.eject(made.upstreams[gone], T)
+        rows = [
+            (1 - gone, EndpointState.READY, 0, 1.0, 0, 0, b"1"),
+            (gone, EndpointState.REMOVED, 0, 1.0, 0, 0, b"0"),
+        ]
+        made.update_endpoints(T, rows[: 1 if full else 2], full)
         assert list(made.upstreams) == [1 - gone] and made.out == 0
-        made.probed(T + 9 * S, gone, Outcome.COMMITTED)
-        made.listed(T, [(gone, State.READY, 0, 1.0, 0, 0, b"new")], False)
-        assert not made.upstreams[gone].aside and not made.upstreams[gone].held
-        tx.returned(T + S, 0, Outcome.TIMED_OUT, S, False)
-        assert made.upstreams[gone].entries[-1].tried == 0 and tx.hops[-1].upstream.index == 1 - gone
+        made.health_check_finished(T + 9 * S, gone, Outcome.SUCCEEDED)
+        made.update_endpoints(T, [(gone, EndpointState.READY, 0, 1.0, 0, 0, b"new")], False)
+        assert not made.upstreams[gone].ejected and not made.upstreams[gone].held
+        request.attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
+        assert made.upstreams[gone].entries[-1].tried == 0 and request.attempts[-1].upstream.index == 1 - gone
 
 
 def test_a_list_that_must_be_asked_for_is_and_again_after_a_failure():
-    made, port = balancer(ask_for_list=True)
-    assert len(port.of("ask_list")) == 1
-    made.list_failed(T)
+    made, port = balancer(polls_endpoints=True)
+    assert len(port.of("poll_endpoints")) == 1
+    made.endpoint_poll_failed(T)
     _, at, token = port[-1]
     assert T < at <= T + 10 * S // 8
-    made.woken(at, token)
-    assert len(port.of("ask_list")) == 2
+    made.timer_fired(at, token)
+    assert len(port.of("poll_endpoints")) == 2
 
 
 def test_cold_upstreams_together_keep_to_a_budget():
     made, port = balancer(upstreams=4, born=0)
-    made.listed(T, [(3, State.READY, T, 1.0, 1, 1, b"")], full=False)
+    made.update_endpoints(T, [(3, EndpointState.READY, T, 1.0, 1, 1, b"")], full=False)
     made.send_rate, made.ceiling = 400 / S, 1e9  # a hundred a second and upstream
     for step in range(4000):
         now = T + step * S // 4000
-        taken(made, 0, now=now, ref=step).returned(now, 0, Outcome.COMMITTED, MS, True)
+        taken(made, 0, now=now, ref=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
     sent = sum(note[2] == 3 for note in port.of("send"))
     assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5  # its share of half the multiple, a little risen
 
 
 def test_a_tier_all_cold_is_fed_by_what_clients_ask_first():
     made, port = balancer(upstreams=2, born=T)
-    assert taken(made, 0).over  # nothing is known yet
+    assert taken(made, 0).is_finished  # nothing is known yet
     made.first_tries = 100
     made.close_window(T + S)
     taken(made, 0, now=T + S)
@@ -180,7 +189,7 @@
     for u, metric in zip(made.upstreams.values(), (1.0, 1.0, 0.0), strict=True):
         u.entries[-1].metric, u.entries[-1].until = metric, T + S
     for ref in range(6):
-        taken(made, 0, ref=ref).returned(T, 0, Outcome.COMMITTED, MS, True)
+        taken(made, 0, ref=ref).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert {note[2] for note in port.of("send")} == {2}
     made.upstreams[2].entries[-1].until = 0  # not heard yet: counts at the others' mean
     assert made.choose(taken(made, 2), T, clean=True) is None
@@ -207,7 +216,7 @@
 def test_turns_are_even_and_start_at_random():
     made, port = balancer(upstreams=4)
     for ref in range(40):
-        taken(made, 0, ref=ref).returned(T, 0, Outcome.COMMITTED, MS, True)
+        taken(made, 0, ref=ref).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sorted(note[2] for note in port.of("send")) == sorted([0, 1, 2, 3] * 10)
 
 
@@ -223,7 +232,7 @@
     made, port = balancer(upstreams=2)
     made.upstreams[0].pace, made.ceiling = 4.0, 1e9
     for ref in range(50):
-        taken(made, 2, ref=ref).left(T)
+        taken(made, 2, ref=ref).client_disconnected(T)
         made.upstreams[0].held.clear()
         made.upstreams[1].held.clear()
     assert sum(note[2] == 0 for note in port.of("send")) == 10
@@ -232,48 +241,48 @@
 def test_hung_upstream_is_set_aside_its_hops_called_off_and_probes_bring_it_back():
     made, port = balancer(upstreams=2)
     made.took = made.usual[0] = 100 * MS
-    tx = taken(made, 0)
-    u = tx.hops[0].upstream
+    request = taken(made, 0)
+    u = request.attempts[0].upstream
     made.last_heard = T + S
-    made.woken(T + 2 * S, 0)
-    assert u.aside and ("cancel", 1, 0) in port and made.out == 0
-    made.woken(T + 2 * S + 2 * made.beat, 0)
-    assert ("probe", u.index) in port
-    tx.returned(T + 2 * S, 0, Outcome.CANCELLED, S, False)
+    made.timer_fired(T + 2 * S, 0)
+    assert u.ejected and ("cancel", 1, 0) in port and made.out == 0
+    made.timer_fired(T + 2 * S + 2 * made.beat, 0)
+    assert ("check_health", u.index) in port
+    request.attempt_finished(T + 2 * S, 0, Outcome.CANCELLED, S, False)
     assert port.of("send")[1][2] != u.index
-    made.probed(T + 3 * S, u.index, Outcome.TIMED_OUT)
-    assert u.aside
+    made.health_check_finished(T + 3 * S, u.index, Outcome.TIMED_OUT)
+    assert u.ejected
     port.clear()
     for beats, probes in ((3, 0), (4, 1)):  # a probe that fails doubles the wait for the next
-        made.woken(T + 3 * S + beats * made.beat, 0)
-        assert len(port.of("probe")) == probes
-    made.probed(T + 5 * S, u.index, Outcome.COMMITTED)
+        made.timer_fired(T + 3 * S + beats * made.beat, 0)
+        assert len(port.of("check_health")) == probes
+    made.health_check_finished(T + 5 * S, u.index, Outcome.SUCCEEDED)
     made.usual[0] = S
-    taken(made, 0, now=T + 5 * S, ref=9).returned(T + 6 * S, 0, Outcome.COMMITTED, S, True)
-    assert not u.aside and u.strikes == 0
+    taken(made, 0, now=T + 5 * S, ref=9).attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, S, True)
+    assert not u.ejected and u.strikes == 0
 
 
 def test_without_probes_one_hop_that_may_run_again_tries_what_was_set_aside():
-    made, port = balancer(upstreams=2, may_probe=False)
+    made, port = balancer(upstreams=2, can_health_check=False)
     made.usual[:] = [10 * MS] * 3
-    made.set_aside(made.upstreams[0], T)
+    made.eject(made.upstreams[0], T)
     wait = max(made.validity, made.span << 1)
-    made.woken(T + wait - 1, 0)
-    assert not made.trials and not port.of("probe")
-    for outcome, back in ((Outcome.TIMED_OUT, False), (Outcome.COMMITTED, True)):
+    made.timer_fired(T + wait - 1, 0)
+    assert not made.trials and not port.of("check_health")
+    for outcome, back in ((Outcome.TIMED_OUT, False), (Outcome.SUCCEEDED, True)):
         now = T + wait
-        made.woken(now, 0)
+        made.timer_fired(now, 0)
         port.clear()
-        taken(made, 2, now=now).left(now)  # what must not run twice tries nothing
+        taken(made, 2, now=now).client_disconnected(now)  # what must not run twice tries nothing
         tried, other = taken(made, 0, now=now, ref=2), taken(made, 0, now=now, ref=3)
         assert [note[2] for note in port.of("send")] == [1, 0, 1]  # one hop, no more
-        tried.returned(now, 0, outcome, MS, back)
-        other.returned(now, 0, Outcome.COMMITTED, MS, True)
-        assert made.upstreams[0].aside is not back
+        tried.attempt_finished(now, 0, outcome, MS, back)
+        other.attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
+        assert made.upstreams[0].ejected is not back
         wait += max(made.validity, made.span << 2)
-    made.set_aside(made.upstreams[1], T)
-    made.woken(T + LINGER * max(made.validity, made.span << 1), 0)
-    assert not made.upstreams[1].aside  # only what must not run twice came by
+    made.eject(made.upstreams[1], T)
+    made.timer_fired(T + LINGER * max(made.validity, made.span << 1), 0)
+    assert not made.upstreams[1].ejected  # only what must not run twice came by
 
 
 def test_fast_failures_set_an_upstream_aside():
@@ -281,15 +290,15 @@
     for u in (made.upstreams[0], made.upstreams[1]):
         u.entries[-1].tried, u.entries[-1].bad = FLOOR, FLOOR * (u.index == 0)
     made.close_window(T + S)
-    assert made.upstreams[0].aside and not made.upstreams[1].aside
+    assert made.upstreams[0].ejected and not made.upstreams[1].ejected
 
 
 def test_crowd_is_bounded_from_the_start_and_the_valuable_go_last():
-    worth = Profile(Effect.NON_IDEMPOTENT, Group.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
-    made, _ = balancer(profiles=(FREE, worth), balancers=1)
+    worth = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
+    made, _ = balancer(request_classes=(FREE, worth), instance_count=1)
     made.out = round(made.ceiling) - 1
-    assert taken(made, 0).over and not taken(made, 1).over
-    assert taken(made, 1).over
+    assert taken(made, 0).is_finished and not taken(made, 1).is_finished
+    assert taken(made, 1).is_finished
 
 
 def test_crowd_shrinks_when_hops_take_long_but_not_under_what_each_bears():
@@ -304,7 +313,7 @@
 
 def test_a_crowd_held_back_grows_faster_in_the_first_validity():
     for beats, grown in ((1, 15.0), (99, 12.5)):
-        made, _ = balancer(balancers=2, upstreams=4)
+        made, _ = balancer(instance_count=2, upstreams=4)
         made.beats, made.stretch, made.low, made.held_back = beats, 0.1, 0.1, True
         made.weigh_crowd(T)
         assert made.ceiling == grown
@@ -312,9 +321,9 @@
 
 def test_one_of_many_balancers_has_room_for_chance_while_its_mean_crowd_is_under_the_bound():
     for balancers, crowd, over in ((1, 1.0, True), (9, 1.0, False), (9, 9.0, True)):
-        made, _ = balancer(balancers=balancers)
+        made, _ = balancer(instance_count=balancers)
         made.ceiling, made.crowd, made.out = 4.0, crowd, 4
-        assert taken(made, 0).over == over
+        assert taken(made, 0).is_finished == over
 
 
 def test_slow_and_silent_upstreams_are_little_sign_of_a_crowd():
@@ -325,31 +334,35 @@
         (1, T - S, 4, 0),
     ):
         made, _ = balancer()
-        tx = taken(made, 2)
-        tx.hops[0].upstream.pace, tx.hops[0].upstream.heard = pace, heard
-        tx.returned(T + S, 0, Outcome(how), S, True)
+        request = taken(made, 2)
+        request.attempts[0].upstream.pace, request.attempts[0].upstream.heard = pace, heard
+        request.attempt_finished(T + S, 0, Outcome(how), S, True)
         assert abs(made.stretch - seen) < 1e-6
 
 
 def test_a_failed_connect_sets_aside_only_what_has_not_answered_lately():
-    for answered, aside in ((T, False), (0, True)):
+    for answered, ejected in ((T, False), (0, True)):
         made, port = balancer()
-        tx = taken(made, 2)
-        tx.hops[0].upstream.answered = answered
-        tx.returned(T + MS, 0, Outcome.UNREACHABLE, MS, False)
-        assert tx.hops[0].upstream.aside == aside and made.tier.bad == 1 and len(port.of("send")) == 2
+        request = taken(made, 2)
+        request.attempts[0].upstream.answered = answered
+        request.attempt_finished(T + MS, 0, Outcome.UNREACHABLE, MS, False)
+        assert (
+            request.attempts[0].upstream.ejected == ejected
+            and made.tier.bad == 1
+            and len(port.of("send")) == 2
+        )
 
 
 def test_late_hops_count_for_the_tier_only_in_a_crowd():
     for pressed in (False, True):
         made, _ = balancer()
         made.pressed = pressed
-        taken(made, 0).returned(T, 0, Outcome.COMMITTED, FREE.service_goal, True)
+        taken(made, 0).attempt_finished(T, 0, Outcome.SUCCEEDED, FREE.latency_objective, True)
         assert made.tier.bad == pressed
 
 
 def test_customer_beyond_its_share_gives_way_first():
-    made, _ = balancer(allowances=(2.0, 2.0))
+    made, _ = balancer(tenant_quotas=(2.0, 2.0))
     values = [taken(made, 0, ref=n).value for n in range(4)]
     assert values[0] == 1 and values[-1] == made.excess
 
@@ -357,23 +370,23 @@
 def test_retries_after_hops_that_may_have_run_are_spent_from_first_hops():
     made, port = balancer()
     made.credit = 0.5
-    taken(made, 0).returned(T, 0, Outcome.ERROR, MS, False)
-    assert len(port.of("send")) == 1 and port.of("roll_back")
+    taken(made, 0).attempt_finished(T, 0, Outcome.FAILED, MS, False)
+    assert len(port.of("send")) == 1 and port.of("reject")
 
 
 def test_idle_connections_that_swallow_hops_are_closed_before_sending():
     made, port = balancer(upstreams=1)
     for n in range(TIER_FLOOR):
         made.upstreams[0].ended = T - 3 * S
-        taken(made, 2, ref=n).returned(T + S, 0, Outcome.TIMED_OUT, S, False)
+        taken(made, 2, ref=n).attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
     made.close_window(T + S)
-    made.upstreams[0].aside = False
+    made.upstreams[0].ejected = False
     for entry in (made.tier, *made.upstreams[0].entries):
         entry.metric = 0.0
     for idle, closed in ((S, 0), (2 * S, 1)):
         made.upstreams[0].ended = T + S - idle
-        taken(made, 2, now=T + S, ref=99).returned(T + S, 0, Outcome.MOOT, 0, False)
-        assert len(port.of("close_idle")) == closed
+        taken(made, 2, now=T + S, ref=99).attempt_finished(T + S, 0, Outcome.NOT_SENT, 0, False)
+        assert len(port.of("close_idle_connections")) == closed
 
 
 def test_a_few_resets_on_idle_connections_tell_as_much_as_many_time_outs():
@@ -386,20 +399,22 @@
         made, port = balancer(upstreams=1)
         made.ceiling, made.usual = 1e9, [S, S, S]
         for n in range(TIER_FLOOR):
-            outcome = Outcome.RESET if n < resets else Outcome.ERROR
-            taken(made, 2, ref=n).returned(T, 0, outcome, took, False, S)  # the driver tells: it had idled
+            outcome = Outcome.RESET if n < resets else Outcome.FAILED
+            taken(made, 2, ref=n).attempt_finished(
+                T, 0, outcome, took, False, S
+            )  # the driver tells: it had idled
         made.close_window(T + S)
         made.bring_back(made.upstreams[0], T)
         made.upstreams[0].entries[2].metric = made.tier.metric = 0.0
         for ref in (98, 99):  # the first finds the upstream just used, the second with others out
             taken(made, 2, ref=ref)
-        assert [note[1:] for note in port.of("close_idle")] == [(0, S // 2)] * closed
+        assert [note[1:] for note in port.of("close_idle_connections")] == [(0, S // 2)] * closed
 
 
 def test_a_balancer_with_few_hops_uses_the_highest_ranks_of_its_own():
     used = []
     for number in (0, 1, 0, -1):
-        made, _ = balancer(upstreams=40, number=number)
+        made, _ = balancer(upstreams=40, instance_index=number)
         made.sent = 15
         made.close_window(T + S)
         used.append({u.index for u in made.using})
@@ -408,17 +423,17 @@
     made, port = balancer(upstreams=40)
     made.reach = SET
     gone = made.ready[0]
-    made.set_aside(gone, T)
+    made.eject(gone, T)
     assert len(made.using) == SET and gone not in made.using
     for ref in range(30):
-        taken(made, 2, ref=ref).left(T)
+        taken(made, 2, ref=ref).client_disconnected(T)
     assert {note[2] for note in port.of("send")} == {u.index for u in made.using}
 
 
 def test_sets_load_all_upstreams():
     counts = [0] * 40
     for number in range(60):
-        made, _ = balancer(upstreams=40, balancers=60, number=number)
+        made, _ = balancer(upstreams=40, instance_count=60, instance_index=number)
         made.reach = 5
         made.narrow()
         for u in made.using:
@@ -426,24 +441,24 @@
     assert min(counts) > 0 and max(counts) < 3 * 60 * 5 / 40
 
 
-def home_share(outcome, took, hops=FLOOR, fee=0.1):
+def home_share(outcome, took, attempts=FLOOR, fee=0.1):
     """The share held against near upstreams once that many hops ended so, and the part that crosses."""
-    made, port = balancer(cross_zone_fee=fee)
-    for ref in range(hops):
-        taken(made, 2, ref=ref).returned(T, 0, outcome, took, True)
+    made, port = balancer(cross_zone_cost=fee)
+    for ref in range(attempts):
+        taken(made, 2, ref=ref).attempt_finished(T, 0, outcome, took, True)
     assert {note[2] % 2 for note in port.of("send")} == {0}
     made.close_window(T + S)
     for ref in range(100, 140):
-        taken(made, 2, ref=ref, now=T + S).returned(T + S, 0, Outcome.COMMITTED, MS, True)
+        taken(made, 2, ref=ref, now=T + S).attempt_finished(T + S, 0, Outcome.SUCCEEDED, MS, True)
     far = sum(note[2] % 2 for note in port.of("send")) / 40
     return made.home.share(T + S), far
 
 
 def test_the_share_that_near_upstreams_serve_too_badly_crosses_and_no_more():
-    assert home_share(Outcome.COMMITTED, MS) == (0, 0)
-    held, far = home_share(Outcome.COMMITTED, 2 * S)  # late
+    assert home_share(Outcome.SUCCEEDED, MS) == (0, 0)
+    held, far = home_share(Outcome.SUCCEEDED, 2 * S)  # late
     assert round(held, 3) == 0.475 and 0.25 < far < 0.7  # half of what they miss beyond half the fee
-    assert home_share(Outcome.FULL, MS, fee=2.0)[0] == 0
+    assert home_share(Outcome.REJECTED, MS, fee=2.0)[0] == 0
 
 
 def test_that_share_adds_up_while_they_miss_and_eases_by_half_at_the_most():
@@ -458,25 +473,25 @@
 def test_a_balancer_that_waited_long_looks_with_half_the_floor_but_not_first():
     made, _ = balancer()
     made.served, made.stretch = TIER_FLOOR // 2, 0.9
-    made.woken(T + S, 0)
+    made.timer_fired(T + S, 0)
     assert not made.weighed
     made.weighed = T
-    made.woken(T + made.span - 1, 0)
+    made.timer_fired(T + made.span - 1, 0)
     assert made.weighed == T
-    made.woken(T + made.span, 0)
+    made.timer_fired(T + made.span, 0)
     assert made.weighed > T
 
 
 def test_one_costly_hop_tells_of_a_crowd_no_more_than_its_goal():
     made, _ = balancer()
-    taken(made, 2).returned(T + S, 0, Outcome.COMMITTED, 40 * S, True)
+    taken(made, 2).attempt_finished(T + S, 0, Outcome.SUCCEEDED, 40 * S, True)
     assert made.stretch == 1
 
 
 def test_a_hop_that_timed_out_tells_of_its_upstreams_pace():
     made, _ = balancer(upstreams=1)
     made.usual[2] = 10 * MS
-    taken(made, 2).returned(T, 0, Outcome.TIMED_OUT, 80 * MS, True)
+    taken(made, 2).attempt_finished(T, 0, Outcome.TIMED_OUT, 80 * MS, True)
     assert made.ready[0].pace > 2
 
 
@@ -488,44 +503,46 @@
 
 
 def test_a_start_among_many_balancers_uses_a_small_set_and_lets_in_the_root_of_its_part():
-    made, _ = balancer(upstreams=40, balancers=300)
+    made, _ = balancer(upstreams=40, instance_count=300)
     assert len(made.using) == SET and abs(made.ceiling - START * (40 / 300) ** 0.5) < 1e-9
-    assert balancer(upstreams=40, balancers=20)[0].ceiling == START * 2
-    assert len(balancer(upstreams=40, balancers=40)[0].using) == 40
+    assert balancer(upstreams=40, instance_count=20)[0].ceiling == START * 2
+    assert len(balancer(upstreams=40, instance_count=40)[0].using) == 40
 
 
 def test_what_is_known_of_upstreams_holds_on_under_other_settings_and_the_rest_starts_afresh():
-    old, _ = balancer(upstreams=4, profiles=(FREE, ONCE), may_probe=False)
+    old, _ = balancer(upstreams=4, request_classes=(FREE, ONCE), can_health_check=False)
     old.usual[:], old.ceiling, old.credit, old.gap = [7 * MS, 9 * MS], 99.0, 5.0, S
     old.upstreams[0].pace, old.upstreams[2].born, old.upstreams[2].pace = 3.0, T - S, 3.0
-    old.set_aside(old.upstreams[1], T)
-    made, port = balancer(upstreams=4, balancers=90, profiles=(ONCE, MARKED, FREE), may_probe=False)
-    assert made.follow(old.known(ends=True), [(0, 1), (2, 0)]) == 3
+    old.eject(old.upstreams[1], T)
+    made, port = balancer(
+        upstreams=4, instance_count=90, request_classes=(ONCE, MARKED, FREE), can_health_check=False
+    )
+    assert made.restore(old.snapshot(ends=True), [(0, 1), (2, 0)]) == 3
     assert made.usual == [9 * MS, 0, 7 * MS] and made.gap == S
     assert made.upstreams[0].pace == 3 and made.upstreams[2].pace == 1  # started again: nothing holds
     assert made.ceiling != 99 and made.credit == 1
     made.reach = 4
     made.narrow()
     for ref in range(9):
-        taken(made, 0, ref=ref).left(T)
+        taken(made, 0, ref=ref).client_disconnected(T)
     assert 1 not in {note[2] for note in port.of("send")}  # set aside before, no rush now
     assert made.upstreams[1].strikes == 1
 
 
 def test_a_cold_upstream_set_aside_is_tried_within_its_budget():
     for budget, tried in ((0.5, 1), (1.0, 0)):
-        made, port = balancer(upstreams=2, may_probe=False)
+        made, port = balancer(upstreams=2, can_health_check=False)
         made.usual[0], cold = 10 * MS, made.upstreams[0]
-        cold.aside, cold.born, cold.budget, cold.filled, made.trials = True, T - S, budget, T, {cold: None}
+        cold.ejected, cold.born, cold.budget, cold.filled, made.trials = True, T - S, budget, T, {cold: None}
         taken(made, 0)
         assert port.of("send")[0][2] == tried
 
 
 def test_a_cold_upstream_has_one_budget_through_a_switch():
-    old, before = balancer(upstreams=1, born=T, balancers=1, may_probe=False)
-    made, port = balancer(upstreams=1, born=T, balancers=1, may_probe=False)
+    old, before = balancer(upstreams=1, born=T, instance_count=1, can_health_check=False)
+    made, port = balancer(upstreams=1, born=T, instance_count=1, can_health_check=False)
     old.upstreams[0].budget = made.upstreams[0].budget = 1.0
-    made.follow(old.known(ends=True), [])
+    made.restore(old.snapshot(ends=True), [])
     for ref in range(5):
         assert old.warmth(old.upstreams[0], T + S) == 0
         taken(made, 0, ref=ref)
@@ -544,31 +561,31 @@
 
 
 def test_an_excluded_upstream_gets_no_hop_probe_or_try_and_comes_back_without_its_shares():
-    made, port = balancer(upstreams=2, balancers=1)
+    made, port = balancer(upstreams=2, instance_count=1)
     u = made.upstreams[0]
-    made.set_aside(u, 100 * S)
+    made.eject(u, 100 * S)
     entry = u.entries[-1]
     entry.metric, entry.until = 1.0, 900 * S
     port.clear()
-    made.listed(101 * S, [(0, State.EXCLUDED, 0, 1.0, 0, 0, b"0")], full=False)
+    made.update_endpoints(101 * S, [(0, EndpointState.EXCLUDED, 0, 1.0, 0, 0, b"0")], full=False)
     for n in range(9):
-        made.woken(101 * S + n * S, 0)
+        made.timer_fired(101 * S + n * S, 0)
         taken(made, 0, now=101 * S + n * S, ref=n)
-    assert {note[2] for note in port.of("send")} == {1} and not port.of("probe")
-    made.listed(120 * S, [(0, State.READY, 119 * S, 1.0, 0, 0, b"0")], full=False)
-    assert not u.aside and not u.strikes and not u.entries[-1].metric
+    assert {note[2] for note in port.of("send")} == {1} and not port.of("check_health")
+    made.update_endpoints(120 * S, [(0, EndpointState.READY, 119 * S, 1.0, 0, 0, b"0")], full=False)
+    assert not u.ejected and not u.strikes and not u.entries[-1].metric
 
 
 def test_two_processes_share_the_budget_of_a_cold_upstream_and_the_crowd_let_in():
     old, _ = balancer(upstreams=1, born=T)
     made, _ = balancer(upstreams=1, born=T)
     old.upstreams[0].budget, old.ceiling = 1.0, 99.0
-    made.follow(old.known(ends=False), [(0, 0)])
+    made.restore(old.snapshot(ends=False), [(0, 0)])
     assert old.upstreams[0].budget + made.upstreams[0].budget == 1 and made.ceiling == 99
 
 
 def test_what_another_process_has_in_flight_counts_in_the_crowd_let_in():
-    made, port = balancer(upstreams=1, balancers=1)
+    made, port = balancer(upstreams=1, instance_count=1)
     made.ceiling, made.beside = 8.0, 8
     assert taken(made, 0).done and not port.of("send")  # two processes let in what one may
     made.beside = 0
@@ -580,105 +597,105 @@
     u, made.usual[2] = made.upstreams[0], 100 * MS
 
     def fails():
-        tx = taken(made, 2)
-        hop = tx.hops[0].upstream
-        hop.held.pop(tx)
-        u.held[tx] = tx.hops[0]
-        tx.hops[0].upstream = u
-        tx.returned(T, 0, Outcome.ERROR, MS, False)
+        request = taken(made, 2)
+        hop = request.attempts[0].upstream
+        hop.held.pop(request)
+        u.held[request] = request.attempts[0]
+        request.attempts[0].upstream = u
+        request.attempt_finished(T, 0, Outcome.FAILED, MS, False)
 
     for _ in range(FLOOR):
-        assert not u.aside
+        assert not u.ejected
         fails()
-    assert u.aside
-    made.probed(T + 100 * S, 0, Outcome.COMMITTED)
-    assert not u.aside
+    assert u.ejected
+    made.health_check_finished(T + 100 * S, 0, Outcome.SUCCEEDED)
+    assert not u.ejected
     fails()
-    assert u.aside and u.strikes == 2
+    assert u.ejected and u.strikes == 2
 
 
 def test_a_slow_hop_gets_one_beside_it_at_another_upstream_and_the_first_to_commit_ends_both():
     made, port = balancer()
-    tx = taken(made, 0)
+    request = taken(made, 0)
     first = port.of("send")[-1][2]
-    tx.slow(100 * S + 300 * MS)
-    assert [len(port.of("send")), tx.out] == [2, 2] and port.of("send")[-1][2] != first
-    tx.slow(100 * S + 400 * MS)
-    assert tx.out == 2  # never a third
-    tx.returned(100 * S + 500 * MS, 1, Outcome.COMMITTED, 200 * MS, True)
-    assert port.of("cancel") and {note[2] for note in port.of("cancel")} == {0, 1} and not tx.over
-    tx.returned(100 * S + 500 * MS, 0, Outcome.CANCELLED, 500 * MS, True)
-    assert tx.over and made.out == 0 and not port.of("roll_back")
+    request.hedge_timer_fired(100 * S + 300 * MS)
+    assert [len(port.of("send")), request.out] == [2, 2] and port.of("send")[-1][2] != first
+    request.hedge_timer_fired(100 * S + 400 * MS)
+    assert request.out == 2  # never a third
+    request.attempt_finished(100 * S + 500 * MS, 1, Outcome.SUCCEEDED, 200 * MS, True)
+    assert port.of("cancel") and {note[2] for note in port.of("cancel")} == {0, 1} and not request.is_finished
+    request.attempt_finished(100 * S + 500 * MS, 0, Outcome.CANCELLED, 500 * MS, True)
+    assert request.is_finished and made.out == 0 and not port.of("reject")
 
 
 def test_one_of_two_that_fails_leaves_the_other_to_answer():
     made, port = balancer()
     made.credit = 5.0
-    tx = taken(made, 0)
-    tx.slow(100 * S + 300 * MS)
-    tx.returned(100 * S + 400 * MS, 0, Outcome.RESET, 400 * MS, False)
-    assert tx.out == 1 and len(port.of("send")) == 2 and not port.of("roll_back")
-    tx.returned(100 * S + 500 * MS, 1, Outcome.ERROR, 200 * MS, False)
+    request = taken(made, 0)
+    request.hedge_timer_fired(100 * S + 300 * MS)
+    request.attempt_finished(100 * S + 400 * MS, 0, Outcome.RESET, 400 * MS, False)
+    assert request.out == 1 and len(port.of("send")) == 2 and not port.of("reject")
+    request.attempt_finished(100 * S + 500 * MS, 1, Outcome.FAILED, 200 * MS, False)
     assert len(port.of("send")) == 3  # its hops are not spent
 
 
 def test_a_second_beside_it_costs_a_retry_and_needs_another_upstream():
     made, port = balancer()
     made.credit = 0.5
-    tx = taken(made, 0)
-    tx.slow(100 * S + 300 * MS)
-    assert tx.out == 1 and len(port.of("send")) == 1
+    request = taken(made, 0)
+    request.hedge_timer_fired(100 * S + 300 * MS)
+    assert request.out == 1 and len(port.of("send")) == 1
     alone, port = balancer(upstreams=1)
-    tx = taken(alone, 0)
-    tx.slow(100 * S + 300 * MS)
-    assert tx.out == 1
-    alone.give_up(tx)
-    tx.slow(100 * S + 400 * MS)
-    assert tx.out == 1
+    request = taken(alone, 0)
+    request.hedge_timer_fired(100 * S + 300 * MS)
+    assert request.out == 1
+    alone.give_up(request)
+    request.hedge_timer_fired(100 * S + 400 * MS)
+    assert request.out == 1
 
 
 def test_of_one_transaction_only_the_first_hop_tells_of_the_tier():
     made, _ = balancer()
-    tx = taken(made, 0)
+    request = taken(made, 0)
     for number in range(3):
-        tx.returned(T, number, Outcome.FULL, MS, False)
+        request.attempt_finished(T, number, Outcome.REJECTED, MS, False)
     assert made.tier.tried == made.tier.bad == 1
 
 
 def dragging(others):
     """One profile fails at every upstream, the others as told."""
-    made, port = balancer(may_probe=False)
+    made, port = balancer(can_health_check=False)
     made.ceiling = 1e9
     for n in range(2 * TIER_FLOOR):
-        taken(made, n % 2, ref=n).returned(T, 0, (Outcome.TIMED_OUT, others)[n % 2], S, n % 2 > 0)
+        taken(made, n % 2, ref=n).attempt_finished(T, 0, (Outcome.TIMED_OUT, others)[n % 2], S, n % 2 > 0)
     made.close_window(T + S)
     for u in made.ready:
-        u.aside = False
+        u.ejected = False
     made.narrow()
     port.clear()
     return made, port
 
 
 def test_a_profile_that_drags_everywhere_is_refused_its_share_and_costs_no_upstream_its_place():
-    made, port = dragging(Outcome.COMMITTED)
+    made, port = dragging(Outcome.SUCCEEDED)
     assert made.drags == [True, False, False]
     made.ceiling, made.out = 10.0, 0
-    assert not taken(made, 0, now=T + S).over  # there are places enough
+    assert not taken(made, 0, now=T + S).is_finished  # there are places enough
     made.out, stretch, bad = 6, made.stretch, [u.entries[-1].bad for u in made.ready]
     port.clear()
-    assert taken(made, 0, now=T + S).over and port[-1][0] == "roll_back" and not port.of("send")
+    assert taken(made, 0, now=T + S).is_finished and port[-1][0] == "reject" and not port.of("send")
     made.kinds[0].metric, made.took = 1 - UNWELL, MS
     while not port.of("send"):
-        tx = taken(made, 0, now=T + S)
-    u = tx.hops[0].upstream
+        request = taken(made, 0, now=T + S)
+    u = request.attempts[0].upstream
     u.heard, made.last_heard = T, T + S
-    made.woken(T + 2 * S - 1, 0)
-    assert not u.aside  # silent, but nothing else is out there
-    tx.returned(T + 2 * S, 0, Outcome.TIMED_OUT, S, False)
+    made.timer_fired(T + 2 * S - 1, 0)
+    assert not u.ejected  # silent, but nothing else is out there
+    request.attempt_finished(T + 2 * S, 0, Outcome.TIMED_OUT, S, False)
     assert made.stretch == stretch and [u.entries[-1].bad for u in made.ready] == bad
     made.kinds[0].until = 0  # lapsed: tried again
     port.clear()
-    assert not taken(made, 0, now=T + 3 * S).over
+    assert not taken(made, 0, now=T + 3 * S).is_finished
 
 
 def test_where_all_profiles_fail_none_drags():
@@ -689,58 +706,58 @@
     made, port = balancer(upstreams=2)
     made.usual[:] = [10 * MS] * 3
     u, now = made.upstreams[0], T
-    made.set_aside(u, now)
-    made.probed(now, 0, Outcome.COMMITTED)
-    assert not u.aside  # the first time its probe does
-    made.set_aside(u, now)
-    for outcome in (Outcome.TIMED_OUT, Outcome.COMMITTED):
+    made.eject(u, now)
+    made.health_check_finished(now, 0, Outcome.SUCCEEDED)
+    assert not u.ejected  # the first time its probe does
+    made.eject(u, now)
+    for outcome in (Outcome.TIMED_OUT, Outcome.SUCCEEDED):
         wait = made.beat << u.strikes
-        made.woken(now + wait - 1, 0)
-        assert not port.of("probe")
+        made.timer_fired(now + wait - 1, 0)
+        assert not port.of("check_health")
         now += wait
-        made.woken(now, 0)
-        made.probed(now, 0, Outcome.COMMITTED)
-        assert u.aside
+        made.timer_fired(now, 0)
+        made.health_check_finished(now, 0, Outcome.SUCCEEDED)
+        assert u.ejected
         port.clear()
-        taken(made, 2, now=now, ref=5).left(now)
+        taken(made, 2, now=now, ref=5).client_disconnected(now)
         tried = taken(made, 0, now=now, ref=6)
         assert [note[2] for note in port.of("send")] == [1, 0]
-        tried.returned(now + MS, 0, outcome, MS, outcome is Outcome.COMMITTED)
+        tried.attempt_finished(now + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
         port.clear()
-    assert not u.aside and u.strikes == 0
+    assert not u.ejected and u.strikes == 0
 
 
 def test_one_that_nothing_comes_by_to_try_is_brought_back_by_its_second_probe():
     made, _ = balancer(upstreams=2)
     u = made.upstreams[0]
-    made.set_aside(u, T)
-    made.probed(T, 0, Outcome.TIMED_OUT)
-    made.probed(T + S, 0, Outcome.COMMITTED)
-    assert u.aside
-    made.probed(T + 2 * S, 0, Outcome.COMMITTED)
-    assert not u.aside
+    made.eject(u, T)
+    made.health_check_finished(T, 0, Outcome.TIMED_OUT)
+    made.health_check_finished(T + S, 0, Outcome.SUCCEEDED)
+    assert u.ejected
+    made.health_check_finished(T + 2 * S, 0, Outcome.SUCCEEDED)
+    assert not u.ejected
 
 
-def row(index, state=State.READY):
+def row(index, state=EndpointState.READY):
     return (index, state, 0, 1.0, 0, 0, b"%d" % index)
 
 
 def test_where_only_draining_binds_one_gone_without_it_may_be_sent_to_for_as_long_as_it_answers():
     cases = (
-        ([[row(1, State.GONE)]], True),
-        ([[row(1, State.DRAINING)], [row(1, State.GONE)]], False),
-        ([[row(1, State.GONE)], [row(1, State.DRAINING)]], False),
-        ([[row(1, State.GONE)], [row(1, State.DRAINING)], [row(1)]], True),
-        ([[row(1, State.EXCLUDED)], [row(1, State.GONE)]], False),
+        ([[row(1, EndpointState.REMOVED)]], True),
+        ([[row(1, EndpointState.DRAINING)], [row(1, EndpointState.REMOVED)]], False),
+        ([[row(1, EndpointState.REMOVED)], [row(1, EndpointState.DRAINING)]], False),
+        ([[row(1, EndpointState.REMOVED)], [row(1, EndpointState.DRAINING)], [row(1)]], True),
+        ([[row(1, EndpointState.EXCLUDED)], [row(1, EndpointState.REMOVED)]], False),
     )
     for lists, kept in cases:
-        made, _ = balancer(upstreams=2, drain_alone=True)
+        made, _ = balancer(upstreams=2, only_draining_binds=True)
         for rows in lists:
-            made.listed(T, rows, full=False)
+            made.update_endpoints(T, rows, full=False)
         assert (made.upstreams.get(1) in made.ready) is kept
-    made, _ = balancer(upstreams=2, drain_alone=True, cold_time=10 * S)
-    made.listed(T, [row(0)], full=True)  # left out
-    made.listed(T, [row(7, State.GONE)], full=False)  # never named by any list
+    made, _ = balancer(upstreams=2, only_draining_binds=True, warmup_time=10 * S)
+    made.update_endpoints(T, [row(0)], full=True)  # left out
+    made.update_endpoints(T, [row(7, EndpointState.REMOVED)], full=False)  # never named by any list
     assert [u.index for u in made.ready if u.listed] == [0] and set(made.upstreams) == {0, 1}
     made.upstreams[1].answered = T
     made.close_window(T + 10 * S)
@@ -748,17 +765,17 @@
     made.close_window(T + 10 * S + 1)
     assert set(made.upstreams) == {0}
     bound, _ = balancer(upstreams=2)
-    bound.listed(T, [row(1, State.GONE)], full=False)
+    bound.update_endpoints(T, [row(1, EndpointState.REMOVED)], full=False)
     assert set(bound.upstreams) == {0}
 
 
 def test_where_a_late_answer_is_worth_nothing_a_hop_leaves_time_for_another_and_never_are_two_out():
-    quote = Profile(Effect.IDEMPOTENT, Group.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
-    made, port = balancer(profiles=(quote,), most_hops=6)
+    quote = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
+    made, port = balancer(request_classes=(quote,), max_attempts=6)
     made.usual[0] = 30 * MS
-    tx = made.take(T, 1, 0, 0, T + 1_500 * MS)
+    request = made.admit(T, 1, 0, 0, T + 1_500 * MS)
     assert port.of("send")[0][3] == 300 * MS  # half of what it may take at all
-    tx.returned(T + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
-    assert [note[3] for note in port.of("send")] == [300 * MS, 300 * MS] and tx.out == 1
-    tx.returned(T + 600 * MS, 1, Outcome.TIMED_OUT, 300 * MS, False)
-    assert tx.over and len(port.of("send")) == 2
+    request.attempt_finished(T + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
+    assert [note[3] for note in port.of("send")] == [300 * MS, 300 * MS] and request.out == 1
+    request.attempt_finished(T + 600 * MS, 1, Outcome.TIMED_OUT, 300 * MS, False)
+    assert request.is_finished and len(port.of("send")) == 2
--- a/tests/policy/test_key_order.py
+++ b/tests/policy/test_key_order.py
@@ -12,17 +12,19 @@
 
 T = 100 * S
 PAUSE = 100 * MS
-ORDERED = replace(MARKED, in_order=True)
-ALSO = replace(FREE, in_order=True)
+ORDERED = replace(MARKED, is_ordered=True)
+ALSO = replace(FREE, is_ordered=True)
 UNSURE = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 def queue(**changes):
-    return balancer(**{"profiles": (ORDERED, ALSO, FREE), "order_pause": PAUSE, "most_hops": 1} | changes)
+    return balancer(
+        **{"request_classes": (ORDERED, ALSO, FREE), "key_rest": PAUSE, "max_attempts": 1} | changes
+    )
 
 
 def took(made, ref, now=T, profile=0, key=9, limit=5 * S):
-    return made.take(now, ref, profile, 0, now + limit, key=key)
+    return made.admit(now, ref, profile, 0, now + limit, key=key)
 
 
 def sent(port):
@@ -33,9 +35,9 @@
     made, port = queue()
     one, two, _ = (took(made, ref) for ref in (1, 2, 3))
     assert sent(port) == [1]
-    one.returned(T, 0, Outcome.COMMITTED, MS, True)
-    assert sent(port) == [1, 2] and one.over
-    two.returned(T, 0, Outcome.ERROR, MS, False)
+    one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
+    assert sent(port) == [1, 2] and one.is_finished
+    two.attempt_finished(T, 0, Outcome.FAILED, MS, False)
     assert sent(port) == [1, 2, 3]
 
 
@@ -55,26 +57,26 @@
     made, port = queue()
     one = took(made, 1)
     took(made, 2)
-    one.returned(T + MS, 0, outcome, MS, outcome is Outcome.COMMITTED)
+    one.attempt_finished(T + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
     assert sent(port) == ([1] if outcome in UNSURE else [1, 2])
     if outcome in UNSURE:
-        assert port[-1] == ("wake", T + MS + PAUSE, REST)
-        made.woken(T + PAUSE, REST)
+        assert port[-1] == ("set_timer", T + MS + PAUSE, REST)
+        made.timer_fired(T + PAUSE, REST)
         took(made, 3, now=T + PAUSE)
         assert sent(port) == [1]
-        made.woken(T + MS + PAUSE, REST)
+        made.timer_fired(T + MS + PAUSE, REST)
         assert sent(port) == [1, 2]
 
 
 def test_the_rest_does_not_hold_back_another_try_of_the_one_whose_turn_it_is():
-    made, port = queue(most_hops=2)
+    made, port = queue(max_attempts=2)
     one = took(made, 1)
     took(made, 2)
-    one.returned(T, 0, Outcome.RESET, MS, False)
+    one.attempt_finished(T, 0, Outcome.RESET, MS, False)
     assert sent(port) == [1, 1]
-    one.returned(T + PAUSE - 1, 1, Outcome.COMMITTED, MS, True)
+    one.attempt_finished(T + PAUSE - 1, 1, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 1]  # nor does its answer end the rest
-    made.woken(T + PAUSE, REST)
+    made.timer_fired(T + PAUSE, REST)
     assert sent(port) == [1, 1, 2]
 
 
@@ -82,32 +84,32 @@
     made, port = queue()
     one = took(made, 1)
     took(made, 2)
-    one.left(T)
-    assert sent(port) == [1] and not one.over
-    one.returned(T + MS, 0, Outcome.CANCELLED, MS, True)
-    made.woken(T + MS + PAUSE, REST)
+    one.client_disconnected(T)
+    assert sent(port) == [1] and not one.is_finished
+    one.attempt_finished(T + MS, 0, Outcome.CANCELLED, MS, True)
+    made.timer_fired(T + MS + PAUSE, REST)
     assert sent(port) == [1, 2]
 
 
 def test_a_second_copy_of_the_one_whose_turn_it_is_may_go_and_the_next_waits_for_both():
-    made, port = queue(most_hops=3)
+    made, port = queue(max_attempts=3)
     one = took(made, 1, profile=1)
     took(made, 2)
-    one.slow(T + MS)
+    one.hedge_timer_fired(T + MS)
     assert sent(port) == [1, 1]
-    one.returned(T + 2 * MS, 1, Outcome.COMMITTED, MS, True)
+    one.attempt_finished(T + 2 * MS, 1, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 1]
-    one.returned(T + 3 * MS, 0, Outcome.CANCELLED, MS, True)
-    made.woken(T + 3 * MS + PAUSE, REST)
+    one.attempt_finished(T + 3 * MS, 0, Outcome.CANCELLED, MS, True)
+    made.timer_fired(T + 3 * MS + PAUSE, REST)
     assert sent(port) == [1, 1, 2]
 
 
 def test_one_that_leaves_the_line_early_holds_up_nobody():
     made, port = queue()
     one, two, _ = (took(made, ref) for ref in (1, 2, 3))
-    two.left(T)
-    assert two.over
-    one.returned(T, 0, Outcome.COMMITTED, MS, True)
+    two.client_disconnected(T)
+    assert two.is_finished
+    one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 3]
 
 
@@ -115,19 +117,19 @@
     made, port = queue()
     took(made, 1)
     two = took(made, 2, limit=S)
-    beat = round(FREE.service_goal * BEAT)
+    beat = round(FREE.latency_objective * BEAT)
     for number in range(1, 4):
-        made.woken(T + number * beat, 0)
-    assert two.over and port.of("roll_back")[0][1] == 2 and sent(port) == [1]
+        made.timer_fired(T + number * beat, 0)
+    assert two.is_finished and port.of("reject")[0][1] == 2 and sent(port) == [1]
 
 
 def test_a_line_is_no_longer_than_can_be_served_and_tells_when_to_come_back():
-    made, port = queue(longest_advice=60 * S)
+    made, port = queue(max_retry_after=60 * S)
     made.usual[0] = S
     line = [took(made, ref) for ref in range(20)]
-    waiting = [tx for tx in line if not tx.over]
+    waiting = [request for request in line if not request.is_finished]
     assert len(waiting) == 4  # a second each, of five: the last has one left for itself
-    assert port.of("roll_back")[0][1:] == (4, 4 * S)
+    assert port.of("reject")[0][1:] == (4, 4 * S)
 
 
 def test_nobody_is_sent_for_whose_time_is_up_when_its_turn_comes():
@@ -135,8 +137,8 @@
     one = took(made, 1)
     two = took(made, 2)
     three = took(made, 3, limit=50 * S)
-    one.returned(T + 6 * S, 0, Outcome.COMMITTED, MS, True)
-    assert two.over and not three.over and sent(port) == [1, 3]
+    one.attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, MS, True)
+    assert two.is_finished and not three.is_finished and sent(port) == [1, 3]
 
 
 def test_nothing_is_kept_of_a_key_once_its_line_is_empty_and_its_rest_over():
@@ -146,16 +148,16 @@
         now += MS
         out.append(took(made, ref, now, key=1 + chance.randrange(1 << 40)))
         if len(out) > 50:
-            tx = out.pop(chance.randrange(50))
-            if not tx.over:
-                tx.returned(now, 0, chance.choice((Outcome.COMMITTED, *UNSURE)), MS, False)
-            made.woken(now, REST)
+            request = out.pop(chance.randrange(50))
+            if not request.is_finished:
+                request.attempt_finished(now, 0, chance.choice((Outcome.SUCCEEDED, *UNSURE)), MS, False)
+            made.timer_fired(now, REST)
         port.clear()
         assert len(made.lines.lines) <= 51 + 100 + 1  # those out, and those at rest for as many milliseconds
-    for tx in out:
-        if not tx.over:
-            tx.returned(now, 0, Outcome.RESET, MS, False)
-    made.woken(now + PAUSE, REST)
+    for request in out:
+        if not request.is_finished:
+            request.attempt_finished(now, 0, Outcome.RESET, MS, False)
+    made.timer_fired(now + PAUSE, REST)
     assert not made.lines.lines and not made.lines.rests
 
 
@@ -163,15 +165,15 @@
     made, port = queue()
     one, two = took(made, 1), took(made, 2)
     other = took(made, 3, key=5)
-    other.returned(T, 0, Outcome.RESET, MS, False)  # key 5 rests
+    other.attempt_finished(T, 0, Outcome.RESET, MS, False)  # key 5 rests
     after, port2 = queue()
-    after.lines.follow(made.lines)
-    assert ("wake", T + PAUSE, REST) in port2
+    after.lines.restore(made.lines)
+    assert ("set_timer", T + PAUSE, REST) in port2
     took(after, 4)
     took(after, 5, key=5)
     assert not sent(port2)
-    one.returned(T, 0, Outcome.COMMITTED, MS, True)
-    two.returned(T, 0, Outcome.COMMITTED, MS, True)
+    one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
+    two.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 3, 2] and sent(port2) == [4]
-    after.woken(T + PAUSE, REST)
+    after.timer_fired(T + PAUSE, REST)
     assert sent(port2) == [4, 5]
--- a/tests/routing_rules/test_choice.py
+++ b/tests/routing_rules/test_choice.py
@@ -7,7 +7,7 @@
 from helpers import MS, balancer
 
 from dahliabend.config.operator_file.types import Route
-from dahliabend.model import Outcome, State
+from dahliabend.model import EndpointState, Outcome
 from dahliabend.routing_rules import plan as plans
 from dahliabend.routing_rules.choice import Choice, choices
 from dahliabend.routing_rules.limits import Limit
@@ -195,7 +195,11 @@
     now, pools, hops, multiple, cold = 100 * S, [], [], 3.0, 10 * S
     for count, every in ((4, 10 * MS), (2, 20 * MS)):  # 100 and 50 a second
         made, port = balancer(
-            upstreams=count, balancers=1, cold_multiple=multiple, cold_time=cold, cold_share=0.2
+            upstreams=count,
+            instance_count=1,
+            warmup_multiple=multiple,
+            warmup_time=cold,
+            initial_capacity=0.2,
         )
         pools.append((made, port, every))
     bears = 100 / 4 + 50 / 2
@@ -206,20 +210,20 @@
             now += 10 * MS
             for made, port, every in pools:
                 if now % S % (200 * MS) == 0:
-                    made.woken(now, 0)
+                    made.timer_fired(now, 0)
                 if now % every == 0:
-                    tx = made.take(now, 1, 0, 0, now + 5 * S)
+                    request = made.admit(now, 1, 0, 0, now + 5 * S)
                     sent = port.of("send")
                     if sent and sent[-1][2] == 0 and started:
                         hops.append(now)
                     port.clear()
-                    if tx.hops:
-                        tx.returned(now + 5 * MS, 0, Outcome.COMMITTED, 5 * MS, True)
+                    if request.attempts:
+                        request.attempt_finished(now + 5 * MS, 0, Outcome.SUCCEEDED, 5 * MS, True)
 
     run(now + 20 * S, started=0)
     start = now
     for made, _, _ in pools:
-        made.listed(now, [(0, State.READY, start, 1.0, 0, 0, b"0")], full=False)
+        made.update_endpoints(now, [(0, EndpointState.READY, start, 1.0, 0, 0, b"0")], full=False)
     run(start + cold, started=start)
     worst = max(
         sum(at <= other < at + S for other in hops) / (bears * (0.2 + 0.8 * (at - start) / cold))
--- a/tests/simulation/cluster/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -103,5 +103,5 @@
 def test_a_cold_upstream_sent_too_much_falls_over_and_stays():
     node = Node(0, "u0", "z0", Kind(cores=1, fall_multiple=2.0), 5 * S, Random(1))
     outcomes = [node.arrived(5 * S)[0] for _ in range(30)]
-    assert outcomes[0] is Outcome.COMMITTED and outcomes[-1] is None and node.fallen
+    assert outcomes[0] is Outcome.SUCCEEDED and outcomes[-1] is None and node.fallen
     assert node.arrived(60 * S) == (None, 60 * S)
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -16,8 +16,8 @@
 from dahliabend.discovery.watch import Book
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
-from dahliabend.model import Outcome, State
-from dahliabend.policy.balancer import Balancer, Transaction
+from dahliabend.model import EndpointState, Outcome
+from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.policy.key_order import Lines
 from dahliabend.proxy import router
 from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
@@ -66,11 +66,11 @@
 
 
 def resend_what_may_have_run():
-    return instead(Transaction, "repeatable", lambda self, now: not self.spent and not self.out)
+    return instead(RequestState, "repeatable", lambda self, now: not self.spent and not self.out)
 
 
 def use_those_that_drain():
-    return instead(discovery, "_STATES", {**discovery._STATES, "draining": State.READY})
+    return instead(discovery, "_STATES", {**discovery._STATES, "draining": EndpointState.READY})
 
 
 def no_cold_budget():
@@ -180,16 +180,16 @@
 
 
 def roll_back_what_may_have_run():
-    def give_up(self, tx):
-        tx.done = True
-        self.call_off(tx)
-        self.port.roll_back(tx.ref, 0)
+    def give_up(self, request):
+        request.done = True
+        self.call_off(request)
+        self.port.reject(request.ref, 0)
 
     return instead(Balancer, "give_up", give_up)
 
 
 def leave_the_group():
-    return instead(Balancer, "same_group", lambda self, tx, u, risk: True)
+    return instead(Balancer, "same_group", lambda self, request, u, risk: True)
 
 
 def pass_on_cut_answers():
@@ -320,22 +320,22 @@
 
 
 def turn_all_away_after_a_while():
-    real = Balancer.take
+    real = Balancer.admit
 
-    def take(self, now, *arguments, **more):
+    def admit(self, now, *arguments, **more):
         self.crowded = getattr(self, "crowded", now)
         self.ceiling = self.ceiling if now - self.crowded < 3 * S else 0.0
         return real(self, now, *arguments, **more)
 
-    return instead(Balancer, "take", take)
+    return instead(Balancer, "admit", admit)
 
 
 def leave_out_the_rest():
-    return instead(Lines, "unsure", lambda self, tx, now: None)
+    return instead(Lines, "unsure", lambda self, request, now: None)
 
 
 def forget_the_line_at_a_time_out():
-    return instead(Lines, "unsure", lambda self, tx, now: self.lines.pop(tx.key, None))
+    return instead(Lines, "unsure", lambda self, request, now: self.lines.pop(request.key, None))
 
 
 def last_come_first_served():
--- a/tests/simulator_adapter/test_codec.py
+++ b/tests/simulator_adapter/test_codec.py
@@ -114,8 +114,12 @@
 
 def test_settings_take_optional_keys_and_refuse_what_they_do_not_know():
     own = read(json.dumps(CONF).encode())
-    assert own.profiles[0].service_goal == 2_000_000 and not own.may_probe and own.allowances == ()
-    assert own.cross_zone_fee == 0  # as where crossing costs nothing: the zone's share is never read
+    assert (
+        own.request_classes[0].latency_objective == 2_000_000
+        and not own.can_health_check
+        and own.tenant_quotas == ()
+    )
+    assert own.cross_zone_cost == 0  # as where crossing costs nothing: the zone's share is never read
     with pytest.raises(ValueError, match="semantics"):
         read(json.dumps({**CONF, "profiles": [{**CONF["profiles"][0], "semantics": "maybe"}]}).encode())
 
@@ -123,7 +127,7 @@
 def test_an_error_in_the_decisions_is_a_fault():
     host = Host()
     play(host, frame(spawn(), CENSUS, CACHED))
-    host.instances[3].balancer.take = None
+    host.instances[3].balancer.admit = None
     assert b"TypeError" in play(host, frame(job(5)))[0]
 
 
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliabend.config.operator_file.types import Subset
-from dahliabend.model import State
+from dahliabend.model import EndpointState
 from dahliabend.routing_rules.plan import plan
 from dahliabend.server.subset_filter import Narrowed
 
@@ -24,13 +24,13 @@
         assert full
         self.told.append({row[0]: row for row in rows})
         self.table.indices = dict.fromkeys(row[0] for row in rows)
-        self.balancer.ready = [SimpleNamespace(aside=False, ended=0, filled=0) for row in rows]
+        self.balancer.ready = [SimpleNamespace(ejected=False, ended=0, filled=0) for row in rows]
 
-    def list_failed(self):
+    def endpoint_poll_failed(self):
         self.failed += 1
 
 
-def rows(numbers, state=State.READY):
+def rows(numbers, state=EndpointState.READY):
     return [(f"u{n}", ("127.0.0.1", 1 + n), state, 0, 1.0, 0, "a") for n in numbers]
 
 
@@ -54,7 +54,7 @@
 def test_the_decisions_are_told_how_many_balancers_share_what_is_used():
     made, router = narrowed(least=6, degree=4)
     made.listed(rows(range(30)), full=True)
-    assert router.balancer.balancers == pytest.approx(len(router.told[-1]) * 20 / 30)
+    assert router.balancer.instance_count == pytest.approx(len(router.told[-1]) * 20 / 30)
 
 
 def test_by_their_numbers_all_come_to_one_relation_without_a_fleet():
@@ -74,9 +74,9 @@
     made.listed(rows(range(30)), full=True)
     used, other = (int(name[1:]) for name in (sorted(made.now.weights)[0],
                    sorted({f"u{n}" for n in range(30)} - made.now.weights.keys())[0]))  # fmt: skip
-    made.listed(rows([used, other], State.DRAINING), full=False)
-    assert router.told[-1][f"u{used}"][2] is State.DRAINING and f"u{other}" not in router.told[-1]
-    made.listed(rows([used], State.GONE), full=False)
+    made.listed(rows([used, other], EndpointState.DRAINING), full=False)
+    assert router.told[-1][f"u{used}"][2] is EndpointState.DRAINING and f"u{other}" not in router.told[-1]
+    made.listed(rows([used], EndpointState.REMOVED), full=False)
     assert f"u{used}" not in router.told[-1] and len(router.told[-1]) >= 6
 
 
@@ -91,7 +91,7 @@
 
 def test_a_list_that_fails_is_passed_on():
     made, router = narrowed()
-    made.list_failed()
+    made.endpoint_poll_failed()
     assert router.failed == 1
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
-from dahliabend.model import Outcome, State
+from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint_table import Exchange, UpstreamTable
 from dahliabend.proxy.router import Policy, Request, Router
 from dahliabend.transport.connection import RING, Connection
@@ -129,10 +129,10 @@
     ):
         exchange, link = asked()
         feed(link, raw)
-        assert exchange.outcome is Outcome.COMMITTED and link.closed is not kept
+        assert exchange.outcome is Outcome.SUCCEEDED and link.closed is not kept
     exchange, link = asked()
     feed(link, b"HTTP/1.1 100 Continue\r\n\r\n" + ONE)
-    assert exchange.outcome is Outcome.COMMITTED and not link.closed
+    assert exchange.outcome is Outcome.SUCCEEDED and not link.closed
     feed(link, b"H")
     assert link.closed and exchange.upstream.rested(clock() + SETTLED)[0] is None
 
@@ -152,7 +152,7 @@
     ):  # fmt: skip
         exchange, link = asked(kind=Heard)
         feed(link, raw)
-        assert (exchange.outcome, exchange.body) == (Outcome.COMMITTED, b"ok") and link.closed is not kept
+        assert (exchange.outcome, exchange.body) == (Outcome.SUCCEEDED, b"ok") and link.closed is not kept
 
 
 def test_bytes_that_nobody_asked_for_are_never_taken_for_the_next_answer():
@@ -227,21 +227,21 @@
 
 def test_an_upstream_that_has_gone_gives_its_place_and_its_connections_back():
     class Told(Notes):
-        balancer = SimpleNamespace(drain_alone=False)
+        balancer = SimpleNamespace(only_draining_binds=False)
 
         def listed(self, rows, full):
             self[:] = [(u.index, u.name) for u, _ in rows]
-            self.balancer.upstreams = {u.index for u, state in rows if state is not State.GONE}
+            self.balancer.upstreams = {u.index for u, state in rows if state is not EndpointState.REMOVED}
 
     told, all_of = Told(), upstream_table()
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[told], excluded=set(), balancer=told.balancer)
     desk.admit = lambda upstream: Router.admit(desk, upstream)
-    row = ("s-1", ("127.0.0.1", 1), State.READY, 0, 1.0, 0, "a")
+    row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.listed(desk, [row], True)
     upstream = all_of.find("s-1")
     busy, rests = (Link(all_of.descriptors, upstream) for _ in range(2))
     upstream.free(rests)
-    Router.listed(desk, [("s-1", ("", 0), State.GONE, *row[3:])], False)
+    Router.listed(desk, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
     upstream.free(busy)  # its answer came later
     assert rests.closed and busy.closed and not all_of.upstreams and not all_of.indices
     Router.listed(desk, [("s-2", *row[1:])], True)  # a new one at the same address
@@ -257,7 +257,7 @@
         Connection(upstream.table.descriptors)
     exchange = Asked(upstream, b"x", b"", S)
     exchange.start()
-    assert exchange.outcome is Outcome.MOOT
+    assert exchange.outcome is Outcome.NOT_SENT
 
 
 def test_idle_callers_make_room_but_none_that_has_a_request_unread():
@@ -404,7 +404,7 @@
         waits.append(silent.wait)
         watch.connection_lost(None)
         assert silent.again[0] <= clock() + waits[-1]
-    assert waits == sorted(waits) and waits[0] < waits[-1] <= S and len(notes.of("list_failed")) == 9
+    assert waits == sorted(waits) and waits[0] < waits[-1] <= S and len(notes.of("endpoint_poll_failed")) == 9
 
 
 def test_ended_connections_and_transactions_leave_nothing_for_the_collector():
@@ -421,7 +421,7 @@
             del made
             assert gone() is None
         request = Request(None, 0, b"", b"", b"", b"")
-        request.handle, request.hops = SimpleNamespace(over=True), [SimpleNamespace(request=request)]
+        request.handle, request.hops = SimpleNamespace(is_finished=True), [SimpleNamespace(request=request)]
         request.caller = made = Connection(Descriptors(100))
         made.release()
         policy = request.policy = SimpleNamespace(held=1)
@@ -448,20 +448,24 @@
     policy = SimpleNamespace(
         zones={},
         balancer=SimpleNamespace(
-            listed=lambda now, rows, full: told.append(rows[0]), upstreams=all_of.upstreams, drain_alone=False
+            update_endpoints=lambda now, rows, full: told.append(rows[0]),
+            upstreams=all_of.upstreams,
+            only_draining_binds=False,
         ),
     )
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer)
     policy.router, policy.listed = desk, lambda rows, full: Policy.listed(policy, rows, full)
     desk.admit = lambda upstream: Router.admit(desk, upstream)
-    row = ["s-1", ("127.0.0.1", 1), State.READY, 5, 1.0, 0, "a"]
+    row = ["s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a"]
     Router.listed(desk, [row], True)
     assert Router.exclude(desk, "s-1", True) and not Router.exclude(desk, "s-2", True)
-    assert [u[1] for u in told] == [State.READY, State.EXCLUDED] and not all_of.find("s-1").wanted
+    assert [u[1] for u in told] == [EndpointState.READY, EndpointState.EXCLUDED] and not all_of.find(
+        "s-1"
+    ).wanted
     back = clock()
     assert Router.exclude(desk, "s-1", False) and all_of.find("s-1").wanted
     Router.listed(desk, [row], False)  # the list has not heard of a restart
-    assert [u[1] for u in told[2:]] == [State.READY] * 2 and told[2][2] == told[3][2] >= back
+    assert [u[1] for u in told[2:]] == [EndpointState.READY] * 2 and told[2][2] == told[3][2] >= back
     row[3] = (clock() + S) // 1000
     Router.listed(desk, [row], False)
     assert told[4][2] == row[3] * 1000
@@ -478,7 +482,7 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        budget, book = Descriptors(26), Book(SimpleNamespace(list_failed=quiet), quiet)
+        budget, book = Descriptors(26), Book(SimpleNamespace(endpoint_poll_failed=quiet), quiet)
         asking = Discovery(("127.0.0.1", 9), book, Deadlines(loop), budget, S, lambda: 0.5, quiet)
         asking.open()
         asking.silent()
