--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -134,28 +134,28 @@
 
 def test_a_body_that_comes_counts_as_in_flight_from_its_last_byte_on():
     made, port = balancer()
-    tx = made.take(100 * S, 1, 2, 0, 900 * S, coming=True)
+    request = made.admit(100 * S, 1, 2, 0, 900 * S, body_pending=True)
     upstream = made.upstreams[port.of("send")[0][2]]
     assert made.out == 0 and not upstream.held
     for n in range(30):  # others are heard, this upstream is not: nothing runs there yet
         made.last_heard = 100 * S + n * S
-        made.woken(100 * S + n * S, 0)
-    assert not upstream.aside
-    assert tx.arrived(130 * S, 134 * S) == 4 * S and made.out == 1
-    tx.begun(131 * S, 0)
+        made.timer_fired(100 * S + n * S, 0)
+    assert not upstream.ejected
+    assert request.body_received(130 * S, 134 * S) == 4 * S and made.out == 1
+    request.response_started(131 * S, 0)
     assert made.out == 0 and not upstream.held
-    tx.returned(190 * S, 0, Outcome.COMMITTED, S, True)
-    assert made.out == 0 and tx.over
+    request.attempt_finished(190 * S, 0, Outcome.SUCCEEDED, S, True)
+    assert made.out == 0 and request.is_finished
 
 
 def test_what_has_gone_by_is_not_sent_again_and_never_ran():
-    for passed, end in ((True, "roll_back"), (False, "send")):
+    for passed, end in ((True, "reject"), (False, "send")):
         made, port = balancer()
-        tx = made.take(100 * S, 1, 2, 0, 900 * S, coming=True)
+        request = made.admit(100 * S, 1, 2, 0, 900 * S, body_pending=True)
         if passed:
-            tx.passed_by()
+            request.body_consumed()
         port.clear()
-        tx.returned(101 * S, 0, Outcome.UNREACHABLE, S, False)
+        request.attempt_finished(101 * S, 0, Outcome.UNREACHABLE, S, False)
         assert port[-1][0] == end
 
 
