--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -73,7 +73,8 @@
         decisions, upstreams = program.router.balancer, program.router.table.upstreams
         for index, u in sorted(decisions.upstreams.items()):
             values[upstreams[index].name] = [
-                u.born, u.pace, u.heard, u.answered, u.turn, u.ejected, u.since, u.strikes, u.budget, u.filled,
+                u.born, u.pace, u.heard, u.answered, u.turn, u.ejected, u.since, u.strikes, u.budget,
+                u.filled,
             ]  # fmt: skip
         values["all"] = [
             decisions.ceiling, decisions.crowd, decisions.borne, decisions.stretch, decisions.low,
