--- a/Makefile
+++ b/Makefile
@@ -19,8 +19,9 @@
 	.venv/bin/python -m pytest -q tests --doctest-modules dahliabend
 
 lint: .venv/dev
-	.venv/bin/ruff check dahliabend tests benchmarks
-	.venv/bin/ruff format --check dahliabend tests benchmarks
+	.venv/bin/ruff check .
+	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 run: build
 	exec .venv/bin/python -m dahliabend
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -84,7 +84,9 @@
                     "| instances | datagrams lost | one stops 3 s in 20 | way | instance-hours | false deaths | bytes a second an instance |",
                     "| --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
             for (count, loss, stops, way), each in sorted(done.items()):
-                text.append(f"| {count} | {loss:.0%} | {'yes' if stops else 'no'} | {way} | {each['hours']:.1f} | {each['deaths']} | {each['rate']:.0f} |")
+                text.append(
+                    f"| {count} | {loss:.0%} | {'yes' if stops else 'no'} | {way} | {each['hours']:.1f} | {each['deaths']} | {each['rate']:.0f} |"
+                )
             (out / "members-large.md").write_text("\n".join(text) + "\n")
 
 
@@ -103,7 +105,9 @@
         for way in WAYS:
             rows = [row for row in detected if row["count"] == count and row["way"] == way]
             if rows:
-                first, full = ([row[key] for row in rows if row[key] is not None] for key in ("first", "full"))
+                first, full = (
+                    [row[key] for row in rows if row[key] is not None] for key in ("first", "full")
+                )
                 out.append(
                     f"| {count} | {len(rows)} | {way} | {share(first, 0.5):.1f} / {share(first, 0.99):.1f} | "
                     f"{share(full, 0.5):.1f} / {share(full, 0.99):.1f} | "
@@ -144,9 +148,13 @@
 
     sizes = sorted({row["count"] for row in detected})
     for key, label in (("first", "the first knows"), ("full", "all know")):
-        rows = [[r[key] for r in detected if r["count"] == n and r["way"] == "as it is" and r[key]] for n in sizes]
+        rows = [
+            [r[key] for r in detected if r["count"] == n and r["way"] == "as it is" and r[key]] for n in sizes
+        ]
         plt.plot(sizes, [share(each, 0.5) for each in rows], marker="o", label=f"{label}, p50")
-        plt.plot(sizes, [share(each, 0.99) for each in rows], marker="x", linestyle=":", label=f"{label}, p99")
+        plt.plot(
+            sizes, [share(each, 0.99) for each in rows], marker="x", linestyle=":", label=f"{label}, p99"
+        )
     done("members-detection.svg", "instances", "seconds after the kill")
     rates = [[r["rate"] for r in detected if r["count"] == n and r["way"] == "as it is"] for n in sizes]
     plt.plot(sizes, [sum(each) / len(each) for each in rates], marker="o", label="calm")
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -24,7 +24,9 @@
 
 
 def main() -> None:
-    made, port = balancer(request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1)
+    made, port = balancer(
+        request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1
+    )
     made.ceiling = 1e9  # the crowd is not what is looked at
     chance, now, out = Random(1), 100 * S, deque()
     tracemalloc.start()
@@ -45,7 +47,9 @@
         port.clear()
         if number % 100_000 == 0:
             kept = tracemalloc.get_traced_memory()[0] // 1024
-            print(f"{number:9,} keys: {kept:6,} KiB, {len(made.lines.lines)} lines, {len(made.lines.rests)} rests")
+            print(
+                f"{number:9,} keys: {kept:6,} KiB, {len(made.lines.lines)} lines, {len(made.lines.rests)} rests"
+            )
 
 
 if __name__ == "__main__":
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -30,7 +30,16 @@
         node.deaf_to = set()
 
 
-SCENARIOS = {"calm": plays.calm, "bad": plays.bad, "half": plays.half, "zone": plays.zone, "join": plays.join, "herd": plays.herd, "split": plays.split, "cut": cut}
+SCENARIOS = {
+    "calm": plays.calm,
+    "bad": plays.bad,
+    "half": plays.half,
+    "zone": plays.zone,
+    "join": plays.join,
+    "herd": plays.herd,
+    "split": plays.split,
+    "cut": cut,
+}
 WAYS = {"none": (False, {}, 0), "signals": (True, {}, 0), "signals, probing in 4 s": (True, {}, 4 * S), "1 liar, dead": (True, {1: "dead"}, 0),
         "2 liars, dead": (True, {1: "dead", 2: "dead"}, 0), "2 liars, well and old": (True, {1: "well", 2: "old"}, 0)}  # fmt: skip
 
@@ -39,7 +48,16 @@
     scenario, subsets, way, seed = task
     signals, liars, probing = WAYS[way]
     terms = plays.WAYS["subsets"][0] if subsets else None
-    made = Work(Fleet(seed=seed, instances=MANY, delay=Span(2_000)), POOL, RATE, terms, zones=ZONES, signals=signals, liars=liars, probing=probing)
+    made = Work(
+        Fleet(seed=seed, instances=MANY, delay=Span(2_000)),
+        POOL,
+        RATE,
+        terms,
+        zones=ZONES,
+        signals=signals,
+        liars=liars,
+        probing=probing,
+    )
     made.begin()
     made.run(BEFORE * S)
     made.forget()
@@ -61,16 +79,28 @@
            "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
     for scenario in SCENARIOS:
         for subsets in (False, True):
-            first = {r["seed"]: r for r in rows if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, "none")}
+            first = {
+                r["seed"]: r
+                for r in rows
+                if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, "none")
+            }
             for way in WAYS:
-                some = {r["seed"]: r for r in rows if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, way)}
+                some = {
+                    r["seed"]: r
+                    for r in rows
+                    if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, way)
+                }
                 if not some:
                     continue
                 cells = []
                 for key, digits in (("share", 2), ("p99", 0)):
                     beside = ""
                     if way != "none":
-                        middle, low, high = interval(np.array([some[s][key] - first[s][key] for s in sorted(some.keys() & first.keys())]))
+                        middle, low, high = interval(
+                            np.array(
+                                [some[s][key] - first[s][key] for s in sorted(some.keys() & first.keys())]
+                            )
+                        )
                         beside = f" ({middle:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
                     cells.append(f"{np.mean([r[key] for r in some.values()]):.{digits}f}{beside}")
                 means = [np.mean([r[key] for r in some.values()]) for key in ("probes", "believed", "bytes")]
@@ -89,7 +119,13 @@
     parser.add_argument("--ways", nargs="*", default=list(WAYS))
     given = parser.parse_args()
     given.out.mkdir(parents=True, exist_ok=True)
-    tasks = [(scenario, subsets, way, seed) for seed in range(given.seeds) for scenario in given.scenarios for subsets in (False, True) for way in given.ways]
+    tasks = [
+        (scenario, subsets, way, seed)
+        for seed in range(given.seeds)
+        for scenario in given.scenarios
+        for subsets in (False, True)
+        for way in given.ways
+    ]
     plays.play_all(play, tasks, given.jobs, given.out / "signals", page)
 
 
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -31,7 +31,12 @@
     made.run(AFTER * S)
     made.run(LAST * S)
     worst = made.days.worst
-    return worst(begin - 20 * S, begin), worst(begin, end + AFTER * S // 2), worst(made.now - LAST * S), len(made.using[0])
+    return (
+        worst(begin - 20 * S, begin),
+        worst(begin, end + AFTER * S // 2),
+        worst(made.now - LAST * S),
+        len(made.using[0]),
+    )
 
 
 def step(made, what, whom=(), span=0, wait=0, **more):
@@ -108,7 +113,9 @@
         uneven = [max(row[at][0] for row in rows) for at in range(3)]
         least = [min(row[at][1] for row in rows) for at in range(3)]
         moved = max(row[1][2] / row[3] for row in rows)
-        out.append(f"| {name} | {len(rows)} | {', '.join(f'{u:.2f}' for u in uneven)} | {', '.join(map(str, least))} | {moved:.0f} |")
+        out.append(
+            f"| {name} | {len(rows)} | {', '.join(f'{u:.2f}' for u in uneven)} | {', '.join(map(str, least))} | {moved:.0f} |"
+        )
         print(out[-1], flush=True)
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "subset-days.md").write_text("\n".join(out) + "\n")
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -27,7 +27,11 @@
 BEFORE, AFTER = 20, 25  # seconds
 EACH = 24  # runs between two writings
 DRAWS = 2_000  # of a bootstrap
-WAYS = {"none": (None, False), "subsets": (Terms(balancers=MANY), False), "with demand": (Terms(balancers=MANY), True)}
+WAYS = {
+    "none": (None, False),
+    "subsets": (Terms(balancers=MANY), False),
+    "with demand": (Terms(balancers=MANY), True),
+}
 
 
 def act(made, what, whom=(), span=0, wait=0, **more):
@@ -142,13 +146,32 @@
     made.heavy = 0.0
 
 
-SCENARIOS = {"half": half, "most": most, "flap": flap, "uneven": uneven, "calm": calm, "bad": bad, "herd": herd, "rolling": rolling, "zone": zone, "split": split, "join": join}
+SCENARIOS = {
+    "half": half,
+    "most": most,
+    "flap": flap,
+    "uneven": uneven,
+    "calm": calm,
+    "bad": bad,
+    "herd": herd,
+    "rolling": rolling,
+    "zone": zone,
+    "split": split,
+    "join": join,
+}
 FIGURES = ("share", "p99", "links", "most links", "shakes", "probes", "fallen", "moved")
 
 
 def play(task) -> dict:
     scenario, way, seed = task
-    made = Work(Fleet(seed=seed, instances=MANY, delay=Span(2_000)), POOL, REJECTED.get(scenario, RATE), WAYS[way][0], zones=ZONES, demand=WAYS[way][1])
+    made = Work(
+        Fleet(seed=seed, instances=MANY, delay=Span(2_000)),
+        POOL,
+        REJECTED.get(scenario, RATE),
+        WAYS[way][0],
+        zones=ZONES,
+        demand=WAYS[way][1],
+    )
     made.begin()
     made.run(BEFORE * S)
     made.forget()
@@ -189,7 +212,9 @@
                 if way == base:
                     return ""
                 both = sorted(some.keys() & first.keys())
-                middle, low, high = interval(scale * np.array([some[seed][key] - first[seed][key] for seed in both]))
+                middle, low, high = interval(
+                    scale * np.array([some[seed][key] - first[seed][key] for seed in both])
+                )
                 return f" ({middle:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
 
             out.append(
@@ -198,7 +223,10 @@
                 f"{sum(row['fallen'] for row in some.values())} | {mean('moved'):.0f} |"
             )
     broken = [row for row in rows if row["broken"]]
-    out += ["", f"Rules checked (one answer each, what may not repeat runs once): {len(rows)} runs, {len(broken)} broke one."]
+    out += [
+        "",
+        f"Rules checked (one answer each, what may not repeat runs once): {len(rows)} runs, {len(broken)} broke one.",
+    ]
     return "\n".join(out) + "\n"
 
 
@@ -223,7 +251,12 @@
     parser.add_argument("--ways", nargs="*", default=list(WAYS))
     given = parser.parse_args()
     given.out.mkdir(parents=True, exist_ok=True)
-    tasks = [(scenario, way, seed) for seed in range(given.seeds) for scenario in given.scenarios for way in given.ways]
+    tasks = [
+        (scenario, way, seed)
+        for seed in range(given.seeds)
+        for scenario in given.scenarios
+        for way in given.ways
+    ]
 
     def text(rows: list[dict]) -> str:
         rows.sort(key=lambda row: (row["scenario"], given.ways.index(row["way"]), row["seed"]))
--- a/experiments/subsets.py
+++ b/experiments/subsets.py
@@ -14,12 +14,26 @@
 from dahliabend.subsetting.baselines import WAYS  # noqa: E402
 from dahliabend.subsetting.selection import Party, choose, parts  # noqa: E402
 
-GRID = [(1, 500), (7, 5), (8, 24), (40, 60), (100, 100), (200, 100), (500, 3), (10, 300), (50, 1000), (1000, 1000), (2000, 1000)]
+GRID = [
+    (1, 500),
+    (7, 5),
+    (8, 24),
+    (40, 60),
+    (100, 100),
+    (200, 100),
+    (500, 3),
+    (10, 300),
+    (50, 1000),
+    (1000, 1000),
+    (2000, 1000),
+]
 EVENTS = 3  # of each kind: a balancer goes, comes, an upstream goes, comes
 
 
 def party(of: str, number: int, zones: int, weighted: bool) -> Party:
-    return Party(f"{of}{number}", f"z{number % zones}", 1.0 + number * 7 % 4 if weighted and of == "u" else 1.0)
+    return Party(
+        f"{of}{number}", f"z{number % zones}", 1.0 + number * 7 % 4 if weighted and of == "u" else 1.0
+    )
 
 
 def uneven(loads, upstreams) -> float:
@@ -27,7 +41,9 @@
 
 
 def measure(way, many: int, pool: int, zones: int = 1, weighted: bool = False) -> list[float]:
-    balancers, upstreams = ([party(of, n, zones, weighted) for n in range(count)] for of, count in (("b", many), ("u", pool)))
+    balancers, upstreams = (
+        [party(of, n, zones, weighted) for n in range(count)] for of, count in (("b", many), ("u", pool))
+    )
     balancers.sort(key=lambda p: p.name)
     upstreams.sort(key=lambda p: p.name)
     began = perf_counter()
@@ -51,7 +67,14 @@
                             else made.shares[n] / made.shares[n].sum() for n, name in enumerate(made.balancers)]  # fmt: skip
                     apart.append(uneven(sum(rows) / len(rows), upstreams))
     least = int((made.shares > 0).sum(axis=1).min())
-    return [uneven(made.shares.sum(axis=0), upstreams), least, len(pairs) / len(upstreams), max(moves, default=0), max(apart, default=1), 1e3 * took]
+    return [
+        uneven(made.shares.sum(axis=0), upstreams),
+        least,
+        len(pairs) / len(upstreams),
+        max(moves, default=0),
+        max(apart, default=1),
+        1e3 * took,
+    ]
 
 
 def row(name: str, found: list[float]) -> str:
