--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -34,7 +34,7 @@
     """An upstream's id, address, state, start (Unix ms), weight, cell and zone.
 
     >>> entry({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"})
-    ('s-1', ('10.0.0.1', 80), <State.READY: 1>, 0, 1.0, 0, 'a')
+    ('s-1', ('10.0.0.1', 80), <EndpointState.READY: 1>, 0, 1.0, 0, 'a')
     """
     state, name = _STATES[raw["state"]], raw["id"]
     if not isinstance(name, str) or not name:
