--- /dev/null
+++ b/tests/pins/test_platform_config.py
@@ -0,0 +1,271 @@
+"""The platform's JSON configuration: the value each key leads to, and the fault told for each bad key."""
+
+import copy
+import json
+import tempfile
+from collections.abc import Callable, Iterator, Mapping
+from pathlib import Path
+
+import pytest
+from golden_files import as_json, read_golden, write_golden
+
+from dahliabend import config
+from dahliabend.config import Node
+from dahliabend.model import Profile, Settings
+
+INPUT = "platform_config_input.json"
+VALUES = "platform_config_values.json"
+DEFAULTS = "platform_config_defaults.json"
+FAULTS = "platform_config_faults.json"
+RELOAD_FAULTS = "platform_config_reload_faults.json"
+ENVIRONMENT = "platform_config_environment.json"
+
+KeyPath = tuple[str | int, ...]
+MISSING = "(missing)"
+BAD_VALUES = ("text", -1, 0, 1e13, None, [])
+REQUIRED_ONLY = {
+    "listen": "10.1.0.1:8080",
+    "discovery": "10.1.0.2:8500",
+    "settings": {
+        "balancers": 1,
+        "discovery": "pushed",
+        "profiles": [{"name": "query", "service-goal": 1, "hard-limit": 2, "semantics": "idempotent"}],
+        "caps": {"most-hops": 1},
+        "contract": {"cold-share": 0.5, "cold": 1, "fall-multiple": 3},
+    },
+}
+VARIABLES: dict[str, dict[str, str]] = {
+    "none": {},
+    "PROXY_NAME": {"PROXY_NAME": "other"},
+    "PROXY_LISTEN": {"PROXY_LISTEN": "10.9.0.1:81"},
+    "PROXY_LISTEN bad": {"PROXY_LISTEN": "localhost:81"},
+    "PROXY_DISCOVERY": {"PROXY_DISCOVERY": "10.9.0.2:82"},
+    "PROXY_DISCOVERY bad": {"PROXY_DISCOVERY": "10.9.0.2:99999"},
+    "PROXY_ADMIN": {"PROXY_ADMIN": "10.9.0.3:83"},
+    "PROXY_ADMIN bad": {"PROXY_ADMIN": "10.9.0.3"},
+    "PROXY_FD": {"PROXY_FD": "3"},
+    "PROXY_FD with TMPDIR": {"PROXY_FD": "4", "TMPDIR": "/run/balancers"},
+    "PROXY_FD bad": {"PROXY_FD": "three"},
+}
+
+
+def profile_values(profile: Profile) -> dict[str, object]:
+    """One request class by wire key; times are in microseconds."""
+    return {
+        "semantics": int(profile.effect),
+        "group": int(profile.group),
+        "dedup-window": profile.repeat_window,
+        "service-goal": profile.service_goal,
+        "hard-limit": profile.hard_limit,
+        "revenue": profile.revenue,
+        "tardy-revenue": profile.late_share,
+        "in-order": profile.in_order,
+    }
+
+
+def settings_values(settings: Settings) -> dict[str, object]:
+    """The decisions' settings by wire key; times are in microseconds."""
+    values: dict[str, object] = {
+        "balancers": settings.balancers,
+        "self-index": settings.number,
+        "tier": settings.tier,
+        "locality": settings.zone,
+        "tenants.allowance-per-s": list(settings.allowances),
+        "excess-revenue": settings.excess_share,
+        "goal.whole": settings.whole_weight,
+        "goal.worst-class": settings.class_weight,
+        "fees.cross-zone": settings.cross_zone_fee,
+        "caps.most-hops": settings.most_hops,
+        "caps.may-cancel": settings.may_cancel,
+        "caps.probing": settings.may_probe,
+        "caps.retry-after": settings.advises,
+        "caps.max-retry-after": settings.longest_advice,
+        "discovery is on_request": settings.ask_for_list,
+        "contract.ask-within": settings.ask_within,
+        "contract.cold-share": settings.cold_share,
+        "contract.cold": settings.cold_time,
+        "contract.fall-multiple": settings.cold_multiple,
+        "contract.order-pause": settings.order_pause,
+        "contract.drain-binds-alone": settings.drain_alone,
+    }
+    for number, profile in enumerate(settings.profiles):
+        values |= {f"profiles[{number}].{key}": value for key, value in profile_values(profile).items()}
+    return values
+
+
+def node_values(node: Node) -> dict[str, object]:
+    """All that a balancer on sockets goes by, by wire key; times are in microseconds."""
+    return {
+        "listen": list(node.listen),
+        "discovery": list(node.discovery),
+        "admin": list(node.admin) if node.admin else None,
+        "name": node.name,
+        "seed": node.seed,
+        "limits.sockets": node.sockets,
+        "known": node.known,
+        "log is debug": node.verbose,
+        "inherited descriptor": node.inherited,
+        "shared directory": node.shared,
+        "keys": sorted(node.keys),
+        "settings.profiles.name": {name.decode(): index for name, index in node.profiles.items()},
+        "settings.profiles.hard-limit": list(node.longest),
+        "settings.tenants.name": {name.decode(): index for name, index in node.customers.items()},
+        "settings.localities": node.zones,
+        "settings.contract.answer-slack": node.slack,
+        "settings.caps.dial-timeout": node.dial_time,
+        "settings.caps.dial-timeout of a probe": node.probe_time,
+        "settings.caps.conn-idle": node.rest,
+        "settings.caps.most-held": node.most_held,
+        "settings.report": list(node.report_fields),
+        "settings not acted on": list(node.unmet),
+        **{f"settings.{key}": value for key, value in settings_values(node.settings).items()},
+    }
+
+
+def read_file(
+    tree: object, variables: Mapping[str, str] | None = None, reread: frozenset[str] | None = None
+) -> Node:
+    """The configuration that a file with this content gives; `reread`: the keys of the file in force."""
+    with tempfile.TemporaryDirectory() as directory:
+        path = Path(directory) / "proxy.json"
+        path.write_text(json.dumps(tree))
+        environment = {"PROXY_CONFIG": str(path), **(variables or {})}
+        try:
+            if reread is not None:
+                return config.reread_node(environment, reread)
+            return config.read_node(environment)
+        except ValueError as error:
+            raise ValueError(str(error).replace(str(path), "FILE")) from None
+
+
+def fault_of(call: Callable[[], object]) -> str:
+    """The one line that tells what is wrong, or that nothing is."""
+    try:
+        call()
+    except ValueError as error:
+        return str(error)
+    return "accepted"
+
+
+def paths(tree: object, above: KeyPath = ()) -> Iterator[KeyPath]:
+    """Each key and list item below, the tables first."""
+    items: list[tuple[str | int, object]] = []
+    if isinstance(tree, dict):
+        items = list(tree.items())
+    elif isinstance(tree, list):
+        items = list(enumerate(tree))
+    for key, value in items:
+        yield (*above, key)
+        yield from paths(value, (*above, key))
+
+
+def changed(tree: object, path: KeyPath, value: object) -> object:
+    """A copy with that key set to the value, or left out where the value is MISSING."""
+    copied = copy.deepcopy(tree)
+    place = copied
+    for key in path[:-1]:
+        place = place[key]
+    if value == MISSING:
+        del place[path[-1]]
+    else:
+        place[path[-1]] = value
+    return copied
+
+
+def produce_values() -> str:
+    """What the full file leads to."""
+    return as_json(node_values(read_file(json.loads(read_golden(INPUT)))))
+
+
+def produce_defaults() -> str:
+    """What a file with the required keys alone leads to."""
+    return as_json(node_values(read_file(REQUIRED_ONLY)))
+
+
+def message_in(reader: Callable[[], object]) -> str:
+    """As `fault_of`, in the form that the file and the simulator share."""
+    return fault_of(reader).removeprefix("FILE: ").replace("$.settings.", "$.").replace("settings.", "")
+
+
+def produce_faults() -> str:
+    """The message for each key that is missing or has a bad value; the simulator's too where it differs."""
+    tree = json.loads(read_golden(INPUT))
+    tree["settings"]["profiles"] = tree["settings"]["profiles"][:1]
+    tree["settings"]["tenants"] = tree["settings"]["tenants"][:1]
+    told: dict[str, dict[str, str]] = {}
+    for path in paths(tree):
+        messages = told[".".join(map(str, path))] = {}
+        for value in (MISSING, *BAD_VALUES):
+            shown = value if value == MISSING else json.dumps(value)
+            bad = changed(tree, path, value)
+            messages[shown] = fault_of(lambda bad=bad: read_file(bad))
+            if path[0] != "settings" or len(path) == 1:
+                continue
+            text = json.dumps(bad["settings"]).encode()
+            simulator = message_in(lambda text=text: config.read(text))
+            if simulator != message_in(lambda bad=bad: read_file(bad)):
+                messages[f"{shown} in the simulator"] = simulator
+    return as_json(told)
+
+
+def produce_reload_faults() -> str:
+    """The message for each key that a running balancer's file had and the file read anew has not."""
+    tree = json.loads(read_golden(INPUT))
+    needed = read_file(tree).keys
+    told = {}
+    for path in paths(tree):
+        name = ".".join(map(str, path))
+        if name in needed:
+            left_out = changed(tree, path, MISSING)
+            told[name] = fault_of(lambda left_out=left_out: read_file(left_out, reread=needed))
+    return as_json(told)
+
+
+def produce_environment() -> str:
+    """What each environment variable changes, or the message where it is bad."""
+    tree = json.loads(read_golden(INPUT))
+    usual = node_values(read_file(tree))
+    told: dict[str, object] = {"PROXY_CONFIG missing": fault_of(lambda: config.read_node({}))}
+    told["PROXY_CONFIG names no file"] = fault_of(
+        lambda: config.read_node({"PROXY_CONFIG": "/none/proxy.json"})
+    )
+    for title, variables in VARIABLES.items():
+        try:
+            values = node_values(read_file(tree, variables))
+        except ValueError as error:
+            told[title] = str(error)
+        else:
+            told[title] = {key: value for key, value in values.items() if value != usual[key]}
+    return as_json(told)
+
+
+GOLDEN = {
+    VALUES: produce_values,
+    DEFAULTS: produce_defaults,
+    FAULTS: produce_faults,
+    RELOAD_FAULTS: produce_reload_faults,
+    ENVIRONMENT: produce_environment,
+}
+
+
+@pytest.mark.parametrize("name", GOLDEN)
+def test_the_platform_configuration_is_read_as_before(name: str) -> None:
+    assert json.loads(GOLDEN[name]()) == json.loads(read_golden(name))
+
+
+def test_the_simulator_reads_the_same_settings_as_the_sockets() -> None:
+    tree = json.loads(read_golden(INPUT))
+    from_wire = config.read(json.dumps(tree["settings"]).encode())
+    assert settings_values(from_wire) == settings_values(read_file(tree).settings)
+
+
+def test_messages_of_the_simulator_name_keys_without_the_settings_table() -> None:
+    tree = json.loads(read_golden(INPUT))["settings"]
+    tree["caps"]["most-hops"] = 0
+    with pytest.raises(ValueError, match="^caps.most-hops: 0 is not between 1 and 65536$"):
+        config.read(json.dumps(tree).encode())
+
+
+if __name__ == "__main__":
+    for golden, produce in GOLDEN.items():
+        write_golden(golden, produce())
