--- /dev/null
+++ b/tests/pins/test_admin_calls.py
@@ -0,0 +1,236 @@
+"""The operators' admin calls: bytes of each answer, and the keys and types of the larger JSON answers.
+
+The program is built as it is at its start, but opens no socket; calls come through its admin connections.
+"""
+
+import asyncio
+import json
+import tempfile
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+from golden_files import as_json, read_golden, write_golden
+from http_harness import FakeTransport, feed_now, row_of, server
+from msgspec.structs import replace
+
+from dahliabend import config
+from dahliabend.members.wire import Rumour, Standing
+from dahliabend.model import Outcome
+from dahliabend.net.program.figures import Figures
+from dahliabend.net.program.serve import Program
+from dahliabend.net.program.service import Service
+from dahliabend.net.transport.deadlines import clock
+from dahliabend.signals.board import Report, Row
+
+ANSWERS = "admin_answers.json"
+COUNTS = "admin_counts.json"
+SHAPES = "admin_shapes.json"
+
+SETTINGS = {
+    "balancers": 1, "discovery": "pushed", "localities": ["north"],
+    "profiles": [
+        {"name": "query", "service-goal": 1000, "hard-limit": 3000, "semantics": "idempotent"},
+        {"name": "submit", "service-goal": 1000, "hard-limit": 3000, "semantics": "at_most_once"},
+    ],
+    "caps": {"most-hops": 3},
+    "contract": {"cold-share": 0.5, "cold": 1000, "fall-multiple": 3},
+}  # fmt: skip
+OPERATOR_FILE = """
+[members]
+name = "b1"
+address = "127.0.0.1:7946"
+key-files = ["key"]
+signals = true
+probing = "4s"
+[listeners.callers]
+address = "127.0.0.1:8080"
+[pools.plain]
+members = [{ id = "u-0", address = "127.0.0.1:9" }, { id = "u-1", address = "127.0.0.1:10" }]
+[pools.narrow]
+members = [{ id = "n-0", address = "127.0.0.1:11" }, { id = "n-1", address = "127.0.0.1:12" }]
+[pools.narrow.subset]
+least = 2
+[classes.query]
+effect = "idempotent"
+service-goal = "1s"
+hard-limit = "2s"
+[[routes]]
+name = "all"
+class = "query"
+pool = "plain"
+shared = true
+rate = "100/s"
+[[routes]]
+name = "some"
+path = "/some"
+class = "query"
+pool = "narrow"
+"""
+WITHOUT_MEMBERS = OPERATOR_FILE[OPERATOR_FILE.index("[listeners") :].replace("shared = true\n", "")
+
+GET, PUT = "GET", "PUT"
+ALL_CALLS = (
+    (GET, "/api/ready"), (GET, "/api/telemetry"), (GET, "/api/members"), (GET, "/api/subsets"),
+    (GET, "/api/signals"), (GET, "/api/turns"), (PUT, "/api/evacuate"), (PUT, "/api/rejoin"),
+    (PUT, "/api/exclude"), (PUT, "/api/include"),
+)  # fmt: skip
+TARGET = '{"target":"s-1"}'
+CALLS: tuple[tuple[str, str, str], ...] = (
+    *((method, path, "") for method, path in ALL_CALLS),
+    *((PUT if method == GET else GET, path, "") for method, path in ALL_CALLS),
+    (GET, "/api/ready?a=b", ""), (GET, "/api/other", ""), (GET, "/", ""),
+    (PUT, "/api/exclude", TARGET), (GET, "/api/telemetry", ""), (PUT, "/api/exclude", TARGET),
+    (PUT, "/api/include", TARGET), (GET, "/api/telemetry", ""), (PUT, "/api/include", TARGET),
+    (PUT, "/api/exclude", '{"target":"s-9"}'), (PUT, "/api/include", '{"target":"s-9"}'),
+    (PUT, "/api/exclude", "[1]"), (PUT, "/api/exclude", '{"target":'), (PUT, "/api/exclude", "{}"),
+    (PUT, "/api/exclude", '{"target":7}'), (PUT, "/api/exclude", '{"target":""}'),
+    (PUT, "/api/evacuate", "x" * 9000),
+)  # fmt: skip
+
+
+class QuietLog:
+    """Takes the program's log lines and keeps none."""
+
+    verbose = False
+
+    def __call__(self, event: str, **fields: object) -> None: ...
+    def debug(self, event: str, **fields: object) -> None: ...
+
+
+def answer_to(program: Program, text: str) -> str:
+    """All that an admin connection writes once this has come in."""
+    operator = program.accept_operator()
+    transport = FakeTransport(operator)
+    feed_now(operator, text.encode())
+    written = transport.take()
+    operator.connection_lost(None)
+    return written
+
+
+def call(program: Program, method: str, path: str, body: str = "") -> str:
+    """An operator's call, whole."""
+    return answer_to(program, f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}")
+
+
+def shape(value: object) -> object:
+    """Keys as they are, and the type in place of each value; of a list the first item."""
+    if isinstance(value, dict):
+        return {key: shape(item) for key, item in value.items()}
+    if isinstance(value, list):
+        return [shape(item) for item in value[:1]]
+    return type(value).__name__
+
+
+def platform_program(directory: Path) -> Program:
+    """The program as the platform's configuration has it, with two upstreams listed."""
+    path = directory / "proxy.json"
+    tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": SETTINGS}
+    path.write_text(json.dumps(tree))
+    program = Program(config.read_node({"PROXY_CONFIG": str(path)}), {}, QuietLog())
+    program.router.listed([row_of(server(number)) for number in range(2)], full=True)
+    return program
+
+
+def operator_program(directory: Path, text: str) -> Service:
+    """The program as an operator's file has it."""
+    (directory / "key").write_text("k" * 32 + "\n")
+    path = directory / "file.toml"
+    path.write_text(text)
+    return Service(str(path), {"DAHLIABEND_SEED": "7"}, QuietLog())
+
+
+def hear_others(program: Service) -> None:
+    """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
+    fleet, now = program.fleet, clock()
+    for name in ("b2", "b3", "b4", "b5"):
+        alive = Rumour(name, 1, 1, Standing.ALIVE, f"127.0.0.1:{name[1:]}", cannot=("b9",))
+        fleet.machine.put(now, alive, "")
+        if name == "b5":
+            fleet.machine.put(now, replace(alive, standing=Standing.LEFT), "")
+        else:
+            fleet.gossip.board.merge(now, Report(name, 1, 1, 0, 0, [Row("plain", "u-0", 200, 200)]))
+    for _ in range(20):
+        fleet.saw("plain", "u-0", Outcome.ERROR)
+    fleet.probing.beat([("b1", ""), ("b2", "")], True, program.signalled())
+    fleet.signal()
+
+
+def in_a_loop(act: Callable[[Path], dict]) -> dict:
+    """What `act` returns, called within an event loop and given an empty directory."""
+
+    async def run() -> dict:
+        with tempfile.TemporaryDirectory() as directory:
+            return act(Path(directory))
+
+    return asyncio.run(run())
+
+
+def answers(directory: Path) -> dict:
+    """Each call's answer, byte for byte, in one order of calls."""
+    program = platform_program(directory)
+    found = [
+        [f"{method} {path}", body[:40], call(program, method, path, body)] for method, path, body in CALLS
+    ]
+    found.append(["not HTTP", "", answer_to(program, "hello\r\n\r\n")])
+    expecting = "PUT /api/exclude HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}"
+    found.append(["Expect: 100-continue", "{}", answer_to(program, expecting)])
+    # Ready once it listens and has asked for the list.
+    program.discovery.tried = True
+    program.listener.sock = program
+    found.append(["GET /api/ready", "ready", call(program, "GET", "/api/ready")])
+    program.evacuate()
+    found.append(["GET /api/ready", "evacuated", call(program, "GET", "/api/ready")])
+    return {"answers": found}
+
+
+def counts(directory: Path) -> dict:
+    """The counts after answers of each status, and what telemetry tells of them."""
+    program = platform_program(directory)
+    figures = program.figures
+    for status in (200, 200, 400, 404, 405, 408, 409, 413, 429, 431, 500, 502, 503, 504):
+        figures.answered(b"query", status)
+    for _ in range(3):
+        figures.relayed(b"query")
+    figures.relayed(b"submit")
+    figures.answered(b"gone", 503)
+    figures.open, figures.accepted, figures.invalid = 4, 5, 6
+    return {
+        "new": Figures().shown(),
+        "counted": json.loads(
+            call(program, "GET", "/api/telemetry").partition("\r\n\r\n")[2].partition("<")[0]
+        ),
+    }
+
+
+def shapes(directory: Path) -> dict:
+    """Status and JSON of each call that reads, where an operator's file is in force."""
+    found = {}
+    for title, text in (("members", OPERATOR_FILE), ("no members", WITHOUT_MEMBERS)):
+        program = operator_program(directory, text)
+        if program.fleet is not None:
+            hear_others(program)
+        for method, path in ALL_CALLS:
+            if method == "GET":
+                head, _, body = call(program, method, path).partition("\r\n\r\n")
+                told = json.loads(body.partition("<end")[0])
+                found[f"{title}: {path}"] = [head.partition("\r\n")[0], shape(told)]
+    return found
+
+
+GOLDEN = {ANSWERS: answers, COUNTS: counts, SHAPES: shapes}
+
+
+@pytest.mark.parametrize("name", GOLDEN)
+def test_admin_calls_are_answered_as_before(name: str) -> None:
+    assert json.loads(as_json(in_a_loop(GOLDEN[name]))) == json.loads(read_golden(name))
+
+
+def test_every_call_that_the_program_knows_is_in_the_golden_file() -> None:
+    known = in_a_loop(lambda directory: platform_program(directory).operations.calls)
+    assert {(method.decode(), path.decode()) for path, (method, _) in known.items()} == set(ALL_CALLS)
+
+
+if __name__ == "__main__":
+    for golden, produce in GOLDEN.items():
+        write_golden(golden, as_json(in_a_loop(produce)))
