--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -9,18 +9,18 @@
 from contextlib import contextmanager
 from types import SimpleNamespace
 
-from dahliabend import config
-from dahliabend.config import Node
-from dahliabend.model import State
-from dahliabend.net.program.figures import Figures
-from dahliabend.net.protocol.callers import Caller
-from dahliabend.net.protocol.upstreams import Link
-from dahliabend.net.routing.router import Router
-from dahliabend.net.routing.upstreams import UpstreamTable
-from dahliabend.net.transport import machine
-from dahliabend.net.transport.connection import Connection
-from dahliabend.net.transport.deadlines import Deadlines
-from dahliabend.net.transport.descriptors import Descriptors
+from dahliabend.config import platform as config
+from dahliabend.config.platform import Node
+from dahliabend.http.client_connection import Caller
+from dahliabend.http.upstream_connection import Link
+from dahliabend.model import EndpointState
+from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.router import Router
+from dahliabend.server.metrics import Figures
+from dahliabend.transport import host_info as machine
+from dahliabend.transport.connection import Connection
+from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.timers import Deadlines
 
 START = 50_000_000_000_000  # nanoseconds
 
@@ -180,7 +180,7 @@
 def row_of(entry: Mapping) -> tuple:
     """The server as the list's reader is told of it; it has run for long."""
     host, _, port = entry["addr"].partition(":")
-    return entry["id"], (host, int(port)), State.READY, 0, 1.0, entry["cell"], entry["zone"]
+    return entry["id"], (host, int(port)), EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"]
 
 
 def node_of(settings: Mapping, path: str) -> Node:
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -14,14 +14,14 @@
 from http_harness import FakeTransport, feed_now, row_of, server
 from msgspec.structs import replace
 
-from dahliabend import config
-from dahliabend.members.wire import Rumour, Standing
+from dahliabend.config import platform as config
+from dahliabend.health_gossip.board import Report, Row
+from dahliabend.membership.codec import Rumour, Standing
 from dahliabend.model import Outcome
-from dahliabend.net.program.figures import Figures
-from dahliabend.net.program.serve import Program
-from dahliabend.net.program.service import Service
-from dahliabend.net.transport.deadlines import clock
-from dahliabend.signals.board import Report, Row
+from dahliabend.server.metrics import Figures
+from dahliabend.server.serve import Program
+from dahliabend.server.service import Service
+from dahliabend.transport.timers import clock
 
 ANSWERS = "admin_answers.json"
 COUNTS = "admin_counts.json"
@@ -151,7 +151,7 @@
         else:
             fleet.gossip.board.merge(now, Report(name, 1, 1, 0, 0, [Row("plain", "u-0", 200, 200)]))
     for _ in range(20):
-        fleet.saw("plain", "u-0", Outcome.ERROR)
+        fleet.saw("plain", "u-0", Outcome.FAILED)
     fleet.probing.beat([("b1", ""), ("b2", "")], True, program.signalled())
     fleet.signal()
 
--- a/tests/pins/test_http_bytes.py
+++ b/tests/pins/test_http_bytes.py
@@ -301,7 +301,7 @@
 
 
 def test_outcomes_have_the_numbers_of_the_golden_file() -> None:
-    assert (Outcome.COMMITTED, Outcome.ERROR, Outcome.FULL, Outcome.UNREACHABLE, Outcome.RESET) == (
+    assert (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.RESET) == (
         1, 2, 3, 5, 6,
     )  # fmt: skip
 
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -9,9 +9,9 @@
 import pytest
 from golden_files import as_json, read_golden, write_golden
 
-from dahliabend import config
-from dahliabend.config import Node
-from dahliabend.model import Profile, Settings
+from dahliabend.config import platform as config
+from dahliabend.config.platform import Node
+from dahliabend.model import RequestClass, Settings
 
 INPUT = "platform_config_input.json"
 VALUES = "platform_config_values.json"
@@ -49,46 +49,46 @@
 }
 
 
-def profile_values(profile: Profile) -> dict[str, object]:
+def profile_values(profile: RequestClass) -> dict[str, object]:
     """One request class by wire key; times are in microseconds."""
     return {
         "semantics": int(profile.effect),
-        "group": int(profile.group),
-        "dedup-window": profile.repeat_window,
-        "service-goal": profile.service_goal,
-        "hard-limit": profile.hard_limit,
-        "revenue": profile.revenue,
-        "tardy-revenue": profile.late_share,
-        "in-order": profile.in_order,
+        "group": int(profile.deduplication_scope),
+        "dedup-window": profile.deduplication_window,
+        "service-goal": profile.latency_objective,
+        "hard-limit": profile.deadline,
+        "revenue": profile.priority_weight,
+        "tardy-revenue": profile.late_weight,
+        "in-order": profile.is_ordered,
     }
 
 
 def settings_values(settings: Settings) -> dict[str, object]:
     """The decisions' settings by wire key; times are in microseconds."""
     values: dict[str, object] = {
-        "balancers": settings.balancers,
-        "self-index": settings.number,
+        "balancers": settings.instance_count,
+        "self-index": settings.instance_index,
         "tier": settings.tier,
         "locality": settings.zone,
-        "tenants.allowance-per-s": list(settings.allowances),
-        "excess-revenue": settings.excess_share,
-        "goal.whole": settings.whole_weight,
-        "goal.worst-class": settings.class_weight,
-        "fees.cross-zone": settings.cross_zone_fee,
-        "caps.most-hops": settings.most_hops,
-        "caps.may-cancel": settings.may_cancel,
-        "caps.probing": settings.may_probe,
-        "caps.retry-after": settings.advises,
-        "caps.max-retry-after": settings.longest_advice,
-        "discovery is on_request": settings.ask_for_list,
-        "contract.ask-within": settings.ask_within,
-        "contract.cold-share": settings.cold_share,
-        "contract.cold": settings.cold_time,
-        "contract.fall-multiple": settings.cold_multiple,
-        "contract.order-pause": settings.order_pause,
-        "contract.drain-binds-alone": settings.drain_alone,
+        "tenants.allowance-per-s": list(settings.tenant_quotas),
+        "excess-revenue": settings.over_quota_weight,
+        "goal.whole": settings.overall_weight,
+        "goal.worst-class": settings.worst_class_weight,
+        "fees.cross-zone": settings.cross_zone_cost,
+        "caps.most-hops": settings.max_attempts,
+        "caps.may-cancel": settings.can_cancel,
+        "caps.probing": settings.can_health_check,
+        "caps.retry-after": settings.sends_retry_after,
+        "caps.max-retry-after": settings.max_retry_after,
+        "discovery is on_request": settings.polls_endpoints,
+        "contract.ask-within": settings.poll_deadline,
+        "contract.cold-share": settings.initial_capacity,
+        "contract.cold": settings.warmup_time,
+        "contract.fall-multiple": settings.warmup_multiple,
+        "contract.order-pause": settings.key_rest,
+        "contract.drain-binds-alone": settings.only_draining_binds,
     }
-    for number, profile in enumerate(settings.profiles):
+    for number, profile in enumerate(settings.request_classes):
         values |= {f"profiles[{number}].{key}": value for key, value in profile_values(profile).items()}
     return values
 
--- a/tests/pins/test_simulator_wire.py
+++ b/tests/pins/test_simulator_wire.py
@@ -14,8 +14,8 @@
 import pytest
 from golden_files import read_golden, write_golden
 
-from dahliabend.benchlink import wire
-from dahliabend.benchlink.host import Host
+from dahliabend.simulator_adapter import codec as wire
+from dahliabend.simulator_adapter.host import Host
 
 TRANSCRIPT = "simulator_transcript.txt"
 
