--- a/dahliabend/membership/encryption.py
+++ b/dahliabend/membership/authentication.py
@@ -6,32 +6,33 @@
 
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
-from dahliabend.membership.codec import MOST, SEAL
+from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, TAG_BYTES
 
-LEAST = 32  # bytes of a key
-ABOUT = b"dahliabend members 1\0"  # a key used elsewhere too seals nothing that is valid here
+MIN_KEY_BYTES = 32  # bytes of a key
+DOMAIN_SEPARATOR = b"dahliabend members 1\0"  # a key used elsewhere too seals nothing that is valid here
 
 
-class Seal:
+class DatagramAuthenticator:
     """
-    >>> old, new = Seal([b"o" * 32]), Seal([b"n" * 32, b"o" * 32])
-    >>> new.open(old.close(b"hello")), old.open(new.close(b"hello")), new.open(b"hello" * 9)
+    >>> old = DatagramAuthenticator([b"o" * 32])
+    >>> new = DatagramAuthenticator([b"n" * 32, b"o" * 32])
+    >>> new.verify(old.sign(b"hello")), old.verify(new.sign(b"hello")), new.verify(b"hello" * 9)
     (b'hello', None, None)
     """
 
     def __init__(self, keys: list[bytes]) -> None:
         self.made = [hmac.HMAC(key, hashes.SHA256()) for key in keys]
         for each in self.made:
-            each.update(ABOUT)
+            each.update(DOMAIN_SEPARATOR)
 
-    def close(self, data: bytes) -> bytes:
+    def sign(self, data: bytes) -> bytes:
         return data + self.tag(self.made[0], data)
 
-    def open(self, data: bytes) -> bytes | None:
+    def verify(self, data: bytes) -> bytes | None:
         """None for what no key has sealed; its cost is bounded by its size, which is looked at first."""
-        if not SEAL < len(data) <= MOST:
+        if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return None
-        payload, tag = data[:-SEAL], data[-SEAL:]
+        payload, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
         for each in self.made:
             if constant_time.bytes_eq(self.tag(each, payload), tag):
                 return payload
@@ -41,12 +42,12 @@
     def tag(made: hmac.HMAC, data: bytes) -> bytes:
         copy = made.copy()
         copy.update(data)
-        return copy.finalize()[:SEAL]
+        return copy.finalize()[:TAG_BYTES]
 
 
-def key(raw: bytes) -> bytes:
+def parse_key(raw: bytes) -> bytes:
     """A key as its file has it, without space around it. ValueError for one that is too short."""
     made = raw.strip()
-    if len(made) < LEAST:
-        raise ValueError(f"{len(made)} bytes; a key has {LEAST} at least")
+    if len(made) < MIN_KEY_BYTES:
+        raise ValueError(f"{len(made)} bytes; a key has {MIN_KEY_BYTES} at least")
     return made
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -5,27 +5,36 @@
 from collections.abc import Callable
 
 from dahliabend.config.platform import address
-from dahliabend.membership.codec import MOST
-from dahliabend.membership.encryption import Seal
-from dahliabend.membership.failure_detector import Event, Machine
+from dahliabend.membership.authentication import DatagramAuthenticator
+from dahliabend.membership.codec import MAX_DATAGRAM_BYTES
+from dahliabend.membership.failure_detector import Event, MembershipProtocol
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.timers import Deadlines, clock
 
-MOST_PLACES = 20_000  # addresses remembered as read
+MAX_CACHED_ADDRESSES = 20_000  # addresses remembered as read
 
 
-class Shell(asyncio.DatagramProtocol):
+class UdpTransport(asyncio.DatagramProtocol):
     """Owns the socket and the timer from `open` until `close`."""
 
     def __init__(
-        self, machine: Machine, seal: Seal, deadlines: Deadlines, heard: Callable[[Event], None]
+        self,
+        machine: MembershipProtocol,
+        authenticator: DatagramAuthenticator,
+        deadlines: Deadlines,
+        on_event: Callable[[Event], None],
     ) -> None:
-        self.machine, self.seal, self.deadlines, self.heard = machine, seal, deadlines, heard
+        self.machine, self.authenticator, self.deadlines, self.on_event = (
+            machine,
+            authenticator,
+            deadlines,
+            on_event,
+        )
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: list | None = None
-        self.listens: Callable[[list[bytes]], None] | None = None  # what stands on membership
-        self.places: dict[str, tuple[str, int] | None] = {}
-        self.sent = self.sent_bytes = self.come = self.come_bytes = 0
+        self.on_user_messages: Callable[[list[bytes]], None] | None = None  # what stands on membership
+        self.parsed_addresses: dict[str, tuple[str, int] | None] = {}
+        self.sent = self.sent_bytes = self.received = self.received_bytes = 0
 
     async def open(self, place: tuple[str, int], seeds: list[str]) -> None:
         """OSError where the address can't be had."""
@@ -38,65 +47,65 @@
             sock.close()
             raise
         self.machine.start(clock(), seeds)
-        self.move()
+        self.flush()
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        self.come += 1
-        self.come_bytes += len(data)
-        opened = self.seal.open(data)
+        self.received += 1
+        self.received_bytes += len(data)
+        opened = self.authenticator.verify(data)
         if opened is None:
-            self.machine.refused["oversized" if len(data) > MOST else "foreign"] += 1
+            self.machine.dropped_datagrams["oversized" if len(data) > MAX_DATAGRAM_BYTES else "foreign"] += 1
             return
-        self.machine.received(clock(), opened, f"{source[0]}:{source[1]}")
-        self.move()
+        self.machine.receive_datagram(clock(), opened, f"{source[0]}:{source[1]}")
+        self.flush()
 
     def error_received(self, error: OSError) -> None:
         """The system says that nobody is there: its silence tells the machine."""
 
-    def wake(self) -> None:
+    def timer_fired(self) -> None:
         self.timer = None
-        self.machine.wake(clock())
-        self.move()
+        self.machine.timer_fired(clock())
+        self.flush()
 
     def leave(self) -> None:
         self.machine.leave(clock())
-        self.move()
+        self.flush()
 
-    def move(self) -> None:
+    def flush(self) -> None:
         """Carries what the machine has left."""
         machine = self.machine
-        out, machine.out = machine.out, []
+        out = machine.take_outgoing()
         for text, data in out:
-            place = self.place(text)
+            place = self.parse_address(text)
             if place is not None and self.transport is not None:
-                sealed = self.seal.close(data)
+                sealed = self.authenticator.sign(data)
                 self.sent += 1
                 self.sent_bytes += len(sealed)
                 with contextlib.suppress(OSError):  # its buffer is full, or no way there: as lost on the way
                     self.transport.sendto(sealed, place)
-        events, machine.events = machine.events, []
+        events = machine.take_events()
         for event in events:
-            self.heard(event)
-        said, machine.said = machine.said, []
-        if said and self.listens is not None:
-            self.listens(said)
-        if self.timer is None or self.timer[0] != machine.due:
+            self.on_event(event)
+        said = machine.take_user_messages()
+        if said and self.on_user_messages is not None:
+            self.on_user_messages(said)
+        if self.timer is None or self.timer[0] != machine.timer_due:
             self.deadlines.drop(self.timer)
-            self.timer = self.deadlines.at(machine.due, self.wake)
+            self.timer = self.deadlines.at(machine.timer_due, self.timer_fired)
 
-    def place(self, text: str) -> tuple[str, int] | None:
+    def parse_address(self, text: str) -> tuple[str, int] | None:
         """None for what is no address: a peer may say anything, and names are not looked up."""
-        if text not in self.places:
-            if len(self.places) >= MOST_PLACES:
-                self.places.clear()
+        if text not in self.parsed_addresses:
+            if len(self.parsed_addresses) >= MAX_CACHED_ADDRESSES:
+                self.parsed_addresses.clear()
             try:
-                self.places[text] = address(text)
+                self.parsed_addresses[text] = address(text)
             except ValueError:
-                self.places[text] = None
-        return self.places[text]
+                self.parsed_addresses[text] = None
+        return self.parsed_addresses[text]
 
     def close(self) -> None:
         self.deadlines.drop(self.timer)
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -14,9 +14,9 @@
 from random import Random
 
 from dahliabend.leases.parts import OVER
-from dahliabend.membership.codec import Ping, encode
-from dahliabend.membership.encryption import Seal
-from dahliabend.membership.failure_detector import Terms
+from dahliabend.membership.authentication import DatagramAuthenticator
+from dahliabend.membership.codec import Ping, encode_packet
+from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.process_tests.fault_proxy import Relay
 from dahliabend.process_tests.load import CLASSES, Traffic
 from dahliabend.process_tests.processes import Instance, free_ports
@@ -46,7 +46,7 @@
         upstreams: int = 4,
         told: Callable[[str], None] | None = None,
     ) -> None:
-        super().__init__(fleet, Terms(period=fleet.period))
+        super().__init__(fleet, SwimConfig(period=fleet.period))
         self.told, self.chance = told or (lambda _: None), Random(f"rig {fleet.seed}")
         self.relay = Relay(Random(f"relay {fleet.seed}"))
         self.instances: list[Instance] = []
@@ -321,13 +321,13 @@
 
     def strangers(self) -> None:
         """What no member has said, has said before, or says in another version; sealed by another key."""
-        chance, other = self.chance, Seal([b"x" * 32])
-        valid, _ = encode("b0", 1, 1, Ping(1, "b1"), [])
-        newer = Seal([self.key.encode()]).close(valid[:1] + b"\x07" + valid[2:])
+        chance, other = self.chance, DatagramAuthenticator([b"x" * 32])
+        valid, _ = encode_packet("b0", 1, 1, Ping(1, "b1"), [])
+        newer = DatagramAuthenticator([self.key.encode()]).sign(valid[:1] + b"\x07" + valid[2:])
         for number in range(self.fleet.instances):
             for _ in range(20):
                 self.relay.throw(number, chance.randbytes(chance.choice((1, 40, 1_400, 9_000))))
-            for data in (other.close(valid), newer, *self.recent[:20]):
+            for data in (other.sign(valid), newer, *self.recent[:20]):
                 self.relay.throw(number, data)
 
     async def run(self, span: int) -> None:
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -13,11 +13,11 @@
 from dahliabend.config.platform import address
 from dahliabend.discovery.watch import Book, Discovery
 from dahliabend.health_gossip.gossip import BEAT, MS, Gossip
-from dahliabend.membership.codec import Rumour, Standing
-from dahliabend.membership.encryption import Seal, key
-from dahliabend.membership.failure_detector import Event, Machine, Terms
-from dahliabend.membership.udp_transport import Shell
-from dahliabend.membership.view import View
+from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
+from dahliabend.membership.codec import MemberStatus, Update
+from dahliabend.membership.failure_detector import Event, MembershipProtocol, SwimConfig
+from dahliabend.membership.udp_transport import UdpTransport
+from dahliabend.membership.view import MembershipView
 from dahliabend.model import EndpointState
 from dahliabend.server.lists import ListFile
 from dahliabend.subsetting.demand import UNTOLD, Demand
@@ -40,7 +40,7 @@
     life: int
     incarnation: int
     serial: int
-    members: list[Rumour]
+    members: list[Update]
 
 
 class Seeds:
@@ -73,13 +73,17 @@
         self.place = settings.advertise or settings.address
         self.name = settings.name or self.place
         self.chance = Random(f"members {self.name} {seed}")
-        terms = Terms(period=settings.period, forget=settings.forget, cut=float(settings.cut))
+        terms = SwimConfig(
+            period=settings.period, dead_retention=settings.forget, partition_ratio=float(settings.cut)
+        )
         life = computer.wall() // 1000
         self.kept = self.read_kept()
         if self.kept is not None:  # a clock that was set back must not make it older than it was
             life = max(life, self.kept.life + 1)
         weight = UNTOLD if settings.demand else settings.weight
-        self.machine = Machine(self.name, life, self.place, terms, self.chance, settings.zone, weight)
+        self.machine = MembershipProtocol(
+            self.name, life, self.place, terms, self.chance, settings.zone, weight
+        )
         self.gossip = Gossip(self.name, computer.wall(), self.chance) if settings.signals else None
         self.pools: Callable[[], list[tuple]] = list  # names, and the routers whose decisions are told
         self.believed: list[dict] = []  # the last that were told them
@@ -91,8 +95,8 @@
             self.probing = Probing(self.name, settings.probing, log)
             shared = self.probing.shared
             self.gossip.turns, self.gossip.heard = shared.duties.tell, shared.heard
-        self.shell = Shell(self.machine, self.seal_of(settings), deadlines, self.heard)
-        self.shell.listens = self.listen if self.gossip is not None else None
+        self.shell = UdpTransport(self.machine, self.seal_of(settings), deadlines, self.heard)
+        self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
         self.demand = Demand() if settings.demand else None
         self.told = Seeds(self.follow)
@@ -100,18 +104,20 @@
         self.keeping: list | None = None
         self.opened = self.went = False
 
-    def seal_of(self, settings: Members) -> Seal:
+    def seal_of(self, settings: Members) -> DatagramAuthenticator:
         read = computer.read_file
-        return Seal([key(read(os.path.join(self.folder, name))) for name in settings.key_files])
+        return DatagramAuthenticator(
+            [parse_key(read(os.path.join(self.folder, name))) for name in settings.key_files]
+        )
 
     async def open(self) -> None:
         """OSError where the address can't be had."""
         if self.kept is not None and self.kept.handed:
-            self.machine.resume(clock(), msgspec.structs.asdict(self.kept))
+            self.machine.restore(clock(), msgspec.structs.asdict(self.kept))
         await self.shell.open(address(self.settings.address), self.seeds())
         self.log(
             "members.open", name=self.name, address=self.settings.address, advertise=self.place,
-            life=self.machine.life, resumed=bool(self.kept and self.kept.handed),
+            life=self.machine.generation, resumed=bool(self.kept and self.kept.handed),
         )  # fmt: skip
         self.opened = True
         self.watch_lists()
@@ -157,18 +163,18 @@
         if self.probing is not None:
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             shared = [(pool, router) for pool, router in self.pools() if router.shares is not None]
-            heard = now >= self.machine.asking and self.machine.outcast != "dead"
+            heard = now >= self.machine.unsettled_until and self.machine.exclusion != "dead"
             self.probing.beat(rows, bool(rows) and heard, shared)
         if self.shares is not None:
             here = {m.name for m in settled.members} if settled else set()
             machine = self.machine
-            left = {n for n in machine.gone if machine.members[n].rumour.standing is Standing.LEFT}
-            self.shares.beat(here, left, view.cut)
+            left = {n for n in machine.departed if machine.members[n].update.status is MemberStatus.LEFT}
+            self.shares.beat(here, left, view.possibly_partitioned)
         gossip.beat(now, sorted(members))
         out, gossip.out = gossip.out, []
         for name, data in out:
-            self.machine.say(name, data)
-        self.shell.move()
+            self.machine.send_user_message(name, data)
+        self.shell.flush()
 
     def signals(self) -> dict | None:
         """What this one tells, what others told it, and what was believed of it. Times: milliseconds ago."""
@@ -198,11 +204,11 @@
     # Seeds.
 
     def seeds(self) -> list[str]:
-        kept = [rumour.address for rumour in self.kept.members] if self.kept is not None else []
+        kept = [update.address for update in self.kept.members] if self.kept is not None else []
         return list(dict.fromkeys([*self.settings.seeds, *self.told.places.values(), *kept]))
 
     def follow(self) -> None:
-        self.machine.follow(self.seeds())
+        self.machine.set_seeds(self.seeds())
 
     def watch_lists(self) -> None:
         for each in self.lists:
@@ -247,7 +253,7 @@
         if self.settings.keep is None:
             return
         made = Kept(
-            self.name, self.place, handed, computer.wall() // 1000, **self.machine.hand()
+            self.name, self.place, handed, computer.wall() // 1000, **self.machine.snapshot()
         )  # fmt: skip
         path = os.path.join(self.folder, self.settings.keep)
         try:
@@ -267,10 +273,12 @@
             seeds_file=settings.seeds_file, seeds_discovery=settings.seeds_discovery,
             key_files=settings.key_files,
         )  # fmt: skip
-        self.shell.seal = self.seal_of(settings)  # the files may hold other keys under the same names
-        weight = settings.weight if self.demand is None else self.machine.me.weight
-        if settings.zone != before.zone or weight != self.machine.me.weight:
-            self.machine.change(clock(), zone=settings.zone, weight=weight)
+        self.shell.authenticator = self.seal_of(
+            settings
+        )  # the files may hold other keys under the same names
+        weight = settings.weight if self.demand is None else self.machine.self_update.weight
+        if settings.zone != before.zone or weight != self.machine.self_update.weight:
+            self.machine.update_self(clock(), zone=settings.zone, weight=weight)
         lists = settings.seeds_file, settings.seeds_discovery
         if lists != (before.seeds_file, before.seeds_discovery):
             self.told.places = {}
@@ -281,11 +289,17 @@
         """So many transactions came in all, until now."""
         weight = self.demand.counted(clock(), count)
         if weight is not None:
-            self.machine.change(clock(), weight=weight)
+            self.machine.update_self(clock(), weight=weight)
             self.log("demand", weight=weight)
 
     def heard(self, event: Event) -> None:
-        self.log("member", change=event.what, member=event.name, by=event.by, incarnation=event.incarnation)
+        self.log(
+            "member",
+            change=event.kind,
+            member=event.name,
+            by=event.reported_by,
+            incarnation=event.incarnation,
+        )
 
     def go(self, hand: bool = False) -> None:
         """It leaves, and the others know at once; or, handing over, it falls silent for its successor."""
@@ -307,42 +321,45 @@
 
     # What is seen.
 
-    def view(self) -> View:
+    def view(self) -> MembershipView:
         return self.machine.view(clock())
 
-    def settled(self) -> View | None:
-        return self.machine.settled(clock())
+    def settled(self) -> MembershipView | None:
+        return self.machine.last_stable_view(clock())
 
     def figures(self) -> dict:
         view, shell = self.view(), self.shell
         return {
-            "version": view.version, "mark": view.mark, "members": len(view.members),
+            "version": view.version, "mark": view.checksum, "members": len(view.members),
             "suspected": sum(member.state == "suspected" for member in view.members),
-            "stable": view.stable, "cut": view.cut, "outcast": view.outcast, "age_ms": view.age // 1000,
-            "confidence": round(view.confidence, 3), "doubt": self.machine.score, "sent": shell.sent,
-            "sent_bytes": shell.sent_bytes, "come": shell.come, "come_bytes": shell.come_bytes,
-            "dropped": dict(self.machine.refused),
+            "stable": view.stable, "cut": view.possibly_partitioned, "outcast": view.exclusion,
+            "age_ms": view.time_since_contact // 1000,
+            "confidence": round(view.confidence, 3), "doubt": self.machine.health_score, "sent": shell.sent,
+            "sent_bytes": shell.sent_bytes, "come": shell.received, "come_bytes": shell.received_bytes,
+            "dropped": dict(self.machine.dropped_datagrams),
         }  # fmt: skip
 
     def shown(self) -> dict:
         """All that this instance knows, for the operators' door. Times are milliseconds ago."""
         now, latest, settled = clock(), self.view(), self.settled()
         rows = [
-            {"name": m.name, "address": m.address, "zone": m.zone, "weight": m.weight, "life": m.life,
-             "incarnation": m.incarnation, "state": m.state, "by": m.by, "cannot_reach": m.cannot,
+            {"name": m.name, "address": m.address, "zone": m.zone, "weight": m.weight, "life": m.generation,
+             "incarnation": m.incarnation, "state": m.state, "by": m.reported_by,
+             "cannot_reach": m.unreachable_peers,
              "since_ms": (now - m.since) // 1000 if m.since else None}
             for m in latest.members
         ]  # fmt: skip
         gone = [
-            {"name": name, "address": member.rumour.address, "zone": member.rumour.zone,
-             "state": member.rumour.standing.name.lower(), "by": member.rumour.by,
-             "incarnation": member.rumour.incarnation, "since_ms": (now - member.since) // 1000}
-            for name in self.machine.gone
+            {"name": name, "address": member.update.address, "zone": member.update.zone,
+             "state": member.update.status.name.lower(), "by": member.update.reported_by,
+             "incarnation": member.update.incarnation, "since_ms": (now - member.since) // 1000}
+            for name in self.machine.departed
             for member in (self.machine.members[name],)
         ]  # fmt: skip
         return {
             "name": self.name, **self.figures(), "here": rows, "gone": gone,
             "settled": None if settled is None else
-            {"version": settled.version, "mark": settled.mark, "members": [m.name for m in settled.members],
+            {"version": settled.version, "mark": settled.checksum,
+             "members": [m.name for m in settled.members],
              "age_ms": (now - settled.at) // 1000},
         }  # fmt: skip
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import log10
 
-from dahliabend.membership.failure_detector import Terms
+from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster.ground_truth import Truth
 
 MOST = 40  # violations kept
@@ -39,18 +39,18 @@
 class Bounds:
     """What the terms allow, in microseconds, in a fleet of that size."""
 
-    def __init__(self, terms: Terms, count: int, waiting: int = 0) -> None:
+    def __init__(self, terms: SwimConfig, count: int, waiting: int = 0) -> None:
         scale = max(1.0, log10(count + 1))
-        self.least = round(terms.least * scale * terms.period)
-        self.longest = round(self.least * terms.longest)
+        self.least = round(terms.suspicion_multiplier * scale * terms.period)
+        self.longest = round(self.least * terms.max_suspicion_factor)
         # One that doubts itself waits longer for each probe of those that are not there. Whom it asks next is
         # chance, within two rounds.
-        probing = (2 * count + (1 + terms.health) * (1 + waiting)) * terms.period
+        probing = (2 * count + (1 + terms.max_health_score) * (1 + waiting)) * terms.period
         self.detect = probing + self.longest + 2 * terms.period
-        self.agree = self.detect + 3 * terms.whole * terms.period
+        self.agree = self.detect + 3 * terms.sync_interval * terms.period
 
 
-def judge(truth: Truth, claims: list[Claim], terms: Terms, end: int, outcome: Outcome) -> None:
+def judge(truth: Truth, claims: list[Claim], terms: SwimConfig, end: int, outcome: Outcome) -> None:
     count = truth.count
     bounds = Bounds(terms, count)
     outcome.counts.update(claim.change for claim in claims)
@@ -91,7 +91,9 @@
     return [(moment[0], stop) for moment, stop in zip(truth.moments, ends, strict=True) if who in moment[1]]
 
 
-def detections(truth: Truth, claims: list[Claim], terms: Terms, end: int, outcome: Outcome, absences) -> None:
+def detections(
+    truth: Truth, claims: list[Claim], terms: SwimConfig, end: int, outcome: Outcome, absences
+) -> None:
     """Whoever is away for the whole bound is out of every view by then, of those that ran all the time."""
     believed: dict[tuple[int, int], list[tuple[int, bool]]] = {}
     for claim in claims:
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
-from dahliabend.membership import codec as wire
-from dahliabend.membership.codec import pack
-from dahliabend.membership.failure_detector import Machine, Member, Terms
+from dahliabend.membership import codec
+from dahliabend.membership.codec import encode_update
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.simulation.cluster.ground_truth import Truth
 from dahliabend.simulation.cluster.invariants import Bounds, Claim, Outcome, judge
 from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
@@ -16,7 +16,7 @@
 class Player:
     """The schedule, what was so and what was claimed; what acts is below it, a model or real processes."""
 
-    def __init__(self, fleet: Fleet, terms: Terms) -> None:
+    def __init__(self, fleet: Fleet, terms: SwimConfig) -> None:
         self.fleet, self.terms = fleet, terms
         self.truth, self.claims, self.outcome = Truth(fleet.instances), [], Outcome()
         self.ways: list[Step] = []  # in force
@@ -42,14 +42,14 @@
 
 
 class Model(Player):
-    def __init__(self, fleet: Fleet, terms: Terms | None = None, warm: bool = False) -> None:
-        super().__init__(fleet, terms or Terms(period=fleet.period))
+    def __init__(self, fleet: Fleet, terms: SwimConfig | None = None, warm: bool = False) -> None:
+        super().__init__(fleet, terms or SwimConfig(period=fleet.period))
         self.town = Town(0, fleet.seed, terms=self.terms, begin=False)
         self.town.delay = (max(1, fleet.delay // 2), max(2, fleet.delay * 3 // 2)) if fleet.delay else SOON
         self.town.heard = self.heard
         self.usual = self.town.delay
         self.lives = [0] * fleet.instances
-        self.gone: dict[int, Machine] = {}
+        self.gone: dict[int, MembershipProtocol] = {}
         self.undo: list[tuple[int, Step]] = []
         self.warm = warm
 
@@ -57,13 +57,13 @@
     def now(self) -> int:
         return self.town.now
 
-    def heard(self, name: str, machine: Machine) -> None:
+    def heard(self, name: str, machine: MembershipProtocol) -> None:
         who = int(name[1:])
-        events, machine.events = machine.events, []
+        events = machine.take_events()
         for event in events:
             about = int(event.name[1:]) if event.name[1:].isdigit() else -1
-            self.claims.append(Claim(self.now, who, event.what, about, event.by))
-            self.line(self.now, f"{name}: {event.name} {event.what}, by {event.by}")
+            self.claims.append(Claim(self.now, who, event.kind, about, event.reported_by))
+            self.line(self.now, f"{name}: {event.name} {event.kind}, by {event.reported_by}")
 
     def play(self) -> Outcome:
         fleet = self.fleet
@@ -82,18 +82,10 @@
     def know_all(self) -> None:
         """As after a long time: everybody knows everybody, and nothing is news."""
         machines = list(self.town.machines.values())
-        packed = {machine.name: pack(machine.me) for machine in machines}
+        updates = [machine.self_update for machine in machines]
+        encoded = {update.name: encode_update(update) for update in updates}
         for machine in machines:
-            machine.members = {
-                other.name: Member(other.me, packed[other.name], self.now)
-                for other in machines
-                if other is not machine
-            }
-            machine.present = list(machine.members)
-            machine.places = {name: place for place, name in enumerate(machine.present)}
-            machine.fresh.clear()
-            machine.queue, machine.asking = [], 0
-            machine.version += 1
+            machine.assume_members(self.now, updates, encoded)
         self.town.mail.clear()
 
     def start(self, number: int, state: dict | None = None) -> None:
@@ -102,7 +94,7 @@
         seeds = [f"b{seed}" for seed in self.fleet.seeds]
         self.town.begin(f"b{number}", self.lives[number], seeds, state, f"z{number % self.fleet.zones}")
 
-    def end(self, number: int) -> Machine | None:
+    def end(self, number: int) -> MembershipProtocol | None:
         self.truth.end(self.now, number)
         return self.town.end(f"b{number}")
 
@@ -143,7 +135,7 @@
             elif step.what == "hand":
                 machine = self.end(number)
                 self.lives[number] -= 1
-                self.start(number, machine.hand())
+                self.start(number, machine.snapshot())
         if step.span and step.what not in ("calm", "mend"):
             self.undo.append((self.now + step.span, step))
             self.undo.sort(key=lambda entry: entry[0])
@@ -157,7 +149,7 @@
             if step.what in ("stop", "block") and self.town.away.get(name, 0) > self.now:
                 self.town.away[name] = self.now
                 machine = self.town.machines[name]
-                machine.wake(self.now)
+                machine.timer_fired(self.now)
                 self.town.carry(name)
                 self.truth.go_on(self.now, number)
             elif step.what in ("kill", "leave") and name not in self.town.machines:
@@ -179,9 +171,9 @@
         for name, machine in list(self.town.machines.items()):
             for _ in range(20):
                 junk = chance.randbytes(chance.choice((0, 1, 40, 1_400, 9_000)))
-                machine.received(self.now, junk, "b0")
-            data, _ = wire.encode("b0", 1, 1, wire.Ping(1, name), [])
-            machine.received(self.now, data, "b0")
+                machine.receive_datagram(self.now, junk, "b0")
+            data, _ = codec.encode_packet("b0", 1, 1, codec.Ping(1, name), [])
+            machine.receive_datagram(self.now, data, "b0")
             self.town.carry(name)
 
     def run(self, span: int) -> None:
@@ -216,11 +208,11 @@
         views = [self.town.machines[name].view(self.now) for name in awake]
         wanted = set(self.town.machines)
         return all(view.stable and view.names() == wanted for view in views) and (
-            len({view.mark for view in views}) <= 1
+            len({view.checksum for view in views}) <= 1
         )
 
 
-def play(fleet: Fleet, terms: Terms | None = None, warm: bool = False) -> Outcome:
+def play(fleet: Fleet, terms: SwimConfig | None = None, warm: bool = False) -> Outcome:
     return Model(fleet, terms, warm).play()
 
 
--- a/dahliabend/simulation/cluster/search.py
+++ b/dahliabend/simulation/cluster/search.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from dahliabend.membership.codec import Standing
-from dahliabend.membership.failure_detector import Machine, Terms
+from dahliabend.membership.codec import MemberStatus
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 
 Letter = tuple[str, str, bytes]  # source, target, datagram
 
@@ -33,40 +33,21 @@
         return sorted(items)[:count]
 
 
-def clone(machine: Machine) -> Machine:
+def clone(machine: MembershipProtocol) -> MembershipProtocol:
     """One that can go another way from here."""
-    made = copy(machine)
-    for name, value in vars(machine).items():
-        if isinstance(value, dict | list | set):
-            setattr(made, name, value.copy())
-    made.serials, made.probe = copy(machine.serials), copy(machine.probe)
-    made.serials.seen = machine.serials.seen.copy()
-    for name, member in machine.members.items():
-        made.members[name] = kept = copy(member)
-        kept.accusers = member.accusers.copy()
-    return made
-
-
-def essence(machine: Machine) -> tuple:
+    return machine.duplicate()
+
+
+def essence(machine: MembershipProtocol) -> tuple:
     """What its future depends on: not its events, nor how often something was refused."""
-    members = tuple(
-        (name, m.rumour, m.until, m.rung, tuple(sorted(m.accusers)), m.helped)
-        for name, m in machine.members.items()
-    )
-    probe = machine.probe
-    asked = (probe.name, probe.number, probe.ends, probe.asks, probe.owed) if probe else None
-    return (
-        machine.me, machine.life, machine.serial, machine.score, machine.asking, machine.beat, machine.beats,
-        machine.due, asked, machine.number, tuple(machine.relayed.items()), tuple(machine.queue), members,
-        tuple(machine.fresh.items()), tuple(machine.told.items()), machine.outcast,
-    )  # fmt: skip
+    return machine.state_key()
 
 
 @dataclass(slots=True)
 class State:
     """Machines are shared with other states: one that acts is cloned first."""
 
-    machines: dict[str, Machine]
+    machines: dict[str, MembershipProtocol]
     essences: dict[str, int]
     mail: tuple[Letter, ...]  # sorted
     now: int
@@ -81,14 +62,14 @@
         made.machines, made.essences = self.machines.copy(), self.essences.copy()
         return made
 
-    def act(self, name: str) -> Machine:
+    def act(self, name: str) -> MembershipProtocol:
         made = self.machines[name] = clone(self.machines[name])
         return made
 
     def carry(self, name: str) -> None:
         """Takes what a machine has left on its way."""
         machine = self.machines[name]
-        out, machine.out = machine.out, []
+        out = machine.take_outgoing()
         sent = [(name, target, data) for target, data in out if target in self.machines]
         self.mail = tuple(sorted((*self.mail, *sent)))
         self.essences[name] = hash(essence(machine))
@@ -110,7 +91,12 @@
 
 
 def begin(
-    terms: Terms, count: int = 3, losses: int = 1, pauses: int = 1, make=Machine, suspected: bool = False
+    terms: SwimConfig,
+    count: int = 3,
+    losses: int = 1,
+    pauses: int = 1,
+    make=MembershipProtocol,
+    suspected: bool = False,
 ) -> State:
     """A fleet that knows itself, just before its first beats, which come one after the other; or just after
     the first has come to suspect the second."""
@@ -118,17 +104,12 @@
     now = 1_000_000_000
     state = State(machines, {}, (), now, losses, pauses, terms.period * 5 // 4)
     for number, machine in enumerate(machines.values()):
-        machine.start(now, [])
-        for other in machines.values():
-            if other is not machine:
-                machine.put(now, other.me, "")
-        machine.fresh.clear()
-        machine.events.clear()
-        machine.beat = machine.due = now + 1 + number * terms.period // count
+        updates = [other.self_update for other in machines.values()]
+        machine.start_with_members(now, updates, first_period_at=now + 1 + number * terms.period // count)
         state.carry(machine.name)
     if suspected:
-        machines["b0"].accuse(now, "b1")
-        machines["b0"].wake(now + 1)
+        machines["b0"].suspect_member(now, "b1")
+        machines["b0"].timer_fired(now + 1)
         state.carry("b0")
     return state
 
@@ -142,7 +123,7 @@
         if target != state.stopped:
             after = state.copy()
             after.mail = left
-            after.act(target).received(after.now, data, source)
+            after.act(target).receive_datagram(after.now, data, source)
             after.carry(target)
             yield f"{source} -> {target} comes", after
         if state.losses:
@@ -162,9 +143,9 @@
 
 
 def next_waking(state: State) -> tuple[str, int]:
-    due = {name: m.due for name, m in state.machines.items() if name != state.stopped}
+    due = {name: m.timer_due for name, m in state.machines.items() if name != state.stopped}
     if state.stopped:
-        due[state.stopped] = max(state.until, state.machines[state.stopped].due)
+        due[state.stopped] = max(state.until, state.machines[state.stopped].timer_due)
     name = min(due, key=lambda name: (due[name], name))
     return name, due[name]
 
@@ -174,7 +155,7 @@
     state.now = max(state.now, at)
     if name == state.stopped:
         state.stopped = ""
-    state.act(name).wake(state.now)
+    state.act(name).timer_fired(state.now)
     state.carry(name)
 
 
@@ -225,24 +206,32 @@
         was = before.machines[name]
         if machine is was:
             continue
-        if machine.me.incarnation < was.me.incarnation and machine.life == was.life:
+        if (
+            machine.self_update.incarnation < was.self_update.incarnation
+            and machine.generation == was.generation
+        ):
             return f"{name}: its own incarnation went back"
         for about, member in machine.members.items():
-            old, new = was.members.get(about), member.rumour
+            old, new = was.members.get(about), member.update
             if old is None:
                 continue
-            if (new.life, new.incarnation) < (old.rumour.life, old.rumour.incarnation):
+            if (new.generation, new.incarnation) < (old.update.generation, old.update.incarnation):
                 return f"{name}: {about}'s incarnation went back"
-            if new.standing is Standing.DEAD and old.rumour.standing is not Standing.DEAD:
-                if before.stopped == name and after.now - was.due > machine.terms.late * machine.terms.period:
+            if new.status is MemberStatus.DEAD and old.update.status is not MemberStatus.DEAD:
+                if (
+                    before.stopped == name
+                    and after.now - was.timer_due > machine.config.late_timer_ratio * machine.config.period
+                ):
                     return f"{name} buried {about} as it woke"
-                if old.rumour.standing is not Standing.SUSPECT:
+                if old.update.status is not MemberStatus.SUSPECT:
                     return f"{name} buried {about}, which it had not suspected"
-                if new.incarnation != old.rumour.incarnation:
+                if new.incarnation != old.update.incarnation:
                     return f"{name} buried {about} by a suspicion that was refuted"
-                if after.now - old.until < round(machine.terms.least * machine.terms.period):
-                    return f"{name} buried {about} {after.now - old.until} us after it was suspected"
-                if after.now < machine.asking:
+                if after.now - old.suspected_at < round(
+                    machine.config.suspicion_multiplier * machine.config.period
+                ):
+                    return f"{name} buried {about} {after.now - old.suspected_at} us after it was suspected"
+                if after.now < machine.unsettled_until:
                     return f"{name} buried {about} before it had asked"
     return ""
 
@@ -255,11 +244,11 @@
         if state.mail:
             (source, target, data), state.mail = state.mail[0], state.mail[1:]
             if target != state.stopped:
-                state.act(target).received(state.now, data, source)
+                state.act(target).receive_datagram(state.now, data, source)
                 state.carry(target)
             continue
         wake(state, *next_waking(state))
         views = [machine.view(state.now) for machine in state.machines.values()]
         if not state.mail and all(view.stable and len(view.members) == len(views) for view in views):
-            return "" if len({view.mark for view in views}) == 1 else "views differ at rest"
+            return "" if len({view.checksum for view in views}) == 1 else "views differ at rest"
     return "no rest was reached"
--- a/dahliabend/simulation/cluster/subsets.py
+++ b/dahliabend/simulation/cluster/subsets.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from dahliabend.membership.failure_detector import Terms
+from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.subsetting.controller import Keeper
@@ -40,7 +40,9 @@
 class Subsets(Model):
     """As the model, and every second all keepers step."""
 
-    def __init__(self, fleet: Fleet, upstreams: int, subset: SubsetTerms, terms: Terms | None = None) -> None:
+    def __init__(
+        self, fleet: Fleet, upstreams: int, subset: SubsetTerms, terms: SwimConfig | None = None
+    ) -> None:
         super().__init__(fleet, terms)
         self.subset, self.days = subset, Days()
         self.pool = [Party(f"u{n}") for n in range(upstreams)]
@@ -69,7 +71,7 @@
         for name in self.awake():
             number, machine = int(name[1:]), self.town.machines[name]
             keeper = self.keepers[number]
-            settled = machine.settled(self.now)
+            settled = machine.last_stable_view(self.now)
             if settled is not None:
                 keeper.follows(self.now, settled, machine.view(self.now))
             keeper.lists(self.now, self.pool)
--- a/dahliabend/simulation/cluster/town.py
+++ b/dahliabend/simulation/cluster/town.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.membership.failure_detector import Machine, Terms
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 
 S = 1_000_000
 SOON = (200, 20_000)  # microseconds of a datagram's way, where nothing else is said
@@ -14,44 +14,51 @@
     """Names are addresses too, but for one that is begun elsewhere."""
 
     def __init__(
-        self, count: int, seed: int = 1, loss: float = 0.0, terms: Terms | None = None, begin: bool = True
+        self,
+        count: int,
+        seed: int = 1,
+        loss: float = 0.0,
+        terms: SwimConfig | None = None,
+        begin: bool = True,
     ) -> None:
         self.chance, self.now, self.loss, self.number = Random(seed), S, loss, 0
-        self.seed, self.terms = seed, terms or Terms(whole=10)
+        self.seed, self.terms = seed, terms or SwimConfig(sync_interval=10)
         self.delay, self.twice = SOON, 0.0
         self.mail: list[tuple] = []
         self.cut: set[tuple[str, str]] = set()
         self.away: dict[str, int] = {}  # until when each is stopped
-        self.machines: dict[str, Machine] = {}
-        self.rung: list[tuple[int, str, Machine]] = []  # when each wants to be woken
+        self.machines: dict[str, MembershipProtocol] = {}
+        self.rung: list[tuple[int, str, MembershipProtocol]] = []  # when each wants to be woken
         self.armed: dict[str, int] = {}
         self.bytes = self.datagrams = 0
-        self.heard: Callable[[str, Machine], None] | None = None  # told after each move
+        self.heard: Callable[[str, MembershipProtocol], None] | None = None  # told after each move
         for n in range(count if begin else 0):
             self.begin(f"b{n}", life=1, seeds=["b0", "b1"])
 
-    def begin(self, name: str, life: int, seeds: list[str], state: dict | None = None, zone="") -> Machine:
+    def begin(
+        self, name: str, life: int, seeds: list[str], state: dict | None = None, zone=""
+    ) -> MembershipProtocol:
         chance = Random(f"{self.seed} {name} {life}" if self.seed != 1 else f"{name} {life}")
-        made = self.machines[name] = Machine(name, life, name, self.terms, chance, zone)
+        made = self.machines[name] = MembershipProtocol(name, life, name, self.terms, chance, zone)
         if state is not None:
-            made.resume(self.now, state)
+            made.restore(self.now, state)
         made.start(self.now, seeds)
         self.carry(name)
         return made
 
-    def end(self, name: str) -> Machine | None:
+    def end(self, name: str) -> MembershipProtocol | None:
         self.away.pop(name, None)
         self.armed.pop(name, None)
         return self.machines.pop(name, None)
 
     def carry(self, name: str) -> None:
         machine = self.machines[name]
-        if self.armed.get(name) != machine.due:
-            self.armed[name] = machine.due
-            heappush(self.rung, (machine.due, name, machine))
+        if self.armed.get(name) != machine.timer_due:
+            self.armed[name] = machine.timer_due
+            heappush(self.rung, (machine.timer_due, name, machine))
         if self.heard is not None and machine.events:
             self.heard(name, machine)
-        out, machine.out = machine.out, []
+        out = machine.take_outgoing()
         for address, data in out:
             self.datagrams += 1
             self.bytes += len(data)
@@ -82,7 +89,7 @@
                 if self.away.get(target, 0) > self.now:  # it reads once it goes on, after its timers
                     heappush(mail, (self.away[target] + 1, number, source, target, data))
                     continue
-                self.machines[target].received(self.now, data, source)
+                self.machines[target].receive_datagram(self.now, data, source)
                 self.carry(target)
                 continue
             due, name, machine = heappop(rung)
@@ -93,7 +100,7 @@
                 heappush(rung, (self.away[name], name, machine))
                 continue
             self.armed.pop(name)
-            machine.wake(self.now)
+            machine.timer_fired(self.now)
             self.carry(name)
 
     def pause(self, name: str, span: int) -> None:
@@ -108,4 +115,4 @@
 
     def died(self) -> set[str]:
         """Who was thought dead, by anybody."""
-        return {event.name for m in self.machines.values() for event in m.events if event.what == "died"}
+        return {event.name for m in self.machines.values() for event in m.events if event.kind == "died"}
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -15,8 +15,7 @@
 from dahliabend.health_gossip.board import Report, Row
 from dahliabend.health_gossip.gossip import BEAT, Gossip
 from dahliabend.leases.shared import Shared
-from dahliabend.membership.failure_detector import Machine
-from dahliabend.membership.failure_detector import Terms as MemberTerms
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.simulation.cluster.model import Model
@@ -261,7 +260,7 @@
         work.at(work.now + LOOK, self.look)
         weight = self.demand and self.demand.counted(work.now, self.taken)
         if weight and machine is not None:
-            machine.change(work.now, weight=weight)
+            machine.update_self(work.now, weight=weight)
         if self.move():
             self.tell_rows()
 
@@ -280,10 +279,10 @@
 
         gossip.tell(work.now, POOL, set(indices), members, told)
         if self.shared is not None:
-            settled = machine.settled(work.now)
+            settled = machine.last_stable_view(work.now)
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             duties = {name: "" for name, row in self.rows.items() if row[1] is EndpointState.READY}
-            self.shared.beat(work.now, rows, bool(rows) and work.now >= machine.asking, duties)
+            self.shared.beat(work.now, rows, bool(rows) and work.now >= machine.unsettled_until, duties)
         gossip.beat(work.now, sorted(members))
         out, gossip.out = gossip.out, []
         for name, data in out:
@@ -295,7 +294,7 @@
     def move(self) -> bool:
         work, keeper = self.work, self.keeper
         machine = work.machine(self.number)
-        if machine is not None and (settled := machine.settled(work.now)) is not None:
+        if machine is not None and (settled := machine.last_stable_view(work.now)) is not None:
             keeper.follows(work.now, settled, machine.view(work.now))
         if self.weights:
             keeper.held_back(answering(self.balancer, work.now))
@@ -349,7 +348,7 @@
         rate: float = 330.0,
         subset: Terms | None = None,
         kind: Kind | None = None,
-        members: MemberTerms | None = None,
+        members: SwimConfig | None = None,
         zones: int = 1,
         demand: bool = False,
         signals: bool = False,
@@ -402,7 +401,7 @@
             ):  # else nobody listens to the members: they stand still
                 self.town.run(max(0, until - self.town.now))
 
-    def machine(self, number: int) -> Machine | None:
+    def machine(self, number: int) -> MembershipProtocol | None:
         return self.town.machines.get(f"b{number}")
 
     # Balancers.
@@ -450,7 +449,7 @@
     def start(self, number: int, state: dict | None = None) -> None:
         super().start(number, state)
         if self.demand:
-            self.town.machines[f"b{number}"].change(self.clock, weight=UNTOLD)
+            self.town.machines[f"b{number}"].update_self(self.clock, weight=UNTOLD)
         copy = self.copies[number] = Copy(self, number, self.lives[number])
         copy.listed({name: self.row(node) for name, node in self.places.items()})
         copy.look()
@@ -458,7 +457,7 @@
             self.at(self.clock + self.luck.randrange(BEAT), copy.gossips)
         self.front.append(number)
 
-    def end(self, number: int) -> Machine | None:
+    def end(self, number: int) -> MembershipProtocol | None:
         copy = self.copies.pop(number)
         copy.alive = False
         self.counts["lost"] += sum(
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -102,7 +102,11 @@
     def follows(self, now: int, settled, latest) -> None:
         """By membership: its settled view, and the latest, which tells whether that is to be doubted."""
         parties = [Party(m.name, m.zone, m.weight) for m in settled.members if m.state != "unreached"]
-        self.sees(now, parties, sure=not (settled.cut or latest.cut or latest.outcast))
+        self.sees(
+            now,
+            parties,
+            sure=not (settled.possibly_partitioned or latest.possibly_partitioned or latest.exclusion),
+        )
 
     def lists(self, now: int, upstreams: Sequence[Party]) -> None:
         """All that can be used, as the list has them."""
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -16,15 +16,15 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.membership.failure_detector import Terms  # noqa: E402
+from dahliabend.membership.failure_detector import SwimConfig  # noqa: E402
 from dahliabend.simulation.cluster.model import Model  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S  # noqa: E402
 from dahliabend.simulation.cluster.town import Town  # noqa: E402
 
 WAYS = {
     "as it is": {},
-    "no health awareness": {"health": 0},
-    "nobody else asked": {"others": 0},
+    "no health awareness": {"max_health_score": 0},
+    "nobody else asked": {"indirect_probes": 0},
 }
 SIZES = {5: 100, 50: 100, 500: 100, 2000: 20}  # instances: seeds
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
@@ -35,7 +35,7 @@
 
 def detect(task) -> dict:
     way, count, seed = task
-    model = Model(Fleet(seed=seed, instances=count), Terms(**WAYS[way]), warm=True)
+    model = Model(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), warm=True)
     for number in range(count):
         model.start(number)
     model.know_all()
@@ -58,12 +58,12 @@
 
 def falsely(task) -> dict:
     way, count, seed, loss, stops, seconds = task
-    town = Town(count, seed, loss, Terms(whole=10, **WAYS[way]))
+    town = Town(count, seed, loss, SwimConfig(sync_interval=10, **WAYS[way]))
     for _ in range(seconds // 20):
         if stops:
             town.pause("b2", 3 * S)
         town.run(20 * S)
-    deaths = sum(e.what == "died" for m in town.machines.values() for e in m.events)
+    deaths = sum(e.kind == "died" for m in town.machines.values() for e in m.events)
     return {"way": way, "count": count, "seed": seed, "loss": loss, "stops": stops, "deaths": deaths,
             "hours": count * seconds / 3600, "rate": town.bytes / (town.now / S) / count}  # fmt: skip
 
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -9,10 +9,10 @@
 
 from dahliabend.config.operator_file.types import Members
 from dahliabend.config.operator_file.units import Span
-from dahliabend.membership import codec as wire
-from dahliabend.membership.encryption import Seal, key
-from dahliabend.membership.failure_detector import Machine, Terms
-from dahliabend.membership.udp_transport import Shell
+from dahliabend.membership import codec
+from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.process_tests.processes import free_ports
 from dahliabend.routing_rules.plan import passed_over, plan
 from dahliabend.server.clustering import Fleet
@@ -22,7 +22,7 @@
 from dahliabend.transport.timers import Deadlines
 
 OLD, NEW = b"o" * 32, b"n" * 32
-TERMS = Terms(period=100_000)
+TERMS = SwimConfig(period=100_000)
 
 
 async def until(check):
@@ -36,8 +36,10 @@
 
 async def shell(port, seeds, keys=(OLD,)):
     place = f"127.0.0.1:{port}"
-    machine = Machine(f"b{port}", 1, place, TERMS, Random(port))
-    made = Shell(machine, Seal(list(keys)), Deadlines(asyncio.get_running_loop()), lambda event: None)
+    machine = MembershipProtocol(f"b{port}", 1, place, TERMS, Random(port))
+    made = UdpTransport(
+        machine, DatagramAuthenticator(list(keys)), Deadlines(asyncio.get_running_loop()), lambda event: None
+    )
     await made.open(("127.0.0.1", port), seeds)
     return made
 
@@ -54,10 +56,10 @@
         await until(lambda: len(names(one)) == len(names(other)) == 2)
         for keys in ([OLD, NEW], [NEW, OLD], [NEW]):
             for each in (one, other):
-                each.seal = Seal(keys)
-                come = [each.come for each in (one, other)]
-                await until(lambda come=come: one.come > come[0] + 2 and other.come > come[1] + 2)
-        assert not one.machine.refused["foreign"] and len(names(one)) == len(names(other)) == 2
+                each.authenticator = DatagramAuthenticator(keys)
+                come = [each.received for each in (one, other)]
+                await until(lambda come=come: one.received > come[0] + 2 and other.received > come[1] + 2)
+        assert not one.machine.dropped_datagrams["foreign"] and len(names(one)) == len(names(other)) == 2
         one.close()
         other.close()
         assert not one.deadlines.heap or all(entry[2] is None for entry in one.deadlines.heap)
@@ -69,17 +71,17 @@
     async def play():
         (port,) = free_ports(1)
         made = await shell(port, [])
-        ping, _ = wire.encode("x", 1, 1, wire.Ping(1, made.machine.name), [])
-        own, other = Seal([OLD]), Seal([NEW])
+        ping, _ = codec.encode_packet("x", 1, 1, codec.Ping(1, made.machine.name), [])
+        own, other = DatagramAuthenticator([OLD]), DatagramAuthenticator([NEW])
         source = ("127.0.0.1", 9)
-        for data in (b"", b"junk", other.close(ping), ping, own.close(ping) + b"x"):
+        for data in (b"", b"junk", other.sign(ping), ping, own.sign(ping) + b"x"):
             made.datagram_received(data, source)
         made.datagram_received(b"x" * 1_401, source)
-        made.datagram_received(own.close(ping[:1] + b"\x05" + ping[2:]), source)
-        made.datagram_received(own.close(b"\x00"), source)
+        made.datagram_received(own.sign(ping[:1] + b"\x05" + ping[2:]), source)
+        made.datagram_received(own.sign(b"\x00"), source)
         for _ in range(3):
-            made.datagram_received(own.close(ping), source)
-        counted = made.machine.refused
+            made.datagram_received(own.sign(ping), source)
+        counted = made.machine.dropped_datagrams
         assert counted == {"foreign": 5, "oversized": 1, "newer": 1, "unreadable": 1, "replayed": 2}
         made.close()
 
@@ -156,7 +158,7 @@
     (fault,) = plan(str(tmp_path / "file.toml")).faults
     assert "members.key-files[0]: key can't be read: No such file" in str(fault)
     with pytest.raises(ValueError, match="31 bytes"):
-        key(b"k" * 31)
+        parse_key(b"k" * 31)
 
 
 def test_a_reload_takes_over_seeds_weight_and_keys_and_passes_over_the_rest():
@@ -179,8 +181,8 @@
 
 def test_a_successor_goes_on_from_what_was_kept_if_it_is_soon_and_else_only_asks_those_known(tmp_path):
     before, _ = fleet(tmp_path)
-    known = before.machine.me.__class__("b2", 1, 0, wire.Standing.ALIVE, "127.0.0.1:7947")
-    before.machine.put(1, known, "joined")
+    known = before.machine.self_update.__class__("b2", 1, 0, codec.MemberStatus.ALIVE, "127.0.0.1:7947")
+    before.machine.store_update(1, known, "joined")
     before.keep(handed=True)
     after, _ = fleet(tmp_path)
     assert after.kept.handed and after.seeds() == ["127.0.0.1:7947"]
@@ -189,7 +191,7 @@
         kept["at"] = computer.wall() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(kept))
         later, _ = fleet(tmp_path)
-        assert not later.kept.handed and later.machine.life > before.machine.life
+        assert not later.kept.handed and later.machine.generation > before.machine.generation
         assert later.seeds() == ["127.0.0.1:7947"]
 
 
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -196,12 +196,13 @@
         successor = member(folder, log)
         assert successor.kept is not None and successor.kept.handed
         machine = successor.machine
-        machine.resume(7_000_000, msgspec.structs.asdict(successor.kept))
+        machine.restore(7_000_000, msgspec.structs.asdict(successor.kept))
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
-            "seeds": successor.seeds(), "life": machine.life, "incarnation": machine.me.incarnation,
-            "datagrams": [[address, data.hex()] for address, data in machine.out],
-            "members": [msgspec.to_builtins(each.rumour) for each in machine.members.values()],
+            "seeds": successor.seeds(), "life": machine.generation,
+            "incarnation": machine.self_update.incarnation,
+            "datagrams": [[address, data.hex()] for address, data in machine.outgoing],
+            "members": [msgspec.to_builtins(each.update) for each in machine.members.values()],
         }  # fmt: skip
         successor.keep(handed=True)
     assert not log
@@ -222,7 +223,9 @@
     with wall_clock(KEPT_AT + later):
         successor = member(tmp_path, LogLines())
     assert successor.kept is not None and successor.kept.handed is goes_on
-    assert successor.machine.life == KEPT_AT + max(later, 1_000_001)  # newer than the life that was kept
+    assert successor.machine.generation == KEPT_AT + max(
+        later, 1_000_001
+    )  # newer than the life that was kept
 
 
 if __name__ == "__main__":
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -3,7 +3,8 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Span
-from dahliabend.membership.failure_detector import Terms
+from dahliabend.membership.codec import MemberStatus
+from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster import script
 from dahliabend.simulation.cluster.ground_truth import Truth
 from dahliabend.simulation.cluster.invariants import Claim, Outcome, judge
@@ -94,7 +95,7 @@
     truth.end(100 * S, 2)
     joined = [Claim(S, a, "joined", b) for a in range(3) for b in range(3) if a != b]
     outcome = Outcome()
-    judge(truth, [*joined, Claim(50 * S, 0, "died", 1)], Terms(), 400 * S, outcome)
+    judge(truth, [*joined, Claim(50 * S, 0, "died", 1)], SwimConfig(), 400 * S, outcome)
     assert sorted(text.split(": ")[1] for text in outcome.violations) == [
         "false death",
         "seen late",
@@ -126,14 +127,16 @@
         return found
 
     def hearsay(machine):
-        suspect = machine.suspect
+        apply_update = machine.apply_update
 
-        def learn_death(now, member, rumour, accusers):
-            if accusers > 1:
-                return machine.bury(now, member)
-            return suspect(now, member, rumour, accusers)
+        def bury_by_hearsay(now, update):
+            member = machine.members.get(update.name)
+            known = member is not None and update.incarnation >= member.update.incarnation
+            if known and update.status is MemberStatus.DEAD and member.update.status is not MemberStatus.DEAD:
+                return machine.declare_dead(now, member)
+            return apply_update(now, update)
 
-        machine.suspect = learn_death
+        machine.apply_update = bury_by_hearsay
 
     assert deaths(lambda _: None) == 0 and deaths(hearsay) > 0
 
--- a/tests/simulation/cluster/test_search.py
+++ b/tests/simulation/cluster/test_search.py
@@ -2,43 +2,43 @@
 
 import pytest
 
-from dahliabend.membership.codec import Standing
-from dahliabend.membership.failure_detector import Machine, Terms
+from dahliabend.membership.codec import MemberStatus
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.simulation.cluster.search import agreed, begin, search, sound
 
-QUICK = Terms(others=1, whole=5, least=1.0, longest=1.0)
+QUICK = SwimConfig(indirect_probes=1, sync_interval=5, suspicion_multiplier=1.0, max_suspicion_factor=1.0)
 DEPTH = 6
 
 
-class Hearsay(Machine):
+class Hearsay(MembershipProtocol):
     """Buries whom another has buried."""
 
-    def learn(self, now, rumour):
-        member = self.members.get(rumour.name)
-        if member is not None and rumour.standing is Standing.DEAD:
-            return self.bury(now, member)
-        super().learn(now, rumour)
+    def apply_update(self, now, update):
+        member = self.members.get(update.name)
+        if member is not None and update.status is MemberStatus.DEAD:
+            return self.declare_dead(now, member)
+        super().apply_update(now, update)
 
 
-class Unmoved(Machine):
+class Unmoved(MembershipProtocol):
     """Goes on after a pause as if nothing had been, and buries without another look."""
 
-    def paused(self, now): ...
+    def recover_from_pause(self, now): ...
 
-    def wake(self, now):
+    def timer_fired(self, now):
         for name in self.suspects:
-            self.members[name].rung = True
-        super().wake(now)
+            self.members[name].expired_once = True
+        super().timer_fired(now)
 
 
-class Backwards(Machine):
+class Backwards(MembershipProtocol):
     """Takes over what is older than what it knows."""
 
-    def learn(self, now, rumour):
-        member = self.members.get(rumour.name)
-        if member is not None and rumour.incarnation < member.rumour.incarnation:
-            return self.put(now, rumour, "")
-        super().learn(now, rumour)
+    def apply_update(self, now, update):
+        member = self.members.get(update.name)
+        if member is not None and update.incarnation < member.update.incarnation:
+            return self.store_update(now, update, "")
+        super().apply_update(now, update)
 
 
 @pytest.mark.parametrize("suspected", [False, True])
