--- a/dahliabend/cli/turns.py
+++ b/dahliabend/cli/turns.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from dahliabend.cli.members import ago, ask
-from dahliabend.leases.duties import OWN
+from dahliabend.leases.election import TOKEN_SUFFIX_BITS
 
 
 @click.command()
@@ -23,7 +23,9 @@
     for row in said["duties"]:
         last = "" if row["age_ms"] is None else f"{ago(row['age_ms'])} ago"
         place = "none" if row["place"] < 0 else str(row["place"])
-        table.add_row(row["duty"], row["owner"], str(row["fence"] >> OWN), last, row["result"], place)
+        table.add_row(
+            row["duty"], row["owner"], str(row["fence"] >> TOKEN_SUFFIX_BITS), last, row["result"], place
+        )
     Console(width=None if sys.stdout.isatty() else 140).print(table)
     click.echo(f"period {said['period_ms'] / 1000:g} s; {'settled' if said['settled'] else 'not settled'}; "
                f"{said['probes']} probes by this one; {said['refused']} refused")  # fmt: skip
--- a/dahliabend/health_gossip/board.py
+++ b/dahliabend/health_gossip/board.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dahliabend.leases.duties import Done
+from dahliabend.leases.election import LeaseAnnouncement
 
 MOST_ROWS = 64  # upstreams of one report
 MOST_COUNT = 1_000  # hops that a row may tell of
@@ -39,7 +39,7 @@
     age: int
     hops: int
     rows: list[Row]
-    turns: list[Done] = []
+    turns: list[LeaseAnnouncement] = []
     parts: list[Parted] = []
 
     @property
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -14,7 +14,7 @@
 from dahliabend.health_gossip.belief import Believed, Terms, believed
 from dahliabend.health_gossip.board import MOST_COUNT, MOST_ROWS, Board, Parted, Report, Row
 from dahliabend.health_gossip.seen import Seen
-from dahliabend.leases.duties import Done
+from dahliabend.leases.election import LeaseAnnouncement
 from dahliabend.model import Outcome
 
 MS = 1_000
@@ -49,8 +49,10 @@
         self.told: dict[tuple[str, str], int] = {}  # when a belief was last told to the decisions
         self.unread = self.believed = 0
         self.spoke = False  # did its last report say anything?
-        self.turns: Callable[[int], list[Done]] | None = None  # what it does in turn with others, to be told
-        self.heard: Callable[[int, Done], None] | None = None  # and who is told of theirs
+        self.turns: Callable[[int], list[LeaseAnnouncement]] | None = (
+            None  # what it does in turn with others, to be told
+        )
+        self.heard: Callable[[int, LeaseAnnouncement], None] | None = None  # and who is told of theirs
         self.parts: Callable[[], list[Parted]] | None = None  # of limits that it shares
         self.parted: Callable[[int, str, Parted], None] | None = None
 
--- a/dahliabend/leases/owner.py
+++ b/dahliabend/leases/candidate_order.py
@@ -4,15 +4,15 @@
 from hashlib import blake2b
 
 
-def order(duty: str, members: Iterable[tuple[str, str]], zone: str = "") -> list[str]:
+def rank_candidates(task: str, members: Iterable[tuple[str, str]], zone: str = "") -> list[str]:
     """Names, the owner first; members are pairs of name and zone. The same wherever the view is the same.
 
-    >>> order("probe u1", [("b0", "a"), ("b1", "b"), ("b2", "b")], "a")[0]
+    >>> rank_candidates("probe u1", [("b0", "a"), ("b1", "b"), ("b2", "b")], "a")[0]
     'b0'
     """
 
     def rank(member: tuple[str, str]) -> tuple[bool, bytes]:
         name, at = member
-        return at == zone, blake2b(f"{duty}\0{name}".encode(), digest_size=8).digest()
+        return at == zone, blake2b(f"{task}\0{name}".encode(), digest_size=8).digest()
 
     return [name for name, _ in sorted(members, key=rank, reverse=True)]
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from random import Random
 
-from dahliabend.leases.parts import OVER
+from dahliabend.leases.shared_limits import OVERCOMMIT_LIMIT
 from dahliabend.membership.authentication import DatagramAuthenticator
 from dahliabend.membership.codec import Ping, encode_packet
 from dahliabend.membership.failure_detector import SwimConfig
@@ -165,7 +165,7 @@
             while times[first] < at - LIMITED:
                 first += 1
             most = max(most, last - first + 1)
-        allowed = OVER * limit * (LIMITED + BUSY) + FEW * len(self.instances)
+        allowed = OVERCOMMIT_LIMIT * limit * (LIMITED + BUSY) + FEW * len(self.instances)
         self.outcome.counts.update({"limited": len(times), "limited most": most})
         if most > allowed:
             self.outcome.broken("limit", self.now, f"{most} in {LIMITED:g} s, {allowed:.0f} allowed")
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -94,7 +94,7 @@
 
             self.probing = Probing(self.name, settings.probing, log)
             shared = self.probing.shared
-            self.gossip.turns, self.gossip.heard = shared.duties.tell, shared.heard
+            self.gossip.turns, self.gossip.heard = shared.election.announcements, shared.apply_announcement
         self.shell = UdpTransport(self.machine, self.seal_of(settings), deadlines, self.heard)
         self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
--- a/dahliabend/server/probing.py
+++ b/dahliabend/server/probing.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from dahliabend.leases.shared import Shared, Told
+from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint_table import Upstream
 from dahliabend.proxy.router import Policy, Router
@@ -15,13 +15,13 @@
 
 class Probing:
     def __init__(self, me: str, period: int, log: Callable) -> None:
-        self.shared = Shared(me, period, self.probe, log)
+        self.shared = LeasedHealthChecks(me, period, self.probe, log)
         self.places: dict[str, tuple[Router, Upstream]] = {}  # by duty
 
     def want(self, pool: str, upstream: Upstream, policy: Policy) -> bool:
         """The decisions want one probed. False: it is theirs to do."""
         index, duty = upstream.index, named(pool, upstream)
-        return self.shared.want(clock(), duty, lambda _, outcome: policy.probed(index, outcome))
+        return self.shared.request_check(clock(), duty, lambda _, outcome: policy.probed(index, outcome))
 
     def beat(
         self, members: Iterable[tuple[str, str]], settled: bool, pools: list[tuple[str, Router]]
@@ -33,23 +33,23 @@
             if upstream.state is EndpointState.READY
         }
         zones = {duty: upstream.zone for duty, (_, upstream) in self.places.items()}
-        self.shared.beat(clock(), members, settled, zones)
+        self.shared.tick(clock(), members, settled, zones)
 
-    def probe(self, duty: str, told: Told) -> None:
+    def probe(self, duty: str, told: ResultCallback) -> None:
         if duty in self.places:  # else it has gone since
             router, upstream = self.places[duty]
             router.policies[-1].sound(upstream, lambda _, outcome: told(clock(), outcome))
 
     def shown(self) -> dict:
         """Of each duty, who did it last, under which number and how long ago."""
-        now, shared, duties = clock(), self.shared, self.shared.duties
+        now, shared, election = clock(), self.shared, self.shared.election
         rows = [
-            {"duty": duty, "owner": k.owner, "fence": k.fence, "place": duties.place(duty),
-             "age_ms": (now - k.at) // 1000 if k.count else None,
-             "result": Outcome(k.result).name if k.count else ""}
-            for duty, k in sorted(duties.known.items())
+            {"duty": duty, "owner": k.holder, "fence": k.fencing_token, "place": election.rank(duty),
+             "age_ms": (now - k.last_run_at) // 1000 if k.completed_runs else None,
+             "result": Outcome(k.result).name if k.completed_runs else ""}
+            for duty, k in sorted(election.leases.items())
         ]  # fmt: skip
         return {
-            "name": duties.me, "period_ms": duties.period // 1000, "settled": duties.settled, "duties": rows,
-            "probes": shared.probes, "refused": duties.refused,
+            "name": election.own_name, "period_ms": election.period // 1000, "settled": election.view_settled, "duties": rows,
+            "probes": shared.checks_run, "refused": election.rejected,
         }  # fmt: skip
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/shares.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 
 from dahliabend.health_gossip.board import Parted
-from dahliabend.leases.parts import Share
+from dahliabend.leases.shared_limits import QuotaShare
 from dahliabend.routing_rules.choice import Choice
 from dahliabend.transport.timers import clock
 
@@ -19,7 +19,7 @@
 
     def __init__(self, me: str, choices: Callable[[], Iterable[tuple[Choice, int]]], log: Callable) -> None:
         self.me, self.choices, self.log = me, choices, log
-        self.limits: dict[str, Share] = {}
+        self.limits: dict[str, QuotaShare] = {}
         self.asks: dict[str, float] = {}
         self.logged: dict[str, float] = {}
         self.then = 0
@@ -29,7 +29,7 @@
         now = {choice.name: (choice, balancers) for choice, balancers in self.choices()}
         for name, (choice, balancers) in now.items():
             if name not in self.limits:
-                self.limits[name] = Share(self.me, balancers)
+                self.limits[name] = QuotaShare(self.me, balancers)
                 choice.limit.take(1.0 / balancers)
         for name in [name for name in self.limits if name not in now]:
             del self.limits[name]
@@ -37,10 +37,12 @@
 
     def heard(self, at: int, origin: str, parted: Parted) -> None:
         if parted.limit in self.limits:
-            self.limits[parted.limit].heard(at, origin, parted.part, parted.ask)
+            self.limits[parted.limit].update_peer(at, origin, parted.part, parted.ask)
 
     def told(self) -> list[Parted]:
-        return [Parted(name, round(s.part, 6), round(s.ask, 6)) for name, s in sorted(self.limits.items())]
+        return [
+            Parted(name, round(s.share, 6), round(s.demand, 6)) for name, s in sorted(self.limits.items())
+        ]
 
     def beat(self, members: set[str], left: set[str], cut: bool) -> None:
         self.hold()
@@ -50,7 +52,7 @@
             share = self.limits[choice.name]
             asked = choice.limit.ask(span)
             self.asks[choice.name] = ask = self.asks.get(choice.name, 0.0) * (1 - SMOOTH) + asked * SMOOTH
-            share.follow(members, left, cut)
+            share.update_members(members, left, cut)
             part = share.step(now, ask)
             choice.limit.take(part)
             if abs(part - self.logged.get(choice.name, 0.0)) > MOVED * part:
@@ -59,7 +61,7 @@
 
     def shown(self) -> list[dict]:
         return [
-            {"route": name, "part": round(s.part, 4), "asked": round(s.ask, 4), "lost": sorted(s.lost),
-             "others": {other: round(told.part, 4) for other, told in sorted(s.others.items())}}
+            {"route": name, "part": round(s.share, 4), "asked": round(s.demand, 4), "lost": sorted(s.lost_members),
+             "others": {other: round(told.share, 4) for other, told in sorted(s.peers.items())}}
             for name, s in sorted(self.limits.items())
         ]  # fmt: skip
--- a/dahliabend/simulation/cluster/duty_search.py
+++ b/dahliabend/simulation/cluster/duty_search.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, replace
 from itertools import product
 
-from dahliabend.leases.duties import Done, Duties, Known
+from dahliabend.leases.election import Lease, LeaseAnnouncement, LeaseElection
 
 PERIOD = 8_000_000
 EIGHTH = PERIOD // 8
-DUTY = "d"
+TASK = "d"
 NAMES = ("b0", "b1", "b2")
 MEMBERS = tuple((name, "") for name in NAMES)
 APART = 2  # eighths between two effects, without a cut, a loss or a stop
 
-Letter = tuple[str, Done, bool]  # to whom; is it late already?
+Letter = tuple[str, LeaseAnnouncement, bool]  # to whom; is it late already?
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,37 +37,45 @@
     done: tuple[tuple[int, int, str], ...] = ()  # the last effects: when, number, by whom
 
 
-def packed(machine: Duties) -> tuple:
-    known = machine.known[DUTY]
-    return (known.fence, known.owner, known.count, known.at, known.told, machine.last, machine.quiet)
+def packed(machine: LeaseElection) -> tuple:
+    known = machine.leases[TASK]
+    return (
+        known.fencing_token,
+        known.holder,
+        known.completed_runs,
+        known.last_run_at,
+        known.heard_at,
+        machine.last_tick_at,
+        machine.quiet_until,
+    )
 
 
-def unpacked(number: int, values: tuple, make: Callable[[str, int], Duties]) -> Duties:
+def unpacked(number: int, values: tuple, make: Callable[[str, int], LeaseElection]) -> LeaseElection:
     made = make(NAMES[number], PERIOD)
-    made.zones, made.members, made.settled = {DUTY: ""}, MEMBERS, True
-    fence, owner, count, at, told, made.last, made.quiet = values
-    made.known = {DUTY: Known(fence, owner, count, at, 0, told)}
+    made.task_zones, made.members, made.view_settled = {TASK: ""}, MEMBERS, True
+    fencing_token, holder, count, at, told, made.last_tick_at, made.quiet_until = values
+    made.leases = {TASK: Lease(fencing_token, holder, count, at, 0, told)}
     return made
 
 
 def start(losses: int, stops: int, cuts: int) -> State:
     """The first in the order has just done it; all know."""
-    made = Duties("b0", PERIOD)
-    made.are(PERIOD, {DUTY: ""})
-    made.follow(PERIOD, MEMBERS, True)
-    owner = next(name for name in NAMES if placed(name) == 0)
-    values = (1, owner, 1, PERIOD, PERIOD, PERIOD, 0)
-    return State(PERIOD, (values,) * 3, (), losses, stops, cuts, done=((PERIOD, 1, owner),))
+    made = LeaseElection("b0", PERIOD)
+    made.update_tasks(PERIOD, {TASK: ""})
+    made.update_members(PERIOD, MEMBERS, True)
+    holder = next(name for name in NAMES if placed(name) == 0)
+    values = (1, holder, 1, PERIOD, PERIOD, PERIOD, 0)
+    return State(PERIOD, (values,) * 3, (), losses, stops, cuts, done=((PERIOD, 1, holder),))
 
 
 def placed(name: str) -> int:
-    made = Duties(name, PERIOD)
-    made.are(PERIOD, {DUTY: ""})
-    made.follow(PERIOD, MEMBERS, True)
-    return made.place(DUTY)
+    made = LeaseElection(name, PERIOD)
+    made.update_tasks(PERIOD, {TASK: ""})
+    made.update_members(PERIOD, MEMBERS, True)
+    return made.rank(TASK)
 
 
-def moves(state: State, make: Callable[[str, int], Duties]) -> Iterator[tuple[str, State]]:
+def moves(state: State, make: Callable[[str, int], LeaseElection]) -> Iterator[tuple[str, State]]:
     """The next eighth, in all ways in which it may go."""
     faults = [("", state)]
     if state.stops and state.stopped < 0:
@@ -93,7 +101,9 @@
     return f"{here} of {len(late)} words come" + (", one is lost" if losing else "")
 
 
-def step(state: State, come: tuple[bool, ...], losing: bool, make: Callable[[str, int], Duties]) -> State:
+def step(
+    state: State, come: tuple[bool, ...], losing: bool, make: Callable[[str, int], LeaseElection]
+) -> State:
     now = state.now + EIGHTH
     machines = [unpacked(number, values, make) for number, values in enumerate(state.known)]
     stopped = state.stopped if state.until > now else -1
@@ -106,32 +116,39 @@
         elif not here or number == stopped:  # on its way, or it lies in the socket
             waiting.append((letter[0], replace_age(letter[1]), True))
         else:
-            machines[number].heard(now, replace_age(letter[1]))
+            machines[number].apply_announcement(now, replace_age(letter[1]))
     done, mail = list(state.done), []
     for number, machine in enumerate(machines):
         if number == stopped:
             continue
-        for turn in machine.wake(now):
-            machine.worked(now, turn, 0)
-            done.append((now, turn.fence, machine.me))
+        for due in machine.tick(now):
+            machine.complete(now, due, 0)
+            done.append((now, due.fencing_token, machine.own_name))
         for other in range(3):
             if other != number and (number, other) != state.cut:
-                mail += [(NAMES[other], each, False) for each in machine.tell(now)]
+                mail += [(NAMES[other], each, False) for each in machine.announcements(now)]
     # What a later word of the same says anew need not come twice: fewer states, the same futures.
     newest: dict[tuple[str, str], Letter] = {}
     for letter in [*waiting, *mail]:
-        key = letter[0], letter[1].owner
+        key = letter[0], letter[1].holder
         newest[key] = (*letter[:2], letter[2] or key in newest and newest[key][2])
     return replace(
         state, now=now, known=tuple(packed(machine) for machine in machines),
-        mail=tuple(sorted(newest.values(), key=lambda each: (each[0], each[1].owner))),
+        mail=tuple(sorted(newest.values(), key=lambda each: (each[0], each[1].holder))),
         losses=state.losses - lost,
         stopped=stopped, done=tuple(done[-3:]),
     )  # fmt: skip
 
 
-def replace_age(done: Done) -> Done:
-    return Done(done.duty, done.fence, done.owner, done.count, done.age + EIGHTH // 1_000, done.result)
+def replace_age(done: LeaseAnnouncement) -> LeaseAnnouncement:
+    return LeaseAnnouncement(
+        done.task,
+        done.fencing_token,
+        done.holder,
+        done.completed_runs,
+        done.age_ms + EIGHTH // 1_000,
+        done.result,
+    )
 
 
 def broken(state: State, before: State, calm: bool, whole: bool) -> str:
@@ -163,7 +180,7 @@
 
 def search(
     depth: int, losses: int = 0, stops: int = 0, cuts: int = 0, most: int = 1_000_000,
-    make: Callable[[str, int], Duties] = Duties,
+    make: Callable[[str, int], LeaseElection] = LeaseElection,
 ) -> Found:  # fmt: skip
     """Breadth first, so that the first broken invariant has the shortest trace. Two under one number are
     always broken; without a cut more than two in a period too, without any fault two close together."""
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -14,7 +14,7 @@
 
 from dahliabend.health_gossip.board import Report, Row
 from dahliabend.health_gossip.gossip import BEAT, Gossip
-from dahliabend.leases.shared import Shared
+from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
 from dahliabend.policy.balancer import Balancer, RequestState
@@ -91,10 +91,13 @@
                 if number in work.liars
                 else Gossip(f"b{number}", life, chance)
             )
-        self.shared: Shared | None = None
+        self.shared: LeasedHealthChecks | None = None
         if work.probing:
-            self.shared = Shared(f"b{number}", work.probing, self.look_at, lambda *_, **__: None)
-            self.gossip.turns, self.gossip.heard = self.shared.duties.tell, self.shared.heard
+            self.shared = LeasedHealthChecks(f"b{number}", work.probing, self.look_at, lambda *_, **__: None)
+            self.gossip.turns, self.gossip.heard = (
+                self.shared.election.announcements,
+                self.shared.apply_announcement,
+            )
         if work.subset is not None:
             self.keeper = Keeper(work.party(number), work.subset)
 
@@ -186,7 +189,7 @@
         def told(_: int, outcome: Outcome) -> None:
             self.probed(upstream, outcome)
 
-        if shared is None or not shared.want(self.work.now, name, told):
+        if shared is None or not shared.request_check(self.work.now, name, told):
             self.sound(upstream, told)
 
     def look_at(self, duty: str, told: Callable) -> None:
@@ -282,7 +285,7 @@
             settled = machine.last_stable_view(work.now)
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             duties = {name: "" for name, row in self.rows.items() if row[1] is EndpointState.READY}
-            self.shared.beat(work.now, rows, bool(rows) and work.now >= machine.unsettled_until, duties)
+            self.shared.tick(work.now, rows, bool(rows) and work.now >= machine.unsettled_until, duties)
         gossip.beat(work.now, sorted(members))
         out, gossip.out = gossip.out, []
         for name, data in out:
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -13,8 +13,8 @@
 
 from dahliabend.health_gossip.board import Parted, Report, Row
 from dahliabend.health_gossip.gossip import Gossip
-from dahliabend.leases.duties import Done, Duties
-from dahliabend.leases.owner import order
+from dahliabend.leases.candidate_order import rank_candidates
+from dahliabend.leases.election import LeaseAnnouncement, LeaseElection
 from dahliabend.model import Outcome
 from dahliabend.server.probing import named
 
@@ -28,14 +28,14 @@
 # Values go by name: one that changes its place in the encoded array shows.
 FROM_OTHERS = [
     Report(
-        origin="b2", life=9, number=4, age=250, hops=0,
+        origin="b2", life=9, number=4, age_ms=250, hops=0,
         rows=[
             Row(pool="records", name="s-1", tried=5, bad=4), Row(pool="records", name="s-9", tried=2, bad=2),
         ],
     ),
     Report(
-        origin="b3", life=8, number=1, age=0, hops=2, rows=[],
-        turns=[Done(duty="probe records s-1", fence=5 << 16 | 77, owner="b3", count=6, age=40, result=1)],
+        origin="b3", life=8, number=1, age_ms=0, hops=2, rows=[],
+        turns=[LeaseAnnouncement(task="probe records s-1", fencing_token=5 << 16 | 77, holder="b3", completed_runs=6, age_ms=40, result=1)],
         parts=[Parted(limit="submits", part=0.25, ask=0.5), Parted(limit="rest", part=0.125, ask=0.0)],
     ),
 ]  # fmt: skip
@@ -50,13 +50,20 @@
     """Reports of one member over three beats, with those of others passed on, and how a report is read."""
     gossip = Gossip("b1", 1_764_653_000_000_000, Random(5))
     leases = [
-        Done(duty="probe records s-2", fence=3 << 16 | 12, owner="b1", count=9, age=120, result=5),
-        Done(duty="probe records s-3", fence=9, owner="b1", count=0, age=0),
+        LeaseAnnouncement(
+            task="probe records s-2",
+            fencing_token=3 << 16 | 12,
+            holder="b1",
+            completed_runs=9,
+            age_ms=120,
+            result=5,
+        ),
+        LeaseAnnouncement(task="probe records s-3", fencing_token=9, holder="b1", completed_runs=0, age_ms=0),
     ]
     gossip.turns = lambda now: leases
     gossip.parts = lambda: [Parted(limit="submits", part=0.333333, ask=0.4)]
-    heard: list = []
-    gossip.heard = lambda now, done: heard.append([now, plain(done)])
+    apply_announcement: list = []
+    gossip.on_lease = lambda now, done: heard.append([now, plain(done)])
     gossip.parted = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
     for number, outcome in enumerate(Outcome):
         gossip.ended(START + number, "records", "s-1", outcome)
@@ -68,7 +75,7 @@
         if beat == 1:
             gossip.received(now, msgspec.msgpack.encode(FROM_OTHERS))
             gossip.received(now, b"unreadable")
-        gossip.beat(now, MEMBERS)
+        gossip.tick(now, MEMBERS)
         sent.append([[name, data.hex()] for name, data in gossip.out])
         gossip.out = []
     held = {
@@ -86,7 +93,7 @@
     """The newest payload of the golden file, as another member gets it."""
     payload = json.loads(read_golden(GOSSIP_GOLDEN))["sent"][1][0][1]
     reader, leases, parts = Gossip("b5", 1, Random(1)), [], []
-    reader.heard = lambda now, done: leases.append(plain(done))
+    reader.on_lease = lambda now, done: leases.append(plain(done))
     reader.parted = lambda now, origin, parted: parts.append([now, origin, plain(parted)])
     reader.received(START + SECOND, bytes.fromhex(payload))
     held = reader.board.fresh(START + SECOND)
@@ -134,8 +141,8 @@
     """Three members do four tasks; one stops, another joins. Who works when, under which number."""
     zones = {f"probe records s-{number}": "ab"[number % 2] for number in range(4)}
     members = [("b1", "a"), ("b2", "b"), ("b3", "b")]
-    instances = {name: Duties(name, 4 * SECOND) for name, _ in members}
-    wire: list[Done] = []
+    instances = {name: LeaseElection(name, 4 * SECOND) for name, _ in members}
+    wire: list[LeaseAnnouncement] = []
     worked, told_last = [], {}
     for beat in range(60):
         now = START + beat * BEAT
@@ -144,21 +151,23 @@
         if beat == 31:
             members.remove(("b2", "b"))
         if beat == 44:
-            instances["b4"] = Duties("b4", 4 * SECOND)
+            instances["b4"] = LeaseElection("b4", 4 * SECOND)
             members.append(("b4", "b"))
         told, wire = wire, []
         for name, instance in instances.items():
-            instance.follow(now, members, True)
-            instance.are(now, zones)
+            instance.update_members(now, members, True)
+            instance.update_tasks(now, zones)
             for done in told:
-                instance.heard(now, done)
-            for turn in instance.wake(now):
-                worked.append([beat, name, turn.duty, turn.fence, instance.worked(now, turn, 1)])
-            wire += instance.tell(now)
-            told_last[name] = [plain(done) for done in instance.tell(now)]
+                instance.apply_announcement(now, done)
+            for due in instance.tick(now):
+                worked.append([beat, name, due.task, due.fencing_token, instance.complete(now, due, 1)])
+            wire += instance.announcements(now)
+            told_last[name] = [plain(done) for done in instance.announcements(now)]
     names = [f"b{number}" for number in range(8)]
     orders = {
-        f"{task}, zone {zone!r}": order(task, [(name, "ab"[n % 2]) for n, name in enumerate(names)], zone)
+        f"{task}, zone {zone!r}": rank_candidates(
+            task, [(name, "ab"[n % 2]) for n, name in enumerate(names)], zone
+        )
         for task in (*zones, "probe archive bälter")
         for zone in ("", "a")
     }
--- a/tests/simulation/cluster/test_duty_search.py
+++ b/tests/simulation/cluster/test_duty_search.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dahliabend.leases.duties import MS, Duties, Turn
+from dahliabend.leases.election import MS, DueTask, LeaseElection
 from dahliabend.simulation.cluster.duty_search import search
 
 
@@ -21,25 +21,32 @@
     assert found.broken == "" and found.depth == depth and found.states >= least
 
 
-class Deaf(Duties):
+class Deaf(LeaseElection):
     """Takes the newest word for the truest."""
 
-    def heard(self, now, done):
-        known = self.known[done.duty]
-        if done.owner != self.me:
-            known.fence, known.owner, known.count, known.told = done.fence, done.owner, done.count, now
-            known.at = max(known.at, now - done.age * MS) if done.count else known.at
+    def apply_announcement(self, now, done):
+        known = self.leases[done.task]
+        if done.holder != self.own_name:
+            known.fencing_token, known.holder, known.completed_runs, known.heard_at = (
+                done.fencing_token,
+                done.holder,
+                done.completed_runs,
+                now,
+            )
+            known.last_run_at = (
+                max(known.last_run_at, now - done.age_ms * MS) if done.completed_runs else known.last_run_at
+            )
         return True
 
 
-class Hasty(Duties):
+class Hasty(LeaseElection):
     """Works in the moment in which it claims."""
 
-    def wake(self, now):
-        made = super().wake(now)
-        claimed = [duty for duty, known in self.known.items()
-                   if known.owner == self.me and not known.count and known.told == now]  # fmt: skip
-        return [*made, *(Turn(duty, self.known[duty].fence) for duty in claimed)]
+    def tick(self, now):
+        made = super().tick(now)
+        claimed = [task for task, known in self.leases.items()
+                   if known.holder == self.own_name and not known.completed_runs and known.heard_at == now]  # fmt: skip
+        return [*made, *(DueTask(task, self.leases[task].fencing_token) for task in claimed)]
 
 
 @pytest.mark.parametrize(("defect", "says"), [(Deaf, "a number went back"), (Hasty, "three times")])
