--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -11,27 +11,34 @@
 
 import msgspec
 
-from dahliabend.health_gossip.belief import Believed, Terms, believed
-from dahliabend.health_gossip.board import MOST_COUNT, MOST_ROWS, Board, Parted, Report, Row
-from dahliabend.health_gossip.seen import Seen
+from dahliabend.health_gossip.aggregation import QuorumSettings, SuspectedUpstream, aggregate
+from dahliabend.health_gossip.local_observations import LocalObservations
+from dahliabend.health_gossip.report_table import (
+    MAX_COUNT,
+    MAX_ROWS,
+    HealthReport,
+    QuotaAnnouncement,
+    ReportTable,
+    UpstreamCounts,
+)
 from dahliabend.leases.election import LeaseAnnouncement
 from dahliabend.model import Outcome
 
 MS = 1_000
-BEAT = 500 * MS
-WINDOW = 3_000 * MS  # what a report tells of, and how long it counts
-FAN = 3  # members that a datagram goes to in each beat
-ROOM = 1_200  # bytes of a datagram for reports
-SPREAD = 2  # times that another's report is passed on from here
+GOSSIP_INTERVAL = 500 * MS
+REPORT_WINDOW = 3_000 * MS  # what a report tells of, and how long it counts
+FANOUT = 3  # members that a datagram goes to in each beat
+MAX_DATAGRAM_BYTES = 1_200  # bytes of a datagram for reports
+MAX_FORWARDS = 2  # times that another's report is passed on from here
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(list[Report]).decode
+_decode = msgspec.msgpack.Decoder(list[HealthReport]).decode
 
 
 def fitting(items: list) -> list:
     """The first ones, as many as half a datagram holds."""
-    kept, room = [], ROOM // 2
-    for item in items[:MOST_ROWS]:
+    kept, room = [], MAX_DATAGRAM_BYTES // 2
+    for item in items[:MAX_ROWS]:
         room -= len(_encode(item))
         if room < 0:
             break
@@ -39,64 +46,72 @@
     return kept
 
 
-class Gossip:
-    def __init__(self, me: str, life: int, chance: Random, terms: Terms | None = None) -> None:
-        self.me, self.life, self.chance, self.terms = me, life, chance, terms or Terms()
-        self.seen: dict[str, Seen] = {}  # by pool
-        self.board = Board(me, WINDOW)
-        self.number = 0
-        self.out: list[tuple[str, bytes]] = []  # member and datagram
-        self.told: dict[tuple[str, str], int] = {}  # when a belief was last told to the decisions
-        self.unread = self.believed = 0
-        self.spoke = False  # did its last report say anything?
-        self.turns: Callable[[int], list[LeaseAnnouncement]] | None = (
+class HealthGossip:
+    def __init__(self, me: str, generation: int, chance: Random, terms: QuorumSettings | None = None) -> None:
+        self.own_name, self.generation, self.chance, self.terms = (
+            me,
+            generation,
+            chance,
+            terms or QuorumSettings(),
+        )
+        self.observations: dict[str, LocalObservations] = {}  # by pool
+        self.report_table = ReportTable(me, REPORT_WINDOW)
+        self.sequence = 0
+        self.outbox: list[tuple[str, bytes]] = []  # member and datagram
+        self.last_reported: dict[tuple[str, str], int] = {}  # when a belief was last told to the decisions
+        self.undecodable = self.suspected_count = 0
+        self.last_report_had_counts = False  # did its last report say anything?
+        self.leases: Callable[[int], list[LeaseAnnouncement]] | None = (
             None  # what it does in turn with others, to be told
         )
-        self.heard: Callable[[int, LeaseAnnouncement], None] | None = None  # and who is told of theirs
-        self.parts: Callable[[], list[Parted]] | None = None  # of limits that it shares
-        self.parted: Callable[[int, str, Parted], None] | None = None
+        self.on_lease: Callable[[int, LeaseAnnouncement], None] | None = None  # and who is told of theirs
+        self.quotas: Callable[[], list[QuotaAnnouncement]] | None = None  # of limits that it shares
+        self.on_quota: Callable[[int, str, QuotaAnnouncement], None] | None = None
 
     # What comes in.
 
-    def ended(self, now: int, pool: str, name: str, outcome: Outcome) -> None:
-        self.seen.setdefault(pool, Seen(WINDOW)).ended(now, name, outcome)
+    def record_outcome(self, now: int, pool: str, name: str, outcome: Outcome) -> None:
+        self.observations.setdefault(pool, LocalObservations(REPORT_WINDOW)).record_outcome(
+            now, name, outcome
+        )
 
-    def received(self, now: int, data: bytes) -> None:
+    def receive(self, now: int, data: bytes) -> None:
         """From a member; anything may stand in it."""
         try:
             reports = _decode(data)
         except (ValueError, RecursionError):  # msgspec's errors are ValueErrors
-            self.unread += 1
+            self.undecodable += 1
             return
-        for report in reports[:MOST_ROWS]:
-            news = self.board.merge(now, report)
-            if news and self.heard is not None:
-                for done in report.turns:
-                    self.heard(now, msgspec.structs.replace(done, age=done.age + report.age))
-            if news and self.parted is not None:
-                for parted in report.parts:
-                    self.parted(now - report.age * MS, report.origin, parted)
+        for report in reports[:MAX_ROWS]:
+            news = self.report_table.merge(now, report)
+            if news and self.on_lease is not None:
+                for done in report.leases:
+                    self.on_lease(now, msgspec.structs.replace(done, age_ms=done.age_ms + report.age_ms))
+            if news and self.on_quota is not None:
+                for parted in report.quotas:
+                    self.on_quota(now - report.age_ms * MS, report.origin, parted)
 
     # What goes out.
 
-    def beat(self, now: int, members: Iterable[str]) -> None:
-        others = [name for name in members if name != self.me]
+    def tick(self, now: int, members: Iterable[str]) -> None:
+        others = [name for name in members if name != self.own_name]
         if not others:
             return
         mine = self.report(now)
-        self.board.fresh(now)
+        self.report_table.fresh(now)
         # The newest first: they have been passed on least, here and on their way.
         ordered = sorted(
-            self.board.origins.values(), key=lambda held: (held.passed, held.report.hops, -held.since)
+            self.report_table.origins.values(),
+            key=lambda held: (held.forward_count, held.report.relays, -held.created_at),
         )
-        parts, room = [], ROOM
+        parts, room = [], MAX_DATAGRAM_BYTES
         for held in [None, *ordered]:
-            if held is not None and held.passed >= SPREAD:
+            if held is not None and held.forward_count >= MAX_FORWARDS:
                 continue
             report = mine if held is None else msgspec.structs.replace(
-                held.report, age=(now - held.since) // MS, hops=held.report.hops + 1
+                held.report, age_ms=(now - held.created_at) // MS, relays=held.report.relays + 1
             )  # fmt: skip
-            if not (report.rows or report.turns or report.parts) and held is not None:
+            if not (report.counts or report.leases or report.quotas) and held is not None:
                 continue
             packed = _encode(report)
             if len(packed) > room:
@@ -104,49 +119,55 @@
             room -= len(packed)
             parts.append(msgspec.Raw(packed))
             if held is not None:
-                held.passed += 1
-        if len(parts) == 1 and not (mine.rows or mine.turns or mine.parts or self.spoke):
+                held.forward_count += 1
+        if len(parts) == 1 and not (mine.counts or mine.leases or mine.quotas or self.last_report_had_counts):
             return  # nothing to tell, and nothing to take back
-        self.spoke = bool(mine.rows)
+        self.last_report_had_counts = bool(mine.counts)
         data = _encode(parts)
-        for name in self.chance.sample(others, min(FAN, len(others))):
-            self.out.append((name, data))
+        for name in self.chance.sample(others, min(FANOUT, len(others))):
+            self.outbox.append((name, data))
 
-    def report(self, now: int) -> Report:
+    def report(self, now: int) -> HealthReport:
         """Of rows and turns as many each as half a datagram holds."""
-        self.number += 1
-        turns = fitting(self.turns(now)) if self.turns is not None else []
-        shares = self.parts()[:MOST_ROWS] if self.parts is not None else []
-        return Report(self.me, self.life, self.number, 0, 0, fitting(self.rows(now)), turns, shares)
+        self.sequence += 1
+        turns = fitting(self.leases(now)) if self.leases is not None else []
+        shares = self.quotas()[:MAX_ROWS] if self.quotas is not None else []
+        return HealthReport(
+            self.own_name, self.generation, self.sequence, 0, 0, fitting(self.counts(now)), turns, shares
+        )
 
-    def rows(self, now: int) -> list[Row]:
+    def counts(self, now: int) -> list[UpstreamCounts]:
         """What there is to tell, the most surprising first: what fails, then what there is most of."""
-        doubted = {key for held in self.board.origins.values() for key, (_, bad) in held.rows.items() if bad}
+        doubted = {
+            key for held in self.report_table.origins.values() for key, (_, bad) in held.counts.items() if bad
+        }
         rows = [
-            Row(pool, name, min(tried, MOST_COUNT), min(bad, MOST_COUNT))
-            for pool, seen in self.seen.items()
-            for name, (tried, bad) in seen.rows(now).items()
+            UpstreamCounts(pool, name, min(attempts, MAX_COUNT), min(bad, MAX_COUNT))
+            for pool, seen in self.observations.items()
+            for name, (attempts, bad) in seen.counts(now).items()
             if bad or (pool, name) in doubted
         ]
-        rows.sort(key=lambda row: (-row.bad, -row.tried, row.name))
+        rows.sort(key=lambda row: (-row.failures, -row.attempts, row.upstream))
         return rows
 
     # What it is worth.
 
-    def tell(
+    def report_suspected(
         self, now: int, pool: str, names: set[str], members: set[str], told: Callable[[str, int, int], None]
-    ) -> list[Believed]:
+    ) -> list[SuspectedUpstream]:
         """Has the decisions of a pool told what is believed of the upstreams that they use, each once in a
         window. Gives what it told."""
-        own = self.seen[pool].rows(now) if pool in self.seen else {}
+        own = self.observations[pool].counts(now) if pool in self.observations else {}
         made = []
-        for each in believed(self.terms, pool, names, self.board.fresh(now, members - {self.me}), own):
-            key = pool, each.name
-            if now - self.told.get(key, -WINDOW) >= WINDOW:
-                self.told[key] = now
-                told(each.name, each.tried, each.bad)
+        for each in aggregate(
+            self.terms, pool, names, self.report_table.fresh(now, members - {self.own_name}), own
+        ):
+            key = pool, each.upstream
+            if now - self.last_reported.get(key, -REPORT_WINDOW) >= REPORT_WINDOW:
+                self.last_reported[key] = now
+                told(each.upstream, each.attempts, each.failures)
                 made.append(each)
-        self.believed += len(made)
-        for key in [key for key, at in self.told.items() if now - at >= WINDOW]:
-            del self.told[key]
+        self.suspected_count += len(made)
+        for key in [key for key, at in self.last_reported.items() if now - at >= REPORT_WINDOW]:
+            del self.last_reported[key]
         return made
--- a/dahliabend/health_gossip/seen.py
+++ b/dahliabend/health_gossip/local_observations.py
@@ -8,30 +8,32 @@
 
 from dahliabend.model import Outcome
 
-BAD = frozenset({Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET})
-SPOKEN = BAD | {Outcome.SUCCEEDED}
-MOST = 32  # ends remembered of one upstream
+FAILURE_OUTCOMES = frozenset({Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET})
+COUNTED_OUTCOMES = FAILURE_OUTCOMES | {Outcome.SUCCEEDED}
+MAX_SAMPLES = 32  # ends remembered of one upstream
 
 
-class Seen:
+class LocalObservations:
     """`window` in microseconds. Names are the list's."""
 
     def __init__(self, window: int) -> None:
         self.window = window
-        self.ends: dict[str, deque[tuple[int, bool]]] = {}
+        self.samples: dict[str, deque[tuple[int, bool]]] = {}
 
-    def ended(self, now: int, name: str, outcome: Outcome) -> None:
-        if outcome in SPOKEN:
-            self.ends.setdefault(name, deque(maxlen=MOST)).append((now, outcome in BAD))
+    def record_outcome(self, now: int, name: str, outcome: Outcome) -> None:
+        if outcome in COUNTED_OUTCOMES:
+            self.samples.setdefault(name, deque(maxlen=MAX_SAMPLES)).append(
+                (now, outcome in FAILURE_OUTCOMES)
+            )
 
-    def rows(self, now: int) -> dict[str, tuple[int, int]]:
+    def counts(self, now: int) -> dict[str, tuple[int, int]]:
         """By upstream: tried and bad, within the window. What is older is forgotten."""
         made = {}
-        for name, ends in list(self.ends.items()):
+        for name, ends in list(self.samples.items()):
             while ends and ends[0][0] <= now - self.window:
                 ends.popleft()
             if ends:
                 made[name] = len(ends), sum(bad for _, bad in ends)
             else:
-                del self.ends[name]
+                del self.samples[name]
         return made
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -12,7 +12,7 @@
 from dahliabend.config.operator_file.types import Members
 from dahliabend.config.platform import address
 from dahliabend.discovery.watch import Book, Discovery
-from dahliabend.health_gossip.gossip import BEAT, MS, Gossip
+from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
 from dahliabend.membership.codec import MemberStatus, Update
 from dahliabend.membership.failure_detector import Event, MembershipProtocol, SwimConfig
@@ -84,7 +84,7 @@
         self.machine = MembershipProtocol(
             self.name, life, self.place, terms, self.chance, settings.zone, weight
         )
-        self.gossip = Gossip(self.name, computer.wall(), self.chance) if settings.signals else None
+        self.gossip = HealthGossip(self.name, computer.wall(), self.chance) if settings.signals else None
         self.pools: Callable[[], list[tuple]] = list  # names, and the routers whose decisions are told
         self.believed: list[dict] = []  # the last that were told them
         self.shares = None  # of limits, where a route is shared
@@ -94,7 +94,10 @@
 
             self.probing = Probing(self.name, settings.probing, log)
             shared = self.probing.shared
-            self.gossip.turns, self.gossip.heard = shared.election.announcements, shared.apply_announcement
+            self.gossip.leases, self.gossip.on_lease = (
+                shared.election.announcements,
+                shared.apply_announcement,
+            )
         self.shell = UdpTransport(self.machine, self.seal_of(settings), deadlines, self.heard)
         self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
@@ -129,7 +132,7 @@
 
     def listen(self, said: list[bytes]) -> None:
         for data in said:
-            self.gossip.received(clock(), data)
+            self.gossip.receive(clock(), data)
 
     def share(self, choices: Callable) -> None:
         """Routes share their limits from now on."""
@@ -137,16 +140,16 @@
             from dahliabend.server.shares import Shares
 
             self.shares = Shares(self.name, choices, self.log)
-            self.gossip.parts, self.gossip.parted = self.shares.told, self.shares.heard
+            self.gossip.quotas, self.gossip.on_quota = self.shares.told, self.shares.heard
         self.shares.hold()
 
     def saw(self, pool: str, upstream: str, outcome) -> None:
-        self.gossip.ended(clock(), pool, upstream, outcome)
+        self.gossip.record_outcome(clock(), pool, upstream, outcome)
 
     def signal(self) -> None:
         """A beat: what others told is believed or not, and what this one saw goes out."""
         now, gossip = clock(), self.gossip
-        self.beating = self.deadlines.at(now + BEAT, self.signal)
+        self.beating = self.deadlines.at(now + GOSSIP_INTERVAL, self.signal)
         view, settled = self.view(), self.settled()
         members = {m.name for m in view.members if m.state != "unreached"}
         for pool, router in self.pools():
@@ -156,10 +159,10 @@
             def told(name: str, tried: int, bad: int, balancer=balancer, indices=indices) -> None:
                 balancer.add_peer_report(indices[name], tried, bad)
 
-            for each in gossip.tell(now, pool, set(indices), members, told):
-                told_now = {"pool": pool, "upstream": each.name, "at": now, "origins": each.origins}
+            for each in gossip.report_suspected(now, pool, set(indices), members, told):
+                told_now = {"pool": pool, "upstream": each.upstream, "at": now, "origins": each.origins}
                 self.believed = [*self.believed[1 - LAST :], told_now]
-                self.log("believed", pool=pool, upstream=each.name, origins=each.origins)
+                self.log("believed", pool=pool, upstream=each.upstream, origins=each.origins)
         if self.probing is not None:
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             shared = [(pool, router) for pool, router in self.pools() if router.shares is not None]
@@ -170,8 +173,8 @@
             machine = self.machine
             left = {n for n in machine.departed if machine.members[n].update.status is MemberStatus.LEFT}
             self.shares.beat(here, left, view.possibly_partitioned)
-        gossip.beat(now, sorted(members))
-        out, gossip.out = gossip.out, []
+        gossip.tick(now, sorted(members))
+        out, gossip.outbox = gossip.outbox, []
         for name, data in out:
             self.machine.send_user_message(name, data)
         self.shell.flush()
@@ -183,12 +186,14 @@
             return None
 
         def shown(rows) -> list[dict]:
-            return [{"pool": r.pool, "upstream": r.name, "tried": r.tried, "bad": r.bad} for r in rows]
+            return [
+                {"pool": r.pool, "upstream": r.upstream, "tried": r.attempts, "bad": r.failures} for r in rows
+            ]
 
         origins = [
-            {"name": name, "age_ms": (now - held.since) // MS, "hops": held.report.hops,
-             "rows": shown(held.report.rows)}
-            for name, held in sorted(gossip.board.fresh(now).items())
+            {"name": name, "age_ms": (now - held.created_at) // MS, "hops": held.report.relays,
+             "rows": shown(held.report.counts)}
+            for name, held in sorted(gossip.report_table.fresh(now).items())
         ]  # fmt: skip
         believed = [
             {"pool": each["pool"], "upstream": each["upstream"], "origins": each["origins"],
@@ -196,9 +201,9 @@
             for each in self.believed
         ]  # fmt: skip
         return {
-            "name": self.name, "own": shown(gossip.rows(now)), "origins": origins, "believed": believed,
+            "name": self.name, "own": shown(gossip.counts(now)), "origins": origins, "believed": believed,
             "shares": self.shares.shown() if self.shares is not None else [],
-            "told": gossip.believed, "unread": gossip.unread, "refused": gossip.board.refused,
+            "told": gossip.suspected_count, "unread": gossip.undecodable, "refused": gossip.report_table.rejected,
         }  # fmt: skip
 
     # Seeds.
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/shares.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable
 
-from dahliabend.health_gossip.board import Parted
+from dahliabend.health_gossip.report_table import QuotaAnnouncement
 from dahliabend.leases.shared_limits import QuotaShare
 from dahliabend.routing_rules.choice import Choice
 from dahliabend.transport.timers import clock
@@ -35,13 +35,14 @@
             del self.limits[name]
             self.asks.pop(name, None)
 
-    def heard(self, at: int, origin: str, parted: Parted) -> None:
+    def heard(self, at: int, origin: str, parted: QuotaAnnouncement) -> None:
         if parted.limit in self.limits:
-            self.limits[parted.limit].update_peer(at, origin, parted.part, parted.ask)
+            self.limits[parted.limit].update_peer(at, origin, parted.share, parted.demand)
 
-    def told(self) -> list[Parted]:
+    def told(self) -> list[QuotaAnnouncement]:
         return [
-            Parted(name, round(s.share, 6), round(s.demand, 6)) for name, s in sorted(self.limits.items())
+            QuotaAnnouncement(name, round(s.share, 6), round(s.demand, 6))
+            for name, s in sorted(self.limits.items())
         ]
 
     def beat(self, members: set[str], left: set[str], cut: bool) -> None:
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -12,8 +12,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.health_gossip.board import Report, Row
-from dahliabend.health_gossip.gossip import BEAT, Gossip
+from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
+from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
@@ -83,18 +83,18 @@
         self.keeper: Keeper | None = None
         self.weights: dict[str, float] = {}
         self.demand = Demand() if work.demand else None
-        self.gossip: Gossip | None = None
+        self.gossip: HealthGossip | None = None
         if work.signals:
             chance = Random(f"signals {work.fleet.seed} {number} {life}")
             self.gossip = (
                 Liar(work, number, life, chance)
                 if number in work.liars
-                else Gossip(f"b{number}", life, chance)
+                else HealthGossip(f"b{number}", life, chance)
             )
         self.shared: LeasedHealthChecks | None = None
         if work.probing:
             self.shared = LeasedHealthChecks(f"b{number}", work.probing, self.look_at, lambda *_, **__: None)
-            self.gossip.turns, self.gossip.heard = (
+            self.gossip.leases, self.gossip.on_lease = (
                 self.shared.election.announcements,
                 self.shared.apply_announcement,
             )
@@ -154,7 +154,7 @@
         if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED) and node.index in self.links:
             self.links[node.index].append(work.now)  # else it has left the list, or the subset, meanwhile
         if self.gossip is not None:
-            self.gossip.ended(work.now, POOL, node.name, outcome)
+            self.gossip.record_outcome(work.now, POOL, node.name, outcome)
         if outcome is Outcome.SUCCEEDED and not asked.answered:
             self.answer(asked, "served" if work.now - asked.at <= GOAL else "late")
         if asked.handle is not None:
@@ -272,7 +272,7 @@
         work, gossip, machine = self.work, self.gossip, self.work.machine(self.number)
         if not self.alive:
             return
-        work.at(work.now + BEAT, self.gossips)
+        work.at(work.now + GOSSIP_INTERVAL, self.gossips)
         members = machine.view(work.now).names()
         indices = {work.nodes[u.index].name: u.index for u in self.balancer.ready if not u.ejected}
 
@@ -280,14 +280,14 @@
             work.counts["believed"] += 1
             self.balancer.add_peer_report(indices[name], tried, bad)
 
-        gossip.tell(work.now, POOL, set(indices), members, told)
+        gossip.report_suspected(work.now, POOL, set(indices), members, told)
         if self.shared is not None:
             settled = machine.last_stable_view(work.now)
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             duties = {name: "" for name, row in self.rows.items() if row[1] is EndpointState.READY}
             self.shared.tick(work.now, rows, bool(rows) and work.now >= machine.unsettled_until, duties)
-        gossip.beat(work.now, sorted(members))
-        out, gossip.out = gossip.out, []
+        gossip.tick(work.now, sorted(members))
+        out, gossip.outbox = gossip.outbox, []
         for name, data in out:
             work.counts["signal bytes"] += len(data)
             town = work.town
@@ -324,21 +324,23 @@
             del self.links[index]
 
 
-class Liar(Gossip):
+class Liar(HealthGossip):
     """One that tells what is not so: `dead` (all fail), `well` (nothing does), `old` (its first report for
     ever, as new)."""
 
     def __init__(self, work: "Work", number: int, life: int, chance: Random) -> None:
         super().__init__(f"b{number}", life, chance)
         self.work, self.how = work, work.liars[number]
-        self.first: list[Row] = []
+        self.first: list[UpstreamCounts] = []
 
-    def report(self, now: int) -> Report:
+    def report(self, now: int) -> HealthReport:
         made = super().report(now)
-        self.first = self.first or made.rows
+        self.first = self.first or made.counts
         bad = 3 if self.how == "dead" else 0
-        rows = [Row(POOL, name, 3, bad) for name in sorted(self.work.places)][:40]
-        return Report(made.origin, made.life, made.number, 0, 0, self.first if self.how == "old" else rows)
+        rows = [UpstreamCounts(POOL, name, 3, bad) for name in sorted(self.work.places)][:40]
+        return HealthReport(
+            made.origin, made.generation, made.sequence, 0, 0, self.first if self.how == "old" else rows
+        )
 
 
 class Work(Model):
@@ -457,7 +459,7 @@
         copy.listed({name: self.row(node) for name, node in self.places.items()})
         copy.look()
         if copy.gossip is not None:
-            self.at(self.clock + self.luck.randrange(BEAT), copy.gossips)
+            self.at(self.clock + self.luck.randrange(GOSSIP_INTERVAL), copy.gossips)
         self.front.append(number)
 
     def end(self, number: int) -> MembershipProtocol | None:
@@ -472,7 +474,7 @@
     def told(self, number: int, data: bytes) -> None:
         copy = self.copies.get(number)
         if copy is not None and copy.gossip is not None:
-            copy.gossip.received(self.clock, data)
+            copy.gossip.receive(self.clock, data)
 
     def noticed(self, number: int) -> None:
         if number not in self.copies:
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliabend.config.operator_file.types import Route
-from dahliabend.health_gossip.board import Parted
+from dahliabend.health_gossip.report_table import QuotaAnnouncement
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.server.service import Service
 from dahliabend.server.shares import Shares
@@ -51,8 +51,8 @@
     assert limit.part == 0.25
     shares.beat({"me", "b"}, set(), False)
     assert limit.part <= 0.5 and shares.told()[0].limit == "r"
-    shares.heard(1, "b", Parted("r", 0.5, 0.5))
-    shares.heard(1, "b", Parted("gone", 0.5, 0.5))
+    shares.heard(1, "b", QuotaAnnouncement("r", 0.5, 0.5))
+    shares.heard(1, "b", QuotaAnnouncement("gone", 0.5, 0.5))
     assert shares.shown()[0]["others"] == {"b": pytest.approx(0.5)}
     routes.clear()
     shares.hold()
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from dahliabend.config import platform as config
-from dahliabend.health_gossip.board import Report, Row
+from dahliabend.health_gossip.report_table import Report, Row
 from dahliabend.membership.codec import Rumour, Standing
 from dahliabend.model import Outcome
 from dahliabend.server.metrics import Figures
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -11,8 +11,8 @@
 import msgspec
 from golden_files import as_json, read_golden, write_golden
 
-from dahliabend.health_gossip.board import Parted, Report, Row
-from dahliabend.health_gossip.gossip import Gossip
+from dahliabend.health_gossip.gossip import HealthGossip
+from dahliabend.health_gossip.report_table import HealthReport, QuotaAnnouncement, UpstreamCounts
 from dahliabend.leases.candidate_order import rank_candidates
 from dahliabend.leases.election import LeaseAnnouncement, LeaseElection
 from dahliabend.model import Outcome
@@ -27,16 +27,16 @@
 
 # Values go by name: one that changes its place in the encoded array shows.
 FROM_OTHERS = [
-    Report(
-        origin="b2", life=9, number=4, age_ms=250, hops=0,
-        rows=[
-            Row(pool="records", name="s-1", tried=5, bad=4), Row(pool="records", name="s-9", tried=2, bad=2),
+    HealthReport(
+        origin="b2", generation=9, sequence=4, age_ms=250, relays=0,
+        counts=[
+            UpstreamCounts(pool="records", upstream="s-1", attempts=5, failures=4), UpstreamCounts(pool="records", upstream="s-9", attempts=2, failures=2),
         ],
     ),
-    Report(
-        origin="b3", life=8, number=1, age_ms=0, hops=2, rows=[],
-        turns=[LeaseAnnouncement(task="probe records s-1", fencing_token=5 << 16 | 77, holder="b3", completed_runs=6, age_ms=40, result=1)],
-        parts=[Parted(limit="submits", part=0.25, ask=0.5), Parted(limit="rest", part=0.125, ask=0.0)],
+    HealthReport(
+        origin="b3", generation=8, sequence=1, age_ms=0, relays=2, counts=[],
+        leases=[LeaseAnnouncement(task="probe records s-1", fencing_token=5 << 16 | 77, holder="b3", completed_runs=6, age_ms=40, result=1)],
+        quotas=[QuotaAnnouncement(limit="submits", share=0.25, demand=0.5), QuotaAnnouncement(limit="rest", share=0.125, demand=0.0)],
     ),
 ]  # fmt: skip
 
@@ -48,7 +48,7 @@
 
 def produce_gossip() -> str:
     """Reports of one member over three beats, with those of others passed on, and how a report is read."""
-    gossip = Gossip("b1", 1_764_653_000_000_000, Random(5))
+    gossip = HealthGossip("b1", 1_764_653_000_000_000, Random(5))
     leases = [
         LeaseAnnouncement(
             task="probe records s-2",
@@ -60,29 +60,29 @@
         ),
         LeaseAnnouncement(task="probe records s-3", fencing_token=9, holder="b1", completed_runs=0, age_ms=0),
     ]
-    gossip.turns = lambda now: leases
-    gossip.parts = lambda: [Parted(limit="submits", part=0.333333, ask=0.4)]
-    apply_announcement: list = []
+    gossip.leases = lambda now: leases
+    gossip.quotas = lambda: [QuotaAnnouncement(limit="submits", share=0.333333, demand=0.4)]
+    heard: list = []
     gossip.on_lease = lambda now, done: heard.append([now, plain(done)])
-    gossip.parted = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
+    gossip.on_quota = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
     for number, outcome in enumerate(Outcome):
-        gossip.ended(START + number, "records", "s-1", outcome)
-    gossip.ended(START, "records", "s-2", Outcome.SUCCEEDED)
-    gossip.ended(START, "archive", "a-1", Outcome.RESET)
+        gossip.record_outcome(START + number, "records", "s-1", outcome)
+    gossip.record_outcome(START, "records", "s-2", Outcome.SUCCEEDED)
+    gossip.record_outcome(START, "archive", "a-1", Outcome.RESET)
     sent = []
     for beat in range(3):
         now = START + beat * BEAT
         if beat == 1:
-            gossip.received(now, msgspec.msgpack.encode(FROM_OTHERS))
-            gossip.received(now, b"unreadable")
+            gossip.receive(now, msgspec.msgpack.encode(FROM_OTHERS))
+            gossip.receive(now, b"unreadable")
         gossip.tick(now, MEMBERS)
-        sent.append([[name, data.hex()] for name, data in gossip.out])
-        gossip.out = []
+        sent.append([[name, data.hex()] for name, data in gossip.outbox])
+        gossip.outbox = []
     held = {
-        name: [origin.since, plain(origin.report)]
-        for name, origin in sorted(gossip.board.fresh(START + 2 * BEAT).items())
+        name: [origin.created_at, plain(origin.report)]
+        for name, origin in sorted(gossip.report_table.fresh(START + 2 * BEAT).items())
     }
-    return as_json({"sent": sent, "heard": heard, "held": held, "unread": gossip.unread})
+    return as_json({"sent": sent, "heard": heard, "held": held, "unread": gossip.undecodable})
 
 
 def test_reports_are_encoded_and_passed_on_as_before() -> None:
@@ -92,12 +92,12 @@
 def test_a_payload_of_the_version_before_is_read() -> None:
     """The newest payload of the golden file, as another member gets it."""
     payload = json.loads(read_golden(GOSSIP_GOLDEN))["sent"][1][0][1]
-    reader, leases, parts = Gossip("b5", 1, Random(1)), [], []
+    reader, leases, parts = HealthGossip("b5", 1, Random(1)), [], []
     reader.on_lease = lambda now, done: leases.append(plain(done))
-    reader.parted = lambda now, origin, parted: parts.append([now, origin, plain(parted)])
-    reader.received(START + SECOND, bytes.fromhex(payload))
-    held = reader.board.fresh(START + SECOND)
-    assert plain(held["b1"].report.rows) == [["records", "s-1", 5, 4], ["archive", "a-1", 1, 1]]
+    reader.on_quota = lambda now, origin, parted: parts.append([now, origin, plain(parted)])
+    reader.receive(START + SECOND, bytes.fromhex(payload))
+    held = reader.report_table.fresh(START + SECOND)
+    assert plain(held["b1"].report.counts) == [["records", "s-1", 5, 4], ["archive", "a-1", 1, 1]]
     rows = [["records", "s-1", 5, 4], ["records", "s-9", 2, 2]]
     assert plain(held["b2"].report) == ["b2", 9, 4, 250, 1, rows, [], []]
     assert leases == [
@@ -113,9 +113,9 @@
 
 
 def test_fields_that_an_older_report_lacks_take_their_defaults() -> None:
-    reader = Gossip("b5", 1, Random(1))
-    reader.received(START, msgspec.msgpack.encode([["b2", 9, 4, 0, 0, [["records", "s-1", 5, 4]]]]))
-    assert plain(reader.board.fresh(START)["b2"].report)[6:] == [[], []]
+    reader = HealthGossip("b5", 1, Random(1))
+    reader.receive(START, msgspec.msgpack.encode([["b2", 9, 4, 0, 0, [["records", "s-1", 5, 4]]]]))
+    assert plain(reader.report_table.fresh(START)["b2"].report)[6:] == [[], []]
 
 
 def test_the_numbers_of_outcomes_stay() -> None:
