--- a/dahliabend/cli/subset.py
+++ b/dahliabend/cli/subset.py
@@ -9,7 +9,14 @@
 from rich.table import Table
 
 from dahliabend.cli.members import ask
-from dahliabend.subsetting.selection import DEGREE, LEAST, Party, Relation, choose, parts
+from dahliabend.subsetting.selection import (
+    MIN_BALANCERS_PER_UPSTREAM,
+    MIN_SUBSET_SIZE,
+    Assignment,
+    Participant,
+    assign_subsets,
+    normalized_weights,
+)
 
 MOST = 2_000  # of each
 
@@ -19,8 +26,8 @@
 @click.option("--balancers", type=click.IntRange(1, MOST), help="So many instead, named b0 and on.")
 @click.option("--upstreams", type=click.IntRange(1, MOST), help="So many instead, named u0 and on.")
 @click.option("--zones", type=click.IntRange(1, 64), default=1, show_default=True, help="Dealt in turn.")
-@click.option("--least", type=click.IntRange(1), default=LEAST, show_default=True)
-@click.option("--degree", type=click.IntRange(1), default=DEGREE, show_default=True)
+@click.option("--least", type=click.IntRange(1), default=MIN_SUBSET_SIZE, show_default=True)
+@click.option("--degree", type=click.IntRange(1), default=MIN_BALANCERS_PER_UPSTREAM, show_default=True)
 @click.option("--lose", "lost", multiple=True, help="What it moves if this one goes; may be repeated.")
 @click.option("--chart", type=click.Path(dir_okay=False, path_type=Path), help="An SVG of the relation.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
@@ -35,16 +42,16 @@
         return click.echo(json.dumps(said, indent=2)) if as_json else running(said)
     if balancers is None or upstreams is None:
         raise click.UsageError("either FILE or HOST:PORT, or --balancers and --upstreams")
-    fleet = [Party(f"b{n}", f"z{n % zones}") for n in range(balancers)]
-    pool = [Party(f"u{n}", f"z{n % zones}") for n in range(upstreams)]
-    made = choose(fleet, pool, least, zones > 1, degree)
+    fleet = [Participant(f"b{n}", f"z{n % zones}") for n in range(balancers)]
+    pool = [Participant(f"u{n}", f"z{n % zones}") for n in range(upstreams)]
+    made = assign_subsets(fleet, pool, least, zones > 1, degree)
     figures = summary(made, pool)
     names = {party.name for party in (*fleet, *pool)}
     for name in lost:
         if name not in names:
             raise click.BadParameter(f"{name!r} is none of them", param_hint="--lose")
         rest = [[party for party in parties if party.name != name] for parties in (fleet, pool)]
-        after = choose(*rest, least, zones > 1, degree)
+        after = assign_subsets(*rest, least, zones > 1, degree)
         pairs = made.pairs()
         own = sum(name in pair for pair in pairs)
         moved = len(pairs ^ after.pairs())
@@ -53,13 +60,13 @@
     if chart is not None:
         draw(made, chart)
     if as_json:
-        shown = {name: made.of(name) for name in made.balancers}
+        shown = {name: made.subset_of(name) for name in made.balancers}
         return click.echo(json.dumps(figures | {"relation": shown}, indent=2))
     show(figures)
 
 
-def summary(made: Relation, pool: list[Party]) -> dict:
-    load = made.shares.sum(axis=0) / parts(sorted(pool, key=lambda party: party.name))
+def summary(made: Assignment, pool: list[Participant]) -> dict:
+    load = made.shares.sum(axis=0) / normalized_weights(sorted(pool, key=lambda party: party.name))
     rows, columns = (made.shares > 0).sum(axis=1), (made.shares > 0).sum(axis=0)
     return {
         "pairs": int(rows.sum()), "load": [round(float(load.min()), 3), round(float(load.max()), 3)],
@@ -90,7 +97,7 @@
     Console(width=None if sys.stdout.isatty() else 160).print(table)
 
 
-def draw(made: Relation, path: Path) -> None:
+def draw(made: Assignment, path: Path) -> None:
     try:
         import matplotlib
     except ModuleNotFoundError:
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -20,7 +20,7 @@
 from dahliabend.membership.view import MembershipView
 from dahliabend.model import EndpointState
 from dahliabend.server.lists import ListFile
-from dahliabend.subsetting.demand import UNTOLD, Demand
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
@@ -80,7 +80,7 @@
         self.kept = self.read_kept()
         if self.kept is not None:  # a clock that was set back must not make it older than it was
             life = max(life, self.kept.life + 1)
-        weight = UNTOLD if settings.demand else settings.weight
+        weight = UNKNOWN_DEMAND if settings.demand else settings.weight
         self.machine = MembershipProtocol(
             self.name, life, self.place, terms, self.chance, settings.zone, weight
         )
@@ -101,7 +101,7 @@
         self.shell = UdpTransport(self.machine, self.seal_of(settings), deadlines, self.heard)
         self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
-        self.demand = Demand() if settings.demand else None
+        self.demand = DemandEstimator() if settings.demand else None
         self.told = Seeds(self.follow)
         self.lists: list[ListFile | Discovery] = []
         self.keeping: list | None = None
@@ -292,7 +292,7 @@
 
     def asked(self, count: int) -> None:
         """So many transactions came in all, until now."""
-        weight = self.demand.counted(clock(), count)
+        weight = self.demand.update(clock(), count)
         if weight is not None:
             self.machine.update_self(clock(), weight=weight)
             self.log("demand", weight=weight)
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -8,8 +8,8 @@
 from dahliabend.config.operator_file import types
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
-from dahliabend.subsetting.controller import Keeper, Subset, Terms, answering
-from dahliabend.subsetting.selection import Party
+from dahliabend.subsetting.controller import ActiveSubset, SubsetController, SubsetSettings, count_usable
+from dahliabend.subsetting.selection import Participant
 from dahliabend.transport.timers import Deadlines, clock
 
 LOOK = 250_000  # how often it looks whether something has to move
@@ -24,21 +24,23 @@
     ) -> None:  # fmt: skip
         self.router, self.fleet, self.deadlines, self.log = router, fleet, deadlines, log
         self.rows: dict[str, tuple] = {}  # by id, all that the list has
-        self.now: Subset = Subset()
+        self.now: ActiveSubset = ActiveSubset()
         own = fleet.settings if fleet is not None else None
         index = settings.self_index
-        me = Party(fleet.name if own else name if index is None else f"{index}", own.zone if own else "")
-        terms = Terms(
-            by="members" if index is None else "index",
-            least=settings.least,
+        me = Participant(
+            fleet.name if own else name if index is None else f"{index}", own.zone if own else ""
+        )
+        terms = SubsetSettings(
+            source="members" if index is None else "index",
+            min_size=settings.least,
             degree=settings.degree,
-            zones=settings.zones,
+            by_zone=settings.zones,
             balancers=balancers,
-            hold=settings.hold,
+            doubt_hold=settings.hold,
         )
-        self.keeper = Keeper(me, terms)
+        self.keeper = SubsetController(me, terms)
         if index is not None:  # all know how many there are, and each its own place among them
-            self.keeper.sees(clock(), [Party(f"{n}") for n in range(balancers)], sure=True)
+            self.keeper.update_view(clock(), [Participant(f"{n}") for n in range(balancers)], trusted=True)
         self.timer: list | None = None
         self.look()
 
@@ -51,9 +53,13 @@
             else:
                 self.rows[row[0]] = row
                 self.router.table.remember(row[0])  # an operator may take it out before it is in use
-        self.keeper.lists(
+        self.keeper.update_upstreams(
             clock(),
-            [Party(name, row[6], row[4]) for name, row in self.rows.items() if row[2] is EndpointState.READY],
+            [
+                Participant(name, row[6], row[4])
+                for name, row in self.rows.items()
+                if row[2] is EndpointState.READY
+            ],
         )
         self.move()
         self.tell()  # drains of those in use are heard at once, whatever moves
@@ -69,17 +75,17 @@
     def move(self) -> bool:
         now, fleet = clock(), self.fleet
         if fleet is not None and (settled := fleet.settled()) is not None:
-            self.keeper.follows(now, settled, fleet.view())
+            self.keeper.follow_membership(now, settled, fleet.view())
         balancer = self.router.balancer
         if self.now.weights:
-            self.keeper.held_back(answering(balancer, now))
+            self.keeper.adjust_width(count_usable(balancer, now))
         made = self.keeper.step(now, frozenset(self.router.excluded & self.now.weights.keys()))
         if made is None:
             return False
         self.now = made
         self.log(
             "subset", size=len(made.weights), of=len(self.rows), added=made.added[:20],
-            dropped=made.dropped[:20], by=made.by, balancers=made.balancers,
+            dropped=made.dropped[:20], by=made.source, balancers=made.balancers,
         )  # fmt: skip
         return True
 
@@ -95,7 +101,7 @@
                 rows.append(row)  # it drains: kept until it is gone, for what is out there
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
-        self.router.balancer.instance_count = self.now.sharing
+        self.router.balancer.instance_count = self.now.balancers_per_upstream
         self.router.listed(rows, full=True)
 
     def stop(self) -> None:
@@ -104,5 +110,5 @@
     def shown(self) -> dict:
         made = self.now
         weights = {name: round(weight, 4) for name, weight in sorted(made.weights.items())}
-        return {"size": len(made.weights), "of": len(self.rows), "by": made.by, "balancers": made.balancers,
-                "wider": self.keeper.wider, "weights": weights}  # fmt: skip
+        return {"size": len(made.weights), "of": len(self.rows), "by": made.source, "balancers": made.balancers,
+                "wider": self.keeper.extra, "weights": weights}  # fmt: skip
--- a/dahliabend/simulation/cluster/subsets.py
+++ b/dahliabend/simulation/cluster/subsets.py
@@ -9,9 +9,8 @@
 from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.script import Fleet, S
-from dahliabend.subsetting.controller import Keeper
-from dahliabend.subsetting.controller import Terms as SubsetTerms
-from dahliabend.subsetting.selection import Party
+from dahliabend.subsetting.controller import SubsetController, SubsetSettings
+from dahliabend.subsetting.selection import Participant
 
 
 @dataclass(slots=True)
@@ -41,23 +40,23 @@
     """As the model, and every second all keepers step."""
 
     def __init__(
-        self, fleet: Fleet, upstreams: int, subset: SubsetTerms, terms: SwimConfig | None = None
+        self, fleet: Fleet, upstreams: int, subset: SubsetSettings, terms: SwimConfig | None = None
     ) -> None:
         super().__init__(fleet, terms)
         self.subset, self.days = subset, Days()
-        self.pool = [Party(f"u{n}") for n in range(upstreams)]
-        self.keepers: dict[int, Keeper] = {}
+        self.pool = [Participant(f"u{n}") for n in range(upstreams)]
+        self.keepers: dict[int, SubsetController] = {}
         self.using: dict[int, dict[str, float]] = {}
         self.born = upstreams
 
     def replace(self, count: int) -> None:
         """So many upstreams go, as many others come."""
-        self.pool = self.pool[count:] + [Party(f"u{self.born + n}") for n in range(count)]
+        self.pool = self.pool[count:] + [Participant(f"u{self.born + n}") for n in range(count)]
         self.born += count
 
     def start(self, number: int, state: dict | None = None) -> None:
         super().start(number, state)
-        self.keepers[number] = Keeper(Party(f"b{number}"), self.subset)
+        self.keepers[number] = SubsetController(Participant(f"b{number}"), self.subset)
         self.using.pop(number, None)
 
     def run(self, span: int) -> None:
@@ -73,8 +72,8 @@
             keeper = self.keepers[number]
             settled = machine.last_stable_view(self.now)
             if settled is not None:
-                keeper.follows(self.now, settled, machine.view(self.now))
-            keeper.lists(self.now, self.pool)
+                keeper.follow_membership(self.now, settled, machine.view(self.now))
+            keeper.update_upstreams(self.now, self.pool)
             made = keeper.step(self.now)
             if made is not None:
                 before = self.using.get(number, {})
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -21,9 +21,9 @@
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S
-from dahliabend.subsetting.controller import Keeper, Terms, answering
-from dahliabend.subsetting.demand import UNTOLD, Demand
-from dahliabend.subsetting.selection import Party
+from dahliabend.subsetting.controller import SubsetController, SubsetSettings, count_usable
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
+from dahliabend.subsetting.selection import Participant
 
 MS = 1_000
 LOOK = 250 * MS  # how often a subset is looked at, as in a pool
@@ -80,9 +80,9 @@
         self.links: dict[int, list[int]] = {}  # by upstream: since when each connection rests
         self.busy: Counter[int] = Counter()
         self.balancer = Balancer(work.settings(), self, seed=hash((work.fleet.seed, number, life)))
-        self.keeper: Keeper | None = None
+        self.keeper: SubsetController | None = None
         self.weights: dict[str, float] = {}
-        self.demand = Demand() if work.demand else None
+        self.demand = DemandEstimator() if work.demand else None
         self.gossip: HealthGossip | None = None
         if work.signals:
             chance = Random(f"signals {work.fleet.seed} {number} {life}")
@@ -99,7 +99,7 @@
                 self.shared.apply_announcement,
             )
         if work.subset is not None:
-            self.keeper = Keeper(work.party(number), work.subset)
+            self.keeper = SubsetController(work.party(number), work.subset)
 
     # The port.
 
@@ -245,10 +245,10 @@
         self.rows.update(changed)
         self.rows = {name: row for name, row in self.rows.items() if row[1] is not EndpointState.REMOVED}
         if self.keeper is not None:
-            self.keeper.lists(
+            self.keeper.update_upstreams(
                 self.work.now,
                 [
-                    Party(name, self.work.zone_names[row[5]], row[3])
+                    Participant(name, self.work.zone_names[row[5]], row[3])
                     for name, row in self.rows.items()
                     if row[1] is EndpointState.READY
                 ],
@@ -261,7 +261,7 @@
             return
         work, machine = self.work, self.work.machine(self.number)
         work.at(work.now + LOOK, self.look)
-        weight = self.demand and self.demand.counted(work.now, self.taken)
+        weight = self.demand and self.demand.update(work.now, self.taken)
         if weight and machine is not None:
             machine.update_self(work.now, weight=weight)
         if self.move():
@@ -298,15 +298,15 @@
         work, keeper = self.work, self.keeper
         machine = work.machine(self.number)
         if machine is not None and (settled := machine.last_stable_view(work.now)) is not None:
-            keeper.follows(work.now, settled, machine.view(work.now))
+            keeper.follow_membership(work.now, settled, machine.view(work.now))
         if self.weights:
-            keeper.held_back(answering(self.balancer, work.now))
+            keeper.adjust_width(count_usable(self.balancer, work.now))
         made = keeper.step(work.now)
         if made is None:
             return False
         work.counts["moved"] += len(made.added) + len(made.dropped)
         self.weights = made.weights
-        self.balancer.instance_count = made.sharing
+        self.balancer.instance_count = made.balancers_per_upstream
         return True
 
     def tell_rows(self) -> None:
@@ -351,7 +351,7 @@
         fleet: Fleet,
         upstreams: int = 60,
         rate: float = 330.0,
-        subset: Terms | None = None,
+        subset: SubsetSettings | None = None,
         kind: Kind | None = None,
         members: SwimConfig | None = None,
         zones: int = 1,
@@ -436,8 +436,8 @@
             warmup_multiple=kind.fall_multiple,
         )
 
-    def party(self, number: int) -> Party:
-        return Party(f"b{number}", self.zone_of(number))
+    def party(self, number: int) -> Participant:
+        return Participant(f"b{number}", self.zone_of(number))
 
     def zone_of(self, number: int) -> str:
         return self.zone_names[number % len(self.zone_names)]
@@ -454,7 +454,7 @@
     def start(self, number: int, state: dict | None = None) -> None:
         super().start(number, state)
         if self.demand:
-            self.town.machines[f"b{number}"].update_self(self.clock, weight=UNTOLD)
+            self.town.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND)
         copy = self.copies[number] = Copy(self, number, self.lives[number])
         copy.listed({name: self.row(node) for name, node in self.places.items()})
         copy.look()
--- a/dahliabend/subsetting/baselines.py
+++ b/dahliabend/subsetting/baselines.py
@@ -5,24 +5,32 @@
 
 import numpy as np
 
-from dahliabend.subsetting.selection import DEGREE, LEAST, Party, Relation, first, parts, ranks
+from dahliabend.subsetting.selection import (
+    MIN_BALANCERS_PER_UPSTREAM,
+    MIN_SUBSET_SIZE,
+    Assignment,
+    Participant,
+    first,
+    normalized_weights,
+    ranks,
+)
 
-Way = Callable[[Sequence[Party], Sequence[Party]], Relation]
+Way = Callable[[Sequence[Participant], Sequence[Participant]], Assignment]
 
 
 def size_of(balancers: int, upstreams: int) -> int:
-    return min(upstreams, max(LEAST, -(-DEGREE * upstreams // balancers)))
+    return min(upstreams, max(MIN_SUBSET_SIZE, -(-MIN_BALANCERS_PER_UPSTREAM * upstreams // balancers)))
 
 
-def made(balancers, upstreams, taken: np.ndarray) -> Relation:
+def made(balancers, upstreams, taken: np.ndarray) -> Assignment:
     """Each row's demand in equal parts over whom it uses."""
-    demand = parts(balancers)
+    demand = normalized_weights(balancers)
     shares = taken * (demand / np.maximum(taken.sum(axis=1), 1))[:, None]
     names = tuple(party.name for party in balancers), tuple(party.name for party in upstreams)
-    return Relation(*names, shares)
+    return Assignment(*names, shares)
 
 
-def random(balancers, upstreams) -> Relation:
+def random(balancers, upstreams) -> Assignment:
     """Each draws for itself, from its own name and the list as it is: a list that changes draws anew."""
     size = size_of(len(balancers), len(upstreams))
     taken = np.zeros((len(balancers), len(upstreams)), dtype=bool)
@@ -31,14 +39,14 @@
     return made(balancers, upstreams, taken)
 
 
-def rendezvous(balancers, upstreams) -> Relation:
+def rendezvous(balancers, upstreams) -> Assignment:
     """The first ranks, equal weights."""
     size = np.full(len(balancers), size_of(len(balancers), len(upstreams)))
     rank = ranks([party.name for party in balancers], [party.name for party in upstreams])
     return made(balancers, upstreams, first(rank, size))
 
 
-def rounds(balancers, upstreams) -> Relation:
+def rounds(balancers, upstreams) -> Assignment:
     """Deterministic subsetting: balancers in rounds, each round shuffles the list and deals it out."""
     size = size_of(len(balancers), len(upstreams))
     per_round = max(1, len(upstreams) // size)
@@ -51,12 +59,12 @@
     return made(balancers, upstreams, taken)
 
 
-def aperture(balancers, upstreams) -> Relation:
+def aperture(balancers, upstreams) -> Assignment:
     """Deterministic aperture: balancers and upstreams on a ring in order of their names, arcs with fractional
     ends that lie end to end, a whole number of times round."""
     count, width = len(balancers), len(upstreams)
     laps = max(1, -(-size_of(count, width) * count // width))
-    demand, capacity = parts(balancers), parts(upstreams)
+    demand, capacity = normalized_weights(balancers), normalized_weights(upstreams)
     ends = np.concatenate(([0.0], np.cumsum(capacity)))
     shares = np.zeros((count, width))
     at = 0.0
@@ -67,14 +75,14 @@
             shares[row] += np.maximum(0.0, high - low) * part / arc
         at += arc
     names = tuple(party.name for party in balancers), tuple(party.name for party in upstreams)
-    return Relation(*names, shares)
+    return Assignment(*names, shares)
 
 
-def everyone(balancers, upstreams) -> Relation:
+def everyone(balancers, upstreams) -> Assignment:
     """No subsets."""
     return made(balancers, upstreams, np.ones((len(balancers), len(upstreams)), dtype=bool))
 
 
-WAYS: dict[str, Way] = {
+STRATEGIES: dict[str, Way] = {
     "random": random, "rendezvous": rendezvous, "rounds": rounds, "aperture": aperture, "everyone": everyone,
 }  # fmt: skip
--- a/dahliabend/subsetting/demand.py
+++ b/dahliabend/subsetting/demand.py
@@ -7,13 +7,15 @@
 from dataclasses import dataclass
 
 S = 1_000_000
-LEAST = 1.0  # transactions a second: one that is asked nothing still counts as somebody
-UNTOLD = 1e-3  # a weight so small says nothing yet: it counts as the mean of those that have told theirs
+MIN_DEMAND = 1.0  # transactions a second: one that is asked nothing still counts as somebody
+UNKNOWN_DEMAND = (
+    1e-3  # a weight so small says nothing yet: it counts as the mean of those that have told theirs
+)
 SURE = 4.0  # deviations of a count, by chance alone: a smaller change is none
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DemandSettings:
     """Spans in microseconds."""
 
     memory: int = 10 * S  # over which it takes the mean
@@ -23,37 +25,40 @@
     apart: int = 10 * S  # between two tellings at the least: each is a rumour for the whole fleet
 
 
-class Demand:
-    def __init__(self, terms: Terms | None = None) -> None:
-        self.terms = terms or Terms()
+class DemandEstimator:
+    def __init__(self, terms: DemandSettings | None = None) -> None:
+        self.terms = terms or DemandSettings()
         self.began = self.count = self.at = 0  # since when, and when it was last told how many
         self.rate = 0.0  # transactions a second, in the mean
-        self.told, self.when = 0.0, 0
-        self.low, self.most = 0, 0.0  # since when it is low, and the most that it has been since
+        self.announced, self.announced_at = 0.0, 0
+        self.low_since, self.peak_since_low = (
+            0,
+            0.0,
+        )  # since when it is low, and the most that it has been since
 
-    def counted(self, now: int, count: int) -> float | None:
+    def update(self, now: int, count: int) -> float | None:
         """Told how many transactions have come in all; a weight, where another is to be told."""
         if not self.at:
-            self.began, self.count, self.at, self.when = now, count, now, now
+            self.began, self.count, self.at, self.announced_at = now, count, now, now
             return None
         span, came, terms = now - self.at, count - self.count, self.terms
         if span <= 0:
             return None
         self.count, self.at = count, now
         self.rate += (came * S / span - self.rate) * span / min(max(span, terms.memory), now - self.began)
-        rate = max(LEAST, self.rate)
-        if rate >= self.told * terms.falls:
-            self.low, self.most = 0, 0.0
+        rate = max(MIN_DEMAND, self.rate)
+        if rate >= self.announced * terms.falls:
+            self.low_since, self.peak_since_low = 0, 0.0
         else:
-            self.low, self.most = self.low or now, max(self.most, rate)
-        if now - self.when < terms.apart:
+            self.low_since, self.peak_since_low = self.low_since or now, max(self.peak_since_low, rate)
+        if now - self.announced_at < terms.apart:
             return None
-        noise = SURE * (max(self.told, LEAST) * S / terms.memory) ** 0.5
-        if rate > max(self.told * terms.rises, self.told + noise):
-            self.told = rate
-        elif self.low and now - self.low >= terms.lasts:
-            self.told = self.most
+        noise = SURE * (max(self.announced, MIN_DEMAND) * S / terms.memory) ** 0.5
+        if rate > max(self.announced * terms.rises, self.announced + noise):
+            self.announced = rate
+        elif self.low_since and now - self.low_since >= terms.lasts:
+            self.announced = self.peak_since_low
         else:
             return None
-        self.when, self.low, self.most = now, 0, 0.0
-        return round(self.told, 2)
+        self.announced_at, self.low_since, self.peak_since_low = now, 0, 0.0
+        return round(self.announced, 2)
--- a/dahliabend/subsetting/flap_damping.py
+++ b/dahliabend/subsetting/flap_damping.py
@@ -11,20 +11,20 @@
 REMOVED = 1 / 4  # a penalty that is not remembered
 
 
-class Flaps:
+class FlapDamping:
     def __init__(self) -> None:
         self.penalties: dict[str, tuple[float, int]] = {}  # and when it was reckoned
-        self.resting: set[str] = set()
+        self.suppressed: set[str] = set()
 
     def penalty(self, name: str, now: int) -> float:
         left, at = self.penalties.get(name, (0.0, now))
         return left * 0.5 ** ((now - at) / HALF)
 
-    def departed(self, now: int, names: Iterable[str]) -> None:
+    def record_departures(self, now: int, names: Iterable[str]) -> None:
         for name in names:
             self.penalties[name] = min(MOST, self.penalty(name, now) + 1.0), now
 
-    def rest(self, now: int, listed: Iterable[str]) -> set[str]:
+    def suppress(self, now: int, listed: Iterable[str]) -> set[str]:
         """Those of the listed ones that are not to be used yet: the worst, never more than a part of all."""
         for name in [name for name in self.penalties if self.penalty(name, now) <= REMOVED]:
             del self.penalties[name]
@@ -32,8 +32,8 @@
         found = {}
         for name in listed & self.penalties.keys():
             left = self.penalty(name, now)
-            if left >= (WELL if name in self.resting else RESTS):
+            if left >= (WELL if name in self.suppressed else RESTS):
                 found[name] = left
         most = int(len(listed) * PART)
-        self.resting = set(sorted(found, key=lambda name: (-found[name], name))[:most])
-        return self.resting
+        self.suppressed = set(sorted(found, key=lambda name: (-found[name], name))[:most])
+        return self.suppressed
--- a/dahliabend/subsetting/selection.py
+++ b/dahliabend/subsetting/selection.py
@@ -12,8 +12,10 @@
 
 import numpy as np
 
-LEAST = 12  # upstreams that a balancer uses, where there are so many
-DEGREE = 12  # balancers that use an upstream, in the mean at the least, where there are so many
+MIN_SUBSET_SIZE = 12  # upstreams that a balancer uses, where there are so many
+MIN_BALANCERS_PER_UPSTREAM = (
+    12  # balancers that use an upstream, in the mean at the least, where there are so many
+)
 SURE = 2  # balancers that use an upstream whatever chance says: its own first ranks
 BEARS = 11 / 10  # of its part of the capacity: what a zone takes at home before others take any
 AT_ONCE = 1 << 16  # pairs ranked at once
@@ -22,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Party:
+class Participant:
     """A balancer or an upstream. The weight is a balancer's demand, an upstream's capacity; any unit."""
 
     name: str
@@ -31,14 +33,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relation:
+class Assignment:
     """A row a balancer, a column an upstream; a share of all demand each, that sums to 1."""
 
     balancers: tuple[str, ...]
     upstreams: tuple[str, ...]
     shares: np.ndarray
 
-    def of(self, balancer: str) -> dict[str, float]:
+    def subset_of(self, balancer: str) -> dict[str, float]:
         """Its upstreams, with the part of its own demand that each gets."""
         row = self.shares[self.balancers.index(balancer)]
         total = row.sum() or 1.0
@@ -138,13 +140,13 @@
     return {key: part for key, part in made.items() if part > 1e-12}
 
 
-def choose(
-    balancers: Sequence[Party],
-    upstreams: Sequence[Party],
-    least: int = LEAST,
+def assign_subsets(
+    balancers: Sequence[Participant],
+    upstreams: Sequence[Participant],
+    least: int = MIN_SUBSET_SIZE,
     zones: bool = False,
-    degree: int = DEGREE,
-) -> Relation:
+    degree: int = MIN_BALANCERS_PER_UPSTREAM,
+) -> Assignment:
     """The whole relation. With `zones` a balancer uses those of its own zone, and others only for what these
     can't bear. Never empty where there is an upstream; names are told apart, order does not matter."""
     balancers = sorted(balancers, key=lambda party: party.name)
@@ -152,10 +154,10 @@
     rows, columns = (tuple(party.name for party in each) for each in (balancers, upstreams))
     shares = np.zeros((len(rows), len(columns)))
     if not rows or not columns:
-        return Relation(rows, columns, shares)
-    demand, capacity = parts(balancers), parts(upstreams)
+        return Assignment(rows, columns, shares)
+    demand, capacity = normalized_weights(balancers), normalized_weights(upstreams)
     if not zones:
-        return Relation(rows, columns, block(rows, columns, demand, capacity, least, degree))
+        return Assignment(rows, columns, block(rows, columns, demand, capacity, least, degree))
     of_row, of_column = ([party.zone for party in each] for each in (balancers, upstreams))
     asked = sums(of_row, demand)
     ways = flows(asked, sums(of_column, capacity))
@@ -176,7 +178,7 @@
     targets = np.array([into[zone] * capacity[n] / room[zone] for n, zone in enumerate(of_column)])
     used = targets > 0
     shares[:, used] = fit(shares[:, used], demand, targets[used])
-    return Relation(rows, columns, shares)
+    return Assignment(rows, columns, shares)
 
 
 def block(rows, columns, demand: np.ndarray, capacity: np.ndarray, least: int, degree: int) -> np.ndarray:
@@ -187,7 +189,7 @@
     return made
 
 
-def parts(parties: Sequence[Party]) -> np.ndarray:
+def normalized_weights(parties: Sequence[Participant]) -> np.ndarray:
     """Of all weight, each one's."""
     weights = np.array([party.weight if party.weight > 0 else 1.0 for party in parties], dtype=float)
     return weights / weights.sum()
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -14,13 +14,13 @@
 from dahliabend.config.operator_file.units import Span  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.subsets import Subsets  # noqa: E402
-from dahliabend.subsetting.controller import Terms  # noqa: E402
+from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
 
 CALM, AFTER, LAST = 40, 60, 30  # seconds
 
 
 def play(seed: int, act, many=60, pool=40):
-    made = Subsets(Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, Terms())
+    made = Subsets(Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, SubsetSettings())
     for number in range(many):
         made.start(number)
     made.know_all()
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -20,7 +20,7 @@
 from dahliabend.config.operator_file.units import Span  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.work import Work, names  # noqa: E402
-from dahliabend.subsetting.controller import Terms  # noqa: E402
+from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
 
 MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
 REJECTED = {"uneven": 450.0, "most": 120.0}  # another rate
@@ -29,8 +29,8 @@
 DRAWS = 2_000  # of a bootstrap
 WAYS = {
     "none": (None, False),
-    "subsets": (Terms(balancers=MANY), False),
-    "with demand": (Terms(balancers=MANY), True),
+    "subsets": (SubsetSettings(balancers=MANY), False),
+    "with demand": (SubsetSettings(balancers=MANY), True),
 }
 
 
--- a/experiments/subsets.py
+++ b/experiments/subsets.py
@@ -11,8 +11,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.subsetting.baselines import WAYS  # noqa: E402
-from dahliabend.subsetting.selection import Party, choose, parts  # noqa: E402
+from dahliabend.subsetting.baselines import STRATEGIES  # noqa: E402
+from dahliabend.subsetting.selection import Participant, assign_subsets, normalized_weights  # noqa: E402
 
 GRID = [
     (1, 500),
@@ -30,14 +30,14 @@
 EVENTS = 3  # of each kind: a balancer goes, comes, an upstream goes, comes
 
 
-def party(of: str, number: int, zones: int, weighted: bool) -> Party:
-    return Party(
+def party(of: str, number: int, zones: int, weighted: bool) -> Participant:
+    return Participant(
         f"{of}{number}", f"z{number % zones}", 1.0 + number * 7 % 4 if weighted and of == "u" else 1.0
     )
 
 
 def uneven(loads, upstreams) -> float:
-    return float((loads / parts(upstreams)).max())
+    return float((loads / normalized_weights(upstreams)).max())
 
 
 def measure(way, many: int, pool: int, zones: int = 1, weighted: bool = False) -> list[float]:
@@ -86,15 +86,15 @@
     out = ["# Subsets, measured", "", "Made by `experiments/subsets.py`; the pure function alone, one machine.", "",
            "| balancers x upstreams | uneven | least | balancers an upstream | moves | apart | ms |", "| --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
     for many, pool in GRID:
-        out.append(row(f"{many} x {pool}", measure(choose, many, pool)))
+        out.append(row(f"{many} x {pool}", measure(assign_subsets, many, pool)))
     for zones in (2, 4):
         for many, pool in ((40, 60), (200, 100)):
-            found = measure(lambda b, u: choose(b, u, zones=True), many, pool, zones, weighted=True)
+            found = measure(lambda b, u: assign_subsets(b, u, zones=True), many, pool, zones, weighted=True)
             out.append(row(f"{many} x {pool}, {zones} zones, weights 1 to 4", found))
     for many, pool in ((40, 60), (200, 100), (100, 300)):
         out += ["", f"## {many} x {pool}, beside other ways", "", "| way | uneven | least | balancers an upstream | moves | apart | ms |",
-                "| --- | --- | --- | --- | --- | --- | --- |", row("**choice**", measure(choose, many, pool))]  # fmt: skip
-        out += [row(name, measure(way, many, pool)) for name, way in WAYS.items()]
+                "| --- | --- | --- | --- | --- | --- | --- |", row("**choice**", measure(assign_subsets, many, pool))]  # fmt: skip
+        out += [row(name, measure(way, many, pool)) for name, way in STRATEGIES.items()]
     folder = Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "subsets.md").write_text("\n".join(out) + "\n")
--- a/tests/simulation/cluster/test_subsets.py
+++ b/tests/simulation/cluster/test_subsets.py
@@ -5,11 +5,13 @@
 from dahliabend.config.operator_file.units import Span
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.subsets import Subsets
-from dahliabend.subsetting.controller import Terms
+from dahliabend.subsetting.controller import SubsetSettings
 
 
 def fleet(seed=0, many=30, pool=24):
-    made = Subsets(Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, Terms(least=8, degree=8))
+    made = Subsets(
+        Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, SubsetSettings(min_size=8, degree=8)
+    )
     for number in range(many):
         made.start(number)
     made.know_all()
--- a/tests/simulation/cluster/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -10,10 +10,10 @@
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.work import Work
-from dahliabend.subsetting.controller import Terms
+from dahliabend.subsetting.controller import SubsetSettings
 
 MANY, POOL = 20, 30
-SUBSETS = Terms(least=8, degree=8, balancers=MANY)
+SUBSETS = SubsetSettings(min_size=8, degree=8, balancers=MANY)
 
 
 def fleet(subset=None, seed=1, warm=10, rate=165.0):
@@ -68,7 +68,7 @@
         made.places[name].hung = True
     made.run(12 * S)
     # While all that it knows is silent nobody is set aside: without another sign it would never widen.
-    assert mine.keeper.wider > 0
+    assert mine.keeper.extra > 0
     assert sum(not made.nodes[u.index].hung and u.answered > 0 for u in mine.balancer.ready) >= 4
 
 
--- a/tests/subsetting/test_demand.py
+++ b/tests/subsetting/test_demand.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from dahliabend.subsetting.controller import counted
-from dahliabend.subsetting.demand import UNTOLD, Demand
-from dahliabend.subsetting.selection import Party
+from dahliabend.subsetting.controller import fill_unknown_demand
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
+from dahliabend.subsetting.selection import Participant
 
 S = 1_000_000
 
 
 def played(rates, seed=1, step=S // 4):
     """What is told as transactions come by chance, at so many a second; pairs of second and weight."""
-    made, chance, count, told = Demand(), Random(seed), 0, []
+    made, chance, count, told = DemandEstimator(), Random(seed), 0, []
     for second, rate in enumerate(rates):
         for part in range(4):
             count += sum(chance.random() < rate / 400 for _ in range(100))
-            weight = made.counted((1 + second) * S + part * step, count)
+            weight = made.update((1 + second) * S + part * step, count)
             if weight is not None:
                 told.append((second, weight))
     return told
@@ -43,6 +43,10 @@
 
 
 def test_one_that_has_told_nothing_counts_as_the_mean():
-    fleet = [Party("a", weight=8.0), Party("b", weight=4.0), Party("c", weight=UNTOLD)]
-    assert [party.weight for party in counted(fleet)] == [8.0, 4.0, 6.0]
-    assert [party.weight for party in counted([Party("a", weight=UNTOLD)])] == [1.0]
+    fleet = [
+        Participant("a", weight=8.0),
+        Participant("b", weight=4.0),
+        Participant("c", weight=UNKNOWN_DEMAND),
+    ]
+    assert [party.weight for party in fill_unknown_demand(fleet)] == [8.0, 4.0, 6.0]
+    assert [party.weight for party in fill_unknown_demand([Participant("a", weight=UNKNOWN_DEMAND)])] == [1.0]
