--- a/dahliabend/__main__.py
+++ b/dahliabend/__main__.py
@@ -19,10 +19,10 @@
 
     from dahliabend.config.platform import read_node
     from dahliabend.server.log import Log
-    from dahliabend.server.serve import HELD_BACK, serve
+    from dahliabend.server.platform_server import BLOCKED_SIGNALS, serve_platform
 
     # Its default would end the program, and the file may be replaced just after it was read here.
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         node = read_node(os.environ)
     except ValueError as error:  # msgspec's errors are a kind of it
@@ -30,7 +30,7 @@
         return 2
     log = Log(node.name, node.verbose)
     try:
-        uvloop.run(serve(node, log))
+        uvloop.run(serve_platform(node, log))
     except OSError as error:
         log("failed", why=str(error))
         return 1
--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -94,7 +94,7 @@
     """Every event that a balancer logs, as docs/events.md has them."""
     import json
 
-    from dahliabend.server.events import EVENTS, page
+    from dahliabend.server.log_events import EVENTS, page
 
     if as_json:
         rows = {name: {"level": e.level, "when": e.when, "fields": e.fields} for name, e in EVENTS.items()}
@@ -115,15 +115,15 @@
 
     import uvloop
 
-    from dahliabend.server.serve import HELD_BACK
-    from dahliabend.server.service import Refused, serve_file
-    from dahliabend.server.structured_log import Structured
+    from dahliabend.server.operator_file_server import InvalidOperatorFileError, serve_operator_file
+    from dahliabend.server.platform_server import BLOCKED_SIGNALS
+    from dahliabend.server.structured_log import StructuredLog
 
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)
-    log = Structured("dahliabend")
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
+    log = StructuredLog("dahliabend")
     try:
-        uvloop.run(serve_file(file, log))
-    except Refused as error:
+        uvloop.run(serve_operator_file(file, log))
+    except InvalidOperatorFileError as error:
         for fault in error.faults:
             click.echo(str(fault), err=True)
         raise click.exceptions.Exit(2) from None
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -80,9 +80,9 @@
 
     methods = frozenset(method.encode() for method in METHODS)
 
-    def __init__(self, figures, log: Callable, seed: int) -> None:
-        self.figures, self.log = figures, log
-        self.counted = figures.answered
+    def __init__(self, metrics, log: Callable, seed: int) -> None:
+        self.metrics, self.log = metrics, log
+        self.counted = metrics.count_response
         self.chance = Random(seed)
         self.pools: dict[int, Pool] = {}
         self.names: dict[str, Pool] = {}
@@ -121,7 +121,7 @@
         made = choices(file, before)
         seen = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
         self.routes = Routes(file, Table(file.routes), made, tuple(sorted(seen - {""})), profiles)
-        self.figures.know([name.encode() for name in file.classes])
+        self.metrics.set_active_classes([name.encode() for name in file.classes])
 
     # What callers bring.
 
@@ -192,10 +192,10 @@
         return self.stop_at > 0 or self.evacuated
 
     def opened(self) -> None:
-        self.figures.open += 1
+        self.metrics.open_requests += 1
 
     def ended(self) -> None:
-        self.figures.open -= 1
+        self.metrics.open_requests -= 1
 
     def exclude(self, name: str, out: bool) -> bool:
         """In every pool that has it: its exclusion is the upstream's, not a pool's."""
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -117,7 +117,7 @@
 
     def written(self) -> None:
         request, self.moved = self.request, clock()
-        self.router.figures.relayed(request.name)
+        self.router.metrics.count_attempt(request.name)
         after = request.policy.balancer.profiles[request.profile].hedge_delay
         if after and not self.order and request.upload is None:
             self.late = self.upstream.table.deadlines.at(self.sent + after, self.slow)
@@ -231,10 +231,10 @@
     methods = frozenset((b"GET", b"POST"))
 
     def __init__(
-        self, node: Node, deadlines: Deadlines, table: UpstreamTable, figures, log: Callable
+        self, node: Node, deadlines: Deadlines, table: UpstreamTable, metrics, log: Callable
     ) -> None:
-        self.deadlines, self.table, self.figures, self.log = deadlines, table, figures, log
-        self.counted = figures.answered
+        self.deadlines, self.table, self.metrics, self.log = deadlines, table, metrics, log
+        self.counted = metrics.count_response
         self.evacuated = False  # an operator has sent the callers elsewhere
         self.excluded: set[str] = set()  # upstreams that an operator has taken out, by id
         self.discovery: Discovery | None = None
@@ -256,7 +256,7 @@
 
     def install(self, node: Node) -> None:
         self.profiles, self.customers = node.profiles, node.customers
-        self.figures.know(node.profiles)
+        self.metrics.set_active_classes(node.profiles)
         self.longest, self.slack = node.longest, node.slack
         self.policies.append(Policy(self, node))
 
@@ -405,10 +405,10 @@
         return self.stop_at > 0 or self.evacuated
 
     def opened(self) -> None:
-        self.figures.open += 1
+        self.metrics.open_requests += 1
 
     def ended(self) -> None:
-        self.figures.open -= 1
+        self.metrics.open_requests -= 1
 
     def shown(self) -> dict:
         """Of the list: how many upstreams it has, and how many of them nothing is sent to now."""
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -13,7 +13,7 @@
     return status, _JSON, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE)
 
 
-class Operations:
+class AdminApi:
     """The calls by path, each with its method. They act on the program, which has all that is asked about."""
 
     def __init__(self, program, log: Callable) -> None:
--- a/dahliabend/server/shares.py
+++ b/dahliabend/server/cluster_limits.py
@@ -14,7 +14,7 @@
 MOVED = 1 / 10  # of the part last logged: a smaller change is not told
 
 
-class Shares:
+class ClusterLimits:
     """`choices`: the routes in force that share their limit, with how many balancers there are said to be."""
 
     def __init__(self, me: str, choices: Callable[[], Iterable[tuple[Choice, int]]], log: Callable) -> None:
@@ -24,7 +24,7 @@
         self.logged: dict[str, float] = {}
         self.then = 0
 
-    def hold(self) -> None:
+    def update_routes(self) -> None:
         """Before anybody is heard, and for routes that a reload brought: an equal part, never the whole."""
         now = {choice.name: (choice, balancers) for choice, balancers in self.choices()}
         for name, (choice, balancers) in now.items():
@@ -35,18 +35,18 @@
             del self.limits[name]
             self.asks.pop(name, None)
 
-    def heard(self, at: int, origin: str, parted: QuotaAnnouncement) -> None:
+    def report_received(self, at: int, origin: str, parted: QuotaAnnouncement) -> None:
         if parted.limit in self.limits:
             self.limits[parted.limit].update_peer(at, origin, parted.share, parted.demand)
 
-    def told(self) -> list[QuotaAnnouncement]:
+    def reports(self) -> list[QuotaAnnouncement]:
         return [
             QuotaAnnouncement(name, round(s.share, 6), round(s.demand, 6))
             for name, s in sorted(self.limits.items())
         ]
 
-    def beat(self, members: set[str], left: set[str], cut: bool) -> None:
-        self.hold()
+    def tick(self, members: set[str], left: set[str], cut: bool) -> None:
+        self.update_routes()
         now, span = clock(), clock() - self.then if self.then else 0
         self.then = now
         for choice, _ in self.choices():
@@ -60,7 +60,7 @@
                 self.logged[choice.name] = part
                 self.log("share", route=choice.name, part=round(part, 4), asked=round(ask, 4))
 
-    def shown(self) -> list[dict]:
+    def status(self) -> list[dict]:
         return [
             {"route": name, "part": round(s.share, 4), "asked": round(s.demand, 4), "lost": sorted(s.lost_members),
              "others": {other: round(told.share, 4) for other, told in sorted(s.peers.items())}}
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -19,7 +19,7 @@
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import MembershipView
 from dahliabend.model import EndpointState
-from dahliabend.server.lists import ListFile
+from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
@@ -30,7 +30,7 @@
 LAST = 16  # beliefs kept to be shown
 
 
-class Kept(msgspec.Struct):
+class StoredMembership(msgspec.Struct):
     """What a process leaves for the next one in its place."""
 
     name: str
@@ -43,7 +43,7 @@
     members: list[Update]
 
 
-class Seeds:
+class SeedList:
     """Those told of by a list, as a reader of it."""
 
     def __init__(self, changed: Callable[[], None]) -> None:
@@ -63,7 +63,7 @@
     def endpoint_poll_failed(self) -> None: ...
 
 
-class Fleet:
+class ClusterMember:
     def __init__(
         self, settings: Members, folder: str, deadlines: Deadlines, descriptors: Descriptors, seed: int,
         log: Callable,
@@ -77,11 +77,11 @@
             period=settings.period, dead_retention=settings.forget, partition_ratio=float(settings.cut)
         )
         life = computer.wall() // 1000
-        self.kept = self.read_kept()
-        if self.kept is not None:  # a clock that was set back must not make it older than it was
-            life = max(life, self.kept.life + 1)
+        self.stored = self.read_stored()
+        if self.stored is not None:  # a clock that was set back must not make it older than it was
+            life = max(life, self.stored.life + 1)
         weight = UNKNOWN_DEMAND if settings.demand else settings.weight
-        self.machine = MembershipProtocol(
+        self.failure_detector = MembershipProtocol(
             self.name, life, self.place, terms, self.chance, settings.zone, weight
         )
         self.gossip = HealthGossip(self.name, computer.wall(), self.chance) if settings.signals else None
@@ -90,20 +90,20 @@
         self.shares = None  # of limits, where a route is shared
         self.probing = None
         if settings.probing:
-            from dahliabend.server.probing import Probing
+            from dahliabend.server.shared_health_checks import SharedHealthChecks
 
-            self.probing = Probing(self.name, settings.probing, log)
+            self.probing = SharedHealthChecks(self.name, settings.probing, log)
             shared = self.probing.shared
             self.gossip.leases, self.gossip.on_lease = (
                 shared.election.announcements,
                 shared.apply_announcement,
             )
-        self.shell = UdpTransport(self.machine, self.seal_of(settings), deadlines, self.heard)
+        self.shell = UdpTransport(self.failure_detector, self.seal_of(settings), deadlines, self.heard)
         self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
         self.demand = DemandEstimator() if settings.demand else None
-        self.told = Seeds(self.follow)
-        self.lists: list[ListFile | Discovery] = []
+        self.seed_list = SeedList(self.follow)
+        self.lists: list[EndpointListFile | Discovery] = []
         self.keeping: list | None = None
         self.opened = self.went = False
 
@@ -115,16 +115,16 @@
 
     async def open(self) -> None:
         """OSError where the address can't be had."""
-        if self.kept is not None and self.kept.handed:
-            self.machine.restore(clock(), msgspec.structs.asdict(self.kept))
+        if self.stored is not None and self.stored.handed:
+            self.failure_detector.restore(clock(), msgspec.structs.asdict(self.stored))
         await self.shell.open(address(self.settings.address), self.seeds())
         self.log(
             "members.open", name=self.name, address=self.settings.address, advertise=self.place,
-            life=self.machine.generation, resumed=bool(self.kept and self.kept.handed),
+            life=self.failure_detector.generation, resumed=bool(self.stored and self.stored.handed),
         )  # fmt: skip
         self.opened = True
         self.watch_lists()
-        self.keep()
+        self.store()
         if self.gossip is not None:
             self.signal()
 
@@ -134,14 +134,14 @@
         for data in said:
             self.gossip.receive(clock(), data)
 
-    def share(self, choices: Callable) -> None:
+    def share_limits(self, choices: Callable) -> None:
         """Routes share their limits from now on."""
         if self.shares is None:
-            from dahliabend.server.shares import Shares
+            from dahliabend.server.cluster_limits import ClusterLimits
 
-            self.shares = Shares(self.name, choices, self.log)
-            self.gossip.quotas, self.gossip.on_quota = self.shares.told, self.shares.heard
-        self.shares.hold()
+            self.shares = ClusterLimits(self.name, choices, self.log)
+            self.gossip.quotas, self.gossip.on_quota = self.shares.reports, self.shares.report_received
+        self.shares.update_routes()
 
     def saw(self, pool: str, upstream: str, outcome) -> None:
         self.gossip.record_outcome(clock(), pool, upstream, outcome)
@@ -166,17 +166,17 @@
         if self.probing is not None:
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
             shared = [(pool, router) for pool, router in self.pools() if router.shares is not None]
-            heard = now >= self.machine.unsettled_until and self.machine.exclusion != "dead"
+            heard = now >= self.failure_detector.unsettled_until and self.failure_detector.exclusion != "dead"
             self.probing.beat(rows, bool(rows) and heard, shared)
         if self.shares is not None:
             here = {m.name for m in settled.members} if settled else set()
-            machine = self.machine
+            machine = self.failure_detector
             left = {n for n in machine.departed if machine.members[n].update.status is MemberStatus.LEFT}
-            self.shares.beat(here, left, view.possibly_partitioned)
+            self.shares.tick(here, left, view.possibly_partitioned)
         gossip.tick(now, sorted(members))
         out, gossip.outbox = gossip.outbox, []
         for name, data in out:
-            self.machine.send_user_message(name, data)
+            self.failure_detector.send_user_message(name, data)
         self.shell.flush()
 
     def signals(self) -> dict | None:
@@ -202,31 +202,31 @@
         ]  # fmt: skip
         return {
             "name": self.name, "own": shown(gossip.counts(now)), "origins": origins, "believed": believed,
-            "shares": self.shares.shown() if self.shares is not None else [],
+            "shares": self.shares.status() if self.shares is not None else [],
             "told": gossip.suspected_count, "unread": gossip.undecodable, "refused": gossip.report_table.rejected,
         }  # fmt: skip
 
     # Seeds.
 
     def seeds(self) -> list[str]:
-        kept = [update.address for update in self.kept.members] if self.kept is not None else []
-        return list(dict.fromkeys([*self.settings.seeds, *self.told.places.values(), *kept]))
+        kept = [update.address for update in self.stored.members] if self.stored is not None else []
+        return list(dict.fromkeys([*self.settings.seeds, *self.seed_list.places.values(), *kept]))
 
     def follow(self) -> None:
-        self.machine.set_seeds(self.seeds())
+        self.failure_detector.set_seeds(self.seeds())
 
     def watch_lists(self) -> None:
         for each in self.lists:
             each.stop()
         self.lists.clear()
         if self.settings.seeds_file is not None:
-            made = ListFile(Book(self.told, self.log), self.deadlines, self.log)
+            made = EndpointListFile(Book(self.seed_list, self.log), self.deadlines, self.log)
             self.lists.append(made)
             made.watch(os.path.join(self.folder, self.settings.seeds_file))
         if self.settings.seeds_discovery is not None:
             place = address(self.settings.seeds_discovery)
             made = Discovery(
-                place, Book(self.told, self.log), self.deadlines, self.descriptors, DIAL_TIME,
+                place, Book(self.seed_list, self.log), self.deadlines, self.descriptors, DIAL_TIME,
                 self.chance.random, self.log,
             )  # fmt: skip
             self.lists.append(made)
@@ -234,13 +234,13 @@
 
     # What stays behind.
 
-    def read_kept(self) -> Kept | None:
+    def read_stored(self) -> StoredMembership | None:
         """None where there is none, it is another's, or it can't be read: it starts without."""
         if self.settings.keep is None:
             return None
         path = os.path.join(self.folder, self.settings.keep)
         try:
-            made = msgspec.json.decode(computer.read_file(path), type=Kept)
+            made = msgspec.json.decode(computer.read_file(path), type=StoredMembership)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
@@ -254,11 +254,11 @@
         made.handed = made.handed and 0 <= age < self.settings.period * KEEP_BEATS
         return made
 
-    def keep(self, handed: bool = False) -> None:
+    def store(self, handed: bool = False) -> None:
         if self.settings.keep is None:
             return
-        made = Kept(
-            self.name, self.place, handed, computer.wall() // 1000, **self.machine.snapshot()
+        made = StoredMembership(
+            self.name, self.place, handed, computer.wall() // 1000, **self.failure_detector.snapshot()
         )  # fmt: skip
         path = os.path.join(self.folder, self.settings.keep)
         try:
@@ -267,7 +267,7 @@
             self.log("handover.unwritten", why=str(error))
         if not handed:
             self.deadlines.drop(self.keeping)
-            self.keeping = self.deadlines.at(clock() + KEEP_BEATS * self.settings.period, self.keep)
+            self.keeping = self.deadlines.at(clock() + KEEP_BEATS * self.settings.period, self.store)
 
     # Changes.
 
@@ -281,12 +281,12 @@
         self.shell.authenticator = self.seal_of(
             settings
         )  # the files may hold other keys under the same names
-        weight = settings.weight if self.demand is None else self.machine.self_update.weight
-        if settings.zone != before.zone or weight != self.machine.self_update.weight:
-            self.machine.update_self(clock(), zone=settings.zone, weight=weight)
+        weight = settings.weight if self.demand is None else self.failure_detector.self_update.weight
+        if settings.zone != before.zone or weight != self.failure_detector.self_update.weight:
+            self.failure_detector.update_self(clock(), zone=settings.zone, weight=weight)
         lists = settings.seeds_file, settings.seeds_discovery
         if lists != (before.seeds_file, before.seeds_discovery):
-            self.told.places = {}
+            self.seed_list.places = {}
             self.watch_lists()
         self.follow()
 
@@ -294,7 +294,7 @@
         """So many transactions came in all, until now."""
         weight = self.demand.update(clock(), count)
         if weight is not None:
-            self.machine.update_self(clock(), weight=weight)
+            self.failure_detector.update_self(clock(), weight=weight)
             self.log("demand", weight=weight)
 
     def heard(self, event: Event) -> None:
@@ -306,13 +306,13 @@
             incarnation=event.incarnation,
         )
 
-    def go(self, hand: bool = False) -> None:
+    def leave(self, hand: bool = False) -> None:
         """It leaves, and the others know at once; or, handing over, it falls silent for its successor."""
         if self.went:
             return
         self.went = True
         if hand:
-            self.keep(handed=True)
+            self.store(handed=True)
             self.shell.close()
         else:
             self.shell.leave()
@@ -327,21 +327,21 @@
     # What is seen.
 
     def view(self) -> MembershipView:
-        return self.machine.view(clock())
+        return self.failure_detector.view(clock())
 
     def settled(self) -> MembershipView | None:
-        return self.machine.last_stable_view(clock())
+        return self.failure_detector.last_stable_view(clock())
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         view, shell = self.view(), self.shell
         return {
             "version": view.version, "mark": view.checksum, "members": len(view.members),
             "suspected": sum(member.state == "suspected" for member in view.members),
             "stable": view.stable, "cut": view.possibly_partitioned, "outcast": view.exclusion,
             "age_ms": view.time_since_contact // 1000,
-            "confidence": round(view.confidence, 3), "doubt": self.machine.health_score, "sent": shell.sent,
+            "confidence": round(view.confidence, 3), "doubt": self.failure_detector.health_score, "sent": shell.sent,
             "sent_bytes": shell.sent_bytes, "come": shell.received, "come_bytes": shell.received_bytes,
-            "dropped": dict(self.machine.dropped_datagrams),
+            "dropped": dict(self.failure_detector.dropped_datagrams),
         }  # fmt: skip
 
     def shown(self) -> dict:
@@ -358,11 +358,11 @@
             {"name": name, "address": member.update.address, "zone": member.update.zone,
              "state": member.update.status.name.lower(), "by": member.update.reported_by,
              "incarnation": member.update.incarnation, "since_ms": (now - member.since) // 1000}
-            for name in self.machine.departed
-            for member in (self.machine.members[name],)
+            for name in self.failure_detector.departed
+            for member in (self.failure_detector.members[name],)
         ]  # fmt: skip
         return {
-            "name": self.name, **self.figures(), "here": rows, "gone": gone,
+            "name": self.name, **self.metrics(), "here": rows, "gone": gone,
             "settled": None if settled is None else
             {"version": settled.version, "mark": settled.checksum,
              "members": [m.name for m in settled.members],
--- a/dahliabend/server/lists.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -11,7 +11,7 @@
 LOOK = 1_000_000  # how often the file is read again
 
 
-class ListFile:
+class EndpointListFile:
     """A list where no discovery keeps it: in the operator's file, or in one of its own, watched."""
 
     def __init__(self, book: Book, deadlines: Deadlines, log: Callable) -> None:
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -16,48 +16,48 @@
 BANS = "excluded"
 
 
-class Handover:
+class HotRestart:
     """This process among those that share the folder. The one in service writes what it knows for its
     successor; exclusions are a file each, so that calls to either process can't undo one another."""
 
     def __init__(self, folder: str, log: Callable) -> None:
         self.folder, self.log = machine.folder(folder), log
-        self.key = (0, 0)
+        self.process_key = (0, 0)
         self.claim: Claim | None = None
         self.written_for: tuple[int, int] | None = None  # the successor that has been written for
 
     def open(self) -> None:
         """Takes a place behind those that live; what the dead have left goes. OSError: it has no folder."""
         self.folder.make(BANS)
-        living = self.living()
+        live_processes = self.live_processes()
         for name in self.folder.names("for-*"):
-            if not any(name.endswith(f"-{number}-{pid}") for number, pid in living):
+            if not any(name.endswith(f"-{number}-{pid}") for number, pid in live_processes):
                 self.folder.remove(name)
-        self.key = (max((n for n, _ in living), default=0) + 1, machine.process_id())
-        self.claim = self.folder.claim(f"alive-{self.key[0]}-{self.key[1]}")
+        self.process_key = (max((n for n, _ in live_processes), default=0) + 1, machine.process_id())
+        self.claim = self.folder.claim(f"alive-{self.process_key[0]}-{self.process_key[1]}")
 
-    def living(self) -> dict[tuple[int, int], int]:
+    def live_processes(self) -> dict[tuple[int, int], int]:
         """The others that hold their locks, oldest first, with their hops in flight."""
         found = {}
         for name in self.folder.names("alive-*-*"):
             number, pid = name.split("-")[1:]
-            key = int(number), int(pid)
-            if key != self.key and (out := self.folder.claimed(name)) is not None:
-                found[key] = int(out) if out.strip().isdigit() else 0
+            process_key = int(number), int(pid)
+            if process_key != self.process_key and (out := self.folder.claimed(name)) is not None:
+                found[process_key] = int(out) if out.strip().isdigit() else 0
         return dict(sorted(found.items()))
 
     # What is known.
 
-    def hand(self, successor: tuple[int, int], state: Callable[[], dict]) -> None:
+    def write_state_for(self, successor: tuple[int, int], state: Callable[[], dict]) -> None:
         """Once for each successor."""
         if successor != self.written_for:
             self.written_for = successor
             self.write(f"for-{successor[0]}-{successor[1]}", {"version": VERSION, **state()})
             self.log("handed_over", to=successor[1])
 
-    def received(self) -> dict | None:
+    def read_state(self) -> dict | None:
         """What the one in service has written for this one, if it has and it can be read."""
-        name = f"for-{self.key[0]}-{self.key[1]}"
+        name = f"for-{self.process_key[0]}-{self.process_key[1]}"
         raw = self.folder.read(name)
         if raw is None:
             return None
@@ -77,13 +77,13 @@
         except OSError as error:
             self.log("handover.unwritten", why=str(error))
 
-    def tell(self, out: int) -> None:
+    def publish_in_flight(self, out: int) -> None:
         """How many hops this one has in flight."""
         self.claim.tell(b"%8d" % out)
 
     # Exclusions.
 
-    def excluded(self) -> set[str]:
+    def exclusions(self) -> set[str]:
         names = set()
         for name in self.folder.names(f"{BANS}/*"):
             try:
@@ -92,7 +92,7 @@
                 continue
         return names - {""}  # ended meanwhile
 
-    def exclude(self, name: str, out: bool) -> None:
+    def set_excluded(self, name: str, out: bool) -> None:
         digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=16).hexdigest()
         path = f"{BANS}/{digest}"
         try:
--- a/dahliabend/server/log.py
+++ b/dahliabend/server/log.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-MOST_WAITING = 1 << 20  # bytes kept for a reader that does not read
+MAX_BUFFERED_BYTES = 1 << 20  # bytes kept for a reader that does not read
 
 
 class Log:
@@ -16,9 +16,9 @@
     def __init__(self, name: str, verbose: bool = False, sink: int = 2) -> None:
         self.name, self.verbose, self.sink = name, verbose, sink
         self.lines = bytearray()
-        self.lost = 0
+        self.lost_lines = 0
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.due = False
+        self.write_scheduled = False
 
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -29,17 +29,17 @@
         self.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
     def put(self, line: bytes) -> None:
-        if len(self.lines) > MOST_WAITING:
-            self.lost += 1
+        if len(self.lines) > MAX_BUFFERED_BYTES:
+            self.lost_lines += 1
             return
-        if self.lost:
-            line = line[:-2] + b',"lines_lost":%d}\n' % self.lost
-            self.lost = 0
+        if self.lost_lines:
+            line = line[:-2] + b',"lines_lost":%d}\n' % self.lost_lines
+            self.lost_lines = 0
         self.lines += line
         if self.loop is None:
             self.write()
-        elif not self.due:
-            self.due = True
+        elif not self.write_scheduled:
+            self.write_scheduled = True
             self.loop.call_soon(self.write)
 
     def debug(self, event: str, **fields) -> None:
@@ -47,13 +47,13 @@
             self(event, **fields)
 
     def write(self) -> None:
-        self.due = False
+        self.write_scheduled = False
         try:
             while self.lines:
                 del self.lines[: os.write(self.sink, self.lines)]
         except BlockingIOError:
             if self.loop is not None:
-                self.due = True
+                self.write_scheduled = True
                 self.loop.call_later(0.1, self.write)
         except OSError:
             self.lines.clear()  # nobody listens any more
--- a/dahliabend/server/events.py
+++ b/dahliabend/server/log_events.py
@@ -122,7 +122,7 @@
 
 TOP = """# Events
 
-Made by `dahliabend events` from `dahliabend/server/events.py`. One JSON object a line on standard error,
+Made by `dahliabend events` from `dahliabend/server/log_events.py`. One JSON object a line on standard error,
 with `event` and `level`, and where it applies {context}.
 
 | event | level | logged when | fields |
--- a/dahliabend/server/service.py
+++ b/dahliabend/server/operator_file_server.py
@@ -20,12 +20,12 @@
 from dahliabend.routing_rules.checks import Effective, targets
 from dahliabend.routing_rules.choice import Choice
 from dahliabend.routing_rules.plan import Plan, diff, passed_over, plan
-from dahliabend.server.admin import Operations
-from dahliabend.server.lists import ListFile
+from dahliabend.server.admin import AdminApi
+from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import Log
-from dahliabend.server.metrics import Figures
-from dahliabend.server.serve import BEAT, Program, live
-from dahliabend.server.structured_log import Structured
+from dahliabend.server.metrics import Metrics
+from dahliabend.server.platform_server import METRICS_INTERVAL, PlatformServer, run_server
+from dahliabend.server.structured_log import StructuredLog
 from dahliabend.transport import host_info as machine
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
 from dahliabend.transport.listener import Listener
@@ -44,7 +44,7 @@
 _GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
-class Refused(ValueError):
+class InvalidOperatorFileError(ValueError):
     """A file that has faults; all of them stand in it."""
 
     def __init__(self, faults) -> None:
@@ -67,7 +67,7 @@
     return found
 
 
-def profile_of(file: File, number: int) -> RequestClass:
+def request_class_of(file: File, number: int) -> RequestClass:
     """A route as the decisions know it: its class, with its own times and counts."""
     route = file.routes[number]
     kind, made = file.classes[route.class_], Effective(file, route, number)
@@ -90,7 +90,7 @@
 def settings_of(file: File, name: str, numbers: list[int]) -> Settings:
     pool = file.pools[name]
     shares = [s for n in numbers if (s := Effective(file, file.routes[n], n).retry_share) is not None]
-    profiles = tuple(profile_of(file, number) for number in numbers)
+    profiles = tuple(request_class_of(file, number) for number in numbers)
     return Settings(
         instance_count=pool.balancers,
         instance_index=-1,
@@ -156,7 +156,7 @@
     return node, {number: n for n, number in enumerate(numbers)}
 
 
-def rows_of(members: list[types.Member]) -> list[dict]:
+def endpoint_rows(members: list[types.Member]) -> list[dict]:
     """In discovery's form."""
     return [
         {"id": m.id, "addr": m.address, "zone": m.zone, "cell": m.cell, "weight": m.weight, "state": "up"}
@@ -171,7 +171,7 @@
             yield f"classes.{name}.longest-body"
 
 
-class Service(Program):
+class OperatorFileServer(PlatformServer):
     """As `Program`, with a desk of routes in place of one router."""
 
     def __init__(self, path: str, environment: Mapping[str, str], log: Log) -> None:
@@ -180,72 +180,76 @@
         self.plan = made = self.read()
         self.listen, self.admin = self.listener_of(made, "callers"), self.listener_of(made, "operators")
         if self.listen is None:
-            raise Refused([f"{path}:1: listeners.callers: is missing: where do callers come?"])
+            raise InvalidOperatorFileError(
+                [f"{path}:1: listeners.callers: is missing: where do callers come?"]
+            )
         self.done = loop.create_future()
         self.sockets = int(environment.get("DAHLIABEND_SOCKETS") or SOCKETS)
         self.seed = int(environment.get("DAHLIABEND_SEED") or "0", 16) or machine.wall()
         self.deadlines = Deadlines(loop)
         self.descriptors = Descriptors(self.sockets - (DOOR if self.admin else 0))
-        self.figures = Figures()
-        self.router = self.desk = Desk(self.figures, log, self.seed)
+        self.metrics = Metrics()
+        self.router = self.dispatcher = Desk(self.metrics, log, self.seed)
         self.listener = Listener(self.deadlines, self.descriptors, self.accept)
-        self.door, self.operations = Descriptors(OTHERS + DOOR), Operations(self, log)
-        self.door_listener = Listener(self.deadlines, self.door, self.accept_operator)
+        self.admin_descriptors, self.operations = Descriptors(OTHERS + DOOR), AdminApi(self, log)
+        self.admin_listener = Listener(self.deadlines, self.admin_descriptors, self.accept_operator)
         self.inherited = self.handover = None
-        self.older, self.clearing, self.halved = [], None, False
+        self.older, self.clearing, self.sharing_descriptors = [], None, False
         self.discovery = self  # `start` opens it, `end` stops it
         self.patience = 0
-        self.fleet = self.fleet_of(made)
-        self.take_over_plan(made)
+        self.cluster = self.open_cluster(made)
+        self.apply_plan(made)
 
-    def fleet_of(self, made: Plan):
+    def open_cluster(self, made: Plan):
         """None where the file has no `[members]`: nothing of it is loaded then."""
         if made.file.members is None:
             return None
-        from dahliabend.server.clustering import Fleet
+        from dahliabend.server.clustering import ClusterMember
 
         folder = os.path.dirname(os.path.abspath(self.path))
-        fleet = Fleet(made.file.members, folder, self.deadlines, self.descriptors, self.seed, self.log)
-        fleet.pools = self.signalled
-        return fleet
+        cluster = ClusterMember(
+            made.file.members, folder, self.deadlines, self.descriptors, self.seed, self.log
+        )
+        cluster.pools = self.pools_in_gossip
+        return cluster
 
-    def divide_limits(self) -> None:
+    def divide_shared_limits(self) -> None:
         """Limits that routes share with the fleet's; the others are whole, also where they were shared before
         a reload. Where signals wait for a restart, an equal part: never the whole, by each one."""
-        routes = self.desk.routes
+        routes = self.dispatcher.routes
         for route, choice in zip(routes.file.routes, routes.choices, strict=True):
             if not route.shared:
                 choice.limit.take(1.0)
         if not any(route.shared for route in routes.file.routes):
             return
-        if self.fleet is not None and self.fleet.gossip is not None:
-            return self.fleet.share(self.shared_limits)
+        if self.cluster is not None and self.cluster.gossip is not None:
+            return self.cluster.share_limits(self.shared_limits)
         for choice, balancers in self.shared_limits():
             choice.limit.take(1.0 / balancers)
 
     def shared_limits(self) -> Iterator[tuple[Choice, int]]:
         """The routes in force that share their limit, and how many balancers there are said to be."""
-        routes = self.desk.routes
+        routes = self.dispatcher.routes
         for route, choice in zip(routes.file.routes, routes.choices, strict=True):
             if route.shared:
                 yield choice, max(routes.file.pools[name].balancers for name in targets(route))
 
-    def signalled(self) -> list[tuple[str, Router]]:
-        return [(pool.name, pool.router) for pool in self.desk if not pool.retired]
+    def pools_in_gossip(self) -> list[tuple[str, Router]]:
+        return [(pool.name, pool.router) for pool in self.dispatcher if not pool.retired]
 
     async def start(self) -> None:
         await super().start()
-        if self.fleet is not None:
+        if self.cluster is not None:
             asyncio.get_running_loop().add_signal_handler(signal.SIGUSR2, self.hand_over)
-            await self.fleet.open()
-            if self.fleet.demand is not None:
-                self.tell_demand()
+            await self.cluster.open()
+            if self.cluster.demand is not None:
+                self.report_demand()
 
     def read(self) -> Plan:
         """ValueError names every fault."""
         made = plan(self.path, environment=self.environment, read=machine.read_file)
         if not made.usable:
-            raise Refused(made.faults)
+            raise InvalidOperatorFileError(made.faults)
         wanted = [(("members",), "cryptography", "members")] if made.file.members is not None else []
         wanted += [
             (("pools", name, "subset"), "numpy", "subsets")
@@ -255,7 +259,9 @@
         for key, library, group in wanted:  # told here, whole: half taken over it would be found too late
             if find_spec(library) is None:
                 at, wants = made.source.place(key), f"pip install 'dahliabend[{group}]'"
-                raise Refused([f"{at.file}:{at.line}: {path_of(key)}: {library} is missing: {wants}"])
+                raise InvalidOperatorFileError(
+                    [f"{at.file}:{at.line}: {path_of(key)}: {library} is missing: {wants}"]
+                )
         return made
 
     def listener_of(self, made: Plan, name: str) -> tuple[str, int] | None:
@@ -264,12 +270,12 @@
 
     # Pools.
 
-    def take_over_plan(self, made: Plan) -> None:
+    def apply_plan(self, made: Plan) -> None:
         file, profiles = made.file, {}
         for name, pool in file.pools.items():
             node, profiles[name] = node_of(made, name, self.seed, self.sockets)
             self.patience = max(self.patience, *node.longest)
-            running = self.desk.names.get(name)
+            running = self.dispatcher.names.get(name)
             if running is None:
                 running = self.open_pool(name, node)
             else:
@@ -277,32 +283,32 @@
                 running.router.switch(node)
             running.router.access = file.log.access
             running.router.route_names = [file.routes[number].name for number in profiles[name]]
-            self.narrow(running, pool)
-            self.list_of(running, pool)
-        self.desk.use(file, profiles)
-        self.divide_limits()
-        for name in [name for name in self.desk.names if name not in file.pools]:
-            self.desk.retire(name)
-        if isinstance(self.log, Structured):
-            self.log.go_by(file.log)
-        self.tell_unmet(tuple(unmet(file)))
+            self.update_subset(running, pool)
+            self.open_endpoint_list(running, pool)
+        self.dispatcher.use(file, profiles)
+        self.divide_shared_limits()
+        for name in [name for name in self.dispatcher.names if name not in file.pools]:
+            self.dispatcher.retire(name)
+        if isinstance(self.log, StructuredLog):
+            self.log.apply_settings(file.log)
+        self.log_unmet(tuple(unmet(file)))
         self.plan = made
 
-    def nature(self) -> dict:
-        return {"pools": list(self.desk.names)}
+    def listening_fields(self) -> dict:
+        return {"pools": list(self.dispatcher.names)}
 
     def open_pool(self, name: str, node: Node) -> Pool:
-        log = self.log.bind(pool=name) if isinstance(self.log, Structured) else self.log
+        log = self.log.bind(pool=name) if isinstance(self.log, StructuredLog) else self.log
         table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, log.debug)
-        router = Router(node, self.deadlines, table, self.figures, log)
+        router = Router(node, self.deadlines, table, self.metrics, log)
         table.sweep()
-        if self.fleet is not None and self.fleet.gossip is not None:
-            router.tells = partial(self.fleet.saw, name)
-            if self.fleet.probing is not None:
-                router.shares = partial(self.fleet.probing.want, name)
-        return self.desk.add(name, router)
+        if self.cluster is not None and self.cluster.gossip is not None:
+            router.tells = partial(self.cluster.saw, name)
+            if self.cluster.probing is not None:
+                router.shares = partial(self.cluster.probing.want, name)
+        return self.dispatcher.add(name, router)
 
-    def narrow(self, running: Pool, pool: types.Pool) -> None:
+    def update_subset(self, running: Pool, pool: types.Pool) -> None:
         """Whether it uses some of its upstreams; a reload that changes it has the list read anew."""
         terms = pool.subset and (pool.subset, pool.balancers)
         if running.terms == terms:
@@ -313,25 +319,25 @@
         running.narrowed = None
         if pool.subset is not None:
             running.router.shares = None  # who is first in a duty's order may not use that upstream
-            from dahliabend.server.subset_filter import Narrowed
+            from dahliabend.server.subset_filter import SubsetFilter
 
-            running.narrowed = Narrowed(
+            running.narrowed = SubsetFilter(
                 running.router,
                 pool.subset,
                 pool.balancers,
-                self.fleet,
+                self.cluster,
                 f"{self.seed:x}",
                 self.deadlines,
-                self.log.bind(pool=running.name) if isinstance(self.log, Structured) else self.log,
+                self.log.bind(pool=running.name) if isinstance(self.log, StructuredLog) else self.log,
             )
         if running.router.discovery is not None:
             running.router.discovery.stop()
             running.router.discovery = None
 
     def subsets(self) -> dict:
-        return {pool.name: pool.narrowed.shown() for pool in self.desk if pool.narrowed is not None}
+        return {pool.name: pool.narrowed.status() for pool in self.dispatcher if pool.narrowed is not None}
 
-    def list_of(self, running: Pool, pool: types.Pool) -> None:
+    def open_endpoint_list(self, running: Pool, pool: types.Pool) -> None:
         """Where its members come from, now. What is known of them stays."""
         router, before = running.router, running.router.discovery
         reader = running.narrowed or router
@@ -351,18 +357,18 @@
             self.deadlines.loop.call_soon(keeper.open)
         else:
             keeper = before
-            if not isinstance(before, ListFile):
-                keeper = ListFile(Book(reader, self.log), self.deadlines, self.log)
+            if not isinstance(before, EndpointListFile):
+                keeper = EndpointListFile(Book(reader, self.log), self.deadlines, self.log)
             if pool.members is not None:
                 keeper.stop()
-                keeper.say(rows_of(pool.members))
+                keeper.say(endpoint_rows(pool.members))
             else:
                 keeper.watch(os.path.join(os.path.dirname(self.path), pool.file))
         if before is not None and before is not keeper:
             before.stop()
         router.discovery, running.stop = keeper, partial(self.stop_list, running, keeper)
 
-    def stop_list(self, running: Pool, keeper: Discovery | ListFile) -> None:
+    def stop_list(self, running: Pool, keeper: Discovery | EndpointListFile) -> None:
         keeper.stop()
         if running.narrowed is not None:
             running.narrowed.stop()
@@ -372,35 +378,35 @@
     # Among the others.
 
     def members(self) -> dict | None:
-        return self.fleet.shown() if self.fleet is not None else None
+        return self.cluster.shown() if self.cluster is not None else None
 
     def signals(self) -> dict | None:
-        return self.fleet.signals() if self.fleet is not None else None
+        return self.cluster.signals() if self.cluster is not None else None
 
     def turns(self) -> dict | None:
-        shared = self.fleet.probing if self.fleet is not None else None
+        shared = self.cluster.probing if self.cluster is not None else None
         return shared.shown() if shared is not None else None
 
     def stop(self) -> None:
-        if self.fleet is not None:
-            self.fleet.go()
+        if self.cluster is not None:
+            self.cluster.leave()
         super().stop()
 
     def hand_over(self) -> None:
         """It ends as by SIGTERM, but the others are told nothing: who starts in its place goes on as it."""
-        self.fleet.go(hand=True)
+        self.cluster.leave(hand=True)
         self.stop()
 
     def stop_lists(self) -> None:
-        for pool in self.desk:
+        for pool in self.dispatcher:
             pool.stop()
 
     async def end(self) -> None:
         await self.done
         self.stop_lists()
-        if self.fleet is not None:
-            self.fleet.close()
-        self.log("ended", counts=self.desk.counts)
+        if self.cluster is not None:
+            self.cluster.close()
+        self.log("ended", counts=self.dispatcher.counts)
 
     # Reload, whole or not at all.
 
@@ -408,34 +414,34 @@
         try:
             made = self.read()
         except ValueError as error:
-            self.figures.invalid += 1
+            self.metrics.configs_rejected += 1
             faults = getattr(error, "faults", [error])
             return self.log("reload.refused", faults=[str(fault) for fault in faults])
         changes = diff(self.plan, made)
-        self.figures.accepted += 1
+        self.metrics.configs_accepted += 1
         if made.file.listeners.get("callers") is None:
             made.file.listeners.update(self.plan.file.listeners)
-        self.take_over_plan(made)
-        if self.fleet is not None and made.file.members is not None:
-            self.fleet.take_over(made.file.members)
+        self.apply_plan(made)
+        if self.cluster is not None and made.file.members is not None:
+            self.cluster.take_over(made.file.members)
         late = [change["key"] for change in changes if passed_over(change["key"])]
         self.log("reloaded", changes=len(changes), passed_over=late)
 
     # Figures.
 
-    def tell_demand(self) -> None:
+    def report_demand(self) -> None:
         """What pools with a subset were asked: by it the others' subsets make room."""
-        pools = [pool for pool in self.desk if pool.narrowed is not None]
-        self.fleet.asked(sum(sum(pool.router.counts.values()) for pool in pools))
-        self.deadlines.at(clock() + DEMAND, self.tell_demand)
+        pools = [pool for pool in self.dispatcher if pool.narrowed is not None]
+        self.cluster.asked(sum(sum(pool.router.counts.values()) for pool in pools))
+        self.deadlines.at(clock() + DEMAND, self.report_demand)
 
     def beat(self) -> None:
-        for pool in self.desk.clear():
+        for pool in self.dispatcher.clear():
             pool.stop()
             for upstream in tuple(pool.router.table.upstreams):
                 pool.router.table.forget(upstream)
             self.log("pool.gone", pool=pool.name)
-        for pool in self.desk:
+        for pool in self.dispatcher:
             balancer = pool.router.balancer
             self.log(
                 "figures",
@@ -448,10 +454,10 @@
                 ready=len(balancer.ready),
                 retired=pool.retired,
             )
-        if self.fleet is not None and self.fleet.opened:
-            self.log("members.figures", **self.fleet.figures())
-        self.deadlines.at(clock() + BEAT, self.beat)
+        if self.cluster is not None and self.cluster.opened:
+            self.log("members.figures", **self.cluster.metrics())
+        self.deadlines.at(clock() + METRICS_INTERVAL, self.beat)
 
 
-async def serve_file(path: str, log: Log) -> None:
-    await live(lambda: Service(path, os.environ, log), log)
+async def serve_operator_file(path: str, log: Log) -> None:
+    await run_server(lambda: OperatorFileServer(path, os.environ, log), log)
--- a/dahliabend/server/serve.py
+++ b/dahliabend/server/platform_server.py
@@ -12,27 +12,27 @@
 from dahliabend.http.client_connection import Caller
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
-from dahliabend.server.admin import Operations
-from dahliabend.server.hot_restart import Handover
+from dahliabend.server.admin import AdminApi
+from dahliabend.server.hot_restart import HotRestart
 from dahliabend.server.log import Log
-from dahliabend.server.metrics import Figures
+from dahliabend.server.metrics import Metrics
 from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
 from dahliabend.transport.listener import Listener
 from dahliabend.transport.timers import Deadlines, clock
 
-ACCEPTING = 500_000  # new connections come for 0.4 s after SIGTERM at the most
-LONGEST_STOP = 3_000_000  # SIGKILL comes no sooner than the longest limit, this at most,
-MARGIN = 700_000  # and this
-IN_HAND = 300_000  # how long before that the last answers go out
-CALLER_REST = 2_000_000  # a caller's connection idle for longer is closed
-SWEEP = CALLER_REST // 4  # how often these are looked for
-HELD_BACK = (signal.SIGHUP,)  # from the start until it can be acted on
-GLANCE = 100_000  # how often another process is looked for
-TAKE_OVER = 1_000_000  # how long one that was there before is waited for
-BEAT = 5_000_000  # how often the log gets a line of figures
+ACCEPT_PERIOD = 500_000  # new connections come for 0.4 s after SIGTERM at the most
+MAX_STOP_TIME = 3_000_000  # SIGKILL comes no sooner than the longest limit, this at most,
+STOP_MARGIN = 700_000  # and this
+ANSWER_MARGIN = 300_000  # how long before that the last answers go out
+CLIENT_IDLE_TIMEOUT = 2_000_000  # a caller's connection idle for longer is closed
+IDLE_SWEEP_INTERVAL = CLIENT_IDLE_TIMEOUT // 4  # how often these are looked for
+BLOCKED_SIGNALS = (signal.SIGHUP,)  # from the start until it can be acted on
+PROCESS_CHECK_INTERVAL = 100_000  # how often another process is looked for
+HANDOVER_TIMEOUT = 1_000_000  # how long one that was there before is waited for
+METRICS_INTERVAL = 5_000_000  # how often the log gets a line of figures
 
 
-class Program:
+class PlatformServer:
     def __init__(self, node: Node, environment: Mapping[str, str], log: Log) -> None:
         loop = asyncio.get_running_loop()
         self.listen, self.admin, self.log = node.listen, node.admin, log
@@ -40,24 +40,24 @@
         self.done = loop.create_future()
         self.deadlines = Deadlines(loop)
         self.descriptors = Descriptors(node.sockets - (DOOR if node.admin else 0))
-        self.figures = Figures()
+        self.metrics = Metrics()
         table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, log.debug)
-        self.router = Router(node, self.deadlines, table, self.figures, log)
+        self.router = Router(node, self.deadlines, table, self.metrics, log)
         self.book = book = Book(self.router, log)
         self.discovery = self.router.discovery = Discovery(
             node.discovery, book, self.deadlines, self.descriptors, node.dial_time,
             self.router.balancer.chance, log, node.settings.polls_endpoints,
         )  # fmt: skip
         self.listener = Listener(self.deadlines, self.descriptors, self.accept)
-        self.door, self.operations = Descriptors(OTHERS + DOOR), Operations(self, log)
-        self.door_listener = Listener(self.deadlines, self.door, self.accept_operator)
+        self.admin_descriptors, self.operations = Descriptors(OTHERS + DOOR), AdminApi(self, log)
+        self.admin_listener = Listener(self.deadlines, self.admin_descriptors, self.accept_operator)
         self.inherited = node.inherited
-        self.handover = Handover(node.shared, log) if node.shared else None
+        self.handover = HotRestart(node.shared, log) if node.shared else None
         self.older: list[tuple[int, int]] = []  # processes that were there before
         self.clearing: list | None = None  # when callers that are idle are next sent away
-        self.halved = False  # does another process live on half of the descriptors?
+        self.sharing_descriptors = False  # does another process live on half of the descriptors?
         self.patience, self.terms, self.keys = max(node.longest), node.terms, node.keys
-        self.tell_unmet(node.unmet)
+        self.log_unmet(node.unmet)
         if node.known:
             book.read(node.known, first=True)
         table.sweep()
@@ -68,9 +68,11 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD_BACK)  # one that came during the start is not missed
+        signal.pthread_sigmask(
+            signal.SIG_UNBLOCK, BLOCKED_SIGNALS
+        )  # one that came during the start is not missed
         if self.admin:
-            self.door_listener.open(self.admin)
+            self.admin_listener.open(self.admin)
         if self.handover is not None:
             await self.take_over()
         self.discovery.open()
@@ -78,11 +80,11 @@
             self.listener.open(self.listen)
         else:
             self.listener.inherit(self.inherited)
-        self.log("listening", address=":".join(map(str, self.listen)), **self.nature())
+        self.log("listening", address=":".join(map(str, self.listen)), **self.listening_fields())
         self.beat()
         self.sweep()
 
-    def nature(self) -> dict:
+    def listening_fields(self) -> dict:
         return {"entrance": self.router.balancer.entrance}
 
     async def end(self) -> None:
@@ -94,7 +96,7 @@
         return Caller(self.descriptors, self.deadlines, self.router, self.patience)
 
     def accept_operator(self) -> Operator:
-        return Operator(self.door, self.deadlines, self.operations)
+        return Operator(self.admin_descriptors, self.deadlines, self.operations)
 
     # Beside another process.
 
@@ -105,19 +107,19 @@
         except OSError as error:  # it serves without, and an upgrade starts afresh
             self.handover = None
             return self.log("handover.none", why=str(error))
-        self.look_around(again=False)
-        until, state = clock() + TAKE_OVER, None
-        while self.older and clock() < until and not (state := self.handover.received()):
-            await asyncio.sleep(GLANCE / 1e6 / 4)
-            self.look_around(again=False)
+        self.check_other_processes(again=False)
+        until, state = clock() + HANDOVER_TIMEOUT, None
+        while self.older and clock() < until and not (state := self.handover.read_state()):
+            await asyncio.sleep(PROCESS_CHECK_INTERVAL / 1e6 / 4)
+            self.check_other_processes(again=False)
         if self.older and state:
             try:
-                self.go_on_from(state)
+                self.resume_from(state)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 self.log("handover.unread", why=repr(error))
-        self.look_around()
+        self.check_other_processes()
 
-    def go_on_from(self, state: dict) -> None:
+    def resume_from(self, state: dict) -> None:
         self.router.epoch = state["epoch"]  # else the same start would look like another one
         for name in state["once"]:
             self.router.table.remember(name)
@@ -129,27 +131,27 @@
         self.discovery.tried = True  # it has been asked already, by the one before
         self.log("followed", kept=kept, upstreams=len(self.router.table.upstreams))
 
-    def look_around(self, again: bool = True) -> None:
+    def check_other_processes(self, again: bool = True) -> None:
         """Who else is there, and what has an operator told the other?"""
         if again:
-            self.deadlines.at(clock() + GLANCE, self.look_around)
-        living = self.handover.living()
-        self.older = [key for key in living if key < self.handover.key]
-        newer = [key for key in living if key > self.handover.key]
-        if bool(living) != self.halved:
-            self.halved = not self.halved  # to the limits both are one balancer
-            self.descriptors.lend(1 / 2 if self.halved else 1)
+            self.deadlines.at(clock() + PROCESS_CHECK_INTERVAL, self.check_other_processes)
+        living = self.handover.live_processes()
+        self.older = [key for key in living if key < self.handover.process_key]
+        newer = [key for key in living if key > self.handover.process_key]
+        if bool(living) != self.sharing_descriptors:
+            self.sharing_descriptors = not self.sharing_descriptors  # to the limits both are one balancer
+            self.descriptors.lend(1 / 2 if self.sharing_descriptors else 1)
         if living:
-            self.handover.tell(self.router.out())
+            self.handover.publish_in_flight(self.router.out())
         self.router.balancer.beside = sum(living.values())
-        excluded = self.handover.excluded()
+        excluded = self.handover.exclusions()
         for name in sorted(excluded ^ self.router.excluded):
             self.router.table.remember(name)
             self.router.exclude(name, name in excluded)
         if again and newer:
-            self.handover.hand(newer[-1], self.state)
+            self.handover.write_state_for(newer[-1], self.handover_state)
 
-    def state(self) -> dict:
+    def handover_state(self) -> dict:
         """What a successor goes on from."""
         servers = {"version": self.book.version, "full": True, "servers": self.router.servers()}
         return self.router.known() | {"list": servers, "discovery": self.discovery.address}
@@ -160,7 +162,7 @@
         return self.listener.sock is not None and self.router.ready()
 
     def telemetry(self) -> dict:
-        return self.figures.shown() | self.router.shown()
+        return self.metrics.snapshot() | self.router.shown()
 
     def members(self) -> dict | None:
         """Who else balances, where that is known."""
@@ -181,7 +183,7 @@
     def exclude(self, name: str, out: bool) -> bool:
         known = self.router.exclude(name, out)
         if known and self.handover is not None:
-            self.handover.exclude(name, out)
+            self.handover.set_excluded(name, out)
         return known
 
     def evacuate(self) -> None:
@@ -195,14 +197,14 @@
     def clear_out(self) -> None:
         self.deadlines.drop(self.clearing)  # the calls may come in any order, and often
         if self.router.evacuated:
-            self.let_go()
-            self.clearing = self.deadlines.at(clock() + IN_HAND // 3, self.clear_out)
+            self.close_idle_clients()
+            self.clearing = self.deadlines.at(clock() + ANSWER_MARGIN // 3, self.clear_out)
 
     def sweep(self) -> None:
         """Many callers ask once and stay: kept, their connections would be all there are."""
-        for caller in self.callers(self.descriptors.rested(clock() - CALLER_REST)):
+        for caller in self.client_connections(self.descriptors.rested(clock() - CLIENT_IDLE_TIMEOUT)):
             caller.let_go(1)
-        self.deadlines.at(clock() + SWEEP, self.sweep)
+        self.deadlines.at(clock() + IDLE_SWEEP_INTERVAL, self.sweep)
 
     def beat(self) -> None:
         """The figures that on-call looks for first."""
@@ -213,9 +215,9 @@
             tier=round(balancer.tier.metric, 2), ready=len(balancer.ready), using=len(balancer.using),
             aside=[self.router.table.upstreams[u.index].name for u in balancer.ready if u.ejected],
         )  # fmt: skip
-        self.deadlines.at(clock() + BEAT, self.beat)
+        self.deadlines.at(clock() + METRICS_INTERVAL, self.beat)
 
-    def callers(self, connections) -> list[Caller]:
+    def client_connections(self, connections) -> list[Caller]:
         return [connection for connection in connections if isinstance(connection, Caller)]
 
     def reload(self) -> None:
@@ -223,9 +225,9 @@
         try:
             node = reread_node(self.environment, self.keys)
         except ValueError as error:
-            self.figures.invalid += 1
+            self.metrics.configs_rejected += 1
             return self.log("reload.refused", why=str(error))
-        self.figures.accepted += 1
+        self.metrics.configs_accepted += 1
         self.log.verbose, self.keys = node.verbose, node.keys
         self.discovery.move(node.discovery)
         if node.terms != self.terms:
@@ -241,9 +243,9 @@
         held = len(self.router.requests)
         kept = self.router.switch(node)
         self.log("switched", held=held, kept=kept, afresh=len(table.upstreams) - kept)
-        self.tell_unmet(node.unmet)
+        self.log_unmet(node.unmet)
 
-    def tell_unmet(self, unmet: tuple[str, ...]) -> None:
+    def log_unmet(self, unmet: tuple[str, ...]) -> None:
         if unmet:
             self.log("unmet", settings=unmet)
 
@@ -254,16 +256,16 @@
             return
         now = clock()
         self.log("stopping", held=len(self.router.requests))
-        self.router.stop_by(now + min(self.patience, LONGEST_STOP) + MARGIN - IN_HAND)
+        self.router.stop_by(now + min(self.patience, MAX_STOP_TIME) + STOP_MARGIN - ANSWER_MARGIN)
         # Callers go elsewhere as soon as their connections close; those with a request are answered first.
-        self.let_go()
-        self.deadlines.at(now + (0 if self.listener.shared else ACCEPTING), self.stop_accepting)
+        self.close_idle_clients()
+        self.deadlines.at(now + (0 if self.listener.shared else ACCEPT_PERIOD), self.stop_accepting)
 
-    def let_go(self) -> list[Caller]:
+    def close_idle_clients(self) -> list[Caller]:
         """Closes callers' connections between requests; those that were there."""
-        callers = self.callers(self.descriptors.connections)
+        callers = self.client_connections(self.descriptors.connections)
         for caller in callers:
-            caller.let_go(clock() - ACCEPTING)
+            caller.let_go(clock() - ACCEPT_PERIOD)
         return callers
 
     def stop_accepting(self) -> None:
@@ -271,17 +273,17 @@
         self.wait_for_callers()
 
     def wait_for_callers(self) -> None:
-        if not self.let_go() or clock() >= self.router.stop_at + IN_HAND // 2:
+        if not self.close_idle_clients() or clock() >= self.router.stop_at + ANSWER_MARGIN // 2:
             self.done.set_result(None)
         else:
-            self.deadlines.at(clock() + IN_HAND // 30, self.wait_for_callers)
+            self.deadlines.at(clock() + ANSWER_MARGIN // 30, self.wait_for_callers)
 
 
-async def serve(node: Node, log: Log) -> None:
-    await live(lambda: Program(node, os.environ, log), log)
+async def serve_platform(node: Node, log: Log) -> None:
+    await run_server(lambda: PlatformServer(node, os.environ, log), log)
 
 
-async def live(make: Callable[[], Program], log: Log) -> None:
+async def run_server(make: Callable[[], PlatformServer], log: Log) -> None:
     """A program, from its making until it ends."""
     loop = asyncio.get_running_loop()
     log.attach(loop)
--- a/dahliabend/server/probing.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -9,25 +9,25 @@
 from dahliabend.transport.timers import clock
 
 
-def named(pool: str, upstream: Upstream) -> str:
+def health_check_task(pool: str, upstream: Upstream) -> str:
     return f"probe {pool} {upstream.name}"
 
 
-class Probing:
+class SharedHealthChecks:
     def __init__(self, me: str, period: int, log: Callable) -> None:
         self.shared = LeasedHealthChecks(me, period, self.probe, log)
         self.places: dict[str, tuple[Router, Upstream]] = {}  # by duty
 
     def want(self, pool: str, upstream: Upstream, policy: Policy) -> bool:
         """The decisions want one probed. False: it is theirs to do."""
-        index, duty = upstream.index, named(pool, upstream)
+        index, duty = upstream.index, health_check_task(pool, upstream)
         return self.shared.request_check(clock(), duty, lambda _, outcome: policy.probed(index, outcome))
 
     def beat(
         self, members: Iterable[tuple[str, str]], settled: bool, pools: list[tuple[str, Router]]
     ) -> None:
         self.places = {
-            named(pool, upstream): (router, upstream)
+            health_check_task(pool, upstream): (router, upstream)
             for pool, router in pools
             for upstream in router.table.upstreams.values()
             if upstream.state is EndpointState.READY
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -10,8 +10,8 @@
 import structlog
 
 from dahliabend.config.operator_file import types
-from dahliabend.server.events import EVENTS
 from dahliabend.server.log import Log
+from dahliabend.server.log_events import EVENTS
 
 SECRET = {"authorization", "cookie", "set-cookie", "password", "passwd", "secret", "token", "api-key"}
 SECRET |= {"x-api-key", "private-key"}
@@ -50,7 +50,7 @@
     debug = info = warning = error = put
 
 
-class Structured(Log):
+class StructuredLog(Log):
     """Called as `Log` is. `bind` gives one with more context, into the same buffer."""
 
     def __init__(self, name: str, sink: int = 2, seed: int = 0) -> None:
@@ -58,9 +58,9 @@
         self.chance = Random(seed).random
         self.sample: dict[str, float] = {}
         self.logger = None
-        self.go_by(types.Log())
+        self.apply_settings(types.Log())
 
-    def go_by(self, settings: types.Log) -> None:
+    def apply_settings(self, settings: types.Log) -> None:
         self.sample = {name: float(share) for name, share in settings.sample.items()}
         self.verbose = settings.level == "debug"
         self.logger = structlog.wrap_logger(
@@ -88,14 +88,14 @@
     def debug(self, event: str, **fields) -> None:
         self.say(event, fields)
 
-    def bind(self, **context) -> "Bound":
-        return Bound(self, context)
+    def bind(self, **context) -> "BoundLog":
+        return BoundLog(self, context)
 
 
-class Bound:
+class BoundLog:
     """The same log with fields that stand in each of its lines."""
 
-    def __init__(self, log: Structured, context: dict) -> None:
+    def __init__(self, log: StructuredLog, context: dict) -> None:
         self.log, self.context = log, context
 
     def __call__(self, event: str, **fields) -> None:
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -15,20 +15,26 @@
 LOOK = 250_000  # how often it looks whether something has to move
 
 
-class Narrowed:
+class SubsetFilter:
     """Stands between a pool's list and its router, as the list's reader. `fleet` tells who balances."""
 
     def __init__(
-        self, router: Router, settings: types.Subset, balancers: int, fleet, name: str, deadlines: Deadlines,
+        self,
+        router: Router,
+        settings: types.Subset,
+        balancers: int,
+        cluster,
+        name: str,
+        deadlines: Deadlines,
         log: Callable,
-    ) -> None:  # fmt: skip
-        self.router, self.fleet, self.deadlines, self.log = router, fleet, deadlines, log
+    ) -> None:
+        self.router, self.cluster, self.deadlines, self.log = router, cluster, deadlines, log
         self.rows: dict[str, tuple] = {}  # by id, all that the list has
-        self.now: ActiveSubset = ActiveSubset()
-        own = fleet.settings if fleet is not None else None
+        self.subset: ActiveSubset = ActiveSubset()
+        own = cluster.settings if cluster is not None else None
         index = settings.self_index
         me = Participant(
-            fleet.name if own else name if index is None else f"{index}", own.zone if own else ""
+            cluster.name if own else name if index is None else f"{index}", own.zone if own else ""
         )
         terms = SubsetSettings(
             source="members" if index is None else "index",
@@ -73,16 +79,16 @@
             self.tell()
 
     def move(self) -> bool:
-        now, fleet = clock(), self.fleet
-        if fleet is not None and (settled := fleet.settled()) is not None:
-            self.keeper.follow_membership(now, settled, fleet.view())
+        now, cluster = clock(), self.cluster
+        if cluster is not None and (settled := cluster.settled()) is not None:
+            self.keeper.follow_membership(now, settled, cluster.view())
         balancer = self.router.balancer
-        if self.now.weights:
+        if self.subset.weights:
             self.keeper.adjust_width(count_usable(balancer, now))
-        made = self.keeper.step(now, frozenset(self.router.excluded & self.now.weights.keys()))
+        made = self.keeper.step(now, frozenset(self.router.excluded & self.subset.weights.keys()))
         if made is None:
             return False
-        self.now = made
+        self.subset = made
         self.log(
             "subset", size=len(made.weights), of=len(self.rows), added=made.added[:20],
             dropped=made.dropped[:20], by=made.source, balancers=made.balancers,
@@ -94,21 +100,21 @@
         known = self.router.table.indices
         rows = []
         for name, row in self.rows.items():
-            weight = self.now.weights.get(name)
+            weight = self.subset.weights.get(name)
             if weight is not None:
                 rows.append((*row[:4], weight, *row[5:]))
             elif row[2] is not EndpointState.READY and name in known:
                 rows.append(row)  # it drains: kept until it is gone, for what is out there
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
-        self.router.balancer.instance_count = self.now.balancers_per_upstream
+        self.router.balancer.instance_count = self.subset.balancers_per_upstream
         self.router.listed(rows, full=True)
 
     def stop(self) -> None:
         self.deadlines.drop(self.timer)
 
-    def shown(self) -> dict:
-        made = self.now
+    def status(self) -> dict:
+        made = self.subset
         weights = {name: round(weight, 4) for name, weight in sorted(made.weights.items())}
         return {"size": len(made.weights), "of": len(self.rows), "by": made.source, "balancers": made.balancers,
                 "wider": self.keeper.extra, "weights": weights}  # fmt: skip
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -51,12 +51,15 @@
         want(not router.traces, f"{len(router.traces)} ids of ended transactions")
         want(len(router.policies) == 1, f"{len(router.policies)} sets of decisions")
         want(all(not policy.held for policy in router.policies), "a set of decisions holds a transaction")
-        want(program.figures.open == 0, f"{program.figures.open} open requests in the figures")
+        want(
+            program.metrics.open_requests == 0,
+            f"{program.metrics.open_requests} open requests in the figures",
+        )
         held = sum(len(u.held) for u in router.balancer.upstreams.values())
         want(not held, f"{held} hops held by the decisions")
         want(router.balancer.out == 0, f"{router.balancer.out} hops in flight by the decisions' count")
-        tables = [*program.descriptors.connections, *program.door.connections]
-        listening = sum(listener.sock is not None for listener in (program.listener, program.door_listener))
+        tables = [*program.descriptors.connections, *program.admin_descriptors.connections]
+        listening = sum(listener.sock is not None for listener in (program.listener, program.admin_listener))
         want(
             len(process.sockets) == len(tables) + listening,
             f"{len(process.sockets)} sockets, {len(tables)} connections in the tables",
@@ -70,7 +73,7 @@
         resting = sum(len(u.resting) for u in router.table.upstreams.values())
         links = sum(len(u.links) for u in router.table.upstreams.values())
         want(links <= resting + SPARE, f"{links} connections to upstreams, {resting} at rest")
-        for listener in (program.listener, program.door_listener):
+        for listener in (program.listener, program.admin_listener):
             want(not listener.starting, f"{len(listener.starting)} connections that never came up")
         base = name.partition("/")[0]
         now, before = live(program), self.deadlines.get(base, 0) + len(tables) + SPARE
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -12,7 +12,7 @@
 from dahliabend.config.platform import address
 from dahliabend.routing_rules.checks import METHODS, Effective
 from dahliabend.routing_rules.plan import Plan, plan
-from dahliabend.server.service import Service
+from dahliabend.server.operator_file_server import OperatorFileServer
 from dahliabend.simulation import transports
 from dahliabend.simulation.event_loop import START, Kernel, Process
 from dahliabend.simulation.invariants import Class, Rules
@@ -204,7 +204,7 @@
     def begin(self) -> None:
         async def main() -> None:
             environment = {**self.environment, "DAHLIABEND_SEED": "7"}
-            self.program = Service(FILE, environment, Log(self, "b0/1"))
+            self.program = OperatorFileServer(FILE, environment, Log(self, "b0/1"))
             self.process.program = self.program
             await self.program.start()
             await self.program.end()
@@ -238,7 +238,7 @@
                 act(self)
                 self.kernel.run(self.kernel.now + span)
                 self.kernel.run(self.kernel.now + REST + 15_000_000)
-                for pool in self.program.desk:
+                for pool in self.program.dispatcher:
                     self.look(pool)
                 self.process.signal(signal.SIGTERM)
                 self.kernel.run(self.kernel.now + 5_000_000)
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -9,7 +9,7 @@
 import orjson
 
 from dahliabend.config.platform import read_node
-from dahliabend.server.serve import Program
+from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import transports
 from dahliabend.simulation.event_loop import EPOCH, START, Kernel, Process, Runaway
 from dahliabend.simulation.faults import Faults
@@ -81,8 +81,8 @@
         self.place, self.port = (address, 8080 if not tier else 9080), 8500
         self.starts = 0
         self.process: Process | None = None
-        self.program: Program | None = None
-        self.older: list[tuple[Process, Program]] = []
+        self.program: PlatformServer | None = None
+        self.older: list[tuple[Process, PlatformServer]] = []
         self.admin = (address, 9000)
         self.agent_process = Process(world.kernel, f"{name}-agent", address, world.network.zones[address])
         chance = world.chance_of(f"agent {name}")
@@ -133,7 +133,7 @@
         world = self.world
 
         async def main() -> None:
-            program = Program(read_node(environment), environment, Log(world, process.name))
+            program = PlatformServer(read_node(environment), environment, Log(world, process.name))
             if self.process is process:
                 self.program = program
             process.program = program
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -15,7 +15,7 @@
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.process_tests.processes import free_ports
 from dahliabend.routing_rules.plan import passed_over, plan
-from dahliabend.server.clustering import Fleet
+from dahliabend.server.clustering import ClusterMember
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
@@ -172,7 +172,7 @@
     lines = []
     loop = asyncio.new_event_loop()
     try:
-        made = Fleet(settings, str(folder), Deadlines(loop), Descriptors(64), 1,
+        made = ClusterMember(settings, str(folder), Deadlines(loop), Descriptors(64), 1,
                      lambda event, **fields: lines.append((event, fields)))  # fmt: skip
     finally:
         loop.close()
@@ -181,17 +181,21 @@
 
 def test_a_successor_goes_on_from_what_was_kept_if_it_is_soon_and_else_only_asks_those_known(tmp_path):
     before, _ = fleet(tmp_path)
-    known = before.machine.self_update.__class__("b2", 1, 0, codec.MemberStatus.ALIVE, "127.0.0.1:7947")
-    before.machine.store_update(1, known, "joined")
-    before.keep(handed=True)
+    known = before.failure_detector.self_update.__class__(
+        "b2", 1, 0, codec.MemberStatus.ALIVE, "127.0.0.1:7947"
+    )
+    before.failure_detector.store_update(1, known, "joined")
+    before.store(handed=True)
     after, _ = fleet(tmp_path)
-    assert after.kept.handed and after.seeds() == ["127.0.0.1:7947"]
+    assert after.stored.handed and after.seeds() == ["127.0.0.1:7947"]
     for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
         kept = json.loads((tmp_path / "b1.keep").read_text())
         kept["at"] = computer.wall() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(kept))
         later, _ = fleet(tmp_path)
-        assert not later.kept.handed and later.machine.generation > before.machine.generation
+        assert (
+            not later.stored.handed and later.failure_detector.generation > before.failure_detector.generation
+        )
         assert later.seeds() == ["127.0.0.1:7947"]
 
 
@@ -199,14 +203,14 @@
 def test_what_was_kept_and_cant_be_read_is_told_in_a_line_and_started_without(tmp_path, text):
     (tmp_path / "b1.keep").write_text(text)
     made, lines = fleet(tmp_path)
-    assert made.kept is None and [event for event, _ in lines] == ["handover.unread"]
+    assert made.stored is None and [event for event, _ in lines] == ["handover.unread"]
 
 
 def test_what_another_has_kept_is_not_taken(tmp_path):
     before, _ = fleet(tmp_path)
-    before.keep(handed=True)
+    before.store(handed=True)
     made, lines = fleet(tmp_path, advertise="127.0.0.1:9999")
-    assert made.kept is None and "127.0.0.1:7946" in lines[0][1]["why"]
+    assert made.stored is None and "127.0.0.1:7946" in lines[0][1]["why"]
 
 
 def test_seeds_come_from_the_discovery_list(tmp_path):
@@ -220,11 +224,11 @@
         table = Members(
             address=f"127.0.0.1:{own}", name="b1", key_files=["key"], seeds_discovery=f"127.0.0.1:{port}"
         )
-        made = Fleet(table, str(tmp_path), Deadlines(loop), Descriptors(64), 1, lambda *_, **__: None)
+        made = ClusterMember(table, str(tmp_path), Deadlines(loop), Descriptors(64), 1, lambda *_, **__: None)
         await made.open()
-        await until(lambda: made.machine.seeds == ["127.0.0.1:7"])
+        await until(lambda: made.failure_detector.seeds == ["127.0.0.1:7"])
         registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "removed", "zone": "a"})
-        await until(lambda: made.machine.seeds == [])
+        await until(lambda: made.failure_detector.seeds == [])
         made.close()
         for server in agent.servers:
             server.close()
@@ -234,7 +238,7 @@
 
 def test_seeds_of_a_watched_file_come_and_go(tmp_path):
     made, _ = fleet(tmp_path, seeds=["127.0.0.1:1"], period=Span(100_000))
-    made.told.listed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
-    assert made.machine.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
-    made.told.listed([], full=True)
-    assert made.machine.seeds == ["127.0.0.1:1"]
+    made.seed_list.listed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
+    assert made.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
+    made.seed_list.listed([], full=True)
+    assert made.failure_detector.seeds == ["127.0.0.1:1"]
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -19,8 +19,8 @@
 from dahliabend.membership.codec import Rumour, Standing
 from dahliabend.model import Outcome
 from dahliabend.server.metrics import Figures
-from dahliabend.server.serve import Program
-from dahliabend.server.service import Service
+from dahliabend.server.operator_file_server import OperatorFileServer
+from dahliabend.server.platform_server import PlatformServer
 from dahliabend.transport.timers import clock
 
 ANSWERS = "admin_answers.json"
@@ -98,7 +98,7 @@
     def debug(self, event: str, **fields: object) -> None: ...
 
 
-def answer_to(program: Program, text: str) -> str:
+def answer_to(program: PlatformServer, text: str) -> str:
     """All that an admin connection writes once this has come in."""
     operator = program.accept_operator()
     transport = FakeTransport(operator)
@@ -108,7 +108,7 @@
     return written
 
 
-def call(program: Program, method: str, path: str, body: str = "") -> str:
+def call(program: PlatformServer, method: str, path: str, body: str = "") -> str:
     """An operator's call, whole."""
     return answer_to(program, f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}")
 
@@ -122,25 +122,25 @@
     return type(value).__name__
 
 
-def platform_program(directory: Path) -> Program:
+def platform_program(directory: Path) -> PlatformServer:
     """The program as the platform's configuration has it, with two upstreams listed."""
     path = directory / "proxy.json"
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": SETTINGS}
     path.write_text(json.dumps(tree))
-    program = Program(config.read_node({"PROXY_CONFIG": str(path)}), {}, QuietLog())
+    program = PlatformServer(config.read_node({"PROXY_CONFIG": str(path)}), {}, QuietLog())
     program.router.listed([row_of(server(number)) for number in range(2)], full=True)
     return program
 
 
-def operator_program(directory: Path, text: str) -> Service:
+def operator_program(directory: Path, text: str) -> OperatorFileServer:
     """The program as an operator's file has it."""
     (directory / "key").write_text("k" * 32 + "\n")
     path = directory / "file.toml"
     path.write_text(text)
-    return Service(str(path), {"DAHLIABEND_SEED": "7"}, QuietLog())
+    return OperatorFileServer(str(path), {"DAHLIABEND_SEED": "7"}, QuietLog())
 
 
-def hear_others(program: Service) -> None:
+def hear_others(program: OperatorFileServer) -> None:
     """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
     fleet, now = program.fleet, clock()
     for name in ("b2", "b3", "b4", "b5"):
@@ -189,12 +189,12 @@
     program = platform_program(directory)
     figures = program.figures
     for status in (200, 200, 400, 404, 405, 408, 409, 413, 429, 431, 500, 502, 503, 504):
-        figures.answered(b"query", status)
+        metrics.count_response(b"query", status)
     for _ in range(3):
-        figures.relayed(b"query")
-    figures.relayed(b"submit")
-    figures.answered(b"gone", 503)
-    figures.open, figures.accepted, figures.invalid = 4, 5, 6
+        metrics.count_attempt(b"query")
+    metrics.count_attempt(b"submit")
+    metrics.count_response(b"gone", 503)
+    metrics.open_requests, metrics.configs_accepted, metrics.configs_rejected = 4, 5, 6
     return {
         "new": Figures().shown(),
         "counted": json.loads(
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -16,7 +16,7 @@
 from dahliabend.leases.candidate_order import rank_candidates
 from dahliabend.leases.election import LeaseAnnouncement, LeaseElection
 from dahliabend.model import Outcome
-from dahliabend.server.probing import named
+from dahliabend.server.shared_health_checks import health_check_task
 
 GOSSIP_GOLDEN = "gossip_payloads.json"
 LEASES_GOLDEN = "leases.json"
@@ -134,7 +134,7 @@
 
 
 def test_the_name_of_a_health_checks_lease_stays() -> None:
-    assert named("records-next", SimpleNamespace(name="s-1")) == "probe records-next s-1"
+    assert health_check_task("records-next", SimpleNamespace(name="s-1")) == "probe records-next s-1"
 
 
 def produce_leases() -> str:
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -19,9 +19,9 @@
 from dahliabend.config.operator_file.units import Span
 from dahliabend.config.platform import read_node
 from dahliabend.membership.codec import Ping
-from dahliabend.server.clustering import Fleet
-from dahliabend.server.hot_restart import VERSION, Handover
-from dahliabend.server.serve import Program
+from dahliabend.server.clustering import ClusterMember
+from dahliabend.server.hot_restart import VERSION, HotRestart
+from dahliabend.server.platform_server import PlatformServer
 from dahliabend.transport import host_info as computer
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines
@@ -64,12 +64,12 @@
 
     async def go_on() -> None:
         node = read_node({"PROXY_CONFIG": str(FOLDER / "platform.json")})
-        program = Program(node, {}, log)
-        mine = Handover(str(folder), log)
-        mine.key = (2, 12434)
-        state = mine.received()
+        program = PlatformServer(node, {}, log)
+        mine = HotRestart(str(folder), log)
+        mine.process_key = (2, 12434)
+        state = mine.read_state()
         assert state is not None
-        program.go_on_from(state)
+        program.resume_from(state)
         decisions, upstreams = program.router.balancer, program.router.table.upstreams
         for index, u in sorted(decisions.upstreams.items()):
             values[upstreams[index].name] = [
@@ -80,7 +80,7 @@
             decisions.ceiling, decisions.crowd, decisions.borne, decisions.stretch, decisions.low,
             decisions.took, decisions.beats, decisions.pressed, decisions.gap, *decisions.usual,
         ]  # fmt: skip
-        mine.hand((3, 99), program.state)
+        mine.write_state_for((3, 99), program.handover_state)
 
     asyncio.run(go_on())
     return (folder / "for-3-99").read_text(), log, values
@@ -125,12 +125,12 @@
 def test_names_and_contents_of_the_runtime_directory(tmp_path: Path) -> None:
     shared = tmp_path / "dahliabend"
     log, own = LogLines(), os.getpid()
-    mine = Handover(str(shared), log)
+    mine = HotRestart(str(shared), log)
     mine.open()
-    mine.tell(37)
-    mine.exclude("s-1", True)
-    mine.exclude("s-1/../bälter", True)
-    mine.hand((2, 4711), lambda: {"epoch": 5, "list": {"version": 1}})
+    mine.publish_in_flight(37)
+    mine.set_excluded("s-1", True)
+    mine.set_excluded("s-1/../bälter", True)
+    mine.write_state_for((2, 4711), lambda: {"epoch": 5, "list": {"version": 1}})
     files = {str(path.relative_to(shared)): path for path in shared.rglob("*") if path.is_file()}
     assert {name: path.read_bytes().decode() for name, path in files.items()} == {
         f"alive-1-{own}": "      37",
@@ -140,18 +140,18 @@
     }
     assert files[f"alive-1-{own}"].stat().st_mode & 0o777 == 0o600
     assert log == [["handed_over", {"to": 4711}]] and VERSION == 1
-    mine.exclude("s-1", False)
-    assert mine.excluded() == {"s-1/../bälter"}
+    mine.set_excluded("s-1", False)
+    assert mine.exclusions() == {"s-1/../bälter"}
 
 
 def test_exclusions_written_by_the_version_before_hold(tmp_path: Path) -> None:
     (tmp_path / "excluded").mkdir()
     (tmp_path / "excluded" / "d8f869c69505c294cde2a4fffd0d696e").write_bytes(b"s-1")
-    mine = Handover(str(tmp_path), LogLines())
+    mine = HotRestart(str(tmp_path), LogLines())
     mine.open()
-    assert mine.excluded() == {"s-1"}
-    mine.exclude("s-1", False)
-    assert mine.excluded() == set()
+    assert mine.exclusions() == {"s-1"}
+    mine.set_excluded("s-1", False)
+    assert mine.exclusions() == set()
 
 
 def test_the_runtime_directory_is_where_it_was() -> None:
@@ -175,7 +175,7 @@
         computer.wall = real
 
 
-def member(folder: Path, log: LogLines) -> Fleet:
+def member(folder: Path, log: LogLines) -> ClusterMember:
     """The member whose file it is, as it starts; nothing is opened."""
     (folder / "key").write_text("k" * 32)
     settings = Members(
@@ -184,7 +184,7 @@
     )  # fmt: skip
     loop = asyncio.new_event_loop()
     try:
-        return Fleet(settings, str(folder), Deadlines(loop), Descriptors(64), 1, log)
+        return ClusterMember(settings, str(folder), Deadlines(loop), Descriptors(64), 1, log)
     finally:
         loop.close()
 
@@ -194,9 +194,9 @@
     log = LogLines()
     with wall_clock(KEPT_AT + 500_000):
         successor = member(folder, log)
-        assert successor.kept is not None and successor.kept.handed
-        machine = successor.machine
-        machine.restore(7_000_000, msgspec.structs.asdict(successor.kept))
+        assert successor.stored is not None and successor.stored.handed
+        machine = successor.failure_detector
+        machine.restore(7_000_000, msgspec.structs.asdict(successor.stored))
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
             "seeds": successor.seeds(), "life": machine.generation,
@@ -204,7 +204,7 @@
             "datagrams": [[address, data.hex()] for address, data in machine.outgoing],
             "members": [msgspec.to_builtins(each.update) for each in machine.members.values()],
         }  # fmt: skip
-        successor.keep(handed=True)
+        successor.store(handed=True)
     assert not log
     return found, (folder / KEPT).read_text()
 
@@ -222,8 +222,8 @@
     copy(KEPT, tmp_path)
     with wall_clock(KEPT_AT + later):
         successor = member(tmp_path, LogLines())
-    assert successor.kept is not None and successor.kept.handed is goes_on
-    assert successor.machine.generation == KEPT_AT + max(
+    assert successor.stored is not None and successor.stored.handed is goes_on
+    assert successor.failure_detector.generation == KEPT_AT + max(
         later, 1_000_001
     )  # newer than the life that was kept
 
--- a/tests/pins/test_http_bytes.py
+++ b/tests/pins/test_http_bytes.py
@@ -221,7 +221,7 @@
     """The operators' counts by class, without those at zero."""
     counts = {
         name: {kind: count for kind, count in kinds.items() if count}
-        for name, kinds in proxy.figures.shown()["operations"].items()
+        for name, kinds in proxy.metrics.snapshot()["operations"].items()
     }
     return {name: kinds for name, kinds in counts.items() if kinds}
 
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -12,9 +12,9 @@
 from golden_files import as_json, read_golden, write_golden
 
 from dahliabend.config.operator_file.types import Log as LogSettings
-from dahliabend.server.events import CONTEXT
 from dahliabend.server.log import Log as PlainLog
-from dahliabend.server.structured_log import Structured
+from dahliabend.server.log_events import CONTEXT
+from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(__file__).parents[2]
 EVENTS_GOLDEN = "log_events.json"
@@ -43,7 +43,7 @@
 
 def produce_lines() -> str:
     """Lines of a balancer that goes by the platform's file, then of one with an operator's file."""
-    plain, structured = PlainLog("b1", sink=-1), Structured("b1", sink=-1)
+    plain, structured = PlainLog("b1", sink=-1), StructuredLog("b1", sink=-1)
     for log in (plain, structured):
         log.write = lambda: None
     plain("listening", address="127.0.0.1:1", entrance=True)
@@ -54,7 +54,7 @@
     structured("error", what={"Authorization": "Bearer x"}, why=ValueError("wrong"), token="x")
     structured("watch.silent", version=3)
     structured.debug("probe", upstream="s-1")
-    structured.go_by(LogSettings(level="debug"))
+    structured.apply_settings(LogSettings(level="debug"))
     structured.debug("probe", upstream="s-1", outcome="COMMITTED", ms=1, load=None)
     lines = [line for log in (plain, structured) for line in bytes(log.lines).decode().splitlines()]
     return "\n".join(without_time(line) for line in lines) + "\n"
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -185,7 +185,7 @@
             made.later(1 * S, made.trouble, name, "hang", 3 * S)
 
     loaded(held, 20, 8 * S, hang)
-    assert held.rules.counts["refused"] > 20 and held.program.desk.routes.choices[0].limit.held == 0
+    assert held.rules.counts["refused"] > 20 and held.program.dispatcher.routes.choices[0].limit.held == 0
 
 
 def test_times_and_attempts_are_a_routes_own():
@@ -242,8 +242,8 @@
     before, after = (Counter(p for at, p in runs if (at < zero) is early) for early in (True, False))
     assert before["main"] > 400 and before["old"] > 400 and not before["new"]
     assert after["old"] <= 3 and abs(after["new"] / (after["new"] + after["main"]) - 0.75) < 0.02
-    assert made.rules.counts["served"] == 2_000 and set(made.program.desk.names) == {"main", "new"}
-    assert len(made.program.desk.pools) == 2  # the old one is forgotten
+    assert made.rules.counts["served"] == 2_000 and set(made.program.dispatcher.names) == {"main", "new"}
+    assert len(made.program.dispatcher.pools) == 2  # the old one is forgotten
 
 
 @pytest.mark.parametrize(
@@ -256,7 +256,7 @@
         text += pool("main") + route("all", 'pool = "main"', kind="submits")
     loaded(made, 50, 10 * S, lambda made: made.later(3 * S, made.reload, {"file.toml": text}))
     assert made.rules.counts["served"] == 500
-    assert made.program.figures.invalid == 1 and made.program.figures.accepted == 0
+    assert made.program.metrics.configs_rejected == 1 and made.program.metrics.configs_accepted == 0
 
 
 def test_an_upstream_in_two_pools_is_excluded_once_for_both():
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -18,7 +18,7 @@
     until,
 )
 
-from dahliabend.server.metrics import MOST, Figures
+from dahliabend.server.metrics import MAX_CLASSES, Metrics
 
 
 def telemetry(process):
@@ -117,11 +117,11 @@
 
 
 def test_ever_new_classes_do_not_make_the_figures_grow():
-    figures = Figures()
-    for n in range(5 * MOST):
-        figures.know([b"%d" % n, b"kept"])
-        figures.answered(b"kept", 200)
-    assert len(figures.classes) == MOST and figures.classes[b"kept"][0] == 5 * MOST
+    metrics = Metrics()
+    for n in range(5 * MAX_CLASSES):
+        metrics.set_active_classes([b"%d" % n, b"kept"])
+        metrics.count_response(b"kept", 200)
+    assert len(metrics.classes) == MAX_CLASSES and metrics.classes[b"kept"][0] == 5 * MAX_CLASSES
 
 
 def test_an_evacuated_balancer_lets_callers_go_and_loses_nothing():
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -10,7 +10,7 @@
 
 from helpers import PATIENCE, Agent, Caller, Upstream, call, entry, logged, program, until
 
-from dahliabend.server.hot_restart import VERSION, Handover
+from dahliabend.server.hot_restart import VERSION, HotRestart
 
 
 @contextmanager
@@ -108,24 +108,28 @@
 
 def test_what_is_cut_short_or_of_another_version_is_passed_over(tmp_path):
     said = []
-    made = Handover(str(tmp_path / "shared"), lambda event, **_: said.append(event))
+    made = HotRestart(str(tmp_path / "shared"), lambda event, **_: said.append(event))
     made.open()
-    path = made.folder.path / f"for-{made.key[0]}-{made.key[1]}"
-    assert made.received() is None and not said
+    path = made.folder.path / f"for-{made.process_key[0]}-{made.process_key[1]}"
+    assert made.read_state() is None and not said
     for raw in (b"", b'{"version": 1, "li', b"[]", b'{"version": 99}'):
         path.write_bytes(raw)
-        assert made.received() is None and said.pop() == "handover.unread" and not path.exists()
+        assert made.read_state() is None and said.pop() == "handover.unread" and not path.exists()
     path.write_bytes(b'{"version": %d, "a": 1}' % VERSION)
-    assert made.received()["a"] == 1
+    assert made.read_state()["a"] == 1
 
 
 def test_the_dead_are_told_from_the_living_by_their_locks(tmp_path):
-    made = Handover(str(tmp_path), print)
+    made = HotRestart(str(tmp_path), print)
     (tmp_path / "alive-7-1").touch()  # nobody holds it
     (tmp_path / "for-7-1").touch()
     made.open()
-    assert made.key == (1, os.getpid()) and made.living() == {} and not (tmp_path / "for-7-1").exists()
-    made.exclude("s-1/../x", True)
-    assert made.excluded() == {"s-1/../x"}
-    made.exclude("s-1/../x", False)
-    assert made.excluded() == set()
+    assert (
+        made.process_key == (1, os.getpid())
+        and made.live_processes() == {}
+        and not (tmp_path / "for-7-1").exists()
+    )
+    made.set_excluded("s-1/../x", True)
+    assert made.exclusions() == {"s-1/../x"}
+    made.set_excluded("s-1/../x", False)
+    assert made.exclusions() == set()
--- a/tests/server/test_events.py
+++ b/tests/server/test_logging.py
@@ -9,8 +9,8 @@
 from dahliabend.config.operator_file.types import Log
 from dahliabend.config.operator_file.units import Share
 from dahliabend.server import log as plain
-from dahliabend.server.events import CONTEXT, ENDED, EVENTS, page
-from dahliabend.server.structured_log import Structured
+from dahliabend.server.log_events import CONTEXT, ENDED, EVENTS, page
+from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
 LOGGING = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
@@ -60,9 +60,9 @@
 
 def quiet(**settings):
     """One whose lines stay in its buffer."""
-    log = Structured("b", sink=-1)
+    log = StructuredLog("b", sink=-1)
     log.write = lambda: None
-    log.go_by(Log(**settings))
+    log.apply_settings(Log(**settings))
     return log
 
 
@@ -79,7 +79,7 @@
     for event in ("probe", "hop", "watch.silent", "error"):
         log(event)
     assert [line["event"] for line in lines(log)] == ["watch.silent", "error"]
-    log.go_by(Log(level="debug"))
+    log.apply_settings(Log(level="debug"))
     log.debug("probe")
     assert [line["level"] for line in lines(log)] == ["debug"]
 
@@ -101,16 +101,16 @@
 
 
 def test_lines_that_nobody_reads_are_dropped_and_counted(monkeypatch):
-    monkeypatch.setattr(plain, "MOST_WAITING", 2_000)
+    monkeypatch.setattr(plain, "MAX_BUFFERED_BYTES", 2_000)
     reader, writer = os.pipe()
-    log = Structured("b", sink=writer)
-    log.loop, log.due = object(), True  # as if a write were due: nothing is written now
+    log = StructuredLog("b", sink=writer)
+    log.loop, log.write_scheduled = object(), True  # as if a write were due: nothing is written now
     for _ in range(100):
         log("list", version=1)
-    assert log.lost > 50 and len(log.lines) < 2_500
-    lost = log.lost
+    assert log.lost_lines > 50 and len(log.lines) < 2_500
+    lost_lines = log.lost_lines
     log.lines.clear()
     log("list", version=2)
-    assert json.loads(bytes(log.lines))["lines_lost"] == lost and log.lost == 0
+    assert json.loads(bytes(log.lines))["lines_lost"] == lost_lines and log.lost_lines == 0
     os.close(reader)
     os.close(writer)
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -22,8 +22,8 @@
 from dahliabend.proxy import router
 from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
 from dahliabend.proxy.router import Hop, Router
-from dahliabend.server.hot_restart import Handover
-from dahliabend.server.serve import Program
+from dahliabend.server.hot_restart import HotRestart
+from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import sweep
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.handles import Slots
@@ -175,8 +175,8 @@
 
 
 def forget_exclusions_over_an_upgrade():
-    real = Handover.excluded
-    return instead(Handover, "excluded", lambda self: real(self) if self.key[0] < 2 else set())
+    real = HotRestart.exclusions
+    return instead(HotRestart, "exclusions", lambda self: real(self) if self.process_key[0] < 2 else set())
 
 
 def roll_back_what_may_have_run():
@@ -207,7 +207,9 @@
 
 def close_callers_at_the_end():
     return instead(
-        Program, "let_go", lambda self: [c.shut() for c in self.callers(self.descriptors.connections)]
+        PlatformServer,
+        "close_idle_clients",
+        lambda self: [c.shut() for c in self.client_connections(self.descriptors.connections)],
     )
 
 
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -7,7 +7,7 @@
 from dahliabend.config.operator_file.types import Subset
 from dahliabend.model import EndpointState
 from dahliabend.routing_rules.plan import plan
-from dahliabend.server.subset_filter import Narrowed
+from dahliabend.server.subset_filter import SubsetFilter
 
 
 class Router:
@@ -39,16 +39,16 @@
         Router(),
         SimpleNamespace(at=lambda when, call: [when, 0, call, ()], drop=lambda entry: None),
     )
-    made = Narrowed(router, Subset(**more), 20, None, "me", deadlines, lambda *_, **__: None)
+    made = SubsetFilter(router, Subset(**more), 20, None, "me", deadlines, lambda *_, **__: None)
     return made, router
 
 
 def test_only_the_subset_is_told_and_the_rest_is_known_to_operators():
     made, router = narrowed(least=6, degree=4)
     made.listed(rows(range(30)), full=True)
-    assert set(router.told[-1]) == set(made.now.weights) and 6 <= len(router.told[-1]) <= 9
+    assert set(router.told[-1]) == set(made.subset.weights) and 6 <= len(router.told[-1]) <= 9
     assert set(router.table.once) == {f"u{n}" for n in range(30)}
-    assert made.shown()["by"] == "name" and made.shown()["of"] == 30
+    assert made.status()["by"] == "name" and made.status()["of"] == 30
 
 
 def test_the_decisions_are_told_how_many_balancers_share_what_is_used():
@@ -62,18 +62,18 @@
     for index in range(20):
         made, router = narrowed(least=6, degree=4, self_index=index)
         made.listed(rows(range(30)), full=True)
-        assert made.shown()["by"] == "index" and made.shown()["balancers"] == 20
-        sizes.add(made.shown()["size"])
-        for name, weight in made.now.weights.items():
-            load[name] += weight / made.shown()["size"]
+        assert made.status()["by"] == "index" and made.status()["balancers"] == 20
+        sizes.add(made.status()["size"])
+        for name, weight in made.subset.weights.items():
+            load[name] += weight / made.status()["size"]
     assert max(load.values()) <= 1.02 * sum(load.values()) / 30 and max(sizes) <= 9
 
 
 def test_a_drain_of_one_in_use_is_told_at_once_and_of_another_not_at_all():
     made, router = narrowed(least=6, degree=4)
     made.listed(rows(range(30)), full=True)
-    used, other = (int(name[1:]) for name in (sorted(made.now.weights)[0],
-                   sorted({f"u{n}" for n in range(30)} - made.now.weights.keys())[0]))  # fmt: skip
+    used, other = (int(name[1:]) for name in (sorted(made.subset.weights)[0],
+                   sorted({f"u{n}" for n in range(30)} - made.subset.weights.keys())[0]))  # fmt: skip
     made.listed(rows([used, other], EndpointState.DRAINING), full=False)
     assert router.told[-1][f"u{used}"][2] is EndpointState.DRAINING and f"u{other}" not in router.told[-1]
     made.listed(rows([used], EndpointState.REMOVED), full=False)
@@ -83,7 +83,7 @@
 def test_one_that_was_taken_out_by_an_operator_is_held():
     made, router = narrowed(least=6, degree=4)
     made.listed(rows(range(30)), full=True)
-    name = sorted(made.now.weights)[0]
+    name = sorted(made.subset.weights)[0]
     router.excluded.add(name)
     made.listed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
     assert name in router.told[-1]
