--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -15,43 +15,60 @@
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
 
-BEAT = 2_000_000  # an empty line comes that often while nothing changes
-SILENT = BEAT * 9 // 8  # nothing for longer: the watch is dead, and changes are missed
-SOON = BEAT // 4  # a watch begins at once: one that has not by then is dead too
-QUEUED = BEAT * 3 // 4  # the same where the call may have to wait behind those of all others
-FIRST, LONGEST = BEAT // 20, BEAT // 2  # what is waited before a watch is opened again
-MOST_LINE = 8 * 1024 * 1024
-
-_STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
-
-
-class Reader(Protocol):
-    def listed(self, rows: list[tuple], full: bool) -> None: ...
+HEARTBEAT_INTERVAL = 2_000_000  # an empty line comes that often while nothing changes
+SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # nothing for longer: the watch is dead, and changes are missed
+FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # a watch begins at once: one that has not by then is dead too
+SHARED_FIRST_BYTE_TIMEOUT = (
+    HEARTBEAT_INTERVAL * 3 // 4
+)  # the same where the call may have to wait behind those of all others
+MIN_BACKOFF, MAX_BACKOFF = (
+    HEARTBEAT_INTERVAL // 20,
+    HEARTBEAT_INTERVAL // 2,
+)  # what is waited before a watch is opened again
+MAX_LINE_BYTES = 8 * 1024 * 1024
+
+_STATE_NAMES = {
+    "up": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+    "removed": EndpointState.REMOVED,
+}
+
+
+class EndpointListObserver(Protocol):
+    def endpoints_changed(self, rows: list[tuple], full: bool) -> None: ...
     def endpoint_poll_failed(self) -> None: ...
 
 
-def entry(raw: dict) -> tuple:
+def parse_endpoint(raw: dict) -> tuple:
     """An upstream's id, address, state, start (Unix ms), weight, cell and zone.
 
-    >>> entry({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"})
+    >>> parse_endpoint({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"})
     ('s-1', ('10.0.0.1', 80), <EndpointState.READY: 1>, 0, 1.0, 0, 'a')
     """
-    state, name = _STATES[raw["state"]], raw["id"]
+    state, name = _STATE_NAMES[raw["state"]], raw["id"]
     if not isinstance(name, str) or not name:
         raise ValueError("no id")
-    place = ("", 0) if state is EndpointState.REMOVED else address(str(raw.get("addr")))
+    endpoint_address = ("", 0) if state is EndpointState.REMOVED else address(str(raw.get("addr")))
     started, cell = int(raw.get("started_ms") or 0), int(raw.get("cell") or 0)
-    return name, place, state, started, float(raw.get("weight") or 1.0), cell, str(raw.get("zone", ""))
-
-
-class Book:
+    return (
+        name,
+        endpoint_address,
+        state,
+        started,
+        float(raw.get("weight") or 1.0),
+        cell,
+        str(raw.get("zone", "")),
+    )
+
+
+class EndpointList:
     """The versions of the list, and who is told of them."""
 
-    def __init__(self, reader: Reader, log: Callable) -> None:
-        self.reader, self.log = reader, log
+    def __init__(self, reader: EndpointListObserver, log: Callable) -> None:
+        self.observer, self.log = reader, log
         self.version = -1
 
-    def read(self, message: dict, first: bool) -> None:
+    def apply(self, message: dict, first: bool) -> None:
         """Applies one message; `first`: of its watch. The whole list holds whatever its count, which may have
         begun anew. ValueError: only changes, from a count behind ours; the whole list is wanted."""
         version, full = int(message["version"]), bool(message.get("full"))
@@ -65,26 +82,28 @@
         rows = []
         for raw in message.get("servers") or ():
             try:
-                rows.append(entry(raw))
+                rows.append(parse_endpoint(raw))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 self.log("list.bad_entry", why=str(error), entry=str(raw)[:200])
         self.version = version
         self.log("list", version=version, full=full, entries=len(rows))
-        self.reader.listed(rows, full)
+        self.observer.endpoints_changed(rows, full)
 
 
-class Watch(Connection):
+class WatchConnection(Connection):
     """One watch, from its request until it ends."""
 
-    def __init__(self, descriptors: Descriptors, book: Book, heard: Callable, ended: Callable) -> None:
+    def __init__(
+        self, descriptors: Descriptors, endpoint_list: EndpointList, heard: Callable, ended: Callable
+    ) -> None:
         super().__init__(descriptors)
-        self.book, self.heard, self.ended = book, heard, ended
+        self.endpoint_list, self.data_received, self.watch_ended = endpoint_list, heard, ended
         self.parser = httptools.HttpResponseParser(self)
-        self.line = bytearray()
+        self.partial_line = bytearray()
         self.first = True
 
-    def ask(self, host: str) -> None:
-        after = b"&after=%d" % self.book.version if self.book.version >= 0 else b""
+    def send_request(self, host: str) -> None:
+        after = b"&after=%d" % self.endpoint_list.version if self.endpoint_list.version >= 0 else b""
         self.write(b"GET /api/targets?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (after, host.encode()))
 
     def on_headers_complete(self) -> None:
@@ -92,14 +111,14 @@
             raise ValueError("watch refused")
 
     def on_body(self, part: bytes) -> None:
-        self.line += part
-        while (end := self.line.find(b"\n")) >= 0:
-            text = bytes(self.line[:end]).strip()
-            del self.line[: end + 1]
+        self.partial_line += part
+        while (end := self.partial_line.find(b"\n")) >= 0:
+            text = bytes(self.partial_line[:end]).strip()
+            del self.partial_line[: end + 1]
             if text:
-                self.book.read(orjson.loads(text), self.first)
+                self.endpoint_list.apply(orjson.loads(text), self.first)
                 self.first = False
-        if len(self.line) > MOST_LINE:
+        if len(self.partial_line) > MAX_LINE_BYTES:
             raise ValueError("too long a line")
 
     def on_message_complete(self) -> None:
@@ -108,145 +127,161 @@
     def received(self, view: memoryview) -> None:
         try:
             self.parser.feed_data(view)
-            self.heard()
+            self.data_received()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.book.log("watch.broken", why=repr(error.__context__ or error))
+            self.endpoint_list.log("watch.broken", why=repr(error.__context__ or error))
             self.shut()
 
     def lost(self) -> None:
         self.parser = None  # it holds this connection and its rings
-        self.ended(self)
+        self.watch_ended(self)
 
 
-class Stage(IntEnum):
+class WatchState(IntEnum):
     """Of keeping a watch open. docs/design.md has the transitions."""
 
     IDLE = 0  # not asked yet
-    DIALING = 1  # its connection comes up
-    ASKED = 2  # it has been asked for, nothing has come
-    HEARD = 3  # something has, within SILENT of the last byte
-    WAITING = 4  # it has ended; the next is opened after a while
+    CONNECTING = 1  # its connection comes up
+    REQUESTED = 2  # it has been asked for, nothing has come
+    ACTIVE = 3  # something has, within SILENT of the last byte
+    BACKING_OFF = 4  # it has ended; the next is opened after a while
     STOPPED = 5  # for good
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps a watch open. `asked_by_all`: one service answers all balancers, not an agent beside each."""
 
     def __init__(
-        self, address: tuple[str, int], book: Book, deadlines: Deadlines, descriptors: Descriptors,
-        dial_time: int, chance: Callable[[], float], log: Callable, asked_by_all: bool = False,
-    ) -> None:  # fmt: skip
-        self.address, self.book, self.deadlines, self.descriptors = address, book, deadlines, descriptors
-        self.dial_time, self.chance, self.log = dial_time, chance, log
-        self.begins_within = QUEUED if asked_by_all else SOON
-        self.stage = Stage.IDLE
-        self.watch: Watch | None = None  # while DIALING, ASKED or HEARD
-        self.before: Watch | None = None  # the one at an earlier address, until the new one is heard
-        self.dialing: asyncio.Task | None = None
-        self.silence = self.again = None
-        self.wait = FIRST
-        self.tried = False  # an answer has come, or none could be had
+        self,
+        address: tuple[str, int],
+        endpoint_list: EndpointList,
+        deadlines: Deadlines,
+        descriptors: Descriptors,
+        connect_timeout: int,
+        random: Callable[[], float],
+        log: Callable,
+        shared_service: bool = False,
+    ) -> None:
+        self.address, self.endpoint_list, self.deadlines, self.descriptors = (
+            address,
+            endpoint_list,
+            deadlines,
+            descriptors,
+        )
+        self.connect_timeout, self.random, self.log = connect_timeout, random, log
+        self.first_byte_timeout = SHARED_FIRST_BYTE_TIMEOUT if shared_service else FIRST_BYTE_TIMEOUT
+        self.state = WatchState.IDLE
+        self.watch: WatchConnection | None = None  # while DIALING, ASKED or HEARD
+        self.previous_watch: WatchConnection | None = (
+            None  # the one at an earlier address, until the new one is heard
+        )
+        self.connect_task: asyncio.Task | None = None
+        self.silence_timer = self.retry_timer = None
+        self.backoff = MIN_BACKOFF
+        self.attempted = False  # an answer has come, or none could be had
 
     def open(self) -> None:
         """Opens a watch unless one is open or being opened."""
-        if self.stage not in (Stage.IDLE, Stage.WAITING):
+        if self.state not in (WatchState.IDLE, WatchState.BACKING_OFF):
             return
-        self.deadlines.drop(self.again)
-        self.stage = Stage.DIALING
-        self.watch = Watch(self.descriptors, self.book, self.heard, self.ended)
-        self.expect(self.dial_time)
-        self.dialing = self.deadlines.loop.create_task(self.connect(self.watch))
-        self.dialing.add_done_callback(partial(self.dialled, self.watch))
-        if not self.tried:
-            self.deadlines.at(clock() + SOON, self.waited)
-
-    def ask(self) -> None:
+        self.deadlines.drop(self.retry_timer)
+        self.state = WatchState.CONNECTING
+        self.watch = WatchConnection(
+            self.descriptors, self.endpoint_list, self.data_received, self.watch_ended
+        )
+        self.restart_silence_timer(self.connect_timeout)
+        self.connect_task = self.deadlines.loop.create_task(self.connect(self.watch))
+        self.connect_task.add_done_callback(partial(self.connect_finished, self.watch))
+        if not self.attempted:
+            self.deadlines.at(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
+
+    def poll(self) -> None:
         """The decisions want the list. A watch that waits to be opened again is opened in its own time: with
         a second timer beside that one, each failure would bring two calls, and a list service that refuses
         for want of room would be kept there by its callers."""
-        if self.stage is Stage.IDLE:
+        if self.state is WatchState.IDLE:
             self.open()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """To another list service. An open watch goes on until the new one is heard: closed before, it would
         leave a gap in which a drain is missed."""
-        if address == self.address or self.stage is Stage.STOPPED:
+        if address == self.address or self.state is WatchState.STOPPED:
             return
-        self.address, self.wait = address, FIRST
-        if self.stage is Stage.DIALING:
-            self.dialing.cancel()
-        elif self.stage in (Stage.ASKED, Stage.HEARD):
-            self.leave_before()
-            self.before, self.watch.heard = self.watch, lambda: None
-        self.stage, self.watch = Stage.WAITING, None
+        self.address, self.backoff = address, MIN_BACKOFF
+        if self.state is WatchState.CONNECTING:
+            self.connect_task.cancel()
+        elif self.state in (WatchState.REQUESTED, WatchState.ACTIVE):
+            self.close_previous_watch()
+            self.previous_watch, self.watch.data_received = self.watch, lambda: None
+        self.state, self.watch = WatchState.BACKING_OFF, None
         self.open()
 
-    def leave_before(self) -> None:
-        if self.before is not None:
-            self.before.shut()
-            self.before = None
+    def close_previous_watch(self) -> None:
+        if self.previous_watch is not None:
+            self.previous_watch.shut()
+            self.previous_watch = None
 
-    def waited(self) -> None:
-        self.tried = True
+    def first_attempt_timed_out(self) -> None:
+        self.attempted = True
 
-    async def connect(self, watch: Watch) -> None:
+    async def connect(self, watch: WatchConnection) -> None:
         try:
             await dial(self.deadlines.loop, self.address, watch)
         except (OSError, asyncio.CancelledError):
-            return self.ended(watch)
+            return self.watch_ended(watch)
         if watch is not self.watch:  # moved on, or stopped, in the moment in which it came up
             return watch.shut()
-        self.begin(watch)
+        self.request_watch(watch)
 
-    def dialled(self, watch: Watch, task: asyncio.Task) -> None:
+    def connect_finished(self, watch: WatchConnection, task: asyncio.Task) -> None:
         if task.cancelled():
             # Given up before its first step, as where a start took longer than the dialling may: `connect`
             # never ran, nothing told that it ended, no watch was opened any more, and drains went unheard.
             watch.never_came_up()
-            self.ended(watch)
+            self.watch_ended(watch)
 
-    def begin(self, watch: Watch) -> None:
+    def request_watch(self, watch: WatchConnection) -> None:
         # Asked while the list service was down it stays silent: waited for as long as for a beat, it would
         # hide a drain told to others meanwhile.
-        self.stage = Stage.ASKED
-        self.expect(self.begins_within)
-        watch.ask(f"{self.address[0]}:{self.address[1]}")
+        self.state = WatchState.REQUESTED
+        self.restart_silence_timer(self.first_byte_timeout)
+        watch.send_request(f"{self.address[0]}:{self.address[1]}")
 
-    def expect(self, within: int) -> None:
+    def restart_silence_timer(self, within: int) -> None:
         """Something is to be heard within that time."""
-        self.deadlines.drop(self.silence)
-        self.silence = self.deadlines.at(clock() + within, self.silent)
+        self.deadlines.drop(self.silence_timer)
+        self.silence_timer = self.deadlines.at(clock() + within, self.watch_silent)
 
-    def heard(self) -> None:
-        self.stage, self.tried, self.wait = Stage.HEARD, True, FIRST
-        self.expect(SILENT)
-        self.leave_before()
+    def data_received(self) -> None:
+        self.state, self.attempted, self.backoff = WatchState.ACTIVE, True, MIN_BACKOFF
+        self.restart_silence_timer(SILENCE_TIMEOUT)
+        self.close_previous_watch()
 
-    def silent(self) -> None:
-        self.log("watch.silent", version=self.book.version)
+    def watch_silent(self) -> None:
+        self.log("watch.silent", version=self.endpoint_list.version)
         self.close()
 
     def close(self) -> None:
-        if self.stage is Stage.DIALING:
-            self.dialing.cancel()
+        if self.state is WatchState.CONNECTING:
+            self.connect_task.cancel()
         elif self.watch is not None:
             self.watch.shut()
 
-    def ended(self, watch: Watch) -> None:
+    def watch_ended(self, watch: WatchConnection) -> None:
         if watch is not self.watch:
             return
-        self.watch, self.tried, self.stage = None, True, Stage.WAITING
-        self.deadlines.drop(self.silence)
-        self.log("watch.ended", version=self.book.version, again_in_ms=self.wait // 1000)
+        self.watch, self.attempted, self.state = None, True, WatchState.BACKING_OFF
+        self.deadlines.drop(self.silence_timer)
+        self.log("watch.ended", version=self.endpoint_list.version, again_in_ms=self.backoff // 1000)
         # Backed off at random: a list service that failed under load is not stormed by all at once.
-        wait = round(self.wait * (1 + self.chance()) / 2)
-        self.wait = min(LONGEST, self.wait * 2)
-        self.again = self.deadlines.at(clock() + wait, self.open)
-        self.book.reader.endpoint_poll_failed()
+        wait = round(self.backoff * (1 + self.random()) / 2)
+        self.backoff = min(MAX_BACKOFF, self.backoff * 2)
+        self.retry_timer = self.deadlines.at(clock() + wait, self.open)
+        self.endpoint_list.observer.endpoint_poll_failed()
 
     def stop(self) -> None:
-        self.deadlines.drop(self.again)
-        self.deadlines.drop(self.silence)
-        self.leave_before()
+        self.deadlines.drop(self.retry_timer)
+        self.deadlines.drop(self.silence_timer)
+        self.close_previous_watch()
         self.close()
-        self.stage, self.watch = Stage.STOPPED, None
+        self.state, self.watch = WatchState.STOPPED, None
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from dahliabend.config.platform import Node
-from dahliabend.discovery.watch import Discovery
+from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, EndpointState, Outcome
@@ -189,7 +189,7 @@
         self.close_idle_connections = router.close_idle_connections
         self.balancer = Balancer(node.settings, self, node.seed)
 
-    def listed(self, upstreams: list[tuple[Upstream, EndpointState]], full: bool) -> None:
+    def endpoints_changed(self, upstreams: list[tuple[Upstream, EndpointState]], full: bool) -> None:
         out = self.router.excluded
         rows = [
             (
@@ -237,7 +237,7 @@
         self.counted = metrics.count_response
         self.evacuated = False  # an operator has sent the callers elsewhere
         self.excluded: set[str] = set()  # upstreams that an operator has taken out, by id
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.epoch = node.epoch
         self.requests: Slots[Request] = Slots(node.most_held)
         self.traces: set[bytes] = set()  # the ids of those
@@ -266,7 +266,7 @@
         before, profiles = self.balancer, self.profiles
         self.policies = [policy for policy in self.policies if policy.held]
         self.install(node)
-        self.policies[-1].listed([(u, u.state) for u in self.table.upstreams.values()], full=True)
+        self.policies[-1].endpoints_changed([(u, u.state) for u in self.table.upstreams.values()], full=True)
         # Else one of a key could be sent beside another that the ones before still have out.
         self.balancer.lines.restore(before.lines)
         return self.balancer.restore(before.snapshot(ends=True), self.pairs(profiles))
@@ -397,7 +397,7 @@
 
     def ready(self) -> bool:
         """Able to serve: the list has been asked for, and names somebody to send to."""
-        asked = self.discovery is not None and self.discovery.tried
+        asked = self.discovery is not None and self.discovery.attempted
         return asked and bool(self.balancer.ready) and not self.closing()
 
     def closing(self) -> bool:
@@ -417,7 +417,7 @@
         )
         return {"registry_entries": len(self.table.upstreams), "out_of_rotation": ejected}
 
-    def listed(self, rows: list[tuple], full: bool) -> None:
+    def endpoints_changed(self, rows: list[tuple], full: bool) -> None:
         told = []
         for name, address, state, started, weight, cell, zone in rows:
             if state is EndpointState.REMOVED and name not in self.table.indices:
@@ -438,7 +438,7 @@
         for (
             policy
         ) in self.policies:  # also those that only end what they have: a drain holds for their hops too
-            policy.listed(told, full)
+            policy.endpoints_changed(told, full)
         for index in tuple(self.table.upstreams):
             # Where only draining binds, the decisions keep some that the list has lost, to be sent to.
             if not any(index in policy.balancer.upstreams for policy in self.policies):
@@ -466,7 +466,7 @@
                 upstream.returned = upstream.returned if out else clock()
                 self.admit(upstream)
                 for policy in self.policies:
-                    policy.listed([(upstream, upstream.state)], full=False)
+                    policy.endpoints_changed([(upstream, upstream.state)], full=False)
         return True
 
     def endpoint_poll_failed(self) -> None:
@@ -508,7 +508,7 @@
 
     def poll_endpoints(self) -> None:
         if self.discovery is not None:
-            self.discovery.ask()
+            self.discovery.poll()
 
     # What comes of it.
 
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -11,7 +11,7 @@
 
 from dahliabend.config.operator_file.types import Members
 from dahliabend.config.platform import address
-from dahliabend.discovery.watch import Book, Discovery
+from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
 from dahliabend.membership.codec import MemberStatus, Update
@@ -50,7 +50,7 @@
         self.changed = changed
         self.places: dict[str, str] = {}
 
-    def listed(self, rows: list[tuple], full: bool) -> None:
+    def endpoints_changed(self, rows: list[tuple], full: bool) -> None:
         if full:
             self.places = {}
         for name, place, state, *_ in rows:
@@ -103,7 +103,7 @@
         self.beating: list | None = None
         self.demand = DemandEstimator() if settings.demand else None
         self.seed_list = SeedList(self.follow)
-        self.lists: list[EndpointListFile | Discovery] = []
+        self.lists: list[EndpointListFile | DiscoveryClient] = []
         self.keeping: list | None = None
         self.opened = self.went = False
 
@@ -220,13 +220,13 @@
             each.stop()
         self.lists.clear()
         if self.settings.seeds_file is not None:
-            made = EndpointListFile(Book(self.seed_list, self.log), self.deadlines, self.log)
+            made = EndpointListFile(EndpointList(self.seed_list, self.log), self.deadlines, self.log)
             self.lists.append(made)
             made.watch(os.path.join(self.folder, self.settings.seeds_file))
         if self.settings.seeds_discovery is not None:
             place = address(self.settings.seeds_discovery)
-            made = Discovery(
-                place, Book(self.seed_list, self.log), self.deadlines, self.descriptors, DIAL_TIME,
+            made = DiscoveryClient(
+                place, EndpointList(self.seed_list, self.log), self.deadlines, self.descriptors, DIAL_TIME,
                 self.chance.random, self.log,
             )  # fmt: skip
             self.lists.append(made)
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from dahliabend.discovery.watch import Book
+from dahliabend.discovery.watch import EndpointList
 from dahliabend.transport import host_info as machine
 from dahliabend.transport.timers import Deadlines, clock
 
@@ -14,13 +14,13 @@
 class EndpointListFile:
     """A list where no discovery keeps it: in the operator's file, or in one of its own, watched."""
 
-    def __init__(self, book: Book, deadlines: Deadlines, log: Callable) -> None:
-        self.book, self.deadlines, self.log = book, deadlines, log
-        self.tried, self.path, self.text, self.again = True, "", b"", None
+    def __init__(self, endpoint_list: EndpointList, deadlines: Deadlines, log: Callable) -> None:
+        self.endpoint_list, self.deadlines, self.log = endpoint_list, deadlines, log
+        self.attempted, self.path, self.text, self.again = True, "", b"", None
 
     def say(self, rows: list[dict]) -> None:
-        message = {"version": self.book.version + 1, "full": True, "servers": rows}
-        self.book.read(message, first=True)
+        message = {"version": self.endpoint_list.version + 1, "full": True, "servers": rows}
+        self.endpoint_list.apply(message, first=True)
 
     def watch(self, path: str) -> None:
         self.stop()
@@ -43,7 +43,7 @@
         self.say(rows)
 
     def open(self) -> None: ...
-    def ask(self) -> None: ...
+    def poll(self) -> None: ...
 
     def stop(self) -> None:
         self.deadlines.drop(self.again)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -11,7 +11,7 @@
 from dahliabend.config.operator_file.source import path_of
 from dahliabend.config.operator_file.types import File
 from dahliabend.config.platform import REST, Node, address
-from dahliabend.discovery.watch import Book, Discovery
+from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.headers import MOST
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 from dahliabend.proxy.dispatcher import Desk, Pool
@@ -342,12 +342,12 @@
         router, before = running.router, running.router.discovery
         reader = running.narrowed or router
         if pool.discovery is not None:
-            if isinstance(before, Discovery):
-                return before.move(address(pool.discovery))
-            book = Book(reader, self.log)
-            keeper = Discovery(
+            if isinstance(before, DiscoveryClient):
+                return before.change_address(address(pool.discovery))
+            endpoint_list = EndpointList(reader, self.log)
+            keeper = DiscoveryClient(
                 address(pool.discovery),
-                book,
+                endpoint_list,
                 self.deadlines,
                 self.descriptors,
                 router.table.dial_time,
@@ -358,7 +358,7 @@
         else:
             keeper = before
             if not isinstance(before, EndpointListFile):
-                keeper = EndpointListFile(Book(reader, self.log), self.deadlines, self.log)
+                keeper = EndpointListFile(EndpointList(reader, self.log), self.deadlines, self.log)
             if pool.members is not None:
                 keeper.stop()
                 keeper.say(endpoint_rows(pool.members))
@@ -368,7 +368,7 @@
             before.stop()
         router.discovery, running.stop = keeper, partial(self.stop_list, running, keeper)
 
-    def stop_list(self, running: Pool, keeper: Discovery | EndpointListFile) -> None:
+    def stop_list(self, running: Pool, keeper: DiscoveryClient | EndpointListFile) -> None:
         keeper.stop()
         if running.narrowed is not None:
             running.narrowed.stop()
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from dahliabend.config.platform import Node, reread_node
-from dahliabend.discovery.watch import Book, Discovery
+from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.admin_connection import Operator
 from dahliabend.http.client_connection import Caller
 from dahliabend.proxy.endpoint_table import UpstreamTable
@@ -43,9 +43,9 @@
         self.metrics = Metrics()
         table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, log.debug)
         self.router = Router(node, self.deadlines, table, self.metrics, log)
-        self.book = book = Book(self.router, log)
-        self.discovery = self.router.discovery = Discovery(
-            node.discovery, book, self.deadlines, self.descriptors, node.dial_time,
+        self.endpoint_list = endpoint_list = EndpointList(self.router, log)
+        self.discovery = self.router.discovery = DiscoveryClient(
+            node.discovery, endpoint_list, self.deadlines, self.descriptors, node.dial_time,
             self.router.balancer.chance, log, node.settings.polls_endpoints,
         )  # fmt: skip
         self.listener = Listener(self.deadlines, self.descriptors, self.accept)
@@ -59,7 +59,7 @@
         self.patience, self.terms, self.keys = max(node.longest), node.terms, node.keys
         self.log_unmet(node.unmet)
         if node.known:
-            book.read(node.known, first=True)
+            endpoint_list.apply(node.known, first=True)
         table.sweep()
 
     async def start(self) -> None:
@@ -125,10 +125,10 @@
             self.router.table.remember(name)
         for name, when in state["returned"].items():
             self.router.table.find(name).returned = when
-        self.book.read(state["list"], first=True)
+        self.endpoint_list.apply(state["list"], first=True)
         kept = self.router.follow(state)
-        self.discovery.move(tuple(state["discovery"]))
-        self.discovery.tried = True  # it has been asked already, by the one before
+        self.discovery.change_address(tuple(state["discovery"]))
+        self.discovery.attempted = True  # it has been asked already, by the one before
         self.log("followed", kept=kept, upstreams=len(self.router.table.upstreams))
 
     def check_other_processes(self, again: bool = True) -> None:
@@ -153,7 +153,7 @@
 
     def handover_state(self) -> dict:
         """What a successor goes on from."""
-        servers = {"version": self.book.version, "full": True, "servers": self.router.servers()}
+        servers = {"version": self.endpoint_list.version, "full": True, "servers": self.router.servers()}
         return self.router.known() | {"list": servers, "discovery": self.discovery.address}
 
     # What operators ask for.
@@ -229,7 +229,7 @@
             return self.log("reload.refused", why=str(error))
         self.metrics.configs_accepted += 1
         self.log.verbose, self.keys = node.verbose, node.keys
-        self.discovery.move(node.discovery)
+        self.discovery.change_address(node.discovery)
         if node.terms != self.terms:
             self.switch(node)
         self.log("reloaded", discovery=":".join(map(str, node.discovery)), debug=node.verbose)
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -50,7 +50,7 @@
         self.timer: list | None = None
         self.look()
 
-    def listed(self, rows: list[tuple], full: bool) -> None:
+    def endpoints_changed(self, rows: list[tuple], full: bool) -> None:
         if full:
             self.rows = {}
         for row in rows:
@@ -108,7 +108,7 @@
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
         self.router.balancer.instance_count = self.subset.balancers_per_upstream
-        self.router.listed(rows, full=True)
+        self.router.endpoints_changed(rows, full=True)
 
     def stop(self) -> None:
         self.deadlines.drop(self.timer)
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -64,7 +64,7 @@
             len(process.sockets) == len(tables) + listening,
             f"{len(process.sockets)} sockets, {len(tables)} connections in the tables",
         )
-        watches = sum(type(connection).__name__ == "Watch" for connection in tables)
+        watches = sum(type(connection).__name__ == "WatchConnection" for connection in tables)
         want(watches == 1, f"{watches} watches of the list")
         closed = sum(connection.closed for connection in tables)
         want(not closed, f"{closed} closed connections keep their slots")
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -238,7 +238,7 @@
 
 def test_seeds_of_a_watched_file_come_and_go(tmp_path):
     made, _ = fleet(tmp_path, seeds=["127.0.0.1:1"], period=Span(100_000))
-    made.seed_list.listed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
+    made.seed_list.endpoints_changed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
     assert made.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
-    made.seed_list.listed([], full=True)
+    made.seed_list.endpoints_changed([], full=True)
     assert made.failure_detector.seeds == ["127.0.0.1:1"]
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from dahliabend.discovery import watch as discovery
-from dahliabend.discovery.watch import Book
+from dahliabend.discovery.watch import EndpointList
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import EndpointState, Outcome
@@ -70,7 +70,7 @@
 
 
 def use_those_that_drain():
-    return instead(discovery, "_STATES", {**discovery._STATES, "draining": EndpointState.READY})
+    return instead(discovery, "_STATE_NAMES", {**discovery._STATE_NAMES, "draining": EndpointState.READY})
 
 
 def no_cold_budget():
@@ -250,14 +250,14 @@
 
 def forget_what_is_excluded():
     """By the decisions and by the connections: either alone would keep the rule."""
-    real = Router.listed
+    real = Router.endpoints_changed
 
-    def listed(self, rows, full):
+    def endpoints_changed(self, rows, full):
         before, self.excluded = self.excluded, set()
         real(self, rows, full)
         self.excluded = before
 
-    return instead(Router, "listed", listed)
+    return instead(Router, "endpoints_changed", endpoints_changed)
 
 
 def use_connections_again_at_once():
@@ -285,22 +285,22 @@
 
 
 def wait_for_silent_watches():
-    return instead(discovery, "SILENT", 3600 * S)
+    return instead(discovery, "SILENCE_TIMEOUT", 3600 * S)
 
 
 def pass_over_a_count_begun_anew():
-    real = Book.read
+    real = EndpointList.apply
 
-    def read(self, message, first):
+    def apply(self, message, first):
         if int(message["version"]) > self.version or message.get("full"):
             real(self, message, first)
 
-    return instead(Book, "read", read)
+    return instead(EndpointList, "apply", apply)
 
 
 def keep_what_a_whole_list_leaves_out():
-    real = Router.listed
-    return instead(Router, "listed", lambda self, rows, full: real(self, rows, False))
+    real = Router.endpoints_changed
+    return instead(Router, "endpoints_changed", lambda self, rows, full: real(self, rows, False))
 
 
 def serve_on_what_was_shut():
@@ -317,8 +317,8 @@
 def wait_for_discovery():
     """Ready only once a watch has been heard, whatever was known at the start."""
     real = Router.ready
-    heard = discovery.Stage.HEARD
-    return instead(Router, "ready", lambda self: real(self) and self.discovery.stage is heard)
+    heard = discovery.WatchState.ACTIVE
+    return instead(Router, "ready", lambda self: real(self) and self.discovery.state is heard)
 
 
 def turn_all_away_after_a_while():
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -20,7 +20,7 @@
         )
         self.balancer = SimpleNamespace(ready=[], window=1, last_heard=0)
 
-    def listed(self, rows, full):
+    def endpoints_changed(self, rows, full):
         assert full
         self.told.append({row[0]: row for row in rows})
         self.table.indices = dict.fromkeys(row[0] for row in rows)
@@ -45,7 +45,7 @@
 
 def test_only_the_subset_is_told_and_the_rest_is_known_to_operators():
     made, router = narrowed(least=6, degree=4)
-    made.listed(rows(range(30)), full=True)
+    made.endpoints_changed(rows(range(30)), full=True)
     assert set(router.told[-1]) == set(made.subset.weights) and 6 <= len(router.told[-1]) <= 9
     assert set(router.table.once) == {f"u{n}" for n in range(30)}
     assert made.status()["by"] == "name" and made.status()["of"] == 30
@@ -53,7 +53,7 @@
 
 def test_the_decisions_are_told_how_many_balancers_share_what_is_used():
     made, router = narrowed(least=6, degree=4)
-    made.listed(rows(range(30)), full=True)
+    made.endpoints_changed(rows(range(30)), full=True)
     assert router.balancer.instance_count == pytest.approx(len(router.told[-1]) * 20 / 30)
 
 
@@ -61,7 +61,7 @@
     load, sizes = dict.fromkeys((f"u{n}" for n in range(30)), 0.0), set()
     for index in range(20):
         made, router = narrowed(least=6, degree=4, self_index=index)
-        made.listed(rows(range(30)), full=True)
+        made.endpoints_changed(rows(range(30)), full=True)
         assert made.status()["by"] == "index" and made.status()["balancers"] == 20
         sizes.add(made.status()["size"])
         for name, weight in made.subset.weights.items():
@@ -71,21 +71,21 @@
 
 def test_a_drain_of_one_in_use_is_told_at_once_and_of_another_not_at_all():
     made, router = narrowed(least=6, degree=4)
-    made.listed(rows(range(30)), full=True)
+    made.endpoints_changed(rows(range(30)), full=True)
     used, other = (int(name[1:]) for name in (sorted(made.subset.weights)[0],
                    sorted({f"u{n}" for n in range(30)} - made.subset.weights.keys())[0]))  # fmt: skip
-    made.listed(rows([used, other], EndpointState.DRAINING), full=False)
+    made.endpoints_changed(rows([used, other], EndpointState.DRAINING), full=False)
     assert router.told[-1][f"u{used}"][2] is EndpointState.DRAINING and f"u{other}" not in router.told[-1]
-    made.listed(rows([used], EndpointState.REMOVED), full=False)
+    made.endpoints_changed(rows([used], EndpointState.REMOVED), full=False)
     assert f"u{used}" not in router.told[-1] and len(router.told[-1]) >= 6
 
 
 def test_one_that_was_taken_out_by_an_operator_is_held():
     made, router = narrowed(least=6, degree=4)
-    made.listed(rows(range(30)), full=True)
+    made.endpoints_changed(rows(range(30)), full=True)
     name = sorted(made.subset.weights)[0]
     router.excluded.add(name)
-    made.listed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
+    made.endpoints_changed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
     assert name in router.told[-1]
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import MS, Notes, S
 
-from dahliabend.discovery.watch import Book, Discovery
+from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import EndpointState, Outcome
@@ -229,7 +229,7 @@
     class Told(Notes):
         balancer = SimpleNamespace(only_draining_binds=False)
 
-        def listed(self, rows, full):
+        def endpoints_changed(self, rows, full):
             self[:] = [(u.index, u.name) for u, _ in rows]
             self.balancer.upstreams = {u.index for u, state in rows if state is not EndpointState.REMOVED}
 
@@ -237,17 +237,17 @@
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[told], excluded=set(), balancer=told.balancer)
     desk.admit = lambda upstream: Router.admit(desk, upstream)
     row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
-    Router.listed(desk, [row], True)
+    Router.endpoints_changed(desk, [row], True)
     upstream = all_of.find("s-1")
     busy, rests = (Link(all_of.descriptors, upstream) for _ in range(2))
     upstream.free(rests)
-    Router.listed(desk, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
+    Router.endpoints_changed(desk, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
     upstream.free(busy)  # its answer came later
     assert rests.closed and busy.closed and not all_of.upstreams and not all_of.indices
-    Router.listed(desk, [("s-2", *row[1:])], True)  # a new one at the same address
+    Router.endpoints_changed(desk, [("s-2", *row[1:])], True)  # a new one at the same address
     new = all_of.find("s-2")
     assert told == [(new.index, "s-2")] and new.index != upstream.index and not new.resting
-    Router.listed(desk, [row], True)
+    Router.endpoints_changed(desk, [row], True)
     assert list(all_of.indices) == ["s-1"] and all_of.find("s-1") is not upstream
 
 
@@ -322,16 +322,16 @@
 
 
 def test_changes_told_before_are_passed_over_but_never_a_whole_list():
-    class Reader(list):
-        def listed(self, rows, full):
+    class EndpointListObserver(list):
+        def endpoints_changed(self, rows, full):
             self.append([row[0] for row in rows])
 
-    reader = Reader()
-    book = Book(reader, quiet)
+    reader = EndpointListObserver()
+    book = EndpointList(reader, quiet)
 
     def read(version, full, first, name):
         server = {"id": name, "addr": "127.0.0.1:1", "state": "up"}
-        book.read({"version": version, "full": full, "servers": [server, {"state": "?"}]}, first)
+        book.apply({"version": version, "full": full, "servers": [server, {"state": "?"}]}, first)
 
     for line in ((4, True, True, "a"), (4, False, False, "b"), (4, False, True, "b"), (5, False, False, "c"),
                  (3, True, False, "d"), (4, False, False, "e"), (3, False, False, "b"), (1, True, True, "f"),
@@ -357,8 +357,8 @@
 def discovery():
     notes = Notes()
     deadlines = Deadlines(Loop())
-    return notes, Discovery(
-        ("127.0.0.1", 1), Book(notes, quiet), deadlines, Descriptors(100), 75 * MS, lambda: 1.0, quiet
+    return notes, DiscoveryClient(
+        ("127.0.0.1", 1), EndpointList(notes, quiet), deadlines, Descriptors(100), 75 * MS, lambda: 1.0, quiet
     )
 
 
@@ -367,30 +367,30 @@
     moving.open()
     old = moving.watch
     Pipe(old)
-    moving.begin(old)
-    moving.move(("127.0.0.1", 1))
+    moving.request_watch(old)
+    moving.change_address(("127.0.0.1", 1))
     assert moving.watch is old  # the same address
-    moving.move(("127.0.0.1", 2))
+    moving.change_address(("127.0.0.1", 2))
     new = moving.watch
     Pipe(new)
-    moving.begin(new)
+    moving.request_watch(new)
     line = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
     feed(old, line)
     assert new is not old and not old.closed  # what it tells still counts, but nothing of the new one
     feed(new, line)
     assert old.closed and not new.closed
     old.connection_lost(None)
-    assert moving.watch is new and moving.again is None
+    assert moving.watch is new and moving.retry_timer is None
 
 
 def test_a_watch_that_does_not_begin_or_misses_a_beat_is_soon_held_dead():
     _, asking = discovery()
     asking.open()
     Pipe(asking.watch)
-    asking.begin(asking.watch)
-    assert asking.silence[0] <= clock() + S // 2
+    asking.request_watch(asking.watch)
+    assert asking.silence_timer[0] <= clock() + S // 2
     feed(asking.watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    assert clock() + 2 * S < asking.silence[0] < clock() + 3 * S - S // 2
+    assert clock() + 2 * S < asking.silence_timer[0] < clock() + 3 * S - S // 2
 
 
 def test_a_silent_watch_is_opened_again_ever_later_and_the_reader_is_told():
@@ -398,12 +398,12 @@
     for _ in range(9):
         silent.open()
         Pipe(watch := silent.watch)
-        silent.begin(watch)
-        silent.silent()
+        silent.request_watch(watch)
+        silent.watch_silent()
         assert watch.closed
-        waits.append(silent.wait)
+        waits.append(silent.backoff)
         watch.connection_lost(None)
-        assert silent.again[0] <= clock() + waits[-1]
+        assert silent.retry_timer[0] <= clock() + waits[-1]
     assert waits == sorted(waits) and waits[0] < waits[-1] <= S and len(notes.of("endpoint_poll_failed")) == 9
 
 
@@ -454,20 +454,23 @@
         ),
     )
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer)
-    policy.router, policy.listed = desk, lambda rows, full: Policy.listed(policy, rows, full)
+    policy.router, policy.endpoints_changed = (
+        desk,
+        lambda rows, full: Policy.endpoints_changed(policy, rows, full),
+    )
     desk.admit = lambda upstream: Router.admit(desk, upstream)
     row = ["s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a"]
-    Router.listed(desk, [row], True)
+    Router.endpoints_changed(desk, [row], True)
     assert Router.exclude(desk, "s-1", True) and not Router.exclude(desk, "s-2", True)
     assert [u[1] for u in told] == [EndpointState.READY, EndpointState.EXCLUDED] and not all_of.find(
         "s-1"
     ).wanted
     back = clock()
     assert Router.exclude(desk, "s-1", False) and all_of.find("s-1").wanted
-    Router.listed(desk, [row], False)  # the list has not heard of a restart
+    Router.endpoints_changed(desk, [row], False)  # the list has not heard of a restart
     assert [u[1] for u in told[2:]] == [EndpointState.READY] * 2 and told[2][2] == told[3][2] >= back
     row[3] = (clock() + S) // 1000
-    Router.listed(desk, [row], False)
+    Router.endpoints_changed(desk, [row], False)
     assert told[4][2] == row[3] * 1000
 
 
@@ -482,13 +485,13 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        budget, book = Descriptors(26), Book(SimpleNamespace(endpoint_poll_failed=quiet), quiet)
-        asking = Discovery(("127.0.0.1", 9), book, Deadlines(loop), budget, S, lambda: 0.5, quiet)
+        budget, book = Descriptors(26), EndpointList(SimpleNamespace(endpoint_poll_failed=quiet), quiet)
+        asking = DiscoveryClient(("127.0.0.1", 9), book, Deadlines(loop), budget, S, lambda: 0.5, quiet)
         asking.open()
-        asking.silent()
+        asking.watch_silent()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert asking.watch is None and asking.again[2] is not None and not len(budget.connections)
+        assert asking.watch is None and asking.retry_timer[2] is not None and not len(budget.connections)
         asking.stop()
 
     asyncio.run(play())
