--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -9,30 +9,35 @@
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import Deadlines, clock
 
-MOST_CALL = 8192  # bytes, head and body
-SEND = 2_500_000  # for a call to come whole, counted from connecting, and for its answer to be read
+MAX_REQUEST_BYTES = 8192  # bytes, head and body
+REQUEST_TIMEOUT = (
+    2_500_000  # for a call to come whole, counted from connecting, and for its answer to be read
+)
 
-Answer = tuple[int, bytes, bytes]  # status, further header lines, body
+AdminResponse = tuple[int, bytes, bytes]  # status, further header lines, body
 
 
-class Operator(Connection):
+class AdminConnection(Connection):
     """One call. `answer` is told method, path and body."""
 
     def __init__(
-        self, descriptors: Descriptors, deadlines: Deadlines, answer: Callable[[bytes, bytes, bytes], Answer]
+        self,
+        descriptors: Descriptors,
+        deadlines: Deadlines,
+        handle_request: Callable[[bytes, bytes, bytes], AdminResponse],
     ) -> None:
         super().__init__(descriptors)
-        self.deadlines, self.answer = deadlines, answer
+        self.deadlines, self.handle_request = deadlines, handle_request
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.target, self.body, self.size, self.done = b"", b"", 0, False
-        self.limit: list | None = None
+        self.target, self.body, self.size, self.responded = b"", b"", 0, False
+        self.timeout_timer: list | None = None
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
         # It owes its call from now on: the oldest that has not sent one goes once another wants in. Held for
         # as long as they like, a few silent ones would lock the operators out.
         self.descriptors.owes(self.number, clock())
-        self.limit = self.deadlines.at(clock() + SEND, self.shut)
+        self.timeout_timer = self.deadlines.at(clock() + REQUEST_TIMEOUT, self.shut)
 
     def may_go(self) -> bool:
         return not self.waiting()
@@ -49,23 +54,23 @@
 
     def on_message_complete(self) -> None:
         path = self.target.partition(b"?")[0]
-        self.say(*self.answer(self.parser.get_method(), path, self.body))
+        self.send_response(*self.handle_request(self.parser.get_method(), path, self.body))
 
     def received(self, view: memoryview) -> None:
-        if self.done:
+        if self.responded:
             return  # one call a connection
         self.size += len(view)
-        if self.size > MOST_CALL:
-            return self.say(413, b"", b"too long\n")
+        if self.size > MAX_REQUEST_BYTES:
+            return self.send_response(413, b"", b"too long\n")
         try:
             self.parser.feed_data(view)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.say(400, b"", b"not understood\n")
+            self.send_response(400, b"", b"not understood\n")
 
-    def say(self, status: int, extra: bytes, body: bytes) -> None:
-        if self.done:
+    def send_response(self, status: int, extra: bytes, body: bytes) -> None:
+        if self.responded:
             return
-        self.done = True
+        self.responded = True
         head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\nConnection: close\r\n" % (
             status, wire.REASONS.get(status, b"Other"), len(body),
         )  # fmt: skip
@@ -74,9 +79,9 @@
     def flushed(self) -> None:
         # Closed with a part of the call unread, the answer could be wiped out before it is read: it ends
         # when the operator ends it, or at its limit.
-        if self.done and self.transport is not None and self.transport.can_write_eof():
+        if self.responded and self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def lost(self) -> None:
         self.parser = None  # it holds this connection and its rings
-        self.deadlines.drop(self.limit)
+        self.deadlines.drop(self.timeout_timer)
--- a/dahliabend/http/load_reports.py
+++ b/dahliabend/http/load_reports.py
@@ -3,10 +3,13 @@
 from math import isfinite
 
 
-def read(text: bytes, fields: tuple[str, ...]) -> dict[str, float]:
+def parse(text: bytes, fields: tuple[str, ...]) -> dict[str, float]:
     """The named figures of a report; what is not named, or no finite number, is passed over.
 
-    >>> read(b"TEXT inflight=7, queue=x, util=0.61, eps=nan, qps=-inf, more", ("queue", "util", "eps", "qps"))
+    >>> parse(
+    ...     b"TEXT inflight=7, queue=x, util=0.61, eps=nan, qps=-inf, more",
+    ...     ("queue", "util", "eps", "qps"),
+    ... )
     {'util': 0.61}
     """
     figures = {}
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -2,56 +2,56 @@
 
 from typing import Protocol
 
-from dahliabend.http.headers import KEPT
+from dahliabend.http.headers import MAX_BUFFERED_BYTES
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.timers import clock
 
 
-class Reader(Protocol):
+class BodyObserver(Protocol):
     """Who is told that a part of it is gone, so that it can't be sent once more."""
 
-    def passed_by(self) -> None: ...
+    def body_consumed(self) -> None: ...
 
 
-class Body:
+class StreamingBody:
     """What has come is kept until it goes beyond KEPT: up to there a hop that never ran may be followed by
     another. It holds its sender back while nobody takes it, or whoever does is slower."""
 
     def __init__(self, source: Connection, length: int | None, parts: list[bytes]) -> None:
         self.source, self.length, self.parts = source, length, parts
         self.size = sum(map(len, parts))
-        self.reader: Reader | None = None
+        self.observer: BodyObserver | None = None
         self.sink: Connection | None = None  # the link that it is written to
-        self.whole = self.gone = False
-        self.moved = self.ended_at = clock()
+        self.is_complete = self.is_discarded = False
+        self.last_progress = self.ended_at = clock()
 
     def feed(self, part: bytes) -> None:
         self.size += len(part)
-        self.moved = clock()
-        if not self.gone and (self.sink is None or self.size <= KEPT):
+        self.last_progress = clock()
+        if not self.is_discarded and (self.sink is None or self.size <= MAX_BUFFERED_BYTES):
             self.parts.append(part)
-        elif not self.gone:
-            self.gone = True
+        elif not self.is_discarded:
+            self.is_discarded = True
             self.parts = []
-            if self.reader is not None:
-                self.reader.passed_by()
+            if self.observer is not None:
+                self.observer.body_consumed()
         if self.sink is None:
             self.source.halt()
         else:
             self.write(part)
 
-    def end(self) -> None:
-        self.whole, self.ended_at = True, clock()
+    def mark_complete(self) -> None:
+        self.is_complete, self.ended_at = True, clock()
         if self.sink is not None:
-            self.sink.sent(self.last())
+            self.sink.upload_finished(self.terminator())
 
-    def flow(self, sink: Connection) -> None:
+    def attach(self, sink: Connection) -> None:
         """To this link from now on, from its beginning."""
         self.sink = sink
         for part in self.parts:
             self.write(part)
-        if self.whole:
-            sink.sent(self.last())
+        if self.is_complete:
+            sink.upload_finished(self.terminator())
         else:
             self.source.proceed()
 
@@ -60,18 +60,18 @@
             self.sink.write(b"%x\r\n" % len(part), part, b"\r\n")
         else:
             self.sink.write(part)
-        if self.sink is not None and self.sink.backlog > KEPT:
+        if self.sink is not None and self.sink.backlog > MAX_BUFFERED_BYTES:
             self.source.halt()
 
-    def last(self) -> bytes:
+    def terminator(self) -> bytes:
         return b"" if self.length is not None else b"0\r\n\r\n"
 
-    def drained(self) -> None:
+    def sink_flushed(self) -> None:
         """The link has taken all that there was."""
-        self.moved = clock()
+        self.last_progress = clock()
         if self.source.halted:
             self.source.proceed()
 
-    def cut(self) -> None:
+    def detach(self) -> None:
         """The link has ended."""
         self.sink = None
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -6,7 +6,7 @@
 
 from dahliabend.config.operator_file.types import File
 from dahliabend.http.headers import EXPIRES, TRACE
-from dahliabend.http.streaming import Body
+from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.checks import METHODS
 from dahliabend.routing_rules.choice import Choice, choices
@@ -26,12 +26,12 @@
     def __init__(self, profile: bytes) -> None:
         self.profile, self.closed = profile, False
 
-    def answer(self, status: int, headers: bytes, body: bytes) -> None: ...
-    def refuse(self, status: int) -> None: ...
-    def begin(self, headers: bytes, length: int | None, source) -> None: ...
-    def more(self, part: bytes) -> None: ...
-    def end(self) -> None: ...
-    def cut(self) -> None: ...
+    def send_response(self, status: int, headers: bytes, body: bytes) -> None: ...
+    def send_error(self, status: int) -> None: ...
+    def start_response(self, headers: bytes, length: int | None, source) -> None: ...
+    def send_part(self, part: bytes) -> None: ...
+    def finish_response(self) -> None: ...
+    def abort_response(self) -> None: ...
 
 
 def renamed(passed: bytes, trace: bytes) -> bytes:
@@ -138,19 +138,31 @@
         return trace, fields.get(EXPIRES) or b"%d" % (self.routes.choices[number].total // 1000)
 
     def take(
-        self, caller, number: int, method: bytes, target: bytes, passed: bytes, body: bytes, *,
-        expires: int, began: int, customer: bytes, again: bool, trace: bytes, upload: Body | None = None,
+        self,
+        caller,
+        number: int,
+        method: bytes,
+        target: bytes,
+        passed: bytes,
+        body: bytes,
+        *,
+        expires: int,
+        began: int,
+        customer: bytes,
+        again: bool,
+        trace: bytes,
+        upload: StreamingBody | None = None,
         key: bytes = b"",
-    ) -> int:  # fmt: skip
+    ) -> int:
         routes, now = self.routes, clock()
         choice = routes.choices[number]
         if not choice.limit.enter(now):
             self.turned_away += 1
             wait = min(ADVICE, choice.limit.wait(now))
             advice = b"Retry-After: %.3f\r\n" % (wait / 1e6) if wait else b""
-            caller.answer(503, advice, NO_ROOM)
+            caller.send_response(503, advice, NO_ROOM)
             return -1
-        caller.settle = choice.limit.leave
+        caller.on_request_finished = choice.limit.leave
         split = self.fields.get(choice.split_by, b"") if choice.split_by else b""
         names = choice.ways(split, self.part_ready)
         if not self.fields.get(TRACE):
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-from dahliabend.http.upstream_connection import Link
+from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.transport.connection import dial
 from dahliabend.transport.descriptor_budget import Descriptors
@@ -31,7 +31,7 @@
 
     def __init__(self, upstream: "Upstream", head: bytes, body: bytes, timeout: int) -> None:
         self.upstream, self.head, self.body, self.sent = upstream, head, body, clock()
-        self.link: Link | None = None
+        self.link: UpstreamConnection | None = None
         self.dialing: asyncio.Task | None = None
         self.phase, self.why, self.rested = Phase.ASKED, "", 0  # `rested`: how long its connection was idle
         self.until = self.send_by = self.sent + timeout  # `send_by`: not put on a connection from then on
@@ -63,12 +63,12 @@
         else:
             # Its place in the table is taken here: taken once the dialling begins, a turn of the loop later,
             # all that start in one turn would find the same room, and overrun the table.
-            link = Link(table.descriptors, self.upstream)
+            link = UpstreamConnection(table.descriptors, self.upstream)
             self.phase = Phase.DIALING
             self.dialing = table.deadlines.loop.create_task(self.connect(table, link))
             self.dialing.add_done_callback(lambda _: link.never_came_up())
 
-    async def connect(self, table: "UpstreamTable", link: Link) -> None:
+    async def connect(self, table: "UpstreamTable", link: UpstreamConnection) -> None:
         limit = table.deadlines.at(min(self.send_by, self.sent + table.dial_time), self.dialing.cancel)
         try:
             await dial(table.deadlines.loop, self.upstream.address, link)
@@ -83,7 +83,7 @@
         self.upstream.links.add(link)
         self.send_on(link)
 
-    def send_on(self, link: Link) -> None:
+    def send_on(self, link: UpstreamConnection) -> None:
         """The one way onto a connection. Since its upstream was chosen the connection may have taken long to
         come up: what was called off, is awaited by nobody, is out of time, or whose upstream has begun to
         drain, is not sent, and the connection is as good as new."""
@@ -95,30 +95,32 @@
         elif not self.upstream.wanted:
             self.why, unsent = "not to be sent to any more", Outcome.UNREACHABLE
         if self.over or unsent is not None:
-            self.upstream.free(link)
+            self.upstream.return_connection(link)
             return self.end_soon(unsent)
         self.phase, self.link = Phase.SENT, link
-        link.ask(self, self.head_for(self.until - now), self.body, self.upload)
+        link.send_request(self, self.head_for(self.until - now), self.body, self.upload)
 
     # What comes back.
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         """All of it is on its way: it may run from now on."""
 
-    def coming(self) -> None: ...
-    def began(self, passed: bytes, length: int | None) -> None: ...
-    def part(self, part: bytes) -> None: ...
+    def unsized_response_started(self) -> None: ...
+    def response_started(self, passed: bytes, length: int | None) -> None: ...
+    def response_part(self, part: bytes) -> None: ...
 
-    def answered(self, status: int, never_ran: bool, load: bytes, passed: bytes, body: bytes) -> None:
+    def response_complete(
+        self, status: int, never_ran: bool, load: bytes, passed: bytes, body: bytes
+    ) -> None:
         if status == 200:
             self.end(Outcome.SUCCEEDED, (passed, body, load))
         else:
             unrun = never_ran and status in (503, 504)
             self.end(Outcome.REJECTED if unrun else Outcome.FAILED, (b"", b"", load))
 
-    def broke(self, written: bool) -> None:
+    def connection_failed(self, written: bool) -> None:
         """Only a request that was written whole may have run."""
-        self.why = self.link.why if self.link is not None else ""
+        self.why = self.link.parse_error if self.link is not None else ""
         self.end(Outcome.RESET if written else Outcome.UNREACHABLE)
 
     def timed_out(self) -> None:
@@ -135,7 +137,7 @@
         """Stops waiting. The connection ends before anything else is sent: no two hops are out at once."""
         if self.over:
             return
-        written = self.link is not None and self.link.drop_asker()
+        written = self.link is not None and self.link.cancel_request()
         if self.dialing is not None:
             self.dialing.cancel()
         self.end_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
@@ -166,10 +168,10 @@
         self.state, self.born, self.weight, self.cell, self.zone = EndpointState.REMOVED, 0, 1.0, 0, ""
         self.returned = 0  # when an operator last put it back: it may have started again meanwhile
         self.wanted = False  # may connections rest here?
-        self.links: set[Link] = set()
-        self.resting: list[Link] = []
+        self.links: set[UpstreamConnection] = set()
+        self.resting: list[UpstreamConnection] = []
 
-    def rested(self, now: int) -> tuple[Link | None, int]:
+    def rested(self, now: int) -> tuple[UpstreamConnection | None, int]:
         """A connection at rest, if one is surely still open at the other end, and for how long it was."""
         since = self.table.descriptors.idle
         # A second answer may come some milliseconds late: it would be taken for the next one's. Those that
@@ -189,14 +191,14 @@
             link.shut()
         return None, 0
 
-    def free(self, link: Link) -> None:
+    def return_connection(self, link: UpstreamConnection) -> None:
         if not self.wanted:
             link.shut()  # nothing more is sent there
         elif not link.closed:
             self.resting.append(link)
             self.table.descriptors.rest(link.number, clock())
 
-    def gone(self, link: Link) -> None:
+    def remove_connection(self, link: UpstreamConnection) -> None:
         self.links.discard(link)
         if link in self.resting:
             self.resting.remove(link)
@@ -219,7 +221,7 @@
         if address != self.address:
             self.address = address
             for link in self.links:
-                link.keep = False  # it leads to the old place: finished there, not used again
+                link.keep_alive = False  # it leads to the old place: finished there, not used again
             self.close_idle(clock())
 
 
@@ -265,6 +267,6 @@
     def sweep(self) -> None:
         """Closes what the other end would close soon: a request written to that would be lost."""
         for link in self.descriptors.rested(clock() - self.rest):
-            if isinstance(link, Link):
+            if isinstance(link, UpstreamConnection):
                 link.shut()
         self.deadlines.at(clock() + self.rest // 8, self.sweep)
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -20,7 +20,7 @@
         self.fields, self.told = fields, told
 
     def ended(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
-        load = loads.read(answer[1] or answer[2], self.fields) if answer else {}
+        load = loads.parse(answer[1] or answer[2], self.fields) if answer else {}
         self.upstream.table.log(
             "probe", upstream=self.upstream.name, outcome=outcome.name, ms=took // 1000, load=load
         )
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -4,7 +4,7 @@
 
 from dahliabend.config.platform import Node
 from dahliabend.discovery.watch import DiscoveryClient
-from dahliabend.http.client_connection import Caller
+from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
@@ -42,7 +42,9 @@
         "upload",
     )
 
-    def __init__(self, caller: Caller, profile: int, head: bytes, passed: bytes, body: bytes, trace: bytes):
+    def __init__(
+        self, caller: ClientConnection, profile: int, head: bytes, passed: bytes, body: bytes, trace: bytes
+    ):
         self.caller, self.profile, self.head, self.passed, self.body = caller, profile, head, passed, body
         self.trace, self.taken, self.answered, self.number = trace, clock(), False, -1
         self.name = b""  # of its profile, as on the wire
@@ -54,7 +56,7 @@
         self.hops: list[Hop] = []
         self.trail: list[tuple] = []  # of its hops: upstream, outcome, milliseconds
 
-    def passed_by(self) -> None:
+    def body_consumed(self) -> None:
         self.handle.body_consumed()
 
     def close(self, by: "Hop | None" = None) -> None:
@@ -115,7 +117,7 @@
             self.upstream.table.deadlines.drop(self.deadline)
             self.look_again(self.sent + self.request.expires)
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         request, self.moved = self.request, clock()
         self.router.metrics.count_attempt(request.name)
         after = request.policy.balancer.profiles[request.profile].hedge_delay
@@ -136,37 +138,37 @@
             # It is the upstream that takes nothing, and its caller may have sent all: held back, that can't
             # be seen. Waited for as long as for a slow caller, it would go unanswered past its limit.
             wait = min(wait, self.request.expires)
-        moved = self.moved if self.flowing else self.upload.moved if coming else now - wait
+        moved = self.moved if self.flowing else self.upload.last_progress if coming else now - wait
         if coming and self.dialing is not None:
             self.look_again(now + wait)
         elif now - moved < wait:
             self.look_again(moved + wait)
         else:
             if coming:
-                self.request.passed_by()  # its time has gone by: none is left for another hop
+                self.request.body_consumed()  # its time has gone by: none is left for another hop
             super().timed_out()
 
     def look_again(self, when: int) -> None:
         self.deadline = self.upstream.table.deadlines.at(when, self.timed_out)
 
-    def coming(self) -> None:
+    def unsized_response_started(self) -> None:
         # It may be a long one: held back for 2 s, it would be lost.
-        self.hurry = self.upstream.table.deadlines.at(clock() + HURRY, self.link.begin)
+        self.hurry = self.upstream.table.deadlines.at(clock() + HURRY, self.link.start_streaming)
 
-    def began(self, passed: bytes, length: int | None) -> None:
+    def response_started(self, passed: bytes, length: int | None) -> None:
         request = self.request
         if request.answered:  # the hop beside it was quicker: two answers would be one too many
             return self.give_up(Outcome.CANCELLED)
         self.flowing, self.moved, self.first = True, clock(), clock()
         request.close(by=self)
         request.handle.response_started(self.moved, self.order)
-        request.caller.begin(passed, length, self.link)
+        request.caller.start_response(passed, length, self.link)
         self.upstream.table.deadlines.drop(self.deadline)
         self.timed_out()
 
-    def part(self, part: bytes) -> None:
+    def response_part(self, part: bytes) -> None:
         self.moved = clock()
-        self.request.caller.more(part)
+        self.request.caller.send_part(part)
 
     def settle(self) -> None:
         super().settle()
@@ -343,7 +345,7 @@
         """`otherwise`, where given, is told in place of its caller of one turned away unseen here and now."""
         if trace in self.traces:
             # Another's open transaction: sent on, it would be a second copy of that one at an upstream.
-            caller.refuse(409)
+            caller.send_error(409)
             return -1
         head = b"%b %b HTTP/1.1\r\n" % (method, target)
         request = Request(caller, profile, head, passed, body, trace)
@@ -353,7 +355,7 @@
         if number < 0:
             # The table is full: the caller is told at once, nothing has run.
             self.log("no_room", requests=len(self.requests))
-            caller.answer(503, b"", b"too many transactions\n")
+            caller.send_response(503, b"", b"too many transactions\n")
             return -1
         self.traces.add(trace)
         # The time runs from the caller's sending; on a busy machine the bytes have lain unread for a while,
@@ -376,7 +378,7 @@
             key,
         )
         if upload is not None:
-            upload.reader = request
+            upload.observer = request
         request.otherwise = None
         self.drop_if_over(request)
         return -1 if request.answered else number
@@ -531,7 +533,7 @@
             took = hop.first - hop.sent
             whole = outcome is Outcome.SUCCEEDED
             self.note("committed" if whole else "cut", request)
-            request.caller.end() if whole else request.caller.cut()
+            request.caller.finish_response() if whole else request.caller.abort_response()
         elif outcome is Outcome.SUCCEEDED:
             self.answer(request.number, "committed", 200, *answer[:2])
         request.handle.attempt_finished(clock(), hop.order, outcome, took, request.answered, hop.rested)
@@ -544,7 +546,7 @@
             return
         request.close()
         self.note(how, request)
-        request.caller.answer(status, headers, body)
+        request.caller.send_response(status, headers, body)
 
     def note(self, how: str, request: Request) -> None:
         self.counts[how] = self.counts.get(how, 0) + 1
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -4,12 +4,12 @@
 
 import orjson
 
-from dahliabend.http.admin_connection import Answer
+from dahliabend.http.admin_connection import AdminResponse
 
 _JSON = b"Content-Type: application/json\r\n"
 
 
-def said(status: int, **fields) -> Answer:
+def said(status: int, **fields) -> AdminResponse:
     return status, _JSON, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE)
 
 
@@ -31,7 +31,7 @@
             b"/api/turns": (b"GET", self.turns),
         }
 
-    def __call__(self, method: bytes, path: bytes, body: bytes) -> Answer:
+    def __call__(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
         wanted, call = self.calls.get(path, (b"", None))
         if call is None:
             answer = said(404, error="no such call")
@@ -45,29 +45,29 @@
             )
         return answer
 
-    def ready(self, _: bytes) -> Answer:
+    def ready(self, _: bytes) -> AdminResponse:
         ready = self.program.ready()
         return said(200 if ready else 503, ready=ready)
 
-    def telemetry(self, _: bytes) -> Answer:
+    def telemetry(self, _: bytes) -> AdminResponse:
         return said(200, **self.program.telemetry())
 
-    def members(self, _: bytes) -> Answer:
+    def members(self, _: bytes) -> AdminResponse:
         shown = self.program.members()
         return said(404, error="there is no [members]") if shown is None else said(200, **shown)
 
-    def subsets(self, _: bytes) -> Answer:
+    def subsets(self, _: bytes) -> AdminResponse:
         return said(200, pools=self.program.subsets())
 
-    def signals(self, _: bytes) -> Answer:
+    def signals(self, _: bytes) -> AdminResponse:
         shown = self.program.signals()
         return said(404, error="[members] has no signals") if shown is None else said(200, **shown)
 
-    def turns(self, _: bytes) -> Answer:
+    def turns(self, _: bytes) -> AdminResponse:
         shown = self.program.turns()
         return said(404, error="[members] has no probing") if shown is None else said(200, **shown)
 
-    def exclude(self, body: bytes, out: bool = True) -> Answer:
+    def exclude(self, body: bytes, out: bool = True) -> AdminResponse:
         try:
             target = orjson.loads(body)["target"]
         except (ValueError, TypeError, KeyError):
@@ -79,13 +79,13 @@
         self.log("excluded" if out else "included", upstream=target[:100])
         return said(200, target=target, excluded=out)
 
-    def include(self, body: bytes) -> Answer:
+    def include(self, body: bytes) -> AdminResponse:
         return self.exclude(body, out=False)
 
-    def evacuate(self, _: bytes) -> Answer:
+    def evacuate(self, _: bytes) -> AdminResponse:
         self.program.evacuate()
         return said(200, evacuated=True)
 
-    def rejoin(self, _: bytes) -> Answer:
+    def rejoin(self, _: bytes) -> AdminResponse:
         self.program.rejoin()
         return said(200, evacuated=False)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -12,7 +12,7 @@
 from dahliabend.config.operator_file.types import File
 from dahliabend.config.platform import REST, Node, address
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
-from dahliabend.http.headers import MOST
+from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 from dahliabend.proxy.dispatcher import Desk, Pool
 from dahliabend.proxy.endpoint_table import UpstreamTable
@@ -167,7 +167,7 @@
 def unmet(file: File) -> Iterator[str]:
     """What the file says and this program does not do."""
     for name, kind in file.classes.items():
-        if kind.longest_body != MOST:
+        if kind.longest_body != MAX_BODY_BYTES:
             yield f"classes.{name}.longest-body"
 
 
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -8,8 +8,8 @@
 
 from dahliabend.config.platform import Node, reread_node
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
-from dahliabend.http.admin_connection import Operator
-from dahliabend.http.client_connection import Caller
+from dahliabend.http.admin_connection import AdminConnection
+from dahliabend.http.client_connection import ClientConnection
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.admin import AdminApi
@@ -92,11 +92,11 @@
         self.discovery.stop()
         self.log("ended", counts=self.router.counts)
 
-    def accept(self) -> Caller:
-        return Caller(self.descriptors, self.deadlines, self.router, self.patience)
+    def accept(self) -> ClientConnection:
+        return ClientConnection(self.descriptors, self.deadlines, self.router, self.patience)
 
-    def accept_operator(self) -> Operator:
-        return Operator(self.admin_descriptors, self.deadlines, self.operations)
+    def accept_operator(self) -> AdminConnection:
+        return AdminConnection(self.admin_descriptors, self.deadlines, self.operations)
 
     # Beside another process.
 
@@ -203,7 +203,7 @@
     def sweep(self) -> None:
         """Many callers ask once and stay: kept, their connections would be all there are."""
         for caller in self.client_connections(self.descriptors.rested(clock() - CLIENT_IDLE_TIMEOUT)):
-            caller.let_go(1)
+            caller.close_if_idle(1)
         self.deadlines.at(clock() + IDLE_SWEEP_INTERVAL, self.sweep)
 
     def beat(self) -> None:
@@ -217,8 +217,8 @@
         )  # fmt: skip
         self.deadlines.at(clock() + METRICS_INTERVAL, self.beat)
 
-    def client_connections(self, connections) -> list[Caller]:
-        return [connection for connection in connections if isinstance(connection, Caller)]
+    def client_connections(self, connections) -> list[ClientConnection]:
+        return [connection for connection in connections if isinstance(connection, ClientConnection)]
 
     def reload(self) -> None:
         """Takes over what can change while running. A faulty file changes nothing."""
@@ -261,11 +261,11 @@
         self.close_idle_clients()
         self.deadlines.at(now + (0 if self.listener.shared else ACCEPT_PERIOD), self.stop_accepting)
 
-    def close_idle_clients(self) -> list[Caller]:
+    def close_idle_clients(self) -> list[ClientConnection]:
         """Closes callers' connections between requests; those that were there."""
         callers = self.client_connections(self.descriptors.connections)
         for caller in callers:
-            caller.let_go(clock() - ACCEPT_PERIOD)
+            caller.close_if_idle(clock() - ACCEPT_PERIOD)
         return callers
 
     def stop_accepting(self) -> None:
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -14,8 +14,8 @@
 
 from dahliabend.discovery import watch as discovery
 from dahliabend.discovery.watch import EndpointList
-from dahliabend.http.client_connection import Caller
-from dahliabend.http.upstream_connection import Link
+from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.policy.key_order import Lines
@@ -55,14 +55,14 @@
 
 
 def answer_twice():
-    real = Caller.answer
+    real = ClientConnection.send_response
 
     def answer(self, status, headers, body):
         real(self, status, headers, body)
         if status == 503:
             self.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
-    return instead(Caller, "answer", answer)
+    return instead(ClientConnection, "send_response", answer)
 
 
 def resend_what_may_have_run():
@@ -133,7 +133,7 @@
             return
         written = self.link is not None and self.link.whole
         if self.link is not None:
-            self.link.asker = None  # left open: the upstream goes on with it
+            self.link.handler = None  # left open: the upstream goes on with it
         if self.dialing is not None:
             self.dialing.cancel()
         self.end_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
@@ -144,7 +144,7 @@
 @contextmanager
 def reuse_of_a_slot():
     """Numbers that don't tell one stay from the next, and a caller that leaves with its last one."""
-    real_answer, real_lost = Caller.answer, Caller.lost
+    real_answer, real_lost = ClientConnection.send_response, ClientConnection.lost
 
     def get(self, number):
         slot = number % self.size
@@ -157,21 +157,25 @@
     def lost(self):
         real_lost(self)
         if getattr(self, "before", -1) >= 0:
-            self.desk.left(self.before)
+            self.dispatcher.left(self.before)
 
-    with instead(Slots, "get", get), instead(Caller, "answer", answer), instead(Caller, "lost", lost):
+    with (
+        instead(Slots, "get", get),
+        instead(ClientConnection, "send_response", answer),
+        instead(ClientConnection, "lost", lost),
+    ):
         yield
 
 
 def mix_answers():
-    real = Link.on_message_begin
+    real = UpstreamConnection.on_message_begin
 
     def on_message_begin(self):
         before = list(getattr(self, "body", []))
         real(self)
         self.body = before
 
-    return instead(Link, "on_message_begin", on_message_begin)
+    return instead(UpstreamConnection, "on_message_begin", on_message_begin)
 
 
 def forget_exclusions_over_an_upgrade():
@@ -195,14 +199,14 @@
 def pass_on_cut_answers():
     def lost(self):
         self.parser = None
-        self.pool.gone(self)
-        asker, self.asker = self.asker, None
-        if asker is not None and getattr(self, "headed", False):
-            asker.answered(200, False, b"", b"", b"".join(self.body))
-        elif asker is not None:
-            asker.broke(self.whole)
+        self.pool.remove_connection(self)
+        handler, self.handler = self.handler, None
+        if handler is not None and getattr(self, "head_complete", False):
+            handler.response_complete(200, False, b"", b"", b"".join(self.body))
+        elif handler is not None:
+            handler.connection_failed(self.whole)
 
-    return instead(Link, "lost", lost)
+    return instead(UpstreamConnection, "lost", lost)
 
 
 def close_callers_at_the_end():
@@ -281,7 +285,7 @@
 
 
 def read_on_only_when_there_is_room():
-    return instead(Caller, "reading_paused", lambda self: None)
+    return instead(ClientConnection, "reading_paused", lambda self: None)
 
 
 def wait_for_silent_watches():
@@ -305,13 +309,13 @@
 
 def serve_on_what_was_shut():
     """A connection that lingers reads on as if nothing had ended."""
-    real = Caller.linger
+    real = ClientConnection.linger
 
     def linger(self):
         real(self)
-        self.last = self.lingers = False
+        self.final_response_sent = self.is_lingering = False
 
-    return instead(Caller, "linger", linger)
+    return instead(ClientConnection, "linger", linger)
 
 
 def wait_for_discovery():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,8 +11,8 @@
 from helpers import MS, Notes, S
 
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
-from dahliabend.http.client_connection import Caller
-from dahliabend.http.upstream_connection import Link
+from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint_table import Exchange, UpstreamTable
 from dahliabend.proxy.router import Policy, Request, Router
@@ -84,10 +84,10 @@
     """A request out on a connection that takes so many bytes: the request and the link."""
     upstream = upstream_table().find("s-1")
     upstream.wanted = True
-    link = Link(upstream.table.descriptors, upstream)
+    link = UpstreamConnection(upstream.table.descriptors, upstream)
     upstream.links.add(link)
     Pipe(link, takes)
-    upstream.free(link)
+    upstream.return_connection(link)
     upstream.table.descriptors.rest(link.number, clock() - upstream.table.settle)  # no second answer came
     exchange = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     exchange.start()
@@ -112,7 +112,7 @@
 
 
 def test_a_blocked_ring_goes_on_where_it_stopped():
-    link = Link(Descriptors(100), None)
+    link = UpstreamConnection(Descriptors(100), None)
     pipe = Pipe(link, 100)
     data = bytes(range(256)) * 100
     link.write(data)
@@ -187,7 +187,7 @@
     exchange.upstream.close_idle(clock())
     link.connection_lost(None)
     table = exchange.upstream.table.descriptors
-    new = Link(table, exchange.upstream)
+    new = UpstreamConnection(table, exchange.upstream)
     table.give_back(old)
     assert table.connections.get(new.number) is new and new.number != old
 
@@ -196,18 +196,18 @@
     upstream = upstream_table().find("s-1")
     upstream.wanted = True
     for age, used in ((3 * S, True), (5 * S, False)):
-        link = Link(upstream.table.descriptors, upstream)
+        link = UpstreamConnection(upstream.table.descriptors, upstream)
         upstream.links.add(link)
-        upstream.free(link)
+        upstream.return_connection(link)
         assert (upstream.rested(clock() + age)[0] is link) == used
 
 
 def test_only_connections_idle_for_longer_are_closed():
     upstream = upstream_table().find("s-1")
     upstream.wanted = True
-    old, new = (Link(upstream.table.descriptors, upstream) for _ in range(2))
+    old, new = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
     for link in (old, new):
-        upstream.free(link)
+        upstream.return_connection(link)
     upstream.table.descriptors.idle[old.number] -= S
     upstream.close_idle(clock() - S // 2)
     assert old.closed and not new.closed and 0 <= upstream.rested(clock() + SETTLED)[1] < S
@@ -217,12 +217,12 @@
     upstream = upstream_table().find("s-1")
     upstream.use()
     upstream.move(("127.0.0.1", 1))
-    link, busy = (Link(upstream.table.descriptors, upstream) for _ in range(2))
+    link, busy = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
     upstream.links |= {link, busy}
-    upstream.free(link)
+    upstream.return_connection(link)
     upstream.table.descriptors.rest(link.number, clock() - upstream.table.settle)  # no second answer came
     upstream.move(("127.0.0.1", 2))
-    assert link.closed and not busy.closed and not busy.keep
+    assert link.closed and not busy.closed and not busy.keep_alive
 
 
 def test_an_upstream_that_has_gone_gives_its_place_and_its_connections_back():
@@ -239,10 +239,10 @@
     row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(desk, [row], True)
     upstream = all_of.find("s-1")
-    busy, rests = (Link(all_of.descriptors, upstream) for _ in range(2))
-    upstream.free(rests)
+    busy, rests = (UpstreamConnection(all_of.descriptors, upstream) for _ in range(2))
+    upstream.return_connection(rests)
     Router.endpoints_changed(desk, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
-    upstream.free(busy)  # its answer came later
+    upstream.return_connection(busy)  # its answer came later
     assert rests.closed and busy.closed and not all_of.upstreams and not all_of.indices
     Router.endpoints_changed(desk, [("s-2", *row[1:])], True)  # a new one at the same address
     new = all_of.find("s-2")
@@ -265,7 +265,7 @@
     with closing(near), closing(far):
         near.setblocking(False)
         deadlines = upstream_table().deadlines
-        unread, idle, fresh = (Caller(budget, deadlines, DESK, S) for _ in range(3))
+        unread, idle, fresh = (ClientConnection(budget, deadlines, DESK, S) for _ in range(3))
         unread.sock = near
         far.send(b"G")
         for caller in (unread, idle, fresh):
@@ -280,7 +280,7 @@
 
 
 def test_a_caller_that_sends_on_without_reading_is_held_back():
-    caller = Caller(Descriptors(100), upstream_table().deadlines, DESK, S)
+    caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S)
     Pipe(caller, 0)
     raw = b"GET /-/ready HTTP/1.1\r\n\r\n"
     feed(caller, raw)
@@ -291,11 +291,11 @@
 
 def test_the_silent_and_the_trickling_are_owed_an_end_counted_from_connecting():
     for sent, status in ((b"", b""), (b"GET /-/re", b"HTTP/1.1 408")):
-        caller = Caller(Descriptors(100), upstream_table().deadlines, DESK, 9 * S)
+        caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, 9 * S)
         pipe, came = Pipe(caller), clock()
         for byte in sent:
             feed(caller, bytes([byte]))
-        when, _, call, _ = caller.stalled
+        when, _, call, _ = caller.stall_timer
         assert when <= came + 3 * S - 250 * MS  # the end has to reach them in time
         call()
         assert pipe.written[:12] == status and (status or pipe.ended)
@@ -411,7 +411,7 @@
     gc.disable()
     try:
         for make in (
-            lambda: Caller(Descriptors(100), upstream_table().deadlines, DESK, S),
+            lambda: ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S),
             lambda: asked()[1],
         ):
             made = make()
@@ -475,8 +475,8 @@
 
 
 def test_a_connection_accepted_but_not_yet_up_is_not_let_go_as_idle():
-    caller = Caller(Descriptors(100), upstream_table().deadlines, DESK, S)
-    caller.let_go(clock() - S // 2)
+    caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S)
+    caller.close_if_idle(clock() - S // 2)
     assert not caller.closed
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,8 +7,7 @@
 from helpers import MS, PATIENCE, Caller, S, Upstream, answer, balancer, call, program, until
 from test_net import DESK, Pipe, feed, upstream_table
 
-from dahliabend.http.client_connection import PAUSE
-from dahliabend.http.client_connection import Caller as Taker
+from dahliabend.http.client_connection import BODY_PAUSE_TIMEOUT, ClientConnection
 from dahliabend.model import Outcome
 from dahliabend.transport.descriptor_budget import Descriptors
 from dahliabend.transport.timers import clock
@@ -121,15 +120,15 @@
 
 
 def test_a_slow_head_and_a_steady_body_are_waited_for_and_silence_is_not():
-    caller, came = Taker(Descriptors(100), upstream_table().deadlines, DESK, 9 * S), clock()
+    caller, came = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, 9 * S), clock()
     Pipe(caller)
     feed(caller, SIZED % (b"t", 60_000))
-    caller.headed = caller.heard = came - PAUSE // 2
-    caller.too_slow()
-    assert not caller.fault and caller.stalled[0] >= came + PAUSE // 2 - MS
-    caller.headed = caller.heard = came - 2 * PAUSE
-    caller.too_slow()
-    assert caller.fault == 408 or caller.transport.written.startswith(b"HTTP/1.1 408")
+    caller.head_complete_at = caller.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
+    caller.request_timed_out()
+    assert not caller.error_status and caller.stall_timer[0] >= came + BODY_PAUSE_TIMEOUT // 2 - MS
+    caller.head_complete_at = caller.last_body_byte_at = came - 2 * BODY_PAUSE_TIMEOUT
+    caller.request_timed_out()
+    assert caller.error_status == 408 or caller.transport.written.startswith(b"HTTP/1.1 408")
 
 
 def test_a_body_that_comes_counts_as_in_flight_from_its_last_byte_on():
@@ -162,9 +161,9 @@
 def test_a_request_behind_a_long_answer_is_not_lost_when_callers_are_sent_away():
     desk = SimpleNamespace(closing=lambda: True, ready=lambda: True)
     for behind, kept in ((1, True), (0, False)):
-        caller = Taker(Descriptors(100), upstream_table().deadlines, desk, S)
+        caller = ClientConnection(Descriptors(100), upstream_table().deadlines, desk, S)
         Pipe(caller)
-        caller.serving = caller.keep = True
+        caller.serving = caller.keep_alive = True
         caller.queue.extend([()] * behind)
-        caller.begin(b"", 9, None)
-        assert caller.keep is kept and (b"Connection: close" in caller.transport.written) is not kept
+        caller.start_response(b"", 9, None)
+        assert caller.keep_alive is kept and (b"Connection: close" in caller.transport.written) is not kept
