--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
-from dahliabend.transport import host_info as machine
+from dahliabend.transport import host_info
 
 
 class _Wire(msgspec.Struct, rename="kebab"):
@@ -187,7 +187,7 @@
     if not path:
         raise ValueError("PROXY_CONFIG: not set; it names the configuration file")
     try:
-        raw = machine.read_file(path)
+        raw = host_info.read_file(path)
     except OSError as error:
         raise ValueError(f"PROXY_CONFIG: {path}: {error.strerror}") from None
     try:
@@ -255,7 +255,7 @@
         report_fields=tuple(conf.report.fields) if conf.report.source == "on_probe" else (),
         unmet=tuple(key for key, asked in unmet.items() if asked),
         keys=keys,
-        epoch=machine.ticks() // 1000 - machine.wall() // 1000,
+        epoch=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
     )
 
 
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -12,8 +12,8 @@
 from dahliabend.config.platform import address
 from dahliabend.model import EndpointState
 from dahliabend.transport.connection import Connection, dial
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
 
 HEARTBEAT_INTERVAL = 2_000_000  # an empty line comes that often while nothing changes
 SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # nothing for longer: the watch is dead, and changes are missed
@@ -94,7 +94,7 @@
     """One watch, from its request until it ends."""
 
     def __init__(
-        self, descriptors: Descriptors, endpoint_list: EndpointList, heard: Callable, ended: Callable
+        self, descriptors: DescriptorBudget, endpoint_list: EndpointList, heard: Callable, ended: Callable
     ) -> None:
         super().__init__(descriptors)
         self.endpoint_list, self.data_received, self.watch_ended = endpoint_list, heard, ended
@@ -124,15 +124,15 @@
     def on_message_complete(self) -> None:
         raise ValueError("watch ended")
 
-    def received(self, view: memoryview) -> None:
+    def bytes_received(self, view: memoryview) -> None:
         try:
             self.parser.feed_data(view)
             self.data_received()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.endpoint_list.log("watch.broken", why=repr(error.__context__ or error))
-            self.shut()
+            self.abort()
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self.parser = None  # it holds this connection and its rings
         self.watch_ended(self)
 
@@ -155,17 +155,17 @@
         self,
         address: tuple[str, int],
         endpoint_list: EndpointList,
-        deadlines: Deadlines,
-        descriptors: Descriptors,
+        timers: TimerQueue,
+        descriptors: DescriptorBudget,
         connect_timeout: int,
         random: Callable[[], float],
         log: Callable,
         shared_service: bool = False,
     ) -> None:
-        self.address, self.endpoint_list, self.deadlines, self.descriptors = (
+        self.address, self.endpoint_list, self.timers, self.descriptors = (
             address,
             endpoint_list,
-            deadlines,
+            timers,
             descriptors,
         )
         self.connect_timeout, self.random, self.log = connect_timeout, random, log
@@ -184,16 +184,16 @@
         """Opens a watch unless one is open or being opened."""
         if self.state not in (WatchState.IDLE, WatchState.BACKING_OFF):
             return
-        self.deadlines.drop(self.retry_timer)
+        self.timers.cancel(self.retry_timer)
         self.state = WatchState.CONNECTING
         self.watch = WatchConnection(
             self.descriptors, self.endpoint_list, self.data_received, self.watch_ended
         )
         self.restart_silence_timer(self.connect_timeout)
-        self.connect_task = self.deadlines.loop.create_task(self.connect(self.watch))
+        self.connect_task = self.timers.loop.create_task(self.connect(self.watch))
         self.connect_task.add_done_callback(partial(self.connect_finished, self.watch))
         if not self.attempted:
-            self.deadlines.at(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
+            self.timers.schedule(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
 
     def poll(self) -> None:
         """The decisions want the list. A watch that waits to be opened again is opened in its own time: with
@@ -218,7 +218,7 @@
 
     def close_previous_watch(self) -> None:
         if self.previous_watch is not None:
-            self.previous_watch.shut()
+            self.previous_watch.abort()
             self.previous_watch = None
 
     def first_attempt_timed_out(self) -> None:
@@ -226,18 +226,18 @@
 
     async def connect(self, watch: WatchConnection) -> None:
         try:
-            await dial(self.deadlines.loop, self.address, watch)
+            await dial(self.timers.loop, self.address, watch)
         except (OSError, asyncio.CancelledError):
             return self.watch_ended(watch)
         if watch is not self.watch:  # moved on, or stopped, in the moment in which it came up
-            return watch.shut()
+            return watch.abort()
         self.request_watch(watch)
 
     def connect_finished(self, watch: WatchConnection, task: asyncio.Task) -> None:
         if task.cancelled():
             # Given up before its first step, as where a start took longer than the dialling may: `connect`
             # never ran, nothing told that it ended, no watch was opened any more, and drains went unheard.
-            watch.never_came_up()
+            watch.dial_cancelled()
             self.watch_ended(watch)
 
     def request_watch(self, watch: WatchConnection) -> None:
@@ -249,8 +249,8 @@
 
     def restart_silence_timer(self, within: int) -> None:
         """Something is to be heard within that time."""
-        self.deadlines.drop(self.silence_timer)
-        self.silence_timer = self.deadlines.at(clock() + within, self.watch_silent)
+        self.timers.cancel(self.silence_timer)
+        self.silence_timer = self.timers.schedule(clock() + within, self.watch_silent)
 
     def data_received(self) -> None:
         self.state, self.attempted, self.backoff = WatchState.ACTIVE, True, MIN_BACKOFF
@@ -265,23 +265,23 @@
         if self.state is WatchState.CONNECTING:
             self.connect_task.cancel()
         elif self.watch is not None:
-            self.watch.shut()
+            self.watch.abort()
 
     def watch_ended(self, watch: WatchConnection) -> None:
         if watch is not self.watch:
             return
         self.watch, self.attempted, self.state = None, True, WatchState.BACKING_OFF
-        self.deadlines.drop(self.silence_timer)
+        self.timers.cancel(self.silence_timer)
         self.log("watch.ended", version=self.endpoint_list.version, again_in_ms=self.backoff // 1000)
         # Backed off at random: a list service that failed under load is not stormed by all at once.
         wait = round(self.backoff * (1 + self.random()) / 2)
         self.backoff = min(MAX_BACKOFF, self.backoff * 2)
-        self.retry_timer = self.deadlines.at(clock() + wait, self.open)
+        self.retry_timer = self.timers.schedule(clock() + wait, self.open)
         self.endpoint_list.observer.endpoint_poll_failed()
 
     def stop(self) -> None:
-        self.deadlines.drop(self.retry_timer)
-        self.deadlines.drop(self.silence_timer)
+        self.timers.cancel(self.retry_timer)
+        self.timers.cancel(self.silence_timer)
         self.close_previous_watch()
         self.close()
         self.state, self.watch = WatchState.STOPPED, None
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -6,8 +6,8 @@
 
 from dahliabend.http import headers as wire
 from dahliabend.transport.connection import Connection
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
 
 MAX_REQUEST_BYTES = 8192  # bytes, head and body
 REQUEST_TIMEOUT = (
@@ -22,12 +22,12 @@
 
     def __init__(
         self,
-        descriptors: Descriptors,
-        deadlines: Deadlines,
+        descriptors: DescriptorBudget,
+        timers: TimerQueue,
         handle_request: Callable[[bytes, bytes, bytes], AdminResponse],
     ) -> None:
         super().__init__(descriptors)
-        self.deadlines, self.handle_request = deadlines, handle_request
+        self.timers, self.handle_request = timers, handle_request
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target, self.body, self.size, self.responded = b"", b"", 0, False
         self.timeout_timer: list | None = None
@@ -36,11 +36,11 @@
         super().connection_made(transport)
         # It owes its call from now on: the oldest that has not sent one goes once another wants in. Held for
         # as long as they like, a few silent ones would lock the operators out.
-        self.descriptors.owes(self.number, clock())
-        self.timeout_timer = self.deadlines.at(clock() + REQUEST_TIMEOUT, self.shut)
+        self.descriptors.mark_awaiting_request(self.handle, clock())
+        self.timeout_timer = self.timers.schedule(clock() + REQUEST_TIMEOUT, self.abort)
 
-    def may_go(self) -> bool:
-        return not self.waiting()
+    def can_evict(self) -> bool:
+        return not self.unread_input()
 
     def on_url(self, part: bytes) -> None:
         self.target += part
@@ -56,7 +56,7 @@
         path = self.target.partition(b"?")[0]
         self.send_response(*self.handle_request(self.parser.get_method(), path, self.body))
 
-    def received(self, view: memoryview) -> None:
+    def bytes_received(self, view: memoryview) -> None:
         if self.responded:
             return  # one call a connection
         self.size += len(view)
@@ -76,12 +76,12 @@
         )  # fmt: skip
         self.write(head + extra + b"\r\n", body)
 
-    def flushed(self) -> None:
+    def output_flushed(self) -> None:
         # Closed with a part of the call unread, the answer could be wiped out before it is read: it ends
         # when the operator ends it, or at its limit.
         if self.responded and self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self.parser = None  # it holds this connection and its rings
-        self.deadlines.drop(self.timeout_timer)
+        self.timers.cancel(self.timeout_timer)
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -11,8 +11,8 @@
 from dahliabend.http import headers as wire
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.transport.connection import Connection
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
 
 MAX_TRACE_ID_BYTES = 128
 REQUEST_TIMEOUT = (
@@ -68,10 +68,10 @@
     """One caller's connection. Requests are answered one by one, in the order in which they came."""
 
     def __init__(
-        self, descriptors: Descriptors, deadlines: Deadlines, dispatcher: Dispatcher, write_timeout: int
+        self, descriptors: DescriptorBudget, timers: TimerQueue, dispatcher: Dispatcher, write_timeout: int
     ) -> None:
         super().__init__(descriptors)
-        self.deadlines, self.dispatcher, self.write_timeout = deadlines, dispatcher, write_timeout
+        self.timers, self.dispatcher, self.write_timeout = timers, dispatcher, write_timeout
         self.parser = httptools.HttpRequestParser(self)
         self.queue: deque[tuple] = deque()  # requests that have come whole
         self.request = -1  # of the transaction that is being served
@@ -110,8 +110,8 @@
 
     def await_request(self, opened_at: int) -> None:
         """The rest of a request is owed, counted from then."""
-        self.descriptors.owes(self.number, opened_at + REQUEST_TIMEOUT // SLOW_AFTER_DIVISOR)
-        self.stall_timer = self.deadlines.at(opened_at + REQUEST_TIMEOUT, self.request_timed_out)
+        self.descriptors.mark_awaiting_request(self.handle, opened_at + REQUEST_TIMEOUT // SLOW_AFTER_DIVISOR)
+        self.stall_timer = self.timers.schedule(opened_at + REQUEST_TIMEOUT, self.request_timed_out)
 
     # What the parser tells.
 
@@ -186,7 +186,7 @@
         else:
             self.streaming_body.mark_complete()
             if self.streaming_body is self.upload:
-                self.deadlines.drop(self.stall_timer)
+                self.timers.cancel(self.stall_timer)
         self.began = self.unparsed_bytes = 0
 
     def enqueue(self) -> None:
@@ -207,7 +207,7 @@
 
     # Bytes and their ends.
 
-    def received(self, view: memoryview) -> None:
+    def bytes_received(self, view: memoryview) -> None:
         if self.final_response_sent:
             return  # nothing more is taken here
         self.unparsed_bytes += len(view)
@@ -222,12 +222,12 @@
     def serve_next(self) -> None:
         """Takes the next request that has come, if none is being served."""
         while self.queue and not self.serving and not self.closed and not self.final_response_sent:
-            self.deadlines.drop(self.stall_timer)
-            self.descriptors.busy(self.number)
+            self.timers.cancel(self.stall_timer)
+            self.descriptors.mark_busy(self.handle)
             self.serving = True
             self.start_request(*self.queue.popleft())
         # Whoever sends on without waiting for answers waits itself: else its requests pile up here.
-        self.holding = bool(self.queue or self.error_status)
+        self.input_held = bool(self.queue or self.error_status)
         if (
             self.error_status
             and self.upload is not None
@@ -317,18 +317,18 @@
             status, wire.REASONS.get(status, b"Other"), len(body),
         )  # fmt: skip
         self.response_written, self.final_response_sent = True, not self.keep_alive
-        self.deadlines.drop(self.stall_timer)
+        self.timers.cancel(self.stall_timer)
         self.write(head + headers + ending + b"\r\n", body)
         if self.response_written:
             # A caller that reads nothing would hold its descriptor, and the answer's bytes, for ever.
-            self.stall_timer = self.deadlines.at(clock() + self.write_timeout, self.shut)
+            self.stall_timer = self.timers.schedule(clock() + self.write_timeout, self.abort)
 
     def connection_header_line(self) -> bytes:
         """Settles with the answer whether the connection goes on; the header line that says so."""
         # Kept while others wait to come in, it would have these miss their limits. What has come whole behind
         # this request would be lost if it went.
         self.keep_alive = self.keep_alive and (
-            bool(self.queue) or not (self.dispatcher.closing() or self.descriptors.crowded)
+            bool(self.queue) or not (self.dispatcher.closing() or self.descriptors.reserve_in_use)
         )
         return b"" if self.keep_alive else b"Connection: close\r\n"
 
@@ -351,15 +351,15 @@
         self.chunked = not self.has_length and self.parser.get_http_version() == "1.1"
         framing = b"Content-Length: %d\r\n" % length if self.has_length else b""
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else framing
-        self.deadlines.drop(self.stall_timer)
+        self.timers.cancel(self.stall_timer)
         self.write(b"HTTP/1.1 200 OK\r\n" + framing + headers + self.connection_header_line() + b"\r\n")
 
     def send_part(self, part: bytes) -> None:
         if self.closed:
             return
         self.write(*((b"%x\r\n" % len(part), part, b"\r\n") if self.chunked else (part,)))
-        if self.backlog > wire.MAX_BUFFERED_BYTES:
-            self.source.halt()
+        if self.unsent_bytes > wire.MAX_BUFFERED_BYTES:
+            self.source.suspend_reading()
 
     def finish_response(self) -> None:
         if self.closed:
@@ -367,7 +367,7 @@
         self.request, self.source = -1, None
         self.dispatcher.counted(self.profile, 200)
         self.response_written, self.final_response_sent = True, not self.keep_alive
-        self.stall_timer = self.deadlines.at(clock() + 4 * self.write_timeout, self.shut)
+        self.stall_timer = self.timers.schedule(clock() + 4 * self.write_timeout, self.abort)
         self.write(b"0\r\n\r\n" if self.chunked else b"")
 
     def abort_response(self) -> None:
@@ -380,41 +380,41 @@
             # Its end is the connection's: only a reset tells that this was not it.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.sock = None
-        self.shut()
+        self.abort()
 
-    def flushed(self) -> None:
-        if self.source is not None and self.source.halted:
-            self.source.proceed()
+    def output_flushed(self) -> None:
+        if self.source is not None and self.source.reading_suspended:
+            self.source.continue_reading()
         if not self.response_written:
             return
         self.response_written = self.serving = False
         self.request_finished()
-        self.deadlines.drop(self.stall_timer)
+        self.timers.cancel(self.stall_timer)
         self.stall_timer = None
         if self.final_response_sent:
             return self.linger()
         self.opened_at = 0  # not fresh any more
-        self.descriptors.rest(self.number, clock())
-        if self.queue or self.incoming.count or self.began or self.error_status:
+        self.descriptors.mark_idle(self.handle, clock())
+        if self.queue or self.receive_buffer.count or self.began or self.error_status:
             # On the loop's next turn: a long queue answered at once would nest a call for each.
-            self.deadlines.loop.call_soon(self.continue_serving)
+            self.timers.loop.call_soon(self.continue_serving)
 
     def linger(self) -> None:
         """Ends the sending behind the last answer, and goes once the caller has ended its own. Closed at
         once, whatever comes from it meanwhile, or lies unread, would wipe the answer out before it is read.
         The answer's deadline still runs, and it makes room like any that is idle."""
-        self.is_lingering, self.error_status, self.holding, self.halted = True, 0, False, False
+        self.is_lingering, self.error_status, self.input_held, self.reading_suspended = True, 0, False, False
         self.queue.clear()
-        self.descriptors.rest(self.number, clock())
-        self.stall_timer = self.deadlines.at(clock() + self.write_timeout // 4, self.shut)
+        self.descriptors.mark_idle(self.handle, clock())
+        self.stall_timer = self.timers.schedule(clock() + self.write_timeout // 4, self.abort)
         if self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
-        self.deadlines.loop.call_soon(self.drain)
+        self.timers.loop.call_soon(self.process_input)
 
     def continue_serving(self) -> None:
         if not self.closed:
             self.serve_next()
-            self.drain()
+            self.process_input()
 
     def request_timed_out(self) -> None:
         if self.serving and self.upload is None:
@@ -426,44 +426,46 @@
                 + self.size * 1_000_000 // MIN_BODY_BYTES_PER_SECOND,
                 self.last_body_byte_at + BODY_PAUSE_TIMEOUT,
             )
-            due = clock() + BODY_PAUSE_TIMEOUT if self.halted else due  # it is not the caller who is slow
+            due = (
+                clock() + BODY_PAUSE_TIMEOUT if self.reading_suspended else due
+            )  # it is not the caller who is slow
             if due > clock():
-                self.stall_timer = self.deadlines.at(due, self.request_timed_out)
+                self.stall_timer = self.timers.schedule(due, self.request_timed_out)
                 return
-        if not self.began and not self.error_status and not self.waiting():
-            self.finish()  # it never sent anything
+        if not self.began and not self.error_status and not self.unread_input():
+            self.close()  # it never sent anything
         else:
             self.fail_request(408)
             self.serve_next()
 
-    def may_go(self) -> bool:
+    def can_evict(self) -> bool:
         """No request has come whole, nor can one be lying unread."""
-        return not (self.serving or self.queue or self.waiting())
+        return not (self.serving or self.queue or self.unread_input())
 
     def close_if_idle(self, opened_before: int) -> None:
         """Closes it between requests, but not if it is fresh: what it was opened for is on its way."""
-        if self.opened_at < opened_before and not self.began and not self.is_lingering and self.may_go():
-            self.finish()
+        if self.opened_at < opened_before and not self.began and not self.is_lingering and self.can_evict():
+            self.close()
 
-    def proceed(self) -> None:
-        self.deadlines.loop.call_soon(super().proceed)  # never from within a call that takes or writes
+    def continue_reading(self) -> None:
+        self.timers.loop.call_soon(super().continue_reading)  # never from within a call that takes or writes
 
-    def reading_paused(self) -> None:
-        self.deadlines.drop(self.hangup_timer)
-        self.hangup_timer = self.deadlines.at(clock() + HANGUP_CHECK_INTERVAL, self.check_hangup)
+    def transport_paused(self) -> None:
+        self.timers.cancel(self.hangup_timer)
+        self.hangup_timer = self.timers.schedule(clock() + HANGUP_CHECK_INTERVAL, self.check_hangup)
 
     def check_hangup(self) -> None:
         """While nothing is read, its end is not seen: what it sent ahead would be sent on for nobody."""
-        if self.paused and not self.closed:
-            if self.hung_up():
-                return self.shut()
-            self.reading_paused()
+        if self.reading_paused and not self.closed:
+            if self.peer_has_closed():
+                return self.abort()
+            self.transport_paused()
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self.streaming_body = self.upload = self.source = None
         self.parser = None  # it holds this connection and its rings
-        self.deadlines.drop(self.stall_timer)
-        self.deadlines.drop(self.hangup_timer)
+        self.timers.cancel(self.stall_timer)
+        self.timers.cancel(self.hangup_timer)
         self.request_finished()
         request, self.request = self.request, -1
         if request >= 0:
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -36,7 +36,7 @@
             if self.observer is not None:
                 self.observer.body_consumed()
         if self.sink is None:
-            self.source.halt()
+            self.source.suspend_reading()
         else:
             self.write(part)
 
@@ -53,15 +53,15 @@
         if self.is_complete:
             sink.upload_finished(self.terminator())
         else:
-            self.source.proceed()
+            self.source.continue_reading()
 
     def write(self, part: bytes) -> None:
         if self.length is None:
             self.sink.write(b"%x\r\n" % len(part), part, b"\r\n")
         else:
             self.sink.write(part)
-        if self.sink is not None and self.sink.backlog > MAX_BUFFERED_BYTES:
-            self.source.halt()
+        if self.sink is not None and self.sink.unsent_bytes > MAX_BUFFERED_BYTES:
+            self.source.suspend_reading()
 
     def terminator(self) -> bytes:
         return b"" if self.length is not None else b"0\r\n\r\n"
@@ -69,8 +69,8 @@
     def sink_flushed(self) -> None:
         """The link has taken all that there was."""
         self.last_progress = clock()
-        if self.source.halted:
-            self.source.proceed()
+        if self.source.reading_suspended:
+            self.source.continue_reading()
 
     def detach(self) -> None:
         """The link has ended."""
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -7,7 +7,7 @@
 from dahliabend.http import headers as wire
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.transport.connection import Connection
-from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.descriptor_budget import DescriptorBudget
 
 
 class ResponseHandler(Protocol):
@@ -33,7 +33,7 @@
 class UpstreamConnection(Connection):
     """One connection to an upstream."""
 
-    def __init__(self, descriptors: Descriptors, pool: ConnectionPool) -> None:
+    def __init__(self, descriptors: DescriptorBudget, pool: ConnectionPool) -> None:
         super().__init__(descriptors)
         self.pool = pool
         self.handler: ResponseHandler | None = None
@@ -43,8 +43,8 @@
         self.upload: StreamingBody | None = None  # that still comes
 
     @property
-    def whole(self) -> bool:
-        return self.upload is None and super().whole
+    def is_flushed(self) -> bool:
+        return self.upload is None and super().is_flushed
 
     def send_request(
         self, handler: ResponseHandler, head: bytes, body: bytes, upload: StreamingBody | None = None
@@ -63,15 +63,17 @@
         if upload is not None:
             upload.attach(self)
 
-    def proceed(self) -> None:
-        self.pool.table.deadlines.loop.call_soon(super().proceed)  # never from within a call that writes
+    def continue_reading(self) -> None:
+        self.pool.table.timers.loop.call_soon(
+            super().continue_reading
+        )  # never from within a call that writes
 
     def upload_finished(self, last: bytes) -> None:
         """The whole body has been handed over."""
         self.upload = None
         self.write(last)
 
-    def flushed(self) -> None:
+    def output_flushed(self) -> None:
         if self.upload is not None:
             self.upload.sink_flushed()
         elif self.request_pending and self.handler is not None:
@@ -173,9 +175,9 @@
 
     # Bytes and their ends.
 
-    def received(self, view: memoryview) -> None:
+    def bytes_received(self, view: memoryview) -> None:
         if self.handler is None:
-            return self.shut()  # nobody asked: whatever this answers, it is nobody's
+            return self.abort()  # nobody asked: whatever this answers, it is nobody's
         self.unparsed_bytes += len(view)
         try:
             self.parser.feed_data(view)
@@ -200,14 +202,14 @@
 
     def complete_response(self) -> None:
         if self.handler is not None:
-            handler, self.handler, self.halted = self.handler, None, False
+            handler, self.handler, self.reading_suspended = self.handler, None, False
             self.keep_alive = self.keep_alive and not wire.requests_close(self.connection_header)
             headers = wire.end_to_end_headers(self.headers, self.connection_header)
-            if self.keep_alive and self.whole:
+            if self.keep_alive and self.is_flushed:
                 self.pool.return_connection(self)
             else:
                 self.end_upload()
-                self.shut()
+                self.abort()
             handler.response_complete(
                 self.status, self.not_executed, self.load_report, headers, b"".join(self.body)
             )
@@ -219,15 +221,15 @@
     def cancel_request(self) -> bool:
         """Gives up the request that is out; was it written whole?"""
         self.handler = None
-        request_written = self.whole
+        request_written = self.is_flushed
         self.end_upload()
-        self.shut()
+        self.abort()
         return request_written
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         self.parser = None  # it holds this connection and its rings
         self.pool.remove_connection(self)
-        request_written = self.whole
+        request_written = self.is_flushed
         self.end_upload()
         handler, self.handler = self.handler, None
         if handler is not None:
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -8,8 +8,8 @@
 from dahliabend.membership.authentication import DatagramAuthenticator
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES
 from dahliabend.membership.failure_detector import Event, MembershipProtocol
-from dahliabend.transport import host_info as computer
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport import host_info
+from dahliabend.transport.timers import TimerQueue, clock
 
 MAX_CACHED_ADDRESSES = 20_000  # addresses remembered as read
 
@@ -21,13 +21,13 @@
         self,
         machine: MembershipProtocol,
         authenticator: DatagramAuthenticator,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         on_event: Callable[[Event], None],
     ) -> None:
-        self.machine, self.authenticator, self.deadlines, self.on_event = (
+        self.machine, self.authenticator, self.timers, self.on_event = (
             machine,
             authenticator,
-            deadlines,
+            timers,
             on_event,
         )
         self.transport: asyncio.DatagramTransport | None = None
@@ -38,11 +38,11 @@
 
     async def open(self, place: tuple[str, int], seeds: list[str]) -> None:
         """OSError where the address can't be had."""
-        sock = computer.datagram_socket()
+        sock = host_info.datagram_socket()
         try:
             sock.setblocking(False)
             sock.bind(place)
-            await self.deadlines.loop.create_datagram_endpoint(lambda: self, sock=sock)
+            await self.timers.loop.create_datagram_endpoint(lambda: self, sock=sock)
         except OSError:
             sock.close()
             raise
@@ -93,8 +93,8 @@
         if said and self.on_user_messages is not None:
             self.on_user_messages(said)
         if self.timer is None or self.timer[0] != machine.timer_due:
-            self.deadlines.drop(self.timer)
-            self.timer = self.deadlines.at(machine.timer_due, self.timer_fired)
+            self.timers.cancel(self.timer)
+            self.timer = self.timers.schedule(machine.timer_due, self.timer_fired)
 
     def parse_address(self, text: str) -> tuple[str, int] | None:
         """None for what is no address: a peer may say anything, and names are not looked up."""
@@ -108,7 +108,7 @@
         return self.parsed_addresses[text]
 
     def close(self) -> None:
-        self.deadlines.drop(self.timer)
+        self.timers.cancel(self.timer)
         self.timer = None
         if self.transport is not None:
             self.transport.close()
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -8,8 +8,8 @@
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.transport.connection import dial
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
 
 MOST_ONCE = 4096  # ids remembered: an operator's call may name one that is not listed now
 SETTLE = 8  # of the dialling time: for as long after an answer a second one may come on its connection
@@ -54,31 +54,31 @@
 
     def start(self) -> None:
         table = self.upstream.table
-        self.deadline = table.deadlines.at(self.until, self.timed_out)
+        self.deadline = table.timers.schedule(self.until, self.timed_out)
         link, self.rested = self.upstream.rested(self.sent)
         if link is not None:
             self.send_on(link)
-        elif table.descriptors.full(self.sent):
+        elif table.descriptors.is_full(self.sent):
             self.end_soon(Outcome.NOT_SENT)  # no socket left: the upstream is not to blame
         else:
             # Its place in the table is taken here: taken once the dialling begins, a turn of the loop later,
             # all that start in one turn would find the same room, and overrun the table.
             link = UpstreamConnection(table.descriptors, self.upstream)
             self.phase = Phase.DIALING
-            self.dialing = table.deadlines.loop.create_task(self.connect(table, link))
-            self.dialing.add_done_callback(lambda _: link.never_came_up())
+            self.dialing = table.timers.loop.create_task(self.connect(table, link))
+            self.dialing.add_done_callback(lambda _: link.dial_cancelled())
 
     async def connect(self, table: "UpstreamTable", link: UpstreamConnection) -> None:
-        limit = table.deadlines.at(min(self.send_by, self.sent + table.dial_time), self.dialing.cancel)
+        limit = table.timers.schedule(min(self.send_by, self.sent + table.dial_time), self.dialing.cancel)
         try:
-            await dial(table.deadlines.loop, self.upstream.address, link)
+            await dial(table.timers.loop, self.upstream.address, link)
         except (OSError, asyncio.CancelledError) as error:
             self.why = f"connect: {error or 'no answer'}"
             # Out of its own time before the connection was: nothing to hold against the upstream.
             late = self.send_by <= min(clock(), self.sent + table.dial_time)
             return self.end(Outcome.NOT_SENT if late else Outcome.UNREACHABLE)
         finally:
-            table.deadlines.drop(limit)
+            table.timers.cancel(limit)
             self.dialing = None
         self.upstream.links.add(link)
         self.send_on(link)
@@ -130,7 +130,7 @@
     def unsend(self) -> None:
         """Nobody waits for it any more: what is not wholly on its way never goes. No cancel, as nothing has
         begun; so also where cancels are not allowed."""
-        if self.link is None or not self.link.whole:
+        if self.link is None or not self.link.is_flushed:
             self.give_up(Outcome.CANCELLED)
 
     def give_up(self, outcome: Outcome) -> None:
@@ -146,7 +146,7 @@
         """On the loop's next turn: the decisions may be in the middle of the call that led here."""
         if not self.over:
             self.settle()
-            self.upstream.table.deadlines.loop.call_soon(self.ended, outcome, clock() - self.sent, None)
+            self.upstream.table.timers.loop.call_soon(self.ended, outcome, clock() - self.sent, None)
 
     def end(self, outcome: Outcome, answer: tuple | None = None) -> None:
         if not self.over:
@@ -155,7 +155,7 @@
 
     def settle(self) -> None:
         self.phase, self.link = Phase.OVER, None
-        self.upstream.table.deadlines.drop(self.deadline)
+        self.upstream.table.timers.cancel(self.deadline)
 
 
 class Upstream:
@@ -176,27 +176,27 @@
         since = self.table.descriptors.idle
         # A second answer may come some milliseconds late: it would be taken for the next one's. Those that
         # came to rest later stand behind, many where requests come fast: they are not looked at one by one.
-        settled = bisect_right(self.resting, now - self.table.settle, key=lambda k: since.get(k.number, 0))
+        settled = bisect_right(self.resting, now - self.table.settle, key=lambda k: since.get(k.handle, 0))
         while settled:
             settled -= 1
             link = self.resting[settled]
-            idle = now - since.get(link.number, 0)
+            idle = now - since.get(link.handle, 0)
             if idle < self.table.settle and not link.closed:
                 continue  # one just closed has no time of its own, and may lead the search astray
             del self.resting[settled]
             # Bytes that nobody asked for, read after the next request, would pass for its answer.
-            if not link.closed and idle < self.table.rest and link.waiting() is None:
-                self.table.descriptors.busy(link.number)
+            if not link.closed and idle < self.table.rest and link.unread_input() is None:
+                self.table.descriptors.mark_busy(link.handle)
                 return link, idle
-            link.shut()
+            link.abort()
         return None, 0
 
     def return_connection(self, link: UpstreamConnection) -> None:
         if not self.wanted:
-            link.shut()  # nothing more is sent there
+            link.abort()  # nothing more is sent there
         elif not link.closed:
             self.resting.append(link)
-            self.table.descriptors.rest(link.number, clock())
+            self.table.descriptors.mark_idle(link.handle, clock())
 
     def remove_connection(self, link: UpstreamConnection) -> None:
         self.links.discard(link)
@@ -206,8 +206,8 @@
     def close_idle(self, since: int) -> None:
         """Those idle since before then; the longest idle come first."""
         idle = self.table.descriptors.idle
-        while self.resting and idle.get(self.resting[0].number, 0) <= since:
-            self.resting.pop(0).shut()
+        while self.resting and idle.get(self.resting[0].handle, 0) <= since:
+            self.resting.pop(0).abort()
 
     def leave(self) -> None:
         """Nothing more is sent there: it drains, is gone, or was taken out."""
@@ -230,9 +230,9 @@
     again: late news of one that has gone finds nothing, and a new one inherits nothing."""
 
     def __init__(
-        self, deadlines: Deadlines, descriptors: Descriptors, dial_time: int, rest: int, log: Callable
+        self, timers: TimerQueue, descriptors: DescriptorBudget, dial_time: int, rest: int, log: Callable
     ) -> None:
-        self.deadlines, self.descriptors, self.dial_time, self.log = deadlines, descriptors, dial_time, log
+        self.timers, self.descriptors, self.dial_time, self.log = timers, descriptors, dial_time, log
         self.rest = rest  # for how long an idle connection is used again, from `settle` on
         self.upstreams: dict[int, Upstream] = {}
         self.indices: dict[str, int] = {}
@@ -266,7 +266,7 @@
 
     def sweep(self) -> None:
         """Closes what the other end would close soon: a request written to that would be lost."""
-        for link in self.descriptors.rested(clock() - self.rest):
+        for link in self.descriptors.idle_since(clock() - self.rest):
             if isinstance(link, UpstreamConnection):
-                link.shut()
-        self.deadlines.at(clock() + self.rest // 8, self.sweep)
+                link.abort()
+        self.timers.schedule(clock() + self.rest // 8, self.sweep)
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -10,8 +10,8 @@
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.proxy.endpoint_table import MOST_ONCE, Exchange, Upstream, UpstreamTable
 from dahliabend.proxy.health_checks import Probe
-from dahliabend.transport.handles import Slots
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.handles import HandleTable
+from dahliabend.transport.timers import TimerQueue, clock
 
 STANDSTILL = 20_000_000  # peers may take seconds to read or write; this long without a byte is an end
 HURRY = 500_000  # how long an answer of unknown length is kept
@@ -114,7 +114,7 @@
     def start(self) -> None:
         super().start()
         if self.upload is not None and not self.over and self.until > self.sent + self.request.expires:
-            self.upstream.table.deadlines.drop(self.deadline)
+            self.upstream.table.timers.cancel(self.deadline)
             self.look_again(self.sent + self.request.expires)
 
     def request_written(self) -> None:
@@ -122,19 +122,19 @@
         self.router.metrics.count_attempt(request.name)
         after = request.policy.balancer.profiles[request.profile].hedge_delay
         if after and not self.order and request.upload is None:
-            self.late = self.upstream.table.deadlines.at(self.sent + after, self.slow)
+            self.late = self.upstream.table.timers.schedule(self.sent + after, self.slow)
         if request.upload is not None and request.handle.body_pending:
             # Until now nothing could run there: what the caller took to send counts against nobody.
             wait = request.handle.body_received(self.moved, request.upload.ended_at + request.expires)
             self.sent, self.until = self.moved, self.moved + wait
-            self.upstream.table.deadlines.drop(self.deadline)
-            self.deadline = self.upstream.table.deadlines.at(self.until, self.timed_out)
+            self.upstream.table.timers.cancel(self.deadline)
+            self.deadline = self.upstream.table.timers.schedule(self.until, self.timed_out)
 
     def timed_out(self) -> None:
         """A body that comes, or an answer that has begun, ends only once nothing moves for long."""
         coming = self.upload is not None and self.request.handle.body_pending
         now, wait = clock(), STANDSTILL
-        if coming and (self.link is None or self.link.backlog):
+        if coming and (self.link is None or self.link.unsent_bytes):
             # It is the upstream that takes nothing, and its caller may have sent all: held back, that can't
             # be seen. Waited for as long as for a slow caller, it would go unanswered past its limit.
             wait = min(wait, self.request.expires)
@@ -149,11 +149,11 @@
             super().timed_out()
 
     def look_again(self, when: int) -> None:
-        self.deadline = self.upstream.table.deadlines.at(when, self.timed_out)
+        self.deadline = self.upstream.table.timers.schedule(when, self.timed_out)
 
     def unsized_response_started(self) -> None:
         # It may be a long one: held back for 2 s, it would be lost.
-        self.hurry = self.upstream.table.deadlines.at(clock() + HURRY, self.link.start_streaming)
+        self.hurry = self.upstream.table.timers.schedule(clock() + HURRY, self.link.start_streaming)
 
     def response_started(self, passed: bytes, length: int | None) -> None:
         request = self.request
@@ -163,7 +163,7 @@
         request.close(by=self)
         request.handle.response_started(self.moved, self.order)
         request.caller.start_response(passed, length, self.link)
-        self.upstream.table.deadlines.drop(self.deadline)
+        self.upstream.table.timers.cancel(self.deadline)
         self.timed_out()
 
     def response_part(self, part: bytes) -> None:
@@ -172,8 +172,8 @@
 
     def settle(self) -> None:
         super().settle()
-        self.upstream.table.deadlines.drop(self.hurry)
-        self.upstream.table.deadlines.drop(self.late)
+        self.upstream.table.timers.cancel(self.hurry)
+        self.upstream.table.timers.cancel(self.late)
 
     def ended(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
         self.router.hop_ended(self, outcome, took, answer)
@@ -219,7 +219,7 @@
         self.balancer.health_check_finished(clock(), upstream, outcome)
 
     def set_timer(self, at: int, token: int) -> None:
-        self.router.deadlines.at(at, self.timer_fired, token)
+        self.router.timers.schedule(at, self.timer_fired, token)
 
     def timer_fired(self, token: int) -> None:
         if self in self.router.policies:
@@ -232,16 +232,14 @@
 class Router:
     methods = frozenset((b"GET", b"POST"))
 
-    def __init__(
-        self, node: Node, deadlines: Deadlines, table: UpstreamTable, metrics, log: Callable
-    ) -> None:
-        self.deadlines, self.table, self.metrics, self.log = deadlines, table, metrics, log
+    def __init__(self, node: Node, timers: TimerQueue, table: UpstreamTable, metrics, log: Callable) -> None:
+        self.timers, self.table, self.metrics, self.log = timers, table, metrics, log
         self.counted = metrics.count_response
         self.evacuated = False  # an operator has sent the callers elsewhere
         self.excluded: set[str] = set()  # upstreams that an operator has taken out, by id
         self.discovery: DiscoveryClient | None = None
         self.epoch = node.epoch
-        self.requests: Slots[Request] = Slots(node.most_held)
+        self.requests: HandleTable[Request] = HandleTable(node.most_held)
         self.traces: set[bytes] = set()  # the ids of those
         self.stop_at = 0  # when all that is still held is given up; 0: not stopping
         self.counts: dict[str, int] = {}
@@ -351,7 +349,7 @@
         request = Request(caller, profile, head, passed, body, trace)
         request.name, request.otherwise = caller.profile, otherwise
         request.route = self.route_names[profile] if self.route_names else ""
-        request.number = number = self.requests.put(request)
+        request.number = number = self.requests.add(request)
         if number < 0:
             # The table is full: the caller is told at once, nothing has run.
             self.log("no_room", requests=len(self.requests))
@@ -578,7 +576,7 @@
             request.policy.held -= 1
             if not request.policy.held and request.policy is not self.policies[-1]:
                 self.policies.remove(request.policy)
-            self.requests.drop(request.number)
+            self.requests.remove(request.number)
             self.traces.discard(request.trace)
             # Its hops name it: left so, each transaction and its body would wait for the garbage collector.
             request.hops.clear()
@@ -589,7 +587,7 @@
         for request in self.requests:
             if not request.hops:  # in line: without a hop nothing would end it when the program does
                 request.handle.deadline = min(request.handle.deadline, when)
-        self.deadlines.at(when, self.give_up_all)
+        self.timers.schedule(when, self.give_up_all)
 
     def give_up_all(self) -> None:
         """The program is killed soon: what is out counts as timed out, lest it end without an answer."""
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -21,9 +21,9 @@
 from dahliabend.model import EndpointState
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
-from dahliabend.transport import host_info as computer
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport import host_info
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
 
 KEEP_BEATS = 30  # periods between two writings of what is kept
 DIAL_TIME = 250_000
@@ -65,18 +65,18 @@
 
 class ClusterMember:
     def __init__(
-        self, settings: Members, folder: str, deadlines: Deadlines, descriptors: Descriptors, seed: int,
+        self, settings: Members, folder: str, timers: TimerQueue, descriptors: DescriptorBudget, seed: int,
         log: Callable,
     ) -> None:  # fmt: skip
         self.settings, self.folder, self.log = settings, folder, log
-        self.deadlines, self.descriptors = deadlines, descriptors
+        self.timers, self.descriptors = timers, descriptors
         self.place = settings.advertise or settings.address
         self.name = settings.name or self.place
         self.chance = Random(f"members {self.name} {seed}")
         terms = SwimConfig(
             period=settings.period, dead_retention=settings.forget, partition_ratio=float(settings.cut)
         )
-        life = computer.wall() // 1000
+        life = host_info.time_ns() // 1000
         self.stored = self.read_stored()
         if self.stored is not None:  # a clock that was set back must not make it older than it was
             life = max(life, self.stored.life + 1)
@@ -84,7 +84,7 @@
         self.failure_detector = MembershipProtocol(
             self.name, life, self.place, terms, self.chance, settings.zone, weight
         )
-        self.gossip = HealthGossip(self.name, computer.wall(), self.chance) if settings.signals else None
+        self.gossip = HealthGossip(self.name, host_info.time_ns(), self.chance) if settings.signals else None
         self.pools: Callable[[], list[tuple]] = list  # names, and the routers whose decisions are told
         self.believed: list[dict] = []  # the last that were told them
         self.shares = None  # of limits, where a route is shared
@@ -98,7 +98,7 @@
                 shared.election.announcements,
                 shared.apply_announcement,
             )
-        self.shell = UdpTransport(self.failure_detector, self.seal_of(settings), deadlines, self.heard)
+        self.shell = UdpTransport(self.failure_detector, self.seal_of(settings), timers, self.heard)
         self.shell.on_user_messages = self.listen if self.gossip is not None else None
         self.beating: list | None = None
         self.demand = DemandEstimator() if settings.demand else None
@@ -108,7 +108,7 @@
         self.opened = self.went = False
 
     def seal_of(self, settings: Members) -> DatagramAuthenticator:
-        read = computer.read_file
+        read = host_info.read_file
         return DatagramAuthenticator(
             [parse_key(read(os.path.join(self.folder, name))) for name in settings.key_files]
         )
@@ -149,7 +149,7 @@
     def signal(self) -> None:
         """A beat: what others told is believed or not, and what this one saw goes out."""
         now, gossip = clock(), self.gossip
-        self.beating = self.deadlines.at(now + GOSSIP_INTERVAL, self.signal)
+        self.beating = self.timers.schedule(now + GOSSIP_INTERVAL, self.signal)
         view, settled = self.view(), self.settled()
         members = {m.name for m in view.members if m.state != "unreached"}
         for pool, router in self.pools():
@@ -220,13 +220,13 @@
             each.stop()
         self.lists.clear()
         if self.settings.seeds_file is not None:
-            made = EndpointListFile(EndpointList(self.seed_list, self.log), self.deadlines, self.log)
+            made = EndpointListFile(EndpointList(self.seed_list, self.log), self.timers, self.log)
             self.lists.append(made)
             made.watch(os.path.join(self.folder, self.settings.seeds_file))
         if self.settings.seeds_discovery is not None:
             place = address(self.settings.seeds_discovery)
             made = DiscoveryClient(
-                place, EndpointList(self.seed_list, self.log), self.deadlines, self.descriptors, DIAL_TIME,
+                place, EndpointList(self.seed_list, self.log), self.timers, self.descriptors, DIAL_TIME,
                 self.chance.random, self.log,
             )  # fmt: skip
             self.lists.append(made)
@@ -240,7 +240,7 @@
             return None
         path = os.path.join(self.folder, self.settings.keep)
         try:
-            made = msgspec.json.decode(computer.read_file(path), type=StoredMembership)
+            made = msgspec.json.decode(host_info.read_file(path), type=StoredMembership)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
@@ -250,7 +250,7 @@
             self.log("handover.unread", why=f"{self.settings.keep}: it is {made.name}'s at {made.place}")
             return None
         # Known too long ago, or by a clock that has stepped: whom to ask is all that is taken from it.
-        age = computer.wall() // 1000 - made.at
+        age = host_info.time_ns() // 1000 - made.at
         made.handed = made.handed and 0 <= age < self.settings.period * KEEP_BEATS
         return made
 
@@ -258,16 +258,18 @@
         if self.settings.keep is None:
             return
         made = StoredMembership(
-            self.name, self.place, handed, computer.wall() // 1000, **self.failure_detector.snapshot()
+            self.name, self.place, handed, host_info.time_ns() // 1000, **self.failure_detector.snapshot()
         )  # fmt: skip
         path = os.path.join(self.folder, self.settings.keep)
         try:
-            computer.folder(os.path.dirname(path)).write(os.path.basename(path), msgspec.json.encode(made))
+            host_info.runtime_directory(os.path.dirname(path)).write(
+                os.path.basename(path), msgspec.json.encode(made)
+            )
         except OSError as error:
             self.log("handover.unwritten", why=str(error))
         if not handed:
-            self.deadlines.drop(self.keeping)
-            self.keeping = self.deadlines.at(clock() + KEEP_BEATS * self.settings.period, self.store)
+            self.timers.cancel(self.keeping)
+            self.keeping = self.timers.schedule(clock() + KEEP_BEATS * self.settings.period, self.store)
 
     # Changes.
 
@@ -318,8 +320,8 @@
             self.shell.leave()
 
     def close(self) -> None:
-        self.deadlines.drop(self.keeping)
-        self.deadlines.drop(self.beating)
+        self.timers.cancel(self.keeping)
+        self.timers.cancel(self.beating)
         for each in self.lists:
             each.stop()
         self.shell.close()
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -5,8 +5,8 @@
 import orjson
 
 from dahliabend.discovery.watch import EndpointList
-from dahliabend.transport import host_info as machine
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport import host_info
+from dahliabend.transport.timers import TimerQueue, clock
 
 LOOK = 1_000_000  # how often the file is read again
 
@@ -14,8 +14,8 @@
 class EndpointListFile:
     """A list where no discovery keeps it: in the operator's file, or in one of its own, watched."""
 
-    def __init__(self, endpoint_list: EndpointList, deadlines: Deadlines, log: Callable) -> None:
-        self.endpoint_list, self.deadlines, self.log = endpoint_list, deadlines, log
+    def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: Callable) -> None:
+        self.endpoint_list, self.timers, self.log = endpoint_list, timers, log
         self.attempted, self.path, self.text, self.again = True, "", b"", None
 
     def say(self, rows: list[dict]) -> None:
@@ -28,9 +28,9 @@
         self.look()
 
     def look(self) -> None:
-        self.again = self.deadlines.at(clock() + LOOK, self.look)
+        self.again = self.timers.schedule(clock() + LOOK, self.look)
         try:
-            text = machine.read_file(self.path)
+            text = host_info.read_file(self.path)
             if text == self.text:
                 return
             rows = orjson.loads(text)["servers"]
@@ -46,4 +46,4 @@
     def poll(self) -> None: ...
 
     def stop(self) -> None:
-        self.deadlines.drop(self.again)
+        self.timers.cancel(self.again)
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from dahliabend.transport import host_info as machine
-from dahliabend.transport.runtime_directory import Claim
+from dahliabend.transport import host_info
+from dahliabend.transport.runtime_directory import LockedFile
 
 VERSION = 1  # of the files' form: what another version wrote is not read
 BANS = "excluded"
@@ -21,28 +21,28 @@
     successor; exclusions are a file each, so that calls to either process can't undo one another."""
 
     def __init__(self, folder: str, log: Callable) -> None:
-        self.folder, self.log = machine.folder(folder), log
+        self.folder, self.log = host_info.runtime_directory(folder), log
         self.process_key = (0, 0)
-        self.claim: Claim | None = None
+        self.claim: LockedFile | None = None
         self.written_for: tuple[int, int] | None = None  # the successor that has been written for
 
     def open(self) -> None:
         """Takes a place behind those that live; what the dead have left goes. OSError: it has no folder."""
-        self.folder.make(BANS)
+        self.folder.make_directory(BANS)
         live_processes = self.live_processes()
-        for name in self.folder.names("for-*"):
+        for name in self.folder.glob("for-*"):
             if not any(name.endswith(f"-{number}-{pid}") for number, pid in live_processes):
                 self.folder.remove(name)
-        self.process_key = (max((n for n, _ in live_processes), default=0) + 1, machine.process_id())
-        self.claim = self.folder.claim(f"alive-{self.process_key[0]}-{self.process_key[1]}")
+        self.process_key = (max((n for n, _ in live_processes), default=0) + 1, host_info.process_id())
+        self.claim = self.folder.create_locked(f"alive-{self.process_key[0]}-{self.process_key[1]}")
 
     def live_processes(self) -> dict[tuple[int, int], int]:
         """The others that hold their locks, oldest first, with their hops in flight."""
         found = {}
-        for name in self.folder.names("alive-*-*"):
+        for name in self.folder.glob("alive-*-*"):
             number, pid = name.split("-")[1:]
             process_key = int(number), int(pid)
-            if process_key != self.process_key and (out := self.folder.claimed(name)) is not None:
+            if process_key != self.process_key and (out := self.folder.read_locked(name)) is not None:
                 found[process_key] = int(out) if out.strip().isdigit() else 0
         return dict(sorted(found.items()))
 
@@ -79,13 +79,13 @@
 
     def publish_in_flight(self, out: int) -> None:
         """How many hops this one has in flight."""
-        self.claim.tell(b"%8d" % out)
+        self.claim.write(b"%8d" % out)
 
     # Exclusions.
 
     def exclusions(self) -> set[str]:
         names = set()
-        for name in self.folder.names(f"{BANS}/*"):
+        for name in self.folder.glob(f"{BANS}/*"):
             try:
                 names.add((self.folder.read(name) or b"").decode())
             except ValueError:
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -26,10 +26,10 @@
 from dahliabend.server.metrics import Metrics
 from dahliabend.server.platform_server import METRICS_INTERVAL, PlatformServer, run_server
 from dahliabend.server.structured_log import StructuredLog
-from dahliabend.transport import host_info as machine
-from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
+from dahliabend.transport import host_info
+from dahliabend.transport.descriptor_budget import ADMIN_DESCRIPTORS, PROCESS_DESCRIPTORS, DescriptorBudget
 from dahliabend.transport.listener import Listener
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.timers import TimerQueue, clock
 
 SOCKETS = 4096  # descriptors, where the environment says nothing
 MOST_HELD = 20_000
@@ -151,7 +151,7 @@
         report_fields=(),
         unmet=(),
         keys=frozenset(),
-        epoch=machine.ticks() // 1000 - machine.wall() // 1000,
+        epoch=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
     )
     return node, {number: n for n, number in enumerate(numbers)}
 
@@ -185,14 +185,17 @@
             )
         self.done = loop.create_future()
         self.sockets = int(environment.get("DAHLIABEND_SOCKETS") or SOCKETS)
-        self.seed = int(environment.get("DAHLIABEND_SEED") or "0", 16) or machine.wall()
-        self.deadlines = Deadlines(loop)
-        self.descriptors = Descriptors(self.sockets - (DOOR if self.admin else 0))
+        self.seed = int(environment.get("DAHLIABEND_SEED") or "0", 16) or host_info.time_ns()
+        self.timers = TimerQueue(loop)
+        self.descriptors = DescriptorBudget(self.sockets - (ADMIN_DESCRIPTORS if self.admin else 0))
         self.metrics = Metrics()
         self.router = self.dispatcher = Desk(self.metrics, log, self.seed)
-        self.listener = Listener(self.deadlines, self.descriptors, self.accept)
-        self.admin_descriptors, self.operations = Descriptors(OTHERS + DOOR), AdminApi(self, log)
-        self.admin_listener = Listener(self.deadlines, self.admin_descriptors, self.accept_operator)
+        self.listener = Listener(self.timers, self.descriptors, self.accept)
+        self.admin_descriptors, self.operations = (
+            DescriptorBudget(PROCESS_DESCRIPTORS + ADMIN_DESCRIPTORS),
+            AdminApi(self, log),
+        )
+        self.admin_listener = Listener(self.timers, self.admin_descriptors, self.accept_operator)
         self.inherited = self.handover = None
         self.older, self.clearing, self.sharing_descriptors = [], None, False
         self.discovery = self  # `start` opens it, `end` stops it
@@ -207,9 +210,7 @@
         from dahliabend.server.clustering import ClusterMember
 
         folder = os.path.dirname(os.path.abspath(self.path))
-        cluster = ClusterMember(
-            made.file.members, folder, self.deadlines, self.descriptors, self.seed, self.log
-        )
+        cluster = ClusterMember(made.file.members, folder, self.timers, self.descriptors, self.seed, self.log)
         cluster.pools = self.pools_in_gossip
         return cluster
 
@@ -247,7 +248,7 @@
 
     def read(self) -> Plan:
         """ValueError names every fault."""
-        made = plan(self.path, environment=self.environment, read=machine.read_file)
+        made = plan(self.path, environment=self.environment, read=host_info.read_file)
         if not made.usable:
             raise InvalidOperatorFileError(made.faults)
         wanted = [(("members",), "cryptography", "members")] if made.file.members is not None else []
@@ -299,8 +300,8 @@
 
     def open_pool(self, name: str, node: Node) -> Pool:
         log = self.log.bind(pool=name) if isinstance(self.log, StructuredLog) else self.log
-        table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, log.debug)
-        router = Router(node, self.deadlines, table, self.metrics, log)
+        table = UpstreamTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        router = Router(node, self.timers, table, self.metrics, log)
         table.sweep()
         if self.cluster is not None and self.cluster.gossip is not None:
             router.tells = partial(self.cluster.saw, name)
@@ -327,7 +328,7 @@
                 pool.balancers,
                 self.cluster,
                 f"{self.seed:x}",
-                self.deadlines,
+                self.timers,
                 self.log.bind(pool=running.name) if isinstance(self.log, StructuredLog) else self.log,
             )
         if running.router.discovery is not None:
@@ -348,17 +349,17 @@
             keeper = DiscoveryClient(
                 address(pool.discovery),
                 endpoint_list,
-                self.deadlines,
+                self.timers,
                 self.descriptors,
                 router.table.dial_time,
                 router.balancer.chance,
                 self.log,
             )
-            self.deadlines.loop.call_soon(keeper.open)
+            self.timers.loop.call_soon(keeper.open)
         else:
             keeper = before
             if not isinstance(before, EndpointListFile):
-                keeper = EndpointListFile(EndpointList(reader, self.log), self.deadlines, self.log)
+                keeper = EndpointListFile(EndpointList(reader, self.log), self.timers, self.log)
             if pool.members is not None:
                 keeper.stop()
                 keeper.say(endpoint_rows(pool.members))
@@ -433,7 +434,7 @@
         """What pools with a subset were asked: by it the others' subsets make room."""
         pools = [pool for pool in self.dispatcher if pool.narrowed is not None]
         self.cluster.asked(sum(sum(pool.router.counts.values()) for pool in pools))
-        self.deadlines.at(clock() + DEMAND, self.report_demand)
+        self.timers.schedule(clock() + DEMAND, self.report_demand)
 
     def beat(self) -> None:
         for pool in self.dispatcher.clear():
@@ -456,7 +457,7 @@
             )
         if self.cluster is not None and self.cluster.opened:
             self.log("members.figures", **self.cluster.metrics())
-        self.deadlines.at(clock() + METRICS_INTERVAL, self.beat)
+        self.timers.schedule(clock() + METRICS_INTERVAL, self.beat)
 
 
 async def serve_operator_file(path: str, log: Log) -> None:
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -16,9 +16,9 @@
 from dahliabend.server.hot_restart import HotRestart
 from dahliabend.server.log import Log
 from dahliabend.server.metrics import Metrics
-from dahliabend.transport.descriptor_budget import DOOR, OTHERS, Descriptors
+from dahliabend.transport.descriptor_budget import ADMIN_DESCRIPTORS, PROCESS_DESCRIPTORS, DescriptorBudget
 from dahliabend.transport.listener import Listener
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.timers import TimerQueue, clock
 
 ACCEPT_PERIOD = 500_000  # new connections come for 0.4 s after SIGTERM at the most
 MAX_STOP_TIME = 3_000_000  # SIGKILL comes no sooner than the longest limit, this at most,
@@ -38,19 +38,22 @@
         self.listen, self.admin, self.log = node.listen, node.admin, log
         self.environment = environment
         self.done = loop.create_future()
-        self.deadlines = Deadlines(loop)
-        self.descriptors = Descriptors(node.sockets - (DOOR if node.admin else 0))
+        self.timers = TimerQueue(loop)
+        self.descriptors = DescriptorBudget(node.sockets - (ADMIN_DESCRIPTORS if node.admin else 0))
         self.metrics = Metrics()
-        table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, log.debug)
-        self.router = Router(node, self.deadlines, table, self.metrics, log)
+        table = UpstreamTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        self.router = Router(node, self.timers, table, self.metrics, log)
         self.endpoint_list = endpoint_list = EndpointList(self.router, log)
         self.discovery = self.router.discovery = DiscoveryClient(
-            node.discovery, endpoint_list, self.deadlines, self.descriptors, node.dial_time,
+            node.discovery, endpoint_list, self.timers, self.descriptors, node.dial_time,
             self.router.balancer.chance, log, node.settings.polls_endpoints,
         )  # fmt: skip
-        self.listener = Listener(self.deadlines, self.descriptors, self.accept)
-        self.admin_descriptors, self.operations = Descriptors(OTHERS + DOOR), AdminApi(self, log)
-        self.admin_listener = Listener(self.deadlines, self.admin_descriptors, self.accept_operator)
+        self.listener = Listener(self.timers, self.descriptors, self.accept)
+        self.admin_descriptors, self.operations = (
+            DescriptorBudget(PROCESS_DESCRIPTORS + ADMIN_DESCRIPTORS),
+            AdminApi(self, log),
+        )
+        self.admin_listener = Listener(self.timers, self.admin_descriptors, self.accept_operator)
         self.inherited = node.inherited
         self.handover = HotRestart(node.shared, log) if node.shared else None
         self.older: list[tuple[int, int]] = []  # processes that were there before
@@ -93,10 +96,10 @@
         self.log("ended", counts=self.router.counts)
 
     def accept(self) -> ClientConnection:
-        return ClientConnection(self.descriptors, self.deadlines, self.router, self.patience)
+        return ClientConnection(self.descriptors, self.timers, self.router, self.patience)
 
     def accept_operator(self) -> AdminConnection:
-        return AdminConnection(self.admin_descriptors, self.deadlines, self.operations)
+        return AdminConnection(self.admin_descriptors, self.timers, self.operations)
 
     # Beside another process.
 
@@ -134,13 +137,13 @@
     def check_other_processes(self, again: bool = True) -> None:
         """Who else is there, and what has an operator told the other?"""
         if again:
-            self.deadlines.at(clock() + PROCESS_CHECK_INTERVAL, self.check_other_processes)
+            self.timers.schedule(clock() + PROCESS_CHECK_INTERVAL, self.check_other_processes)
         living = self.handover.live_processes()
         self.older = [key for key in living if key < self.handover.process_key]
         newer = [key for key in living if key > self.handover.process_key]
         if bool(living) != self.sharing_descriptors:
             self.sharing_descriptors = not self.sharing_descriptors  # to the limits both are one balancer
-            self.descriptors.lend(1 / 2 if self.sharing_descriptors else 1)
+            self.descriptors.set_share(1 / 2 if self.sharing_descriptors else 1)
         if living:
             self.handover.publish_in_flight(self.router.out())
         self.router.balancer.beside = sum(living.values())
@@ -195,16 +198,16 @@
         self.router.evacuated = False
 
     def clear_out(self) -> None:
-        self.deadlines.drop(self.clearing)  # the calls may come in any order, and often
+        self.timers.cancel(self.clearing)  # the calls may come in any order, and often
         if self.router.evacuated:
             self.close_idle_clients()
-            self.clearing = self.deadlines.at(clock() + ANSWER_MARGIN // 3, self.clear_out)
+            self.clearing = self.timers.schedule(clock() + ANSWER_MARGIN // 3, self.clear_out)
 
     def sweep(self) -> None:
         """Many callers ask once and stay: kept, their connections would be all there are."""
-        for caller in self.client_connections(self.descriptors.rested(clock() - CLIENT_IDLE_TIMEOUT)):
+        for caller in self.client_connections(self.descriptors.idle_since(clock() - CLIENT_IDLE_TIMEOUT)):
             caller.close_if_idle(1)
-        self.deadlines.at(clock() + IDLE_SWEEP_INTERVAL, self.sweep)
+        self.timers.schedule(clock() + IDLE_SWEEP_INTERVAL, self.sweep)
 
     def beat(self) -> None:
         """The figures that on-call looks for first."""
@@ -215,7 +218,7 @@
             tier=round(balancer.tier.metric, 2), ready=len(balancer.ready), using=len(balancer.using),
             aside=[self.router.table.upstreams[u.index].name for u in balancer.ready if u.ejected],
         )  # fmt: skip
-        self.deadlines.at(clock() + METRICS_INTERVAL, self.beat)
+        self.timers.schedule(clock() + METRICS_INTERVAL, self.beat)
 
     def client_connections(self, connections) -> list[ClientConnection]:
         return [connection for connection in connections if isinstance(connection, ClientConnection)]
@@ -259,7 +262,7 @@
         self.router.stop_by(now + min(self.patience, MAX_STOP_TIME) + STOP_MARGIN - ANSWER_MARGIN)
         # Callers go elsewhere as soon as their connections close; those with a request are answered first.
         self.close_idle_clients()
-        self.deadlines.at(now + (0 if self.listener.shared else ACCEPT_PERIOD), self.stop_accepting)
+        self.timers.schedule(now + (0 if self.listener.shared else ACCEPT_PERIOD), self.stop_accepting)
 
     def close_idle_clients(self) -> list[ClientConnection]:
         """Closes callers' connections between requests; those that were there."""
@@ -276,7 +279,7 @@
         if not self.close_idle_clients() or clock() >= self.router.stop_at + ANSWER_MARGIN // 2:
             self.done.set_result(None)
         else:
-            self.deadlines.at(clock() + ANSWER_MARGIN // 30, self.wait_for_callers)
+            self.timers.schedule(clock() + ANSWER_MARGIN // 30, self.wait_for_callers)
 
 
 async def serve_platform(node: Node, log: Log) -> None:
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -10,7 +10,7 @@
 from dahliabend.proxy.router import Router
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController, SubsetSettings, count_usable
 from dahliabend.subsetting.selection import Participant
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.timers import TimerQueue, clock
 
 LOOK = 250_000  # how often it looks whether something has to move
 
@@ -25,10 +25,10 @@
         balancers: int,
         cluster,
         name: str,
-        deadlines: Deadlines,
+        timers: TimerQueue,
         log: Callable,
     ) -> None:
-        self.router, self.cluster, self.deadlines, self.log = router, cluster, deadlines, log
+        self.router, self.cluster, self.timers, self.log = router, cluster, timers, log
         self.rows: dict[str, tuple] = {}  # by id, all that the list has
         self.subset: ActiveSubset = ActiveSubset()
         own = cluster.settings if cluster is not None else None
@@ -74,7 +74,7 @@
         self.router.endpoint_poll_failed()
 
     def look(self) -> None:
-        self.timer = self.deadlines.at(clock() + LOOK, self.look)
+        self.timer = self.timers.schedule(clock() + LOOK, self.look)
         if self.move():
             self.tell()
 
@@ -111,7 +111,7 @@
         self.router.endpoints_changed(rows, full=True)
 
     def stop(self) -> None:
-        self.deadlines.drop(self.timer)
+        self.timers.cancel(self.timer)
 
     def status(self) -> dict:
         made = self.subset
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -68,13 +68,13 @@
         want(watches == 1, f"{watches} watches of the list")
         closed = sum(connection.closed for connection in tables)
         want(not closed, f"{closed} closed connections keep their slots")
-        bytes_left = sum(c.backlog + c.incoming.count for c in tables)
+        bytes_left = sum(c.unsent_bytes + c.receive_buffer.count for c in tables)
         want(not bytes_left, f"{bytes_left} bytes in buffers of connections at rest")
         resting = sum(len(u.resting) for u in router.table.upstreams.values())
         links = sum(len(u.links) for u in router.table.upstreams.values())
         want(links <= resting + SPARE, f"{links} connections to upstreams, {resting} at rest")
         for listener in (program.listener, program.admin_listener):
-            want(not listener.starting, f"{len(listener.starting)} connections that never came up")
+            want(not listener.accept_tasks, f"{len(listener.accept_tasks)} connections that never came up")
         base = name.partition("/")[0]
         now, before = live(program), self.deadlines.get(base, 0) + len(tables) + SPARE
         want(now <= before, f"{now} deadlines, {self.deadlines.get(base, 0)} at the start")
@@ -94,7 +94,7 @@
 
 def live(program) -> int:
     """Deadlines that are to come."""
-    return sum(entry[2] is not None for entry in program.deadlines.heap)
+    return sum(entry[2] is not None for entry in program.timers.heap)
 
 
 def weigh(program) -> dict[str, int]:
--- a/dahliabend/simulation/stand_ins.py
+++ b/dahliabend/simulation/stand_ins.py
@@ -10,17 +10,25 @@
 
 from dahliabend.simulation.event_loop import EPOCH, Kernel, Process
 from dahliabend.simulation.network import Listening, Network, Socket
-from dahliabend.transport import host_info as machine
+from dahliabend.transport import host_info
 
-_NAMES = ("ticks", "wall", "process_id", "folder", "stream_socket", "inherited_socket", "read_file",
-          "hung_up")  # fmt: skip
+_NAMES = (
+    "monotonic_ns",
+    "time_ns",
+    "process_id",
+    "runtime_directory",
+    "stream_socket",
+    "inherited_socket",
+    "read_file",
+    "peer_has_closed",
+)
 
 
 class MemoryClaim:
     def __init__(self, holder: Process) -> None:
         self.holder, self.told = holder, b""
 
-    def tell(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         self.told = data
 
 
@@ -30,9 +38,9 @@
     def __init__(self, kernel: Kernel, files: dict[str, bytes | MemoryClaim]) -> None:
         self.kernel, self.files = kernel, files
 
-    def make(self, name: str = "") -> None: ...
+    def make_directory(self, name: str = "") -> None: ...
 
-    def names(self, pattern: str) -> list[str]:
+    def glob(self, pattern: str) -> list[str]:
         depth = pattern.count("/")
         return sorted(n for n in self.files if n.count("/") == depth and fnmatchcase(n, pattern))
 
@@ -49,11 +57,11 @@
     def remove(self, name: str) -> None:
         self.files.pop(name, None)
 
-    def claim(self, name: str) -> MemoryClaim:
+    def create_locked(self, name: str) -> MemoryClaim:
         made = self.files[name] = MemoryClaim(self.kernel.current)
         return made
 
-    def claimed(self, name: str) -> bytes | None:
+    def read_locked(self, name: str) -> bytes | None:
         found = self.files.get(name)
         if not isinstance(found, MemoryClaim) or not found.holder.alive:
             self.files.pop(name, None)
@@ -75,7 +83,7 @@
             raise FileNotFoundError(2, "No such file or directory")
         return self.files[path]
 
-    def folder(self, path: str) -> MemoryFolder:
+    def runtime_directory(self, path: str) -> MemoryFolder:
         return MemoryFolder(self.kernel, self.folders.setdefault(path, {}))
 
     def stream_socket(self) -> Socket:
@@ -88,13 +96,13 @@
             raise OSError(9, "bad file descriptor")
         return Socket(self.network, process, listening=listening)
 
-    def hung_up(self, sock: Socket) -> bool:
+    def peer_has_closed(self, sock: Socket) -> bool:
         return sock.end.fin_seen or sock.end.reset_seen
 
-    def ticks(self) -> int:
+    def monotonic_ns(self) -> int:
         return self.kernel.now * 1000
 
-    def wall(self) -> int:
+    def time_ns(self) -> int:
         return (EPOCH + self.kernel.now) * 1000
 
     def process_id(self) -> int:
@@ -102,11 +110,11 @@
 
     @contextmanager
     def standing_in(self) -> Iterator[None]:
-        before = {name: getattr(machine, name) for name in _NAMES}
+        before = {name: getattr(host_info, name) for name in _NAMES}
         for name in _NAMES:
-            setattr(machine, name, getattr(self, name))
+            setattr(host_info, name, getattr(self, name))
         try:
             yield
         finally:
             for name, value in before.items():
-                setattr(machine, name, value)
+                setattr(host_info, name, value)
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -2,97 +2,105 @@
 
 from itertools import chain
 
-from dahliabend.transport.handles import Slots
+from dahliabend.transport.handles import HandleTable
 
-DOOR = 16  # of the limit: the operators' own, never lent to callers
-OTHERS = 16  # what the program holds beside connections: standard streams, listener, loop, files at the start
-RESERVE = 1 / 16  # of the limit: kept for callers who can only be told that there is no room for a hop
+ADMIN_DESCRIPTORS = 16  # of the limit: the operators' own, never lent to callers
+PROCESS_DESCRIPTORS = (
+    16  # what the program holds beside connections: standard streams, listener, loop, files at the start
+)
+RESERVE_FRACTION = (
+    1 / 16
+)  # of the limit: kept for callers who can only be told that there is no room for a hop
 
 
-class Descriptors:
+class DescriptorBudget:
     """Owns each connection's descriptor from `take` until `give_back`, the one place where it returns.
 
     Idle connections are remembered in the order in which they went idle; the oldest is closed when another
     is wanted and none is left. Where none is idle, one goes that has long been slow to send: many that
     trickle would keep all others out.
 
-    >>> budget = Descriptors(26)
-    >>> [budget.take(n) for n in "abc"], budget.full(), budget.crowded, budget.exhausted()
+    >>> budget = DescriptorBudget(26)
+    >>> [budget.register(n) for n in "abc"], budget.is_full(), budget.reserve_in_use, budget.is_exhausted()
     ([0, 1, 2], True, True, False)
-    >>> [budget.take(n) for n in "defghij"], budget.exhausted(), budget.give_back(1), budget.exhausted()
-    ([3, 4, 5, 6, 7, 8, 9], True, None, False)
+    >>> [budget.register(n) for n in "defghij"], budget.is_exhausted()
+    ([3, 4, 5, 6, 7, 8, 9], True)
+    >>> budget.release(1), budget.is_exhausted()
+    (None, False)
     """
 
     def __init__(self, limit: int) -> None:
-        self.connections: Slots = Slots(limit - OTHERS)
+        self.connections: HandleTable = HandleTable(limit - PROCESS_DESCRIPTORS)
         self.idle: dict[int, int] = {}  # number: since when
-        self.slow: dict[int, int] = {}  # of those that owe the rest of a request: when they count as slow
-        self.leaving: set[int] = set()  # told to go, not yet closed
-        self.reserve = max(8, round(limit * RESERVE))
-        self.lend(1)
-
-    def lend(self, part: float) -> None:
+        self.slow_after: dict[
+            int, int
+        ] = {}  # of those that owe the rest of a request: when they count as slow
+        self.closing: set[int] = set()  # told to go, not yet closed
+        self.reserve = max(8, round(limit * RESERVE_FRACTION))
+        self.set_share(1)
+
+    def set_share(self, fraction: float) -> None:
         """Only so much is this process's, another lives on the rest. Idle connections beyond are closed."""
-        self.most = round(self.connections.size * part)
-        self.room = max(1, self.most - self.reserve)
-        for number in tuple(self.idle):
-            connection = self.connections.get(number)
-            if not self.crowded:
+        self.limit = round(self.connections.capacity * fraction)
+        self.limit_before_reserve = max(1, self.limit - self.reserve)
+        for handle in tuple(self.idle):
+            connection = self.connections.get(handle)
+            if not self.reserve_in_use:
                 break
-            if connection.may_go():
-                self.dismiss(number, connection)
+            if connection.can_evict():
+                self.evict(handle, connection)
 
-    def dismiss(self, number: int, connection) -> None:
+    def evict(self, handle: int, connection) -> None:
         """Its slot comes back once it is closed; until then the reserve bears it."""
-        self.leaving.add(number)
-        connection.shut()
+        self.closing.add(handle)
+        connection.abort()
 
-    def full(self, now: int = 0) -> bool:
+    def is_full(self, now: int = 0) -> bool:
         """Is none left but the reserve? Then the oldest idle connection is told to go, and makes room."""
-        if not self.crowded:
+        if not self.reserve_in_use:
             return False
-        late = (number for number, when in self.slow.items() if when <= now)
-        for number in chain(self.idle, late):
-            connection = self.connections.get(number)
-            if connection.may_go():
-                self.dismiss(number, connection)
-                return self.exhausted()
+        late = (handle for handle, when in self.slow_after.items() if when <= now)
+        for handle in chain(self.idle, late):
+            connection = self.connections.get(handle)
+            if connection.can_evict():
+                self.evict(handle, connection)
+                return self.is_exhausted()
         return True
 
     @property
-    def crowded(self) -> bool:
+    def reserve_in_use(self) -> bool:
         """Is the reserve in use? Then no connection is kept for later."""
-        return len(self.connections) - len(self.leaving) >= self.room
+        return len(self.connections) - len(self.closing) >= self.limit_before_reserve
 
-    def exhausted(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Is even the reserve gone?"""
-        return len(self.connections) >= self.most
+        return len(self.connections) >= self.limit
 
-    def take(self, connection) -> int:
-        return self.connections.put(connection)
+    def register(self, connection) -> int:
+        return self.connections.add(connection)
 
-    def rest(self, number: int, now: int) -> None:
-        self.busy(number)
-        self.idle[number] = now
+    def mark_idle(self, handle: int, now: int) -> None:
+        self.mark_busy(handle)
+        self.idle[handle] = now
 
-    def owes(self, number: int, slow_at: int) -> None:
-        self.idle.pop(number, None)
-        self.slow[number] = slow_at
+    def mark_awaiting_request(self, handle: int, slow_at: int) -> None:
+        self.idle.pop(handle, None)
+        self.slow_after[handle] = slow_at
 
-    def busy(self, number: int) -> None:
-        self.idle.pop(number, None)
-        self.slow.pop(number, None)
+    def mark_busy(self, handle: int) -> None:
+        self.idle.pop(handle, None)
+        self.slow_after.pop(handle, None)
 
-    def rested(self, before: int) -> list:
+    def idle_since(self, before: int) -> list:
         """The connections idle since before then, oldest first."""
         old = []
-        for number, since in self.idle.items():
+        for handle, since in self.idle.items():
             if since >= before:
                 break
-            old.append(self.connections.get(number))
+            old.append(self.connections.get(handle))
         return old
 
-    def give_back(self, number: int) -> None:
-        self.busy(number)
-        self.leaving.discard(number)
-        self.connections.drop(number)
+    def release(self, handle: int) -> None:
+        self.mark_busy(handle)
+        self.closing.discard(handle)
+        self.connections.remove(handle)
--- a/dahliabend/transport/handles.py
+++ b/dahliabend/transport/handles.py
@@ -5,51 +5,51 @@
 T = TypeVar("T")
 
 
-class Slots(Generic[T]):
+class HandleTable(Generic[T]):
     """Items by number. A number names one stay in a slot: once it is over, the number finds nothing,
     so a late event never reaches whoever has the slot next.
 
-    >>> table = Slots(1)
-    >>> first = table.put("a"); table.put("b"), table.drop(first), table.get(first)
+    >>> table = HandleTable(1)
+    >>> first = table.add("a"); table.add("b"), table.remove(first), table.get(first)
     (-1, 'a', None)
-    >>> second = table.put("c"); second != first, table.get(first), table.get(second), len(table)
+    >>> second = table.add("c"); second != first, table.get(first), table.get(second), len(table)
     (True, None, 'c', 1)
     """
 
-    def __init__(self, size: int) -> None:
-        self.size = size
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
         self.items: list[T | None] = []
-        self.numbers: list[int] = []
-        self.free: list[int] = []
+        self.handles: list[int] = []
+        self.free_slots: list[int] = []
 
     def __len__(self) -> int:
-        return len(self.items) - len(self.free)
+        return len(self.items) - len(self.free_slots)
 
     def __iter__(self):
         return iter([item for item in self.items if item is not None])
 
-    def put(self, item: T) -> int:
+    def add(self, item: T) -> int:
         """The number of its stay; -1 where no slot is free."""
-        if self.free:
-            slot = self.free.pop()
-            self.numbers[slot] += self.size
+        if self.free_slots:
+            slot = self.free_slots.pop()
+            self.handles[slot] += self.capacity
             self.items[slot] = item
-        elif len(self.items) < self.size:
+        elif len(self.items) < self.capacity:
             slot = len(self.items)
-            self.numbers.append(slot)
+            self.handles.append(slot)
             self.items.append(item)
         else:
             return -1
-        return self.numbers[slot]
+        return self.handles[slot]
 
-    def get(self, number: int) -> T | None:
-        slot = number % self.size
-        return self.items[slot] if slot < len(self.items) and self.numbers[slot] == number else None
+    def get(self, handle: int) -> T | None:
+        slot = handle % self.capacity
+        return self.items[slot] if slot < len(self.items) and self.handles[slot] == handle else None
 
-    def drop(self, number: int) -> T | None:
-        item = self.get(number)
+    def remove(self, handle: int) -> T | None:
+        item = self.get(handle)
         if item is not None:
-            slot = number % self.size
+            slot = handle % self.capacity
             self.items[slot] = None
-            self.free.append(slot)
+            self.free_slots.append(slot)
         return item
--- a/dahliabend/transport/host_info.py
+++ b/dahliabend/transport/host_info.py
@@ -6,15 +6,15 @@
 import os
 import select
 import socket
+import time
 from pathlib import Path
-from time import monotonic_ns, time_ns
 
-from dahliabend.transport.runtime_directory import Folder
+from dahliabend.transport.runtime_directory import RuntimeDirectory
 
-ticks = monotonic_ns  # monotonic time in nanoseconds
-wall = time_ns  # Unix time in nanoseconds; all machines read one clock
+monotonic_ns = time.monotonic_ns  # monotonic time in nanoseconds
+time_ns = time.time_ns  # Unix time in nanoseconds; all machines read one clock
 process_id = os.getpid
-folder = Folder  # of a path
+runtime_directory = RuntimeDirectory  # of a path
 
 
 def stream_socket() -> socket.socket:
@@ -30,7 +30,7 @@
     return socket.socket(fileno=number)
 
 
-def hung_up(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Has the peer ended its sending, or all of it, whatever is still unread?"""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
--- a/dahliabend/transport/ring_buffer.py
+++ b/dahliabend/transport/ring_buffer.py
@@ -1,15 +1,15 @@
 """A ring of bytes of fixed size."""
 
 
-class Ring:
+class RingBuffer:
     """Bytes go in at the tail and out at the head; both ends hand out views, so nothing is copied twice.
 
-    >>> ring = Ring(4)
-    >>> ring.put(b"abcdef", 0), bytes(ring.filled())
+    >>> ring = RingBuffer(4)
+    >>> ring.write_from(b"abcdef", 0), bytes(ring.readable_view())
     (4, b'abcd')
-    >>> ring.consume(3); ring.put(b"ef", 0), bytes(ring.filled())
+    >>> ring.consume(3); ring.write_from(b"ef", 0), bytes(ring.readable_view())
     (2, b'd')
-    >>> ring.consume(1); bytes(ring.filled())
+    >>> ring.consume(1); bytes(ring.readable_view())
     b'ef'
     """
 
@@ -19,7 +19,7 @@
         self.view = memoryview(bytearray(size))
         self.size, self.head, self.count = size, 0, 0
 
-    def room(self) -> memoryview:
+    def writable_view(self) -> memoryview:
         """The free bytes that lie together behind the tail; empty only when the ring is full."""
         tail = self.head + self.count
         if tail >= self.size:
@@ -29,7 +29,7 @@
     def commit(self, count: int) -> None:
         self.count += count
 
-    def filled(self) -> memoryview:
+    def readable_view(self) -> memoryview:
         """The oldest bytes, as far as they lie together."""
         return self.view[self.head : min(self.head + self.count, self.size)]
 
@@ -37,11 +37,11 @@
         self.count -= count
         self.head = (self.head + count) % self.size if self.count else 0
 
-    def put(self, data: bytes, start: int) -> int:
+    def write_from(self, data: bytes, start: int) -> int:
         """Copies as much of `data` from `start` on as there is room for; how many bytes that was."""
         done = start
         while done < len(data) and self.count < self.size:
-            room = self.room()
+            room = self.writable_view()
             part = min(len(room), len(data) - done)
             room[:part] = data[done : done + part]
             self.commit(part)
--- a/dahliabend/transport/runtime_directory.py
+++ b/dahliabend/transport/runtime_directory.py
@@ -6,29 +6,29 @@
 from pathlib import Path
 
 
-class Claim:
+class LockedFile:
     """A file that this process holds locked until it ends, with a few bytes to tell the others."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
 
-    def tell(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Written in place: made anew ten times a second, a file would have the loop wait for a busy disk."""
         with contextlib.suppress(OSError):
             os.pwrite(self.descriptor, data, 0)
 
 
-class Folder:
+class RuntimeDirectory:
     """Names may hold one `/`, for a folder within. All but reads raise OSError where the disk refuses."""
 
     def __init__(self, path: str) -> None:
         self.path = Path(path)
-        self.fresh = f"new-{os.getpid()}"
+        self.temporary = f"new-{os.getpid()}"
 
-    def make(self, name: str = "") -> None:
+    def make_directory(self, name: str = "") -> None:
         (self.path / name).mkdir(parents=True, exist_ok=True)
 
-    def names(self, pattern: str) -> list[str]:
+    def glob(self, pattern: str) -> list[str]:
         """Those that fit the pattern, sorted: what comes of them must not hang on the disk's order."""
         return sorted(str(path.relative_to(self.path)) for path in self.path.glob(pattern))
 
@@ -43,22 +43,22 @@
 
     def write(self, name: str, data: bytes) -> None:
         """Whole or not at all: under another name first."""
-        fresh = self.path / self.fresh
-        fresh.write_bytes(data)
-        fresh.rename(self.path / name)
+        temporary = self.path / self.temporary
+        temporary.write_bytes(data)
+        temporary.rename(self.path / name)
 
     def remove(self, name: str) -> None:
         (self.path / name).unlink(missing_ok=True)
 
-    def claim(self, name: str) -> Claim:
-        fresh = self.path / self.fresh
-        descriptor = os.open(fresh, os.O_RDWR | os.O_CREAT, 0o600)
+    def create_locked(self, name: str) -> LockedFile:
+        temporary = self.path / self.temporary
+        descriptor = os.open(temporary, os.O_RDWR | os.O_CREAT, 0o600)
         # Locked before it has its name: seen unlocked, it would be taken for a dead one's and cleared away.
         fcntl.lockf(descriptor, fcntl.LOCK_EX)
-        fresh.rename(self.path / name)
-        return Claim(descriptor)
+        temporary.rename(self.path / name)
+        return LockedFile(descriptor)
 
-    def claimed(self, name: str) -> bytes | None:
+    def read_locked(self, name: str) -> bytes | None:
         """What the process that holds it tells; None where none does, and then it goes. A crash frees a lock,
         so no old file misleads. Never of a claim of this process: opened and closed here, its lock would be
         lost."""
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -17,9 +17,9 @@
 from dahliabend.routing_rules.plan import passed_over, plan
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.simulation.peers.discovery import Agent, Registry
-from dahliabend.transport import host_info as computer
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines
+from dahliabend.transport import host_info
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue
 
 OLD, NEW = b"o" * 32, b"n" * 32
 TERMS = SwimConfig(period=100_000)
@@ -38,7 +38,7 @@
     place = f"127.0.0.1:{port}"
     machine = MembershipProtocol(f"b{port}", 1, place, TERMS, Random(port))
     made = UdpTransport(
-        machine, DatagramAuthenticator(list(keys)), Deadlines(asyncio.get_running_loop()), lambda event: None
+        machine, DatagramAuthenticator(list(keys)), TimerQueue(asyncio.get_running_loop()), lambda event: None
     )
     await made.open(("127.0.0.1", port), seeds)
     return made
@@ -62,7 +62,7 @@
         assert not one.machine.dropped_datagrams["foreign"] and len(names(one)) == len(names(other)) == 2
         one.close()
         other.close()
-        assert not one.deadlines.heap or all(entry[2] is None for entry in one.deadlines.heap)
+        assert not one.timers.heap or all(entry[2] is None for entry in one.timers.heap)
 
     asyncio.run(play())
 
@@ -172,7 +172,7 @@
     lines = []
     loop = asyncio.new_event_loop()
     try:
-        made = ClusterMember(settings, str(folder), Deadlines(loop), Descriptors(64), 1,
+        made = ClusterMember(settings, str(folder), TimerQueue(loop), DescriptorBudget(64), 1,
                      lambda event, **fields: lines.append((event, fields)))  # fmt: skip
     finally:
         loop.close()
@@ -190,7 +190,7 @@
     assert after.stored.handed and after.seeds() == ["127.0.0.1:7947"]
     for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
         kept = json.loads((tmp_path / "b1.keep").read_text())
-        kept["at"] = computer.wall() // 1000 + step
+        kept["at"] = host_info.time_ns() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(kept))
         later, _ = fleet(tmp_path)
         assert (
@@ -224,7 +224,9 @@
         table = Members(
             address=f"127.0.0.1:{own}", name="b1", key_files=["key"], seeds_discovery=f"127.0.0.1:{port}"
         )
-        made = ClusterMember(table, str(tmp_path), Deadlines(loop), Descriptors(64), 1, lambda *_, **__: None)
+        made = ClusterMember(
+            table, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
+        )
         await made.open()
         await until(lambda: made.failure_detector.seeds == ["127.0.0.1:7"])
         registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "removed", "zone": "a"})
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -17,10 +17,10 @@
 from dahliabend.proxy.endpoint_table import UpstreamTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.metrics import Figures
-from dahliabend.transport import host_info as machine
+from dahliabend.transport import host_info
 from dahliabend.transport.connection import Connection
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue
 
 START = 50_000_000_000_000  # nanoseconds
 
@@ -41,12 +41,12 @@
 @contextmanager
 def stopped_clock() -> Iterator[FakeClock]:
     """The program's monotonic clock and Unix time stand still."""
-    fake, ticks, wall = FakeClock(), machine.ticks, machine.wall
-    machine.ticks, machine.wall = fake, lambda: 1_700_000_000_000_000_000 + fake.now
+    fake, ticks, wall = FakeClock(), host_info.monotonic_ns, host_info.time_ns
+    host_info.monotonic_ns, host_info.time_ns = fake, lambda: 1_700_000_000_000_000_000 + fake.now
     try:
         yield fake
     finally:
-        machine.ticks, machine.wall = ticks, wall
+        host_info.monotonic_ns, host_info.time_ns = ticks, wall
 
 
 class FakeLoop:
@@ -129,7 +129,7 @@
 
     def __init__(self, fake_clock: FakeClock, node: Node, upstreams: int, connections: int = 4) -> None:
         self.clock, self.loop = fake_clock, FakeLoop()
-        self.deadlines, self.descriptors = Deadlines(self.loop), Descriptors(200)
+        self.deadlines, self.descriptors = TimerQueue(self.loop), DescriptorBudget(200)
         table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, ignore)
         self.figures = Figures()
         self.router = Router(node, self.deadlines, table, self.figures, ignore)
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -22,9 +22,9 @@
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.server.hot_restart import VERSION, HotRestart
 from dahliabend.server.platform_server import PlatformServer
-from dahliabend.transport import host_info as computer
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.timers import Deadlines
+from dahliabend.transport import host_info
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue
 
 FOLDER = DATA / "handed_over"
 STATE = "for-2-12434"  # the second process in the folder, and its process id
@@ -167,12 +167,12 @@
 @contextmanager
 def wall_clock(microseconds: int) -> Iterator[None]:
     """The wall clock stands at a time."""
-    real = computer.wall
-    computer.wall = lambda: microseconds * 1_000
+    real = host_info.time_ns
+    host_info.time_ns = lambda: microseconds * 1_000
     try:
         yield
     finally:
-        computer.wall = real
+        host_info.time_ns = real
 
 
 def member(folder: Path, log: LogLines) -> ClusterMember:
@@ -184,7 +184,7 @@
     )  # fmt: skip
     loop = asyncio.new_event_loop()
     try:
-        return ClusterMember(settings, str(folder), Deadlines(loop), Descriptors(64), 1, log)
+        return ClusterMember(settings, str(folder), TimerQueue(loop), DescriptorBudget(64), 1, log)
     finally:
         loop.close()
 
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -25,8 +25,8 @@
 from dahliabend.server.hot_restart import HotRestart
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import sweep
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.handles import Slots
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.handles import HandleTable
 from dahliabend.transport.listener import Listener
 from dahliabend.transport.timers import clock
 
@@ -78,13 +78,13 @@
 
 
 def keep_a_descriptor():
-    real = Descriptors.give_back
+    real = DescriptorBudget.release
 
-    def give_back(self, number):
+    def release(self, number):
         if number % 5:
             real(self, number)
 
-    return instead(Descriptors, "give_back", give_back)
+    return instead(DescriptorBudget, "release", release)
 
 
 def keep_a_slot():
@@ -100,8 +100,8 @@
 def keep_a_deadline():
     def settle(self):
         self.phase, self.link = Phase.OVER, None
-        self.upstream.table.deadlines.drop(self.deadline)
-        self.upstream.table.deadlines.at(clock() + 3600 * S, int)
+        self.upstream.table.timers.cancel(self.deadline)
+        self.upstream.table.timers.schedule(clock() + 3600 * S, int)
 
     return instead(Exchange, "settle", settle)
 
@@ -111,7 +111,7 @@
 
     async def start(self, sock, connection):
         await real(self, sock, connection)
-        await self.deadlines.loop.create_future()
+        await self.timers.loop.create_future()
 
     return instead(Listener, "start", start)
 
@@ -122,7 +122,7 @@
     def answer(self, ref, how, status, headers, body):
         if how == "committed":
             return real(self, ref, how, status, headers, body)
-        self.deadlines.at(clock() + 2 * S, real, self, ref, how, status, headers, body)
+        self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
 
     return instead(Router, "answer", answer)
 
@@ -131,7 +131,7 @@
     def give_up(self, outcome):
         if self.over:
             return
-        written = self.link is not None and self.link.whole
+        written = self.link is not None and self.link.is_flushed
         if self.link is not None:
             self.link.handler = None  # left open: the upstream goes on with it
         if self.dialing is not None:
@@ -144,25 +144,25 @@
 @contextmanager
 def reuse_of_a_slot():
     """Numbers that don't tell one stay from the next, and a caller that leaves with its last one."""
-    real_answer, real_lost = ClientConnection.send_response, ClientConnection.lost
+    real_answer, real_connection_closed = ClientConnection.send_response, ClientConnection.connection_closed
 
     def get(self, number):
-        slot = number % self.size
+        slot = number % self.capacity
         return self.items[slot] if slot < len(self.items) else None
 
     def answer(self, status, headers, body):
         self.before = self.request if self.request >= 0 else getattr(self, "before", -1)
         real_answer(self, status, headers, body)
 
-    def lost(self):
-        real_lost(self)
+    def connection_closed(self):
+        real_connection_closed(self)
         if getattr(self, "before", -1) >= 0:
             self.dispatcher.left(self.before)
 
     with (
-        instead(Slots, "get", get),
+        instead(HandleTable, "get", get),
         instead(ClientConnection, "send_response", answer),
-        instead(ClientConnection, "lost", lost),
+        instead(ClientConnection, "connection_closed", connection_closed),
     ):
         yield
 
@@ -197,23 +197,23 @@
 
 
 def pass_on_cut_answers():
-    def lost(self):
+    def connection_closed(self):
         self.parser = None
         self.pool.remove_connection(self)
         handler, self.handler = self.handler, None
         if handler is not None and getattr(self, "head_complete", False):
             handler.response_complete(200, False, b"", b"", b"".join(self.body))
         elif handler is not None:
-            handler.connection_failed(self.whole)
+            handler.connection_failed(self.is_flushed)
 
-    return instead(UpstreamConnection, "lost", lost)
+    return instead(UpstreamConnection, "connection_closed", connection_closed)
 
 
 def close_callers_at_the_end():
     return instead(
         PlatformServer,
         "close_idle_clients",
-        lambda self: [c.shut() for c in self.client_connections(self.descriptors.connections)],
+        lambda self: [c.abort() for c in self.client_connections(self.descriptors.connections)],
     )
 
 
@@ -234,10 +234,10 @@
 @contextmanager
 def heed_no_limit_of_descriptors():
     with (
-        instead(Descriptors, "full", lambda self, now=0: False),
-        instead(Descriptors, "exhausted", lambda self: False),
-        instead(Descriptors, "crowded", property(lambda self: False)),
-        instead(Descriptors, "rest", lambda self, number, now: None),
+        instead(DescriptorBudget, "is_full", lambda self, now=0: False),
+        instead(DescriptorBudget, "is_exhausted", lambda self: False),
+        instead(DescriptorBudget, "reserve_in_use", property(lambda self: False)),
+        instead(DescriptorBudget, "mark_idle", lambda self, number, now: None),
     ):
         yield
 
@@ -285,7 +285,7 @@
 
 
 def read_on_only_when_there_is_room():
-    return instead(ClientConnection, "reading_paused", lambda self: None)
+    return instead(ClientConnection, "transport_paused", lambda self: None)
 
 
 def wait_for_silent_watches():
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -14,7 +14,7 @@
 from dahliabend.simulation.shrink import shrink
 from dahliabend.simulation.sweep import look, sweep
 from dahliabend.simulation.world import World, play
-from dahliabend.transport import host_info as machine
+from dahliabend.transport import host_info
 
 HERE = Path(__file__).parent
 MS, S = 1_000, 1_000_000
@@ -85,9 +85,11 @@
 
 
 def test_the_machine_is_itself_again_after_a_run():
-    before = {name: getattr(machine, name) for name in ("ticks", "stream_socket", "folder")}
+    before = {
+        name: getattr(host_info, name) for name in ("monotonic_ns", "stream_socket", "runtime_directory")
+    }
     play(draw(3))
-    assert before == {name: getattr(machine, name) for name in before}
+    assert before == {name: getattr(host_info, name) for name in before}
 
 
 def test_a_violation_is_shrunk_to_the_fault_that_shows_it():
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -35,11 +35,11 @@
 
 
 def narrowed(**more):
-    router, deadlines = (
+    router, timers = (
         Router(),
-        SimpleNamespace(at=lambda when, call: [when, 0, call, ()], drop=lambda entry: None),
+        SimpleNamespace(schedule=lambda when, call: [when, 0, call, ()], cancel=lambda entry: None),
     )
-    made = SubsetFilter(router, Subset(**more), 20, None, "me", deadlines, lambda *_, **__: None)
+    made = SubsetFilter(router, Subset(**more), 20, None, "me", timers, lambda *_, **__: None)
     return made, router
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,10 +16,10 @@
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint_table import Exchange, UpstreamTable
 from dahliabend.proxy.router import Policy, Request, Router
-from dahliabend.transport.connection import RING, Connection
-from dahliabend.transport.descriptor_budget import Descriptors
-from dahliabend.transport.handles import Slots
-from dahliabend.transport.timers import Deadlines, clock
+from dahliabend.transport.connection import BUFFER_SIZE, Connection
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.handles import HandleTable
+from dahliabend.transport.timers import TimerQueue, clock
 
 DESK = SimpleNamespace(
     closing=lambda: False, methods=(b"GET", b"POST"), sort=lambda *_: None, ready=lambda: True
@@ -69,10 +69,10 @@
 
 
 def upstream_table(loop=None, limit=100):
-    deadlines = Deadlines(
+    timers = TimerQueue(
         loop or SimpleNamespace(call_later=lambda *_: None, call_soon=lambda call, *a: call(*a))
     )
-    return UpstreamTable(deadlines, Descriptors(limit), 75 * MS, 4 * S, Notes().append)
+    return UpstreamTable(timers, DescriptorBudget(limit), 75 * MS, 4 * S, Notes().append)
 
 
 class Asked(Exchange):
@@ -88,7 +88,9 @@
     upstream.links.add(link)
     Pipe(link, takes)
     upstream.return_connection(link)
-    upstream.table.descriptors.rest(link.number, clock() - upstream.table.settle)  # no second answer came
+    upstream.table.descriptors.mark_idle(
+        link.handle, clock() - upstream.table.settle
+    )  # no second answer came
     exchange = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     exchange.start()
     return exchange, link
@@ -96,9 +98,11 @@
 
 def test_a_break_tells_whether_the_request_was_written_whole():
     for length, takes, outcome in (
-        (9, 99, Outcome.RESET), (9, 8, Outcome.UNREACHABLE), (3 * RING, 2 * RING, Outcome.UNREACHABLE),
-        (3 * RING, 9 * RING, Outcome.RESET),
-    ):  # fmt: skip
+        (9, 99, Outcome.RESET),
+        (9, 8, Outcome.UNREACHABLE),
+        (3 * BUFFER_SIZE, 2 * BUFFER_SIZE, Outcome.UNREACHABLE),
+        (3 * BUFFER_SIZE, 9 * BUFFER_SIZE, Outcome.RESET),
+    ):
         exchange, link = asked(takes, length)
         link.connection_lost(None)
         assert exchange.outcome is outcome
@@ -112,11 +116,11 @@
 
 
 def test_a_blocked_ring_goes_on_where_it_stopped():
-    link = UpstreamConnection(Descriptors(100), None)
+    link = UpstreamConnection(DescriptorBudget(100), None)
     pipe = Pipe(link, 100)
     data = bytes(range(256)) * 100
     link.write(data)
-    while not link.whole:
+    while not link.is_flushed:
         link.resume_writing()
     assert pipe.written == data
 
@@ -182,14 +186,14 @@
 
 def test_a_reused_slot_takes_no_old_event():
     exchange, link = asked()
-    old = link.number
+    old = link.handle
     feed(link, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     exchange.upstream.close_idle(clock())
     link.connection_lost(None)
     table = exchange.upstream.table.descriptors
     new = UpstreamConnection(table, exchange.upstream)
-    table.give_back(old)
-    assert table.connections.get(new.number) is new and new.number != old
+    table.release(old)
+    assert table.connections.get(new.handle) is new and new.handle != old
 
 
 def test_an_idle_connection_near_its_time_is_not_used_again():
@@ -208,7 +212,7 @@
     old, new = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
     for link in (old, new):
         upstream.return_connection(link)
-    upstream.table.descriptors.idle[old.number] -= S
+    upstream.table.descriptors.idle[old.handle] -= S
     upstream.close_idle(clock() - S // 2)
     assert old.closed and not new.closed and 0 <= upstream.rested(clock() + SETTLED)[1] < S
 
@@ -220,7 +224,9 @@
     link, busy = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
     upstream.links |= {link, busy}
     upstream.return_connection(link)
-    upstream.table.descriptors.rest(link.number, clock() - upstream.table.settle)  # no second answer came
+    upstream.table.descriptors.mark_idle(
+        link.handle, clock() - upstream.table.settle
+    )  # no second answer came
     upstream.move(("127.0.0.1", 2))
     assert link.closed and not busy.closed and not busy.keep_alive
 
@@ -261,37 +267,37 @@
 
 
 def test_idle_callers_make_room_but_none_that_has_a_request_unread():
-    budget, near, far = Descriptors(26), *socket.socketpair()
+    budget, near, far = DescriptorBudget(26), *socket.socketpair()
     with closing(near), closing(far):
         near.setblocking(False)
-        deadlines = upstream_table().deadlines
-        unread, idle, fresh = (ClientConnection(budget, deadlines, DESK, S) for _ in range(3))
+        timers = upstream_table().timers
+        unread, idle, fresh = (ClientConnection(budget, timers, DESK, S) for _ in range(3))
         unread.sock = near
         far.send(b"G")
         for caller in (unread, idle, fresh):
             Pipe(caller)
-        assert budget.full() and not fresh.closed  # what it was opened for is on its way
-        budget.rest(unread.number, 1)
-        budget.rest(idle.number, 2)
-        assert not budget.full() and idle.closed and not unread.closed
-        budget.connections.put(None)  # what went has been replaced
-        assert budget.full(S) and not fresh.closed and budget.full(clock()) and not fresh.closed
-        assert not budget.full(clock() + S) and fresh.closed and not unread.closed  # slow to send by then
+        assert budget.is_full() and not fresh.closed  # what it was opened for is on its way
+        budget.mark_idle(unread.handle, 1)
+        budget.mark_idle(idle.handle, 2)
+        assert not budget.is_full() and idle.closed and not unread.closed
+        budget.connections.add(None)  # what went has been replaced
+        assert budget.is_full(S) and not fresh.closed and budget.is_full(clock()) and not fresh.closed
+        assert not budget.is_full(clock() + S) and fresh.closed and not unread.closed  # slow to send by then
 
 
 def test_a_caller_that_sends_on_without_reading_is_held_back():
-    caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S)
+    caller = ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, S)
     Pipe(caller, 0)
     raw = b"GET /-/ready HTTP/1.1\r\n\r\n"
     feed(caller, raw)
-    feed(caller, raw * (RING // len(raw)))
+    feed(caller, raw * (BUFFER_SIZE // len(raw)))
     feed(caller, raw * 9)
-    assert caller.holding and len(caller.queue) <= RING // len(raw)
+    assert caller.input_held and len(caller.queue) <= BUFFER_SIZE // len(raw)
 
 
 def test_the_silent_and_the_trickling_are_owed_an_end_counted_from_connecting():
     for sent, status in ((b"", b""), (b"GET /-/re", b"HTTP/1.1 408")):
-        caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, 9 * S)
+        caller = ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, 9 * S)
         pipe, came = Pipe(caller), clock()
         for byte in sent:
             feed(caller, bytes([byte]))
@@ -304,18 +310,18 @@
 def test_deadlines_ring_in_order_and_dropped_ones_never():
     async def play():
         loop, rung = asyncio.get_running_loop(), []
-        deadlines, done = Deadlines(loop), loop.create_future()
+        timers, done = TimerQueue(loop), loop.create_future()
         now = clock()
-        entries = [deadlines.at(now + at * MS, rung.append, at) for at in (9, 3, 6, 1)]
-        many = [deadlines.at(now + S, rung.append, "never") for _ in range(500)]
+        entries = [timers.schedule(now + at * MS, rung.append, at) for at in (9, 3, 6, 1)]
+        many = [timers.schedule(now + S, rung.append, "never") for _ in range(500)]
         for entry in (entries[2], *many):
-            deadlines.drop(entry)
-        deadlines.drop(entries[2])
-        deadlines.at(now + 2 * MS, lambda: 1 / 0)  # one that fails does not silence the rest
+            timers.cancel(entry)
+        timers.cancel(entries[2])
+        timers.schedule(now + 2 * MS, lambda: 1 / 0)  # one that fails does not silence the rest
         loop.set_exception_handler(lambda *_: rung.append("failed"))
-        deadlines.at(now + 12 * MS, done.set_result, None)
+        timers.schedule(now + 12 * MS, done.set_result, None)
         await asyncio.wait_for(done, 10)
-        return rung, len(deadlines.heap)
+        return rung, len(timers.heap)
 
     rung, left = asyncio.run(play())
     assert rung == [1, "failed", 3, 9] and left < 100
@@ -356,9 +362,15 @@
 
 def discovery():
     notes = Notes()
-    deadlines = Deadlines(Loop())
+    timers = TimerQueue(Loop())
     return notes, DiscoveryClient(
-        ("127.0.0.1", 1), EndpointList(notes, quiet), deadlines, Descriptors(100), 75 * MS, lambda: 1.0, quiet
+        ("127.0.0.1", 1),
+        EndpointList(notes, quiet),
+        timers,
+        DescriptorBudget(100),
+        75 * MS,
+        lambda: 1.0,
+        quiet,
     )
 
 
@@ -411,7 +423,7 @@
     gc.disable()
     try:
         for make in (
-            lambda: ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S),
+            lambda: ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, S),
             lambda: asked()[1],
         ):
             made = make()
@@ -422,10 +434,12 @@
             assert gone() is None
         request = Request(None, 0, b"", b"", b"", b"")
         request.handle, request.hops = SimpleNamespace(is_finished=True), [SimpleNamespace(request=request)]
-        request.caller = made = Connection(Descriptors(100))
+        request.caller = made = Connection(DescriptorBudget(100))
         made.release()
         policy = request.policy = SimpleNamespace(held=1)
-        router = SimpleNamespace(requests=Slots(4), traces=set(), policies=[policy, SimpleNamespace(held=0)])
+        router = SimpleNamespace(
+            requests=HandleTable(4), traces=set(), policies=[policy, SimpleNamespace(held=0)]
+        )
         Router.drop_if_over(router, request)
         assert len(router.policies) == 1  # nor does a set of decisions that has been followed stay
         gone = ref(made)
@@ -437,9 +451,9 @@
 
 def test_the_loop_is_not_woken_before_a_deadline():
     waits = []
-    deadlines = Deadlines(SimpleNamespace(call_later=lambda wait, call: waits.append(wait)))
+    timers = TimerQueue(SimpleNamespace(call_later=lambda wait, call: waits.append(wait)))
     when = clock() + 10 * MS + 400
-    deadlines.at(when, print)
+    timers.schedule(when, print)
     assert waits[0] * 1000 == round(waits[0] * 1000) and clock() + waits[0] * S >= when
 
 
@@ -475,7 +489,7 @@
 
 
 def test_a_connection_accepted_but_not_yet_up_is_not_let_go_as_idle():
-    caller = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, S)
+    caller = ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, S)
     caller.close_if_idle(clock() - S // 2)
     assert not caller.closed
 
@@ -485,8 +499,8 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        budget, book = Descriptors(26), EndpointList(SimpleNamespace(endpoint_poll_failed=quiet), quiet)
-        asking = DiscoveryClient(("127.0.0.1", 9), book, Deadlines(loop), budget, S, lambda: 0.5, quiet)
+        budget, book = DescriptorBudget(26), EndpointList(SimpleNamespace(endpoint_poll_failed=quiet), quiet)
+        asking = DiscoveryClient(("127.0.0.1", 9), book, TimerQueue(loop), budget, S, lambda: 0.5, quiet)
         asking.open()
         asking.watch_silent()
         await asyncio.sleep(0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -9,7 +9,7 @@
 
 from dahliabend.http.client_connection import BODY_PAUSE_TIMEOUT, ClientConnection
 from dahliabend.model import Outcome
-from dahliabend.transport.descriptor_budget import Descriptors
+from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import clock
 
 LONG = bytes(range(256)) * 8192  # 2 MiB
@@ -120,7 +120,7 @@
 
 
 def test_a_slow_head_and_a_steady_body_are_waited_for_and_silence_is_not():
-    caller, came = ClientConnection(Descriptors(100), upstream_table().deadlines, DESK, 9 * S), clock()
+    caller, came = ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, 9 * S), clock()
     Pipe(caller)
     feed(caller, SIZED % (b"t", 60_000))
     caller.head_complete_at = caller.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
@@ -161,7 +161,7 @@
 def test_a_request_behind_a_long_answer_is_not_lost_when_callers_are_sent_away():
     desk = SimpleNamespace(closing=lambda: True, ready=lambda: True)
     for behind, kept in ((1, True), (0, False)):
-        caller = ClientConnection(Descriptors(100), upstream_table().deadlines, desk, S)
+        caller = ClientConnection(DescriptorBudget(100), upstream_table().timers, desk, S)
         Pipe(caller)
         caller.serving = caller.keep_alive = True
         caller.queue.extend([()] * behind)
