--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -35,11 +35,13 @@
 
     methods: frozenset[bytes]  # that it serves
 
-    def sort(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None: ...
-    def marks(
+    def classify(
+        self, method: bytes, path: bytes, fields: dict[bytes, bytes]
+    ) -> tuple[bytes, int] | None: ...
+    def identify(
         self, profile: int, fields: dict[bytes, bytes]
     ) -> tuple[bytes, bytes]: ...  # id and ms it waits
-    def take(
+    def dispatch(
         self,
         caller,
         profile: int,
@@ -56,12 +58,12 @@
         upload: StreamingBody | None,
         key: bytes,
     ) -> int: ...
-    def left(self, number: int) -> None: ...
+    def client_disconnected(self, number: int) -> None: ...
     def ready(self) -> bool: ...
     def closing(self) -> bool: ...
-    def opened(self) -> None: ...
-    def ended(self) -> None: ...
-    def counted(self, name: bytes, status: int) -> None: ...
+    def request_opened(self) -> None: ...
+    def request_closed(self) -> None: ...
+    def count_response(self, name: bytes, status: int) -> None: ...
 
 
 class ClientConnection(Connection):
@@ -238,7 +240,7 @@
             # In the middle of a body that was already passed on: it has no end, so it never runs.
             self.upload, self.keep_alive = None, False
             request, self.request = self.request, -1
-            self.dispatcher.left(request)
+            self.dispatcher.client_disconnected(request)
             return self.send_error(self.error_status)
         if self.error_status and not self.serving and not self.closed and not self.final_response_sent:
             self.serving, self.keep_alive = True, False
@@ -268,7 +270,7 @@
         profile = self.classify(method, path, fields)
         if profile is None:
             return self.send_error(404)
-        trace, expires = self.dispatcher.marks(profile, fields)
+        trace, expires = self.dispatcher.identify(profile, fields)
         if (
             not 0 < len(trace) <= MAX_TRACE_ID_BYTES
             or not expires.isdigit()
@@ -276,26 +278,26 @@
             or not int(expires)
         ):
             return self.send_error(400)
-        self.request = self.dispatcher.take(
+        self.request = self.dispatcher.dispatch(
             self, profile, method, target, passed, body,
-            expires=int(expires) * 1000, began=began, customer=fields.get(wire.TENANT, b""),
-            again=fields.get(wire.RETRY) == b"1", trace=trace, upload=self.upload,
+            client_timeout=int(expires) * 1000, received_at=began, tenant=fields.get(wire.TENANT, b""),
+            is_retry=fields.get(wire.RETRY) == b"1", trace_id=trace, upload=self.upload,
             key=fields.get(wire.ORDERING_KEY, b""),
         )  # fmt: skip
 
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> int | None:
         """Which profile it is of, if of a known one. From now on its request counts as open."""
-        found = self.dispatcher.sort(method, path, fields)
+        found = self.dispatcher.classify(method, path, fields)
         if found is None:
             return None
         self.profile, profile = found
-        self.dispatcher.opened()
+        self.dispatcher.request_opened()
         return profile
 
     def request_finished(self) -> None:
         if self.profile:
             self.profile = b""
-            self.dispatcher.ended()
+            self.dispatcher.request_closed()
             settle, self.on_request_finished = self.on_request_finished, None
             if settle is not None:
                 settle()
@@ -310,7 +312,7 @@
         if self.closed:
             return
         if self.profile:
-            self.dispatcher.counted(self.profile, status)
+            self.dispatcher.count_response(self.profile, status)
         self.discard_upload()
         ending = self.connection_header_line()
         head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (
@@ -365,7 +367,7 @@
         if self.closed:
             return
         self.request, self.source = -1, None
-        self.dispatcher.counted(self.profile, 200)
+        self.dispatcher.count_response(self.profile, 200)
         self.response_written, self.final_response_sent = True, not self.keep_alive
         self.stall_timer = self.timers.schedule(clock() + 4 * self.write_timeout, self.abort)
         self.write(b"0\r\n\r\n" if self.chunked else b"")
@@ -375,7 +377,7 @@
         if self.closed:
             return
         self.request, self.source = -1, None
-        self.dispatcher.counted(self.profile, 502)
+        self.dispatcher.count_response(self.profile, 502)
         if not self.has_length and not self.chunked and self.sock is not None:
             # Its end is the connection's: only a reset tells that this was not it.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -469,4 +471,4 @@
         self.request_finished()
         request, self.request = self.request, -1
         if request >= 0:
-            self.dispatcher.left(request)
+            self.dispatcher.client_disconnected(request)
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -13,12 +13,12 @@
 from dahliabend.routing_rules.table import Table
 from dahliabend.transport.timers import clock
 
-MOST_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
+MAX_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
 ADVICE = 1_000_000  # microseconds at the most that a limit's turning away tells a caller to wait
 NO_ROOM = b"too many of this route\n"
 
 
-class Silent:
+class DiscardingClient:
     """The caller of a mirrored transaction: its answer is for nobody."""
 
     __slots__ = ("closed", "profile")
@@ -54,18 +54,18 @@
     stop: Callable[[], None] = lambda: None
     file: str = ""
     retired: bool = False  # not in the file any more: it ends what it has
-    terms: object = None  # of its subset, where it has one
-    narrowed: object = None  # and what stands between its list and its router then
+    subset_settings: object = None  # of its subset, where it has one
+    subset_filter: object = None  # and what stands between its list and its router then
 
     @property
-    def part_ready(self) -> float:
+    def ready_fraction(self) -> float:
         """Of its upstreams, how many can be sent to."""
         balancer = self.router.balancer
         return sum(not u.ejected for u in balancer.ready) / max(1, len(balancer.upstreams))
 
 
 @dataclass(slots=True)
-class Routes:
+class ActiveRoutes:
     """The routes in force. A transaction keeps those that it was taken by."""
 
     file: File
@@ -75,82 +75,82 @@
     profiles: dict[str, dict[int, int]] = field(default_factory=dict)  # by pool: of each route its profile
 
 
-class Desk:
+class Dispatcher:
     """What callers are served by. Numbers of transactions tell the pool too."""
 
     methods = frozenset(method.encode() for method in METHODS)
 
     def __init__(self, metrics, log: Callable, seed: int) -> None:
         self.metrics, self.log = metrics, log
-        self.counted = metrics.count_response
+        self.count_response = metrics.count_response
         self.chance = Random(seed)
         self.pools: dict[int, Pool] = {}
-        self.names: dict[str, Pool] = {}
+        self.pools_by_name: dict[str, Pool] = {}
         self.next = 0
-        self.routes: Routes | None = None
+        self.routes: ActiveRoutes | None = None
         self.excluded: set[str] = set()
-        self.evacuated, self.stop_at = False, 0
+        self.evacuated, self.shutdown_deadline = False, 0
         self.turned_away = 0
         self.fields: dict[bytes, bytes] = {}
 
     # Pools.
 
-    def add(self, name: str, router: Router) -> Pool:
-        made = self.pools[self.next] = self.names[name] = Pool(name, self.next, router)
+    def add_pool(self, name: str, router: Router) -> Pool:
+        made = self.pools[self.next] = self.pools_by_name[name] = Pool(name, self.next, router)
         self.next += 1
         for upstream in self.excluded:
-            router.table.remember(upstream)
+            router.table.remember_id(upstream)
             router.exclude(upstream, True)
         return made
 
-    def retire(self, name: str) -> None:
+    def retire_pool(self, name: str) -> None:
         """It takes nothing new; gone once its last transaction has ended."""
-        pool = self.names.pop(name)
+        pool = self.pools_by_name.pop(name)
         pool.retired = True
 
-    def clear(self) -> list[Pool]:
+    def remove_finished_pools(self) -> list[Pool]:
         """Pools that have retired and hold nothing: forgotten here, for whoever owns their parts to end."""
         done = [pool for pool in self.pools.values() if pool.retired and not len(pool.router.requests)]
         for pool in done:
             del self.pools[pool.number]
         return done
 
-    def use(self, file: File, profiles: dict[str, dict[int, int]]) -> None:
+    def apply_routes(self, file: File, profiles: dict[str, dict[int, int]]) -> None:
         """These routes from now on. Turns and buckets go on where a route of that name was there before."""
         before = {c.name: c for c in self.routes.choices} if self.routes is not None else {}
         made = choices(file, before)
         seen = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
-        self.routes = Routes(file, Table(file.routes), made, tuple(sorted(seen - {""})), profiles)
+        self.routes = ActiveRoutes(file, Table(file.routes), made, tuple(sorted(seen - {""})), profiles)
         self.metrics.set_active_classes([name.encode() for name in file.classes])
 
     # What callers bring.
 
-    def sort(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
+    def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         routes = self.routes
         headers = {name: fields.get(name.encode(), b"").decode("latin-1") for name in routes.seen}
         number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), headers)
         return None if number is None else (routes.choices[number].profile, number)
 
-    def marks(self, number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def identify(self, number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """The transaction's id and how long its caller waits; made here where it names neither."""
         self.fields = fields  # of the request that is taken next: its caller may be reading another by now
         trace = fields.get(TRACE) or b"%032x" % self.chance.getrandbits(128)
         return trace, fields.get(EXPIRES) or b"%d" % (self.routes.choices[number].total // 1000)
 
-    def take(
+    def dispatch(
         self,
-        caller,
+        client,
         number: int,
         method: bytes,
         target: bytes,
         passed: bytes,
         body: bytes,
         *,
-        expires: int,
-        began: int,
-        customer: bytes,
-        again: bool,
-        trace: bytes,
+        client_timeout: int,
+        received_at: int,
+        tenant: bytes,
+        is_retry: bool,
+        trace_id: bytes,
         upload: StreamingBody | None = None,
         key: bytes = b"",
     ) -> int:
@@ -160,53 +160,59 @@
             self.turned_away += 1
             wait = min(ADVICE, choice.limit.wait(now))
             advice = b"Retry-After: %.3f\r\n" % (wait / 1e6) if wait else b""
-            caller.send_response(503, advice, NO_ROOM)
+            client.send_response(503, advice, NO_ROOM)
             return -1
-        caller.on_request_finished = choice.limit.leave
+        client.on_request_finished = choice.limit.leave
         split = self.fields.get(choice.split_by, b"") if choice.split_by else b""
-        names = choice.ways(split, self.part_ready)
+        names = choice.ways(split, self.ready_fraction)
         if not self.fields.get(TRACE):
-            passed += b"X-Trace-Id: %b\r\n" % trace
-        common = {"expires": expires, "began": began, "customer": customer, "again": again, "key": key}
+            passed += b"X-Trace-Id: %b\r\n" % trace_id
+        common = {
+            "client_timeout": client_timeout,
+            "received_at": received_at,
+            "tenant": tenant,
+            "is_retry": is_retry,
+            "key": key,
+        }
         if choice.mirror and upload is None and self.chance.random() < choice.mirror_share:
-            self.names[choice.mirror].router.take(
-                Silent(caller.profile), routes.profiles[choice.mirror][number], method, target,
-                renamed(passed, trace + b"-m"), body, trace=trace + b"-m", **common,
+            self.pools_by_name[choice.mirror].router.dispatch(
+                DiscardingClient(client.profile), routes.profiles[choice.mirror][number], method, target,
+                renamed(passed, trace_id + b"-m"), body, trace_id=trace_id + b"-m", **common,
             )  # fmt: skip
         for name in names:
-            pool, turned_away = self.names[name], []
-            request = pool.router.take(
-                caller, routes.profiles[name][number], method, target, passed, body, trace=trace,
-                upload=upload, otherwise=turned_away.append if name != names[-1] else None, **common,
+            pool, turned_away = self.pools_by_name[name], []
+            request = pool.router.dispatch(
+                client, routes.profiles[name][number], method, target, passed, body, trace_id=trace_id,
+                upload=upload, on_rejected=turned_away.append if name != names[-1] else None, **common,
             )  # fmt: skip
             if not turned_away:
                 break
-        return -1 if request < 0 else request * MOST_POOLS + pool.number % MOST_POOLS
+        return -1 if request < 0 else request * MAX_POOLS + pool.number % MAX_POOLS
 
-    def part_ready(self, name: str) -> float:
-        return self.names[name].part_ready
+    def ready_fraction(self, name: str) -> float:
+        return self.pools_by_name[name].ready_fraction
 
-    def left(self, number: int) -> None:
-        request, slot = divmod(number, MOST_POOLS)
+    def client_disconnected(self, number: int) -> None:
+        request, slot = divmod(number, MAX_POOLS)
         for pool in self.pools.values():
-            if pool.number % MOST_POOLS == slot:
-                pool.router.left(request)
+            if pool.number % MAX_POOLS == slot:
+                pool.router.client_disconnected(request)
 
     # What the program asks.
 
     def ready(self) -> bool:
         """Every pool that a route goes to first has somebody to send to, itself or its fallback."""
         return not self.closing() and all(
-            any(self.part_ready(name) > 0 for name in choice.reach) for choice in self.routes.choices
+            any(self.ready_fraction(name) > 0 for name in choice.reach) for choice in self.routes.choices
         )
 
     def closing(self) -> bool:
-        return self.stop_at > 0 or self.evacuated
+        return self.shutdown_deadline > 0 or self.evacuated
 
-    def opened(self) -> None:
+    def request_opened(self) -> None:
         self.metrics.open_requests += 1
 
-    def ended(self) -> None:
+    def request_closed(self) -> None:
         self.metrics.open_requests -= 1
 
     def exclude(self, name: str, out: bool) -> bool:
@@ -216,10 +222,10 @@
             (self.excluded.add if out else self.excluded.discard)(name)
         return any(known)
 
-    def stop_by(self, when: int) -> None:
-        self.stop_at = when
+    def shut_down_by(self, when: int) -> None:
+        self.shutdown_deadline = when
         for pool in self.pools.values():
-            pool.router.stop_by(when)
+            pool.router.shut_down_by(when)
 
     @property
     def requests(self) -> list:
@@ -229,8 +235,8 @@
     def counts(self) -> dict[str, dict[str, int]]:
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
-    def shown(self) -> dict:
-        by_pool = {pool.name: pool.router.shown() for pool in self.pools.values()}
+    def telemetry(self) -> dict:
+        by_pool = {pool.name: pool.router.telemetry() for pool in self.pools.values()}
         whole = {name: sum(shown[name] for shown in by_pool.values())
                  for name in ("registry_entries", "out_of_rotation")}  # fmt: skip
         return whole | {"pools": by_pool, "limited": self.turned_away}
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -5,13 +5,13 @@
 from dahliabend.http import load_reports as loads
 from dahliabend.http.headers import HEALTHY, LOAD_PATH
 from dahliabend.model import Outcome
-from dahliabend.proxy.endpoint_table import Exchange, Upstream
+from dahliabend.proxy.endpoint_table import Endpoint, UpstreamRequest
 
 
-class Probe(Exchange):
+class HealthCheck(UpstreamRequest):
     """Either path is a probe; the one with a load report tells the log more."""
 
-    def __init__(self, upstream: Upstream, fields: tuple[str, ...], timeout: int, told: Callable) -> None:
+    def __init__(self, upstream: Endpoint, fields: tuple[str, ...], timeout: int, told: Callable) -> None:
         path = LOAD_PATH if fields else HEALTHY
         message = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (
             path, upstream.address[0].encode(), upstream.address[1],
@@ -19,9 +19,9 @@
         super().__init__(upstream, message, b"", timeout)
         self.fields, self.told = fields, told
 
-    def ended(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
+    def on_finished(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
         load = loads.parse(answer[1] or answer[2], self.fields) if answer else {}
-        self.upstream.table.log(
-            "probe", upstream=self.upstream.name, outcome=outcome.name, ms=took // 1000, load=load
+        self.endpoint.table.log(
+            "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=took // 1000, load=load
         )
-        self.told(self.upstream.index, outcome)
+        self.told(self.endpoint.index, outcome)
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -8,14 +8,14 @@
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Effect, EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
-from dahliabend.proxy.endpoint_table import MOST_ONCE, Exchange, Upstream, UpstreamTable
-from dahliabend.proxy.health_checks import Probe
+from dahliabend.proxy.endpoint_table import MAX_REMEMBERED_IDS, Endpoint, EndpointTable, UpstreamRequest
+from dahliabend.proxy.health_checks import HealthCheck
 from dahliabend.transport.handles import HandleTable
 from dahliabend.transport.timers import TimerQueue, clock
 
 STANDSTILL = 20_000_000  # peers may take seconds to read or write; this long without a byte is an end
 HURRY = 500_000  # how long an answer of unknown length is kept
-FAR = 1 << 50  # microseconds: no limit yet
+NO_DEADLINE = 1 << 50  # microseconds: no limit yet
 
 
 class Request:
@@ -24,82 +24,82 @@
     __slots__ = (
         "answered",
         "body",
-        "caller",
-        "expires",
-        "handle",
+        "client",
+        "client_timeout",
+        "state",
         "head",
-        "hops",
+        "attempts",
         "name",
         "number",
-        "otherwise",
+        "on_rejected",
         "passed",
         "profile",
         "route",
         "policy",
         "taken",
-        "trace",
+        "trace_id",
         "trail",
         "upload",
     )
 
     def __init__(
-        self, caller: ClientConnection, profile: int, head: bytes, passed: bytes, body: bytes, trace: bytes
+        self, client: ClientConnection, profile: int, head: bytes, passed: bytes, body: bytes, trace: bytes
     ):
-        self.caller, self.profile, self.head, self.passed, self.body = caller, profile, head, passed, body
-        self.trace, self.taken, self.answered, self.number = trace, clock(), False, -1
+        self.client, self.profile, self.head, self.passed, self.body = client, profile, head, passed, body
+        self.trace_id, self.taken, self.answered, self.number = trace, clock(), False, -1
         self.name = b""  # of its profile, as on the wire
-        self.otherwise: Callable | None = None
+        self.on_rejected: Callable | None = None
         self.route = ""  # its name, where it came by an operator's
-        self.expires, self.upload = 0, None  # how long its caller waits; a body that still comes
-        self.handle: RequestState | None = None
-        self.policy: Policy | None = None
-        self.hops: list[Hop] = []
+        self.client_timeout, self.upload = 0, None  # how long its caller waits; a body that still comes
+        self.state: RequestState | None = None
+        self.policy: PolicyPort | None = None
+        self.attempts: list[Attempt] = []
         self.trail: list[tuple] = []  # of its hops: upstream, outcome, milliseconds
 
     def body_consumed(self) -> None:
-        self.handle.body_consumed()
+        self.state.body_consumed()
 
-    def close(self, by: "Hop | None" = None) -> None:
+    def close(self, by: "Attempt | None" = None) -> None:
         """It has its answer, which `by` may still bring, or its caller has gone. Nothing more is sent."""
         self.answered = True
-        for hop in tuple(self.hops):
+        for hop in tuple(self.attempts):
             if hop is not by:
-                hop.unsend()
+                hop.cancel_unsent()
 
 
-def repeat_until(handle: RequestState | None) -> int:
+def deduplication_deadline(handle: RequestState | None) -> int:
     """Until when its newest hop may go out beside earlier ones that may have run: their group remembers them
     for the repeat window, which goes on while a connection comes up."""
     if handle is None or handle.request_class.effect is not Effect.DEDUPLICATED:
-        return FAR
+        return NO_DEADLINE
     first = handle.first_possibly_executed()
     return (
-        FAR
+        NO_DEADLINE
         if first is None or first is handle.attempts[-1]
         else first.sent + handle.request_class.deduplication_window
     )
 
 
-class Hop(Exchange):
+class Attempt(UpstreamRequest):
     """One sending of a transaction."""
 
     def __init__(self, router: "Router", request: Request, upstream, timeout: int) -> None:
         self.upload = request.upload
         super().__init__(upstream, request.head, request.body, timeout)
-        self.send_by = min(self.until, repeat_until(request.handle))
-        self.router, self.request, self.order = router, request, len(request.hops)
+        self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
+        self.router, self.request, self.order = router, request, len(request.attempts)
         self.flowing, self.moved, self.first = False, 0, 0  # `first`: when a long answer's first byte came
         self.hurry: list | None = None
         self.late: list | None = None  # when a second hop beside this one is asked for
 
-    def awaited(self) -> bool:
+    def is_awaited(self) -> bool:
         return not self.request.answered
 
-    def head_for(self, left: int) -> bytes:
+    def build_head(self, left: int) -> bytes:
         # Told when it was chosen, the time would be too long by what the connection took to come up.
         request, length = self.request, len(self.body)
         if self.upload is not None:
-            length, left = self.upload.length, min(left, request.expires)
+            length, left = self.upload.length, min(left, request.client_timeout)
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
             self.head,
@@ -109,37 +109,41 @@
         )
 
     def slow(self) -> None:
-        self.request.handle.hedge_timer_fired(clock())
+        self.request.state.hedge_timer_fired(clock())
 
     def start(self) -> None:
         super().start()
-        if self.upload is not None and not self.over and self.until > self.sent + self.request.expires:
-            self.upstream.table.timers.cancel(self.deadline)
-            self.look_again(self.sent + self.request.expires)
+        if (
+            self.upload is not None
+            and not self.is_finished
+            and self.expires_at > self.started_at + self.request.client_timeout
+        ):
+            self.endpoint.table.timers.cancel(self.timeout_timer)
+            self.look_again(self.started_at + self.request.client_timeout)
 
     def request_written(self) -> None:
         request, self.moved = self.request, clock()
         self.router.metrics.count_attempt(request.name)
         after = request.policy.balancer.profiles[request.profile].hedge_delay
         if after and not self.order and request.upload is None:
-            self.late = self.upstream.table.timers.schedule(self.sent + after, self.slow)
-        if request.upload is not None and request.handle.body_pending:
+            self.late = self.endpoint.table.timers.schedule(self.started_at + after, self.slow)
+        if request.upload is not None and request.state.body_pending:
             # Until now nothing could run there: what the caller took to send counts against nobody.
-            wait = request.handle.body_received(self.moved, request.upload.ended_at + request.expires)
-            self.sent, self.until = self.moved, self.moved + wait
-            self.upstream.table.timers.cancel(self.deadline)
-            self.deadline = self.upstream.table.timers.schedule(self.until, self.timed_out)
+            wait = request.state.body_received(self.moved, request.upload.ended_at + request.client_timeout)
+            self.started_at, self.expires_at = self.moved, self.moved + wait
+            self.endpoint.table.timers.cancel(self.timeout_timer)
+            self.timeout_timer = self.endpoint.table.timers.schedule(self.expires_at, self.timed_out)
 
     def timed_out(self) -> None:
         """A body that comes, or an answer that has begun, ends only once nothing moves for long."""
-        coming = self.upload is not None and self.request.handle.body_pending
+        coming = self.upload is not None and self.request.state.body_pending
         now, wait = clock(), STANDSTILL
-        if coming and (self.link is None or self.link.unsent_bytes):
+        if coming and (self.connection is None or self.connection.unsent_bytes):
             # It is the upstream that takes nothing, and its caller may have sent all: held back, that can't
             # be seen. Waited for as long as for a slow caller, it would go unanswered past its limit.
-            wait = min(wait, self.request.expires)
+            wait = min(wait, self.request.client_timeout)
         moved = self.moved if self.flowing else self.upload.last_progress if coming else now - wait
-        if coming and self.dialing is not None:
+        if coming and self.connect_task is not None:
             self.look_again(now + wait)
         elif now - moved < wait:
             self.look_again(moved + wait)
@@ -149,11 +153,11 @@
             super().timed_out()
 
     def look_again(self, when: int) -> None:
-        self.deadline = self.upstream.table.timers.schedule(when, self.timed_out)
+        self.timeout_timer = self.endpoint.table.timers.schedule(when, self.timed_out)
 
     def unsized_response_started(self) -> None:
         # It may be a long one: held back for 2 s, it would be lost.
-        self.hurry = self.upstream.table.timers.schedule(clock() + HURRY, self.link.start_streaming)
+        self.hurry = self.endpoint.table.timers.schedule(clock() + HURRY, self.connection.start_streaming)
 
     def response_started(self, passed: bytes, length: int | None) -> None:
         request = self.request
@@ -161,43 +165,43 @@
             return self.give_up(Outcome.CANCELLED)
         self.flowing, self.moved, self.first = True, clock(), clock()
         request.close(by=self)
-        request.handle.response_started(self.moved, self.order)
-        request.caller.start_response(passed, length, self.link)
-        self.upstream.table.timers.cancel(self.deadline)
+        request.state.response_started(self.moved, self.order)
+        request.client.start_response(passed, length, self.connection)
+        self.endpoint.table.timers.cancel(self.timeout_timer)
         self.timed_out()
 
     def response_part(self, part: bytes) -> None:
         self.moved = clock()
-        self.request.caller.send_part(part)
+        self.request.client.send_part(part)
 
-    def settle(self) -> None:
-        super().settle()
-        self.upstream.table.timers.cancel(self.hurry)
-        self.upstream.table.timers.cancel(self.late)
+    def mark_finished(self) -> None:
+        super().mark_finished()
+        self.endpoint.table.timers.cancel(self.hurry)
+        self.endpoint.table.timers.cancel(self.late)
 
-    def ended(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
-        self.router.hop_ended(self, outcome, took, answer)
+    def on_finished(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
+        self.router.attempt_finished(self, outcome, took, answer)
 
 
-class Policy:
+class PolicyPort:
     """One set of decisions and its port: what it alone is told, and the settings that it goes by. One that
     has been followed stays until its last transaction has ended."""
 
     def __init__(self, router: "Router", node: Node) -> None:
-        self.router, self.held, self.zones = router, 0, node.zones
+        self.router, self.open_requests, self.zones = router, 0, node.zones
         self.probe_time, self.report_fields = node.probe_time, node.report_fields
         self.send, self.reject, self.fail = router.send, router.reject, router.fail
         self.cancel, self.poll_endpoints = router.cancel, router.poll_endpoints
         self.close_idle_connections = router.close_idle_connections
         self.balancer = Balancer(node.settings, self, node.seed)
 
-    def endpoints_changed(self, upstreams: list[tuple[Upstream, EndpointState]], full: bool) -> None:
+    def endpoints_changed(self, upstreams: list[tuple[Endpoint, EndpointState]], full: bool) -> None:
         out = self.router.excluded
         rows = [
             (
                 u.index,
                 EndpointState.EXCLUDED if u.name in out and state is not EndpointState.REMOVED else state,
-                max(u.born, u.returned),
+                max(u.started_at, u.included_at),
                 u.weight,
                 u.cell,
                 self.zones.get(u.zone, -1),
@@ -208,14 +212,14 @@
         self.balancer.update_endpoints(clock(), rows, full)
 
     def check_health(self, upstream: int) -> None:
-        known = self.router.table.upstreams[upstream]
-        if self.router.shares is None or not self.router.shares(known, self):
-            self.sound(known, self.probed)
+        known = self.router.table.endpoints[upstream]
+        if self.router.health_check_delegate is None or not self.router.health_check_delegate(known, self):
+            self.start_health_check(known, self.health_check_finished)
 
-    def sound(self, upstream: Upstream, told: Callable) -> None:
-        Probe(upstream, self.report_fields, self.probe_time, told).start()
+    def start_health_check(self, upstream: Endpoint, told: Callable) -> None:
+        HealthCheck(upstream, self.report_fields, self.probe_time, told).start()
 
-    def probed(self, upstream: int, outcome: Outcome) -> None:
+    def health_check_finished(self, upstream: int, outcome: Outcome) -> None:
         self.balancer.health_check_finished(clock(), upstream, outcome)
 
     def set_timer(self, at: int, token: int) -> None:
@@ -232,22 +236,24 @@
 class Router:
     methods = frozenset((b"GET", b"POST"))
 
-    def __init__(self, node: Node, timers: TimerQueue, table: UpstreamTable, metrics, log: Callable) -> None:
+    def __init__(self, node: Node, timers: TimerQueue, table: EndpointTable, metrics, log: Callable) -> None:
         self.timers, self.table, self.metrics, self.log = timers, table, metrics, log
-        self.counted = metrics.count_response
+        self.count_response = metrics.count_response
         self.evacuated = False  # an operator has sent the callers elsewhere
         self.excluded: set[str] = set()  # upstreams that an operator has taken out, by id
         self.discovery: DiscoveryClient | None = None
         self.epoch = node.epoch
         self.requests: HandleTable[Request] = HandleTable(node.most_held)
-        self.traces: set[bytes] = set()  # the ids of those
-        self.stop_at = 0  # when all that is still held is given up; 0: not stopping
+        self.trace_ids: set[bytes] = set()  # the ids of those
+        self.shutdown_deadline = 0  # when all that is still held is given up; 0: not stopping
         self.counts: dict[str, int] = {}
-        self.access = False  # is every transaction logged?
-        self.tells: Callable | None = None  # told of each hop's end: upstream and outcome
-        self.shares: Callable | None = None  # asked whether another probes an upstream, and tells
+        self.logs_access = False  # is every transaction logged?
+        self.on_attempt_finished: Callable | None = None  # told of each hop's end: upstream and outcome
+        self.health_check_delegate: Callable | None = (
+            None  # asked whether another probes an upstream, and tells
+        )
         self.route_names: list[str] = []  # by profile, where an operator's routes are profiles
-        self.policies: list[Policy] = []  # the last takes new transactions; the others end theirs
+        self.policies: list[PolicyPort] = []  # the last takes new transactions; the others end theirs
         self.install(node)
 
     @property
@@ -258,15 +264,15 @@
         self.profiles, self.customers = node.profiles, node.customers
         self.metrics.set_active_classes(node.profiles)
         self.longest, self.slack = node.longest, node.slack
-        self.policies.append(Policy(self, node))
+        self.policies.append(PolicyPort(self, node))
 
-    def switch(self, node: Node) -> int:
+    def apply_settings(self, node: Node) -> int:
         """Other settings take over: a fresh set of decisions for what comes from now on. What is in hand ends
         under those it began with, lest it get two answers or none. How many upstreams kept what is known."""
         before, profiles = self.balancer, self.profiles
-        self.policies = [policy for policy in self.policies if policy.held]
+        self.policies = [policy for policy in self.policies if policy.open_requests]
         self.install(node)
-        self.policies[-1].endpoints_changed([(u, u.state) for u in self.table.upstreams.values()], full=True)
+        self.policies[-1].endpoints_changed([(u, u.state) for u in self.table.endpoints.values()], full=True)
         # Else one of a key could be sent beside another that the ones before still have out.
         self.balancer.lines.restore(before.lines)
         return self.balancer.restore(before.snapshot(ends=True), self.pairs(profiles))
@@ -274,29 +280,29 @@
     def pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
         return [(new, before[name]) for name, new in self.profiles.items() if name in before]
 
-    def known(self) -> dict:
+    def snapshot(self) -> dict:
         """What a successor in another process goes on from, upstreams and profiles by name."""
-        known, upstreams = self.balancer.snapshot(ends=False), self.table.upstreams
+        known, upstreams = self.balancer.snapshot(ends=False), self.table.endpoints
         known["upstreams"] = {upstreams[i].name: values for i, values in known["upstreams"].items()}
         return known | {
             "epoch": self.epoch,
             "profiles": {name.decode("latin-1"): number for name, number in self.profiles.items()},
-            "returned": {u.name: u.returned for u in upstreams.values() if u.returned},
-            "once": list(self.table.once),
+            "returned": {u.name: u.included_at for u in upstreams.values() if u.included_at},
+            "once": list(self.table.known_ids),
         }
 
-    def follow(self, known: dict) -> int:
+    def restore(self, known: dict) -> int:
         """Goes on from that; of how many upstreams what is known holds on."""
         indices = self.table.indices
         upstreams = {indices[name]: values for name, values in known["upstreams"].items() if name in indices}
         profiles = {name.encode("latin-1"): number for name, number in known["profiles"].items()}
         return self.balancer.restore({**known, "upstreams": upstreams}, self.pairs(profiles))
 
-    def out(self) -> int:
+    def attempts_in_flight(self) -> int:
         """Hops in flight, of all sets of decisions."""
         return sum(policy.balancer.out for policy in self.policies)
 
-    def servers(self) -> list[dict]:
+    def endpoint_entries(self) -> list[dict]:
         """The list as it stands, in discovery's form."""
         return [
             {
@@ -306,93 +312,93 @@
                 "cell": u.cell,
                 "weight": u.weight,
                 "state": "up" if u.state is EndpointState.READY else "draining",
-                "started_ms": (u.born - self.epoch) // 1000 if u.born else 0,
+                "started_ms": (u.started_at - self.epoch) // 1000 if u.started_at else 0,
             }
-            for u in self.table.upstreams.values()
+            for u in self.table.endpoints.values()
         ]
 
     # What callers and the list bring.
 
-    def sort(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
+    def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         """The first segment names the profile."""
         name = path[1:].partition(b"/")[0]
         profile = self.profiles.get(name) if path[:1] == b"/" else None
         return None if profile is None else (name, profile)
 
-    def marks(self, profile: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def identify(self, profile: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         return fields.get(TRACE, b""), fields.get(EXPIRES, b"")
 
-    def take(
+    def dispatch(
         self,
-        caller,
+        client,
         profile,
         method,
         target,
         passed,
         body,
         *,
-        expires,
-        began,
-        customer,
-        again,
-        trace,
+        client_timeout,
+        received_at,
+        tenant,
+        is_retry,
+        trace_id,
         upload=None,
-        otherwise=None,
+        on_rejected=None,
         key=b"",
     ) -> int:
-        """`otherwise`, where given, is told in place of its caller of one turned away unseen here and now."""
-        if trace in self.traces:
+        """`on_rejected`, where given, is told in place of its caller of one turned away unseen here and now."""
+        if trace_id in self.trace_ids:
             # Another's open transaction: sent on, it would be a second copy of that one at an upstream.
-            caller.send_error(409)
+            client.send_error(409)
             return -1
         head = b"%b %b HTTP/1.1\r\n" % (method, target)
-        request = Request(caller, profile, head, passed, body, trace)
-        request.name, request.otherwise = caller.profile, otherwise
+        request = Request(client, profile, head, passed, body, trace_id)
+        request.name, request.on_rejected = client.profile, on_rejected
         request.route = self.route_names[profile] if self.route_names else ""
         request.number = number = self.requests.add(request)
         if number < 0:
             # The table is full: the caller is told at once, nothing has run.
             self.log("no_room", requests=len(self.requests))
-            caller.send_response(503, b"", b"too many transactions\n")
+            client.send_response(503, b"", b"too many transactions\n")
             return -1
-        self.traces.add(trace)
+        self.trace_ids.add(trace_id)
         # The time runs from the caller's sending; on a busy machine the bytes have lain unread for a while,
         # and so will the answer. One at the very limit would come after it.
-        expires = min(expires, self.longest[profile])
-        request.expires, request.upload = expires - min(self.slack, expires // 8), upload
-        deadline = clock() + FAR if upload is not None else began + request.expires
-        if self.stop_at:
-            deadline = min(deadline, self.stop_at)
+        client_timeout = min(client_timeout, self.longest[profile])
+        request.client_timeout, request.upload = client_timeout - min(self.slack, client_timeout // 8), upload
+        deadline = clock() + NO_DEADLINE if upload is not None else received_at + request.client_timeout
+        if self.shutdown_deadline:
+            deadline = min(deadline, self.shutdown_deadline)
         request.policy = policy = self.policies[-1]
-        policy.held += 1
-        request.handle = policy.balancer.admit(
+        policy.open_requests += 1
+        request.state = policy.balancer.admit(
             request.taken,
             number,
             profile,
-            self.customers.get(customer, len(self.customers)),
+            self.customers.get(tenant, len(self.customers)),
             deadline,
-            again,
+            is_retry,
             upload is not None,
             key,
         )
         if upload is not None:
             upload.observer = request
-        request.otherwise = None
-        self.drop_if_over(request)
+        request.on_rejected = None
+        self.forget_if_finished(request)
         return -1 if request.answered else number
 
-    def left(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """The caller has gone away."""
         request = self.requests.get(number)
         if request is None:
             return
         if not request.answered:
             request.close()
-            self.note("left", request)
-            request.handle.client_disconnected(clock())
-            self.drop_if_over(request)
+            self.record_outcome("left", request)
+            request.state.client_disconnected(clock())
+            self.forget_if_finished(request)
         else:  # in the middle of a long answer
-            for hop in tuple(request.hops):
+            for hop in tuple(request.attempts):
                 hop.give_up(Outcome.CANCELLED)
 
     def ready(self) -> bool:
@@ -402,27 +408,27 @@
 
     def closing(self) -> bool:
         """Are callers to go elsewhere?"""
-        return self.stop_at > 0 or self.evacuated
+        return self.shutdown_deadline > 0 or self.evacuated
 
-    def opened(self) -> None:
+    def request_opened(self) -> None:
         self.metrics.open_requests += 1
 
-    def ended(self) -> None:
+    def request_closed(self) -> None:
         self.metrics.open_requests -= 1
 
-    def shown(self) -> dict:
+    def telemetry(self) -> dict:
         """Of the list: how many upstreams it has, and how many of them nothing is sent to now."""
         ejected = sum(
             u.ejected or u.state is not EndpointState.READY for u in self.balancer.upstreams.values()
         )
-        return {"registry_entries": len(self.table.upstreams), "out_of_rotation": ejected}
+        return {"registry_entries": len(self.table.endpoints), "out_of_rotation": ejected}
 
     def endpoints_changed(self, rows: list[tuple], full: bool) -> None:
         told = []
         for name, address, state, started, weight, cell, zone in rows:
             if state is EndpointState.REMOVED and name not in self.table.indices:
                 continue
-            upstream = self.table.find(name)
+            upstream = self.table.get_or_create(name)
             if not (
                 state is EndpointState.REMOVED
                 and self.balancer.only_draining_binds
@@ -430,41 +436,41 @@
             ):
                 upstream.state = state
             upstream.weight, upstream.cell, upstream.zone = weight, cell, zone
-            upstream.born = (started * 1000 + self.epoch or 1) if started else 0
+            upstream.started_at = (started * 1000 + self.epoch or 1) if started else 0
             if state is not EndpointState.REMOVED:
-                upstream.move(address)
-            self.admit(upstream)
+                upstream.set_address(address)
+            self.update_connection_reuse(upstream)
             told.append((upstream, state))
         for (
             policy
         ) in self.policies:  # also those that only end what they have: a drain holds for their hops too
             policy.endpoints_changed(told, full)
-        for index in tuple(self.table.upstreams):
+        for index in tuple(self.table.endpoints):
             # Where only draining binds, the decisions keep some that the list has lost, to be sent to.
             if not any(index in policy.balancer.upstreams for policy in self.policies):
-                self.table.forget(index)
+                self.table.remove(index)
 
-    def admit(self, upstream: Upstream) -> None:
+    def update_connection_reuse(self, upstream: Endpoint) -> None:
         """May connections rest there?"""
         if upstream.state is EndpointState.READY and upstream.name not in self.excluded:
-            upstream.use()
+            upstream.enable()
         else:
-            upstream.leave()
+            upstream.disable()
 
     def exclude(self, name: str, out: bool) -> bool:
         """Takes an upstream out, or puts it back, whatever the list says meanwhile. False: never listed."""
-        if name not in self.table.once and name not in self.excluded:
+        if name not in self.table.known_ids and name not in self.excluded:
             return False
         if out is not (name in self.excluded):
-            if len(self.excluded) >= MOST_ONCE and out:
+            if len(self.excluded) >= MAX_REMEMBERED_IDS and out:
                 return False  # more than were ever listed at once: a script has gone wild
             (self.excluded.add if out else self.excluded.discard)(name)
-            upstream = self.table.upstreams.get(self.table.indices.get(name, -1))
+            upstream = self.table.endpoints.get(self.table.indices.get(name, -1))
             if upstream is not None:
                 # The list may not know yet that it was started again meanwhile: taken for warm, all
                 # balancers would push it over.
-                upstream.returned = upstream.returned if out else clock()
-                self.admit(upstream)
+                upstream.included_at = upstream.included_at if out else clock()
+                self.update_connection_reuse(upstream)
                 for policy in self.policies:
                     policy.endpoints_changed([(upstream, upstream.state)], full=False)
         return True
@@ -477,34 +483,34 @@
 
     def send(self, ref: int, upstream: int, timeout: int) -> None:
         request = self.requests.get(ref)
-        hop = Hop(self, request, self.table.upstreams[upstream], timeout)
-        request.hops.append(hop)
-        if self.stop_at and clock() >= self.stop_at:
-            hop.end_soon(Outcome.NOT_SENT)  # the program ends before this could
+        hop = Attempt(self, request, self.table.endpoints[upstream], timeout)
+        request.attempts.append(hop)
+        if self.shutdown_deadline and clock() >= self.shutdown_deadline:
+            hop.finish_soon(Outcome.NOT_SENT)  # the program ends before this could
         else:
             hop.start()
 
     def reject(self, ref: int, retry_after: int) -> None:
         request = self.requests.get(ref)
-        if request is not None and request.otherwise is not None and not request.hops:
+        if request is not None and request.on_rejected is not None and not request.attempts:
             request.close()
-            self.note("passed_on", request)
-            return request.otherwise(ref)
+            self.record_outcome("passed_on", request)
+            return request.on_rejected(ref)
         advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
-        self.answer(ref, "rolled_back", 503, advice, b"rolled back\n")
-        if request is not None and request.handle is not None and not request.hops:
-            self.drop_if_over(request)  # it waited for its turn: no hop's end will come for it
+        self.respond(ref, "rolled_back", 503, advice, b"rolled back\n")
+        if request is not None and request.state is not None and not request.attempts:
+            self.forget_if_finished(request)  # it waited for its turn: no hop's end will come for it
 
     def fail(self, ref: int) -> None:
-        self.answer(ref, "abandoned", 502, b"", b"abandoned\n")
+        self.respond(ref, "abandoned", 502, b"", b"abandoned\n")
 
     def cancel(self, ref: int, hop: int) -> None:
         request = self.requests.get(ref)
         if request is not None:
-            request.hops[hop].give_up(Outcome.CANCELLED)
+            request.attempts[hop].give_up(Outcome.CANCELLED)
 
     def close_idle_connections(self, upstream: int, age: int) -> None:
-        self.table.upstreams[upstream].close_idle(clock() - age)
+        self.table.endpoints[upstream].close_idle(clock() - age)
 
     def poll_endpoints(self) -> None:
         if self.discovery is not None:
@@ -512,46 +518,48 @@
 
     # What comes of it.
 
-    def hop_ended(self, hop: Hop, outcome: Outcome, took: int, answer: tuple | None) -> None:
+    def attempt_finished(self, hop: Attempt, outcome: Outcome, took: int, answer: tuple | None) -> None:
         request = hop.request
-        request.trail.append((hop.upstream.name, outcome.name, took // 1000))
-        if self.tells is not None:
-            self.tells(hop.upstream.name, outcome)
+        request.trail.append((hop.endpoint.name, outcome.name, took // 1000))
+        if self.on_attempt_finished is not None:
+            self.on_attempt_finished(hop.endpoint.name, outcome)
         if outcome is not Outcome.SUCCEEDED:
             self.log(
                 "hop",
-                tx=request.trace.decode("latin-1"),
+                tx=request.trace_id.decode("latin-1"),
                 order=hop.order,
-                upstream=hop.upstream.name,
+                upstream=hop.endpoint.name,
                 outcome=outcome.name,
                 ms=took // 1000,
-                why=hop.why,
+                why=hop.failure_reason,
             )
         if hop.flowing:  # its answer's time is that of the first byte
-            took = hop.first - hop.sent
+            took = hop.first - hop.started_at
             whole = outcome is Outcome.SUCCEEDED
-            self.note("committed" if whole else "cut", request)
-            request.caller.finish_response() if whole else request.caller.abort_response()
+            self.record_outcome("committed" if whole else "cut", request)
+            request.client.finish_response() if whole else request.client.abort_response()
         elif outcome is Outcome.SUCCEEDED:
-            self.answer(request.number, "committed", 200, *answer[:2])
-        request.handle.attempt_finished(clock(), hop.order, outcome, took, request.answered, hop.rested)
-        self.drop_if_over(request)
+            self.respond(request.number, "committed", 200, *answer[:2])
+        request.state.attempt_finished(
+            clock(), hop.order, outcome, took, request.answered, hop.connection_idle_time
+        )
+        self.forget_if_finished(request)
 
-    def answer(self, ref: int, how: str, status: int, headers: bytes, body: bytes) -> None:
+    def respond(self, ref: int, how: str, status: int, headers: bytes, body: bytes) -> None:
         """The one answer; what comes later finds it answered and is dropped."""
         request = self.requests.get(ref)
         if request is None or request.answered:
             return
         request.close()
-        self.note(how, request)
-        request.caller.send_response(status, headers, body)
+        self.record_outcome(how, request)
+        request.client.send_response(status, headers, body)
 
-    def note(self, how: str, request: Request) -> None:
+    def record_outcome(self, how: str, request: Request) -> None:
         self.counts[how] = self.counts.get(how, 0) + 1
-        if self.access and how != "passed_on":
+        if self.logs_access and how != "passed_on":
             self.log(
                 "access",
-                tx=request.trace.decode("latin-1"),
+                tx=request.trace_id.decode("latin-1"),
                 how=how,
                 hops=request.trail,
                 ms=(clock() - request.taken) // 1000,
@@ -560,10 +568,10 @@
         if how != "committed":
             self.log(
                 how,
-                tx=request.trace.decode("latin-1"),
+                tx=request.trace_id.decode("latin-1"),
                 **self.kind_of(request),
                 hops=request.trail,
-                out=len(request.hops) - len(request.trail),
+                out=len(request.attempts) - len(request.trail),
                 ms=(clock() - request.taken) // 1000,
             )
 
@@ -571,26 +579,26 @@
         """For a line of the log."""
         return {"route": request.route} if request.route else {"profile": request.profile}
 
-    def drop_if_over(self, request: Request) -> None:
-        if request.handle.is_finished:
-            request.policy.held -= 1
-            if not request.policy.held and request.policy is not self.policies[-1]:
+    def forget_if_finished(self, request: Request) -> None:
+        if request.state.is_finished:
+            request.policy.open_requests -= 1
+            if not request.policy.open_requests and request.policy is not self.policies[-1]:
                 self.policies.remove(request.policy)
             self.requests.remove(request.number)
-            self.traces.discard(request.trace)
+            self.trace_ids.discard(request.trace_id)
             # Its hops name it: left so, each transaction and its body would wait for the garbage collector.
-            request.hops.clear()
+            request.attempts.clear()
 
-    def stop_by(self, when: int) -> None:
+    def shut_down_by(self, when: int) -> None:
         """From now on transactions are given until then at the most."""
-        self.stop_at = when
+        self.shutdown_deadline = when
         for request in self.requests:
-            if not request.hops:  # in line: without a hop nothing would end it when the program does
-                request.handle.deadline = min(request.handle.deadline, when)
+            if not request.attempts:  # in line: without a hop nothing would end it when the program does
+                request.state.deadline = min(request.state.deadline, when)
         self.timers.schedule(when, self.give_up_all)
 
     def give_up_all(self) -> None:
         """The program is killed soon: what is out counts as timed out, lest it end without an answer."""
         for request in self.requests:
-            for hop in request.hops:
+            for hop in request.attempts:
                 hop.give_up(Outcome.TIMED_OUT)
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -153,7 +153,7 @@
         view, settled = self.view(), self.settled()
         members = {m.name for m in view.members if m.state != "unreached"}
         for pool, router in self.pools():
-            balancer, places = router.balancer, router.table.upstreams
+            balancer, places = router.balancer, router.table.endpoints
             indices = {places[u.index].name: u.index for u in balancer.ready if not u.ejected}
 
             def told(name: str, tried: int, bad: int, balancer=balancer, indices=indices) -> None:
@@ -165,7 +165,9 @@
                 self.log("believed", pool=pool, upstream=each.upstream, origins=each.origins)
         if self.probing is not None:
             rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else ()
-            shared = [(pool, router) for pool, router in self.pools() if router.shares is not None]
+            shared = [
+                (pool, router) for pool, router in self.pools() if router.health_check_delegate is not None
+            ]
             heard = now >= self.failure_detector.unsettled_until and self.failure_detector.exclusion != "dead"
             self.probing.beat(rows, bool(rows) and heard, shared)
         if self.shares is not None:
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -14,8 +14,8 @@
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
-from dahliabend.proxy.dispatcher import Desk, Pool
-from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.dispatcher import Dispatcher, Pool
+from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.checks import Effective, targets
 from dahliabend.routing_rules.choice import Choice
@@ -189,7 +189,7 @@
         self.timers = TimerQueue(loop)
         self.descriptors = DescriptorBudget(self.sockets - (ADMIN_DESCRIPTORS if self.admin else 0))
         self.metrics = Metrics()
-        self.router = self.dispatcher = Desk(self.metrics, log, self.seed)
+        self.router = self.dispatcher = Dispatcher(self.metrics, log, self.seed)
         self.listener = Listener(self.timers, self.descriptors, self.accept)
         self.admin_descriptors, self.operations = (
             DescriptorBudget(PROCESS_DESCRIPTORS + ADMIN_DESCRIPTORS),
@@ -276,53 +276,58 @@
         for name, pool in file.pools.items():
             node, profiles[name] = node_of(made, name, self.seed, self.sockets)
             self.patience = max(self.patience, *node.longest)
-            running = self.dispatcher.names.get(name)
+            running = self.dispatcher.pools_by_name.get(name)
             if running is None:
                 running = self.open_pool(name, node)
             else:
-                running.router.table.dial_time, running.router.table.rest = node.dial_time, node.rest
-                running.router.switch(node)
-            running.router.access = file.log.access
+                running.router.table.connect_timeout, running.router.table.idle_timeout = (
+                    node.dial_time,
+                    node.rest,
+                )
+                running.router.apply_settings(node)
+            running.router.logs_access = file.log.access
             running.router.route_names = [file.routes[number].name for number in profiles[name]]
             self.update_subset(running, pool)
             self.open_endpoint_list(running, pool)
-        self.dispatcher.use(file, profiles)
+        self.dispatcher.apply_routes(file, profiles)
         self.divide_shared_limits()
-        for name in [name for name in self.dispatcher.names if name not in file.pools]:
-            self.dispatcher.retire(name)
+        for name in [name for name in self.dispatcher.pools_by_name if name not in file.pools]:
+            self.dispatcher.retire_pool(name)
         if isinstance(self.log, StructuredLog):
             self.log.apply_settings(file.log)
         self.log_unmet(tuple(unmet(file)))
         self.plan = made
 
     def listening_fields(self) -> dict:
-        return {"pools": list(self.dispatcher.names)}
+        return {"pools": list(self.dispatcher.pools_by_name)}
 
     def open_pool(self, name: str, node: Node) -> Pool:
         log = self.log.bind(pool=name) if isinstance(self.log, StructuredLog) else self.log
-        table = UpstreamTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        table = EndpointTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
         router = Router(node, self.timers, table, self.metrics, log)
-        table.sweep()
+        table.close_expired_connections()
         if self.cluster is not None and self.cluster.gossip is not None:
-            router.tells = partial(self.cluster.saw, name)
+            router.on_attempt_finished = partial(self.cluster.saw, name)
             if self.cluster.probing is not None:
-                router.shares = partial(self.cluster.probing.want, name)
-        return self.dispatcher.add(name, router)
+                router.health_check_delegate = partial(self.cluster.probing.want, name)
+        return self.dispatcher.add_pool(name, router)
 
     def update_subset(self, running: Pool, pool: types.Pool) -> None:
         """Whether it uses some of its upstreams; a reload that changes it has the list read anew."""
         terms = pool.subset and (pool.subset, pool.balancers)
-        if running.terms == terms:
+        if running.subset_settings == terms:
             return
-        running.terms = terms
-        if running.narrowed is not None:
-            running.narrowed.stop()
-        running.narrowed = None
+        running.subset_settings = terms
+        if running.subset_filter is not None:
+            running.subset_filter.stop()
+        running.subset_filter = None
         if pool.subset is not None:
-            running.router.shares = None  # who is first in a duty's order may not use that upstream
+            running.router.health_check_delegate = (
+                None  # who is first in a duty's order may not use that upstream
+            )
             from dahliabend.server.subset_filter import SubsetFilter
 
-            running.narrowed = SubsetFilter(
+            running.subset_filter = SubsetFilter(
                 running.router,
                 pool.subset,
                 pool.balancers,
@@ -336,12 +341,16 @@
             running.router.discovery = None
 
     def subsets(self) -> dict:
-        return {pool.name: pool.narrowed.status() for pool in self.dispatcher if pool.narrowed is not None}
+        return {
+            pool.name: pool.subset_filter.status()
+            for pool in self.dispatcher
+            if pool.subset_filter is not None
+        }
 
     def open_endpoint_list(self, running: Pool, pool: types.Pool) -> None:
         """Where its members come from, now. What is known of them stays."""
         router, before = running.router, running.router.discovery
-        reader = running.narrowed or router
+        reader = running.subset_filter or router
         if pool.discovery is not None:
             if isinstance(before, DiscoveryClient):
                 return before.change_address(address(pool.discovery))
@@ -351,7 +360,7 @@
                 endpoint_list,
                 self.timers,
                 self.descriptors,
-                router.table.dial_time,
+                router.table.connect_timeout,
                 router.balancer.chance,
                 self.log,
             )
@@ -371,8 +380,8 @@
 
     def stop_list(self, running: Pool, keeper: DiscoveryClient | EndpointListFile) -> None:
         keeper.stop()
-        if running.narrowed is not None:
-            running.narrowed.stop()
+        if running.subset_filter is not None:
+            running.subset_filter.stop()
 
     def open(self) -> None: ...
 
@@ -432,15 +441,15 @@
 
     def report_demand(self) -> None:
         """What pools with a subset were asked: by it the others' subsets make room."""
-        pools = [pool for pool in self.dispatcher if pool.narrowed is not None]
+        pools = [pool for pool in self.dispatcher if pool.subset_filter is not None]
         self.cluster.asked(sum(sum(pool.router.counts.values()) for pool in pools))
         self.timers.schedule(clock() + DEMAND, self.report_demand)
 
     def beat(self) -> None:
-        for pool in self.dispatcher.clear():
+        for pool in self.dispatcher.remove_finished_pools():
             pool.stop()
-            for upstream in tuple(pool.router.table.upstreams):
-                pool.router.table.forget(upstream)
+            for upstream in tuple(pool.router.table.endpoints):
+                pool.router.table.remove(upstream)
             self.log("pool.gone", pool=pool.name)
         for pool in self.dispatcher:
             balancer = pool.router.balancer
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -10,7 +10,7 @@
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.admin_connection import AdminConnection
 from dahliabend.http.client_connection import ClientConnection
-from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.admin import AdminApi
 from dahliabend.server.hot_restart import HotRestart
@@ -41,7 +41,7 @@
         self.timers = TimerQueue(loop)
         self.descriptors = DescriptorBudget(node.sockets - (ADMIN_DESCRIPTORS if node.admin else 0))
         self.metrics = Metrics()
-        table = UpstreamTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        table = EndpointTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
         self.router = Router(node, self.timers, table, self.metrics, log)
         self.endpoint_list = endpoint_list = EndpointList(self.router, log)
         self.discovery = self.router.discovery = DiscoveryClient(
@@ -63,7 +63,7 @@
         self.log_unmet(node.unmet)
         if node.known:
             endpoint_list.apply(node.known, first=True)
-        table.sweep()
+        table.close_expired_connections()
 
     async def start(self) -> None:
         """Until callers are taken."""
@@ -125,14 +125,14 @@
     def resume_from(self, state: dict) -> None:
         self.router.epoch = state["epoch"]  # else the same start would look like another one
         for name in state["once"]:
-            self.router.table.remember(name)
+            self.router.table.remember_id(name)
         for name, when in state["returned"].items():
-            self.router.table.find(name).returned = when
+            self.router.table.get_or_create(name).included_at = when
         self.endpoint_list.apply(state["list"], first=True)
-        kept = self.router.follow(state)
+        kept = self.router.restore(state)
         self.discovery.change_address(tuple(state["discovery"]))
         self.discovery.attempted = True  # it has been asked already, by the one before
-        self.log("followed", kept=kept, upstreams=len(self.router.table.upstreams))
+        self.log("followed", kept=kept, upstreams=len(self.router.table.endpoints))
 
     def check_other_processes(self, again: bool = True) -> None:
         """Who else is there, and what has an operator told the other?"""
@@ -145,19 +145,23 @@
             self.sharing_descriptors = not self.sharing_descriptors  # to the limits both are one balancer
             self.descriptors.set_share(1 / 2 if self.sharing_descriptors else 1)
         if living:
-            self.handover.publish_in_flight(self.router.out())
+            self.handover.publish_in_flight(self.router.attempts_in_flight())
         self.router.balancer.beside = sum(living.values())
         excluded = self.handover.exclusions()
         for name in sorted(excluded ^ self.router.excluded):
-            self.router.table.remember(name)
+            self.router.table.remember_id(name)
             self.router.exclude(name, name in excluded)
         if again and newer:
             self.handover.write_state_for(newer[-1], self.handover_state)
 
     def handover_state(self) -> dict:
         """What a successor goes on from."""
-        servers = {"version": self.endpoint_list.version, "full": True, "servers": self.router.servers()}
-        return self.router.known() | {"list": servers, "discovery": self.discovery.address}
+        servers = {
+            "version": self.endpoint_list.version,
+            "full": True,
+            "servers": self.router.endpoint_entries(),
+        }
+        return self.router.snapshot() | {"list": servers, "discovery": self.discovery.address}
 
     # What operators ask for.
 
@@ -165,7 +169,7 @@
         return self.listener.sock is not None and self.router.ready()
 
     def telemetry(self) -> dict:
-        return self.metrics.snapshot() | self.router.shown()
+        return self.metrics.snapshot() | self.router.telemetry()
 
     def members(self) -> dict | None:
         """Who else balances, where that is known."""
@@ -216,7 +220,7 @@
             "figures", counts=self.router.counts, held=len(self.router.requests),
             connections=len(self.descriptors.connections), out=balancer.out, crowd=round(balancer.ceiling, 1),
             tier=round(balancer.tier.metric, 2), ready=len(balancer.ready), using=len(balancer.using),
-            aside=[self.router.table.upstreams[u.index].name for u in balancer.ready if u.ejected],
+            aside=[self.router.table.endpoints[u.index].name for u in balancer.ready if u.ejected],
         )  # fmt: skip
         self.timers.schedule(clock() + METRICS_INTERVAL, self.beat)
 
@@ -242,10 +246,10 @@
         # Callers that connected before wait as long as either settings allow.
         self.patience, self.terms = max(self.patience, *node.longest), node.terms
         table = self.router.table
-        table.dial_time, table.rest = node.dial_time, node.rest
+        table.connect_timeout, table.idle_timeout = node.dial_time, node.rest
         held = len(self.router.requests)
-        kept = self.router.switch(node)
-        self.log("switched", held=held, kept=kept, afresh=len(table.upstreams) - kept)
+        kept = self.router.apply_settings(node)
+        self.log("switched", held=held, kept=kept, afresh=len(table.endpoints) - kept)
         self.log_unmet(node.unmet)
 
     def log_unmet(self, unmet: tuple[str, ...]) -> None:
@@ -255,11 +259,11 @@
     # The end.
 
     def stop(self) -> None:
-        if self.router.stop_at:
+        if self.router.shutdown_deadline:
             return
         now = clock()
         self.log("stopping", held=len(self.router.requests))
-        self.router.stop_by(now + min(self.patience, MAX_STOP_TIME) + STOP_MARGIN - ANSWER_MARGIN)
+        self.router.shut_down_by(now + min(self.patience, MAX_STOP_TIME) + STOP_MARGIN - ANSWER_MARGIN)
         # Callers go elsewhere as soon as their connections close; those with a request are answered first.
         self.close_idle_clients()
         self.timers.schedule(now + (0 if self.listener.shared else ACCEPT_PERIOD), self.stop_accepting)
@@ -276,7 +280,7 @@
         self.wait_for_callers()
 
     def wait_for_callers(self) -> None:
-        if not self.close_idle_clients() or clock() >= self.router.stop_at + ANSWER_MARGIN // 2:
+        if not self.close_idle_clients() or clock() >= self.router.shutdown_deadline + ANSWER_MARGIN // 2:
             self.done.set_result(None)
         else:
             self.timers.schedule(clock() + ANSWER_MARGIN // 30, self.wait_for_callers)
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -4,24 +4,26 @@
 
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.proxy.endpoint_table import Upstream
-from dahliabend.proxy.router import Policy, Router
+from dahliabend.proxy.endpoint_table import Endpoint
+from dahliabend.proxy.router import PolicyPort, Router
 from dahliabend.transport.timers import clock
 
 
-def health_check_task(pool: str, upstream: Upstream) -> str:
+def health_check_task(pool: str, upstream: Endpoint) -> str:
     return f"probe {pool} {upstream.name}"
 
 
 class SharedHealthChecks:
     def __init__(self, me: str, period: int, log: Callable) -> None:
         self.shared = LeasedHealthChecks(me, period, self.probe, log)
-        self.places: dict[str, tuple[Router, Upstream]] = {}  # by duty
+        self.places: dict[str, tuple[Router, Endpoint]] = {}  # by duty
 
-    def want(self, pool: str, upstream: Upstream, policy: Policy) -> bool:
+    def want(self, pool: str, upstream: Endpoint, policy: PolicyPort) -> bool:
         """The decisions want one probed. False: it is theirs to do."""
         index, duty = upstream.index, health_check_task(pool, upstream)
-        return self.shared.request_check(clock(), duty, lambda _, outcome: policy.probed(index, outcome))
+        return self.shared.request_check(
+            clock(), duty, lambda _, outcome: policy.health_check_finished(index, outcome)
+        )
 
     def beat(
         self, members: Iterable[tuple[str, str]], settled: bool, pools: list[tuple[str, Router]]
@@ -29,7 +31,7 @@
         self.places = {
             health_check_task(pool, upstream): (router, upstream)
             for pool, router in pools
-            for upstream in router.table.upstreams.values()
+            for upstream in router.table.endpoints.values()
             if upstream.state is EndpointState.READY
         }
         zones = {duty: upstream.zone for duty, (_, upstream) in self.places.items()}
@@ -38,7 +40,7 @@
     def probe(self, duty: str, told: ResultCallback) -> None:
         if duty in self.places:  # else it has gone since
             router, upstream = self.places[duty]
-            router.policies[-1].sound(upstream, lambda _, outcome: told(clock(), outcome))
+            router.policies[-1].start_health_check(upstream, lambda _, outcome: told(clock(), outcome))
 
     def shown(self) -> dict:
         """Of each duty, who did it last, under which number and how long ago."""
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -58,7 +58,7 @@
                 self.rows.pop(row[0], None)
             else:
                 self.rows[row[0]] = row
-                self.router.table.remember(row[0])  # an operator may take it out before it is in use
+                self.router.table.remember_id(row[0])  # an operator may take it out before it is in use
         self.keeper.update_upstreams(
             clock(),
             [
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -48,9 +48,12 @@
                 broken("left behind", f"{name}: {what}")
 
         want(not len(router.requests), f"{len(router.requests)} transactions that nobody waits for")
-        want(not router.traces, f"{len(router.traces)} ids of ended transactions")
+        want(not router.trace_ids, f"{len(router.trace_ids)} ids of ended transactions")
         want(len(router.policies) == 1, f"{len(router.policies)} sets of decisions")
-        want(all(not policy.held for policy in router.policies), "a set of decisions holds a transaction")
+        want(
+            all(not policy.open_requests for policy in router.policies),
+            "a set of decisions holds a transaction",
+        )
         want(
             program.metrics.open_requests == 0,
             f"{program.metrics.open_requests} open requests in the figures",
@@ -70,8 +73,8 @@
         want(not closed, f"{closed} closed connections keep their slots")
         bytes_left = sum(c.unsent_bytes + c.receive_buffer.count for c in tables)
         want(not bytes_left, f"{bytes_left} bytes in buffers of connections at rest")
-        resting = sum(len(u.resting) for u in router.table.upstreams.values())
-        links = sum(len(u.links) for u in router.table.upstreams.values())
+        resting = sum(len(u.idle_connections) for u in router.table.endpoints.values())
+        links = sum(len(u.connections) for u in router.table.endpoints.values())
         want(links <= resting + SPARE, f"{links} connections to upstreams, {resting} at rest")
         for listener in (program.listener, program.admin_listener):
             want(not listener.accept_tasks, f"{len(listener.accept_tasks)} connections that never came up")
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -250,6 +250,11 @@
     def look(self, pool) -> None:
         """What a pool holds at rest."""
         router = pool.router
-        held = len(router.requests), len(router.traces), sum(s.held for s in router.policies), router.out()
+        held = (
+            len(router.requests),
+            len(router.trace_ids),
+            sum(s.open_requests for s in router.policies),
+            router.attempts_in_flight(),
+        )
         if any(held):
             self.rules.broken("left behind", f"{pool.name}: {held} requests, ids, in policies, hops")
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -14,7 +14,7 @@
 from dahliabend.http.client_connection import Caller
 from dahliabend.http.upstream_connection import Link
 from dahliabend.model import EndpointState
-from dahliabend.proxy.endpoint_table import UpstreamTable
+from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.metrics import Figures
 from dahliabend.transport import host_info
@@ -130,7 +130,7 @@
     def __init__(self, fake_clock: FakeClock, node: Node, upstreams: int, connections: int = 4) -> None:
         self.clock, self.loop = fake_clock, FakeLoop()
         self.deadlines, self.descriptors = TimerQueue(self.loop), DescriptorBudget(200)
-        table = UpstreamTable(self.deadlines, self.descriptors, node.dial_time, node.rest, ignore)
+        table = EndpointTable(self.deadlines, self.descriptors, node.dial_time, node.rest, ignore)
         self.figures = Figures()
         self.router = Router(node, self.deadlines, table, self.figures, ignore)
         self.router.discovery = SimpleNamespace(tried=True, ask=ignore)
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -70,7 +70,7 @@
         state = mine.read_state()
         assert state is not None
         program.resume_from(state)
-        decisions, upstreams = program.router.balancer, program.router.table.upstreams
+        decisions, upstreams = program.router.balancer, program.router.table.endpoints
         for index, u in sorted(decisions.upstreams.items()):
             values[upstreams[index].name] = [
                 u.born, u.pace, u.heard, u.answered, u.turn, u.ejected, u.since, u.strikes, u.budget,
--- a/tests/pins/test_http_bytes.py
+++ b/tests/pins/test_http_bytes.py
@@ -175,7 +175,7 @@
 }  # fmt: skip
 
 
-class Exchange:
+class UpstreamRequest:
     """One case as it is played: the connections and what was written to them."""
 
     def __init__(self, proxy: Proxy) -> None:
@@ -230,7 +230,7 @@
     """The steps of a case, each with what is written then."""
     with stopped_clock() as fake_clock:
         proxy = Proxy(fake_clock, node_of(SETTINGS, path), upstreams)
-        exchange, played = Exchange(proxy), []
+        exchange, played = UpstreamRequest(proxy), []
         for who, what in CASES[case]:
             exchange.act(who, what)
             played.append([who, shortened(str(what)), exchange.written()])
@@ -268,7 +268,7 @@
     """A request while the list has no upstream."""
     with stopped_clock() as fake_clock:
         proxy = Proxy(fake_clock, node_of(SETTINGS, path), 0)
-        exchange = Exchange(proxy)
+        exchange = UpstreamRequest(proxy)
         texts = []
         for text in (request(), request("/submit", "POST", "once"), "GET /-/ready HTTP/1.1\r\n\r\n"):
             exchange.act(CLIENT, text)
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -242,7 +242,10 @@
     before, after = (Counter(p for at, p in runs if (at < zero) is early) for early in (True, False))
     assert before["main"] > 400 and before["old"] > 400 and not before["new"]
     assert after["old"] <= 3 and abs(after["new"] / (after["new"] + after["main"]) - 0.75) < 0.02
-    assert made.rules.counts["served"] == 2_000 and set(made.program.dispatcher.names) == {"main", "new"}
+    assert made.rules.counts["served"] == 2_000 and set(made.program.dispatcher.pools_by_name) == {
+        "main",
+        "new",
+    }
     assert len(made.program.dispatcher.pools) == 2  # the old one is forgotten
 
 
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -14,7 +14,14 @@
 
 ROOT = Path(dahliabend.__file__).parent
 LOGGING = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
-OUTCOMES = {"committed", "cut", "left", "rolled_back", "abandoned", "passed_on"}  # `how`, in Router.note
+OUTCOMES = {
+    "committed",
+    "cut",
+    "left",
+    "rolled_back",
+    "abandoned",
+    "passed_on",
+}  # `how`, in Router.record_outcome
 
 
 def calls():
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -20,8 +20,8 @@
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.policy.key_order import Lines
 from dahliabend.proxy import router
-from dahliabend.proxy.endpoint_table import Exchange, Phase, UpstreamTable
-from dahliabend.proxy.router import Hop, Router
+from dahliabend.proxy.endpoint_table import EndpointTable, Phase, UpstreamRequest
+from dahliabend.proxy.router import Attempt, Router
 from dahliabend.server.hot_restart import HotRestart
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import sweep
@@ -88,22 +88,22 @@
 
 
 def keep_a_slot():
-    real = Router.drop_if_over
+    real = Router.forget_if_finished
 
-    def drop_if_over(self, request):
-        if not request.trace.endswith(b"7"):
+    def forget_if_finished(self, request):
+        if not request.trace_id.endswith(b"7"):
             real(self, request)
 
-    return instead(Router, "drop_if_over", drop_if_over)
+    return instead(Router, "forget_if_finished", forget_if_finished)
 
 
 def keep_a_deadline():
-    def settle(self):
-        self.phase, self.link = Phase.OVER, None
-        self.upstream.table.timers.cancel(self.deadline)
-        self.upstream.table.timers.schedule(clock() + 3600 * S, int)
+    def mark_finished(self):
+        self.phase, self.connection = Phase.FINISHED, None
+        self.endpoint.table.timers.cancel(self.timeout_timer)
+        self.endpoint.table.timers.schedule(clock() + 3600 * S, int)
 
-    return instead(Exchange, "settle", settle)
+    return instead(UpstreamRequest, "mark_finished", mark_finished)
 
 
 def keep_a_task():
@@ -117,28 +117,28 @@
 
 
 def answer_late():
-    real = Router.answer
+    real = Router.respond
 
-    def answer(self, ref, how, status, headers, body):
+    def respond(self, ref, how, status, headers, body):
         if how == "committed":
             return real(self, ref, how, status, headers, body)
         self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
 
-    return instead(Router, "answer", answer)
+    return instead(Router, "respond", respond)
 
 
 def two_hops_at_once():
     def give_up(self, outcome):
-        if self.over:
+        if self.is_finished:
             return
-        written = self.link is not None and self.link.is_flushed
-        if self.link is not None:
-            self.link.handler = None  # left open: the upstream goes on with it
-        if self.dialing is not None:
-            self.dialing.cancel()
-        self.end_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
+        written = self.connection is not None and self.connection.is_flushed
+        if self.connection is not None:
+            self.connection.handler = None  # left open: the upstream goes on with it
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+        self.finish_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
 
-    return instead(Exchange, "give_up", give_up)
+    return instead(UpstreamRequest, "give_up", give_up)
 
 
 @contextmanager
@@ -157,7 +157,7 @@
     def connection_closed(self):
         real_connection_closed(self)
         if getattr(self, "before", -1) >= 0:
-            self.dispatcher.left(self.before)
+            self.dispatcher.client_disconnected(self.before)
 
     with (
         instead(HandleTable, "get", get),
@@ -218,17 +218,17 @@
 
 
 def dial_for_ever():
-    real = Exchange.connect
+    real = UpstreamRequest.connect
 
     async def connect(self, table, link):
-        before, table.dial_time = table.dial_time, 3600 * S
-        self.until = self.send_by = self.until + 3600 * S
+        before, table.connect_timeout = table.connect_timeout, 3600 * S
+        self.expires_at = self.send_deadline = self.expires_at + 3600 * S
         try:
             await real(self, table, link)
         finally:
-            table.dial_time = before
+            table.connect_timeout = before
 
-    return instead(Exchange, "connect", connect)
+    return instead(UpstreamRequest, "connect", connect)
 
 
 @contextmanager
@@ -246,10 +246,10 @@
     """What was given up goes out all the same, once its connection is up."""
 
     def give_up(self, outcome):
-        if not self.over and self.dialing is not None:
-            self.router.answer(self.request.number, "abandoned", 502, b"", b"early\n")
+        if not self.is_finished and self.connect_task is not None:
+            self.router.respond(self.request.number, "abandoned", 502, b"", b"early\n")
 
-    return instead(Hop, "give_up", give_up)
+    return instead(Attempt, "give_up", give_up)
 
 
 def forget_what_is_excluded():
@@ -265,23 +265,26 @@
 
 
 def use_connections_again_at_once():
-    return instead(UpstreamTable, "settle", property(lambda self: 0))
+    return instead(EndpointTable, "reuse_delay", property(lambda self: 0))
 
 
 @contextmanager
 def send_for_those_who_have_gone():
     """What waits for its connection goes out on it, whoever waits for it still."""
-    with instead(Hop, "awaited", lambda self: True), instead(Exchange, "unsend", lambda self: None):
+    with (
+        instead(Attempt, "is_awaited", lambda self: True),
+        instead(UpstreamRequest, "cancel_unsent", lambda self: None),
+    ):
         yield
 
 
 def repeat_past_the_window():
-    return instead(router, "repeat_until", lambda handle: router.FAR)
+    return instead(router, "deduplication_deadline", lambda handle: router.NO_DEADLINE)
 
 
 def tell_the_time_of_the_choice():
-    real = Hop.head_for
-    return instead(Hop, "head_for", lambda self, left: real(self, self.until - self.sent))
+    real = Attempt.build_head
+    return instead(Attempt, "build_head", lambda self, left: real(self, self.expires_at - self.started_at))
 
 
 def read_on_only_when_there_is_room():
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -16,7 +16,7 @@
     def __init__(self):
         self.told, self.excluded, self.failed = [], set(), 0
         self.table = SimpleNamespace(
-            indices={}, once={}, remember=lambda name: self.table.once.update({name: None})
+            indices={}, known_ids={}, remember_id=lambda name: self.table.known_ids.update({name: None})
         )
         self.balancer = SimpleNamespace(ready=[], window=1, last_heard=0)
 
@@ -47,7 +47,7 @@
     made, router = narrowed(least=6, degree=4)
     made.endpoints_changed(rows(range(30)), full=True)
     assert set(router.told[-1]) == set(made.subset.weights) and 6 <= len(router.told[-1]) <= 9
-    assert set(router.table.once) == {f"u{n}" for n in range(30)}
+    assert set(router.table.known_ids) == {f"u{n}" for n in range(30)}
     assert made.status()["by"] == "name" and made.status()["of"] == 30
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,15 +14,15 @@
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.proxy.endpoint_table import Exchange, UpstreamTable
-from dahliabend.proxy.router import Policy, Request, Router
+from dahliabend.proxy.endpoint_table import EndpointTable, UpstreamRequest
+from dahliabend.proxy.router import PolicyPort, Request, Router
 from dahliabend.transport.connection import BUFFER_SIZE, Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.handles import HandleTable
 from dahliabend.transport.timers import TimerQueue, clock
 
 DESK = SimpleNamespace(
-    closing=lambda: False, methods=(b"GET", b"POST"), sort=lambda *_: None, ready=lambda: True
+    closing=lambda: False, methods=(b"GET", b"POST"), classify=lambda *_: None, ready=lambda: True
 )
 
 
@@ -72,24 +72,24 @@
     timers = TimerQueue(
         loop or SimpleNamespace(call_later=lambda *_: None, call_soon=lambda call, *a: call(*a))
     )
-    return UpstreamTable(timers, DescriptorBudget(limit), 75 * MS, 4 * S, Notes().append)
+    return EndpointTable(timers, DescriptorBudget(limit), 75 * MS, 4 * S, Notes().append)
 
 
-class Asked(Exchange):
-    def ended(self, outcome, took, answer):
+class Asked(UpstreamRequest):
+    def on_finished(self, outcome, took, answer):
         self.outcome = outcome
 
 
 def asked(takes=1 << 30, length=9, kind=Asked):
     """A request out on a connection that takes so many bytes: the request and the link."""
-    upstream = upstream_table().find("s-1")
-    upstream.wanted = True
+    upstream = upstream_table().get_or_create("s-1")
+    upstream.enabled = True
     link = UpstreamConnection(upstream.table.descriptors, upstream)
-    upstream.links.add(link)
+    upstream.connections.add(link)
     Pipe(link, takes)
     upstream.return_connection(link)
     upstream.table.descriptors.mark_idle(
-        link.handle, clock() - upstream.table.settle
+        link.handle, clock() - upstream.table.reuse_delay
     )  # no second answer came
     exchange = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     exchange.start()
@@ -138,14 +138,14 @@
     feed(link, b"HTTP/1.1 100 Continue\r\n\r\n" + ONE)
     assert exchange.outcome is Outcome.SUCCEEDED and not link.closed
     feed(link, b"H")
-    assert link.closed and exchange.upstream.rested(clock() + SETTLED)[0] is None
+    assert link.closed and exchange.endpoint.take_idle_connection(clock() + SETTLED)[0] is None
 
 
 ONE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class Heard(Asked):
-    def ended(self, outcome, took, answer):
+    def on_finished(self, outcome, took, answer):
         self.outcome, self.body = outcome, answer and answer[1]
 
 
@@ -168,7 +168,7 @@
             near.setblocking(False)
             link.sock = near
             far.send(late) if late else far.close()
-            assert exchange.upstream.rested(clock() + SETTLED)[0] is None and link.closed
+            assert exchange.endpoint.take_idle_connection(clock() + SETTLED)[0] is None and link.closed
 
 
 def test_an_answer_that_cannot_be_read_fails_its_hop_at_once():
@@ -188,46 +188,46 @@
     exchange, link = asked()
     old = link.handle
     feed(link, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-    exchange.upstream.close_idle(clock())
+    exchange.endpoint.close_idle(clock())
     link.connection_lost(None)
-    table = exchange.upstream.table.descriptors
-    new = UpstreamConnection(table, exchange.upstream)
+    table = exchange.endpoint.table.descriptors
+    new = UpstreamConnection(table, exchange.endpoint)
     table.release(old)
     assert table.connections.get(new.handle) is new and new.handle != old
 
 
 def test_an_idle_connection_near_its_time_is_not_used_again():
-    upstream = upstream_table().find("s-1")
-    upstream.wanted = True
+    upstream = upstream_table().get_or_create("s-1")
+    upstream.enabled = True
     for age, used in ((3 * S, True), (5 * S, False)):
         link = UpstreamConnection(upstream.table.descriptors, upstream)
-        upstream.links.add(link)
+        upstream.connections.add(link)
         upstream.return_connection(link)
-        assert (upstream.rested(clock() + age)[0] is link) == used
+        assert (upstream.take_idle_connection(clock() + age)[0] is link) == used
 
 
 def test_only_connections_idle_for_longer_are_closed():
-    upstream = upstream_table().find("s-1")
-    upstream.wanted = True
+    upstream = upstream_table().get_or_create("s-1")
+    upstream.enabled = True
     old, new = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
     for link in (old, new):
         upstream.return_connection(link)
     upstream.table.descriptors.idle[old.handle] -= S
     upstream.close_idle(clock() - S // 2)
-    assert old.closed and not new.closed and 0 <= upstream.rested(clock() + SETTLED)[1] < S
+    assert old.closed and not new.closed and 0 <= upstream.take_idle_connection(clock() + SETTLED)[1] < S
 
 
 def test_a_new_address_ends_what_rests_at_the_old_one():
-    upstream = upstream_table().find("s-1")
-    upstream.use()
-    upstream.move(("127.0.0.1", 1))
+    upstream = upstream_table().get_or_create("s-1")
+    upstream.enable()
+    upstream.set_address(("127.0.0.1", 1))
     link, busy = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
-    upstream.links |= {link, busy}
+    upstream.connections |= {link, busy}
     upstream.return_connection(link)
     upstream.table.descriptors.mark_idle(
-        link.handle, clock() - upstream.table.settle
+        link.handle, clock() - upstream.table.reuse_delay
     )  # no second answer came
-    upstream.move(("127.0.0.1", 2))
+    upstream.set_address(("127.0.0.1", 2))
     assert link.closed and not busy.closed and not busy.keep_alive
 
 
@@ -241,24 +241,24 @@
 
     told, all_of = Told(), upstream_table()
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[told], excluded=set(), balancer=told.balancer)
-    desk.admit = lambda upstream: Router.admit(desk, upstream)
+    desk.update_connection_reuse = lambda upstream: Router.update_connection_reuse(desk, upstream)
     row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(desk, [row], True)
-    upstream = all_of.find("s-1")
+    upstream = all_of.get_or_create("s-1")
     busy, rests = (UpstreamConnection(all_of.descriptors, upstream) for _ in range(2))
     upstream.return_connection(rests)
     Router.endpoints_changed(desk, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
     upstream.return_connection(busy)  # its answer came later
-    assert rests.closed and busy.closed and not all_of.upstreams and not all_of.indices
+    assert rests.closed and busy.closed and not all_of.endpoints and not all_of.indices
     Router.endpoints_changed(desk, [("s-2", *row[1:])], True)  # a new one at the same address
-    new = all_of.find("s-2")
-    assert told == [(new.index, "s-2")] and new.index != upstream.index and not new.resting
+    new = all_of.get_or_create("s-2")
+    assert told == [(new.index, "s-2")] and new.index != upstream.index and not new.idle_connections
     Router.endpoints_changed(desk, [row], True)
-    assert list(all_of.indices) == ["s-1"] and all_of.find("s-1") is not upstream
+    assert list(all_of.indices) == ["s-1"] and all_of.get_or_create("s-1") is not upstream
 
 
 def test_without_a_socket_left_a_hop_never_ran_and_the_upstream_is_not_to_blame():
-    upstream = upstream_table(limit=26).find("s-1")
+    upstream = upstream_table(limit=26).get_or_create("s-1")
     for _ in range(10):
         Connection(upstream.table.descriptors)
     exchange = Asked(upstream, b"x", b"", S)
@@ -433,14 +433,17 @@
             del made
             assert gone() is None
         request = Request(None, 0, b"", b"", b"", b"")
-        request.handle, request.hops = SimpleNamespace(is_finished=True), [SimpleNamespace(request=request)]
-        request.caller = made = Connection(DescriptorBudget(100))
+        request.state, request.attempts = (
+            SimpleNamespace(is_finished=True),
+            [SimpleNamespace(request=request)],
+        )
+        request.client = made = Connection(DescriptorBudget(100))
         made.release()
-        policy = request.policy = SimpleNamespace(held=1)
+        policy = request.policy = SimpleNamespace(open_requests=1)
         router = SimpleNamespace(
-            requests=HandleTable(4), traces=set(), policies=[policy, SimpleNamespace(held=0)]
+            requests=HandleTable(4), trace_ids=set(), policies=[policy, SimpleNamespace(open_requests=0)]
         )
-        Router.drop_if_over(router, request)
+        Router.forget_if_finished(router, request)
         assert len(router.policies) == 1  # nor does a set of decisions that has been followed stay
         gone = ref(made)
         del request, made
@@ -463,24 +466,24 @@
         zones={},
         balancer=SimpleNamespace(
             update_endpoints=lambda now, rows, full: told.append(rows[0]),
-            upstreams=all_of.upstreams,
+            upstreams=all_of.endpoints,
             only_draining_binds=False,
         ),
     )
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer)
     policy.router, policy.endpoints_changed = (
         desk,
-        lambda rows, full: Policy.endpoints_changed(policy, rows, full),
+        lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full),
     )
-    desk.admit = lambda upstream: Router.admit(desk, upstream)
+    desk.update_connection_reuse = lambda upstream: Router.update_connection_reuse(desk, upstream)
     row = ["s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a"]
     Router.endpoints_changed(desk, [row], True)
     assert Router.exclude(desk, "s-1", True) and not Router.exclude(desk, "s-2", True)
-    assert [u[1] for u in told] == [EndpointState.READY, EndpointState.EXCLUDED] and not all_of.find(
+    assert [u[1] for u in told] == [EndpointState.READY, EndpointState.EXCLUDED] and not all_of.get_or_create(
         "s-1"
-    ).wanted
+    ).enabled
     back = clock()
-    assert Router.exclude(desk, "s-1", False) and all_of.find("s-1").wanted
+    assert Router.exclude(desk, "s-1", False) and all_of.get_or_create("s-1").enabled
     Router.endpoints_changed(desk, [row], False)  # the list has not heard of a restart
     assert [u[1] for u in told[2:]] == [EndpointState.READY] * 2 and told[2][2] == told[3][2] >= back
     row[3] = (clock() + S) // 1000
