--- a/dahliabend/simulator_adapter/codec.py
+++ b/dahliabend/simulator_adapter/codec.py
@@ -103,15 +103,15 @@
 
 
 fault_head, log_head, memo_head = 17, 20, 27
-hang_up = _action(16, ">I6s")
-wake_me = _action(18, ">IQd")
-finish_error = _action(19, ">IQ")
-refuse = _action(21, ">IQd")
+close_idle_connections = _action(16, ">I6s")
+set_timer = _action(18, ">IQd")
+fail = _action(19, ">IQ")
+reject = _action(21, ">IQd")
 subscribe = _action(22, ">IB")
-sound_out = _action(23, ">I6s")
+check_health = _action(23, ">I6s")
 cancel = _action(24, ">IQH")
 pull = _action(25, ">I")
-transmit = _action(26, ">IQ6sd")
+send_attempt = _action(26, ">IQ6sd")
 
 
 def _text(code: int, head: bytes, text: bytes) -> bytes:
@@ -123,9 +123,9 @@
     return _text(fault_head, pack(">I", instance), text.encode(errors="replace"))
 
 
-def write_log(instance: int, text: str) -> bytes:
+def log_line(instance: int, text: str) -> bytes:
     return _text(log_head, pack(">I", instance), text.encode(errors="replace"))
 
 
-def memo_to(instance: int, peer: int, contents: bytes) -> bytes:
+def send_to_peer(instance: int, peer: int, contents: bytes) -> bytes:
     return _text(memo_head, pack(">II", instance, peer), contents)
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -16,7 +16,7 @@
         self.out = out
         self.addresses: list[bytes] = []  # by upstream index
         self.indices: dict[bytes, int] = {}
-        self.handles: dict[int, RequestState] = {}
+        self.requests: dict[int, RequestState] = {}
         try:
             own = config.read(conf)
         except ValueError as error:
@@ -26,33 +26,33 @@
     # What the decisions do.
 
     def send(self, ref: int, upstream: int, timeout: int) -> None:
-        self.out.append(wire.transmit(self.number, ref, self.addresses[upstream], timeout / 1000))
+        self.out.append(wire.send_attempt(self.number, ref, self.addresses[upstream], timeout / 1000))
 
     def reject(self, ref: int, retry_after: int) -> None:
-        self.out.append(wire.refuse(self.number, ref, retry_after / 1000))
-        if ref in self.handles and self.handles[ref].is_finished:
-            del self.handles[ref]  # it waited for its turn
+        self.out.append(wire.reject(self.number, ref, retry_after / 1000))
+        if ref in self.requests and self.requests[ref].is_finished:
+            del self.requests[ref]  # it waited for its turn
 
     def fail(self, ref: int) -> None:
-        self.out.append(wire.finish_error(self.number, ref))
+        self.out.append(wire.fail(self.number, ref))
 
     def cancel(self, ref: int, hop: int) -> None:
         self.out.append(wire.cancel(self.number, ref, hop))
 
     def check_health(self, upstream: int) -> None:
-        self.out.append(wire.sound_out(self.number, self.addresses[upstream]))
+        self.out.append(wire.check_health(self.number, self.addresses[upstream]))
 
     def close_idle_connections(self, upstream: int, age: int) -> None:
-        self.out.append(wire.hang_up(self.number, self.addresses[upstream]))
+        self.out.append(wire.close_idle_connections(self.number, self.addresses[upstream]))
 
     def set_timer(self, at: int, token: int) -> None:
-        self.out.append(wire.wake_me(self.number, token, at / 1000))
+        self.out.append(wire.set_timer(self.number, token, at / 1000))
 
     def poll_endpoints(self) -> None:
         self.out.append(wire.subscribe(self.number, 1))
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
-        self.out.append(wire.memo_to(self.number, peer, payload))
+        self.out.append(wire.send_to_peer(self.number, peer, payload))
 
     # What happens to it.
 
@@ -73,7 +73,7 @@
                 now, ref, lane, billing, config.us(deadline), bool(options & 2), key=item
             )
             if not request.is_finished:
-                self.handles[ref] = request
+                self.requests[ref] = request
         elif code == wire.BELL:
             balancer.timer_fired(now, fields[1])
         elif code == wire.HEALTH:
@@ -85,7 +85,7 @@
 
     def happened(self, now: int, code: int, fields: tuple) -> None:
         """One of the events of a transaction; one already dropped may still be named."""
-        request = self.handles.get(fields[1])
+        request = self.requests.get(fields[1])
         if request is None:
             return
         if code == wire.RETURNED:
@@ -96,7 +96,7 @@
         else:
             request.response_started(now, fields[2])
         if request.is_finished:
-            self.handles.pop(fields[1], None)
+            self.requests.pop(fields[1], None)
 
     def update(self, now: int, scope: int, lines: bytes) -> None:
         if scope == _FAILED:
--- a/tests/simulator_adapter/test_codec.py
+++ b/tests/simulator_adapter/test_codec.py
@@ -57,15 +57,15 @@
     codes = [(code, fields[0]) for code, fields, _ in wire.records(body, count)]
     assert codes == [(wire.JOB_IN, 3), (wire.BELL, 3), (wire.CLIENT_GONE, 5)]
     reply = wire.reply(
-        [wire.transmit(3, 0x528BC5D3A91C4, bytes.fromhex("0a124a071b5b"), 80.0),
-         wire.wake_me(3, 0x4D, 8912.25), wire.write_log(5, "two servers known")]
+        [wire.send_attempt(3, 0x528BC5D3A91C4, bytes.fromhex("0a124a071b5b"), 80.0),
+         wire.set_timer(3, 0x4D, 8912.25), wire.log_line(5, "two servers known")]
     )  # fmt: skip
     assert reply.hex() == (
         "00000058000000031a0000001a00000003000528bc5d3a91c40a124a071b5b4054000000000000"
         "120000001400000003000000000000004d40c1682000000000"
         "1400000017000000050011" + b"two servers known".hex()
     )
-    assert wire.memo_to(3, 0xFFFFFFFF, b"hi p")[:5] == bytes.fromhex("1b0000000e")
+    assert wire.send_to_peer(3, 0xFFFFFFFF, b"hi p")[:5] == bytes.fromhex("1b0000000e")
 
 
 def test_a_transaction_goes_out_and_its_end_is_kept_to_itself():
@@ -87,7 +87,7 @@
     )
     assert pack(">BI", 26, 26) in first
     assert (
-        pack(">BIIQ", 21, 20, 3, 6) in second and not host.instances[3].handles
+        pack(">BIIQ", 21, 20, 3, 6) in second and not host.instances[3].requests
     )  # no upstreams: rolled back
 
 
