--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -13,7 +13,7 @@
 
 import path
 
-from dahliabend.config.operator_file.types import Route
+from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.routing_rules.table import Table
 
 TREE = Path(__file__).parents[1]
@@ -22,7 +22,9 @@
 def look_up(count: int, turns: int = 50_000) -> float:
     """Nanoseconds for one, over paths that hit routes everywhere in the table."""
     routes = [
-        Route(name=f"r{n}", class_="query", pool="a", path=f"/service{n % 100}/part{n}", methods=["GET"])
+        RouteSettings(
+            name=f"r{n}", class_="query", pool="a", path=f"/service{n % 100}/part{n}", methods=["GET"]
+        )
         for n in range(count)
     ]
     table, paths = (
--- a/dahliabend/__main__.py
+++ b/dahliabend/__main__.py
@@ -17,14 +17,14 @@
 def run() -> int:
     import uvloop
 
-    from dahliabend.config.platform import read_node
+    from dahliabend.config.platform import read_server_settings
     from dahliabend.server.log import Log
     from dahliabend.server.platform_server import BLOCKED_SIGNALS, serve_platform
 
     # Its default would end the program, and the file may be replaced just after it was read here.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
-        node = read_node(os.environ)
+        node = read_server_settings(os.environ)
     except ValueError as error:  # msgspec's errors are a kind of it
         print(f"dahliabend: {error}", file=sys.stderr)
         return 2
--- a/dahliabend/cli/emulate.py
+++ b/dahliabend/cli/emulate.py
@@ -121,7 +121,7 @@
     out.write_bytes(script.encode(least))
     click.echo(
         f"{out}: breaks {least.breaks!r} with {len(least.faults)} faults, {least.load.requests} "
-        f"transactions, {script.Span(least.length)}; {runs} runs"
+        f"transactions, {script.Duration(least.length)}; {runs} runs"
     )
 
 
--- a/dahliabend/cli/members.py
+++ b/dahliabend/cli/members.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from dahliabend.config.platform import address
+from dahliabend.config.platform import parse_address
 from dahliabend.routing_rules import plan as plans
 
 PATIENCE = 5.0  # seconds
@@ -18,7 +18,7 @@
 def door_of(where: str) -> tuple[str, int]:
     """The operators' address: given, or that of an operator's file."""
     try:
-        return address(where)
+        return parse_address(where)
     except ValueError:
         pass
     made = plans.plan(where)
@@ -27,7 +27,7 @@
     listener = made.file.listeners.get("operators")
     if listener is None:
         raise click.ClickException(f"{where}:1: listeners.operators: is missing: nobody can be asked")
-    return address(listener.address)
+    return parse_address(listener.address)
 
 
 def ask(where: str, path: str) -> dict:
--- a/dahliabend/cli/rig.py
+++ b/dahliabend/cli/rig.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.cluster import model, script
 from dahliabend.simulation.cluster.invariants import Outcome
 
@@ -15,7 +15,7 @@
 def fleet_of(what: str, instances: int, period: str, minutes: float) -> script.Fleet:
     """A seed's, or a file's."""
     if what.isascii() and what.isdigit():
-        return script.draw(int(what), instances, Span.read(period), minutes)
+        return script.draw(int(what), instances, Duration.parse(period), minutes)
     return script.read(what)
 
 
@@ -99,7 +99,9 @@
 @MINUTES
 def script_command(seed: int, instances: int, period: str, minutes: float) -> None:
     """Prints a seed's script as a file, to be changed by hand."""
-    click.echo(script.encode(script.draw(seed, instances, Span.read(period), minutes)).decode(), nl=False)
+    click.echo(
+        script.encode(script.draw(seed, instances, Duration.parse(period), minutes)).decode(), nl=False
+    )
 
 
 def table(outcome: Outcome) -> dict:
--- a/dahliabend/config/operator_file/read.py
+++ b/dahliabend/config/operator_file/decoder.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from dahliabend.config.operator_file import units
+from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.config.operator_file.source import Key, Source
-from dahliabend.config.operator_file.types import File
 
 
 def nearest(name: str, among) -> str:
@@ -17,10 +17,10 @@
     return f"; is {close[0]!r} meant?" if close else ""
 
 
-def read(source: Source) -> File | None:
+def read(source: Source) -> OperatorFile | None:
     """None where faults of form were found: they are in the source."""
     before = len(source.faults)
-    made = _struct(File, source.tree, (), source)
+    made = _struct(OperatorFile, source.tree, (), source)
     return made if len(source.faults) == before else None
 
 
@@ -54,7 +54,7 @@
     if origin is list and isinstance(value, list):
         return [_value(arguments[0], each, (*key, number), source) for number, each in enumerate(value)]
     try:
-        return msgspec.convert(value, kind, dec_hook=units.decode)
+        return msgspec.convert(value, kind, dec_hook=units.decode_unit)
     except ValueError as error:  # msgspec's errors are a kind of it
         source.fault(key, _reason(str(error), value, origin, arguments))
         return None
--- a/dahliabend/config/operator_file/types.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -4,51 +4,53 @@
 
 import msgspec
 
-from dahliabend.config.operator_file.units import Rate, Share, Size, Span
+from dahliabend.config.operator_file.units import ByteSize, Duration, Fraction, Rate
 
 MS, S = 1_000, 1_000_000
 Effect = Literal["idempotent", "journalled", "non-idempotent"]
 
 
-class Table(msgspec.Struct, rename="kebab", kw_only=True):
+class FileTable(msgspec.Struct, rename="kebab", kw_only=True):
     """A table of the file."""
 
 
-class Treatment(Table, kw_only=True):
+class TreatmentSettings(FileTable, kw_only=True):
     """How a transaction is treated. A route's go before its class's, and these before the file's defaults."""
 
-    hop_time: Span | None = None  # that one hop may take
-    total_time: Span | None = None  # all hops together; the class's hard limit, if left out
+    hop_time: Duration | None = None  # that one hop may take
+    total_time: Duration | None = None  # all hops together; the class's hard limit, if left out
     attempts: int | None = None  # hops at the most
     replays: int | None = None  # of these, after a hop that may have run
-    second_copy_after: Span | None = None  # a second hop beside a slow first one
-    retry_share: Share | None = None  # of first hops: what may be spent on hops after one that may have run
+    second_copy_after: Duration | None = None  # a second hop beside a slow first one
+    retry_share: Fraction | None = (
+        None  # of first hops: what may be spent on hops after one that may have run
+    )
     concurrency: int | None = None  # transactions in hand at once
     rate: Rate | None = None
     burst: int | None = None  # transactions that may come at once above the rate
 
 
-class Defaults(Treatment, kw_only=True):
-    most_retry_share: Share = Share(0.25)  # what a route's and its fallback's may come to together
+class DefaultSettings(TreatmentSettings, kw_only=True):
+    most_retry_share: Fraction = Fraction(0.25)  # what a route's and its fallback's may come to together
 
 
-class Listener(Table, kw_only=True):
+class ListenerSettings(FileTable, kw_only=True):
     address: str
 
 
-class Log(Table, kw_only=True):
+class LogSettings(FileTable, kw_only=True):
     level: Literal["debug", "info", "warning", "error"] = "info"
     access: bool = False  # a line for each transaction
-    sample: dict[str, Share] = {}  # by event: the share of lines that is kept
+    sample: dict[str, Fraction] = {}  # by event: the share of lines that is kept
 
 
-class Cold(Table, kw_only=True):
-    share: Share = Share(0.2)  # of its capacity that an upstream has at its start
-    time: Span = Span(10 * S)  # until it has all
+class SlowStartSettings(FileTable, kw_only=True):
+    share: Fraction = Fraction(0.2)  # of its capacity that an upstream has at its start
+    time: Duration = Duration(10 * S)  # until it has all
     multiple: float = 3.0  # of what it bears: sent more, it falls over
 
 
-class Member(Table, kw_only=True):
+class EndpointSettings(FileTable, kw_only=True):
     id: str
     address: str
     zone: str = ""
@@ -56,46 +58,46 @@
     weight: float = 1.0
 
 
-class Subset(Table, kw_only=True):
+class SubsetSettings(FileTable, kw_only=True):
     """Of a pool's upstreams this balancer uses some, so that the choices of all add up."""
 
     least: int = 12  # upstreams of each balancer
     degree: int = 12  # balancers of each upstream, in the mean
     zones: bool = False  # own zone first, others for what it can't bear
     self_index: int | None = None  # of the pool's balancers, from 0: the view, where nobody tells one
-    hold: Span = Span(60 * S)  # how long a view that may be of a part cut off narrows nothing
+    hold: Duration = Duration(60 * S)  # how long a view that may be of a part cut off narrows nothing
 
 
-class Pool(Table, kw_only=True):
+class PoolSettings(FileTable, kw_only=True):
     """Upstreams with one set of decisions. Exactly one of the first three says who they are."""
 
     discovery: str | None = None
-    members: list[Member] | None = None
+    members: list[EndpointSettings] | None = None
     file: str | None = None  # in discovery's form, watched
     fallback: str | None = None
-    fallback_below: Share = Share(0.0)  # of its upstreams ready: from there on the fallback takes over
+    fallback_below: Fraction = Fraction(0.0)  # of its upstreams ready: from there on the fallback takes over
     balancers: int = 1
     probes: bool = False
     cancels: bool = True
-    idle: Span = Span(15 * S)  # connections at rest are closed after that
-    dial_time: Span = Span(250 * MS)
-    grace: Span = Span(1_500 * MS)  # after the news that one drains
-    cold: Cold = msgspec.field(default_factory=Cold)
-    subset: Subset | None = None
+    idle: Duration = Duration(15 * S)  # connections at rest are closed after that
+    dial_time: Duration = Duration(250 * MS)
+    grace: Duration = Duration(1_500 * MS)  # after the news that one drains
+    cold: SlowStartSettings = msgspec.field(default_factory=SlowStartSettings)
+    subset: SubsetSettings | None = None
 
 
-class Class(Treatment, kw_only=True):
+class ClassSettings(TreatmentSettings, kw_only=True):
     effect: Effect
-    service_goal: Span
-    hard_limit: Span
+    service_goal: Duration
+    hard_limit: Duration
     revenue: float = 1.0
-    late_share: Share = Share(0.0)  # of the revenue, for an answer after the goal
+    late_share: Fraction = Fraction(0.0)  # of the revenue, for an answer after the goal
     group: Literal["all", "zone", "cell"] = "all"
-    repeat_window: Span = Span(0)
-    longest_body: Size = Size(32 << 20)
+    repeat_window: Duration = Duration(0)
+    longest_body: ByteSize = ByteSize(32 << 20)
 
 
-class Route(Treatment, kw_only=True):
+class RouteSettings(TreatmentSettings, kw_only=True):
     name: str
     class_: str = msgspec.field(name="class")
     path: str = "/"  # a prefix, by whole segments
@@ -107,10 +109,10 @@
     fallback: str | None = None  # in place of its pool's
     shared: bool = False  # its rate and concurrency are the whole fleet's, divided by what each is asked
     mirror: str | None = None  # a pool that gets copies whose answers are thrown away
-    mirror_share: Share = Share(1.0)
+    mirror_share: Fraction = Fraction(1.0)
 
 
-class Members(Table, kw_only=True):
+class MembershipSettings(FileTable, kw_only=True):
     """The balancers among themselves. Seeds come from what is named here, from all of it together."""
 
     address: str  # where their datagrams come in, UDP
@@ -120,25 +122,25 @@
     weight: float = 1.0
     demand: bool = False  # its weight is what it is asked, transactions a second, told as it changes
     signals: bool = False  # tells the others which upstreams fail, and hears it from them
-    probing: Span = Span(0)  # each upstream is probed once in it, by one of them; 0: each for itself
+    probing: Duration = Duration(0)  # each upstream is probed once in it, by one of them; 0: each for itself
     seeds: list[str] = []
     seeds_file: str | None = None  # in discovery's form, watched
     seeds_discovery: str | None = None
     key_files: list[str] = []  # the first seals, each opens
     keep: str | None = None  # a file: who was known, and what a successor goes on from
-    period: Span = Span(S)
-    forget: Span = Span(3600 * S)
-    cut: Share = Share(1 / 3)
+    period: Duration = Duration(S)
+    forget: Duration = Duration(3600 * S)
+    cut: Fraction = Fraction(1 / 3)
 
 
-class File(Table, kw_only=True):
+class OperatorFile(FileTable, kw_only=True):
     """The whole file, after its includes."""
 
     include: list[str] = []
-    listeners: dict[str, Listener] = {}
-    log: Log = msgspec.field(default_factory=Log)
-    defaults: Defaults = msgspec.field(default_factory=Defaults)
-    members: Members | None = None
-    pools: dict[str, Pool] = {}
-    classes: dict[str, Class] = {}
-    routes: list[Route] = []
+    listeners: dict[str, ListenerSettings] = {}
+    log: LogSettings = msgspec.field(default_factory=LogSettings)
+    defaults: DefaultSettings = msgspec.field(default_factory=DefaultSettings)
+    members: MembershipSettings | None = None
+    pools: dict[str, PoolSettings] = {}
+    classes: dict[str, ClassSettings] = {}
+    routes: list[RouteSettings] = []
--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -40,10 +40,10 @@
         )
 
 
-def path_of(key: Key) -> str:
+def format_key(key: Key) -> str:
     """A key as it is written.
 
-    >>> path_of(("routes", 2, "headers", "x-a"))
+    >>> format_key(("routes", 2, "headers", "x-a"))
     'routes[2].headers.x-a'
     """
     text = ""
@@ -75,7 +75,7 @@
 
     def fault(self, key: Key, reason: str) -> None:
         at = self.place(key)
-        self.faults.append(Fault(at.file, at.line, path_of(key), reason))
+        self.faults.append(Fault(at.file, at.line, format_key(key), reason))
 
 
 def _read(path: str) -> bytes:
@@ -152,7 +152,7 @@
             while at and at not in places:
                 at = at[:-1]
             line = places[at].line if at in places else 1
-            source.faults.append(Fault(path, line, path_of(key), f"{name} is not set, and has no default"))
+            source.faults.append(Fault(path, line, format_key(key), f"{name} is not set, and has no default"))
             return ""
         return default
 
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -8,7 +8,7 @@
 _RATES = {"/s": 1.0, "/min": 1 / 60, "/h": 1 / 3600}
 
 
-def _parts(text: object, units: dict, what: str) -> float:
+def _parse_quantity(text: object, units: dict, what: str) -> float:
     if not isinstance(text, str):
         unit = next(unit for unit in ("ms", "KiB", "/s", "%") if unit in units)
         raise ValueError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
@@ -18,19 +18,19 @@
     return float(found[1]) * units[found[2]]
 
 
-class Span(int):
+class Duration(int):
     """Microseconds.
 
-    >>> Span.read("1.5s"), Span.read("-1us"), str(Span(2500)), str(Span(2_000_000))
+    >>> Duration.parse("1.5s"), Duration.parse("-1us"), str(Duration(2500)), str(Duration(2_000_000))
     (1500000, -1, '2500us', '2s')
-    >>> Span.read(2000)
+    >>> Duration.parse(2000)
     Traceback (most recent call last):
     ValueError: 2000 has no unit; span of time is written as "2000ms"
     """
 
     @classmethod
-    def read(cls, text: object) -> "Span":
-        return cls(round(_parts(text, _SPANS, "span of time")))
+    def parse(cls, text: object) -> "Duration":
+        return cls(round(_parse_quantity(text, _SPANS, "span of time")))
 
     def __str__(self) -> str:
         for unit in ("s", "ms"):
@@ -41,16 +41,16 @@
     __repr__ = int.__repr__
 
 
-class Size(int):
+class ByteSize(int):
     """Bytes.
 
-    >>> Size.read("64KiB"), str(Size(65536)), str(Size(1000))
+    >>> ByteSize.parse("64KiB"), str(ByteSize(65536)), str(ByteSize(1000))
     (65536, '64KiB', '1000B')
     """
 
     @classmethod
-    def read(cls, text: object) -> "Size":
-        return cls(round(_parts(text, _SIZES, "size")))
+    def parse(cls, text: object) -> "ByteSize":
+        return cls(round(_parse_quantity(text, _SIZES, "size")))
 
     def __str__(self) -> str:
         for unit in ("MiB", "KiB"):
@@ -64,13 +64,13 @@
 class Rate(float):
     """Transactions a second.
 
-    >>> Rate.read("30/min"), str(Rate(500))
+    >>> Rate.parse("30/min"), str(Rate(500))
     (0.5, '500/s')
     """
 
     @classmethod
-    def read(cls, text: object) -> "Rate":
-        return cls(_parts(text, _RATES, "rate"))
+    def parse(cls, text: object) -> "Rate":
+        return cls(_parse_quantity(text, _RATES, "rate"))
 
     def __str__(self) -> str:
         return f"{float(self):g}/s"
@@ -78,17 +78,17 @@
     __repr__ = float.__repr__
 
 
-class Share(float):
+class Fraction(float):
     """A part of the whole: "10%", or a number from 0 to 1.
 
-    >>> Share.read("10%"), Share.read(0.25), str(Share(0.1))
+    >>> Fraction.parse("10%"), Fraction.parse(0.25), str(Fraction(0.1))
     (0.1, 0.25, '10%')
     """
 
     @classmethod
-    def read(cls, text: object) -> "Share":
+    def parse(cls, text: object) -> "Fraction":
         if isinstance(text, str):
-            made = _parts(text, {"%": 0.01}, "share")
+            made = _parse_quantity(text, {"%": 0.01}, "share")
         elif isinstance(text, int | float) and not isinstance(text, bool):
             made = float(text)
         else:
@@ -103,11 +103,11 @@
     __repr__ = float.__repr__
 
 
-UNITS = (Span, Size, Rate, Share)
+UNITS = (Duration, ByteSize, Rate, Fraction)
 
 
-def decode(kind: type, value: object):
+def decode_unit(kind: type, value: object):
     """msgspec's hook for the kinds above."""
     if kind in UNITS:
-        return kind.read(value)
+        return kind.parse(value)
     raise NotImplementedError(kind)
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -111,44 +111,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Node:
+class ServerSettings:
     """What a balancer on sockets goes by."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     admin: tuple[str, int] | None  # where operators call
-    inherited: int | None  # the callers' listener, where the platform holds it
-    shared: str  # the folder of all processes that have it; empty: there is one only
+    listener_descriptor: int | None  # the callers' listener, where the platform holds it
+    shared_directory: str  # the folder of all processes that have it; empty: there is one only
     seed: int
-    sockets: int
-    known: dict  # the list as this balancer last had it, in discovery's form
+    descriptor_limit: int
+    known_endpoints: dict  # the list as this balancer last had it, in discovery's form
     verbose: bool
     settings: Settings
-    profiles: dict[bytes, int]
-    customers: dict[bytes, int]
-    zones: dict[str, int]
-    longest: tuple[int, ...]  # the hard limit, by profile
-    slack: int  # the caller's limit may be this much nearer than it looks: bytes wait for a busy machine
-    dial_time: int
-    rest: int  # for how long an idle connection is used again
-    probe_time: int
-    most_held: int
+    class_indices: dict[bytes, int]
+    tenant_indices: dict[bytes, int]
+    zone_indices: dict[str, int]
+    class_deadlines: tuple[int, ...]  # the hard limit, by profile
+    deadline_slack: (
+        int  # the caller's limit may be this much nearer than it looks: bytes wait for a busy machine
+    )
+    connect_timeout: int
+    idle_reuse_time: int  # for how long an idle connection is used again
+    health_check_timeout: int
+    max_in_flight: int
     report_fields: tuple[str, ...]  # that probes bring
-    unmet: tuple[str, ...]  # settings that allow what this program does not do
-    keys: frozenset[str]  # that the file names
-    epoch: int  # added to Unix time in microseconds it gives monotonic time
+    unsupported_keys: tuple[str, ...]  # settings that allow what this program does not do
+    named_keys: frozenset[str]  # that the file names
+    monotonic_offset: int  # added to Unix time in microseconds it gives monotonic time
 
     @property
-    def terms(self) -> tuple:
+    def policy_inputs(self) -> tuple:
         """What the decisions and their port go by: where it differs, they are made anew."""
         return (
-            self.settings, self.profiles, self.customers, self.zones, self.slack, self.dial_time, self.rest,
+            self.settings, self.class_indices, self.tenant_indices, self.zone_indices, self.deadline_slack, self.connect_timeout, self.idle_reuse_time,
             self.report_fields,
         )  # fmt: skip
 
 
-REST = 7 / 8  # of the settings' idle time, after which the other end may have closed
+IDLE_REUSE_RATIO = 7 / 8  # of the settings' idle time, after which the other end may have closed
 
 
 _EFFECTS = {
@@ -159,11 +161,11 @@
 _GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
-def us(ms: float) -> int:
+def to_microseconds(ms: float) -> int:
     return round(ms * 1000)
 
 
-def read(text: bytes) -> Settings:
+def read_policy_settings(text: bytes) -> Settings:
     """Settings from the wire's JSON; ValueError (of which msgspec's errors are a kind) if unreadable."""
     return _settings(msgspec.json.decode(text, type=_Conf))
 
@@ -180,7 +182,9 @@
     return frozenset(above + name for above, table in tables.items() for name in table)
 
 
-def read_node(environment: Mapping[str, str], needed: frozenset[str] = frozenset()) -> Node:
+def read_server_settings(
+    environment: Mapping[str, str], needed: frozenset[str] = frozenset()
+) -> ServerSettings:
     """The configuration of a balancer on sockets: the file, with the variables before it. It has to name the
     keys that are `needed`."""
     path = environment.get("PROXY_CONFIG", "")
@@ -196,7 +200,7 @@
         raise ValueError(f"{path}: {error}") from None
 
 
-def _read(raw: bytes, environment: Mapping[str, str], needed: frozenset[str]) -> Node:
+def _read(raw: bytes, environment: Mapping[str, str], needed: frozenset[str]) -> ServerSettings:
     tree = msgspec.json.decode(raw)
     node = msgspec.convert(tree, _Node)
     keys = _keys(tree)
@@ -231,45 +235,45 @@
     inherited = int(given) if given else None
     shared = os.path.join(environment.get("TMPDIR") or "/tmp", "dahliabend")
     unmet = {"caps.max-streams": conf.caps.max_streams > 1, "caps.may-tell": conf.caps.may_tell}
-    return Node(
+    return ServerSettings(
         name=environment.get("PROXY_NAME") or node.name or "dahliabend",
         listen=_address("listen", environment.get("PROXY_LISTEN") or node.listen),
         discovery=_address("discovery", environment.get("PROXY_DISCOVERY") or node.discovery),
         admin=_address("admin", admin) if admin else None,
-        inherited=inherited,
-        shared=shared if given else "",
+        listener_descriptor=inherited,
+        shared_directory=shared if given else "",
         seed=seed,
-        sockets=node.limits.sockets,
-        known=node.known,
+        descriptor_limit=node.limits.sockets,
+        known_endpoints=node.known,
         verbose=node.log == "debug",
         settings=settings,
-        profiles={name.encode(): index for index, name in enumerate(names)},
-        customers={t.name.encode(): index for index, t in enumerate(conf.tenants)},
-        zones={name: index for index, name in enumerate(conf.localities)},
-        longest=tuple(p.deadline for p in settings.request_classes),
-        slack=us(conf.contract.answer_slack),
-        dial_time=us(conf.caps.dial_timeout),
-        rest=round(us(conf.caps.conn_idle) * REST),
-        probe_time=2 * us(conf.caps.dial_timeout),
-        most_held=conf.caps.most_held,
+        class_indices={name.encode(): index for index, name in enumerate(names)},
+        tenant_indices={t.name.encode(): index for index, t in enumerate(conf.tenants)},
+        zone_indices={name: index for index, name in enumerate(conf.localities)},
+        class_deadlines=tuple(p.deadline for p in settings.request_classes),
+        deadline_slack=to_microseconds(conf.contract.answer_slack),
+        connect_timeout=to_microseconds(conf.caps.dial_timeout),
+        idle_reuse_time=round(to_microseconds(conf.caps.conn_idle) * IDLE_REUSE_RATIO),
+        health_check_timeout=2 * to_microseconds(conf.caps.dial_timeout),
+        max_in_flight=conf.caps.most_held,
         report_fields=tuple(conf.report.fields) if conf.report.source == "on_probe" else (),
-        unmet=tuple(key for key, asked in unmet.items() if asked),
-        keys=keys,
-        epoch=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
+        unsupported_keys=tuple(key for key, asked in unmet.items() if asked),
+        named_keys=keys,
+        monotonic_offset=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
     )
 
 
-def reread_node(environment: Mapping[str, str], keys: frozenset[str]) -> Node:
+def reread_server_settings(environment: Mapping[str, str], keys: frozenset[str]) -> ServerSettings:
     """The file once more, while running. What it says goes before what the program was started with: the
     variable still names the list service of the start. A key that the file in force has may not be missing:
     cut by mistake, its default would take over unseen."""
-    return read_node({**environment, "PROXY_DISCOVERY": ""}, keys)
+    return read_server_settings({**environment, "PROXY_DISCOVERY": ""}, keys)
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port; there are no names to resolve here.
 
-    >>> address("10.0.0.4:8080")
+    >>> parse_address("10.0.0.4:8080")
     ('10.0.0.4', 8080)
     """
     host, _, port = text.rpartition(":")
@@ -284,7 +288,7 @@
 
 def _address(key: str, text: str) -> tuple[str, int]:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError as error:
         raise ValueError(f"{key}: {error}") from None
 
@@ -321,9 +325,9 @@
             RequestClass(
                 effect=_EFFECTS[p.semantics],
                 deduplication_scope=_GROUPS[p.group],
-                deduplication_window=us(p.dedup_window),
-                latency_objective=us(p.service_goal),
-                deadline=us(p.hard_limit),
+                deduplication_window=to_microseconds(p.dedup_window),
+                latency_objective=to_microseconds(p.service_goal),
+                deadline=to_microseconds(p.hard_limit),
                 priority_weight=p.revenue,
                 late_weight=p.tardy_revenue,
                 is_ordered=p.in_order,
@@ -344,12 +348,12 @@
         can_cancel=caps.may_cancel,
         can_health_check=caps.probing,
         sends_retry_after=caps.retry_after,
-        max_retry_after=us(caps.max_retry_after),
+        max_retry_after=to_microseconds(caps.max_retry_after),
         polls_endpoints=conf.discovery == "on_request",
-        poll_deadline=us(contract.ask_within),
+        poll_deadline=to_microseconds(contract.ask_within),
         initial_capacity=contract.cold_share,
-        warmup_time=us(contract.cold),
+        warmup_time=to_microseconds(contract.cold),
         warmup_multiple=contract.fall_multiple,
-        key_rest=us(contract.order_pause),
+        key_rest=to_microseconds(contract.order_pause),
         only_draining_binds=contract.drain_binds_alone,
     )
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -9,7 +9,7 @@
 import httptools
 import orjson
 
-from dahliabend.config.platform import address
+from dahliabend.config.platform import parse_address
 from dahliabend.model import EndpointState
 from dahliabend.transport.connection import Connection, dial
 from dahliabend.transport.descriptor_budget import DescriptorBudget
@@ -48,7 +48,7 @@
     state, name = _STATE_NAMES[raw["state"]], raw["id"]
     if not isinstance(name, str) or not name:
         raise ValueError("no id")
-    endpoint_address = ("", 0) if state is EndpointState.REMOVED else address(str(raw.get("addr")))
+    endpoint_address = ("", 0) if state is EndpointState.REMOVED else parse_address(str(raw.get("addr")))
     started, cell = int(raw.get("started_ms") or 0), int(raw.get("cell") or 0)
     return (
         name,
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import Callable
 
-from dahliabend.config.platform import address
+from dahliabend.config.platform import parse_address
 from dahliabend.membership.authentication import DatagramAuthenticator
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES
 from dahliabend.membership.failure_detector import Event, MembershipProtocol
@@ -102,7 +102,7 @@
             if len(self.parsed_addresses) >= MAX_CACHED_ADDRESSES:
                 self.parsed_addresses.clear()
             try:
-                self.parsed_addresses[text] = address(text)
+                self.parsed_addresses[text] = parse_address(text)
             except ValueError:
                 self.parsed_addresses[text] = None
         return self.parsed_addresses[text]
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from dahliabend.config.operator_file.types import File
+from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.router import Router
@@ -68,7 +68,7 @@
 class ActiveRoutes:
     """The routes in force. A transaction keeps those that it was taken by."""
 
-    file: File
+    file: OperatorFile
     table: Table
     choices: list[Choice]
     seen: tuple[str, ...] = ()  # headers that any route asks for
@@ -115,7 +115,7 @@
             del self.pools[pool.number]
         return done
 
-    def apply_routes(self, file: File, profiles: dict[str, dict[int, int]]) -> None:
+    def apply_routes(self, file: OperatorFile, profiles: dict[str, dict[int, int]]) -> None:
         """These routes from now on. Turns and buckets go on where a route of that name was there before."""
         before = {c.name: c for c in self.routes.choices} if self.routes is not None else {}
         made = choices(file, before)
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.config.platform import Node
+from dahliabend.config.platform import ServerSettings
 from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.headers import EXPIRES, TRACE
@@ -187,9 +187,9 @@
     """One set of decisions and its port: what it alone is told, and the settings that it goes by. One that
     has been followed stays until its last transaction has ended."""
 
-    def __init__(self, router: "Router", node: Node) -> None:
-        self.router, self.open_requests, self.zones = router, 0, node.zones
-        self.probe_time, self.report_fields = node.probe_time, node.report_fields
+    def __init__(self, router: "Router", node: ServerSettings) -> None:
+        self.router, self.open_requests, self.zones = router, 0, node.zone_indices
+        self.probe_time, self.report_fields = node.health_check_timeout, node.report_fields
         self.send, self.reject, self.fail = router.send, router.reject, router.fail
         self.cancel, self.poll_endpoints = router.cancel, router.poll_endpoints
         self.close_idle_connections = router.close_idle_connections
@@ -236,14 +236,16 @@
 class Router:
     methods = frozenset((b"GET", b"POST"))
 
-    def __init__(self, node: Node, timers: TimerQueue, table: EndpointTable, metrics, log: Callable) -> None:
+    def __init__(
+        self, node: ServerSettings, timers: TimerQueue, table: EndpointTable, metrics, log: Callable
+    ) -> None:
         self.timers, self.table, self.metrics, self.log = timers, table, metrics, log
         self.count_response = metrics.count_response
         self.evacuated = False  # an operator has sent the callers elsewhere
         self.excluded: set[str] = set()  # upstreams that an operator has taken out, by id
         self.discovery: DiscoveryClient | None = None
-        self.epoch = node.epoch
-        self.requests: HandleTable[Request] = HandleTable(node.most_held)
+        self.epoch = node.monotonic_offset
+        self.requests: HandleTable[Request] = HandleTable(node.max_in_flight)
         self.trace_ids: set[bytes] = set()  # the ids of those
         self.shutdown_deadline = 0  # when all that is still held is given up; 0: not stopping
         self.counts: dict[str, int] = {}
@@ -260,13 +262,13 @@
     def balancer(self) -> Balancer:
         return self.policies[-1].balancer
 
-    def install(self, node: Node) -> None:
-        self.profiles, self.customers = node.profiles, node.customers
-        self.metrics.set_active_classes(node.profiles)
-        self.longest, self.slack = node.longest, node.slack
+    def install(self, node: ServerSettings) -> None:
+        self.profiles, self.customers = node.class_indices, node.tenant_indices
+        self.metrics.set_active_classes(node.class_indices)
+        self.longest, self.slack = node.class_deadlines, node.deadline_slack
         self.policies.append(PolicyPort(self, node))
 
-    def apply_settings(self, node: Node) -> int:
+    def apply_settings(self, node: ServerSettings) -> int:
         """Other settings take over: a fresh set of decisions for what comes from now on. What is in hand ends
         under those it began with, lest it get two answers or none. How many upstreams kept what is known."""
         before, profiles = self.balancer, self.profiles
--- a/dahliabend/routing_rules/checks.py
+++ b/dahliabend/routing_rules/checks.py
@@ -5,18 +5,25 @@
 
 from collections.abc import Iterator
 
-from dahliabend.config.operator_file.read import nearest
+from dahliabend.config.operator_file.decoder import nearest
+from dahliabend.config.operator_file.schema import (
+    ClassSettings,
+    MembershipSettings,
+    OperatorFile,
+    PoolSettings,
+    RouteSettings,
+    TreatmentSettings,
+)
 from dahliabend.config.operator_file.source import Key, Source
-from dahliabend.config.operator_file.types import Class, File, Members, Pool, Route, Treatment
-from dahliabend.config.operator_file.units import Span
-from dahliabend.config.platform import address
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.config.platform import parse_address
 from dahliabend.routing_rules.table import Table
 
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
 MOST_ATTEMPTS = 64
 LONGEST, LEAST_KEY, MOST_WEIGHT = 64, 32, 1e6  # bytes of a name, of a key
-LEAST_PROBING = Span(4_000_000)  # eight beats of signals: what was found has to come round
-LEAST_PERIOD, MOST_PERIOD = Span(20_000), Span(60_000_000)
+LEAST_PROBING = Duration(4_000_000)  # eight beats of signals: what was found has to come round
+LEAST_PERIOD, MOST_PERIOD = Duration(20_000), Duration(60_000_000)
 FIELDS = ("hop_time", "total_time", "attempts", "replays", "second_copy_after", "retry_share", "concurrency",
           "rate", "burst")  # fmt: skip
 DEFAULTS = {"attempts": 3}
@@ -29,9 +36,9 @@
 class Effective:
     """A route's treatment: each value, and the key that says it."""
 
-    def __init__(self, file: File, route: Route, number: int) -> None:
+    def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
         kind = file.classes.get(route.class_)
-        levels: list[tuple[Treatment, Key]] = [(route, ("routes", number))]
+        levels: list[tuple[TreatmentSettings, Key]] = [(route, ("routes", number))]
         if kind is not None:
             levels.append((kind, ("classes", route.class_)))
         levels.append((file.defaults, ("defaults",)))
@@ -58,7 +65,7 @@
             raise AttributeError(name) from None
 
 
-def check(file: File, source: Source) -> None:
+def check(file: OperatorFile, source: Source) -> None:
     """All checks; faults go to the source."""
     _listeners(file, source)
     if file.members is not None:
@@ -68,7 +75,7 @@
     _routes(file, source)
 
 
-def _listeners(file: File, source: Source) -> None:
+def _listeners(file: OperatorFile, source: Source) -> None:
     taken: dict[str, str] = {}
     for name, listener in file.listeners.items():
         key = ("listeners", name, "address")
@@ -78,7 +85,7 @@
         taken[listener.address] = name
 
 
-def _members_among(members: Members, source: Source) -> None:
+def _members_among(members: MembershipSettings, source: Source) -> None:
     """The balancers' own table."""
     key = ("members",)
     places = {"address": members.address, "advertise": members.advertise}
@@ -124,7 +131,7 @@
 
 def _address(text: str, key: Key, source: Source) -> None:
     try:
-        address(text)
+        parse_address(text)
     except ValueError as error:
         source.fault(key, str(error))
 
@@ -140,7 +147,7 @@
         source.fault((*key, "replays"), f"{table.replays} is below 0")
 
 
-def _classes(file: File, source: Source) -> None:
+def _classes(file: OperatorFile, source: Source) -> None:
     _positive(file.defaults, ("defaults",), source)
     for name, kind in file.classes.items():
         key = ("classes", name)
@@ -160,7 +167,7 @@
             source.fault((*key, "revenue"), f"{kind.revenue:g} is below 0")
 
 
-def _pools(file: File, source: Source) -> None:
+def _pools(file: OperatorFile, source: Source) -> None:
     listening = {listener.address for listener in file.listeners.values()}
     for name, pool in file.pools.items():
         key = ("pools", name)
@@ -199,7 +206,7 @@
                 source.fault((*key, written(field)), f"{getattr(pool, field)} is not above 0")
 
 
-def _members(pool: Pool, key: Key, listening: set[str], source: Source) -> None:
+def _members(pool: PoolSettings, key: Key, listening: set[str], source: Source) -> None:
     if not pool.members:
         source.fault((*key, "members"), "is empty")
     ids: set[str] = set()
@@ -215,7 +222,7 @@
             source.fault((*here, "weight"), f"{member.weight:g} is not above 0")
 
 
-def _ring(file: File, name: str) -> list[str]:
+def _ring(file: OperatorFile, name: str) -> list[str]:
     """The pools from this one round to itself by their fallbacks; empty where they don't go round to it."""
     seen, at = [name], file.pools[name].fallback
     while at in file.pools and at not in seen:
@@ -231,7 +238,7 @@
     return False
 
 
-def _routes(file: File, source: Source) -> None:
+def _routes(file: OperatorFile, source: Source) -> None:
     if not file.routes:  # an empty file, or one cut short, would turn every caller away
         source.fault(("routes",), "there are none")
     names: dict[str, int] = {}
@@ -257,13 +264,13 @@
         )
 
 
-def targets(route: Route) -> Iterator[str]:
+def targets(route: RouteSettings) -> Iterator[str]:
     if route.pool is not None:
         yield route.pool
     yield from route.pools or {}
 
 
-def _split(file: File, route: Route, key: Key, source: Source) -> None:
+def _split(file: OperatorFile, route: RouteSettings, key: Key, source: Source) -> None:
     if (route.pool is None) == (route.pools is None):
         source.fault(key, "needs either pool or pools")
     if route.pool is not None:
@@ -292,7 +299,9 @@
             )
 
 
-def _treatment(file: File, route: Route, number: int, kind: Class, source: Source) -> None:
+def _treatment(
+    file: OperatorFile, route: RouteSettings, number: int, kind: ClassSettings, source: Source
+) -> None:
     """Against the rules: each fault stands at the key that says the value, wherever that is."""
     made = Effective(file, route, number)
     name, limit = route.name, kind.hard_limit
@@ -318,7 +327,7 @@
         elif made.hop_time > made.total_time:
             fault("hop_time", f"{made.hop_time} is over the total time, {made.total_time}")
         elif "attempts" in made.values and made.keys["attempts"][-1] == "attempts":
-            need = Span(made.attempts * made.hop_time)
+            need = Duration(made.attempts * made.hop_time)
             if need > made.total_time:
                 fault(
                     "attempts", f"{made.attempts} of {made.hop_time} take {need}; there are {made.total_time}"
@@ -342,7 +351,7 @@
     _cold(file, route, made, fault)
 
 
-def _shares(file: File, route: Route, made: Effective, fault) -> None:
+def _shares(file: OperatorFile, route: RouteSettings, made: Effective, fault) -> None:
     """Retries in a pool, and again in the one that it falls back to, multiply."""
     share = made.retry_share
     if share is None:
@@ -355,7 +364,7 @@
         fault("retry_share", f"{100 * together:g}% of first hops{why}; {most} is the most")
 
 
-def _cold(file: File, route: Route, made: Effective, fault) -> None:
+def _cold(file: OperatorFile, route: RouteSettings, made: Effective, fault) -> None:
     """A limit under which a cold upstream would get not one transaction while it is cold is too low: it would
     be found warm only by chance."""
     if made.rate is None:
--- a/dahliabend/routing_rules/choice.py
+++ b/dahliabend/routing_rules/choice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 
-from dahliabend.config.operator_file.types import File, Route
+from dahliabend.config.operator_file.schema import OperatorFile, RouteSettings
 from dahliabend.routing_rules.checks import Effective, targets
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.routing_rules.split import Split
@@ -18,7 +18,7 @@
         "split", "split_by", "total",
     )  # fmt: skip
 
-    def __init__(self, file: File, route: Route, number: int) -> None:
+    def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
         made = self.effective = Effective(file, route, number)
         self.name, self.profile = route.name, route.class_.encode()
         weights = route.pools or {route.pool: 1.0}
@@ -59,7 +59,7 @@
             self.split.credit = [credit[name] for name in self.split.names]
 
 
-def choices(file: File, before: Mapping[str, Choice]) -> list[Choice]:
+def choices(file: OperatorFile, before: Mapping[str, Choice]) -> list[Choice]:
     made = [Choice(file, route, number) for number, route in enumerate(file.routes)]
     for choice in made:
         if choice.name in before:
--- a/dahliabend/routing_rules/plan.py
+++ b/dahliabend/routing_rules/plan.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from dahliabend.config.operator_file.read import read
-from dahliabend.config.operator_file.source import Fault, Key, Source, load, path_of
-from dahliabend.config.operator_file.types import File
-from dahliabend.config.operator_file.units import UNITS, Span
+from dahliabend.config.operator_file.decoder import read
+from dahliabend.config.operator_file.schema import OperatorFile
+from dahliabend.config.operator_file.source import Fault, Key, Source, format_key, load
+from dahliabend.config.operator_file.units import UNITS, Duration
 from dahliabend.routing_rules.checks import FIELDS, Effective, check, targets, written
 from dahliabend.routing_rules.table import Table
 
@@ -21,7 +21,7 @@
     """What came of a file: settings, unless it has faults of form, and all faults, by place."""
 
     source: Source
-    file: File | None
+    file: OperatorFile | None
     faults: list[Fault] = field(default_factory=list)
 
     @property
@@ -61,7 +61,7 @@
                 walk(each, (*key, number))
         elif value is not None:
             place = made.source.places.get(key)
-            found[path_of(key)] = said(value), f"{place.file}:{place.line}" if place else "default"
+            found[format_key(key)] = said(value), f"{place.file}:{place.line}" if place else "default"
 
     walk(made.file, ())
     return found
@@ -93,7 +93,7 @@
         "fallback": route.fallback or {n: file.pools[n].fallback for n in shares if file.pools[n].fallback},
         "mirror": f"{route.mirror_share} to {route.mirror}" if route.mirror else None,
         "treatment": {
-            written(name): {"value": said(treatment.values[name]), "from": path_of(treatment.keys[name])}
+            written(name): {"value": said(treatment.values[name]), "from": format_key(treatment.keys[name])}
             for name in FIELDS
             if treatment.values.get(name) is not None
         },
@@ -104,7 +104,7 @@
 def tried(made: Effective, effect: str) -> list[str]:
     """In words, in the order in which it happens."""
     hop = made.hop_time or made.total_time
-    steps = [f"one hop of up to {Span(hop)}"]
+    steps = [f"one hop of up to {Duration(hop)}"]
     if made.second_copy_after is not None:
         steps.append(f"a second beside it after {made.second_copy_after}, the first answer counts")
     if made.attempts > 1:
--- a/dahliabend/routing_rules/table.py
+++ b/dahliabend/routing_rules/table.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 
-from dahliabend.config.operator_file.types import Route
+from dahliabend.config.operator_file.schema import RouteSettings
 
 Shape = tuple[bool, tuple[str, ...]]  # does it name methods, and which headers
 
@@ -36,7 +36,7 @@
     """Routes by number. Longer paths go before shorter ones, then more headers, then a method, then the order
     of the file. Paths match by whole segments."""
 
-    def __init__(self, routes: Sequence[Route]) -> None:
+    def __init__(self, routes: Sequence[RouteSettings]) -> None:
         self.routes = routes
         self.root = _Node()
         self.hidden: list[tuple[int, int]] = []
@@ -44,7 +44,7 @@
             self._add(number, route)
         self._order(self.root)
 
-    def _add(self, number: int, route: Route) -> None:
+    def _add(self, number: int, route: RouteSettings) -> None:
         node = self.root
         for part in segments(route.path):
             node = node.below.setdefault(part, _Node())
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from dahliabend.config.operator_file.types import Members
-from dahliabend.config.platform import address
+from dahliabend.config.operator_file.schema import MembershipSettings
+from dahliabend.config.platform import parse_address
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
@@ -65,7 +65,7 @@
 
 class ClusterMember:
     def __init__(
-        self, settings: Members, folder: str, timers: TimerQueue, descriptors: DescriptorBudget, seed: int,
+        self, settings: MembershipSettings, folder: str, timers: TimerQueue, descriptors: DescriptorBudget, seed: int,
         log: Callable,
     ) -> None:  # fmt: skip
         self.settings, self.folder, self.log = settings, folder, log
@@ -107,7 +107,7 @@
         self.keeping: list | None = None
         self.opened = self.went = False
 
-    def seal_of(self, settings: Members) -> DatagramAuthenticator:
+    def seal_of(self, settings: MembershipSettings) -> DatagramAuthenticator:
         read = host_info.read_file
         return DatagramAuthenticator(
             [parse_key(read(os.path.join(self.folder, name))) for name in settings.key_files]
@@ -117,7 +117,7 @@
         """OSError where the address can't be had."""
         if self.stored is not None and self.stored.handed:
             self.failure_detector.restore(clock(), msgspec.structs.asdict(self.stored))
-        await self.shell.open(address(self.settings.address), self.seeds())
+        await self.shell.open(parse_address(self.settings.address), self.seeds())
         self.log(
             "members.open", name=self.name, address=self.settings.address, advertise=self.place,
             life=self.failure_detector.generation, resumed=bool(self.stored and self.stored.handed),
@@ -226,7 +226,7 @@
             self.lists.append(made)
             made.watch(os.path.join(self.folder, self.settings.seeds_file))
         if self.settings.seeds_discovery is not None:
-            place = address(self.settings.seeds_discovery)
+            place = parse_address(self.settings.seeds_discovery)
             made = DiscoveryClient(
                 place, EndpointList(self.seed_list, self.log), self.timers, self.descriptors, DIAL_TIME,
                 self.chance.random, self.log,
@@ -275,7 +275,7 @@
 
     # Changes.
 
-    def take_over(self, settings: Members) -> None:
+    def take_over(self, settings: MembershipSettings) -> None:
         """What a reload changes while it runs; the rest waits for a restart."""
         before, self.settings = self.settings, msgspec.structs.replace(
             self.settings, zone=settings.zone, weight=settings.weight, seeds=settings.seeds,
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -7,10 +7,10 @@
 from functools import partial
 from importlib.util import find_spec
 
-from dahliabend.config.operator_file import types
-from dahliabend.config.operator_file.source import path_of
-from dahliabend.config.operator_file.types import File
-from dahliabend.config.platform import REST, Node, address
+from dahliabend.config.operator_file import schema
+from dahliabend.config.operator_file.schema import OperatorFile
+from dahliabend.config.operator_file.source import format_key
+from dahliabend.config.platform import IDLE_REUSE_RATIO, ServerSettings, parse_address
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
@@ -52,7 +52,7 @@
         self.faults = faults
 
 
-def routes_of(file: File, pool: str) -> list[int]:
+def routes_of(file: OperatorFile, pool: str) -> list[int]:
     """The routes whose transactions may come to that pool."""
     found = []
     for number, route in enumerate(file.routes):
@@ -67,7 +67,7 @@
     return found
 
 
-def request_class_of(file: File, number: int) -> RequestClass:
+def request_class_of(file: OperatorFile, number: int) -> RequestClass:
     """A route as the decisions know it: its class, with its own times and counts."""
     route = file.routes[number]
     kind, made = file.classes[route.class_], Effective(file, route, number)
@@ -87,7 +87,7 @@
     )
 
 
-def settings_of(file: File, name: str, numbers: list[int]) -> Settings:
+def settings_of(file: OperatorFile, name: str, numbers: list[int]) -> Settings:
     pool = file.pools[name]
     shares = [s for n in numbers if (s := Effective(file, file.routes[n], n).retry_share) is not None]
     profiles = tuple(request_class_of(file, number) for number in numbers)
@@ -121,42 +121,42 @@
 )  # of a pool without a route
 
 
-def node_of(made: Plan, name: str, seed: int, sockets: int) -> tuple[Node, dict[int, int]]:
+def node_of(made: Plan, name: str, seed: int, sockets: int) -> tuple[ServerSettings, dict[int, int]]:
     """What a pool's router goes by, and the profile of each route."""
     file, pool = made.file, made.file.pools[name]
     numbers = routes_of(file, name)
     settings = settings_of(file, name, numbers)
     zones = sorted({member.zone for member in pool.members or ()})
-    node = Node(
+    node = ServerSettings(
         name=name,
         listen=("", 0),
         discovery=("", 0),
         admin=None,
-        inherited=None,
-        shared="",
+        listener_descriptor=None,
+        shared_directory="",
         seed=seed,
-        sockets=sockets,
-        known={},
+        descriptor_limit=sockets,
+        known_endpoints={},
         verbose=False,
         settings=settings,
-        profiles={file.routes[number].name.encode(): n for n, number in enumerate(numbers)},
-        customers={},
-        zones={zone: n for n, zone in enumerate(zones)},
-        longest=tuple(profile.deadline for profile in settings.request_classes),
-        slack=SLACK,
-        dial_time=pool.dial_time,
-        rest=round(pool.idle * REST),
-        probe_time=2 * pool.dial_time,
-        most_held=MOST_HELD,
+        class_indices={file.routes[number].name.encode(): n for n, number in enumerate(numbers)},
+        tenant_indices={},
+        zone_indices={zone: n for n, zone in enumerate(zones)},
+        class_deadlines=tuple(profile.deadline for profile in settings.request_classes),
+        deadline_slack=SLACK,
+        connect_timeout=pool.dial_time,
+        idle_reuse_time=round(pool.idle * IDLE_REUSE_RATIO),
+        health_check_timeout=2 * pool.dial_time,
+        max_in_flight=MOST_HELD,
         report_fields=(),
-        unmet=(),
-        keys=frozenset(),
-        epoch=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
+        unsupported_keys=(),
+        named_keys=frozenset(),
+        monotonic_offset=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
     )
     return node, {number: n for n, number in enumerate(numbers)}
 
 
-def endpoint_rows(members: list[types.Member]) -> list[dict]:
+def endpoint_rows(members: list[schema.EndpointSettings]) -> list[dict]:
     """In discovery's form."""
     return [
         {"id": m.id, "addr": m.address, "zone": m.zone, "cell": m.cell, "weight": m.weight, "state": "up"}
@@ -164,7 +164,7 @@
     ]
 
 
-def unmet(file: File) -> Iterator[str]:
+def unmet(file: OperatorFile) -> Iterator[str]:
     """What the file says and this program does not do."""
     for name, kind in file.classes.items():
         if kind.longest_body != MAX_BODY_BYTES:
@@ -261,13 +261,13 @@
             if find_spec(library) is None:
                 at, wants = made.source.place(key), f"pip install 'dahliabend[{group}]'"
                 raise InvalidOperatorFileError(
-                    [f"{at.file}:{at.line}: {path_of(key)}: {library} is missing: {wants}"]
+                    [f"{at.file}:{at.line}: {format_key(key)}: {library} is missing: {wants}"]
                 )
         return made
 
     def listener_of(self, made: Plan, name: str) -> tuple[str, int] | None:
         found = made.file.listeners.get(name)
-        return address(found.address) if found is not None else None
+        return parse_address(found.address) if found is not None else None
 
     # Pools.
 
@@ -275,14 +275,14 @@
         file, profiles = made.file, {}
         for name, pool in file.pools.items():
             node, profiles[name] = node_of(made, name, self.seed, self.sockets)
-            self.patience = max(self.patience, *node.longest)
+            self.patience = max(self.patience, *node.class_deadlines)
             running = self.dispatcher.pools_by_name.get(name)
             if running is None:
                 running = self.open_pool(name, node)
             else:
                 running.router.table.connect_timeout, running.router.table.idle_timeout = (
-                    node.dial_time,
-                    node.rest,
+                    node.connect_timeout,
+                    node.idle_reuse_time,
                 )
                 running.router.apply_settings(node)
             running.router.logs_access = file.log.access
@@ -301,9 +301,11 @@
     def listening_fields(self) -> dict:
         return {"pools": list(self.dispatcher.pools_by_name)}
 
-    def open_pool(self, name: str, node: Node) -> Pool:
+    def open_pool(self, name: str, node: ServerSettings) -> Pool:
         log = self.log.bind(pool=name) if isinstance(self.log, StructuredLog) else self.log
-        table = EndpointTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        table = EndpointTable(
+            self.timers, self.descriptors, node.connect_timeout, node.idle_reuse_time, log.debug
+        )
         router = Router(node, self.timers, table, self.metrics, log)
         table.close_expired_connections()
         if self.cluster is not None and self.cluster.gossip is not None:
@@ -312,7 +314,7 @@
                 router.health_check_delegate = partial(self.cluster.probing.want, name)
         return self.dispatcher.add_pool(name, router)
 
-    def update_subset(self, running: Pool, pool: types.Pool) -> None:
+    def update_subset(self, running: Pool, pool: schema.PoolSettings) -> None:
         """Whether it uses some of its upstreams; a reload that changes it has the list read anew."""
         terms = pool.subset and (pool.subset, pool.balancers)
         if running.subset_settings == terms:
@@ -347,16 +349,16 @@
             if pool.subset_filter is not None
         }
 
-    def open_endpoint_list(self, running: Pool, pool: types.Pool) -> None:
+    def open_endpoint_list(self, running: Pool, pool: schema.PoolSettings) -> None:
         """Where its members come from, now. What is known of them stays."""
         router, before = running.router, running.router.discovery
         reader = running.subset_filter or router
         if pool.discovery is not None:
             if isinstance(before, DiscoveryClient):
-                return before.change_address(address(pool.discovery))
+                return before.change_address(parse_address(pool.discovery))
             endpoint_list = EndpointList(reader, self.log)
             keeper = DiscoveryClient(
-                address(pool.discovery),
+                parse_address(pool.discovery),
                 endpoint_list,
                 self.timers,
                 self.descriptors,
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -6,7 +6,7 @@
 import signal
 from collections.abc import Callable, Mapping
 
-from dahliabend.config.platform import Node, reread_node
+from dahliabend.config.platform import ServerSettings, reread_server_settings
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.admin_connection import AdminConnection
 from dahliabend.http.client_connection import ClientConnection
@@ -33,19 +33,21 @@
 
 
 class PlatformServer:
-    def __init__(self, node: Node, environment: Mapping[str, str], log: Log) -> None:
+    def __init__(self, node: ServerSettings, environment: Mapping[str, str], log: Log) -> None:
         loop = asyncio.get_running_loop()
         self.listen, self.admin, self.log = node.listen, node.admin, log
         self.environment = environment
         self.done = loop.create_future()
         self.timers = TimerQueue(loop)
-        self.descriptors = DescriptorBudget(node.sockets - (ADMIN_DESCRIPTORS if node.admin else 0))
+        self.descriptors = DescriptorBudget(node.descriptor_limit - (ADMIN_DESCRIPTORS if node.admin else 0))
         self.metrics = Metrics()
-        table = EndpointTable(self.timers, self.descriptors, node.dial_time, node.rest, log.debug)
+        table = EndpointTable(
+            self.timers, self.descriptors, node.connect_timeout, node.idle_reuse_time, log.debug
+        )
         self.router = Router(node, self.timers, table, self.metrics, log)
         self.endpoint_list = endpoint_list = EndpointList(self.router, log)
         self.discovery = self.router.discovery = DiscoveryClient(
-            node.discovery, endpoint_list, self.timers, self.descriptors, node.dial_time,
+            node.discovery, endpoint_list, self.timers, self.descriptors, node.connect_timeout,
             self.router.balancer.chance, log, node.settings.polls_endpoints,
         )  # fmt: skip
         self.listener = Listener(self.timers, self.descriptors, self.accept)
@@ -54,15 +56,15 @@
             AdminApi(self, log),
         )
         self.admin_listener = Listener(self.timers, self.admin_descriptors, self.accept_operator)
-        self.inherited = node.inherited
-        self.handover = HotRestart(node.shared, log) if node.shared else None
+        self.inherited = node.listener_descriptor
+        self.handover = HotRestart(node.shared_directory, log) if node.shared_directory else None
         self.older: list[tuple[int, int]] = []  # processes that were there before
         self.clearing: list | None = None  # when callers that are idle are next sent away
         self.sharing_descriptors = False  # does another process live on half of the descriptors?
-        self.patience, self.terms, self.keys = max(node.longest), node.terms, node.keys
-        self.log_unmet(node.unmet)
-        if node.known:
-            endpoint_list.apply(node.known, first=True)
+        self.patience, self.terms, self.keys = max(node.class_deadlines), node.policy_inputs, node.named_keys
+        self.log_unmet(node.unsupported_keys)
+        if node.known_endpoints:
+            endpoint_list.apply(node.known_endpoints, first=True)
         table.close_expired_connections()
 
     async def start(self) -> None:
@@ -230,27 +232,27 @@
     def reload(self) -> None:
         """Takes over what can change while running. A faulty file changes nothing."""
         try:
-            node = reread_node(self.environment, self.keys)
+            node = reread_server_settings(self.environment, self.keys)
         except ValueError as error:
             self.metrics.configs_rejected += 1
             return self.log("reload.refused", why=str(error))
         self.metrics.configs_accepted += 1
-        self.log.verbose, self.keys = node.verbose, node.keys
+        self.log.verbose, self.keys = node.verbose, node.named_keys
         self.discovery.change_address(node.discovery)
-        if node.terms != self.terms:
+        if node.policy_inputs != self.terms:
             self.switch(node)
         self.log("reloaded", discovery=":".join(map(str, node.discovery)), debug=node.verbose)
 
-    def switch(self, node: Node) -> None:
+    def switch(self, node: ServerSettings) -> None:
         """Other settings, without a moment in which nobody serves."""
         # Callers that connected before wait as long as either settings allow.
-        self.patience, self.terms = max(self.patience, *node.longest), node.terms
+        self.patience, self.terms = max(self.patience, *node.class_deadlines), node.policy_inputs
         table = self.router.table
-        table.connect_timeout, table.idle_timeout = node.dial_time, node.rest
+        table.connect_timeout, table.idle_timeout = node.connect_timeout, node.idle_reuse_time
         held = len(self.router.requests)
         kept = self.router.apply_settings(node)
         self.log("switched", held=held, kept=kept, afresh=len(table.endpoints) - kept)
-        self.log_unmet(node.unmet)
+        self.log_unmet(node.unsupported_keys)
 
     def log_unmet(self, unmet: tuple[str, ...]) -> None:
         if unmet:
@@ -286,7 +288,7 @@
             self.timers.schedule(clock() + ANSWER_MARGIN // 30, self.wait_for_callers)
 
 
-async def serve_platform(node: Node, log: Log) -> None:
+async def serve_platform(node: ServerSettings, log: Log) -> None:
     await run_server(lambda: PlatformServer(node, os.environ, log), log)
 
 
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -9,7 +9,7 @@
 import orjson
 import structlog
 
-from dahliabend.config.operator_file import types
+from dahliabend.config.operator_file import schema
 from dahliabend.server.log import Log
 from dahliabend.server.log_events import EVENTS
 
@@ -58,9 +58,9 @@
         self.chance = Random(seed).random
         self.sample: dict[str, float] = {}
         self.logger = None
-        self.apply_settings(types.Log())
+        self.apply_settings(schema.LogSettings())
 
-    def apply_settings(self, settings: types.Log) -> None:
+    def apply_settings(self, settings: schema.LogSettings) -> None:
         self.sample = {name: float(share) for name, share in settings.sample.items()}
         self.verbose = settings.level == "debug"
         self.logger = structlog.wrap_logger(
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.config.operator_file import types
+from dahliabend.config.operator_file import schema
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController, SubsetSettings, count_usable
@@ -21,7 +21,7 @@
     def __init__(
         self,
         router: Router,
-        settings: types.Subset,
+        settings: schema.SubsetSettings,
         balancers: int,
         cluster,
         name: str,
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation import script as scenarios
 from dahliabend.simulation.script import Table, plain
 
@@ -34,26 +34,26 @@
     # upstreams, between processes alone, of which nine hops in ten fail for the span
     parts: list[list[int]] = []  # of a split: no way between these
     size: float = 0.0  # of lose, double: the share of datagrams
-    delay: Span = Span(0)  # at the most, drawn evenly: datagrams overtake each other
-    span: Span = Span(0)  # 0: until `mend`, or for good
-    wait: Span = Span(0)
+    delay: Duration = Duration(0)  # at the most, drawn evenly: datagrams overtake each other
+    span: Duration = Duration(0)  # 0: until `mend`, or for good
+    wait: Duration = Duration(0)
     until: Literal["", "out", "agree", "even", "believed"] = ""
-    within: Span = Span(0)  # for the condition; 0: what the terms allow
+    within: Duration = Duration(0)  # for the condition; 0: what the terms allow
 
 
 class Fleet(Table):
     seed: int = 0
     instances: int = 5
-    period: Span = Span(S)
+    period: Duration = Duration(S)
     seeds: list[int] = msgspec.field(
         default_factory=lambda: [0, 1]
     )  # instances that the others are told to ask
     zones: int = 1
     late: list[int] = []  # not started at first
-    delay: Span = Span(MS)  # of a datagram, in the mean
+    delay: Duration = Duration(MS)  # of a datagram, in the mean
     subset: int = 0  # between processes: the least, and the degree, of the pool's subsets; 0: none
     signals: bool = False  # between processes: they tell each other of upstreams
-    probing: Span = Span(0)  # and probe each once in it, by turns
+    probing: Duration = Duration(0)  # and probe each once in it, by turns
     limit: int = 0  # between processes: submits a second, of the whole fleet; 0: no limit
     steps: list[Step] = []
     why: str = ""
@@ -121,14 +121,14 @@
 def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> Fleet:
     """Troubles one after the other, some on top of each other, until so much time is over; then calm."""
     chance = Random(f"fleet {seed}")
-    made = Fleet(seed=seed, instances=instances, period=Span(period), zones=chance.choice((1, 2, 3)))
+    made = Fleet(seed=seed, instances=instances, period=Duration(period), zones=chance.choice((1, 2, 3)))
     made.steps.append(Step(until="agree"))
     spent = 0
     while spent < minutes * 60 * S:
         step = _step(chance, made)
         made.steps.append(step)
         spent += step.wait
-    made.steps += [Step("mend"), Step(wait=Span(period * 30), until="agree")]
+    made.steps += [Step("mend"), Step(wait=Duration(period * 30), until="agree")]
     check(made)
     return made
 
@@ -138,8 +138,8 @@
     few = chance.sample(everyone, chance.randint(1, max(1, fleet.instances // 5)))
     one = few[:1]
 
-    def periods(least: float, most: float) -> Span:
-        return Span(round(period * chance.uniform(least, most)))
+    def periods(least: float, most: float) -> Duration:
+        return Duration(round(period * chance.uniform(least, most)))
 
     what = chance.choice(
         ("kill", "restart", "stop", "stop", "block", "leave", "hand", "cut", "cut", "split", "lose", "delay",
@@ -160,9 +160,9 @@
     elif what == "block":
         step.whom, step.span = one, periods(0.5, 4)
     elif what == "strangers":
-        step.span = Span(0)
+        step.span = Duration(0)
     elif what in ("restart", "hand"):
-        step.whom, step.span = one, Span(0)
+        step.whom, step.span = one, Duration(0)
     else:
         step.whom = few
     return step
--- a/dahliabend/simulation/script.py
+++ b/dahliabend/simulation/script.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from dahliabend.config.operator_file import units
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 
 MS, S = 1_000, 1_000_000
 
@@ -61,44 +61,46 @@
     upstreams: int = 4
     behind: int = 0  # upstreams of a second tier, which those of the first call
     calls: float = 1.0  # how often for each request, one after the other, in the mean
-    work_behind: Span = Span(0)  # of a job there; 0: as in the first
+    work_behind: Duration = Duration(0)  # of a job there; 0: as in the first
     zones: int = 1
     cores: int = 2  # of an upstream
     slots: int = 8  # jobs at once on a core
     queue: int = 8  # and waiting
     choke_at: float = 1.0  # of its slots: from there on an upstream's work slows
-    work: Span = Span(8 * MS)  # of a query, in the mean; a submit's is half as much again
-    cold: Span = Span(2 * S)
+    work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
+    cold: Duration = Duration(2 * S)
     cold_share: float = 0.4
     fall_multiple: float = 4.0
-    grace: Span = Span(1_500 * MS)
-    goal: Span = Span(500 * MS)
-    limit: Span = Span(1_500 * MS)
+    grace: Duration = Duration(1_500 * MS)
+    goal: Duration = Duration(500 * MS)
+    limit: Duration = Duration(1_500 * MS)
     hops: int = 4
     may_probe: bool = True
     may_cancel: bool = True
     advises: bool = True
     sockets: int = 256  # descriptors of a balancer
-    conn_idle: Span = Span(2 * S)
-    dial: Span = Span(75 * MS)  # how long a connection to an upstream may take to come up
-    repeat_window: Span = Span(1_200 * MS)  # for which a journalled one is remembered
-    order_pause: Span = Span(0)  # a key's rest after a hop that may go on, where journalled ones carry keys
+    conn_idle: Duration = Duration(2 * S)
+    dial: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
+    repeat_window: Duration = Duration(1_200 * MS)  # for which a journalled one is remembered
+    order_pause: Duration = Duration(
+        0
+    )  # a key's rest after a hop that may go on, where journalled ones carry keys
     shared: bool = False  # the platform holds the listener, and processes share a folder
     admin: bool = True
-    delay: Span = Span(250)
-    cross: Span = Span(3 * MS)
+    delay: Duration = Duration(250)
+    cross: Duration = Duration(3 * MS)
     jitter: float = 0.3
     sending: int = 262_144
     window: int = 65_536
     piece: int = 0
-    idle_dies: Span = Span(0)
+    idle_dies: Duration = Duration(0)
     idle_resets: bool = False
-    notice: Span = Span(50 * MS)  # until discovery tells of a change, in the mean
+    notice: Duration = Duration(50 * MS)  # until discovery tells of a change, in the mean
 
 
 class LoadSpec(Table):
     requests: int = 110
-    over: Span = Span(4 * S)
+    over: Duration = Duration(4 * S)
     burst: float = 0.0  # of them come within a tenth of the time
     submits: float = 0.4
     marked: float = 0.1  # journalled ones
@@ -119,18 +121,18 @@
 
     what: What
     whom: int = 0
-    at: Span | None = None
+    at: Duration | None = None
     on: str = ""
     nth: int = 1
     name: str = ""  # of a class, for events of requests
-    after: Span = Span(0)
-    span: Span = Span(500 * MS)
+    after: Duration = Duration(0)
+    span: Duration = Duration(500 * MS)
     size: float = 0.0
 
 
 class Scenario(Table):
     seed: int = 0
-    length: Span = Span(5 * S)
+    length: Duration = Duration(5 * S)
     world: WorldSpec = msgspec.field(default_factory=WorldSpec)
     load: LoadSpec = msgspec.field(default_factory=LoadSpec)
     faults: list[Fault] = []
@@ -144,7 +146,7 @@
 
 def plain(value):
     """Spans as text: msgspec takes them for the whole numbers that they are."""
-    if isinstance(value, Span):
+    if isinstance(value, Duration):
         return str(value)
     if isinstance(value, msgspec.Struct):
         fields = msgspec.structs.fields(value)
@@ -163,7 +165,7 @@
 def parse(kind: type, text: bytes, name: str):
     """By the name's ending, TOML or JSON. ValueError says by path what is wrong."""
     decoder = msgspec.toml if name.endswith(".toml") else msgspec.json
-    return decoder.decode(text, type=kind, dec_hook=units.decode)
+    return decoder.decode(text, type=kind, dec_hook=units.decode_unit)
 
 
 def decode(text: bytes, name: str = "script.json") -> Scenario:
@@ -240,22 +242,22 @@
         cores=pick((1, 2, 2)),
         slots=pick((4, 8)),
         queue=pick((2, 8)),
-        work=Span(pick((10, 40, 80)) * MS),
-        cold=Span(pick((1, 2)) * S),
+        work=Duration(pick((10, 40, 80)) * MS),
+        cold=Duration(pick((1, 2)) * S),
         cold_share=pick((0.15, 0.4)),
         fall_multiple=pick((3.0, 4.0)),
         shared=real() < 0.25,
         sockets=pick((256, 256, 72)),
-        conn_idle=Span(pick((1, 2, 5)) * S),
+        conn_idle=Duration(pick((1, 2, 5)) * S),
         may_probe=real() < 0.8,
         may_cancel=real() < 0.9,
         advises=real() < 0.7,
         sending=pick((262_144, 262_144, 3_000)),
         window=pick((65_536, 65_536, 2_000)),
         piece=pick((0, 0, 0, 700)),
-        idle_dies=Span(pick((0, 0, 0, 700)) * MS),
+        idle_dies=Duration(pick((0, 0, 0, 700)) * MS),
         idle_resets=real() < 0.5,
-        notice=Span(pick((20, 80, 300)) * MS),
+        notice=Duration(pick((20, 80, 300)) * MS),
     )
     load = LoadSpec(
         requests=chance.randint(100, 130),
@@ -270,7 +272,7 @@
     faults = [_fault(chance, world, kinds) for _ in range(pick((1, 1, 2, 2, 3)))]
     order = Random(f"order {seed}")  # apart: what else a seed draws stays as it was
     if order.random() < 0.25:
-        world.order_pause = Span(order.choice((20, 100)) * MS)
+        world.order_pause = Duration(order.choice((20, 100)) * MS)
         load.keys, load.marked = order.choice((1, 3, 8)), 0.4
     made = Scenario(seed=seed, world=world, load=load, faults=[f for each in faults for f in each])
     _terms(Random(f"terms {seed}"), made, kinds)
@@ -283,13 +285,15 @@
     """To some seeds other settings, or many balancers with a cold upstream under a burst; drawn apart too."""
     world, load, what = made.world, made.load, chance.random()
     if what < 0.15:
-        world.limit, world.goal = Span(700 * MS), Span(300 * MS)
-        world.repeat_window = Span(chance.choice((150, 400)) * MS)
+        world.limit, world.goal = Duration(700 * MS), Duration(300 * MS)
+        world.repeat_window = Duration(chance.choice((150, 400)) * MS)
     elif what < 0.18 and not world.behind and not world.shared:
         world.balancers = chance.randint(20, 30)
         load.requests, load.burst = 3 * load.requests, 0.3
-        at = Span(chance.randrange(600, 1_400) * MS)
-        made.faults.append(Fault("crash", whom=chance.randrange(world.upstreams), at=at, span=Span(300 * MS)))
+        at = Duration(chance.randrange(600, 1_400) * MS)
+        made.faults.append(
+            Fault("crash", whom=chance.randrange(world.upstreams), at=at, span=Duration(300 * MS))
+        )
 
 
 def _terms(chance: Random, made: Scenario, kinds: tuple[str, ...]) -> None:
@@ -298,29 +302,31 @@
     if not possible or not kinds and chance.random() > 0.35:
         return
     world, load, what = made.world, made.load, chance.choice(possible)
-    at = Span(chance.randrange(300, 1_500) * MS + chance.randrange(1_000))
+    at = Duration(chance.randrange(300, 1_500) * MS + chance.randrange(1_000))
     most = {"upstream": world.upstreams, "discovery": world.balancers, "clients": 1}[GROUP_OF[what]]
     whom, size = chance.randrange(most), round(chance.uniform(0.3, 1), 3)
-    made.faults.append(Fault(what, whom=whom, at=at, span=Span(2 * S), size=size))
+    made.faults.append(Fault(what, whom=whom, at=at, span=Duration(2 * S), size=size))
     if what == "slow-dial":
-        world.dial, load.leave = Span(chance.choice((75, 400, 900)) * MS), 0.4
+        world.dial, load.leave = Duration(chance.choice((75, 400, 900)) * MS), 0.4
         world.may_cancel = world.may_cancel and chance.random() < 0.5
         # Repeats, and windows that end while their connections come up.
-        world.repeat_window, load.marked = Span(chance.choice((150, 400, 1_200)) * MS), 0.4
+        world.repeat_window, load.marked = Duration(chance.choice((150, 400, 1_200)) * MS), 0.4
         made.faults.append(
-            Fault("fail", whom=chance.randrange(most), at=Span(at), span=Span(2 * S), size=0.5)
+            Fault("fail", whom=chance.randrange(most), at=Duration(at), span=Duration(2 * S), size=0.5)
         )
-        made.faults[-2].at = Span(chance.randrange(200) * MS)  # most connections come up in the first seconds
-        made.faults.append(Fault("reset", whom=whom, at=Span(at + S // 2)))
+        made.faults[-2].at = Duration(
+            chance.randrange(200) * MS
+        )  # most connections come up in the first seconds
+        made.faults.append(Fault("reset", whom=whom, at=Duration(at + S // 2)))
     if what == "behind":  # the balancers end their connections meanwhile
-        made.faults.append(Fault("term", whom=chance.randrange(world.balancers), at=Span(at + S // 5)))
+        made.faults.append(Fault("term", whom=chance.randrange(world.balancers), at=Duration(at + S // 5)))
     if what == "away":  # a process that starts meanwhile goes by what it knew
-        made.faults[-1].span = Span(8 * S)
-        made.faults.append(Fault("kill", whom=whom, at=Span(at + S // 2), span=Span(300 * MS)))
+        made.faults[-1].span = Duration(8 * S)
+        made.faults.append(Fault("kill", whom=whom, at=Duration(at + S // 2), span=Duration(300 * MS)))
     if what in UNHEARD:
-        soon = Span(at + chance.randrange(50, 900) * MS)
+        soon = Duration(at + chance.randrange(50, 900) * MS)
         made.faults.append(Fault("withdraw", whom=chance.randrange(world.upstreams), at=soon))
-        made.length, load.over, load.requests = Span(12 * S), Span(11 * S), 2 * load.requests
+        made.length, load.over, load.requests = Duration(12 * S), Duration(11 * S), 2 * load.requests
 
 
 def _fault(chance: Random, world: WorldSpec, kinds: tuple[str, ...]) -> list[Fault]:
@@ -334,22 +340,22 @@
     made = Fault(
         what=what,
         whom=1 if what == "cut-zone" else chance.randrange(count.get(whom, 1)),
-        at=Span(chance.randrange(200, 2_500) * MS + chance.randrange(1_000)),
-        span=Span(chance.choice((100, 400, 900, 1_600)) * MS + chance.randrange(1_000)),
+        at=Duration(chance.randrange(200, 2_500) * MS + chance.randrange(1_000)),
+        span=Duration(chance.choice((100, 400, 900, 1_600)) * MS + chance.randrange(1_000)),
         size=round(chance.uniform(0.2, 1.0), 3),
     )
     if what == "exclude":  # what comes within the grace breaks nothing
-        made.span = Span(world.grace + chance.randrange(300, 1_500) * MS)
+        made.span = Duration(world.grace + chance.randrange(300, 1_500) * MS)
     if what == "crowd":
         made.size = round(2 * made.size, 3)
     if whom == "hop" or chance.random() < 0.2:
         made.at, made.nth = None, chance.randint(1, 60)
         made.on = chance.choice(("hop.head", "hop.whole", "begun", "made"))
         made.name = chance.choice(("query", "submit", ""))
-        made.after = Span(chance.choice((0, 0, 1, 300)))
+        made.after = Duration(chance.choice((0, 0, 1, 300)))
     more = []
     if what == "kill" and (not kinds or "stall" in kinds) and chance.random() < 0.4:  # and starts slowly
-        span = Span(chance.randrange(60, 500) * MS)
+        span = Duration(chance.randrange(60, 500) * MS)
         more.append(Fault("stall", whom=made.whom, on="listening", span=span))
     if what in ("drain", "restart") and chance.random() < 0.6:
         # Another one exactly as the grace of the drain's news ends.
@@ -360,8 +366,8 @@
                 what=other,
                 whom=0 if GROUP_OF[other] in ("balancer", "discovery") else made.whom,
                 on="told",
-                after=Span(world.grace + chance.choice(GRACE_EDGE)),
-                span=Span(200 * MS),
+                after=Duration(world.grace + chance.choice(GRACE_EDGE)),
+                span=Duration(200 * MS),
                 size=1.0,
             )
         )
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from dahliabend.config.operator_file.types import File, Member
-from dahliabend.config.platform import address
+from dahliabend.config.operator_file.schema import EndpointSettings, OperatorFile
+from dahliabend.config.platform import parse_address
 from dahliabend.routing_rules.checks import METHODS, Effective
 from dahliabend.routing_rules.plan import Plan, plan
 from dahliabend.server.operator_file_server import OperatorFileServer
@@ -58,7 +58,7 @@
         for name in made.file.pools:
             self.pool(made.file, name)
         self.classes(made.file)
-        self.place = address(made.file.listeners["callers"].address)
+        self.place = parse_address(made.file.listeners["callers"].address)
         self.process = self.machine(self.place[0], "b0/1")
         self.process.loop.set_exception_handler(
             lambda _, context: Log(self, "b0/1")(
@@ -99,7 +99,7 @@
 
     # What the file speaks of.
 
-    def classes(self, file: File) -> None:
+    def classes(self, file: OperatorFile) -> None:
         """A class of the checks for each route, with the limit that holds there."""
         for number, route in enumerate(file.routes):
             kind = file.classes[route.class_]
@@ -111,12 +111,13 @@
             )  # fmt: skip
             self.rules.tally.setdefault(route.name, [0, 0, 0])
 
-    def pool(self, file: File, name: str) -> None:
+    def pool(self, file: OperatorFile, name: str) -> None:
         if name in self.by_pool:
             return
         pool, number = file.pools[name], len(self.by_pool)
         members = pool.members or [
-            Member(id=f"{name}-{n}", address=f"10.7.{number}.{n + 1}:80", zone="a", cell=n) for n in range(3)
+            EndpointSettings(id=f"{name}-{n}", address=f"10.7.{number}.{n + 1}:80", zone="a", cell=n)
+            for n in range(3)
         ]
         for member in members:
             if member.id not in self.upstreams:  # two pools may have the same one
@@ -127,7 +128,7 @@
             for m in members
         ]
         if pool.discovery is not None:
-            registry, place = Registry(), address(pool.discovery)
+            registry, place = Registry(), parse_address(pool.discovery)
             process = self.machine(place[0], f"list of {name}")
             for row in rows:
                 registry.put(row)
@@ -136,8 +137,8 @@
         elif pool.file is not None:
             self.machines.files[join(dirname(FILE), pool.file)] = orjson.dumps({"servers": rows})
 
-    def bring_up(self, member: Member) -> None:
-        host, port = address(member.address)
+    def bring_up(self, member: EndpointSettings) -> None:
+        host, port = parse_address(member.address)
         self.taps[host, port] = member.id
         self.rules.places[member.id] = (member.cell, member.zone)
         process = self.machine(host, member.id)
@@ -150,7 +151,7 @@
 
     # What goes on.
 
-    def ask(self, file: File, number: int, headers: tuple = (), **more) -> Ask:
+    def ask(self, file: OperatorFile, number: int, headers: tuple = (), **more) -> Ask:
         route = file.routes[number]
         method = route.methods[0] if route.methods else "GET"
         limit = self.rules.classes[route.name].limit
@@ -162,7 +163,7 @@
             ask.body = b"x" * 50
         return ask
 
-    def load(self, file: File, rate: float, span: int) -> None:
+    def load(self, file: OperatorFile, rate: float, span: int) -> None:
         """All routes in turn, at random times."""
         for number in range(int(rate * span / 1e6)):
             at = self.kernel.now + int(self.chance.random() * span)
@@ -196,7 +197,9 @@
 
     def again(self, name: str) -> None:
         spec = self.upstreams[name].spec
-        self.bring_up(Member(id=name, address=f"{spec.host}:{spec.port}", zone=spec.zone, cell=spec.cell))
+        self.bring_up(
+            EndpointSettings(id=name, address=f"{spec.host}:{spec.port}", zone=spec.zone, cell=spec.cell)
+        )
 
     def later(self, wait: int, act: Callable, *arguments) -> None:
         self.kernel.at(self.kernel.now + wait, None, act, *arguments)
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dahliabend.simulation.script import MS, LoadSpec, Scenario, Span, WorldSpec, check
+from dahliabend.simulation.script import MS, Duration, LoadSpec, Scenario, WorldSpec, check
 from dahliabend.simulation.world import play
 
 MOST = 400  # runs that a shrinking takes at the most
@@ -49,9 +49,9 @@
     if load.requests > 1:
         yield replace(scenario, load=replace(load, requests=load.requests - max(1, load.requests // 10)))
     if scenario.length > 500 * MS:
-        half = Span(scenario.length // 2)
+        half = Duration(scenario.length // 2)
         fewer = [fault for fault in faults if fault.at is None or fault.at <= half]
-        shorter = replace(load, over=Span(min(load.over, half)))
+        shorter = replace(load, over=Duration(min(load.over, half)))
         yield replace(scenario, length=half, faults=fewer, load=shorter)
     for name in ("balancers", "upstreams", "behind", "zones", "cores"):
         least = 0 if name == "behind" else 1
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from dahliabend.config.platform import read_node
+from dahliabend.config.platform import read_server_settings
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import transports
 from dahliabend.simulation.event_loop import EPOCH, START, Kernel, Process, Runaway
@@ -133,7 +133,7 @@
         world = self.world
 
         async def main() -> None:
-            program = PlatformServer(read_node(environment), environment, Log(world, process.name))
+            program = PlatformServer(read_server_settings(environment), environment, Log(world, process.name))
             if self.process is process:
                 self.program = program
             process.program = program
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -18,7 +18,7 @@
         self.indices: dict[bytes, int] = {}
         self.requests: dict[int, RequestState] = {}
         try:
-            own = config.read(conf)
+            own = config.read_policy_settings(conf)
         except ValueError as error:
             raise wire.Malformed(f"settings of instance {number}: {error}") from None
         self.balancer = Balancer(own, self, seed)
@@ -70,7 +70,7 @@
         elif code == wire.JOB_IN:
             _, ref, lane, billing, item, deadline, _, options = fields
             request = balancer.admit(
-                now, ref, lane, billing, config.us(deadline), bool(options & 2), key=item
+                now, ref, lane, billing, config.to_microseconds(deadline), bool(options & 2), key=item
             )
             if not request.is_finished:
                 self.requests[ref] = request
@@ -90,7 +90,7 @@
             return
         if code == wire.RETURNED:
             _, _, shot, took, complete, how, _, _ = fields
-            request.attempt_finished(now, shot, Outcome(how), config.us(took), bool(complete))
+            request.attempt_finished(now, shot, Outcome(how), config.to_microseconds(took), bool(complete))
         elif code == wire.CLIENT_GONE:
             request.client_disconnected(now)
         else:
@@ -103,7 +103,15 @@
             self.balancer.endpoint_poll_failed(now)
             return
         rows = [
-            (self.index(address), EndpointState(state), config.us(born), weight, cell, zone, address)
+            (
+                self.index(address),
+                EndpointState(state),
+                config.to_microseconds(born),
+                weight,
+                cell,
+                zone,
+                address,
+            )
             for born, weight, cell, zone, address, state, _ in wire.ENTRY.iter_unpack(lines)
         ]
         self.balancer.update_endpoints(now, rows, full=scope != _DELTA)
@@ -117,7 +125,7 @@
 
     def batch(self, clock: float, count: int, body: bytes) -> bytes:
         """The reply to one batch."""
-        now = config.us(clock)
+        now = config.to_microseconds(clock)
         out = self.out
         out.clear()
         for code, fields, rest in wire.records(body, count):
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -16,7 +16,7 @@
 import subset_work as plays  # noqa: E402
 from subset_work import AFTER, BEFORE, MANY, POOL, RATE, ZONES, S, interval  # noqa: E402
 
-from dahliabend.config.operator_file.units import Span  # noqa: E402
+from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet  # noqa: E402
 from dahliabend.simulation.cluster.work import Work  # noqa: E402
 
@@ -49,7 +49,7 @@
     signals, liars, probing = WAYS[way]
     terms = plays.WAYS["subsets"][0] if subsets else None
     made = Work(
-        Fleet(seed=seed, instances=MANY, delay=Span(2_000)),
+        Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
         POOL,
         RATE,
         terms,
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.config.operator_file.units import Span  # noqa: E402
+from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.subsets import Subsets  # noqa: E402
 from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
@@ -20,7 +20,7 @@
 
 
 def play(seed: int, act, many=60, pool=40):
-    made = Subsets(Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, SubsetSettings())
+    made = Subsets(Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings())
     for number in range(many):
         made.start(number)
     made.know_all()
@@ -40,7 +40,7 @@
 
 
 def step(made, what, whom=(), span=0, wait=0, **more):
-    made.act(Step(what, whom=list(whom), span=Span(span * S), **more))
+    made.act(Step(what, whom=list(whom), span=Duration(span * S), **more))
     made.run(wait * S)
 
 
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.config.operator_file.units import Span  # noqa: E402
+from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.work import Work, names  # noqa: E402
 from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
@@ -35,7 +35,7 @@
 
 
 def act(made, what, whom=(), span=0, wait=0, **more):
-    made.act(Step(what, whom=list(whom), span=Span(span * S), **more))
+    made.act(Step(what, whom=list(whom), span=Duration(span * S), **more))
     made.run(wait * S)
 
 
@@ -165,7 +165,7 @@
 def play(task) -> dict:
     scenario, way, seed = task
     made = Work(
-        Fleet(seed=seed, instances=MANY, delay=Span(2_000)),
+        Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
         POOL,
         REJECTED.get(scenario, RATE),
         WAYS[way][0],
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dahliabend.config.operator_file.types import Route
+from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.health_gossip.report_table import QuotaAnnouncement
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.server.cluster_limits import ClusterLimits
@@ -15,7 +15,7 @@
     limit = Limit(rate=100.0)
     limit.take(part)
     choice = SimpleNamespace(name="r", limit=limit)
-    routes = [Route(name="r", class_="c", pool="p", shared=shared)]
+    routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
     made = OperatorFileServer.__new__(OperatorFileServer)
     made.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, choices=[choice]))
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from dahliabend.config.operator_file.types import Members
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.schema import MembershipSettings
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.membership import codec
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
@@ -168,7 +168,9 @@
 
 def fleet(folder, **more):
     (folder / "key").write_text("k" * 32)
-    settings = Members(address="127.0.0.1:7946", name="b1", key_files=["key"], keep="b1.keep", **more)
+    settings = MembershipSettings(
+        address="127.0.0.1:7946", name="b1", key_files=["key"], keep="b1.keep", **more
+    )
     lines = []
     loop = asyncio.new_event_loop()
     try:
@@ -221,7 +223,7 @@
         agent = Agent(registry, loop, lambda *_: None, Random(1), 1_000)
         await agent.open("127.0.0.1", port)
         (tmp_path / "key").write_text("k" * 32)
-        table = Members(
+        table = MembershipSettings(
             address=f"127.0.0.1:{own}", name="b1", key_files=["key"], seeds_discovery=f"127.0.0.1:{port}"
         )
         made = ClusterMember(
@@ -239,7 +241,7 @@
 
 
 def test_seeds_of_a_watched_file_come_and_go(tmp_path):
-    made, _ = fleet(tmp_path, seeds=["127.0.0.1:1"], period=Span(100_000))
+    made, _ = fleet(tmp_path, seeds=["127.0.0.1:1"], period=Duration(100_000))
     made.seed_list.endpoints_changed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
     assert made.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
     made.seed_list.endpoints_changed([], full=True)
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -188,7 +188,7 @@
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": settings}
     with open(path, "w") as file:
         json.dump(tree, file)
-    return config.read_node({"PROXY_CONFIG": path})
+    return config.read_server_settings({"PROXY_CONFIG": path})
 
 
 def feed_now(connection: Connection, data: bytes) -> None:
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -127,7 +127,7 @@
     path = directory / "proxy.json"
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": SETTINGS}
     path.write_text(json.dumps(tree))
-    program = PlatformServer(config.read_node({"PROXY_CONFIG": str(path)}), {}, QuietLog())
+    program = PlatformServer(config.read_server_settings({"PROXY_CONFIG": str(path)}), {}, QuietLog())
     program.router.listed([row_of(server(number)) for number in range(2)], full=True)
     return program
 
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -15,9 +15,9 @@
 import pytest
 from golden_files import DATA, as_json, read_golden, write_golden
 
-from dahliabend.config.operator_file.types import Members
-from dahliabend.config.operator_file.units import Span
-from dahliabend.config.platform import read_node
+from dahliabend.config.operator_file.schema import MembershipSettings
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.config.platform import read_server_settings
 from dahliabend.membership.codec import Ping
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.server.hot_restart import VERSION, HotRestart
@@ -63,7 +63,7 @@
     log, values = LogLines(), {}
 
     async def go_on() -> None:
-        node = read_node({"PROXY_CONFIG": str(FOLDER / "platform.json")})
+        node = read_server_settings({"PROXY_CONFIG": str(FOLDER / "platform.json")})
         program = PlatformServer(node, {}, log)
         mine = HotRestart(str(folder), log)
         mine.process_key = (2, 12434)
@@ -156,9 +156,12 @@
 
 def test_the_runtime_directory_is_where_it_was() -> None:
     platform = {"PROXY_CONFIG": str(FOLDER / "platform.json")}
-    assert read_node(platform).shared == ""
-    assert read_node({**platform, "PROXY_FD": "7"}).shared == "/tmp/dahliabend"
-    assert read_node({**platform, "PROXY_FD": "7", "TMPDIR": "/run/b1"}).shared == "/run/b1/dahliabend"
+    assert read_server_settings(platform).shared_directory == ""
+    assert read_server_settings({**platform, "PROXY_FD": "7"}).shared_directory == "/tmp/dahliabend"
+    assert (
+        read_server_settings({**platform, "PROXY_FD": "7", "TMPDIR": "/run/b1"}).shared_directory
+        == "/run/b1/dahliabend"
+    )
 
 
 # What a member keeps.
@@ -178,9 +181,9 @@
 def member(folder: Path, log: LogLines) -> ClusterMember:
     """The member whose file it is, as it starts; nothing is opened."""
     (folder / "key").write_text("k" * 32)
-    settings = Members(
+    settings = MembershipSettings(
         address="127.0.0.1:7946", name="b1", zone="zone-a", key_files=["key"], keep=KEPT,
-        seeds=["10.0.0.9:7946"], period=Span(1_000_000),
+        seeds=["10.0.0.9:7946"], period=Duration(1_000_000),
     )  # fmt: skip
     loop = asyncio.new_event_loop()
     try:
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -11,7 +11,7 @@
 
 from golden_files import as_json, read_golden, write_golden
 
-from dahliabend.config.operator_file.types import Log as LogSettings
+from dahliabend.config.operator_file.schema import LogSettings
 from dahliabend.server.log import Log as PlainLog
 from dahliabend.server.log_events import CONTEXT
 from dahliabend.server.structured_log import StructuredLog
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -132,8 +132,8 @@
         environment = {"PROXY_CONFIG": str(path), **(variables or {})}
         try:
             if reread is not None:
-                return config.reread_node(environment, reread)
-            return config.read_node(environment)
+                return config.reread_server_settings(environment, reread)
+            return config.read_server_settings(environment)
         except ValueError as error:
             raise ValueError(str(error).replace(str(path), "FILE")) from None
 
@@ -225,9 +225,9 @@
     """What each environment variable changes, or the message where it is bad."""
     tree = json.loads(read_golden(INPUT))
     usual = node_values(read_file(tree))
-    told: dict[str, object] = {"PROXY_CONFIG missing": fault_of(lambda: config.read_node({}))}
+    told: dict[str, object] = {"PROXY_CONFIG missing": fault_of(lambda: config.read_server_settings({}))}
     told["PROXY_CONFIG names no file"] = fault_of(
-        lambda: config.read_node({"PROXY_CONFIG": "/none/proxy.json"})
+        lambda: config.read_server_settings({"PROXY_CONFIG": "/none/proxy.json"})
     )
     for title, variables in VARIABLES.items():
         try:
--- a/tests/routing_rules/test_choice.py
+++ b/tests/routing_rules/test_choice.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import MS, balancer
 
-from dahliabend.config.operator_file.types import Route
+from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.routing_rules import plan as plans
 from dahliabend.routing_rules.choice import Choice, choices
@@ -18,7 +18,7 @@
 
 
 def route(name, path="/", **more):
-    return Route(**{"name": name, "class_": "query", "path": path, "pool": "a", **more})
+    return RouteSettings(**{"name": name, "class_": "query", "path": path, "pool": "a", **more})
 
 
 def found(routes, method, path, **headers):
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import dahliabend
-from dahliabend.config.operator_file.types import Log
-from dahliabend.config.operator_file.units import Share
+from dahliabend.config.operator_file.schema import LogSettings
+from dahliabend.config.operator_file.units import Fraction
 from dahliabend.server import log as plain
 from dahliabend.server.log_events import CONTEXT, ENDED, EVENTS, page
 from dahliabend.server.structured_log import StructuredLog
@@ -69,7 +69,7 @@
     """One whose lines stay in its buffer."""
     log = StructuredLog("b", sink=-1)
     log.write = lambda: None
-    log.apply_settings(Log(**settings))
+    log.apply_settings(LogSettings(**settings))
     return log
 
 
@@ -86,13 +86,13 @@
     for event in ("probe", "hop", "watch.silent", "error"):
         log(event)
     assert [line["event"] for line in lines(log)] == ["watch.silent", "error"]
-    log.apply_settings(Log(level="debug"))
+    log.apply_settings(LogSettings(level="debug"))
     log.debug("probe")
     assert [line["level"] for line in lines(log)] == ["debug"]
 
 
 def test_a_sampled_event_keeps_its_share_and_others_all():
-    log = quiet(sample={"hop": Share(0.1)})
+    log = quiet(sample={"hop": Fraction(0.1)})
     for _ in range(2_000):
         log("hop")
         log("list")
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.membership.codec import MemberStatus
 from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster import script
@@ -15,7 +15,7 @@
 
 
 def s(seconds):
-    return Span(round(seconds * S))
+    return Duration(round(seconds * S))
 
 
 @pytest.mark.parametrize("seed", range(30))
--- a/tests/simulation/cluster/test_subsets.py
+++ b/tests/simulation/cluster/test_subsets.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.subsets import Subsets
 from dahliabend.subsetting.controller import SubsetSettings
@@ -10,7 +10,7 @@
 
 def fleet(seed=0, many=30, pool=24):
     made = Subsets(
-        Fleet(seed=seed, instances=many, delay=Span(2_000)), pool, SubsetSettings(min_size=8, degree=8)
+        Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings(min_size=8, degree=8)
     )
     for number in range(many):
         made.start(number)
@@ -21,7 +21,7 @@
 
 
 def act(made, what, whom, wait, span=0, **more):
-    made.act(Step(what, whom=list(whom), span=Span(span * S), **more))
+    made.act(Step(what, whom=list(whom), span=Duration(span * S), **more))
     made.run(wait * S)
 
 
--- a/tests/simulation/cluster/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dahliabend.config.operator_file.units import Span
+from dahliabend.config.operator_file.units import Duration
 from dahliabend.model import Outcome
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S, Step
@@ -17,7 +17,7 @@
 
 
 def fleet(subset=None, seed=1, warm=10, rate=165.0):
-    made = Work(Fleet(seed=seed, instances=MANY, delay=Span(2_000)), POOL, rate, subset)
+    made = Work(Fleet(seed=seed, instances=MANY, delay=Duration(2_000)), POOL, rate, subset)
     made.begin()
     made.run(warm * S)
     made.forget()
@@ -75,7 +75,7 @@
 def test_demand_told_makes_room_for_one_that_many_come_to():
     shares = []
     for demand in (False, True):
-        made = Work(Fleet(seed=2, instances=MANY, delay=Span(2_000)), POOL, 225.0, SUBSETS, demand=demand)
+        made = Work(Fleet(seed=2, instances=MANY, delay=Duration(2_000)), POOL, 225.0, SUBSETS, demand=demand)
         made.heavy = 1 / 3
         made.begin()
         made.run(30 * S)
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -10,7 +10,7 @@
 import pytest
 from defects import DEFECTS, SHOWN, caught
 
-from dahliabend.simulation.script import Fault, LoadSpec, Scenario, Span, WorldSpec, draw, read
+from dahliabend.simulation.script import Duration, Fault, LoadSpec, Scenario, WorldSpec, draw, read
 from dahliabend.simulation.shrink import shrink
 from dahliabend.simulation.sweep import look, sweep
 from dahliabend.simulation.world import World, play
@@ -96,7 +96,7 @@
     def breaks(scenario, rule):
         return any(fault.what == "hang" for fault in scenario.faults) and scenario.load.requests >= 7
 
-    faults = [Fault("slow", at=Span(S)), Fault("hang", at=Span(S)), Fault("kill", at=Span(2 * S))]
+    faults = [Fault("slow", at=Duration(S)), Fault("hang", at=Duration(S)), Fault("kill", at=Duration(2 * S))]
     least, runs = shrink(Scenario(faults=faults), "one answer", breaks)
     assert [fault.what for fault in least.faults] == ["hang"] and least.load.requests == 7
     assert least.world.upstreams == 1 and least.breaks == "one answer" and runs < 100
@@ -106,7 +106,7 @@
 
 def scenario(*faults, world=None, load=None, **more):
     return Scenario(
-        world=msgspec.structs.replace(WorldSpec(work=Span(30 * MS)), **(world or {})),
+        world=msgspec.structs.replace(WorldSpec(work=Duration(30 * MS)), **(world or {})),
         load=msgspec.structs.replace(LoadSpec(), **(load or {})), faults=list(faults), **more,
     )  # fmt: skip
 
@@ -116,8 +116,8 @@
 def test_a_fault_exactly_as_the_grace_of_a_drain_ends(what, edge):
     world = World(
         scenario(
-            Fault("drain", at=Span(S)),
-            Fault(what, on="told", after=Span(1_500 * MS + edge), size=1.0, span=Span(300 * MS)),
+            Fault("drain", at=Duration(S)),
+            Fault(what, on="told", after=Duration(1_500 * MS + edge), size=1.0, span=Duration(300 * MS)),
         )
     )
     result = world.play()
@@ -144,8 +144,8 @@
 @pytest.mark.parametrize("name", ["query", "submit"])
 def test_sigterm_at_every_step_of_a_request(on, name, after):
     """Both balancers, at the same step of different requests, with clients that ask behind the end."""
-    terms = [Fault("term", whom=n, on=on, name=name, nth=9 + 8 * n, after=Span(after)) for n in (0, 1)]
-    behind = Fault("behind", at=Span(200 * MS), size=1.0)
+    terms = [Fault("term", whom=n, on=on, name=name, nth=9 + 8 * n, after=Duration(after)) for n in (0, 1)]
+    behind = Fault("behind", at=Duration(200 * MS), size=1.0)
     result = play(scenario(behind, *terms, load={"fresh": 0.3, "trickle": 0.1}))
     ended = [line[0] for line in result.lines if line[1] == "ended" and line[2] in ("b0/1", "b1/1")]
     assert not result.violations, [str(violation) for violation in result.violations]
@@ -153,7 +153,7 @@
 
 
 def test_a_balancer_killed_and_started_again_under_load():
-    result = play(scenario(Fault("kill", at=Span(1_500 * MS)), load={"requests": 300}))
+    result = play(scenario(Fault("kill", at=Duration(1_500 * MS)), load={"requests": 300}))
     assert not result.violations and ("starts", "b0/2") in {line[1:3] for line in result.lines}
     assert result.counts["served"] > 250
 
@@ -161,9 +161,9 @@
 def test_an_upgrade_with_one_excluded_and_another_cold():
     result = play(
         scenario(
-            Fault("exclude", at=Span(300 * MS), span=Span(3_500 * MS), size=0.02),
-            Fault("crash", whom=2, at=Span(400 * MS), span=Span(300 * MS)),
-            Fault("upgrade", at=Span(900 * MS)),
+            Fault("exclude", at=Duration(300 * MS), span=Duration(3_500 * MS), size=0.02),
+            Fault("crash", whom=2, at=Duration(400 * MS), span=Duration(300 * MS)),
+            Fault("upgrade", at=Duration(900 * MS)),
             world={"shared": True}, load={"requests": 300},
         )
     )  # fmt: skip
@@ -185,7 +185,9 @@
 
 
 def test_a_watch_that_dies_twice_in_a_row_while_one_drains():
-    result = play(scenario(Fault("end-watch", at=Span(S), size=1.0), Fault("drain", at=Span(1_030 * MS))))
+    result = play(
+        scenario(Fault("end-watch", at=Duration(S), size=1.0), Fault("drain", at=Duration(1_030 * MS)))
+    )
     ends = sum(line[1:4] == ("log", "b0/1", "watch.ended") for line in result.lines)
     assert ends >= 2 and not result.violations
 
@@ -193,8 +195,8 @@
 def test_long_bodies_while_descriptors_run_out():
     result = play(
         scenario(
-            Fault("rude", at=Span(S), size=1.0, span=Span(2 * S)),
-            Fault("crowd", at=Span(1_200 * MS), size=2.0),
+            Fault("rude", at=Duration(S), size=1.0, span=Duration(2 * S)),
+            Fault("crowd", at=Duration(1_200 * MS), size=2.0),
             world={"sockets": 72}, load={"long_bodies": 0.3, "submits": 0.7},
         )
     )  # fmt: skip
@@ -205,12 +207,12 @@
     """A minute with a fault every second, weighed every ten; the first two tenths fill its tables."""
     kinds = ("drain", "reset", "fail", "end-watch", "reset", "limit", "slow", "flap", "garble", "wrong")
     faults = [
-        Fault(kinds[n % 10], whom=0 if "w" in kinds[n % 10] else n % 4, at=Span(n * S), size=0.5)
+        Fault(kinds[n % 10], whom=0 if "w" in kinds[n % 10] else n % 4, at=Duration(n * S), size=0.5)
         for n in range(56)
     ]
     faults = [f for f in faults if f.what not in ("end-watch", "wrong") or f.whom < 2]
     world = World(
-        scenario(*faults, length=Span(60 * S), load={"requests": 1_500, "over": Span(60 * S)}), 10 * S
+        scenario(*faults, length=Duration(60 * S), load={"requests": 1_500, "over": Duration(60 * S)}), 10 * S
     )
     result = world.play()
     weights = [sum(sum(kinds.values()) for kinds in each) for each in world.weights]
--- a/tests/simulator_adapter/test_codec.py
+++ b/tests/simulator_adapter/test_codec.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dahliabend.config.platform import read
+from dahliabend.config.platform import read_policy_settings
 from dahliabend.simulator_adapter import codec as wire
 from dahliabend.simulator_adapter.host import Host
 
@@ -113,7 +113,7 @@
 
 
 def test_settings_take_optional_keys_and_refuse_what_they_do_not_know():
-    own = read(json.dumps(CONF).encode())
+    own = read_policy_settings(json.dumps(CONF).encode())
     assert (
         own.request_classes[0].latency_objective == 2_000_000
         and not own.can_health_check
@@ -121,7 +121,9 @@
     )
     assert own.cross_zone_cost == 0  # as where crossing costs nothing: the zone's share is never read
     with pytest.raises(ValueError, match="semantics"):
-        read(json.dumps({**CONF, "profiles": [{**CONF["profiles"][0], "semantics": "maybe"}]}).encode())
+        read_policy_settings(
+            json.dumps({**CONF, "profiles": [{**CONF["profiles"][0], "semantics": "maybe"}]}).encode()
+        )
 
 
 def test_an_error_in_the_decisions_is_a_fault():
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dahliabend.config.operator_file.types import Subset
+from dahliabend.config.operator_file.schema import SubsetSettings
 from dahliabend.model import EndpointState
 from dahliabend.routing_rules.plan import plan
 from dahliabend.server.subset_filter import SubsetFilter
@@ -39,7 +39,7 @@
         Router(),
         SimpleNamespace(schedule=lambda when, call: [when, 0, call, ()], cancel=lambda entry: None),
     )
-    made = SubsetFilter(router, Subset(**more), 20, None, "me", timers, lambda *_, **__: None)
+    made = SubsetFilter(router, SubsetSettings(**more), 20, None, "me", timers, lambda *_, **__: None)
     return made, router
 
 
