--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -14,7 +14,7 @@
 import path
 
 from dahliabend.config.operator_file.schema import RouteSettings
-from dahliabend.routing_rules.table import Table
+from dahliabend.routing_rules.route_table import RouteTable
 
 TREE = Path(__file__).parents[1]
 
@@ -28,7 +28,7 @@
         for n in range(count)
     ]
     table, paths = (
-        Table(routes),
+        RouteTable(routes),
         [f"/service{n % 100}/part{n}/more?x=1" for n in range(0, count, max(1, count // 64))],
     )
     for _ in range(2):  # the first warms up
--- a/dahliabend/cli/members.py
+++ b/dahliabend/cli/members.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from dahliabend.config.platform import parse_address
-from dahliabend.routing_rules import plan as plans
+from dahliabend.routing_rules import loaded_file
 
 PATIENCE = 5.0  # seconds
 
@@ -21,8 +21,8 @@
         return parse_address(where)
     except ValueError:
         pass
-    made = plans.plan(where)
-    if not made.usable:
+    made = loaded_file.load_file(where)
+    if not made.is_usable:
         raise click.ClickException("\n".join(map(str, made.faults)))
     listener = made.file.listeners.get("operators")
     if listener is None:
--- a/dahliabend/cli/routes.py
+++ b/dahliabend/cli/routes.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from dahliabend.routing_rules import plan as plans
+from dahliabend.routing_rules import loaded_file
 
 JSON = click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
 FINDINGS = 1
@@ -17,10 +17,10 @@
     click.echo(json.dumps(value, indent=2, default=str))
 
 
-def usable(path: str) -> plans.Plan:
+def usable_file(path: str) -> loaded_file.LoadedFile:
     """A file without faults; else they are printed and the command ends with 1."""
-    made = plans.plan(path)
-    if not made.usable:
+    made = loaded_file.load_file(path)
+    if not made.is_usable:
         for fault in made.faults:
             click.echo(str(fault), err=True)
         raise click.exceptions.Exit(FINDINGS)
@@ -35,7 +35,7 @@
 
     Nothing is loaded, nothing is asked over the network.
     """
-    found = {name: plans.plan(name) for name in files}
+    found = {name: loaded_file.load_file(name) for name in files}
     faults = [fault for made in found.values() for fault in made.faults]
     if as_json:
         give([{"file": f.file, "line": f.line, "key": f.key, "reason": f.reason} for f in faults])
@@ -43,7 +43,7 @@
         for fault in faults:
             click.echo(str(fault))
         for name, made in found.items():
-            if made.usable:
+            if made.is_usable:
                 counts = made.file
                 click.echo(
                     f"{name}: fine, {len(counts.routes)} routes, {len(counts.pools)} pools, "
@@ -60,7 +60,7 @@
     """Every setting in force, and the line that says it."""
     found = {
         key: (value, place)
-        for key, (value, place) in plans.settings(usable(file)).items()
+        for key, (value, place) in loaded_file.settings(usable_file(file)).items()
         if whole or place != "default"
     }
     if as_json:
@@ -85,7 +85,7 @@
         if not colon:
             raise click.BadParameter(f"{header!r} is no 'NAME: VALUE'")
         pairs[name.strip()] = value.strip()
-    made = plans.explain(usable(file), method.upper(), path, pairs)
+    made = loaded_file.explain(usable_file(file), method.upper(), path, pairs)
     if as_json:
         give(made)
     elif made["route"] is None:
@@ -112,12 +112,12 @@
 @JSON
 def diff(old: str, new: str, as_json: bool) -> None:
     """What a reload from OLD to NEW would change; exits with 1 if anything, or if NEW would be refused."""
-    before, made = usable(old), plans.plan(new)
-    if not made.usable:
+    before, made = usable_file(old), loaded_file.load_file(new)
+    if not made.is_usable:
         for fault in made.faults:
             click.echo(f"refused: {fault}", err=True)
         raise click.exceptions.Exit(FINDINGS)
-    found = plans.diff(before, made)
+    found = loaded_file.diff(before, made)
     if as_json:
         give(found)
     elif found:
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -20,7 +20,7 @@
 from dahliabend.process_tests.fault_proxy import Relay
 from dahliabend.process_tests.load import CLASSES, Traffic
 from dahliabend.process_tests.processes import Instance, free_ports
-from dahliabend.routing_rules.limits import FEW
+from dahliabend.routing_rules.limits import MIN_PARTIAL_BURST
 from dahliabend.simulation.cluster.invariants import Bounds, Claim, judge
 from dahliabend.simulation.cluster.model import LOOK, Player
 from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
@@ -165,7 +165,7 @@
             while times[first] < at - LIMITED:
                 first += 1
             most = max(most, last - first + 1)
-        allowed = OVERCOMMIT_LIMIT * limit * (LIMITED + BUSY) + FEW * len(self.instances)
+        allowed = OVERCOMMIT_LIMIT * limit * (LIMITED + BUSY) + MIN_PARTIAL_BURST * len(self.instances)
         self.outcome.counts.update({"limited": len(times), "limited most": most})
         if most > allowed:
             self.outcome.broken("limit", self.now, f"{most} in {LIMITED:g} s, {allowed:.0f} allowed")
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -8,9 +8,9 @@
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.router import Router
-from dahliabend.routing_rules.checks import METHODS
-from dahliabend.routing_rules.choice import Choice, choices
-from dahliabend.routing_rules.table import Table
+from dahliabend.routing_rules.checks import HTTP_METHODS
+from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
+from dahliabend.routing_rules.route_table import RouteTable
 from dahliabend.transport.timers import clock
 
 MAX_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
@@ -69,8 +69,8 @@
     """The routes in force. A transaction keeps those that it was taken by."""
 
     file: OperatorFile
-    table: Table
-    choices: list[Choice]
+    table: RouteTable
+    choices: list[CompiledRoute]
     seen: tuple[str, ...] = ()  # headers that any route asks for
     profiles: dict[str, dict[int, int]] = field(default_factory=dict)  # by pool: of each route its profile
 
@@ -78,7 +78,7 @@
 class Dispatcher:
     """What callers are served by. Numbers of transactions tell the pool too."""
 
-    methods = frozenset(method.encode() for method in METHODS)
+    methods = frozenset(method.encode() for method in HTTP_METHODS)
 
     def __init__(self, metrics, log: Callable, seed: int) -> None:
         self.metrics, self.log = metrics, log
@@ -118,9 +118,9 @@
     def apply_routes(self, file: OperatorFile, profiles: dict[str, dict[int, int]]) -> None:
         """These routes from now on. Turns and buckets go on where a route of that name was there before."""
         before = {c.name: c for c in self.routes.choices} if self.routes is not None else {}
-        made = choices(file, before)
+        made = compile_routes(file, before)
         seen = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
-        self.routes = ActiveRoutes(file, Table(file.routes), made, tuple(sorted(seen - {""})), profiles)
+        self.routes = ActiveRoutes(file, RouteTable(file.routes), made, tuple(sorted(seen - {""})), profiles)
         self.metrics.set_active_classes([name.encode() for name in file.classes])
 
     # What callers bring.
@@ -129,13 +129,13 @@
         routes = self.routes
         headers = {name: fields.get(name.encode(), b"").decode("latin-1") for name in routes.seen}
         number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), headers)
-        return None if number is None else (routes.choices[number].profile, number)
+        return None if number is None else (routes.choices[number].class_name, number)
 
     def identify(self, number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """The transaction's id and how long its caller waits; made here where it names neither."""
         self.fields = fields  # of the request that is taken next: its caller may be reading another by now
         trace = fields.get(TRACE) or b"%032x" % self.chance.getrandbits(128)
-        return trace, fields.get(EXPIRES) or b"%d" % (self.routes.choices[number].total // 1000)
+        return trace, fields.get(EXPIRES) or b"%d" % (self.routes.choices[number].total_timeout // 1000)
 
     def dispatch(
         self,
@@ -156,15 +156,15 @@
     ) -> int:
         routes, now = self.routes, clock()
         choice = routes.choices[number]
-        if not choice.limit.enter(now):
+        if not choice.limit.try_acquire(now):
             self.turned_away += 1
-            wait = min(ADVICE, choice.limit.wait(now))
+            wait = min(ADVICE, choice.limit.time_until_token(now))
             advice = b"Retry-After: %.3f\r\n" % (wait / 1e6) if wait else b""
             client.send_response(503, advice, NO_ROOM)
             return -1
-        client.on_request_finished = choice.limit.leave
+        client.on_request_finished = choice.limit.release
         split = self.fields.get(choice.split_by, b"") if choice.split_by else b""
-        names = choice.ways(split, self.ready_fraction)
+        names = choice.candidate_pools(split, self.ready_fraction)
         if not self.fields.get(TRACE):
             passed += b"X-Trace-Id: %b\r\n" % trace_id
         common = {
@@ -203,7 +203,8 @@
     def ready(self) -> bool:
         """Every pool that a route goes to first has somebody to send to, itself or its fallback."""
         return not self.closing() and all(
-            any(self.ready_fraction(name) > 0 for name in choice.reach) for choice in self.routes.choices
+            any(self.ready_fraction(name) > 0 for name in choice.reachable_pools)
+            for choice in self.routes.choices
         )
 
     def closing(self) -> bool:
--- a/dahliabend/routing_rules/checks.py
+++ b/dahliabend/routing_rules/checks.py
@@ -17,9 +17,9 @@
 from dahliabend.config.operator_file.source import Key, Source
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.config.platform import parse_address
-from dahliabend.routing_rules.table import Table
+from dahliabend.routing_rules.route_table import RouteTable
 
-METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
+HTTP_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
 MOST_ATTEMPTS = 64
 LONGEST, LEAST_KEY, MOST_WEIGHT = 64, 32, 1e6  # bytes of a name, of a key
 LEAST_PROBING = Duration(4_000_000)  # eight beats of signals: what was found has to come round
@@ -29,11 +29,11 @@
 DEFAULTS = {"attempts": 3}
 
 
-def written(name: str) -> str:
+def key_of_field(name: str) -> str:
     return name.rstrip("_").replace("_", "-")
 
 
-class Effective:
+class EffectiveTreatment:
     """A route's treatment: each value, and the key that says it."""
 
     def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
@@ -48,7 +48,7 @@
             for level, above in levels:
                 value = getattr(level, name)
                 if value is not None:
-                    self.values[name], self.keys[name] = value, (*above, written(name))
+                    self.values[name], self.keys[name] = value, (*above, key_of_field(name))
                     break
             else:
                 self.values[name], self.keys[name] = DEFAULTS.get(name), ("routes", number)
@@ -140,7 +140,7 @@
     for name in ("hop_time", "total_time", "second_copy_after", "concurrency", "rate", "burst"):
         value = getattr(table, name)
         if value is not None and value <= 0:
-            source.fault((*key, written(name)), f"{value} is not above 0")
+            source.fault((*key, key_of_field(name)), f"{value} is not above 0")
     if table.attempts is not None and not 1 <= table.attempts <= MOST_ATTEMPTS:
         source.fault((*key, "attempts"), f"{table.attempts} is not between 1 and {MOST_ATTEMPTS}")
     if table.replays is not None and table.replays < 0:
@@ -154,7 +154,7 @@
         _positive(kind, key, source)
         for field in ("service_goal", "hard_limit"):
             if getattr(kind, field) <= 0:
-                source.fault((*key, written(field)), f"{getattr(kind, field)} is not above 0")
+                source.fault((*key, key_of_field(field)), f"{getattr(kind, field)} is not above 0")
         if kind.service_goal > kind.hard_limit:
             source.fault(
                 (*key, "service-goal"), f"{kind.service_goal} is over the hard limit, {kind.hard_limit}"
@@ -203,7 +203,7 @@
             source.fault((*key, "cold", "multiple"), f"{pool.cold.multiple:g} is not above 1")
         for field in ("idle", "dial_time", "grace"):
             if getattr(pool, field) <= 0:
-                source.fault((*key, written(field)), f"{getattr(pool, field)} is not above 0")
+                source.fault((*key, key_of_field(field)), f"{getattr(pool, field)} is not above 0")
 
 
 def _members(pool: PoolSettings, key: Key, listening: set[str], source: Source) -> None:
@@ -251,20 +251,20 @@
         if not route.path.startswith("/") or "?" in route.path or "//" in route.path:
             source.fault((*key, "path"), f"{route.path!r} is no path: it begins with / and has no query")
         for place, method in enumerate(route.methods):
-            if method not in METHODS:
-                hint = nearest(method.upper(), METHODS)
+            if method not in HTTP_METHODS:
+                hint = nearest(method.upper(), HTTP_METHODS)
                 source.fault((*key, "methods", place), f"{method!r} is no method{hint}")
         _split(file, route, key, source)
         if _known(route.class_, file.classes, "class", (*key, "class"), source):
             _treatment(file, route, number, file.classes[route.class_], source)
-    for number, by in Table(file.routes).shadowed():
+    for number, by in RouteTable(file.routes).shadowed():
         source.fault(
             ("routes", number, "path"),
             f"is never reached: {file.routes[by].name!r} takes the same requests before it",
         )
 
 
-def targets(route: RouteSettings) -> Iterator[str]:
+def target_pools(route: RouteSettings) -> Iterator[str]:
     if route.pool is not None:
         yield route.pool
     yield from route.pools or {}
@@ -284,16 +284,16 @@
     if route.split_by is not None and route.pools is None:
         source.fault((*key, "split-by"), "there is nothing to split: pools is missing")
     if route.fallback is not None and _known(route.fallback, file.pools, "pool", (*key, "fallback"), source):
-        if route.fallback in targets(route):
+        if route.fallback in target_pools(route):
             source.fault((*key, "fallback"), f"{route.fallback!r} is what the route goes to anyway")
-        elif file.pools[route.fallback].fallback in targets(route):
+        elif file.pools[route.fallback].fallback in target_pools(route):
             back = file.pools[route.fallback].fallback
             source.fault((*key, "fallback"), f"goes round: {route.fallback!r} falls back to {back!r}")
     if route.mirror is not None and _known(route.mirror, file.pools, "pool", (*key, "mirror"), source):
         kind = file.classes.get(route.class_)
         if kind is not None and kind.effect != "idempotent":
             source.fault((*key, "mirror"), f"{route.class_!r} is {kind.effect}: a copy would have an effect")
-        if route.mirror in targets(route):
+        if route.mirror in target_pools(route):
             source.fault(
                 (*key, "mirror"), f"{route.mirror!r} answers this route: it would get each one twice"
             )
@@ -303,7 +303,7 @@
     file: OperatorFile, route: RouteSettings, number: int, kind: ClassSettings, source: Source
 ) -> None:
     """Against the rules: each fault stands at the key that says the value, wherever that is."""
-    made = Effective(file, route, number)
+    made = EffectiveTreatment(file, route, number)
     name, limit = route.name, kind.hard_limit
 
     def fault(field: str, reason: str) -> None:
@@ -351,12 +351,14 @@
     _cold(file, route, made, fault)
 
 
-def _shares(file: OperatorFile, route: RouteSettings, made: Effective, fault) -> None:
+def _shares(file: OperatorFile, route: RouteSettings, made: EffectiveTreatment, fault) -> None:
     """Retries in a pool, and again in the one that it falls back to, multiply."""
     share = made.retry_share
     if share is None:
         return
-    falls = route.fallback or any(file.pools[name].fallback for name in targets(route) if name in file.pools)
+    falls = route.fallback or any(
+        file.pools[name].fallback for name in target_pools(route) if name in file.pools
+    )
     together = (1 + share) ** 2 - 1 if falls else share
     most = file.defaults.most_retry_share
     if together > most + 1e-9:
@@ -364,12 +366,12 @@
         fault("retry_share", f"{100 * together:g}% of first hops{why}; {most} is the most")
 
 
-def _cold(file: OperatorFile, route: RouteSettings, made: Effective, fault) -> None:
+def _cold(file: OperatorFile, route: RouteSettings, made: EffectiveTreatment, fault) -> None:
     """A limit under which a cold upstream would get not one transaction while it is cold is too low: it would
     be found warm only by chance."""
     if made.rate is None:
         return
-    for name in targets(route):
+    for name in target_pools(route):
         pool = file.pools.get(name)
         if pool is None or not pool.members:
             continue
--- a/dahliabend/routing_rules/plan.py
+++ b/dahliabend/routing_rules/loaded_file.py
@@ -9,15 +9,15 @@
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.config.operator_file.source import Fault, Key, Source, format_key, load
 from dahliabend.config.operator_file.units import UNITS, Duration
-from dahliabend.routing_rules.checks import FIELDS, Effective, check, targets, written
-from dahliabend.routing_rules.table import Table
+from dahliabend.routing_rules.checks import FIELDS, EffectiveTreatment, check, key_of_field, target_pools
+from dahliabend.routing_rules.route_table import RouteTable
 
 RESTART = ("listeners", "members")  # what a reload passes over,
 TAKEN = {"zone", "weight", "seeds", "seeds-file", "seeds-discovery", "key-files"}  # but for these of members
 
 
 @dataclass(slots=True)
-class Plan:
+class LoadedFile:
     """What came of a file: settings, unless it has faults of form, and all faults, by place."""
 
     source: Source
@@ -25,17 +25,17 @@
     faults: list[Fault] = field(default_factory=list)
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self.file is not None and not self.faults
 
 
-def plan(path: str, **more) -> Plan:
+def load_file(path: str, **more) -> LoadedFile:
     """Reads and checks; nothing is raised for what is in the file."""
     source = load(path, **more)
     file = read(source)
     if file is not None:
         check(file, source)
-    return Plan(source, file, sorted(set(source.faults)))
+    return LoadedFile(source, file, sorted(set(source.faults)))
 
 
 def said(value) -> object:
@@ -45,7 +45,7 @@
     return value
 
 
-def settings(made: Plan) -> dict[str, tuple[object, str]]:
+def settings(made: LoadedFile) -> dict[str, tuple[object, str]]:
     """Every setting in force: its value as written, and the place that says it, or `default`."""
     found: dict[str, tuple[object, str]] = {}
 
@@ -67,15 +67,15 @@
     return found
 
 
-def explain(made: Plan, method: str, path: str, headers: Mapping[str, str]) -> dict:
+def explain(made: LoadedFile, method: str, path: str, headers: Mapping[str, str]) -> dict:
     """Which route a request takes, why, what will be tried and for how long. Header names in any case."""
     file = made.file
     low = {name.lower(): value for name, value in headers.items()}
-    number = Table(file.routes).find(method, path, low)
+    number = RouteTable(file.routes).find(method, path, low)
     if number is None:
         return {"route": None, "why": "no route takes it: it is answered 404"}
     route, kind = file.routes[number], file.classes[file.routes[number].class_]
-    treatment = Effective(file, route, number)
+    treatment = EffectiveTreatment(file, route, number)
     place = made.source.place(("routes", number))
     why = [f"its path begins with {route.path}"]
     why += [f"its method is one of {', '.join(route.methods)}"] if route.methods else []
@@ -93,7 +93,10 @@
         "fallback": route.fallback or {n: file.pools[n].fallback for n in shares if file.pools[n].fallback},
         "mirror": f"{route.mirror_share} to {route.mirror}" if route.mirror else None,
         "treatment": {
-            written(name): {"value": said(treatment.values[name]), "from": format_key(treatment.keys[name])}
+            key_of_field(name): {
+                "value": said(treatment.values[name]),
+                "from": format_key(treatment.keys[name]),
+            }
             for name in FIELDS
             if treatment.values.get(name) is not None
         },
@@ -101,7 +104,7 @@
     }
 
 
-def tried(made: Effective, effect: str) -> list[str]:
+def tried(made: EffectiveTreatment, effect: str) -> list[str]:
     """In words, in the order in which it happens."""
     hop = made.hop_time or made.total_time
     steps = [f"one hop of up to {Duration(hop)}"]
@@ -117,7 +120,7 @@
     return steps
 
 
-def diff(old: Plan, new: Plan) -> list[dict]:
+def diff(old: LoadedFile, new: LoadedFile) -> list[dict]:
     """What a reload from one to the other would change; each with what becomes of it."""
     before, after = by_name(old), by_name(new)
     found = []
@@ -129,7 +132,7 @@
     return found
 
 
-def by_name(made: Plan) -> dict[str, object]:
+def by_name(made: LoadedFile) -> dict[str, object]:
     """Settings by keys that hold when routes change their order: a route goes by its name."""
     names = [route.name for route in made.file.routes]
     found = {}
@@ -141,16 +144,16 @@
     return found
 
 
-def passed_over(key: str) -> bool:
+def needs_restart(key: str) -> bool:
     """Does a change of this wait for a restart?"""
     top, _, rest = key.partition(".")
     return top in RESTART and not (top == "members" and rest.partition("[")[0] in TAKEN)
 
 
-def effect(key: str, how: str, new: Plan) -> str:
+def effect(key: str, how: str, new: LoadedFile) -> str:
     top, _, rest = key.partition(".")
     name = rest.partition(".")[0]
-    if passed_over(key):
+    if needs_restart(key):
         return "wants a restart; a reload passes it over"
     if top == "pools" and how == "removed" and name not in new.file.pools:
         return "the pool goes once what is open there has ended"
@@ -159,4 +162,4 @@
     return "from the reload on, for what is taken then"
 
 
-__all__ = ["Plan", "diff", "explain", "plan", "settings", "targets"]
+__all__ = ["LoadedFile", "diff", "explain", "load_file", "settings", "target_pools"]
--- a/dahliabend/routing_rules/table.py
+++ b/dahliabend/routing_rules/route_table.py
@@ -8,73 +8,75 @@
 
 from dahliabend.config.operator_file.schema import RouteSettings
 
-Shape = tuple[bool, tuple[str, ...]]  # does it name methods, and which headers
+Condition = tuple[bool, tuple[str, ...]]  # does it name methods, and which headers
 
 
 class _Node:
-    __slots__ = ("below", "shapes")
+    __slots__ = ("children", "conditions")
 
     def __init__(self) -> None:
-        self.below: dict[str, _Node] = {}
+        self.children: dict[str, _Node] = {}
         # The most demanding shapes first; in each the routes by what they demand.
-        self.shapes: dict[Shape, dict[tuple, int]] = {}
+        self.conditions: dict[Condition, dict[tuple, int]] = {}
 
 
-def segments(path: str) -> list[str]:
+def path_segments(path: str) -> list[str]:
     """
-    >>> segments("/a/b/"), segments("/")
+    >>> path_segments("/a/b/"), path_segments("/")
     (['a', 'b'], [])
     """
     return [part for part in path.split("/") if part]
 
 
-def demands(shape: Shape) -> tuple[int, int]:
+def specificity(shape: Condition) -> tuple[int, int]:
     return len(shape[1]), int(shape[0])
 
 
-class Table:
+class RouteTable:
     """Routes by number. Longer paths go before shorter ones, then more headers, then a method, then the order
     of the file. Paths match by whole segments."""
 
     def __init__(self, routes: Sequence[RouteSettings]) -> None:
         self.routes = routes
         self.root = _Node()
-        self.hidden: list[tuple[int, int]] = []
+        self.unreachable: list[tuple[int, int]] = []
         for number, route in enumerate(routes):
             self._add(number, route)
         self._order(self.root)
 
     def _add(self, number: int, route: RouteSettings) -> None:
         node = self.root
-        for part in segments(route.path):
-            node = node.below.setdefault(part, _Node())
+        for part in path_segments(route.path):
+            node = node.children.setdefault(part, _Node())
         names = tuple(sorted(name.lower() for name in route.headers))
         values = tuple(value for _, value in sorted((k.lower(), v) for k, v in route.headers.items()))
-        group = node.shapes.setdefault((bool(route.methods), names), {})
+        group = node.conditions.setdefault((bool(route.methods), names), {})
         methods = route.methods or [""]
         before = [group.get((method, values)) for method in methods]
         for method in methods:
             group.setdefault((method, values), number)
         if None not in before:
-            self.hidden.append((number, before[0]))
+            self.unreachable.append((number, before[0]))
 
     def _order(self, root: _Node) -> None:
         waiting = [root]
         while waiting:
             node = waiting.pop()
-            node.shapes = dict(sorted(node.shapes.items(), key=lambda item: demands(item[0]), reverse=True))
-            waiting.extend(node.below.values())
+            node.conditions = dict(
+                sorted(node.conditions.items(), key=lambda item: specificity(item[0]), reverse=True)
+            )
+            waiting.extend(node.children.values())
 
     def find(self, method: str, path: str, headers: Mapping[str, str]) -> int | None:
         """The number of the route; header names are in lower case."""
         node, nodes = self.root, [self.root]
-        for part in segments(path.partition("?")[0]):
-            node = node.below.get(part)
+        for part in path_segments(path.partition("?")[0]):
+            node = node.children.get(part)
             if node is None:
                 break
             nodes.append(node)
         for node in reversed(nodes):
-            for (named, names), group in node.shapes.items():
+            for (named, names), group in node.conditions.items():
                 values = tuple(headers.get(name, "") for name in names)
                 found = group.get((method if named else "", values))
                 if found is not None:
@@ -83,4 +85,4 @@
 
     def shadowed(self) -> Iterator[tuple[int, int]]:
         """Routes that no request reaches, and the first that takes theirs before them."""
-        yield from self.hidden
+        yield from self.unreachable
--- a/dahliabend/routing_rules/split.py
+++ b/dahliabend/routing_rules/weighted_split.py
@@ -8,14 +8,14 @@
 _WHOLE = 1 << 64
 
 
-class Split:
+class WeightedSplit:
     """Pools by weight. The same key always goes to the same pool; as weights move, only that part of the keys
     changes its pool.
 
-    >>> split = Split(["main", "canary"], [90, 10])
-    >>> split.of(b"customer-7") == split.of(b"customer-7")
+    >>> split = WeightedSplit(["main", "canary"], [90, 10])
+    >>> split.pool_for_key(b"customer-7") == split.pool_for_key(b"customer-7")
     True
-    >>> [Split(["a", "b"], [0, 1]).turn() for _ in range(2)]
+    >>> [WeightedSplit(["a", "b"], [0, 1]).next_pool() for _ in range(2)]
     ['b', 'b']
     """
 
@@ -24,21 +24,21 @@
         if total <= 0 or min(weights) < 0:
             raise ValueError("the weights sum to nothing, or one is below 0")
         self.names, self.salt = tuple(names), salt
-        self.ends = [end / total for end in accumulate(weights)]
-        self.credit = [0.0] * len(self.names)
-        self.parts = [weight / total for weight in weights]
+        self.cumulative_shares = [end / total for end in accumulate(weights)]
+        self.credits = [0.0] * len(self.names)
+        self.shares = [weight / total for weight in weights]
 
-    def of(self, key: bytes) -> str:
+    def pool_for_key(self, key: bytes) -> str:
         digest = blake2b(key, digest_size=8, key=self.salt[:64]).digest()
         return self._at(int.from_bytes(digest) / _WHOLE)
 
     def _at(self, point: float) -> str:
-        return self.names[min(bisect_right(self.ends, point), len(self.names) - 1)]
+        return self.names[min(bisect_right(self.cumulative_shares, point), len(self.names) - 1)]
 
-    def turn(self) -> str:
+    def next_pool(self) -> str:
         """Smooth weighted turns: any run of them holds each pool's part, to one."""
-        for number, part in enumerate(self.parts):
-            self.credit[number] += part
-        best = max(range(len(self.names)), key=self.credit.__getitem__)
-        self.credit[best] -= 1
+        for number, part in enumerate(self.shares):
+            self.credits[number] += part
+        best = max(range(len(self.names)), key=self.credits.__getitem__)
+        self.credits[best] -= 1
         return self.names[best]
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -7,7 +7,7 @@
 
 from dahliabend.health_gossip.report_table import QuotaAnnouncement
 from dahliabend.leases.shared_limits import QuotaShare
-from dahliabend.routing_rules.choice import Choice
+from dahliabend.routing_rules.compiled_route import CompiledRoute
 from dahliabend.transport.timers import clock
 
 SMOOTH = 1 / 4  # weight of the newest beat in what is asked
@@ -17,7 +17,9 @@
 class ClusterLimits:
     """`choices`: the routes in force that share their limit, with how many balancers there are said to be."""
 
-    def __init__(self, me: str, choices: Callable[[], Iterable[tuple[Choice, int]]], log: Callable) -> None:
+    def __init__(
+        self, me: str, choices: Callable[[], Iterable[tuple[CompiledRoute, int]]], log: Callable
+    ) -> None:
         self.me, self.choices, self.log = me, choices, log
         self.limits: dict[str, QuotaShare] = {}
         self.asks: dict[str, float] = {}
@@ -30,7 +32,7 @@
         for name, (choice, balancers) in now.items():
             if name not in self.limits:
                 self.limits[name] = QuotaShare(self.me, balancers)
-                choice.limit.take(1.0 / balancers)
+                choice.limit.set_fraction(1.0 / balancers)
         for name in [name for name in self.limits if name not in now]:
             del self.limits[name]
             self.asks.pop(name, None)
@@ -51,11 +53,11 @@
         self.then = now
         for choice, _ in self.choices():
             share = self.limits[choice.name]
-            asked = choice.limit.ask(span)
+            asked = choice.limit.take_demand(span)
             self.asks[choice.name] = ask = self.asks.get(choice.name, 0.0) * (1 - SMOOTH) + asked * SMOOTH
             share.update_members(members, left, cut)
             part = share.step(now, ask)
-            choice.limit.take(part)
+            choice.limit.set_fraction(part)
             if abs(part - self.logged.get(choice.name, 0.0)) > MOVED * part:
                 self.logged[choice.name] = part
                 self.log("share", route=choice.name, part=round(part, 4), asked=round(ask, 4))
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -17,9 +17,9 @@
 from dahliabend.proxy.dispatcher import Dispatcher, Pool
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
-from dahliabend.routing_rules.checks import Effective, targets
-from dahliabend.routing_rules.choice import Choice
-from dahliabend.routing_rules.plan import Plan, diff, passed_over, plan
+from dahliabend.routing_rules.checks import EffectiveTreatment, target_pools
+from dahliabend.routing_rules.compiled_route import CompiledRoute
+from dahliabend.routing_rules.loaded_file import LoadedFile, diff, load_file, needs_restart
 from dahliabend.server.admin import AdminApi
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import Log
@@ -56,7 +56,7 @@
     """The routes whose transactions may come to that pool."""
     found = []
     for number, route in enumerate(file.routes):
-        reach, waiting = set(), [*targets(route), route.mirror, route.fallback]
+        reach, waiting = set(), [*target_pools(route), route.mirror, route.fallback]
         while waiting:
             name = waiting.pop()
             if name is not None and name not in reach:
@@ -70,7 +70,7 @@
 def request_class_of(file: OperatorFile, number: int) -> RequestClass:
     """A route as the decisions know it: its class, with its own times and counts."""
     route = file.routes[number]
-    kind, made = file.classes[route.class_], Effective(file, route, number)
+    kind, made = file.classes[route.class_], EffectiveTreatment(file, route, number)
     limit = min(kind.hard_limit, made.total_time)
     return RequestClass(
         effect=_EFFECTS[kind.effect],
@@ -89,7 +89,9 @@
 
 def settings_of(file: OperatorFile, name: str, numbers: list[int]) -> Settings:
     pool = file.pools[name]
-    shares = [s for n in numbers if (s := Effective(file, file.routes[n], n).retry_share) is not None]
+    shares = [
+        s for n in numbers if (s := EffectiveTreatment(file, file.routes[n], n).retry_share) is not None
+    ]
     profiles = tuple(request_class_of(file, number) for number in numbers)
     return Settings(
         instance_count=pool.balancers,
@@ -121,7 +123,7 @@
 )  # of a pool without a route
 
 
-def node_of(made: Plan, name: str, seed: int, sockets: int) -> tuple[ServerSettings, dict[int, int]]:
+def node_of(made: LoadedFile, name: str, seed: int, sockets: int) -> tuple[ServerSettings, dict[int, int]]:
     """What a pool's router goes by, and the profile of each route."""
     file, pool = made.file, made.file.pools[name]
     numbers = routes_of(file, name)
@@ -203,7 +205,7 @@
         self.cluster = self.open_cluster(made)
         self.apply_plan(made)
 
-    def open_cluster(self, made: Plan):
+    def open_cluster(self, made: LoadedFile):
         """None where the file has no `[members]`: nothing of it is loaded then."""
         if made.file.members is None:
             return None
@@ -220,20 +222,20 @@
         routes = self.dispatcher.routes
         for route, choice in zip(routes.file.routes, routes.choices, strict=True):
             if not route.shared:
-                choice.limit.take(1.0)
+                choice.limit.set_fraction(1.0)
         if not any(route.shared for route in routes.file.routes):
             return
         if self.cluster is not None and self.cluster.gossip is not None:
             return self.cluster.share_limits(self.shared_limits)
         for choice, balancers in self.shared_limits():
-            choice.limit.take(1.0 / balancers)
+            choice.limit.set_fraction(1.0 / balancers)
 
-    def shared_limits(self) -> Iterator[tuple[Choice, int]]:
+    def shared_limits(self) -> Iterator[tuple[CompiledRoute, int]]:
         """The routes in force that share their limit, and how many balancers there are said to be."""
         routes = self.dispatcher.routes
         for route, choice in zip(routes.file.routes, routes.choices, strict=True):
             if route.shared:
-                yield choice, max(routes.file.pools[name].balancers for name in targets(route))
+                yield choice, max(routes.file.pools[name].balancers for name in target_pools(route))
 
     def pools_in_gossip(self) -> list[tuple[str, Router]]:
         return [(pool.name, pool.router) for pool in self.dispatcher if not pool.retired]
@@ -246,10 +248,10 @@
             if self.cluster.demand is not None:
                 self.report_demand()
 
-    def read(self) -> Plan:
+    def read(self) -> LoadedFile:
         """ValueError names every fault."""
-        made = plan(self.path, environment=self.environment, read=host_info.read_file)
-        if not made.usable:
+        made = load_file(self.path, environment=self.environment, read=host_info.read_file)
+        if not made.is_usable:
             raise InvalidOperatorFileError(made.faults)
         wanted = [(("members",), "cryptography", "members")] if made.file.members is not None else []
         wanted += [
@@ -265,13 +267,13 @@
                 )
         return made
 
-    def listener_of(self, made: Plan, name: str) -> tuple[str, int] | None:
+    def listener_of(self, made: LoadedFile, name: str) -> tuple[str, int] | None:
         found = made.file.listeners.get(name)
         return parse_address(found.address) if found is not None else None
 
     # Pools.
 
-    def apply_plan(self, made: Plan) -> None:
+    def apply_plan(self, made: LoadedFile) -> None:
         file, profiles = made.file, {}
         for name, pool in file.pools.items():
             node, profiles[name] = node_of(made, name, self.seed, self.sockets)
@@ -436,7 +438,7 @@
         self.apply_plan(made)
         if self.cluster is not None and made.file.members is not None:
             self.cluster.take_over(made.file.members)
-        late = [change["key"] for change in changes if passed_over(change["key"])]
+        late = [change["key"] for change in changes if needs_restart(change["key"])]
         self.log("reloaded", changes=len(changes), passed_over=late)
 
     # Figures.
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -92,7 +92,7 @@
     def send(self, ask: Ask) -> None:
         while self.idle and not ask.fresh:
             connection = self.idle.pop()
-            if connection.usable():
+            if connection.is_usable():
                 return connection.ask(ask)
         place = self.front.next()
         if place is None:
@@ -151,7 +151,7 @@
         self.transport = transport
         self.number = transport.get_extra_info("connection", id(self))
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return not self.transport.is_closing() and self.place not in self.clients.front.out
 
     def ask(self, ask: Ask) -> None:
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -10,8 +10,8 @@
 
 from dahliabend.config.operator_file.schema import EndpointSettings, OperatorFile
 from dahliabend.config.platform import parse_address
-from dahliabend.routing_rules.checks import METHODS, Effective
-from dahliabend.routing_rules.plan import Plan, plan
+from dahliabend.routing_rules.checks import HTTP_METHODS, EffectiveTreatment
+from dahliabend.routing_rules.loaded_file import LoadedFile, load_file
 from dahliabend.server.operator_file_server import OperatorFileServer
 from dahliabend.simulation import transports
 from dahliabend.simulation.event_loop import START, Kernel, Process
@@ -44,7 +44,7 @@
         self.environment = environment or {}
         self.write(texts)
         made = self.plan()
-        if not made.usable:
+        if not made.is_usable:
             raise ValueError("; ".join(map(str, made.faults)))
         self.rules = Rules(self.kernel, self.witness, {}, min(p.grace for p in made.file.pools.values()))
         self.network.tap, self.network.note = self.listen_in, self.witness
@@ -80,8 +80,8 @@
         for name, text in texts.items():
             self.machines.files[join(dirname(FILE), name)] = text.encode()
 
-    def plan(self) -> Plan:
-        return plan(FILE, environment=self.environment, read=self.machines.read_file)
+    def plan(self) -> LoadedFile:
+        return load_file(FILE, environment=self.environment, read=self.machines.read_file)
 
     def machine(self, host: str, name: str) -> Process:
         self.zones.setdefault(host, "a")
@@ -103,7 +103,7 @@
         """A class of the checks for each route, with the limit that holds there."""
         for number, route in enumerate(file.routes):
             kind = file.classes[route.class_]
-            made = Effective(file, route, number)
+            made = EffectiveTreatment(file, route, number)
             limit = min(kind.hard_limit, made.total_time)
             self.rules.classes[route.name] = Class(
                 route.name, SEMANTICS[kind.effect], kind.group, kind.repeat_window, limit,
@@ -159,7 +159,7 @@
             self.clients.name(), route.name, limit, limit, path=route.path, method=method,
             headers=(*route.headers.items(), *headers), **more,
         )  # fmt: skip
-        if method in METHODS[1:4]:
+        if method in HTTP_METHODS[1:4]:
             ask.body = b"x" * 50
         return ask
 
@@ -225,7 +225,7 @@
         """The new file in place of the old one, and its signal; pools that it adds are there by then."""
         self.write(texts)
         made = self.plan()
-        if made.usable:
+        if made.is_usable:
             for name in made.file.pools:
                 self.pool(made.file, name)
             self.classes(made.file)
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -13,7 +13,7 @@
 
 def service(shared, gossip=None, part=1.0):
     limit = Limit(rate=100.0)
-    limit.take(part)
+    limit.set_fraction(part)
     choice = SimpleNamespace(name="r", limit=limit)
     routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
@@ -26,13 +26,13 @@
 def test_a_route_that_a_reload_shares_no_more_has_its_whole_limit():
     made, limit = service(False, part=0.25)
     made.divide_shared_limits()
-    assert limit.part == 1.0
+    assert limit.fraction == 1.0
 
 
 def test_where_signals_wait_for_a_restart_it_is_an_equal_part():
     made, limit = service(True)
     made.divide_shared_limits()
-    assert limit.part == 0.25
+    assert limit.fraction == 0.25
 
 
 def test_with_signals_the_fleet_divides_it():
@@ -48,9 +48,9 @@
     routes.append((SimpleNamespace(name="r", limit=limit), 4))
     shares = ClusterLimits("me", lambda: routes, lambda *_, **__: None)
     shares.update_routes()
-    assert limit.part == 0.25
+    assert limit.fraction == 0.25
     shares.tick({"me", "b"}, set(), False)
-    assert limit.part <= 0.5 and shares.reports()[0].limit == "r"
+    assert limit.fraction <= 0.5 and shares.reports()[0].limit == "r"
     shares.report_received(1, "b", QuotaAnnouncement("r", 0.5, 0.5))
     shares.report_received(1, "b", QuotaAnnouncement("gone", 0.5, 0.5))
     assert shares.status()[0]["others"] == {"b": pytest.approx(0.5)}
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -14,7 +14,7 @@
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.process_tests.processes import free_ports
-from dahliabend.routing_rules.plan import passed_over, plan
+from dahliabend.routing_rules.loaded_file import load_file, needs_restart
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.transport import host_info
@@ -124,11 +124,11 @@
     (folder / "key").write_text(secret + "\n")
     path = folder / "file.toml"
     path.write_text(FILE.format(more))
-    return plan(str(path))
+    return load_file(str(path))
 
 
 def test_a_sound_table_is_taken(tmp_path):
-    assert planned(tmp_path, 'weight = 2.0\nperiod = "200ms"\ncut = "40%"').usable
+    assert planned(tmp_path, 'weight = 2.0\nperiod = "200ms"\ncut = "40%"').is_usable
 
 
 @pytest.mark.parametrize(
@@ -155,15 +155,17 @@
     (fault,) = planned(tmp_path, secret="short").faults
     assert "members.key-files[0]: key: 5 bytes; a key has 32 at least" in str(fault)
     (tmp_path / "key").unlink()
-    (fault,) = plan(str(tmp_path / "file.toml")).faults
+    (fault,) = load_file(str(tmp_path / "file.toml")).faults
     assert "members.key-files[0]: key can't be read: No such file" in str(fault)
     with pytest.raises(ValueError, match="31 bytes"):
         parse_key(b"k" * 31)
 
 
 def test_a_reload_takes_over_seeds_weight_and_keys_and_passes_over_the_rest():
-    assert not any(passed_over(f"members.{name}") for name in ("zone", "weight", "seeds[1]", "key-files[0]"))
-    assert all(passed_over(f"members.{name}") for name in ("name", "address", "period", "keep"))
+    assert not any(
+        needs_restart(f"members.{name}") for name in ("zone", "weight", "seeds[1]", "key-files[0]")
+    )
+    assert all(needs_restart(f"members.{name}") for name in ("name", "address", "period", "keep"))
 
 
 def fleet(folder, **more):
--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -8,7 +8,7 @@
 from corpus import FAULTS, make  # noqa: E402
 from golden_files import read_golden, write_golden  # noqa: E402
 
-from dahliabend.routing_rules import plan as plans  # noqa: E402
+from dahliabend.routing_rules import loaded_file  # noqa: E402
 
 GOLDEN = "checker_corpus_messages.txt"
 
@@ -18,8 +18,8 @@
     lines = []
     for seed in range(2 * len(FAULTS)):
         made = make(seed)
-        plan = plans.plan("file.toml", environment={}, read=made.read)
-        lines += [f"seed {seed}: {'usable' if plan.usable else 'refused'}", *map(str, plan.faults)]
+        plan = loaded_file.load_file("file.toml", environment={}, read=made.read)
+        lines += [f"seed {seed}: {'usable' if plan.is_usable else 'refused'}", *map(str, plan.faults)]
     return "\n".join(lines) + "\n"
 
 
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -24,7 +24,7 @@
 from corpus import make  # noqa: E402
 from helpers import free_addresses  # noqa: E402
 
-from dahliabend.routing_rules.plan import plan  # noqa: E402
+from dahliabend.routing_rules.loaded_file import load_file  # noqa: E402
 from dahliabend.simulation.peers.clients import Ask, Clients, Front  # noqa: E402
 from dahliabend.simulation.peers.discovery import Agent, Registry  # noqa: E402
 from dahliabend.simulation.peers.operators import call  # noqa: E402
@@ -66,7 +66,7 @@
             text = text.replace(f'"{old}"', f'"{new[old]}"')
         self.path = folder / "file.toml"
         self.path.write_text(text)
-        file = self.file = plan(str(self.path)).file
+        file = self.file = load_file(str(self.path)).file
         for name, pool in file.pools.items():
             if pool.members is not None:
                 for member in pool.members:
--- a/tests/routing_rules/test_choice.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -8,11 +8,11 @@
 
 from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.routing_rules import plan as plans
-from dahliabend.routing_rules.choice import Choice, choices
+from dahliabend.routing_rules import loaded_file
+from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.limits import Limit
-from dahliabend.routing_rules.split import Split
-from dahliabend.routing_rules.table import Table
+from dahliabend.routing_rules.route_table import RouteTable
+from dahliabend.routing_rules.weighted_split import WeightedSplit
 
 S = 1_000_000
 
@@ -22,25 +22,25 @@
 
 
 def found(routes, method, path, **headers):
-    number = Table(routes).find(method, path, headers)
+    number = RouteTable(routes).find(method, path, headers)
     return None if number is None else routes[number].name
 
 
 def test_a_part_of_a_limit_lets_in_its_part_and_says_what_was_asked():
     limit = Limit(rate=100.0, concurrency=40)
-    limit.take(0.25)
-    entered = sum(limit.enter(now) for now in range(0, 2_000_000, 5_000))
+    limit.set_fraction(0.25)
+    entered = sum(limit.try_acquire(now) for now in range(0, 2_000_000, 5_000))
     assert entered == 10 and limit.concurrency == 10, "in hand, all at once"
     for _ in range(entered):
-        limit.leave()
-    assert limit.ask(2_000_000) == 1.0 and limit.ask(1_000_000) == 0.0
+        limit.release()
+    assert limit.take_demand(2_000_000) == 1.0 and limit.take_demand(1_000_000) == 0.0
     let_in = 0
     for now in range(2_000_000, 6_000_000, 5_000):
-        if limit.enter(now):
+        if limit.try_acquire(now):
             let_in += 1
-            limit.leave()
+            limit.release()
     assert 100 <= let_in <= 100 + 10
-    limit.become(Limit(rate=200.0))
+    limit.update(Limit(rate=200.0))
     assert limit.concurrency is None and limit.rate == 200.0 * 0.25 / 1e6
 
 
@@ -70,45 +70,45 @@
 def test_what_is_never_reached_is_named_with_what_is_before_it():
     routes = [route("one", "/a", methods=["GET", "POST"]), route("two", "/a/", methods=["POST"]),
               route("three", "/a", methods=["POST", "PUT"])]  # fmt: skip
-    assert list(Table(routes).shadowed()) == [(1, 0)]
+    assert list(RouteTable(routes).shadowed()) == [(1, 0)]
 
 
 def test_a_key_stays_in_its_pool_and_a_moved_weight_moves_only_its_part():
     keys = [b"customer %d" % n for n in range(20_000)]
-    before, after = Split(["main", "canary"], [90, 10]), Split(["main", "canary"], [80, 20])
-    part = sum(before.of(key) == "canary" for key in keys) / len(keys)
-    moved = sum(before.of(key) != after.of(key) for key in keys) / len(keys)
+    before, after = WeightedSplit(["main", "canary"], [90, 10]), WeightedSplit(["main", "canary"], [80, 20])
+    part = sum(before.pool_for_key(key) == "canary" for key in keys) / len(keys)
+    moved = sum(before.pool_for_key(key) != after.pool_for_key(key) for key in keys) / len(keys)
     assert abs(part - 0.1) < 0.01 and abs(moved - 0.1) < 0.01
-    assert all(after.of(key) == "canary" for key in keys if before.of(key) == "canary")
+    assert all(after.pool_for_key(key) == "canary" for key in keys if before.pool_for_key(key) == "canary")
 
 
 def test_turns_hold_each_part_to_one_over_any_run():
-    split = Split(["a", "b", "c"], [7, 2, 1])
-    turns = [split.turn() for _ in range(1_000)]
+    split = WeightedSplit(["a", "b", "c"], [7, 2, 1])
+    turns = [split.next_pool() for _ in range(1_000)]
     for start in range(0, 900, 37):
         counts = Counter(turns[start : start + 100])
         assert all(abs(counts[name] - want) <= 2 for name, want in (("a", 70), ("b", 20), ("c", 10)))
     assert "c" not in {one for one, other in pairwise(turns) if one == other}
     with pytest.raises(ValueError, match="sum to nothing"):
-        Split(["a"], [0])
+        WeightedSplit(["a"], [0])
 
 
 def test_a_rate_lets_in_its_burst_then_its_rate_and_says_when_to_come_back():
     limit, let_in = Limit(rate=100.0, burst=20), 0
     for now in range(0, 10 * S, 1_000):
-        let_in += limit.enter(now)
+        let_in += limit.try_acquire(now)
     assert 20 + 990 <= let_in <= 20 + 1_001
-    assert not limit.enter(10 * S - 1_000) and 0 < limit.wait(10 * S - 1_000) <= 10_000
+    assert not limit.try_acquire(10 * S - 1_000) and 0 < limit.time_until_token(10 * S - 1_000) <= 10_000
 
 
 def test_a_limit_counts_who_is_in_hand_also_over_a_reload():
     old = Limit(concurrency=2)
-    assert old.enter(0) and old.enter(0) and not old.enter(0)
-    old.become(Limit(concurrency=3))
-    assert old.enter(1) and not old.enter(1)
+    assert old.try_acquire(0) and old.try_acquire(0) and not old.try_acquire(0)
+    old.update(Limit(concurrency=3))
+    assert old.try_acquire(1) and not old.try_acquire(1)
     for _ in range(3):
-        old.leave()
-    assert old.held == 0
+        old.release()
+    assert old.in_flight == 0
 
 
 FILE = """
@@ -135,33 +135,33 @@
 
 
 def made(text=FILE):
-    plan = plans.plan("f", environment={}, read=lambda _: text.encode())
-    assert plan.usable, plan.faults
+    plan = loaded_file.load_file("f", environment={}, read=lambda _: text.encode())
+    assert plan.is_usable, plan.faults
     return plan.file
 
 
 def test_a_fallback_acts_where_too_little_is_ready_and_not_before():
     file = made()
-    choice = Choice(file, file.routes[0], 0)
-    key = next(k for n in range(99) if choice.split.of(k := b"%d" % n) == "next")
+    choice = CompiledRoute(file, file.routes[0], 0)
+    key = next(k for n in range(99) if choice.split.pool_for_key(k := b"%d" % n) == "next")
     for ready, goes in (
         ({"next": 1.0, "main": 1.0, "spare": 1.0}, ["next", "main", "spare"]),
         ({"next": 0.0, "main": 1.0, "spare": 1.0}, ["main", "spare"]),
         ({"next": 0.0, "main": 0.25, "spare": 1.0}, ["spare"]),
         ({"next": 0.0, "main": 0.0, "spare": 0.0}, ["next"]),
     ):
-        assert choice.ways(key, ready.__getitem__) == goes
-    assert choice.reach == ("main", "spare", "next")
+        assert choice.candidate_pools(key, ready.__getitem__) == goes
+    assert choice.reachable_pools == ("main", "spare", "next")
 
 
 def test_a_reload_keeps_turns_and_those_in_hand_by_the_routes_name():
     file = made(FILE.replace('split-by = "X-Customer"\n', ""))
-    before = Choice(file, file.routes[0], 0)
-    turns = [before.ways(b"", lambda _: 1.0)[0] for _ in range(2)]
-    before.limit.enter(0)
-    (after,) = choices(file, {"split": before})
-    turns += [after.ways(b"", lambda _: 1.0)[0] for _ in range(2)]
-    assert Counter(turns) == {"main": 3, "next": 1} and after.limit.held == 1
+    before = CompiledRoute(file, file.routes[0], 0)
+    turns = [before.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
+    before.limit.try_acquire(0)
+    (after,) = compile_routes(file, {"split": before})
+    turns += [after.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
+    assert Counter(turns) == {"main": 3, "next": 1} and after.limit.in_flight == 1
 
 
 def test_the_cost_of_a_look_up_does_not_grow_with_the_routes():
@@ -176,13 +176,15 @@
 
     costs = []
     for count in (10, 10_000):
-        table = Table([route(f"r{n}", f"/s{n % 100}/t{n}", headers={"x": str(n % 3)}) for n in range(count)])
+        table = RouteTable(
+            [route(f"r{n}", f"/s{n % 100}/t{n}", headers={"x": str(n % 3)}) for n in range(count)]
+        )
         waiting = [table.root]
         while waiting:
             node = waiting.pop()
-            waiting.extend(node.below.values())
-            node.below = Counting(node.below)
-            node.shapes = {shape: Counting(group) for shape, group in node.shapes.items()}
+            waiting.extend(node.children.values())
+            node.children = Counting(node.children)
+            node.conditions = {shape: Counting(group) for shape, group in node.conditions.items()}
         Counting.asked = 0
         assert table.find("GET", "/s5/t5/more", {"x": "2"}) == 5
         costs.append(Counting.asked)
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -11,7 +11,7 @@
 from corpus import make
 from helpers import free_addresses
 
-from dahliabend.routing_rules.split import Split
+from dahliabend.routing_rules.weighted_split import WeightedSplit
 from dahliabend.simulation.peers.clients import Ask, Clients, Front
 from dahliabend.simulation.peers.operators import call
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
@@ -116,7 +116,7 @@
         pool("main"), pool("next", net=2),
         route("split", "pools = { main = 1, next = 1 }", 'split-by = "X-Customer"'),
     )  # fmt: skip
-    split = Split(["main", "next"], [1, 1], b"split")
+    split = WeightedSplit(["main", "next"], [1, 1], b"split")
     names = [b"c%d" % n for n in range(8)]
 
     class Ahead(asyncio.Protocol):
@@ -134,7 +134,10 @@
 
     made.play(begin, 5 * S)
     ran = {line[2]: line[3].rpartition("-")[0] for line in made.witness.lines if line[1] == "effect"}
-    assert ran == {f"t{n}": split.of(name) for n, name in enumerate(names)} and len(set(ran.values())) == 2
+    assert (
+        ran == {f"t{n}": split.pool_for_key(name) for n, name in enumerate(names)}
+        and len(set(ran.values())) == 2
+    )
 
 
 def test_a_pool_that_is_down_falls_back_and_comes_back():
@@ -185,7 +188,9 @@
             made.later(1 * S, made.trouble, name, "hang", 3 * S)
 
     loaded(held, 20, 8 * S, hang)
-    assert held.rules.counts["refused"] > 20 and held.program.dispatcher.routes.choices[0].limit.held == 0
+    assert (
+        held.rules.counts["refused"] > 20 and held.program.dispatcher.routes.choices[0].limit.in_flight == 0
+    )
 
 
 def test_times_and_attempts_are_a_routes_own():
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -6,7 +6,7 @@
 
 from dahliabend.config.operator_file.schema import SubsetSettings
 from dahliabend.model import EndpointState
-from dahliabend.routing_rules.plan import plan
+from dahliabend.routing_rules.loaded_file import load_file
 from dahliabend.server.subset_filter import SubsetFilter
 
 
@@ -123,5 +123,5 @@
 class = "q"
 pool = "p"
 """)
-    (fault,) = plan(str(path)).faults
+    (fault,) = load_file(str(path)).faults
     assert str(fault).startswith(f"{path}:6: {says}")
