--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -145,9 +145,15 @@
     def policy_inputs(self) -> tuple:
         """What the decisions and their port go by: where it differs, they are made anew."""
         return (
-            self.settings, self.class_indices, self.tenant_indices, self.zone_indices, self.deadline_slack, self.connect_timeout, self.idle_reuse_time,
+            self.settings,
+            self.class_indices,
+            self.tenant_indices,
+            self.zone_indices,
+            self.deadline_slack,
+            self.connect_timeout,
+            self.idle_reuse_time,
             self.report_fields,
-        )  # fmt: skip
+        )
 
 
 IDLE_REUSE_RATIO = 7 / 8  # of the settings' idle time, after which the other end may have closed
--- a/dahliabend/health_gossip/report_table.py
+++ b/dahliabend/health_gossip/report_table.py
@@ -49,9 +49,14 @@
             and min(self.generation, self.sequence, self.age_ms, self.relays) >= 0
             and max(len(self.counts), len(self.leases), len(self.quotas)) <= MAX_ROWS
             and all(done.is_valid and done.holder == self.origin for done in self.leases)
-            and all(0 < row.attempts <= MAX_COUNT and 0 <= row.failures <= row.attempts and len(row.upstream) <= 64
-                    and len(row.pool) <= 64 for row in self.counts)
-        )  # fmt: skip
+            and all(
+                0 < row.attempts <= MAX_COUNT
+                and 0 <= row.failures <= row.attempts
+                and len(row.upstream) <= 64
+                and len(row.pool) <= 64
+                for row in self.counts
+            )
+        )
 
 
 @dataclass(slots=True)
--- a/dahliabend/routing_rules/compiled_route.py
+++ b/dahliabend/routing_rules/compiled_route.py
@@ -14,9 +14,20 @@
     """One route's. `ways` says where a transaction goes, asked with how much of each pool is ready."""
 
     __slots__ = (
-        "fallbacks", "fallback_thresholds", "treatment", "limit", "fallback_chains", "mirror", "mirror_share", "name", "class_name", "reachable_pools",
-        "split", "split_by", "total_timeout",
-    )  # fmt: skip
+        "fallbacks",
+        "fallback_thresholds",
+        "treatment",
+        "limit",
+        "fallback_chains",
+        "mirror",
+        "mirror_share",
+        "name",
+        "class_name",
+        "reachable_pools",
+        "split",
+        "split_by",
+        "total_timeout",
+    )
 
     def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
         made = self.treatment = EffectiveTreatment(file, route, number)
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -64,7 +64,12 @@
 
     def status(self) -> list[dict]:
         return [
-            {"route": name, "part": round(s.share, 4), "asked": round(s.demand, 4), "lost": sorted(s.lost_members),
-             "others": {other: round(told.share, 4) for other, told in sorted(s.peers.items())}}
+            {
+                "route": name,
+                "part": round(s.share, 4),
+                "asked": round(s.demand, 4),
+                "lost": sorted(s.lost_members),
+                "others": {other: round(told.share, 4) for other, told in sorted(s.peers.items())},
+            }
             for name, s in sorted(self.limits.items())
-        ]  # fmt: skip
+        ]
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -65,9 +65,14 @@
 
 class ClusterMember:
     def __init__(
-        self, settings: MembershipSettings, folder: str, timers: TimerQueue, descriptors: DescriptorBudget, seed: int,
+        self,
+        settings: MembershipSettings,
+        folder: str,
+        timers: TimerQueue,
+        descriptors: DescriptorBudget,
+        seed: int,
         log: Callable,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings, self.folder, self.log = settings, folder, log
         self.timers, self.descriptors = timers, descriptors
         self.place = settings.advertise or settings.address
@@ -119,9 +124,13 @@
             self.failure_detector.restore(clock(), msgspec.structs.asdict(self.stored))
         await self.shell.open(parse_address(self.settings.address), self.seeds())
         self.log(
-            "members.open", name=self.name, address=self.settings.address, advertise=self.place,
-            life=self.failure_detector.generation, resumed=bool(self.stored and self.stored.handed),
-        )  # fmt: skip
+            "members.open",
+            name=self.name,
+            address=self.settings.address,
+            advertise=self.place,
+            life=self.failure_detector.generation,
+            resumed=bool(self.stored and self.stored.handed),
+        )
         self.opened = True
         self.watch_lists()
         self.store()
@@ -193,20 +202,33 @@
             ]
 
         origins = [
-            {"name": name, "age_ms": (now - held.created_at) // MS, "hops": held.report.relays,
-             "rows": shown(held.report.counts)}
+            {
+                "name": name,
+                "age_ms": (now - held.created_at) // MS,
+                "hops": held.report.relays,
+                "rows": shown(held.report.counts),
+            }
             for name, held in sorted(gossip.report_table.fresh(now).items())
-        ]  # fmt: skip
+        ]
         believed = [
-            {"pool": each["pool"], "upstream": each["upstream"], "origins": each["origins"],
-             "age_ms": (now - each["at"]) // MS}
+            {
+                "pool": each["pool"],
+                "upstream": each["upstream"],
+                "origins": each["origins"],
+                "age_ms": (now - each["at"]) // MS,
+            }
             for each in self.believed
-        ]  # fmt: skip
+        ]
         return {
-            "name": self.name, "own": shown(gossip.counts(now)), "origins": origins, "believed": believed,
+            "name": self.name,
+            "own": shown(gossip.counts(now)),
+            "origins": origins,
+            "believed": believed,
             "shares": self.shares.status() if self.shares is not None else [],
-            "told": gossip.suspected_count, "unread": gossip.undecodable, "refused": gossip.report_table.rejected,
-        }  # fmt: skip
+            "told": gossip.suspected_count,
+            "unread": gossip.undecodable,
+            "refused": gossip.report_table.rejected,
+        }
 
     # Seeds.
 
@@ -228,9 +250,14 @@
         if self.settings.seeds_discovery is not None:
             place = parse_address(self.settings.seeds_discovery)
             made = DiscoveryClient(
-                place, EndpointList(self.seed_list, self.log), self.timers, self.descriptors, DIAL_TIME,
-                self.chance.random, self.log,
-            )  # fmt: skip
+                place,
+                EndpointList(self.seed_list, self.log),
+                self.timers,
+                self.descriptors,
+                DIAL_TIME,
+                self.chance.random,
+                self.log,
+            )
             self.lists.append(made)
             made.open()
 
@@ -261,7 +288,7 @@
             return
         made = StoredMembership(
             self.name, self.place, handed, host_info.time_ns() // 1000, **self.failure_detector.snapshot()
-        )  # fmt: skip
+        )
         path = os.path.join(self.folder, self.settings.keep)
         try:
             host_info.runtime_directory(os.path.dirname(path)).write(
@@ -277,11 +304,18 @@
 
     def take_over(self, settings: MembershipSettings) -> None:
         """What a reload changes while it runs; the rest waits for a restart."""
-        before, self.settings = self.settings, msgspec.structs.replace(
-            self.settings, zone=settings.zone, weight=settings.weight, seeds=settings.seeds,
-            seeds_file=settings.seeds_file, seeds_discovery=settings.seeds_discovery,
-            key_files=settings.key_files,
-        )  # fmt: skip
+        before, self.settings = (
+            self.settings,
+            msgspec.structs.replace(
+                self.settings,
+                zone=settings.zone,
+                weight=settings.weight,
+                seeds=settings.seeds,
+                seeds_file=settings.seeds_file,
+                seeds_discovery=settings.seeds_discovery,
+                key_files=settings.key_files,
+            ),
+        )
         self.shell.authenticator = self.seal_of(
             settings
         )  # the files may hold other keys under the same names
@@ -339,36 +373,65 @@
     def metrics(self) -> dict:
         view, shell = self.view(), self.shell
         return {
-            "version": view.version, "mark": view.checksum, "members": len(view.members),
+            "version": view.version,
+            "mark": view.checksum,
+            "members": len(view.members),
             "suspected": sum(member.state == "suspected" for member in view.members),
-            "stable": view.stable, "cut": view.possibly_partitioned, "outcast": view.exclusion,
+            "stable": view.stable,
+            "cut": view.possibly_partitioned,
+            "outcast": view.exclusion,
             "age_ms": view.time_since_contact // 1000,
-            "confidence": round(view.confidence, 3), "doubt": self.failure_detector.health_score, "sent": shell.sent,
-            "sent_bytes": shell.sent_bytes, "come": shell.received, "come_bytes": shell.received_bytes,
+            "confidence": round(view.confidence, 3),
+            "doubt": self.failure_detector.health_score,
+            "sent": shell.sent,
+            "sent_bytes": shell.sent_bytes,
+            "come": shell.received,
+            "come_bytes": shell.received_bytes,
             "dropped": dict(self.failure_detector.dropped_datagrams),
-        }  # fmt: skip
+        }
 
     def shown(self) -> dict:
         """All that this instance knows, for the operators' door. Times are milliseconds ago."""
         now, latest, settled = clock(), self.view(), self.settled()
         rows = [
-            {"name": m.name, "address": m.address, "zone": m.zone, "weight": m.weight, "life": m.generation,
-             "incarnation": m.incarnation, "state": m.state, "by": m.reported_by,
-             "cannot_reach": m.unreachable_peers,
-             "since_ms": (now - m.since) // 1000 if m.since else None}
+            {
+                "name": m.name,
+                "address": m.address,
+                "zone": m.zone,
+                "weight": m.weight,
+                "life": m.generation,
+                "incarnation": m.incarnation,
+                "state": m.state,
+                "by": m.reported_by,
+                "cannot_reach": m.unreachable_peers,
+                "since_ms": (now - m.since) // 1000 if m.since else None,
+            }
             for m in latest.members
-        ]  # fmt: skip
+        ]
         gone = [
-            {"name": name, "address": member.update.address, "zone": member.update.zone,
-             "state": member.update.status.name.lower(), "by": member.update.reported_by,
-             "incarnation": member.update.incarnation, "since_ms": (now - member.since) // 1000}
+            {
+                "name": name,
+                "address": member.update.address,
+                "zone": member.update.zone,
+                "state": member.update.status.name.lower(),
+                "by": member.update.reported_by,
+                "incarnation": member.update.incarnation,
+                "since_ms": (now - member.since) // 1000,
+            }
             for name in self.failure_detector.departed
             for member in (self.failure_detector.members[name],)
-        ]  # fmt: skip
+        ]
         return {
-            "name": self.name, **self.metrics(), "here": rows, "gone": gone,
-            "settled": None if settled is None else
-            {"version": settled.version, "mark": settled.checksum,
-             "members": [m.name for m in settled.members],
-             "age_ms": (now - settled.at) // 1000},
-        }  # fmt: skip
+            "name": self.name,
+            **self.metrics(),
+            "here": rows,
+            "gone": gone,
+            "settled": None
+            if settled is None
+            else {
+                "version": settled.version,
+                "mark": settled.checksum,
+                "members": [m.name for m in settled.members],
+                "age_ms": (now - settled.at) // 1000,
+            },
+        }
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -46,12 +46,21 @@
         """Of each duty, who did it last, under which number and how long ago."""
         now, shared, election = clock(), self.shared, self.shared.election
         rows = [
-            {"duty": duty, "owner": k.holder, "fence": k.fencing_token, "place": election.rank(duty),
-             "age_ms": (now - k.last_run_at) // 1000 if k.completed_runs else None,
-             "result": Outcome(k.result).name if k.completed_runs else ""}
+            {
+                "duty": duty,
+                "owner": k.holder,
+                "fence": k.fencing_token,
+                "place": election.rank(duty),
+                "age_ms": (now - k.last_run_at) // 1000 if k.completed_runs else None,
+                "result": Outcome(k.result).name if k.completed_runs else "",
+            }
             for duty, k in sorted(election.leases.items())
-        ]  # fmt: skip
+        ]
         return {
-            "name": election.own_name, "period_ms": election.period // 1000, "settled": election.view_settled, "duties": rows,
-            "probes": shared.checks_run, "refused": election.rejected,
-        }  # fmt: skip
+            "name": election.own_name,
+            "period_ms": election.period // 1000,
+            "settled": election.view_settled,
+            "duties": rows,
+            "probes": shared.checks_run,
+            "refused": election.rejected,
+        }
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -90,9 +90,14 @@
             return False
         self.subset = made
         self.log(
-            "subset", size=len(made.weights), of=len(self.rows), added=made.added[:20],
-            dropped=made.dropped[:20], by=made.source, balancers=made.balancers,
-        )  # fmt: skip
+            "subset",
+            size=len(made.weights),
+            of=len(self.rows),
+            added=made.added[:20],
+            dropped=made.dropped[:20],
+            by=made.source,
+            balancers=made.balancers,
+        )
         return True
 
     def tell(self) -> None:
@@ -116,5 +121,11 @@
     def status(self) -> dict:
         made = self.subset
         weights = {name: round(weight, 4) for name, weight in sorted(made.weights.items())}
-        return {"size": len(made.weights), "of": len(self.rows), "by": made.source, "balancers": made.balancers,
-                "wider": self.keeper.extra, "weights": weights}  # fmt: skip
+        return {
+            "size": len(made.weights),
+            "of": len(self.rows),
+            "by": made.source,
+            "balancers": made.balancers,
+            "wider": self.keeper.extra,
+            "weights": weights,
+        }
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -210,8 +210,10 @@
         self.source = ("name", self.settings.source, "both")[len(views)]
         self.balancers = max((len(view) for view in views), default=self.settings.balancers)
         # In doubt the smaller part: the larger would let in what the others may still be sending.
-        normalized_weights = (sum(p.weight for p in view if p.name == self.own.name) / sum(p.weight for p in view)
-                 for view in views)  # fmt: skip
+        normalized_weights = (
+            sum(p.weight for p in view if p.name == self.own.name) / sum(p.weight for p in view)
+            for view in views
+        )
         self.demand_share = min(normalized_weights, default=1.0 / self.settings.balancers)
         if not views:
             return self.target_without_view()
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -10,13 +10,13 @@
 from types import SimpleNamespace
 
 from dahliabend.config import platform as config
-from dahliabend.config.platform import Node
-from dahliabend.http.client_connection import Caller
-from dahliabend.http.upstream_connection import Link
+from dahliabend.config.platform import ServerSettings
+from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
-from dahliabend.server.metrics import Figures
+from dahliabend.server.metrics import Metrics
 from dahliabend.transport import host_info
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
@@ -127,34 +127,38 @@
 class Proxy:
     """A router before some upstreams, each with connections at rest."""
 
-    def __init__(self, fake_clock: FakeClock, node: Node, upstreams: int, connections: int = 4) -> None:
+    def __init__(
+        self, fake_clock: FakeClock, node: ServerSettings, upstreams: int, connections: int = 4
+    ) -> None:
         self.clock, self.loop = fake_clock, FakeLoop()
         self.deadlines, self.descriptors = TimerQueue(self.loop), DescriptorBudget(200)
-        table = EndpointTable(self.deadlines, self.descriptors, node.dial_time, node.rest, ignore)
-        self.figures = Figures()
-        self.router = Router(node, self.deadlines, table, self.figures, ignore)
-        self.router.discovery = SimpleNamespace(tried=True, ask=ignore)
-        self.links: list[tuple[str, Link, FakeTransport]] = []
+        table = EndpointTable(
+            self.deadlines, self.descriptors, node.connect_timeout, node.idle_reuse_time, ignore
+        )
+        self.metrics = Metrics()
+        self.router = Router(node, self.deadlines, table, self.metrics, ignore)
+        self.router.discovery = SimpleNamespace(attempted=True, poll=ignore)
+        self.links: list[tuple[str, UpstreamConnection, FakeTransport]] = []
         rows = [server(number) for number in range(upstreams)]
-        self.router.listed([row_of(row) for row in rows], full=True)
+        self.router.endpoints_changed([row_of(row) for row in rows], full=True)
         for row in rows:
             for _ in range(connections):
                 self.open_link(row["id"])
         self.clock.advance(200)  # a connection is used again only after a while
 
     def open_link(self, name: str) -> None:
-        upstream = self.router.table.find(name)
-        link = Link(self.descriptors, upstream)
-        upstream.links.add(link)
+        upstream = self.router.table.get_or_create(name)
+        link = UpstreamConnection(self.descriptors, upstream)
+        upstream.connections.add(link)
         self.links.append((name, link, FakeTransport(link)))
-        upstream.free(link)
+        upstream.return_connection(link)
 
-    def client(self) -> tuple[Caller, FakeTransport]:
+    def client(self) -> tuple[ClientConnection, FakeTransport]:
         """A client's connection."""
-        caller = Caller(self.descriptors, self.deadlines, self.router, 3_000_000)
+        caller = ClientConnection(self.descriptors, self.deadlines, self.router, 3_000_000)
         return caller, FakeTransport(caller)
 
-    def asked(self) -> list[tuple[str, Link, str]]:
+    def asked(self) -> list[tuple[str, UpstreamConnection, str]]:
         """What went to upstreams since the last call."""
         found = []
         for name, link, transport in self.links:
@@ -165,7 +169,7 @@
     def advance(self, milliseconds: int) -> None:
         """Time passes, and what was due by then happens."""
         self.clock.advance(milliseconds)
-        self.deadlines.ring()
+        self.deadlines.run_due()
         self.loop.turn()
 
 
@@ -183,7 +187,7 @@
     return entry["id"], (host, int(port)), EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"]
 
 
-def node_of(settings: Mapping, path: str) -> Node:
+def node_of(settings: Mapping, path: str) -> ServerSettings:
     """The configuration with these settings, written to that path first."""
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": settings}
     with open(path, "w") as file:
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -15,10 +15,10 @@
 from msgspec.structs import replace
 
 from dahliabend.config import platform as config
-from dahliabend.health_gossip.report_table import Report, Row
-from dahliabend.membership.codec import Rumour, Standing
+from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
+from dahliabend.membership.codec import MemberStatus, Update
 from dahliabend.model import Outcome
-from dahliabend.server.metrics import Figures
+from dahliabend.server.metrics import Metrics
 from dahliabend.server.operator_file_server import OperatorFileServer
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.transport.timers import clock
@@ -28,14 +28,16 @@
 SHAPES = "admin_shapes.json"
 
 SETTINGS = {
-    "balancers": 1, "discovery": "pushed", "localities": ["north"],
+    "balancers": 1,
+    "discovery": "pushed",
+    "localities": ["north"],
     "profiles": [
         {"name": "query", "service-goal": 1000, "hard-limit": 3000, "semantics": "idempotent"},
         {"name": "submit", "service-goal": 1000, "hard-limit": 3000, "semantics": "at_most_once"},
     ],
     "caps": {"most-hops": 3},
     "contract": {"cold-share": 0.5, "cold": 1000, "fall-multiple": 3},
-}  # fmt: skip
+}
 OPERATOR_FILE = """
 [members]
 name = "b1"
@@ -71,22 +73,39 @@
 
 GET, PUT = "GET", "PUT"
 ALL_CALLS = (
-    (GET, "/api/ready"), (GET, "/api/telemetry"), (GET, "/api/members"), (GET, "/api/subsets"),
-    (GET, "/api/signals"), (GET, "/api/turns"), (PUT, "/api/evacuate"), (PUT, "/api/rejoin"),
-    (PUT, "/api/exclude"), (PUT, "/api/include"),
-)  # fmt: skip
+    (GET, "/api/ready"),
+    (GET, "/api/telemetry"),
+    (GET, "/api/members"),
+    (GET, "/api/subsets"),
+    (GET, "/api/signals"),
+    (GET, "/api/turns"),
+    (PUT, "/api/evacuate"),
+    (PUT, "/api/rejoin"),
+    (PUT, "/api/exclude"),
+    (PUT, "/api/include"),
+)
 TARGET = '{"target":"s-1"}'
 CALLS: tuple[tuple[str, str, str], ...] = (
     *((method, path, "") for method, path in ALL_CALLS),
     *((PUT if method == GET else GET, path, "") for method, path in ALL_CALLS),
-    (GET, "/api/ready?a=b", ""), (GET, "/api/other", ""), (GET, "/", ""),
-    (PUT, "/api/exclude", TARGET), (GET, "/api/telemetry", ""), (PUT, "/api/exclude", TARGET),
-    (PUT, "/api/include", TARGET), (GET, "/api/telemetry", ""), (PUT, "/api/include", TARGET),
-    (PUT, "/api/exclude", '{"target":"s-9"}'), (PUT, "/api/include", '{"target":"s-9"}'),
-    (PUT, "/api/exclude", "[1]"), (PUT, "/api/exclude", '{"target":'), (PUT, "/api/exclude", "{}"),
-    (PUT, "/api/exclude", '{"target":7}'), (PUT, "/api/exclude", '{"target":""}'),
+    (GET, "/api/ready?a=b", ""),
+    (GET, "/api/other", ""),
+    (GET, "/", ""),
+    (PUT, "/api/exclude", TARGET),
+    (GET, "/api/telemetry", ""),
+    (PUT, "/api/exclude", TARGET),
+    (PUT, "/api/include", TARGET),
+    (GET, "/api/telemetry", ""),
+    (PUT, "/api/include", TARGET),
+    (PUT, "/api/exclude", '{"target":"s-9"}'),
+    (PUT, "/api/include", '{"target":"s-9"}'),
+    (PUT, "/api/exclude", "[1]"),
+    (PUT, "/api/exclude", '{"target":'),
+    (PUT, "/api/exclude", "{}"),
+    (PUT, "/api/exclude", '{"target":7}'),
+    (PUT, "/api/exclude", '{"target":""}'),
     (PUT, "/api/evacuate", "x" * 9000),
-)  # fmt: skip
+)
 
 
 class QuietLog:
@@ -128,7 +147,7 @@
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": SETTINGS}
     path.write_text(json.dumps(tree))
     program = PlatformServer(config.read_server_settings({"PROXY_CONFIG": str(path)}), {}, QuietLog())
-    program.router.listed([row_of(server(number)) for number in range(2)], full=True)
+    program.router.endpoints_changed([row_of(server(number)) for number in range(2)], full=True)
     return program
 
 
@@ -142,17 +161,19 @@
 
 def hear_others(program: OperatorFileServer) -> None:
     """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
-    fleet, now = program.fleet, clock()
+    fleet, now = program.cluster, clock()
     for name in ("b2", "b3", "b4", "b5"):
-        alive = Rumour(name, 1, 1, Standing.ALIVE, f"127.0.0.1:{name[1:]}", cannot=("b9",))
-        fleet.machine.put(now, alive, "")
+        alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
+        fleet.failure_detector.store_update(now, alive, "")
         if name == "b5":
-            fleet.machine.put(now, replace(alive, standing=Standing.LEFT), "")
+            fleet.failure_detector.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
         else:
-            fleet.gossip.board.merge(now, Report(name, 1, 1, 0, 0, [Row("plain", "u-0", 200, 200)]))
+            fleet.gossip.report_table.merge(
+                now, HealthReport(name, 1, 1, 0, 0, [UpstreamCounts("plain", "u-0", 200, 200)])
+            )
     for _ in range(20):
         fleet.saw("plain", "u-0", Outcome.FAILED)
-    fleet.probing.beat([("b1", ""), ("b2", "")], True, program.signalled())
+    fleet.probing.beat([("b1", ""), ("b2", "")], True, program.pools_in_gossip())
     fleet.signal()
 
 
@@ -176,7 +197,7 @@
     expecting = "PUT /api/exclude HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}"
     found.append(["Expect: 100-continue", "{}", answer_to(program, expecting)])
     # Ready once it listens and has asked for the list.
-    program.discovery.tried = True
+    program.discovery.attempted = True
     program.listener.sock = program
     found.append(["GET /api/ready", "ready", call(program, "GET", "/api/ready")])
     program.evacuate()
@@ -187,7 +208,7 @@
 def counts(directory: Path) -> dict:
     """The counts after answers of each status, and what telemetry tells of them."""
     program = platform_program(directory)
-    figures = program.figures
+    metrics = program.metrics
     for status in (200, 200, 400, 404, 405, 408, 409, 413, 429, 431, 500, 502, 503, 504):
         metrics.count_response(b"query", status)
     for _ in range(3):
@@ -196,7 +217,7 @@
     metrics.count_response(b"gone", 503)
     metrics.open_requests, metrics.configs_accepted, metrics.configs_rejected = 4, 5, 6
     return {
-        "new": Figures().shown(),
+        "new": Metrics().snapshot(),
         "counted": json.loads(
             call(program, "GET", "/api/telemetry").partition("\r\n\r\n")[2].partition("<")[0]
         ),
@@ -208,7 +229,7 @@
     found = {}
     for title, text in (("members", OPERATOR_FILE), ("no members", WITHOUT_MEMBERS)):
         program = operator_program(directory, text)
-        if program.fleet is not None:
+        if program.cluster is not None:
             hear_others(program)
         for method, path in ALL_CALLS:
             if method == "GET":
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -28,17 +28,39 @@
 # Values go by name: one that changes its place in the encoded array shows.
 FROM_OTHERS = [
     HealthReport(
-        origin="b2", generation=9, sequence=4, age_ms=250, relays=0,
+        origin="b2",
+        generation=9,
+        sequence=4,
+        age_ms=250,
+        relays=0,
         counts=[
-            UpstreamCounts(pool="records", upstream="s-1", attempts=5, failures=4), UpstreamCounts(pool="records", upstream="s-9", attempts=2, failures=2),
+            UpstreamCounts(pool="records", upstream="s-1", attempts=5, failures=4),
+            UpstreamCounts(pool="records", upstream="s-9", attempts=2, failures=2),
         ],
     ),
     HealthReport(
-        origin="b3", generation=8, sequence=1, age_ms=0, relays=2, counts=[],
-        leases=[LeaseAnnouncement(task="probe records s-1", fencing_token=5 << 16 | 77, holder="b3", completed_runs=6, age_ms=40, result=1)],
-        quotas=[QuotaAnnouncement(limit="submits", share=0.25, demand=0.5), QuotaAnnouncement(limit="rest", share=0.125, demand=0.0)],
+        origin="b3",
+        generation=8,
+        sequence=1,
+        age_ms=0,
+        relays=2,
+        counts=[],
+        leases=[
+            LeaseAnnouncement(
+                task="probe records s-1",
+                fencing_token=5 << 16 | 77,
+                holder="b3",
+                completed_runs=6,
+                age_ms=40,
+                result=1,
+            )
+        ],
+        quotas=[
+            QuotaAnnouncement(limit="submits", share=0.25, demand=0.5),
+            QuotaAnnouncement(limit="rest", share=0.125, demand=0.0),
+        ],
     ),
-]  # fmt: skip
+]
 
 
 def plain(value) -> list:
--- a/tests/pins/test_http_bytes.py
+++ b/tests/pins/test_http_bytes.py
@@ -208,7 +208,7 @@
         for who, (_, transport) in self.clients.items():
             if text := transport.take():
                 found[f"to {who}"] = shortened(text)
-        self.waiting = [link for link in self.waiting if link.asker is not None]
+        self.waiting = [link for link in self.waiting if link.handler is not None]
         return found
 
 
@@ -255,8 +255,8 @@
                 proxy = Proxy(fake_clock, node_of(settings, path), 1)
                 told: list = []
                 policy = proxy.router.policies[-1]
-                upstream = proxy.router.table.find("s-0")
-                policy.sound(upstream, lambda _, outcome, told=told: told.append(int(outcome)))
+                upstream = proxy.router.table.get_or_create("s-0")
+                policy.start_health_check(upstream, lambda _, outcome, told=told: told.append(int(outcome)))
                 ((_, link, asked),) = proxy.asked()
                 feed(link, text.encode(), proxy.loop)
                 proxy.loop.turn()
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -10,7 +10,7 @@
 from golden_files import as_json, read_golden, write_golden
 
 from dahliabend.config import platform as config
-from dahliabend.config.platform import Node
+from dahliabend.config.platform import ServerSettings
 from dahliabend.model import RequestClass, Settings
 
 INPUT = "platform_config_input.json"
@@ -93,7 +93,7 @@
     return values
 
 
-def node_values(node: Node) -> dict[str, object]:
+def node_values(node: ServerSettings) -> dict[str, object]:
     """All that a balancer on sockets goes by, by wire key; times are in microseconds."""
     return {
         "listen": list(node.listen),
@@ -101,30 +101,30 @@
         "admin": list(node.admin) if node.admin else None,
         "name": node.name,
         "seed": node.seed,
-        "limits.sockets": node.sockets,
-        "known": node.known,
+        "limits.sockets": node.descriptor_limit,
+        "known": node.known_endpoints,
         "log is debug": node.verbose,
-        "inherited descriptor": node.inherited,
-        "shared directory": node.shared,
-        "keys": sorted(node.keys),
-        "settings.profiles.name": {name.decode(): index for name, index in node.profiles.items()},
-        "settings.profiles.hard-limit": list(node.longest),
-        "settings.tenants.name": {name.decode(): index for name, index in node.customers.items()},
-        "settings.localities": node.zones,
-        "settings.contract.answer-slack": node.slack,
-        "settings.caps.dial-timeout": node.dial_time,
-        "settings.caps.dial-timeout of a probe": node.probe_time,
-        "settings.caps.conn-idle": node.rest,
-        "settings.caps.most-held": node.most_held,
+        "inherited descriptor": node.listener_descriptor,
+        "shared directory": node.shared_directory,
+        "keys": sorted(node.named_keys),
+        "settings.profiles.name": {name.decode(): index for name, index in node.class_indices.items()},
+        "settings.profiles.hard-limit": list(node.class_deadlines),
+        "settings.tenants.name": {name.decode(): index for name, index in node.tenant_indices.items()},
+        "settings.localities": node.zone_indices,
+        "settings.contract.answer-slack": node.deadline_slack,
+        "settings.caps.dial-timeout": node.connect_timeout,
+        "settings.caps.dial-timeout of a probe": node.health_check_timeout,
+        "settings.caps.conn-idle": node.idle_reuse_time,
+        "settings.caps.most-held": node.max_in_flight,
         "settings.report": list(node.report_fields),
-        "settings not acted on": list(node.unmet),
+        "settings not acted on": list(node.unsupported_keys),
         **{f"settings.{key}": value for key, value in settings_values(node.settings).items()},
     }
 
 
 def read_file(
     tree: object, variables: Mapping[str, str] | None = None, reread: frozenset[str] | None = None
-) -> Node:
+) -> ServerSettings:
     """The configuration that a file with this content gives; `reread`: the keys of the file in force."""
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / "proxy.json"
@@ -202,7 +202,7 @@
             if path[0] != "settings" or len(path) == 1:
                 continue
             text = json.dumps(bad["settings"]).encode()
-            simulator = message_in(lambda text=text: config.read(text))
+            simulator = message_in(lambda text=text: config.read_policy_settings(text))
             if simulator != message_in(lambda bad=bad: read_file(bad)):
                 messages[f"{shown} in the simulator"] = simulator
     return as_json(told)
@@ -211,7 +211,7 @@
 def produce_reload_faults() -> str:
     """The message for each key that a running balancer's file had and the file read anew has not."""
     tree = json.loads(read_golden(INPUT))
-    needed = read_file(tree).keys
+    needed = read_file(tree).named_keys
     told = {}
     for path in paths(tree):
         name = ".".join(map(str, path))
@@ -255,7 +255,7 @@
 
 def test_the_simulator_reads_the_same_settings_as_the_sockets() -> None:
     tree = json.loads(read_golden(INPUT))
-    from_wire = config.read(json.dumps(tree["settings"]).encode())
+    from_wire = config.read_policy_settings(json.dumps(tree["settings"]).encode())
     assert settings_values(from_wire) == settings_values(read_file(tree).settings)
 
 
@@ -263,7 +263,7 @@
     tree = json.loads(read_golden(INPUT))["settings"]
     tree["caps"]["most-hops"] = 0
     with pytest.raises(ValueError, match="^caps.most-hops: 0 is not between 1 and 65536$"):
-        config.read(json.dumps(tree).encode())
+        config.read_policy_settings(json.dumps(tree).encode())
 
 
 if __name__ == "__main__":
--- a/tests/pins/test_simulator_wire.py
+++ b/tests/pins/test_simulator_wire.py
@@ -275,10 +275,10 @@
 @pytest.mark.parametrize(
     ("encoded", "expected"),
     [
-        (wire.hang_up(3, b"\x0a\x01\x02\x03\x1f\x40"), "100000000a000000030a0102031f40"),
+        (wire.close_idle_connections(3, b"\x0a\x01\x02\x03\x1f\x40"), "100000000a000000030a0102031f40"),
         (wire.pull(3), "190000000400000003"),
-        (wire.write_log(3, "text"), "140000000a00000003000474657874"),
-        (wire.memo_to(3, 4, b"text"), "1b0000000e0000000300000004000474657874"),
+        (wire.log_line(3, "text"), "140000000a00000003000474657874"),
+        (wire.send_to_peer(3, 4, b"text"), "1b0000000e0000000300000004000474657874"),
         (wire.fault(3, "text"), "110000000a00000003000474657874"),
     ],
 )
--- a/tests/simulation/cluster/test_duty_search.py
+++ b/tests/simulation/cluster/test_duty_search.py
@@ -44,8 +44,11 @@
 
     def tick(self, now):
         made = super().tick(now)
-        claimed = [task for task, known in self.leases.items()
-                   if known.holder == self.own_name and not known.completed_runs and known.heard_at == now]  # fmt: skip
+        claimed = [
+            task
+            for task, known in self.leases.items()
+            if known.holder == self.own_name and not known.completed_runs and known.heard_at == now
+        ]
         return [*made, *(DueTask(task, self.leases[task].fencing_token) for task in claimed)]
 
 
