--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -348,7 +348,7 @@
         on_rejected=None,
         key=b"",
     ) -> int:
-        """Takes a request; `on_rejected`, where given, is called instead of answering one rejected at once."""
+        """Takes a request; `on_rejected`, if given, is called instead of answering one rejected at once."""
         if trace_id in self.trace_ids:
             # Another's open transaction: sent on, it would be a second copy of that one at an upstream.
             client.send_error(409)
