--- a/dahliabend/simulator_adapter/__init__.py
+++ b/dahliabend/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: codec, settings and instance host. No decisions here."""
+"""The simulator's wire: codec and instance host. No decisions here."""
--- a/dahliabend/simulator_adapter/__main__.py
+++ b/dahliabend/simulator_adapter/__main__.py
@@ -2,18 +2,25 @@
 
 import sys
 
-from dahliabend.simulator_adapter.codec import Malformed, read_frame
+from dahliabend.errors import SimulatorProtocolError
+from dahliabend.simulator_adapter.codec import read_batch
 from dahliabend.simulator_adapter.host import Host
 
 
 def main() -> int:
+    """Answer batches until the input ends.
+
+    Returns:
+        The exit status: 1 if the input breaks the wire format or nobody reads the replies, else 0.
+    """
     host = Host()
-    source, sink = sys.stdin.buffer, sys.stdout.buffer
+    source = sys.stdin.buffer
+    sink = sys.stdout.buffer
     try:
-        while (frame := read_frame(source)) is not None:
-            sink.write(host.batch(*frame))
+        while (batch := read_batch(source)) is not None:
+            sink.write(host.handle_batch(batch))
             sink.flush()
-    except Malformed as error:
+    except SimulatorProtocolError as error:
         print(f"dahliabend.simulator_adapter: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,173 +1,102 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
-from dahliabend.config import platform as config
+from dahliabend.config.platform import to_microseconds
+from dahliabend.errors import SimulatorProtocolError
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.policy.balancer import Balancer, RequestState
-from dahliabend.simulator_adapter import codec as wire
+from dahliabend.simulator_adapter import actions
+from dahliabend.simulator_adapter.codec import Batch, decode_records, encode_reply
+from dahliabend.simulator_adapter.instance import Instance
+from dahliabend.simulator_adapter.wire_format import (
+    ENDPOINT_ENTRY,
+    WIRE_NAMES,
+    AttemptFinished,
+    DiscoveryUpdate,
+    EndpointList,
+    HealthCheckFinished,
+    InstanceRecord,
+    InstanceStart,
+    InstanceStop,
+    UpdateScope,
+)
+
+RECORDS_WITH_OUTCOME = (AttemptFinished, HealthCheckFinished)
 
-_DELTA, _FULL, _CACHED, _FAILED = range(4)
 
+class Host:
+    """All instances of one simulation.
 
-class Instance:
-    """One balancer, and the port through which it acts: ids in, small indices on."""
-
-    def __init__(self, number: int, seed: int, conf: bytes, out: list[bytes]) -> None:
-        self.number = number
-        self.out = out
-        self.addresses: list[bytes] = []  # by upstream index
-        self.indices: dict[bytes, int] = {}
-        self.requests: dict[int, RequestState] = {}
-        try:
-            own = config.read_policy_settings(conf)
-        except ValueError as error:
-            raise wire.Malformed(f"settings of instance {number}: {error}") from None
-        self.balancer = Balancer(own, self, seed)
-
-    # What the decisions do.
-
-    def send(self, ref: int, upstream: int, timeout: int) -> None:
-        self.out.append(wire.send_attempt(self.number, ref, self.addresses[upstream], timeout / 1000))
-
-    def reject(self, ref: int, retry_after: int) -> None:
-        self.out.append(wire.reject(self.number, ref, retry_after / 1000))
-        if ref in self.requests and self.requests[ref].is_finished:
-            del self.requests[ref]  # it waited for its turn
-
-    def fail(self, ref: int) -> None:
-        self.out.append(wire.fail(self.number, ref))
-
-    def cancel(self, ref: int, hop: int) -> None:
-        self.out.append(wire.cancel(self.number, ref, hop))
-
-    def check_health(self, upstream: int) -> None:
-        self.out.append(wire.check_health(self.number, self.addresses[upstream]))
-
-    def close_idle_connections(self, upstream: int, age: int) -> None:
-        self.out.append(wire.close_idle_connections(self.number, self.addresses[upstream]))
-
-    def set_timer(self, at: int, token: int) -> None:
-        self.out.append(wire.set_timer(self.number, token, at / 1000))
-
-    def poll_endpoints(self) -> None:
-        self.out.append(wire.subscribe(self.number, 1))
-
-    def send_to_peer(self, peer: int, payload: bytes) -> None:
-        self.out.append(wire.send_to_peer(self.number, peer, payload))
-
-    # What happens to it.
-
-    def index(self, address: bytes) -> int:
-        found = self.indices.get(address)
-        if found is None:
-            found = self.indices[address] = len(self.addresses)
-            self.addresses.append(address)
-        return found
-
-    def event(self, now: int, code: int, fields: tuple, lists: dict[int, bytes]) -> None:
-        balancer = self.balancer
-        if code in (wire.RETURNED, wire.CLIENT_GONE, wire.HEAD_RECEIVED):
-            self.happened(now, code, fields)
-        elif code == wire.JOB_IN:
-            _, ref, lane, billing, item, deadline, _, options = fields
-            request = balancer.admit(
-                now, ref, lane, billing, config.to_microseconds(deadline), bool(options & 2), key=item
-            )
-            if not request.is_finished:
-                self.requests[ref] = request
-        elif code == wire.BELL:
-            balancer.timer_fired(now, fields[1])
-        elif code == wire.HEALTH:
-            found = self.indices.get(fields[1])
-            if found is not None:  # one in no list of this instance was never probed by it
-                balancer.health_check_finished(now, found, Outcome(fields[2]))
-        elif code == wire.UPDATE:
-            self.update(now, fields[2], lists.get(fields[3], b""))
-
-    def happened(self, now: int, code: int, fields: tuple) -> None:
-        """One of the events of a transaction; one already dropped may still be named."""
-        request = self.requests.get(fields[1])
-        if request is None:
-            return
-        if code == wire.RETURNED:
-            _, _, shot, took, complete, how, _, _ = fields
-            request.attempt_finished(now, shot, Outcome(how), config.to_microseconds(took), bool(complete))
-        elif code == wire.CLIENT_GONE:
-            request.client_disconnected(now)
-        else:
-            request.response_started(now, fields[2])
-        if request.is_finished:
-            self.requests.pop(fields[1], None)
-
-    def update(self, now: int, scope: int, lines: bytes) -> None:
-        if scope == _FAILED:
-            self.balancer.endpoint_poll_failed(now)
-            return
-        rows = [
-            (
-                self.index(address),
-                EndpointState(state),
-                config.to_microseconds(born),
-                weight,
-                cell,
-                zone,
-                address,
-            )
-            for born, weight, cell, zone, address, state, _ in wire.ENTRY.iter_unpack(lines)
-        ]
-        self.balancer.update_endpoints(now, rows, full=scope != _DELTA)
-
+    Attributes:
+        instances: Those that run, by the simulator's number.
+    """
 
-class Host:
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.lists: dict[int, bytes] = {}
-        self.out: list[bytes] = []
-
-    def batch(self, clock: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
-        now = config.to_microseconds(clock)
-        out = self.out
-        out.clear()
-        for code, fields, rest in wire.records(body, count):
-            if code == wire.CENSUS:
-                if any(row[5] > EndpointState.DRAINING for row in wire.ENTRY.iter_unpack(rest)):
-                    raise wire.Malformed(f"CENSUS: unknown health in list {fields[0]}")
-                self.lists[fields[0]] = rest
-                continue
-            number = fields[0]
-            if code == wire.SPAWN:
-                self.start(number, fields[1], rest)
-                continue
-            instance = self.instances.get(number)
-            if code == wire.CRASH_NOW:
-                self.instances.pop(number, None)
-            elif instance is not None:
-                self.check(code, fields)
-                try:
-                    instance.event(now, code, fields, self.lists)
-                except Exception as error:
-                    out.append(wire.fault(number, f"{type(error).__name__}: {error}"))
+        self._endpoint_lists: dict[int, bytes] = {}  # encoded entries, by the number of the list
+        self._actions: list[bytes] = []  # of the batch in hand
+
+    def handle_batch(self, batch: Batch) -> bytes:
+        """Pass the records of a batch to their instances.
+
+        Returns:
+            The encoded reply: the actions of all instances, in order.
+
+        Raises:
+            SimulatorProtocolError: A record breaks the wire format or names what does not exist.
+        """
+        now = to_microseconds(batch.clock)
+        self._actions.clear()
+        for record in decode_records(batch):
+            if isinstance(record, EndpointList):
+                self._store_endpoint_list(record)
+            elif isinstance(record, InstanceStart):
+                self._start(record)
+            elif isinstance(record, InstanceStop):
+                self.instances.pop(record.instance, None)
             else:
-                raise wire.Malformed(f"{wire.NAMES[code]} for instance {number}, which was never started")
-        return wire.reply(out)
+                self._forward(now, record)
+        return encode_reply(self._actions)
+
+    def _store_endpoint_list(self, record: EndpointList) -> None:
+        states = (state for *_, state, _ in ENDPOINT_ENTRY.iter_unpack(record.entries))
+        if any(state > EndpointState.DRAINING for state in states):
+            raise SimulatorProtocolError(
+                f"{WIRE_NAMES[EndpointList]}: unknown health in list {record.list_number}"
+            )
+        self._endpoint_lists[record.list_number] = record.entries
 
-    def start(self, number: int, seed: int, conf: bytes) -> None:
+    def _start(self, record: InstanceStart) -> None:
+        number = record.instance
         try:
-            self.instances[number] = Instance(number, seed, conf, self.out)
-        except wire.Malformed:
+            self.instances[number] = Instance(number, record.seed, record.settings, self._actions)
+        except SimulatorProtocolError:
             raise
-        except Exception as error:
-            self.out.append(wire.fault(number, f"{type(error).__name__}: {error}"))
-
-    def check(self, code: int, fields: tuple) -> None:
-        """Values outside the wire's tables are no decision's fault."""
-        outcome = (
-            fields[5] if code == wire.RETURNED else fields[2] if code == wire.HEALTH else Outcome.SUCCEEDED
-        )
-        if not Outcome.SUCCEEDED <= outcome <= Outcome.NOT_SENT:
-            raise wire.Malformed(f"{wire.NAMES[code]}: unknown outcome")
-        if code == wire.UPDATE:
-            if fields[2] > _FAILED:
-                raise wire.Malformed(f"UPDATE: unknown scope {fields[2]}")
-            if fields[2] != _FAILED and fields[3] not in self.lists:
-                raise wire.Malformed(f"UPDATE: list {fields[3]} was never sent")
+        except Exception as error:  # whatever the decisions raise is theirs, and reported as that
+            self._actions.append(_fault(number, error))
+
+    def _forward(self, now: int, record: InstanceRecord) -> None:
+        number = record.instance
+        instance = self.instances.get(number)
+        if instance is None:
+            wire_name = WIRE_NAMES[type(record)]
+            raise SimulatorProtocolError(f"{wire_name} for instance {number}, which was never started")
+        self._check_values(record)
+        try:
+            instance.handle(now, record, self._endpoint_lists)
+        except Exception as error:  # whatever the decisions raise is theirs, and reported as that
+            self._actions.append(_fault(number, error))
+
+    def _check_values(self, record: InstanceRecord) -> None:
+        """Raise for values outside the wire's tables, which are no fault of the decisions."""
+        if isinstance(record, RECORDS_WITH_OUTCOME):
+            if not Outcome.SUCCEEDED <= record.outcome <= Outcome.NOT_SENT:
+                raise SimulatorProtocolError(f"{WIRE_NAMES[type(record)]}: unknown outcome")
+        elif isinstance(record, DiscoveryUpdate):
+            wire_name = WIRE_NAMES[DiscoveryUpdate]
+            if record.scope > UpdateScope.FAILED:
+                raise SimulatorProtocolError(f"{wire_name}: unknown scope {record.scope}")
+            if record.scope != UpdateScope.FAILED and record.list_number not in self._endpoint_lists:
+                raise SimulatorProtocolError(f"{wire_name}: list {record.list_number} was never sent")
+
+
+def _fault(number: int, error: Exception) -> bytes:
+    return actions.fault(number, f"{type(error).__name__}: {error}")
--- a/tests/pins/test_simulator_wire.py
+++ b/tests/pins/test_simulator_wire.py
@@ -14,8 +14,10 @@
 import pytest
 from golden_files import read_golden, write_golden
 
-from dahliabend.simulator_adapter import codec as wire
+from dahliabend.simulator_adapter import actions as encoders
+from dahliabend.simulator_adapter.codec import decode_records, read_batch
 from dahliabend.simulator_adapter.host import Host
+from dahliabend.simulator_adapter.wire_format import RECORD_CODES
 
 TRANSCRIPT = "simulator_transcript.txt"
 
@@ -118,7 +120,7 @@
 
     def exchange(self, now: float, records: list[bytes]) -> None:
         batch = frame(now, [record for record in records if self.still_holds(record)])
-        reply = self.host.batch(*wire.read_frame(BytesIO(batch)))
+        reply = self.host.handle_batch(read_batch(BytesIO(batch)))
         self.batches.append((batch, reply))
         for code, fields in actions(reply):
             self.react(now, code, fields)
@@ -257,16 +259,15 @@
     host, batches = Host(), transcript()
     stream = BytesIO(b"".join(batch for batch, _ in batches))
     for number, (_, expected) in enumerate(batches):
-        got = host.batch(*wire.read_frame(stream))
+        got = host.handle_batch(read_batch(stream))
         assert got.hex() == expected.hex(), f"reply to batch {number}"
-    assert wire.read_frame(stream) is None
+    assert read_batch(stream) is None
 
 
 def test_the_transcript_holds_every_action_of_the_balancer_and_every_record_of_the_simulator() -> None:
     came, went = set(), set()
     for batch, reply in transcript():
-        _, count, body = wire.read_frame(BytesIO(batch))
-        came |= {code for code, _, _ in wire.records(body, count)}
+        came |= {RECORD_CODES[type(record)] for record in decode_records(read_batch(BytesIO(batch)))}
         went |= {code for code, _ in actions(reply)}
     assert came == set(range(16, 27))
     assert went == {FAULT, SET_TIMER, FAIL, REJECT, ASK_LIST, PROBE, CANCEL, SEND}
@@ -275,11 +276,11 @@
 @pytest.mark.parametrize(
     ("encoded", "expected"),
     [
-        (wire.close_idle_connections(3, b"\x0a\x01\x02\x03\x1f\x40"), "100000000a000000030a0102031f40"),
-        (wire.pull(3), "190000000400000003"),
-        (wire.log_line(3, "text"), "140000000a00000003000474657874"),
-        (wire.send_to_peer(3, 4, b"text"), "1b0000000e0000000300000004000474657874"),
-        (wire.fault(3, "text"), "110000000a00000003000474657874"),
+        (encoders.close_idle_connections(3, b"\x0a\x01\x02\x03\x1f\x40"), "100000000a000000030a0102031f40"),
+        (encoders.pull(3), "190000000400000003"),
+        (encoders.log_line(3, "text"), "140000000a00000003000474657874"),
+        (encoders.send_to_peer(3, 4, b"text"), "1b0000000e0000000300000004000474657874"),
+        (encoders.fault(3, "text"), "110000000a00000003000474657874"),
     ],
 )
 def test_actions_that_no_transcript_holds_are_encoded_as_before(encoded: bytes, expected: str) -> None:
--- /dev/null
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -0,0 +1,145 @@
+"""The adapter against the wire note's example bytes, and against what must not be guessed."""
+
+import json
+import subprocess
+import sys
+from io import BytesIO
+from struct import pack
+
+import pytest
+from simulator_frames import (
+    CACHED_UPDATE,
+    EMPTY_BATCH,
+    ENDPOINT_LIST,
+    EXAMPLE_BATCH,
+    SETTINGS,
+    frame,
+    instance_start,
+    replies_of,
+    request_received,
+)
+
+from dahliabend.config.platform import read_policy_settings
+from dahliabend.simulator_adapter import actions
+from dahliabend.simulator_adapter.codec import Batch, decode_records, encode_reply, read_batch
+from dahliabend.simulator_adapter.host import Host
+from dahliabend.simulator_adapter.wire_format import (
+    RECORD_CODES,
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointList,
+    HealthCheckFinished,
+    InstanceStop,
+    RequestReceived,
+    TimerFired,
+)
+
+
+def test_the_examples_of_the_wire_note_are_read_and_written_to_the_byte():
+    assert read_batch(BytesIO(EMPTY_BATCH)) == Batch(8412.25, 0, b"")
+    assert encode_reply([]) == bytes.fromhex("0000000400000000")
+    batch = read_batch(BytesIO(EXAMPLE_BATCH))
+    records = [(type(record), record.instance) for record in decode_records(batch)]
+    assert records == [(RequestReceived, 3), (TimerFired, 3), (ClientDisconnected, 5)]
+    reply = encode_reply(
+        [actions.send_attempt(3, 0x528BC5D3A91C4, bytes.fromhex("0a124a071b5b"), 80.0),
+         actions.set_timer(3, 0x4D, 8912.25), actions.log_line(5, "two servers known")]
+    )  # fmt: skip
+    assert reply.hex() == (
+        "00000058000000031a0000001a00000003000528bc5d3a91c40a124a071b5b4054000000000000"
+        "120000001400000003000000000000004d40c1682000000000"
+        "1400000017000000050011" + b"two servers known".hex()
+    )
+    assert actions.send_to_peer(3, 0xFFFFFFFF, b"hi p")[:5] == bytes.fromhex("1b0000000e")
+
+
+def test_a_request_is_sent_on_and_an_event_of_one_that_is_finished_changes_nothing():
+    host = Host()
+    replies = replies_of(
+        host, frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE, request_received(5)), EMPTY_BATCH
+    )
+    assert replies[0].count(pack(">BI", 26, 26)) == 1
+    assert replies[1] == encode_reply([])
+    # Of an endpoint in no list.
+    health = pack(">BII6sBdB", RECORD_CODES[HealthCheckFinished], 20, 3, b"nobody", 1, 1.0, 0)
+    assert replies_of(host, frame(health))[0] == encode_reply([])
+    # Of a request already dropped, and of a timer that was never set.
+    gone = pack(">BIIQ", RECORD_CODES[ClientDisconnected], 12, 3, 77)
+    timer = pack(">BIIQ", RECORD_CODES[TimerFired], 12, 3, 99)
+    assert replies_of(host, frame(gone, timer))
+
+
+def test_an_instance_stopped_and_started_in_one_batch_takes_the_new_list_of_a_reused_number():
+    host = Host()
+    kill = pack(">BII", RECORD_CODES[InstanceStop], 4, 3)
+    none = pack(">BIHI", RECORD_CODES[EndpointList], 6, 0, 0)
+    first, second = replies_of(
+        host,
+        frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE, request_received(5)),
+        frame(kill, instance_start(), none, CACHED_UPDATE, request_received(6)),
+    )
+    assert pack(">BI", 26, 26) in first
+    assert pack(">BIIQ", 21, 20, 3, 6) in second, "without an endpoint it is rejected"
+    assert not host.instances[3].requests
+
+
+@pytest.mark.parametrize(
+    ("raw", "part"),
+    [
+        (EMPTY_BATCH[:9], "batch header"), (EXAMPLE_BATCH[:-1], "cut short"),
+        (frame(b"\x63\0\0\0\0"), "unknown code 99"),
+        (frame(b"\x19\0\0\0\x04\0\0\0\x03"), "needed"), (pack(">dII", 1.0, 5, 0) + b"x", "left over"),
+        (frame(ENDPOINT_LIST[:9] + b"\x03" + ENDPOINT_LIST[10:]), "do not fit"),
+        (frame(request_received(1)), "never started"),
+        (frame(instance_start(settings={"balancers": "x"})), "settings"),
+        (frame(instance_start(settings={**SETTINGS, "self-index": 2})), "self-index: 2"),
+        (frame(instance_start(), CACHED_UPDATE), "never sent"),
+        (frame(ENDPOINT_LIST[:-3] + b"\x03\0\0"), "unknown health"),
+        (frame(instance_start(settings={**SETTINGS, "profiles": []})), "settings"),
+    ],
+)  # fmt: skip
+def test_malformed_input_ends_with_one_plain_message(raw, part):
+    done = subprocess.run(
+        [sys.executable, "-m", "dahliabend.simulator_adapter"], input=EMPTY_BATCH + raw, capture_output=True
+    )
+    assert done.returncode == 1
+    assert part in done.stderr.decode()
+    assert done.stderr.count(b"\n") == 1
+    assert done.stdout == encode_reply([])
+
+
+def test_settings_take_optional_keys_and_refuse_unknown_values():
+    own = read_policy_settings(json.dumps(SETTINGS).encode())
+    assert own.request_classes[0].latency_objective == 2_000_000
+    assert not own.can_health_check
+    assert own.tenant_quotas == ()
+    assert own.cross_zone_cost == 0  # as where crossing costs nothing: the zone's share is never read
+    profile = {**SETTINGS["profiles"][0], "semantics": "maybe"}
+    with pytest.raises(ValueError, match="semantics"):
+        read_policy_settings(json.dumps({**SETTINGS, "profiles": [profile]}).encode())
+
+
+def test_an_error_in_the_decisions_is_reported_as_a_fault():
+    host = Host()
+    replies_of(host, frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE))
+    host.instances[3].balancer.admit = None
+    assert b"TypeError" in replies_of(host, frame(request_received(5)))[0]
+
+
+def test_no_load_report_whatever_it_says_changes_a_decision():
+    def replies(load):
+        host, got = Host(), []
+        replies_of(host, frame(ENDPOINT_LIST, instance_start(), CACHED_UPDATE))
+        for ref in range(1, 60):
+            reply = replies_of(host, frame(request_received(ref), clock=100.0 + ref))[0]
+            got.append(reply)
+            at = reply.index(pack(">BI", 26, 26)) + 5 + 4 + 8
+            took = 40.0 if ref % 3 else 400.0
+            fields = pack(">IQHdBB6sBff", 3, ref, 0, took, 1, 1, reply[at : at + 6], 2, *load)
+            returned = pack(">BI", RECORD_CODES[AttemptFinished], len(fields)) + fields
+            got += replies_of(host, frame(returned, clock=100.5 + ref))
+        return got
+
+    usual = replies((1.0, 0.1))
+    for load in ((0.0, 0.0), (0.4, 0.05), (900.0, 1.0)):  # nothing, too little, full while it is not
+        assert replies(load) == usual
