--- a/dahliabend/cli/members.py
+++ b/dahliabend/cli/members.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from dahliabend.config.platform import parse_address
+from dahliabend.config.address import parse_address
 from dahliabend.routing_rules import loaded_file
 
 PATIENCE = 5.0  # seconds
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -1,4 +1,7 @@
-"""What an operator's file may say, with the defaults, in one place. Times are microseconds once read."""
+"""What an operator's file may say, with the defaults, in one place.
+
+A field's name is its key with `_` in place of `-`, in the operators' words. Times are microseconds once read.
+"""
 
 from typing import Literal
 
@@ -6,7 +9,8 @@
 
 from dahliabend.config.operator_file.units import ByteSize, Duration, Fraction, Rate
 
-MS, S = 1_000, 1_000_000
+MILLISECOND = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
 Effect = Literal["idempotent", "journalled", "non-idempotent"]
 
 
@@ -15,42 +19,53 @@
 
 
 class TreatmentSettings(FileTable, kw_only=True):
-    """How a transaction is treated. A route's go before its class's, and these before the file's defaults."""
-
-    hop_time: Duration | None = None  # that one hop may take
-    total_time: Duration | None = None  # all hops together; the class's hard limit, if left out
-    attempts: int | None = None  # hops at the most
-    replays: int | None = None  # of these, after a hop that may have run
-    second_copy_after: Duration | None = None  # a second hop beside a slow first one
-    retry_share: Fraction | None = (
-        None  # of first hops: what may be spent on hops after one that may have run
-    )
-    concurrency: int | None = None  # transactions in hand at once
+    """How a request is treated.
+
+    A route's values go before its class's, and these before the file's defaults.
+    """
+
+    hop_time: Duration | None = None  # that one attempt may take
+    total_time: Duration | None = None  # all attempts together; the class's hard limit, if left out
+    attempts: int | None = None  # at the most
+    replays: int | None = None  # of these, after an attempt that may have executed
+    second_copy_after: Duration | None = None  # until a hedged attempt beside a slow first one
+    retry_share: Fraction | None = None  # of first attempts: retries after ones that may have executed
+    concurrency: int | None = None  # requests in flight
     rate: Rate | None = None
-    burst: int | None = None  # transactions that may come at once above the rate
+    burst: int | None = None  # requests that may come at once above the rate
 
 
 class DefaultSettings(TreatmentSettings, kw_only=True):
+    """`[defaults]`: for all routes."""
+
     most_retry_share: Fraction = Fraction(0.25)  # what a route's and its fallback's may come to together
 
 
 class ListenerSettings(FileTable, kw_only=True):
+    """`[listeners.NAME]`: where clients or operators connect."""
+
     address: str
 
 
 class LogSettings(FileTable, kw_only=True):
+    """`[log]`: what is logged."""
+
     level: Literal["debug", "info", "warning", "error"] = "info"
-    access: bool = False  # a line for each transaction
-    sample: dict[str, Fraction] = {}  # by event: the share of lines that is kept
+    access: bool = False  # a line for each request
+    sample: dict[str, Fraction] = {}  # by event: the share of lines that is written
 
 
 class SlowStartSettings(FileTable, kw_only=True):
-    share: Fraction = Fraction(0.2)  # of its capacity that an upstream has at its start
-    time: Duration = Duration(10 * S)  # until it has all
-    multiple: float = 3.0  # of what it bears: sent more, it falls over
+    """`[pools.NAME.cold]`: how a new upstream warms up."""
+
+    share: Fraction = Fraction(0.2)  # of its capacity that it has at its start
+    time: Duration = Duration(10 * SECOND)  # until it has all
+    multiple: float = 3.0  # of its capacity at which it fails
 
 
 class EndpointSettings(FileTable, kw_only=True):
+    """`[[pools.NAME.members]]`: one upstream."""
+
     id: str
     address: str
     zone: str = ""
@@ -59,17 +74,17 @@
 
 
 class SubsetSettings(FileTable, kw_only=True):
-    """Of a pool's upstreams this balancer uses some, so that the choices of all add up."""
+    """`[pools.NAME.subset]`: this balancer uses some upstreams, so that the choices of all add up."""
 
     least: int = 12  # upstreams of each balancer
     degree: int = 12  # balancers of each upstream, in the mean
-    zones: bool = False  # own zone first, others for what it can't bear
-    self_index: int | None = None  # of the pool's balancers, from 0: the view, where nobody tells one
-    hold: Duration = Duration(60 * S)  # how long a view that may be of a part cut off narrows nothing
+    zones: bool = False  # same zone first, others for what it has no capacity for
+    self_index: int | None = None  # among the pool's balancers, from 0; from the membership, if left out
+    hold: Duration = Duration(60 * SECOND)  # how long a view that may be partitioned narrows nothing
 
 
 class PoolSettings(FileTable, kw_only=True):
-    """Upstreams with one set of decisions. Exactly one of the first three says who they are."""
+    """`[pools.NAME]`: upstreams with one set of decisions. One of the first three says who they are."""
 
     discovery: str | None = None
     members: list[EndpointSettings] | None = None
@@ -79,14 +94,16 @@
     balancers: int = 1
     probes: bool = False
     cancels: bool = True
-    idle: Duration = Duration(15 * S)  # connections at rest are closed after that
-    dial_time: Duration = Duration(250 * MS)
-    grace: Duration = Duration(1_500 * MS)  # after the news that one drains
+    idle: Duration = Duration(15 * SECOND)  # idle connections are closed after that
+    dial_time: Duration = Duration(250 * MILLISECOND)
+    grace: Duration = Duration(1_500 * MILLISECOND)  # for an upstream that is known to drain
     cold: SlowStartSettings = msgspec.field(default_factory=SlowStartSettings)
     subset: SubsetSettings | None = None
 
 
 class ClassSettings(TreatmentSettings, kw_only=True):
+    """`[classes.NAME]`: requests of one worth, with one objective."""
+
     effect: Effect
     service_goal: Duration
     hard_limit: Duration
@@ -98,6 +115,8 @@
 
 
 class RouteSettings(TreatmentSettings, kw_only=True):
+    """`[[routes]]`: which requests go to which pools."""
+
     name: str
     class_: str = msgspec.field(name="class")
     path: str = "/"  # a prefix, by whole segments
@@ -107,29 +126,29 @@
     pools: dict[str, float] | None = None  # by weight
     split_by: str | None = None  # a header: the same value goes to the same pool
     fallback: str | None = None  # in place of its pool's
-    shared: bool = False  # its rate and concurrency are the whole fleet's, divided by what each is asked
-    mirror: str | None = None  # a pool that gets copies whose answers are thrown away
+    shared: bool = False  # its rate and concurrency are those of all balancers, divided by their demand
+    mirror: str | None = None  # a pool that gets copies whose answers are dropped
     mirror_share: Fraction = Fraction(1.0)
 
 
 class MembershipSettings(FileTable, kw_only=True):
-    """The balancers among themselves. Seeds come from what is named here, from all of it together."""
+    """`[members]`: the balancers among themselves. Seeds come from all keys together that name some."""
 
     address: str  # where their datagrams come in, UDP
     advertise: str | None = None  # where the others send to; the address, if left out
     name: str | None = None  # the same after a restart; where the others send to, if left out
     zone: str = ""
     weight: float = 1.0
-    demand: bool = False  # its weight is what it is asked, transactions a second, told as it changes
-    signals: bool = False  # tells the others which upstreams fail, and hears it from them
-    probing: Duration = Duration(0)  # each upstream is probed once in it, by one of them; 0: each for itself
+    demand: bool = False  # its weight is its demand, requests a second, gossiped as it changes
+    signals: bool = False  # gossips which upstreams fail
+    probing: Duration = Duration(0)  # each upstream is checked once in it, by one of them; 0: each for itself
     seeds: list[str] = []
     seeds_file: str | None = None  # in discovery's form, watched
     seeds_discovery: str | None = None
-    key_files: list[str] = []  # the first seals, each opens
+    key_files: list[str] = []  # the first authenticates what is sent, each what comes
     keep: str | None = None  # a file: who was known, and what a successor goes on from
-    period: Duration = Duration(S)
-    forget: Duration = Duration(3600 * S)
+    period: Duration = Duration(SECOND)
+    forget: Duration = Duration(3600 * SECOND)
     cut: Fraction = Fraction(1 / 3)
 
 
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -1,20 +1,27 @@
-"""Values with a unit. A bare number where one is due is a fault: "2000" may be 2 s or half an hour."""
+"""Values with a unit. A bare number where one is due is an error: "2000" may be 2 s or half an hour."""
 
 import re
+from collections.abc import Mapping
+from typing import Self
 
-_FORM = re.compile(r"(-?\d+(?:\.\d+)?)\s*([A-Za-z/%]*)")
-_SPANS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
-_SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "kB": 1_000, "MB": 1_000_000}
-_RATES = {"/s": 1.0, "/min": 1 / 60, "/h": 1 / 3600}
+from dahliabend.errors import FormatError
 
+_QUANTITY = re.compile(r"(-?\d+(?:\.\d+)?)\s*([A-Za-z/%]*)")
+_DURATION_UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
+_SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "kB": 1_000, "MB": 1_000_000}
+_RATE_UNITS = {"/s": 1.0, "/min": 1 / 60, "/h": 1 / 3600}
+_FRACTION_UNITS = {"%": 0.01}
+_EXAMPLE_UNITS = ("ms", "KiB", "/s", "%")  # of the units above, the one that an error proposes
 
-def _parse_quantity(text: object, units: dict, what: str) -> float:
+
+def _parse_quantity(text: object, units: Mapping[str, float], what: str) -> float:
+    """A number and its unit as a number of the smallest unit, or of the one that counts 1."""
     if not isinstance(text, str):
-        unit = next(unit for unit in ("ms", "KiB", "/s", "%") if unit in units)
-        raise ValueError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
-    found = _FORM.fullmatch(text.strip())
+        unit = next(unit for unit in _EXAMPLE_UNITS if unit in units)
+        raise FormatError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
+    found = _QUANTITY.fullmatch(text.strip())
     if found is None or found[2] not in units:
-        raise ValueError(f"{text!r} is no {what}: a number and one of {', '.join(units)}")
+        raise FormatError(f"{text!r} is no {what}: a number and one of {', '.join(units)}")
     return float(found[1]) * units[found[2]]
 
 
@@ -25,17 +32,22 @@
     (1500000, -1, '2500us', '2s')
     >>> Duration.parse(2000)
     Traceback (most recent call last):
-    ValueError: 2000 has no unit; span of time is written as "2000ms"
+    dahliabend.errors.FormatError: 2000 has no unit; span of time is written as "2000ms"
     """
 
     @classmethod
-    def parse(cls, text: object) -> "Duration":
-        return cls(round(_parse_quantity(text, _SPANS, "span of time")))
+    def parse(cls, text: object) -> Self:
+        """Read a number with one of the units us, ms, s, min, h.
+
+        Raises:
+            FormatError: It is none.
+        """
+        return cls(round(_parse_quantity(text, _DURATION_UNITS, "span of time")))
 
     def __str__(self) -> str:
         for unit in ("s", "ms"):
-            if self % _SPANS[unit] == 0:
-                return f"{self // _SPANS[unit]}{unit}"
+            if self % _DURATION_UNITS[unit] == 0:
+                return f"{self // _DURATION_UNITS[unit]}{unit}"
         return f"{int(self)}us"
 
     __repr__ = int.__repr__
@@ -49,28 +61,38 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> "ByteSize":
-        return cls(round(_parse_quantity(text, _SIZES, "size")))
+    def parse(cls, text: object) -> Self:
+        """Read a number with one of the units B, KiB, MiB, kB, MB.
+
+        Raises:
+            FormatError: It is none.
+        """
+        return cls(round(_parse_quantity(text, _SIZE_UNITS, "size")))
 
     def __str__(self) -> str:
         for unit in ("MiB", "KiB"):
-            if self and self % _SIZES[unit] == 0:
-                return f"{self // _SIZES[unit]}{unit}"
+            if self and self % _SIZE_UNITS[unit] == 0:
+                return f"{self // _SIZE_UNITS[unit]}{unit}"
         return f"{int(self)}B"
 
     __repr__ = int.__repr__
 
 
 class Rate(float):
-    """Transactions a second.
+    """Requests a second.
 
     >>> Rate.parse("30/min"), str(Rate(500))
     (0.5, '500/s')
     """
 
     @classmethod
-    def parse(cls, text: object) -> "Rate":
-        return cls(_parse_quantity(text, _RATES, "rate"))
+    def parse(cls, text: object) -> Self:
+        """Read a number with one of the units /s, /min, /h.
+
+        Raises:
+            FormatError: It is none.
+        """
+        return cls(_parse_quantity(text, _RATE_UNITS, "rate"))
 
     def __str__(self) -> str:
         return f"{float(self):g}/s"
@@ -86,16 +108,21 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> "Fraction":
+    def parse(cls, text: object) -> Self:
+        """Read a percentage, or a number from 0 to 1.
+
+        Raises:
+            FormatError: It is none, or outside of these bounds.
+        """
         if isinstance(text, str):
-            made = _parse_quantity(text, {"%": 0.01}, "share")
+            value = _parse_quantity(text, _FRACTION_UNITS, "share")
         elif isinstance(text, int | float) and not isinstance(text, bool):
-            made = float(text)
+            value = float(text)
         else:
-            raise ValueError(f"{text!r} is no share: a percentage, or a number from 0 to 1")
-        if not 0 <= made <= 1:
-            raise ValueError(f"{text!r} is not between 0 and 1, or 0% and 100%")
-        return cls(made)
+            raise FormatError(f"{text!r} is no share: a percentage, or a number from 0 to 1")
+        if not 0 <= value <= 1:
+            raise FormatError(f"{text!r} is not between 0 and 1, or 0% and 100%")
+        return cls(value)
 
     def __str__(self) -> str:
         return f"{100 * self:g}%"
@@ -106,8 +133,14 @@
 UNITS = (Duration, ByteSize, Rate, Fraction)
 
 
-def decode_unit(kind: type, value: object):
-    """msgspec's hook for the kinds above."""
-    if kind in UNITS:
-        return kind.parse(value)
+def decode_unit(kind: type, value: object) -> Duration | ByteSize | Rate | Fraction:
+    """Decode one of the types above, as msgspec's `dec_hook`.
+
+    Raises:
+        FormatError: The value is none of this type.
+        NotImplementedError: The type is none of the above.
+    """
+    for unit in UNITS:
+        if kind is unit:
+            return unit.parse(value)
     raise NotImplementedError(kind)
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -9,7 +9,7 @@
 import httptools
 import orjson
 
-from dahliabend.config.platform import parse_address
+from dahliabend.config.address import parse_address
 from dahliabend.model import EndpointState
 from dahliabend.transport.connection import Connection, dial
 from dahliabend.transport.descriptor_budget import DescriptorBudget
--- a/dahliabend/errors.py
+++ b/dahliabend/errors.py
@@ -21,6 +21,18 @@
         super().__init__(": ".join(part for part in (path, key, reason) if part))
 
 
+class FormatError(DahliabendError, ValueError):
+    """A text that is not written as a value of its kind: an address, a duration, a size.
+
+    Attributes:
+        reason: What is wrong with it, in one line.
+    """
+
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        super().__init__(reason)
+
+
 class ProtocolError(DahliabendError, ValueError):
     """Bytes from a peer that do not follow their protocol.
 
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import Callable
 
-from dahliabend.config.platform import parse_address
+from dahliabend.config.address import parse_address
 from dahliabend.membership.authentication import DatagramAuthenticator
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES
 from dahliabend.membership.failure_detector import Event, MembershipProtocol
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.config.platform import ServerSettings
+from dahliabend.config.server_settings import ServerSettings
 from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.headers import EXPIRES, TRACE
--- a/dahliabend/routing_rules/checks.py
+++ b/dahliabend/routing_rules/checks.py
@@ -5,6 +5,7 @@
 
 from collections.abc import Iterator
 
+from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.decoder import nearest
 from dahliabend.config.operator_file.schema import (
     ClassSettings,
@@ -16,7 +17,6 @@
 )
 from dahliabend.config.operator_file.source import Key, Source
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.config.platform import parse_address
 from dahliabend.routing_rules.route_table import RouteTable
 
 HTTP_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
--- a/dahliabend/routing_rules/loaded_file.py
+++ b/dahliabend/routing_rules/loaded_file.py
@@ -5,9 +5,10 @@
 
 import msgspec
 
-from dahliabend.config.operator_file.decoder import read
+from dahliabend.config.operator_file.decoder import decode_file
+from dahliabend.config.operator_file.loader import load_source
 from dahliabend.config.operator_file.schema import OperatorFile
-from dahliabend.config.operator_file.source import Fault, Key, Source, format_key, load
+from dahliabend.config.operator_file.source import Fault, Key, Source, format_key
 from dahliabend.config.operator_file.units import UNITS, Duration
 from dahliabend.routing_rules.checks import FIELDS, EffectiveTreatment, check, key_of_field, target_pools
 from dahliabend.routing_rules.route_table import RouteTable
@@ -31,8 +32,8 @@
 
 def load_file(path: str, **more) -> LoadedFile:
     """Reads and checks; nothing is raised for what is in the file."""
-    source = load(path, **more)
-    file = read(source)
+    source = load_source(path, **more)
+    file = decode_file(source)
     if file is not None:
         check(file, source)
     return LoadedFile(source, file, sorted(set(source.faults)))
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import MembershipSettings
-from dahliabend.config.platform import parse_address
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -7,10 +7,11 @@
 from functools import partial
 from importlib.util import find_spec
 
+from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file import schema
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.config.operator_file.source import format_key
-from dahliabend.config.platform import IDLE_REUSE_RATIO, ServerSettings, parse_address
+from dahliabend.config.server_settings import IDLE_REUSE_RATIO, ServerSettings
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -6,7 +6,8 @@
 import signal
 from collections.abc import Callable, Mapping
 
-from dahliabend.config.platform import ServerSettings, reread_server_settings
+from dahliabend.config.platform import reread_server_settings
+from dahliabend.config.server_settings import ServerSettings
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.admin_connection import AdminConnection
 from dahliabend.http.client_connection import ClientConnection
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -8,8 +8,8 @@
 
 import orjson
 
+from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import EndpointSettings, OperatorFile
-from dahliabend.config.platform import parse_address
 from dahliabend.routing_rules.checks import HTTP_METHODS, EffectiveTreatment
 from dahliabend.routing_rules.loaded_file import LoadedFile, load_file
 from dahliabend.server.operator_file_server import OperatorFileServer
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,6 +1,6 @@
 """Hosts many instances of the decisions in one process; they share nothing but the code."""
 
-from dahliabend.config.platform import to_microseconds
+from dahliabend.config.policy_settings import to_microseconds
 from dahliabend.errors import SimulatorProtocolError
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.simulator_adapter import actions
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from dahliabend.config.platform import read_policy_settings, to_microseconds
+from dahliabend.config.policy_settings import read_policy_settings, to_microseconds
 from dahliabend.errors import SimulatorProtocolError
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
@@ -42,7 +42,7 @@
         Args:
             number: The simulator's number of this instance.
             seed: Of its random numbers.
-            settings: JSON, as `config.platform.read_policy_settings` takes it.
+            settings: JSON, as `config.policy_settings.read_policy_settings` takes it.
             encoded_actions: Where the actions of this instance are added.
 
         Raises:
--- a/tests/config/corpus.py
+++ b/tests/config/corpus.py
@@ -1,6 +1,6 @@
 """Operators' files made from a seed: sound ones, and ones with a planted fault whose line is known.
 
-The planted line ends with a mark; a fault counts as found if that line and the reason told here are named.
+The planted line ends with a mark; a fault counts as found if that line and the reason given here are named.
 """
 
 from dataclasses import dataclass
@@ -23,6 +23,9 @@
         return self.files[name].encode()
 
 
+CLASSES = (("query", "idempotent"), ("submit", "non-idempotent"), ("mark", "journalled"))
+
+
 def sound(chance: Random) -> dict[str, list[str]]:
     """A file by sections, each a list of lines, in which faults are then planted."""
     pools = [f"p{n}" for n in range(chance.randint(2, 5))]
@@ -31,49 +34,63 @@
         "defaults": ["[defaults]", f"attempts = {chance.randint(2, 4)}", 'retry-share = "5%"'],
     }
     for number, name in enumerate(pools):
-        lines = [f"[pools.{name}]"]
-        members = [
-            f'    {{ id = "{name}-{n}", address = "10.1.{number}.{n + 1}:80" }},'
-            for n in range(chance.randint(1, 6))
-        ]
-        way = chance.randrange(3) if number else 1
-        if way == 0:
-            lines.append(f'discovery = "10.2.0.{number + 1}:8500"')
-        elif way == 1:
-            lines += ["members = [", *members, "]"]
-        else:
-            lines.append(f'file = "{name}.json"')
-        if number == 1 and chance.random() < 0.5:
-            lines.append(f'fallback = "{pools[0]}"')
-        if chance.random() < 0.3:
-            lines.append(f'grace = "{chance.randint(500, 2500)}ms"')
-        sections[f"pool {name}"] = lines
-    for name, effect in (("query", "idempotent"), ("submit", "non-idempotent"), ("mark", "journalled")):
-        limit = chance.randint(2, 6)
-        sections[f"class {name}"] = [
-            f"[classes.{name}]", f'effect = "{effect}"', f'service-goal = "{limit * 400}ms"',
-            f'hard-limit = "{limit}s"', f"revenue = {chance.randint(1, 10)}",
-        ]  # fmt: skip
-        if effect == "journalled":
-            sections[f"class {name}"] += ['repeat-window = "8s"', 'group = "zone"']
+        sections[f"pool {name}"] = _pool(chance, pools, number)
+    for name, effect in CLASSES:
+        sections[f"class {name}"] = _class(chance, name, effect)
     for number in range(chance.randint(3, 9)):
-        kind = ("query", "submit", "mark")[number % 3]
-        lines = ["[[routes]]", f'name = "r{number}"', f'path = "/a{number}/b"', f'class = "{kind}"']
-        if chance.random() < 0.4:
-            weights = ", ".join(f"{name} = {chance.randint(1, 99)}" for name in pools[:2])
-            lines.append(f"pools = {{ {weights} }}")
-        else:
-            lines.append(f'pool = "{pools[number % len(pools)]}"')
-        if kind == "query" and chance.random() < 0.5:
-            lines += ['hop-time = "400ms"', "attempts = 3", 'second-copy-after = "200ms"']
-        if kind == "submit" and chance.random() < 0.5:
-            lines += ["concurrency = 50", 'rate = "200/s"']
-        if chance.random() < 0.3:
-            lines.append(f'methods = ["{chance.choice(("GET", "POST"))}"]')
-        sections[f"route {number}"] = lines
+        sections[f"route {number}"] = _route(chance, pools, number)
     return sections
 
 
+def _pool(chance: Random, pools: list[str], number: int) -> list[str]:
+    name = pools[number]
+    lines = [f"[pools.{name}]"]
+    members = [
+        f'    {{ id = "{name}-{n}", address = "10.1.{number}.{n + 1}:80" }},'
+        for n in range(chance.randint(1, 6))
+    ]
+    way = chance.randrange(3) if number else 1
+    if way == 0:
+        lines.append(f'discovery = "10.2.0.{number + 1}:8500"')
+    elif way == 1:
+        lines += ["members = [", *members, "]"]
+    else:
+        lines.append(f'file = "{name}.json"')
+    if number == 1 and chance.random() < 0.5:
+        lines.append(f'fallback = "{pools[0]}"')
+    if chance.random() < 0.3:
+        lines.append(f'grace = "{chance.randint(500, 2500)}ms"')
+    return lines
+
+
+def _class(chance: Random, name: str, effect: str) -> list[str]:
+    limit = chance.randint(2, 6)
+    lines = [
+        f"[classes.{name}]", f'effect = "{effect}"', f'service-goal = "{limit * 400}ms"',
+        f'hard-limit = "{limit}s"', f"revenue = {chance.randint(1, 10)}",
+    ]  # fmt: skip
+    if effect == "journalled":
+        lines += ['repeat-window = "8s"', 'group = "zone"']
+    return lines
+
+
+def _route(chance: Random, pools: list[str], number: int) -> list[str]:
+    kind = CLASSES[number % len(CLASSES)][0]
+    lines = ["[[routes]]", f'name = "r{number}"', f'path = "/a{number}/b"', f'class = "{kind}"']
+    if chance.random() < 0.4:
+        weights = ", ".join(f"{name} = {chance.randint(1, 99)}" for name in pools[:2])
+        lines.append(f"pools = {{ {weights} }}")
+    else:
+        lines.append(f'pool = "{pools[number % len(pools)]}"')
+    if kind == "query" and chance.random() < 0.5:
+        lines += ['hop-time = "400ms"', "attempts = 3", 'second-copy-after = "200ms"']
+    if kind == "submit" and chance.random() < 0.5:
+        lines += ["concurrency = 50", 'rate = "200/s"']
+    if chance.random() < 0.3:
+        lines.append(f'methods = ["{chance.choice(("GET", "POST"))}"]')
+    return lines
+
+
 def _put(lines: list[str], line: str) -> None:
     """In place of the same key, or at the end."""
     key = line.partition("=")[0]
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -8,7 +8,8 @@
 import pytest
 from corpus import FAULTS, make
 
-from dahliabend.config.operator_file.source import lines, load
+from dahliabend.config.operator_file.key_lines import key_lines
+from dahliabend.config.operator_file.loader import load_source
 from dahliabend.routing_rules import loaded_file
 
 ROOT = Path(__file__).parents[2]
@@ -36,13 +37,10 @@
             assert plan.is_usable, (seed, [str(fault) for fault in plan.faults])
             continue
         kinds.add(made.kind)
-        told = [fault for fault in plan.faults if fault.line == made.line and made.reason in fault.reason]
-        assert told and not plan.is_usable, (
-            seed,
-            made.kind,
-            made.line,
-            [str(fault) for fault in plan.faults],
-        )
+        found = [str(fault) for fault in plan.faults]
+        matching = [fault for fault in plan.faults if fault.line == made.line and made.reason in fault.reason]
+        assert matching, (seed, made.kind, made.line, found)
+        assert not plan.is_usable, (seed, made.kind, made.line, found)
     assert len(kinds) == len(FAULTS)
 
 
@@ -82,7 +80,8 @@
     assert [route.name for route in made.file.routes] == ["first", "all"]
     shown = loaded_file.settings(made)
     assert shown["classes.query.revenue"] == (2.0, "below.toml:2")
-    assert shown["routes[0].path"] == ("/x", "below.toml:5") and shown["routes[1].pool"] == (
+    assert shown["routes[0].path"] == ("/x", "below.toml:5")
+    assert shown["routes[1].pool"] == (
         "a",
         "file.toml:12",
     )
@@ -101,17 +100,15 @@
 
 
 def test_the_place_of_every_key_and_item():
-    found = lines(b'[a."b c"]\nd = [\n 1,\n {e = 2},\n]\n[[f]]\n[f.g]\nh = 1\n[[f]]\nh.i = 2\n')
-    assert (
-        found[("a", "b c", "d", 1, "e")] == 4
-        and found[("f", 0, "g", "h")] == 8
-        and found[("f", 1, "h", "i")] == 10
-    )
+    found = key_lines(b'[a."b c"]\nd = [\n 1,\n {e = 2},\n]\n[[f]]\n[f.g]\nh = 1\n[[f]]\nh.i = 2\n')
+    assert found[("a", "b c", "d", 1, "e")] == 4
+    assert found[("f", 0, "g", "h")] == 8
+    assert found[("f", 1, "h", "i")] == 10
 
 
 def test_what_cannot_be_read_is_told():
     assert "can't be read" in str(loaded_file.load_file("/nowhere.toml").faults[0])
-    source = load("x", {}, lambda _: b"a = 1\n\xff\n")
+    source = load_source("x", {}, lambda _: b"a = 1\n\xff\n")
     assert str(source.faults[0]) == "x:2: is no UTF-8"
 
 
@@ -133,7 +130,8 @@
         ("classes.query.service-goal", "1s", "800ms")
     ]
     gone = loaded_file.diff(old, read(file=SMALL))
-    assert {entry["how"] for entry in gone} == {"removed"} and "takes nothing new" in gone[0]["effect"]
+    assert {entry["how"] for entry in gone} == {"removed"}
+    assert "takes nothing new" in gone[0]["effect"]
 
 
 def run(*arguments):
@@ -147,25 +145,28 @@
     example = "deploy/example.toml"
     assert run("check", example)[0] == 0
     status, out, _ = run("explain", example, "get", "/reading/7", "-H", "X-Version: next", "--json")
-    assert status == 0 and json.loads(out)["route"] == "readings, tested"
+    assert status == 0
+    assert json.loads(out)["route"] == "readings, tested"
     assert json.loads(run("show", example, "--json")[1])["pools.records.fallback"]["value"] == "archive"
     changed = tmp_path / "new.toml"
     changed.write_text((ROOT / example).read_text().replace("records = 90", "records = 80"))
     status, out, _ = run("diff", example, changed, "--json")
-    assert status == 1 and [entry["key"] for entry in json.loads(out)] == ["routes.readings.pools.records"]
+    assert status == 1
+    assert [entry["key"] for entry in json.loads(out)] == ["routes.readings.pools.records"]
     text = (ROOT / example).read_text().replace("concurrency = 400", "second-copy-after = '1s'")
     changed.write_text(text)
     line = text.splitlines().index("second-copy-after = '1s'") + 1
-    status, out, err = run("check", changed)
-    assert status == 1 and "never two hops at once" in out and f"{changed}:{line}:" in out
-    assert (
-        run("diff", example, changed)[0] == 1
-        and run("check")[0] == 2
-        and run("explain", example, "GET")[0] == 2
-    )
+    status, out, _err = run("check", changed)
+    assert status == 1
+    assert "never two hops at once" in out
+    assert f"{changed}:{line}:" in out
+    assert run("diff", example, changed)[0] == 1
+    assert run("check")[0] == 2
+    assert run("explain", example, "GET")[0] == 2
 
 
 @pytest.mark.parametrize("name", ["check", "show", "explain", "diff", "emulate", "serve", "version"])
 def test_each_command_says_what_it_does(name):
     status, out, _ = run(name, "--help")
-    assert status == 0 and "Usage: dahliabend" in out
+    assert status == 0
+    assert "Usage: dahliabend" in out
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 from dahliabend.config import platform as config
-from dahliabend.config.platform import ServerSettings
+from dahliabend.config.server_settings import ServerSettings
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -10,7 +10,8 @@
 from golden_files import as_json, read_golden, write_golden
 
 from dahliabend.config import platform as config
-from dahliabend.config.platform import ServerSettings
+from dahliabend.config.policy_settings import read_policy_settings
+from dahliabend.config.server_settings import ServerSettings
 from dahliabend.model import RequestClass, Settings
 
 INPUT = "platform_config_input.json"
@@ -202,7 +203,7 @@
             if path[0] != "settings" or len(path) == 1:
                 continue
             text = json.dumps(bad["settings"]).encode()
-            simulator = message_in(lambda text=text: config.read_policy_settings(text))
+            simulator = message_in(lambda text=text: read_policy_settings(text))
             if simulator != message_in(lambda bad=bad: read_file(bad)):
                 messages[f"{shown} in the simulator"] = simulator
     return as_json(told)
@@ -255,7 +256,7 @@
 
 def test_the_simulator_reads_the_same_settings_as_the_sockets() -> None:
     tree = json.loads(read_golden(INPUT))
-    from_wire = config.read_policy_settings(json.dumps(tree["settings"]).encode())
+    from_wire = read_policy_settings(json.dumps(tree["settings"]).encode())
     assert settings_values(from_wire) == settings_values(read_file(tree).settings)
 
 
@@ -263,7 +264,7 @@
     tree = json.loads(read_golden(INPUT))["settings"]
     tree["caps"]["most-hops"] = 0
     with pytest.raises(ValueError, match="^caps.most-hops: 0 is not between 1 and 65536$"):
-        config.read_policy_settings(json.dumps(tree).encode())
+        read_policy_settings(json.dumps(tree).encode())
 
 
 if __name__ == "__main__":
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -19,7 +19,7 @@
     request_received,
 )
 
-from dahliabend.config.platform import read_policy_settings
+from dahliabend.config.policy_settings import read_policy_settings
 from dahliabend.simulator_adapter import actions
 from dahliabend.simulator_adapter.codec import Batch, decode_records, encode_reply, read_batch
 from dahliabend.simulator_adapter.host import Host
