--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -57,8 +57,8 @@
         return encode_reply(self._actions)
 
     def _store_endpoint_list(self, record: EndpointList) -> None:
-        states = (state for *_, state, _ in ENDPOINT_ENTRY.iter_unpack(record.entries))
-        if any(state > EndpointState.DRAINING for state in states):
+        entries = ENDPOINT_ENTRY.iter_unpack(record.entries)
+        if any(state > EndpointState.DRAINING for _, _, _, _, _, state, _ in entries):
             raise SimulatorProtocolError(
                 f"{WIRE_NAMES[EndpointList]}: unknown health in list {record.list_number}"
             )
