--- a/dahliabend/cli/__init__.py
+++ b/dahliabend/cli/__init__.py
@@ -2,24 +2,32 @@
 
 import sys
 
+EXIT_USAGE = 2
+EXIT_ABORTED = 130  # as a shell reports an interrupt
+
 
 def main() -> int:
+    """Run the command that the arguments name.
+
+    Returns:
+        The exit status.
+    """
     try:
         import click
-        import rich  # noqa: F401
+        import rich  # noqa: F401 - only whether it is there
     except ImportError as error:
         print(f"dahliabend: {error.name} is missing: pip install 'dahliabend[tools]'", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     from dahliabend.cli.commands import group
 
     try:
         status = group.main(prog_name="dahliabend", standalone_mode=False)
-        return status if isinstance(status, int) else 0
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.Abort:
-        return 130
+        return EXIT_ABORTED
     except ValueError as error:
         print(f"dahliabend: {error}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
+    return status if isinstance(status, int) else 0
--- /dev/null
+++ b/dahliabend/cli/operators_api.py
@@ -0,0 +1,73 @@
+"""Asks a running balancer through its operators' listener."""
+
+import json
+from http.client import HTTPConnection, HTTPException
+from typing import Any
+
+import click
+
+from dahliabend.config.address import parse_address
+from dahliabend.routing_rules.loaded_file import load_file
+
+REQUEST_TIMEOUT = 5.0  # seconds
+HTTP_OK = 200
+MAX_SECONDS_SHOWN = 100.0  # longer ages are shown in minutes
+
+balancer_argument = click.argument("where", metavar="FILE|HOST:PORT")
+
+
+def operators_address(where: str) -> tuple[str, int]:
+    """The address of an operators' listener: given itself, or by an operator's file.
+
+    Raises:
+        click.ClickException: It is neither.
+    """
+    try:
+        return parse_address(where)
+    except ValueError:
+        pass
+    loaded = load_file(where)
+    if not loaded.is_usable:
+        raise click.ClickException("\n".join(map(str, loaded.faults)))
+    listener = loaded.usable_file.listeners.get("operators")
+    if listener is None:
+        raise click.ClickException(f"{where}:1: listeners.operators: is missing: nobody can be asked")
+    return parse_address(listener.address)
+
+
+def fetch(where: str, path: str) -> dict[str, Any]:
+    """Call a running balancer.
+
+    Args:
+        where: The address of its operators' listener, or its file.
+        path: Of the call.
+
+    Returns:
+        What it answers.
+
+    Raises:
+        click.ClickException: It answers nothing, or an error.
+    """
+    host, port = operators_address(where)
+    connection = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT)
+    try:
+        connection.request("GET", path)
+        response = connection.getresponse()
+        answer: dict[str, Any] = json.loads(response.read())
+    except (OSError, HTTPException, ValueError) as error:
+        raise click.ClickException(f"{host}:{port}: {error}") from None
+    finally:
+        connection.close()
+    if response.status != HTTP_OK:
+        raise click.ClickException(f"{host}:{port}: {answer.get('error', response.status)}")
+    return answer
+
+
+def format_age(milliseconds: int | None) -> str:
+    """An age for people; None is that of the balancer itself."""
+    if milliseconds is None:
+        return "its start"
+    seconds = milliseconds / 1000
+    if seconds < MAX_SECONDS_SHOWN:
+        return f"{seconds:.1f} s"
+    return f"{milliseconds / 60_000:.0f} min"
--- /dev/null
+++ b/dahliabend/cli/peer_state.py
@@ -0,0 +1,59 @@
+"""`dahliabend signals` and `turns`: gossip and leases, as one running balancer holds them."""
+
+import click
+from rich.table import Table
+
+from dahliabend.cli.operators_api import balancer_argument, fetch, format_age
+from dahliabend.cli.output import json_option, print_json, print_table
+from dahliabend.leases.election import TOKEN_SUFFIX_BITS
+
+TABLE_WIDTH = 140
+
+
+@click.command()
+@balancer_argument
+@json_option
+def signals(where: str, *, as_json: bool) -> None:
+    """What a running balancer tells, what others told it, and what was believed of it."""
+    gossip = fetch(where, "/api/signals")
+    if as_json:
+        print_json(gossip)
+        return
+    table = Table("from", "told", "passed on", "upstream", "hops", "bad")
+    own = {"name": f"{gossip['name']} (this one)", "age_ms": 0, "hops": 0, "rows": gossip["own"]}
+    for origin in [own, *gossip["origins"]]:
+        sender = (origin["name"], format_age(origin["age_ms"]), str(origin["hops"]))
+        for row in origin["rows"]:
+            upstream = f"{row['pool']} {row['upstream']}"
+            table.add_row(*sender, upstream, str(row["tried"]), str(row["bad"]))
+        if not origin["rows"]:
+            table.add_row(*sender, "nothing", "", "")
+    print_table(table, TABLE_WIDTH)
+    for belief in gossip["believed"]:
+        age = format_age(belief["age_ms"])
+        click.echo(f"{age} ago: {belief['pool']} {belief['upstream']}, said by {belief['origins']}")
+    counts = f"{gossip['unread']} datagrams unread, {gossip['refused']} reports refused"
+    click.echo(f"{gossip['told']} beliefs told to the decisions; {counts}")
+
+
+@click.command("turns")
+@balancer_argument
+@json_option
+def leases(where: str, *, as_json: bool) -> None:
+    """Who does what for all, under which fencing number, and what came of it last."""
+    answer = fetch(where, "/api/turns")
+    if as_json:
+        print_json(answer)
+        return
+    table = Table("duty", "done by", "number", "last", "result", "this one's place")
+    for row in answer["duties"]:
+        age = "" if row["age_ms"] is None else f"{format_age(row['age_ms'])} ago"
+        place = "none" if row["place"] < 0 else str(row["place"])
+        epoch = str(row["fence"] >> TOKEN_SUFFIX_BITS)
+        table.add_row(row["duty"], row["owner"], epoch, age, row["result"], place)
+    print_table(table, TABLE_WIDTH)
+    state = "settled" if answer["settled"] else "not settled"
+    click.echo(
+        f"period {answer['period_ms'] / 1000:g} s; {state}; "
+        f"{answer['probes']} probes by this one; {answer['refused']} refused"
+    )
--- /dev/null
+++ b/dahliabend/cli/serve.py
@@ -0,0 +1,41 @@
+"""`dahliabend serve`: a balancer on sockets. Its libraries are imported when it is called."""
+
+import click
+
+EXIT_FAILED = 1
+EXIT_INVALID_CONFIGURATION = 2
+
+
+@click.command()
+@click.argument("file", required=False)
+def serve(file: str | None) -> None:
+    """Serves: by an operator's FILE, or without one as PROXY_CONFIG says."""
+    if file is None:
+        from dahliabend.server.startup import run
+
+        raise click.exceptions.Exit(run())
+    _serve_operator_file(file)
+
+
+def _serve_operator_file(path: str) -> None:
+    import signal
+
+    import uvloop
+
+    from dahliabend.server.operator_file_server import InvalidOperatorFileError, serve_operator_file
+    from dahliabend.server.platform_server import BLOCKED_SIGNALS
+    from dahliabend.server.structured_log import StructuredLog
+
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
+    log = StructuredLog("dahliabend")
+    try:
+        uvloop.run(serve_operator_file(path, log))
+    except InvalidOperatorFileError as error:
+        for fault in error.faults:
+            click.echo(str(fault), err=True)
+        raise click.exceptions.Exit(EXIT_INVALID_CONFIGURATION) from None
+    except OSError as error:
+        log("failed", why=str(error))
+        raise click.exceptions.Exit(EXIT_FAILED) from None
+    finally:
+        log.end()
--- /dev/null
+++ b/dahliabend/cli/subsetting.py
@@ -0,0 +1,211 @@
+"""`dahliabend subset`: which balancer would use which upstreams, and what an event would move."""
+
+import functools
+import importlib
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any
+
+import click
+from rich.table import Table
+
+from dahliabend.cli.operators_api import fetch
+from dahliabend.cli.output import json_option, print_json, print_table
+from dahliabend.subsetting.selection import (
+    MIN_BALANCERS_PER_UPSTREAM,
+    MIN_SUBSET_SIZE,
+    Assignment,
+    Participant,
+    assign_subsets,
+    normalized_weights,
+)
+
+MAX_PARTICIPANTS = 2_000  # of each kind
+MAX_ZONES = 64
+TABLE_WIDTH = 140
+POOL_TABLE_WIDTH = 160
+SPANS = ("load", "upstreams a balancer", "balancers an upstream")  # shown as "least to most"
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """Made-up balancers and upstreams, and how each balancer chooses among them.
+
+    Attributes:
+        balancers: All of them.
+        upstreams: All of them.
+        least: Upstreams that each balancer uses.
+        degree: Balancers that use each upstream, in the mean.
+        has_zones: Whether the same zone goes first.
+    """
+
+    balancers: list[Participant]
+    upstreams: list[Participant]
+    least: int
+    degree: int
+    has_zones: bool
+
+    def assign(self) -> Assignment:
+        """Choose the subsets."""
+        return assign_subsets(self.balancers, self.upstreams, self.least, self.has_zones, self.degree)
+
+    def has(self, name: str) -> bool:
+        """Whether a balancer or an upstream has this name."""
+        return any(each.name == name for each in (*self.balancers, *self.upstreams))
+
+    def without(self, name: str) -> "Scenario":
+        """The same, but for one balancer or upstream."""
+        return replace(
+            self,
+            balancers=[each for each in self.balancers if each.name != name],
+            upstreams=[each for each in self.upstreams if each.name != name],
+        )
+
+
+def _with_scenario(command: Callable[..., None]) -> Callable[..., None]:
+    """Call a command with the scenario that options of its sizes name, in place of these."""
+
+    @click.option(
+        "--balancers", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named b0 and on."
+    )
+    @click.option(
+        "--upstreams", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named u0 and on."
+    )
+    @click.option(
+        "--zones", type=click.IntRange(1, MAX_ZONES), default=1, show_default=True, help="Dealt in turn."
+    )
+    @click.option("--least", type=click.IntRange(1), default=MIN_SUBSET_SIZE, show_default=True)
+    @click.option("--degree", type=click.IntRange(1), default=MIN_BALANCERS_PER_UPSTREAM, show_default=True)
+    @functools.wraps(command)
+    def call_with_scenario(
+        *,
+        balancers: int | None,
+        upstreams: int | None,
+        zones: int,
+        least: int,
+        degree: int,
+        **options: object,
+    ) -> None:
+        """Make the scenario, if both sizes are given."""
+        scenario = None
+        if balancers is not None and upstreams is not None:
+            scenario = Scenario(
+                balancers=[Participant(f"b{number}", f"z{number % zones}") for number in range(balancers)],
+                upstreams=[Participant(f"u{number}", f"z{number % zones}") for number in range(upstreams)],
+                least=least,
+                degree=degree,
+                has_zones=zones > 1,
+            )
+        command(scenario=scenario, **options)
+
+    return call_with_scenario
+
+
+@click.command()
+@click.argument("where", metavar="[FILE|HOST:PORT]", required=False)
+@_with_scenario
+@click.option("--lose", "lost", multiple=True, help="What it moves if this one goes; may be repeated.")
+@click.option("--chart", type=click.Path(dir_okay=False, path_type=Path), help="An SVG of the relation.")
+@json_option
+def subset(
+    where: str | None,
+    *,
+    scenario: Scenario | None,
+    lost: tuple[str, ...],
+    chart: Path | None,
+    as_json: bool,
+) -> None:
+    """Who uses whom: of a running balancer (the pools' subsets, by its operators' door), or of made-up sizes.
+
+    Loads are over the mean of the capacity; moves are pairs that change, and how often the fair share of the
+    one that goes.
+    """
+    if where is not None:
+        _show_pools(where, as_json=as_json)
+        return
+    if scenario is None:
+        raise click.UsageError("either FILE or HOST:PORT, or --balancers and --upstreams")
+    assignment = scenario.assign()
+    summary = _summarize(scenario, assignment)
+    for name in lost:
+        if not scenario.has(name):
+            raise click.BadParameter(f"{name!r} is none of them", param_hint="--lose")
+        summary[f"without {name}"] = _summarize_loss(scenario, assignment, name)
+    if chart is not None:
+        _draw(assignment, chart)
+    if as_json:
+        relation = {name: assignment.subset_of(name) for name in assignment.balancers}
+        print_json(summary | {"relation": relation})
+    else:
+        _print_summary(summary)
+
+
+def _summarize(scenario: Scenario, assignment: Assignment) -> dict[str, Any]:
+    upstreams = sorted(scenario.upstreams, key=lambda each: each.name)
+    load = assignment.shares.sum(axis=0) / normalized_weights(upstreams)
+    is_used = assignment.shares > 0
+    upstream_counts = is_used.sum(axis=1)
+    balancer_counts = is_used.sum(axis=0)
+    return {
+        "pairs": int(upstream_counts.sum()),
+        "load": [round(float(load.min()), 3), round(float(load.max()), 3)],
+        "upstreams a balancer": [int(upstream_counts.min()), int(upstream_counts.max())],
+        "balancers an upstream": [int(balancer_counts.min()), int(balancer_counts.max())],
+    }
+
+
+def _summarize_loss(scenario: Scenario, before: Assignment, name: str) -> dict[str, Any]:
+    remaining = scenario.without(name)
+    after = remaining.assign()
+    pairs = before.pairs()
+    own_pairs = sum(name in pair for pair in pairs)
+    moved = len(pairs ^ after.pairs())
+    return {
+        "moved": moved,
+        "fair shares": round(moved / max(1, own_pairs), 2),
+        **_summarize(remaining, after),
+    }
+
+
+def _print_summary(summary: dict[str, Any]) -> None:
+    table = Table(
+        "", "pairs", "load, least and most", "upstreams a balancer", "balancers an upstream", "moved"
+    )
+    rows = {"now": summary}
+    rows |= {name: each for name, each in summary.items() if name.startswith("without")}
+    for name, row in rows.items():
+        spans = [f"{row[key][0]} to {row[key][1]}" for key in SPANS]
+        moved = f"{row['moved']}, {row['fair shares']} of its own" if "moved" in row else ""
+        table.add_row(name, str(row["pairs"]), *spans, moved)
+    print_table(table, TABLE_WIDTH)
+
+
+def _show_pools(where: str, *, as_json: bool) -> None:
+    """The subsets of a running balancer's pools."""
+    pools = fetch(where, "/api/subsets")["pools"]
+    if as_json:
+        print_json(pools)
+        return
+    table = Table("pool", "uses", "of", "by", "balancers", "widened by", "upstreams")
+    for name, pool in pools.items():
+        counts = [str(pool[key]) for key in ("size", "of", "by", "balancers", "wider")]
+        weights = ", ".join(f"{upstream} {weight:g}" for upstream, weight in pool["weights"].items())
+        table.add_row(name, *counts, weights)
+    print_table(table, POOL_TABLE_WIDTH)
+
+
+def _draw(assignment: Assignment, path: Path) -> None:
+    """Write the shares as a chart, a row a balancer and a column an upstream."""
+    try:
+        matplotlib = importlib.import_module("matplotlib")
+    except ModuleNotFoundError:
+        raise click.ClickException("matplotlib is missing: pip install 'dahliabend[lab]'") from None
+    matplotlib.use("svg")
+    pyplot = importlib.import_module("matplotlib.pyplot")
+    darkness = assignment.shares / assignment.shares.max()
+    pyplot.imshow(darkness, aspect="auto", interpolation="nearest", cmap="Greys")
+    pyplot.xlabel("upstreams")
+    pyplot.ylabel("balancers")
+    pyplot.savefig(path, metadata={"Date": None})
+    pyplot.close()
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -8,9 +8,8 @@
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.router import Router
-from dahliabend.routing_rules.checks import HTTP_METHODS
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
-from dahliabend.routing_rules.route_table import RouteTable
+from dahliabend.routing_rules.route_table import HTTP_METHODS, RouteTable
 from dahliabend.transport.timers import clock
 
 MAX_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
--- /dev/null
+++ b/dahliabend/routing_rules/explanation.py
@@ -0,0 +1,139 @@
+"""Which route a request takes, why, what will be tried and for how long: for people."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from dahliabend.config.operator_file.schema import Effect, OperatorFile, RouteSettings
+from dahliabend.config.operator_file.source import format_key
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.routing_rules.loaded_file import LoadedFile, as_written, format_place
+from dahliabend.routing_rules.route_table import RouteTable
+from dahliabend.routing_rules.treatment import (
+    TREATMENT_FIELDS,
+    EffectiveTreatment,
+    key_of_field,
+    pool_weights,
+)
+
+NO_ROUTE_REASON = "no route takes it: it is answered 404"
+
+
+@dataclass(frozen=True, slots=True)
+class ExplainedValue:
+    """A value of the treatment in force, and the key that says it."""
+
+    value: object
+    key: str
+
+
+@dataclass(frozen=True, slots=True)
+class Explanation:
+    """The route that a request takes.
+
+    Attributes:
+        route: Its name.
+        place: Where the file says it.
+        reason: Why this one.
+        request_class: The name of its class.
+        effect: Of requests of this class.
+        pools: The part of the requests that goes to each, as a percentage.
+        split: How requests are divided among the pools.
+        fallback: The route's, or the fallback of each of its pools that has one.
+        mirror: Which part is copied to which pool; None: nothing is.
+        treatment: The values in force, by key.
+        steps: What will be tried, in order.
+    """
+
+    route: str
+    place: str
+    reason: str
+    request_class: str
+    effect: Effect
+    pools: dict[str, str]
+    split: str
+    fallback: str | dict[str, str]
+    mirror: str | None
+    treatment: dict[str, ExplainedValue]
+    steps: list[str]
+
+
+def explain(loaded: LoadedFile, method: str, path: str, headers: Mapping[str, str]) -> Explanation | None:
+    """Explain what becomes of a request.
+
+    Args:
+        loaded: A file without faults.
+        method: Of the request, in capitals.
+        path: With or without a query.
+        headers: By names in any case.
+
+    Returns:
+        None if no route takes it.
+    """
+    file = loaded.usable_file
+    lower_case = {name.lower(): value for name, value in headers.items()}
+    number = RouteTable(file.routes).find(method, path, lower_case)
+    if number is None:
+        return None
+    route = file.routes[number]
+    effect = file.classes[route.class_].effect
+    treatment = EffectiveTreatment(file, route, number)
+    weights = pool_weights(route)
+    total = sum(weights.values()) or 1
+    return Explanation(
+        route=route.name,
+        place=format_place(loaded.source.place(("routes", number))),
+        reason="; ".join(_reasons(route)),
+        request_class=route.class_,
+        effect=effect,
+        pools={name: f"{100 * (weight / total):g}%" for name, weight in weights.items()},
+        split=_describe_split(route),
+        fallback=route.fallback or _pool_fallbacks(file, weights),
+        mirror=f"{route.mirror_share} to {route.mirror}" if route.mirror else None,
+        treatment=_explain_treatment(treatment),
+        steps=_steps(treatment, effect),
+    )
+
+
+def _reasons(route: RouteSettings) -> list[str]:
+    reasons = [f"its path begins with {route.path}"]
+    if route.methods:
+        reasons.append(f"its method is one of {', '.join(route.methods)}")
+    reasons += [f"{name} is {value!r}" for name, value in route.headers.items()]
+    return reasons
+
+
+def _describe_split(route: RouteSettings) -> str:
+    if route.split_by:
+        return f"by {route.split_by}"
+    return "by turns" if len(pool_weights(route)) > 1 else "none"
+
+
+def _pool_fallbacks(file: OperatorFile, pools: Mapping[str, float]) -> dict[str, str]:
+    fallbacks = {name: file.pools[name].fallback for name in pools}
+    return {name: fallback for name, fallback in fallbacks.items() if fallback}
+
+
+def _explain_treatment(treatment: EffectiveTreatment) -> dict[str, ExplainedValue]:
+    explained = {}
+    for name in TREATMENT_FIELDS:
+        value = treatment.value(name)
+        if value is not None:
+            key = format_key(treatment.keys[name])
+            explained[key_of_field(name)] = ExplainedValue(as_written(value), key)
+    return explained
+
+
+def _steps(treatment: EffectiveTreatment, effect: Effect) -> list[str]:
+    """What will be tried, in words."""
+    attempt_time = treatment.hop_time or treatment.total_time
+    steps = [f"one hop of up to {Duration(attempt_time)}"]
+    if treatment.second_copy_after is not None:
+        steps.append(f"a second beside it after {treatment.second_copy_after}, the first answer counts")
+    if treatment.attempts > 1:
+        steps.append(f"after one that never ran: another, {treatment.attempts} hops at the most")
+    if treatment.replays:
+        steps.append(f"after one that may have run: another, {treatment.replays} times at the most")
+    elif treatment.attempts > 1:
+        steps.append(f"after one that may have run: none, as it is {effect}")
+    steps.append(f"after {treatment.total_time} it is over: rolled back if harmless, else abandoned")
+    return steps
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -18,9 +18,10 @@
 from dahliabend.proxy.dispatcher import Dispatcher, Pool
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
-from dahliabend.routing_rules.checks import EffectiveTreatment, target_pools
+from dahliabend.routing_rules.comparison import diff, needs_restart
 from dahliabend.routing_rules.compiled_route import CompiledRoute
-from dahliabend.routing_rules.loaded_file import LoadedFile, diff, load_file, needs_restart
+from dahliabend.routing_rules.loaded_file import LoadedFile, load_file
+from dahliabend.routing_rules.treatment import EffectiveTreatment, target_pools
 from dahliabend.server.admin import AdminApi
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import Log
--- a/dahliabend/simulation/services.py
+++ b/dahliabend/simulation/services.py
@@ -10,8 +10,9 @@
 
 from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import EndpointSettings, OperatorFile
-from dahliabend.routing_rules.checks import HTTP_METHODS, EffectiveTreatment
 from dahliabend.routing_rules.loaded_file import LoadedFile, load_file
+from dahliabend.routing_rules.route_table import HTTP_METHODS
+from dahliabend.routing_rules.treatment import EffectiveTreatment
 from dahliabend.server.operator_file_server import OperatorFileServer
 from dahliabend.simulation import transports
 from dahliabend.simulation.event_loop import START, Kernel, Process
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -10,7 +10,9 @@
 
 from dahliabend.config.operator_file.key_lines import key_lines
 from dahliabend.config.operator_file.loader import load_source
-from dahliabend.routing_rules import loaded_file
+from dahliabend.routing_rules.comparison import diff
+from dahliabend.routing_rules.explanation import ExplainedValue, explain
+from dahliabend.routing_rules.loaded_file import load_file, settings
 
 ROOT = Path(__file__).parents[2]
 CORPUS = 500
@@ -25,14 +27,14 @@
             raise FileNotFoundError(2, "No such file or directory")
         return texts[name].encode()
 
-    return loaded_file.load_file(next(iter(texts)), environment={"HERE": "10.0.0.1"}, read=get)
+    return load_file(next(iter(texts)), environment={"HERE": "10.0.0.1"}, read=get)
 
 
 def test_of_500_files_each_broken_one_is_refused_at_its_line_with_its_reason_and_no_sound_one():
     kinds = set()
     for seed in range(CORPUS):
         made = make(seed)
-        plan = loaded_file.load_file("file.toml", environment={}, read=made.read)
+        plan = load_file("file.toml", environment={}, read=made.read)
         if not made.kind:
             assert plan.is_usable, (seed, [str(fault) for fault in plan.faults])
             continue
@@ -78,7 +80,7 @@
     made = read(file='include = ["below.toml"]\n' + SMALL, below=below)
     assert made.is_usable, made.faults
     assert [route.name for route in made.file.routes] == ["first", "all"]
-    shown = loaded_file.settings(made)
+    shown = settings(made)
     assert shown["classes.query.revenue"] == (2.0, "below.toml:2")
     assert shown["routes[0].path"] == ("/x", "below.toml:5")
     assert shown["routes[1].pool"] == (
@@ -107,7 +109,7 @@
 
 
 def test_what_cannot_be_read_is_told():
-    assert "can't be read" in str(loaded_file.load_file("/nowhere.toml").faults[0])
+    assert "can't be read" in str(load_file("/nowhere.toml").faults[0])
     source = load_source("x", {}, lambda _: b"a = 1\n\xff\n")
     assert str(source.faults[0]) == "x:2: is no UTF-8"
 
@@ -116,20 +118,20 @@
     text = "[defaults]\nattempts = 2\nretry-share = 0.1\n" + SMALL.replace(
         'hard-limit = "2s"\n', 'hard-limit = "2s"\nattempts = 4\nhop-time = "400ms"\n'
     ).replace('pool = "a"', 'pool = "a"\nhop-time = "300ms"')
-    made = loaded_file.explain(read(file=text), "GET", "/x", {})["treatment"]
-    assert made["hop-time"] == {"value": "300ms", "from": "routes[0].hop-time"}
-    assert made["attempts"] == {"value": 4, "from": "classes.query.attempts"}
-    assert made["retry-share"] == {"value": "10%", "from": "defaults.retry-share"}
-    assert made["total-time"] == {"value": "2s", "from": "classes.query.hard-limit"}
+    made = explain(read(file=text), "GET", "/x", {}).treatment
+    assert made["hop-time"] == ExplainedValue("300ms", "routes[0].hop-time")
+    assert made["attempts"] == ExplainedValue(4, "classes.query.attempts")
+    assert made["retry-share"] == ExplainedValue("10%", "defaults.retry-share")
+    assert made["total-time"] == ExplainedValue("2s", "classes.query.hard-limit")
 
 
 def test_a_difference_goes_by_the_names_of_routes_not_their_order():
     other = '[[routes]]\nname = "more"\npath = "/m"\nclass = "query"\npool = "a"\n'
     old, new = read(file=SMALL + other), read(file=other + SMALL.replace('"1s"', '"800ms"'))
-    assert [(entry["key"], entry["old"], entry["new"]) for entry in loaded_file.diff(old, new)] == [
+    assert [(entry["key"], entry["old"], entry["new"]) for entry in diff(old, new)] == [
         ("classes.query.service-goal", "1s", "800ms")
     ]
-    gone = loaded_file.diff(old, read(file=SMALL))
+    gone = diff(old, read(file=SMALL))
     assert {entry["how"] for entry in gone} == {"removed"}
     assert "takes nothing new" in gone[0]["effect"]
 
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -14,7 +14,8 @@
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.process_tests.processes import free_ports
-from dahliabend.routing_rules.loaded_file import load_file, needs_restart
+from dahliabend.routing_rules.comparison import needs_restart
+from dahliabend.routing_rules.loaded_file import load_file
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.transport import host_info
