--- a/dahliabend/cli/turns.py
+++ b/dahliabend/cli/turns.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from dahliabend.cli.members import ago, ask
-from dahliabend.leases.election import TOKEN_SUFFIX_BITS
+from dahliabend.leases.fencing import TOKEN_SUFFIX_BITS
 
 
 @click.command()
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -21,7 +21,7 @@
     ReportTable,
     UpstreamCounts,
 )
-from dahliabend.leases.election import LeaseAnnouncement
+from dahliabend.leases.lease import LeaseAnnouncement
 from dahliabend.model import Outcome
 
 MS = 1_000
--- a/dahliabend/health_gossip/report_table.py
+++ b/dahliabend/health_gossip/report_table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dahliabend.leases.election import LeaseAnnouncement
+from dahliabend.leases.lease import LeaseAnnouncement
 
 MAX_ROWS = 64  # upstreams of one report
 MAX_COUNT = 1_000  # hops that a row may tell of
--- a/dahliabend/leases/election.py
+++ b/dahliabend/leases/election.py
@@ -1,205 +1,199 @@
-"""Periodic duties: each done about once a period by one of the members, taken over within one period.
+"""Who holds the lease of each periodic task: every task is done about once a period by one member.
 
-What was done is told with its fencing number, and telling is what renews the lease: a later number outdoes
-an earlier one, and of one number only its owner's counts. Who comes next in the order claims the next number
-a while before its turn, and works only if nobody has outdone the claim by then. After a pause, or while the
-view is not settled, nothing is done: what the others did meanwhile is heard first.
+A completed run is announced with its fencing token, and the announcement renews the lease: a later token
+overrides an earlier one. If the holder falls silent, the next candidate claims the lease under a new token
+some time before the task is due, and works only if nobody has overridden the claim by then. A silent holder
+is followed within one period. After a pause, and while the view is not settled, an instance does nothing: it
+first hears what the others did meanwhile.
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
-from zlib import crc32
-
-import msgspec
 
 from dahliabend.leases.candidate_order import rank_candidates
+from dahliabend.leases.fencing import next_fencing_token
+from dahliabend.leases.lease import MICROSECONDS_PER_MS, DueTask, Lease, LeaseAnnouncement
+
+# Delays and times below are in periods.
 
-# Periods after the last time: the turns of the owner, of the next, and so on. Between one's turn and the next
-# one's claim what was done has to come round, else the claim would outdo it.
+# After the last run the task is due for the first candidate, the second, and so on. Between the run of one
+# and the claim of the next there is time for an announcement to arrive, or the claim would override it.
 RUN_DELAYS = (1.0, 1.5, 1.9, 2.3)
-CLAIM_LEAD = 1 / 5  # of a period: how long before its turn one that does not hold the lease claims it
-# Another's claim is not outdone for so long, of a period: where all are overdue at once, two would outdo each
-# other for ever, and nobody would do it.
-CLAIM_GRACE = 1 / 2
-LISTEN_TIME = (
-    3 / 10
-)  # of a period: how long the others are heard first, after a pause: longer than a word's way
-PAUSE_THRESHOLD = 1 / 4  # of a period: a waking later than that is a pause
-TOKEN_SUFFIX_BITS = 16  # bits of a number that are its taker's own
-MAX_TASKS = 4_096  # duties known at the most
-MS = 1_000
-
-
-class LeaseAnnouncement(msgspec.Struct, array_like=True, frozen=True):
-    """Of one duty. `count` 0: claimed, not done yet. `age` in milliseconds, when this was told. `result` is
-    the duty's own."""
-
-    task: str
-    fencing_token: int
-    holder: str
-    completed_runs: int
-    age_ms: int
-    result: int = 0
-
-    @property
-    def is_valid(self) -> bool:
-        return (
-            min(self.fencing_token, self.completed_runs, self.age_ms) >= 0
-            and max(self.fencing_token, self.completed_runs, self.age_ms, abs(self.result)) < 1 << 53
-            and 0 < len(self.task) <= 160
-            and 0 < len(self.holder) <= 64
-        )
-
-
-@dataclass(slots=True)
-class Lease:
-    fencing_token: int
-    holder: str
-    completed_runs: int
-    last_run_at: int  # when it was done last, whoever did it, or when its time began
-    result: int = 0
-    heard_at: int = 0  # when that was heard here
-
-
-@dataclass(frozen=True, slots=True)
-class DueTask:
-    """To be done now."""
-
-    task: str
-    fencing_token: int
+CLAIM_LEAD = 1 / 5  # how long before the task is due a lease is claimed
+# How long another's claim is left alone. If all candidates are overdue at once, two would otherwise override
+# each other for ever, and nobody would work.
+CLAIM_TIMEOUT = 1 / 2
+LISTEN_TIME = 3 / 10  # how long to hear the others after a pause: longer than an announcement travels
+PAUSE_THRESHOLD = 1 / 4  # a tick that comes later than that follows a pause
+MAX_TASKS = 4_096
+NOT_A_CANDIDATE = -1
 
 
 class LeaseElection:
-    """`period` in microseconds. Names are of members."""
-
-    def __init__(self, me: str, period: int) -> None:
-        self.own_name, self.period = me, period
-        self.task_zones: dict[str, str] = {}  # by duty
+    """Leases as one instance sees them. Times are microseconds.
+
+    Attributes:
+        own_name: Name of this instance among the members.
+        period: Time in which each task is done once.
+        task_zones: Zone of each task.
+        leases: Lease of each task.
+        members: Name and zone of each member, sorted.
+        ranks: This instance's place among the candidates of a task, as far as computed.
+        view_settled: Whether the members are known and this instance has heard from them.
+        last_tick_at: Time of the last tick; 0 before the first.
+        quiet_until: Nothing is claimed or done before.
+        rejected: Announcements that were not valid.
+    """
+
+    def __init__(self, own_name: str, period: int) -> None:
+        self.own_name = own_name
+        self.period = period
+        self.task_zones: dict[str, str] = {}
         self.leases: dict[str, Lease] = {}
         self.members: tuple[tuple[str, str], ...] = ()
-        self.ranks: dict[str, int] = {}  # by duty, this one's in the order
+        self.ranks: dict[str, int] = {}
         self.view_settled = False
-        self.last_tick_at = self.quiet_until = 0
+        self.last_tick_at = 0
+        self.quiet_until = 0
         self.rejected = 0
+        self._run_delays = tuple(round(delay * period) for delay in RUN_DELAYS)
+        self._claim_lead = CLAIM_LEAD * period
 
-    # What is told.
+    # Input.
 
     def update_members(self, now: int, members: Iterable[tuple[str, str]], settled: bool) -> None:
-        """The last settled view, pairs of name and zone, and whether it may be gone by now: not before this
-        one has heard anybody since it began or paused."""
-        told = tuple(sorted(members))
-        if told != self.members:
-            self.members = told
+        """Take the last settled view of the fleet.
+
+        Args:
+            now: Microseconds.
+            members: Name and zone of each member.
+            settled: Whether the view holds; not before this instance has heard from anybody since it started
+                or paused.
+        """
+        view = tuple(sorted(members))
+        if view != self.members:
+            self.members = view
             self.ranks.clear()
         if settled and not self.view_settled:
             self.enter_quiet_period(now)
         self.view_settled = settled
 
-    def update_tasks(self, now: int, duties: Mapping[str, str]) -> None:
-        """All that there are, and the zone of each."""
-        if duties == self.task_zones:
+    def update_tasks(self, now: int, task_zones: Mapping[str, str]) -> None:
+        """Take the names of all tasks, with the zone of each; others are forgotten."""
+        if task_zones == self.task_zones:
             return
-        self.task_zones = dict(duties)
+        self.task_zones = dict(task_zones)
         self.ranks.clear()
-        for task in [task for task in self.leases if task not in duties]:
+        for task in [task for task in self.leases if task not in task_zones]:
             del self.leases[task]
-        for task in duties:
+        for task in task_zones:
             if task not in self.leases and len(self.leases) < MAX_TASKS:
-                self.leases[task] = Lease(0, "", 0, now)
+                self.leases[task] = Lease(fencing_token=0, holder="", completed_runs=0, last_run_at=now)
 
-    def apply_announcement(self, now: int, done: LeaseAnnouncement) -> bool:
-        """Is it news? A duty that is not known here is the sender's own matter."""
-        known = self.leases.get(done.task)
-        if not done.is_valid:
+    def apply_announcement(self, now: int, announcement: LeaseAnnouncement) -> bool:
+        """Take what another member announced; of a task that is unknown here nothing is kept.
+
+        Returns:
+            Whether it was news.
+        """
+        if not announcement.is_valid:
             self.rejected += 1
             return False
-        if known is None or done.holder == self.own_name:
+        lease = self.leases.get(announcement.task)
+        if lease is None or announcement.holder == self.own_name:
             return False
-        if (done.fencing_token, done.holder, done.completed_runs) <= (
-            known.fencing_token,
-            known.holder,
-            known.completed_runs,
-        ):
+        if not lease.is_older_than(announcement):
             return False
-        known.fencing_token, known.holder, known.completed_runs, known.heard_at = (
-            done.fencing_token,
-            done.holder,
-            done.completed_runs,
-            now,
-        )
-        if done.completed_runs:
-            # Never later than now, and never back: a clock elsewhere is not asked, ages are.
-            known.last_run_at, known.result = max(known.last_run_at, now - done.age_ms * MS), done.result
+        lease.apply(now, announcement)
         return True
 
-    def next_fencing_token(self, fencing_token: int) -> int:
-        """The next number, and no other instance's: two that claim at once must not both work under it."""
-        return (fencing_token >> TOKEN_SUFFIX_BITS) + 1 << TOKEN_SUFFIX_BITS | crc32(
-            self.own_name.encode()
-        ) % (1 << TOKEN_SUFFIX_BITS)
-
     def enter_quiet_period(self, now: int) -> None:
-        """Stopped with a lease in hand: another may have it by now, its telling unread or still on its way.
-        It claims anew, like anybody, and only after a while."""
+        """Give up all leases and do nothing for a while.
+
+        While this instance was stopped another may have taken a lease, with the announcement still on its
+        way or unread. It claims its leases anew, like any other candidate.
+        """
         self.quiet_until = max(self.quiet_until, now + round(LISTEN_TIME * self.period))
-        for known in self.leases.values():
-            if known.holder == self.own_name:
-                known.holder = ""
+        for lease in self.leases.values():
+            if lease.holder == self.own_name:
+                lease.release()
 
-    # What is to be done.
+    # Output.
 
     def rank(self, task: str) -> int:
-        """0: its owner; -1: not among those counted in."""
+        """Return this instance's place among the candidates of a task.
+
+        Returns:
+            0 for the first candidate; `NOT_A_CANDIDATE` if this instance is not in the view.
+        """
         if task not in self.ranks:
             names = rank_candidates(task, self.members, self.task_zones.get(task, ""))
-            self.ranks[task] = names.index(self.own_name) if self.own_name in names else -1
+            self.ranks[task] = names.index(self.own_name) if self.own_name in names else NOT_A_CANDIDATE
         return self.ranks[task]
 
     def tick(self, now: int) -> list[DueTask]:
-        """Those whose turn it is; each is to be told of with `worked`."""
+        """Claim leases, and return the tasks to be done now; `complete` is to be called for each.
+
+        Call it several times a period: a gap is taken for a pause of this instance.
+        """
         if self.last_tick_at and now - self.last_tick_at > PAUSE_THRESHOLD * self.period:
             self.enter_quiet_period(now)
         self.last_tick_at = now
         if not self.view_settled or now < self.quiet_until:
             return []
-        made = []
-        for task, known in self.leases.items():
-            place = self.rank(task)
-            if place < 0:
+        due_tasks = []
+        for task, lease in self.leases.items():
+            rank = self.rank(task)
+            if rank == NOT_A_CANDIDATE:
                 continue
-            due = known.last_run_at + round(RUN_DELAYS[min(place, len(RUN_DELAYS) - 1)] * self.period)
-            if known.holder != self.own_name:
-                claimed = (
-                    known.holder
-                    and not known.completed_runs
-                    and now - known.heard_at < CLAIM_GRACE * self.period
-                )
-                if now >= due - CLAIM_LEAD * self.period and not claimed:
-                    known.fencing_token, known.holder = (
-                        self.next_fencing_token(known.fencing_token),
-                        self.own_name,
-                    )
-                    known.completed_runs, known.heard_at = 0, now
-                continue  # not before the claim has been out for a while
-            if now >= due and (known.completed_runs or now - known.heard_at >= CLAIM_LEAD * self.period / 2):
-                made.append(DueTask(task, known.fencing_token))
-        return made
+            due_at = lease.last_run_at + self._run_delays[min(rank, len(self._run_delays) - 1)]
+            if lease.holder != self.own_name:
+                # A new claim has to be known to the others for a while before it is worked under.
+                if self._may_claim(now, lease, due_at):
+                    lease.claim(now, self.own_name, next_fencing_token(lease.fencing_token, self.own_name))
+            elif self._may_run(now, lease, due_at):
+                due_tasks.append(DueTask(task, lease.fencing_token))
+        return due_tasks
 
     def complete(self, now: int, due: DueTask, result: int) -> bool:
-        """Done, with what came of it. False: it was outdone meanwhile, and counts for nothing."""
-        known = self.leases.get(due.task)
-        if known is None or (known.fencing_token, known.holder) != (due.fencing_token, self.own_name):
+        """Count a run of a due task.
+
+        Args:
+            now: Microseconds.
+            due: The task, as `tick` returned it.
+            result: What came of it, as the task defines it.
+
+        Returns:
+            Whether it counts; not if the lease has changed hands meanwhile.
+        """
+        lease = self.leases.get(due.task)
+        if lease is None or lease.fencing_token != due.fencing_token or lease.holder != self.own_name:
             return False
-        known.completed_runs, known.last_run_at, known.result = known.completed_runs + 1, now, result
+        lease.run_completed(now, result)
         return True
 
     def announcements(self, now: int) -> list[LeaseAnnouncement]:
-        """Of those that this one holds or claims, the newest first."""
-        mine = [(task, known) for task, known in self.leases.items() if known.holder == self.own_name]
-        mine.sort(key=lambda each: (-each[1].last_run_at, each[0]))
+        """Return an announcement of each lease that this instance holds or claims, the last run first."""
+        own = [(task, lease) for task, lease in self.leases.items() if lease.holder == self.own_name]
+        own.sort(key=lambda item: (-item[1].last_run_at, item[0]))
         return [
             LeaseAnnouncement(
-                task, k.fencing_token, k.holder, k.completed_runs, max(0, now - k.last_run_at) // MS, k.result
+                task=task,
+                fencing_token=lease.fencing_token,
+                holder=lease.holder,
+                completed_runs=lease.completed_runs,
+                age_ms=max(0, now - lease.last_run_at) // MICROSECONDS_PER_MS,
+                result=lease.result,
             )
-            for task, k in mine
+            for task, lease in own
         ]
+
+    def _may_claim(self, now: int, lease: Lease, due_at: int) -> bool:
+        if now < due_at - self._claim_lead:
+            return False
+        is_claim = bool(lease.holder) and not lease.completed_runs
+        return not is_claim or now - lease.heard_at >= CLAIM_TIMEOUT * self.period
+
+    def _may_run(self, now: int, lease: Lease, due_at: int) -> bool:
+        if now < due_at:
+            return False
+        return lease.completed_runs > 0 or now - lease.heard_at >= self._claim_lead / 2
--- /dev/null
+++ b/dahliabend/leases/fencing.py
@@ -0,0 +1,24 @@
+"""Fencing tokens: numbers that rise each time a lease changes hands.
+
+The upper bits count the changes. The lower ones are derived from the holder's name, so that two members that
+claim a lease at the same time do not work under the same number.
+"""
+
+from zlib import crc32
+
+TOKEN_SUFFIX_BITS = 16
+
+
+def next_fencing_token(current: int, instance_name: str) -> int:
+    """Return the token with which an instance claims a lease.
+
+    Args:
+        current: Token under which the lease was held last.
+        instance_name: Name of the member that claims it.
+
+    >>> next_fencing_token(0, "a") >> TOKEN_SUFFIX_BITS
+    1
+    """
+    change = (current >> TOKEN_SUFFIX_BITS) + 1
+    suffix = crc32(instance_name.encode()) % (1 << TOKEN_SUFFIX_BITS)
+    return change << TOKEN_SUFFIX_BITS | suffix
--- a/dahliabend/leases/shared_limits.py
+++ b/dahliabend/leases/shared_limits.py
@@ -1,53 +1,85 @@
-"""A limit of the whole fleet, divided among its members by what each is asked. Free of I/O.
+"""A limit of the whole fleet, divided among its instances by their demand. Free of I/O.
 
-Each tells its part and what it asks, both of the whole. Parts shrink at once and grow only into room that
-nobody holds, so slowly that all who don't know of each other yet find room together. Who does not hear all
-others keeps to an equal part of the whole; of one that was lost without leaving that part stays reserved, but
-for a tenth more than the limit: it may be cut off and go on.
+Every instance announces its share and its demand, both as fractions of the limit, and computes the same
+division. A share shrinks at once and grows only into capacity that nobody holds, slowly enough that instances
+that do not yet know of each other's growth find room together. An instance that does not hear all others
+keeps to an equal share. The share of a member that was lost without leaving stays reserved, but for a tenth
+more than the limit: it may be partitioned away and still work.
 """
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
 STEP_INTERVAL = 500_000  # microseconds between two steps
-FRESH_STEPS = 6  # beats that what another told counts as now
-MIN_SHARE_FRACTION = 1 / 4  # of an equal part: what each has whatever it asks
-OVERCOMMIT_LIMIT = 11 / 10  # of the limit: never more, also where a cut can't be told from a death
-SHRINK_TOLERANCE = 1 / 50  # of its part: less than that is not given up
+FRESH_STEPS = 6  # steps that an announcement counts
+MIN_SHARE_FRACTION = 1 / 4  # of an equal share: what each instance has whatever its demand
+OVERCOMMIT_LIMIT = 11 / 10  # of the limit: never exceeded, also while a partition looks like a death
+SHRINK_TOLERANCE = 1 / 50  # of the share: a smaller surplus is not given up
+DIVISION_DECIMALS = 12  # rounding, so that all instances come to the same division
 
 
 @dataclass(slots=True)
 class PeerQuota:
+    """What another instance announced last.
+
+    Attributes:
+        share: Fraction of the limit that it holds or is about to take.
+        demand: Fraction of the limit that it is asked for, 1 at most.
+        at: When it was announced, microseconds of this instance's clock.
+    """
+
     share: float
     demand: float
     at: int
 
 
-def divide_limit(asks: Mapping[str, float], budget: float, floor: float) -> dict[str, float]:
-    """Water-filling: everybody what it asks as far as it goes round, nobody less than the floor, and what
-    nobody asks in equal parts.
+def divide_limit(demands: Mapping[str, float], budget: float, floor: float) -> dict[str, float]:
+    """Divide a budget by water-filling: the smallest demands are met first, the others get equal shares.
+
+    Args:
+        demands: Demand of each instance; at least one.
+        budget: What there is to divide, in the unit of the demands.
+        floor: The least that each instance gets; an equal share if the budget does not suffice.
+
+    Returns:
+        A share for each instance. What nobody demands is spread evenly.
 
     >>> divide_limit({"a": 0.1, "b": 0.9, "c": 0.7}, 1.0, 0.05)
     {'a': 0.1, 'b': 0.45, 'c': 0.45}
     """
-    count = len(asks)
+    count = len(demands)
     floor = min(floor, budget / count)
-    wanted = {name: max(floor, demand) for name, demand in asks.items()}
+    wanted = {name: max(floor, demand) for name, demand in demands.items()}
     if sum(wanted.values()) <= budget:
         spare = (budget - sum(wanted.values())) / count
         return {name: share + spare for name, share in wanted.items()}
-    left, made = budget, {}
-    for place, (name, demand) in enumerate(sorted(wanted.items(), key=lambda each: (each[1], each[0]))):
-        made[name] = min(demand, max(floor, left / (count - place)))
-        left -= made[name]
-    return {name: round(made[name], 12) for name in asks}
+    remaining = budget
+    shares: dict[str, float] = {}
+    by_demand = sorted(wanted.items(), key=lambda item: (item[1], item[0]))
+    for position, (name, demand) in enumerate(by_demand):
+        equal_share = remaining / (count - position)
+        shares[name] = min(demand, max(floor, equal_share))
+        remaining -= shares[name]
+    return {name: round(shares[name], DIVISION_DECIMALS) for name in demands}
 
 
 class QuotaShare:
-    """One instance's part of one limit. `balancers`: how many there are said to be, until a view tells."""
+    """One instance's share of one limit.
+
+    Attributes:
+        own_name: Name of this instance among the members.
+        instance_count: Configured number of instances, which counts until a view is known.
+        share: Fraction of the limit that this instance may use.
+        demand: Fraction of the limit that it is asked for, 1 at most.
+        peers: What the other members announced last.
+        members: Names in the last settled view.
+        lost_members: Members that went missing without leaving.
+        partitioned: Whether the view may be that of one side of a network partition.
+    """
 
     def __init__(self, own_name: str, instance_count: int) -> None:
-        self.own_name, self.instance_count = own_name, instance_count
+        self.own_name = own_name
+        self.instance_count = instance_count
         self.share = MIN_SHARE_FRACTION / instance_count
         self.demand = 0.0
         self.peers: dict[str, PeerQuota] = {}
@@ -56,47 +88,82 @@
         self.partitioned = False
 
     def update_peer(self, now: int, origin: str, share: float, demand: float) -> None:
-        """The newest that another told: its part, also one that it is about to take, and what it asks."""
+        """Take what another instance announced; values out of range are ignored.
+
+        Args:
+            now: When it was announced, in microseconds.
+            origin: Name of the other instance.
+            share: Fraction of the limit that it holds or is about to take.
+            demand: Fraction of the limit that it is asked for.
+        """
         if origin != self.own_name and 0 <= share <= OVERCOMMIT_LIMIT and demand >= 0:
             self.peers[origin] = PeerQuota(share, min(demand, 1.0), now)
 
     def update_members(self, members: Collection[str], left: Collection[str], partitioned: bool) -> None:
-        """The settled view; who has left of its own; whether this may be a part cut off."""
-        members = set(members)
-        if not members:
+        """Take the settled view; an empty one changes nothing.
+
+        Args:
+            members: Names of all members, this instance among them.
+            left: Names of those that have left by themselves.
+            partitioned: Whether the view may be that of one side of a network partition.
+        """
+        current = set(members)
+        if not current:
             return
-        self.lost_members = (self.lost_members | (self.members - members)) - members - set(left)
-        self.members, self.partitioned = members, partitioned
-        for name in [name for name in self.peers if name not in members]:
+        self.lost_members = (self.lost_members | (self.members - current)) - current - set(left)
+        self.members = current
+        self.partitioned = partitioned
+        for name in [name for name in self.peers if name not in current]:
             del self.peers[name]
 
     def step(self, now: int, demand: float) -> float:
-        """Once a beat: what is asked here, of the whole. The part that it may let in from now on."""
+        """Adjust the share; to be called every `STEP_INTERVAL`.
+
+        Args:
+            now: Microseconds.
+            demand: What this instance is asked for, as a fraction of the limit.
+
+        Returns:
+            The share that it may use from now on.
+        """
         self.demand = min(max(demand, 0.0), 1.0)
-        peers = sorted(self.members - {self.own_name})
-        if not peers:
-            # Nobody is known: an equal part of those there are said to be, or that there were.
-            count = max(self.instance_count, len(self.members) + len(self.lost_members))
-            self.share = 1.0 / count
-            return self.share
-        whole = len(self.members) + len(self.lost_members)
-        if any(
-            name not in self.peers or now - self.peers[name].at > FRESH_STEPS * STEP_INTERVAL
-            for name in peers
-        ):
-            self.share = min(self.share, 1.0 / whole)
-            return self.share
-        budget = min(1.0, OVERCOMMIT_LIMIT - len(self.lost_members) / whole)
+        peer_names = sorted(self.members - {self.own_name})
+        if not peer_names:
+            # Nobody else is known: an equal share of as many as there are said to be, or as there were.
+            self.share = 1.0 / max(self.instance_count, self._fleet_size())
+        elif not self._has_heard_all(now, peer_names):
+            self.share = min(self.share, 1.0 / self._fleet_size())
+        else:
+            self._approach_target(peer_names)
+        return self.share
+
+    def _fleet_size(self) -> int:
+        return len(self.members) + len(self.lost_members)
+
+    def _has_heard_all(self, now: int, peer_names: list[str]) -> bool:
+        oldest = now - FRESH_STEPS * STEP_INTERVAL
+        return all(name in self.peers and self.peers[name].at >= oldest for name in peer_names)
+
+    def _budget(self) -> float:
+        """Fraction of the limit that the members of the view may use together."""
+        fleet_size = self._fleet_size()
+        budget = min(1.0, OVERCOMMIT_LIMIT - len(self.lost_members) / fleet_size)
         if self.partitioned:
-            budget = min(budget, len(self.members) / whole)
-        asks = {name: self.peers[name].demand for name in peers} | {self.own_name: self.demand}
-        targets = divide_limit(asks, budget, MIN_SHARE_FRACTION / len(asks))
-        target, held = targets[self.own_name], {name: self.peers[name].share for name in peers}
+            budget = min(budget, len(self.members) / fleet_size)
+        return budget
+
+    def _approach_target(self, peer_names: list[str]) -> None:
+        demands = {name: self.peers[name].demand for name in peer_names}
+        demands[self.own_name] = self.demand
+        budget = self._budget()
+        targets = divide_limit(demands, budget, MIN_SHARE_FRACTION / len(demands))
+        target = targets[self.own_name]
         if target < self.share * (1 - SHRINK_TOLERANCE):
             self.share = target
         elif target > self.share:
-            # Others that grow too may not know of it yet: while a word counts all find room together.
-            growing = 1 + sum(targets[name] > share for name, share in held.items())
-            free = budget - self.share - sum(held.values())
+            peer_shares = {name: self.peers[name].share for name in peer_names}
+            # Peers that grow too may not know of this growth yet: as long as an announcement counts, all of
+            # them find room together.
+            growing = 1 + sum(targets[name] > share for name, share in peer_shares.items())
+            free = budget - self.share - sum(peer_shares.values())
             self.share += max(0.0, min(target - self.share, free / (growing * FRESH_STEPS)))
-        return self.share
--- a/dahliabend/simulation/cluster/duty_search.py
+++ b/dahliabend/simulation/cluster/duty_search.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, replace
 from itertools import product
 
-from dahliabend.leases.election import Lease, LeaseAnnouncement, LeaseElection
+from dahliabend.leases.election import LeaseElection
+from dahliabend.leases.lease import Lease, LeaseAnnouncement
 
 PERIOD = 8_000_000
 EIGHTH = PERIOD // 8
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -1,4 +1,4 @@
-"""Shared limits on their way to routes: an equal part before anybody is heard, whole once not shared."""
+"""Shared limits of routes: an equal share before others are heard, the whole limit once not shared."""
 
 from types import SimpleNamespace
 
@@ -23,19 +23,19 @@
     return made, limit
 
 
-def test_a_route_that_a_reload_shares_no_more_has_its_whole_limit():
+def test_route_that_a_reload_no_longer_shares_has_its_whole_limit():
     made, limit = service(False, part=0.25)
     made.divide_shared_limits()
     assert limit.fraction == 1.0
 
 
-def test_where_signals_wait_for_a_restart_it_is_an_equal_part():
+def test_route_has_an_equal_share_while_gossip_waits_for_a_restart():
     made, limit = service(True)
     made.divide_shared_limits()
     assert limit.fraction == 0.25
 
 
-def test_with_signals_the_fleet_divides_it():
+def test_with_gossip_the_instances_divide_the_limit():
     asked = []
     made, _ = service(True, gossip=asked.append)
     made.divide_shared_limits()
@@ -43,14 +43,15 @@
     assert [(choice.name, balancers) for choice, balancers in choices()] == [("r", 4)]
 
 
-def test_parts_begin_equal_follow_what_others_tell_and_end_with_the_route():
+def test_shares_start_equal_follow_announcements_and_end_with_the_route():
     limit, routes = Limit(rate=100.0), []
     routes.append((SimpleNamespace(name="r", limit=limit), 4))
     shares = ClusterLimits("me", lambda: routes, lambda *_, **__: None)
     shares.update_routes()
     assert limit.fraction == 0.25
     shares.tick({"me", "b"}, set(), False)
-    assert limit.fraction <= 0.5 and shares.reports()[0].limit == "r"
+    assert limit.fraction <= 0.5
+    assert shares.reports()[0].limit == "r"
     shares.report_received(1, "b", QuotaAnnouncement("r", 0.5, 0.5))
     shares.report_received(1, "b", QuotaAnnouncement("gone", 0.5, 0.5))
     assert shares.status()[0]["others"] == {"b": pytest.approx(0.5)}
--- a/tests/simulation/cluster/test_duty_search.py
+++ b/tests/simulation/cluster/test_duty_search.py
@@ -2,7 +2,9 @@
 
 import pytest
 
-from dahliabend.leases.election import MS, DueTask, LeaseElection
+from dahliabend.leases.election import LeaseElection
+from dahliabend.leases.lease import MICROSECONDS_PER_MS as MS
+from dahliabend.leases.lease import DueTask
 from dahliabend.simulation.cluster.duty_search import search
 
 
