--- a/dahliabend/health_gossip/__init__.py
+++ b/dahliabend/health_gossip/__init__.py
@@ -1,5 +1,6 @@
-"""What balancers tell each other of upstreams, and what that is worth. Free of I/O.
+"""What instances tell each other about the health of upstreams, and how they weigh it. Free of I/O.
 
-`seen` counts what this one saw, `board` keeps the latest of each origin, `belief` weighs it, `gossip` is the
-machine that a socket or a model drives.
+`local_observations` counts outcomes seen by this instance, `reports` has the messages, `report_table` keeps
+the latest report of each origin, `aggregation` weighs them, and `gossip` exchanges them; a driver moves its
+datagrams.
 """
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable
 
-from dahliabend.health_gossip.report_table import QuotaAnnouncement
+from dahliabend.health_gossip.reports import QuotaAnnouncement
 from dahliabend.leases.shared_limits import QuotaShare
 from dahliabend.routing_rules.compiled_route import CompiledRoute
 from dahliabend.transport.timers import clock
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
-from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
+from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
--- /dev/null
+++ b/tests/health_gossip/test_peer_reports_in_policy.py
@@ -0,0 +1,23 @@
+"""What others report takes effect in the policy as own failures do."""
+
+from types import SimpleNamespace
+
+from fake_reports import SECOND
+
+from dahliabend.model import EndpointState
+from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.work import Work
+
+
+def test_policy_ejects_an_upstream_by_peer_reports_as_by_own_attempts():
+    port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
+    balancer = Balancer(Work(Fleet(instances=1), 1).settings(), port, 1)
+    rows = [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)]
+    balancer.update_endpoints(SECOND, rows, full=True)
+    balancer.add_peer_report(1, FLOOR, FLOOR)
+    balancer.add_peer_report(7, FLOOR, FLOOR)  # not listed any more
+    for tick in range(WINDOW):
+        balancer.timer_fired(SECOND + (tick + 1) * balancer.beat, 0)
+    ejected = [upstream.ejected for _, upstream in sorted(balancer.upstreams.items())]
+    assert ejected == [False, True, False]
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliabend.config.operator_file.schema import RouteSettings
-from dahliabend.health_gossip.report_table import QuotaAnnouncement
+from dahliabend.health_gossip.reports import QuotaAnnouncement
 from dahliabend.routing_rules.limits import Limit
 from dahliabend.server.cluster_limits import ClusterLimits
 from dahliabend.server.operator_file_server import OperatorFileServer
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from dahliabend.config import platform as config
-from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
+from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
 from dahliabend.membership.codec import MemberStatus, Update
 from dahliabend.model import Outcome
 from dahliabend.server.metrics import Metrics
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -12,7 +12,7 @@
 from golden_files import as_json, read_golden, write_golden
 
 from dahliabend.health_gossip.gossip import HealthGossip
-from dahliabend.health_gossip.report_table import HealthReport, QuotaAnnouncement, UpstreamCounts
+from dahliabend.health_gossip.reports import HealthReport, QuotaAnnouncement, UpstreamCounts
 from dahliabend.leases.candidate_order import rank_candidates
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.lease import LeaseAnnouncement
