--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -37,6 +37,7 @@
         last_failure_reporter: By task, the member whose failed check was last delivered to the policy.
         last_tokens: By task, the fencing token under which this instance last worked.
         checks_run: Checks started by this instance.
+        log: Writes a structured event.
     """
 
     def __init__(self, own_name: str, period: int, run_check: StartCheck, log: Callable[..., None]) -> None:
@@ -54,7 +55,7 @@
         self.last_tokens: dict[str, int] = {}
         self.checks_run = 0
         self._run_check = run_check
-        self._log = log
+        self.log = log
 
     def request_check(self, now: int, task: str, on_result: ResultCallback) -> bool:
         """Ask for the next result of a task.
@@ -84,7 +85,7 @@
             self._start_check(due.task, partial(self._check_finished, due))
             if self.last_tokens.get(due.task) != due.fencing_token:
                 self.last_tokens[due.task] = due.fencing_token
-                self._log("duty", duty=due.task, fence=due.fencing_token, place=self.election.rank(due.task))
+                self.log("duty", duty=due.task, fence=due.fencing_token, place=self.election.rank(due.task))
         self.deliver_results(now)
         self._forget_removed_tasks()
 
