--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -8,8 +8,10 @@
 from dahliabend.config.operator_file import schema
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
-from dahliabend.subsetting.controller import ActiveSubset, SubsetController, SubsetSettings, count_usable
+from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.usable_endpoints import count_usable
 from dahliabend.transport.timers import TimerQueue, clock
 
 LOOK = 250_000  # how often it looks whether something has to move
--- a/dahliabend/simulation/cluster/subsets.py
+++ b/dahliabend/simulation/cluster/subsets.py
@@ -9,8 +9,9 @@
 from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.script import Fleet, S
-from dahliabend.subsetting.controller import SubsetController, SubsetSettings
+from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings
 
 
 @dataclass(slots=True)
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -21,9 +21,11 @@
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S
-from dahliabend.subsetting.controller import SubsetController, SubsetSettings, count_usable
+from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
 from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.usable_endpoints import count_usable
 
 MS = 1_000
 LOOK = 250 * MS  # how often a subset is looked at, as in a pool
--- a/dahliabend/subsetting/__init__.py
+++ b/dahliabend/subsetting/__init__.py
@@ -1,4 +1,7 @@
-"""Which upstreams each of many balancers uses, so that the choices of all add up. Free of I/O.
+"""Which upstreams of a pool each of many balancers uses. Free of I/O.
 
-Begun: docs/subsets.md says what stands. Nothing imports it yet.
+`selection` computes the whole assignment from the view of the fleet and the endpoint list, with `rendezvous`
+for the pairs, `fitting` for the weights and `zones` for what crosses zones. `controller` moves one balancer's
+subset there step by step, with `fleet_view`, `target`, `flap_damping` and `usable_endpoints`. `demand`
+estimates what a balancer is asked, and `baselines` has other strategies to compare with.
 """
--- a/dahliabend/subsetting/baselines.py
+++ b/dahliabend/subsetting/baselines.py
@@ -1,88 +1,106 @@
-"""Other ways to choose, to be measured beside `choice`. Weights are equal unless a way says otherwise."""
+"""Other strategies of subsetting, to be measured beside `selection`.
+
+Unless a strategy says otherwise, a balancer sends the same to each upstream that it uses.
+"""
 
 from collections.abc import Callable, Sequence
 from random import Random
 
 import numpy as np
 
+from dahliabend.subsetting.rendezvous import BoolArray, pair_ranks, top_ranked
 from dahliabend.subsetting.selection import (
     MIN_BALANCERS_PER_UPSTREAM,
     MIN_SUBSET_SIZE,
     Assignment,
     Participant,
-    first,
     normalized_weights,
-    ranks,
 )
 
-Way = Callable[[Sequence[Participant], Sequence[Participant]], Assignment]
+Strategy = Callable[[Sequence[Participant], Sequence[Participant]], Assignment]
 
 
-def size_of(balancers: int, upstreams: int) -> int:
-    return min(upstreams, max(MIN_SUBSET_SIZE, -(-MIN_BALANCERS_PER_UPSTREAM * upstreams // balancers)))
+def subset_size(balancers: int, upstreams: int) -> int:
+    """Return the size of every subset, given the number of balancers and of upstreams."""
+    for_degree = -(-MIN_BALANCERS_PER_UPSTREAM * upstreams // balancers)  # rounded up
+    return min(upstreams, max(MIN_SUBSET_SIZE, for_degree))
 
 
-def made(balancers, upstreams, taken: np.ndarray) -> Assignment:
-    """Each row's demand in equal parts over whom it uses."""
+def assign_equally(
+    balancers: Sequence[Participant], upstreams: Sequence[Participant], used: BoolArray
+) -> Assignment:
+    """Divide each balancer's demand evenly among the upstreams that it uses."""
     demand = normalized_weights(balancers)
-    shares = taken * (demand / np.maximum(taken.sum(axis=1), 1))[:, None]
-    names = tuple(party.name for party in balancers), tuple(party.name for party in upstreams)
-    return Assignment(*names, shares)
+    shares = used * (demand / np.maximum(used.sum(axis=1), 1))[:, None]
+    return Assignment(_names(balancers), _names(upstreams), shares)
 
 
-def random(balancers, upstreams) -> Assignment:
-    """Each draws for itself, from its own name and the list as it is: a list that changes draws anew."""
-    size = size_of(len(balancers), len(upstreams))
-    taken = np.zeros((len(balancers), len(upstreams)), dtype=bool)
-    for row, party in enumerate(balancers):
-        taken[row, Random(f"{party.name} {len(upstreams)}").sample(range(len(upstreams)), size)] = True
-    return made(balancers, upstreams, taken)
+def random(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Every balancer draws its subset at random, anew when the length of the list changes."""
+    size = subset_size(len(balancers), len(upstreams))
+    used = np.zeros((len(balancers), len(upstreams)), dtype=bool)
+    for row, balancer in enumerate(balancers):
+        generator = Random(f"{balancer.name} {len(upstreams)}")
+        used[row, generator.sample(range(len(upstreams)), size)] = True
+    return assign_equally(balancers, upstreams, used)
 
 
-def rendezvous(balancers, upstreams) -> Assignment:
-    """The first ranks, equal weights."""
-    size = np.full(len(balancers), size_of(len(balancers), len(upstreams)))
-    rank = ranks([party.name for party in balancers], [party.name for party in upstreams])
-    return made(balancers, upstreams, first(rank, size))
+def rendezvous(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Every balancer uses its highest ranks by rendezvous hashing."""
+    sizes = np.full(len(balancers), subset_size(len(balancers), len(upstreams)))
+    ranks = pair_ranks(_names(balancers), _names(upstreams))
+    return assign_equally(balancers, upstreams, top_ranked(ranks, sizes))
 
 
-def rounds(balancers, upstreams) -> Assignment:
-    """Deterministic subsetting: balancers in rounds, each round shuffles the list and deals it out."""
-    size = size_of(len(balancers), len(upstreams))
-    per_round = max(1, len(upstreams) // size)
-    taken = np.zeros((len(balancers), len(upstreams)), dtype=bool)
+def rounds(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Deterministic subsetting: each round of balancers shuffles the list and divides it into subsets."""
+    size = subset_size(len(balancers), len(upstreams))
+    balancers_per_round = max(1, len(upstreams) // size)
+    used = np.zeros((len(balancers), len(upstreams)), dtype=bool)
     for row in range(len(balancers)):
-        dealt, place = divmod(row, per_round)
-        order = list(range(len(upstreams)))
-        Random(f"round {dealt}").shuffle(order)
-        taken[row, order[place * size : (place + 1) * size]] = True
-    return made(balancers, upstreams, taken)
-
-
-def aperture(balancers, upstreams) -> Assignment:
-    """Deterministic aperture: balancers and upstreams on a ring in order of their names, arcs with fractional
-    ends that lie end to end, a whole number of times round."""
-    count, width = len(balancers), len(upstreams)
-    laps = max(1, -(-size_of(count, width) * count // width))
-    demand, capacity = normalized_weights(balancers), normalized_weights(upstreams)
-    ends = np.concatenate(([0.0], np.cumsum(capacity)))
-    shares = np.zeros((count, width))
-    at = 0.0
-    for row, part in enumerate(demand):
-        arc = min(1.0, part * laps)
-        for lap in (0.0, 1.0):
-            low, high = np.maximum(ends[:-1] + lap, at % 1.0), np.minimum(ends[1:] + lap, at % 1.0 + arc)
-            shares[row] += np.maximum(0.0, high - low) * part / arc
-        at += arc
-    names = tuple(party.name for party in balancers), tuple(party.name for party in upstreams)
-    return Assignment(*names, shares)
-
-
-def everyone(balancers, upstreams) -> Assignment:
-    """No subsets."""
-    return made(balancers, upstreams, np.ones((len(balancers), len(upstreams)), dtype=bool))
-
-
-STRATEGIES: dict[str, Way] = {
-    "random": random, "rendezvous": rendezvous, "rounds": rounds, "aperture": aperture, "everyone": everyone,
-}  # fmt: skip
+        round_number, position = divmod(row, balancers_per_round)
+        shuffled = list(range(len(upstreams)))
+        Random(f"round {round_number}").shuffle(shuffled)
+        used[row, shuffled[position * size : (position + 1) * size]] = True
+    return assign_equally(balancers, upstreams, used)
+
+
+def aperture(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Deterministic aperture: arcs of a ring, with fractions of upstreams at their ends.
+
+    Balancers and upstreams stand on a ring in the order given. The arcs of the balancers, by demand, lie end
+    to end and cover the ring a whole number of times.
+    """
+    count = len(balancers)
+    laps = max(1, -(-subset_size(count, len(upstreams)) * count // len(upstreams)))
+    ends = np.concatenate(([0.0], np.cumsum(normalized_weights(upstreams))))
+    shares = np.zeros((count, len(upstreams)))
+    position = 0.0
+    for row, demand in enumerate(normalized_weights(balancers)):
+        arc = min(1.0, demand * laps)
+        start = position % 1.0
+        for lap in (0.0, 1.0):  # an arc may run past the end of the ring
+            low = np.maximum(ends[:-1] + lap, start)
+            high = np.minimum(ends[1:] + lap, start + arc)
+            shares[row] += np.maximum(0.0, high - low) * demand / arc
+        position += arc
+    return Assignment(_names(balancers), _names(upstreams), shares)
+
+
+def everyone(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Every balancer uses all upstreams."""
+    used = np.ones((len(balancers), len(upstreams)), dtype=bool)
+    return assign_equally(balancers, upstreams, used)
+
+
+def _names(participants: Sequence[Participant]) -> tuple[str, ...]:
+    return tuple(participant.name for participant in participants)
+
+
+STRATEGIES: dict[str, Strategy] = {
+    "random": random,
+    "rendezvous": rendezvous,
+    "rounds": rounds,
+    "aperture": aperture,
+    "everyone": everyone,
+}
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -1,235 +1,217 @@
-"""One balancer's subset over time: what it is to be, and by which steps it gets there. Free of I/O.
+"""One balancer's subset over time: it moves towards its target in bounded steps. Free of I/O.
 
-A view that may be of a part cut off does not narrow anything: for a while the choice by the last sure one is
-kept beside it. Moves are gentle: new ones come in at a bounded rate, and old ones go only once as many new
-ones have been in use for a while; those that the list has lost go at once and are replaced at once.
+A doubtful view of the fleet narrows nothing: for a while the target is the union by it and the last trusted
+view. New upstreams are added at a bounded rate, and old ones dropped only once as many new ones have been in
+use for a while. Those that the endpoint list has lost are dropped and replaced at once.
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
-from dahliabend.subsetting.demand import UNKNOWN_DEMAND
 from dahliabend.subsetting.flap_damping import FlapDamping
-from dahliabend.subsetting.selection import (
-    MIN_BALANCERS_PER_UPSTREAM,
-    MIN_SUBSET_SIZE,
-    Participant,
-    assign_subsets,
-    ranks,
-)
+from dahliabend.subsetting.fleet_view import FleetView, Membership
+from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.target import TargetSubset, compute_target
 
-FLAPS = 1 / 2  # of the list: more that go at once are no flapping of theirs
-SILENT = 3  # upstreams asked in vain since anybody answered: all are taken for silent
-CLOSE = 1 / 50  # of a weight: a smaller change of it alone is not worth telling
+MAX_FLAPPING_FRACTION = 1 / 2  # of the list: if more go at once, the list has changed and nobody flaps
+WEIGHT_TOLERANCE = 1 / 50  # of a weight: a smaller change alone is not published
+SMALLEST_SHARE = 1e-9  # in place of 0 as a divisor
+UNREACHED = "unreached"  # state of a member that most others cannot reach
 
 
 @dataclass(frozen=True, slots=True)
-class SubsetSettings:
-    """Spans in microseconds."""
-
-    min_size: int = MIN_SUBSET_SIZE
-    degree: int = MIN_BALANCERS_PER_UPSTREAM
-    by_zone: bool = False
-    source: str = "members"  # who tells the view
-    balancers: int = 1  # how many there are, where no view tells
-    doubt_hold: int = 60_000_000  # how long a doubtful view narrows nothing
-    step_interval: int = 1_000_000
-    settle_time: int = 2_000_000  # how long new ones are in use before old ones go
-    move_fraction: float = 1 / 8  # of the subset: how many may come, and go, in a beat
-    max_widening: float = 2.0  # times its size: the most that a subset is widened to
-    widen_threshold: float = 1 / 2  # of the subset: fewer that can be sent to, and it widens
-
-
-@dataclass(slots=True)
 class ActiveSubset:
-    """In use now: a weight each, that sum to as many as there are."""
+    """The subset in use.
+
+    Attributes:
+        weights: Weight of each upstream; they sum to the number of upstreams.
+        added: Upstreams added by the last step.
+        dropped: Upstreams dropped by the last step.
+        source: What the target was computed from.
+        balancers: Number of balancers in the fleet.
+        balancers_per_upstream: Balancers that share each upstream, on average, by this one's part of demand.
+    """
 
     weights: dict[str, float] = field(default_factory=dict)
-    added: list[str] = field(default_factory=list)  # by the last step
+    added: list[str] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
-    source: str = "name"  # members (or index), both (doubtful: two views), name (no view)
+    source: SubsetSource = "name"
     balancers: int = 1
-    balancers_per_upstream: float = (
-        1.0  # balancers that share each of these, in the mean, by this one's part of the demand
-    )
-
-
-def fill_unknown_demand(balancers: Sequence[Participant]) -> Sequence[Participant]:
-    """One that has not told its demand yet counts as the others in the mean: at its own start, or the
-    fleet's, those that tell first would be taken for the only ones with callers."""
-    said = [party.weight for party in balancers if party.weight > UNKNOWN_DEMAND]
-    if len(said) == len(balancers):
-        return balancers
-    mean = sum(said) / len(said) if said else 1.0
-    return [party if party.weight > UNKNOWN_DEMAND else replace(party, weight=mean) for party in balancers]
-
-
-def count_usable(balancer, now: int) -> int:
-    """Of those in use, how many can be sent to, as the decisions see them (`decide.Balancer`)."""
-    heard = balancer.last_heard
-    # Where a hop has ended unanswered since.
-    vain = sum(u.ended > max(heard, u.filled) for u in balancer.ready)
-    if now - heard >= balancer.window and vain >= min(SILENT, len(balancer.ready)) > 0:
-        # The decisions set nobody aside while all are silent: that is the tier's trouble. But these are only
-        # some of it, and the rest may answer.
-        return 0
-    return sum(not upstream.ejected for upstream in balancer.ready)
+    balancers_per_upstream: float = 1.0
 
 
 class SubsetController:
-    def __init__(self, me: Participant, terms: SubsetSettings) -> None:
-        self.own, self.settings = me, terms
+    """Keeps one balancer's subset of a pool. Times are microseconds.
+
+    Attributes:
+        own: This balancer.
+        settings: Size and pace.
+        listed: Upstreams of the endpoint list, by name.
+        eligible: Those of them that flap damping does not suppress.
+        flap_damping: Penalties of upstreams that come and go.
+        view: Views of the fleet.
+        active: Upstreams in use, with the time since when.
+        target: What the subset is to become.
+        extra: Upstreams used beyond the target, while too few of it are usable.
+    """
+
+    def __init__(self, own: Participant, settings: SubsetSettings) -> None:
+        self.own = own
+        self.settings = settings
         self.listed: dict[str, Participant] = {}
-        self.eligible: dict[str, Participant] = {}  # of these, those that don't rest from flapping
+        self.eligible: dict[str, Participant] = {}
         self.flap_damping = FlapDamping()
-        self.trusted_view: tuple[Participant, ...] = ()
-        self.doubtful_view: tuple[Participant, ...] = ()
-        self.doubtful_since = 0  # since when
-        self.active: dict[str, int] = {}  # since when each
-        self.target_weights: dict[str, float] = {}  # weights
-        self.own_ranking: list[str] = []  # all, by this one's own ranks
-        self.extra = 0  # how many more than wanted
-        self.published: dict[str, float] = {}  # weights
-        self.next_step_at = 0  # when it may step again
-        self.target_stale = True
-        self.source, self.balancers = "name", terms.balancers
-        self.demand_share = 1.0 / terms.balancers  # of all demand, this one's
-
-    # What is told.
-
-    def update_view(self, now: int, balancers: Sequence[Participant], trusted: bool) -> None:
-        """The settled view, this one in it. Not sure: it may be that of a part cut off, or old."""
-        told = tuple(sorted(fill_unknown_demand(balancers), key=lambda party: party.name))
-        if trusted:
-            self.target_stale = self.target_stale or told != self.trusted_view or bool(self.doubtful_view)
-            self.trusted_view, self.doubtful_view = told, ()
-        elif told != self.doubtful_view:
-            self.doubtful_since = self.doubtful_since if self.doubtful_view else now
-            self.doubtful_view, self.target_stale = told, True
-
-    def follow_membership(self, now: int, settled, latest) -> None:
-        """By membership: its settled view, and the latest, which tells whether that is to be doubted."""
-        parties = [Participant(m.name, m.zone, m.weight) for m in settled.members if m.state != "unreached"]
-        self.update_view(
-            now,
-            parties,
-            trusted=not (settled.possibly_partitioned or latest.possibly_partitioned or latest.exclusion),
-        )
+        self.view = FleetView()
+        self.active: dict[str, int] = {}
+        self.target = TargetSubset()
+        self.extra = 0
+        self._target_stale = True
+        self._next_step_at = 0
+        self._published: dict[str, float] = {}  # weights
+
+    # Input.
+
+    def update_view(self, now: int, balancers: Sequence[Participant], *, trusted: bool) -> None:
+        """Take the settled view of the fleet.
+
+        Args:
+            now: Microseconds.
+            balancers: All balancers, this one among them.
+            trusted: False if the view may be that of one side of a partition, or outdated.
+        """
+        if self.view.update(now, balancers, trusted=trusted):
+            self._target_stale = True
+
+    def follow_membership(self, now: int, settled: Membership, latest: Membership) -> None:
+        """Take the settled view of membership; the latest one tells whether it is to be doubted."""
+        balancers = [
+            Participant(member.name, member.zone, member.weight)
+            for member in settled.members
+            if member.state != UNREACHED
+        ]
+        doubtful = settled.possibly_partitioned or latest.possibly_partitioned or latest.exclusion
+        self.update_view(now, balancers, trusted=not doubtful)
 
     def update_upstreams(self, now: int, upstreams: Sequence[Participant]) -> None:
-        """All that can be used, as the list has them."""
-        told = {party.name: party for party in upstreams}
-        if told == self.listed:
+        """Take all upstreams of the endpoint list that can be used."""
+        listed = {upstream.name: upstream for upstream in upstreams}
+        if listed == self.listed:
             return
-        gone = [name for name in self.listed if name not in told]
-        if len(gone) < len(self.listed) * FLAPS:  # else it is the list that has changed, not they
+        gone = [name for name in self.listed if name not in listed]
+        if len(gone) < len(self.listed) * MAX_FLAPPING_FRACTION:
             self.flap_damping.record_departures(now, gone)
-        self.listed = told
-        self.apply_flap_damping(now)
-
-    def apply_flap_damping(self, now: int) -> None:
-        rest = self.flap_damping.suppress(now, self.listed)
-        made = {name: party for name, party in self.listed.items() if name not in rest}
-        if made != self.eligible:
-            self.eligible, self.target_stale = made, True
+        self.listed = listed
+        self._apply_flap_damping(now)
 
     def adjust_width(self, usable: int) -> None:
-        """How many of those in use can be sent to now. Each widens along its own ranks: not all onto the same
-        few. It narrows again once enough of the wanted ones serve."""
-        size = max(1, len(self.target_weights))
-        most = round(size * (self.settings.max_widening - 1))
-        if usable < self.settings.widen_threshold * size and self.extra < most:
-            self.extra = min(most, self.extra + max(1, round(size * self.settings.move_fraction)))
+        """Widen the subset while too few of its upstreams are usable, and narrow it again afterwards.
+
+        Each balancer widens along its own ranks, so that not all use the same few.
+
+        Args:
+            usable: Upstreams in use that requests can be sent to.
+        """
+        size = max(1, len(self.target.weights))
+        max_extra = round(size * (self.settings.max_widening - 1))
+        if usable < self.settings.widen_threshold * size and self.extra < max_extra:
+            increase = max(1, round(size * self.settings.move_fraction))
+            self.extra = min(max_extra, self.extra + increase)
         elif self.extra and usable >= size + self.extra - 1:
             self.extra -= 1
 
-    # What comes of it.
+    # Output.
 
     def step(self, now: int, pinned: frozenset[str] = frozenset()) -> ActiveSubset | None:
-        """The subset, where it has changed. `pinned` are not dropped: an operator holds them."""
-        if self.doubtful_view and now >= self.doubtful_since + self.settings.doubt_hold:
-            self.trusted_view, self.doubtful_view, self.target_stale = self.doubtful_view, (), True
-        if self.flap_damping.suppressed:
-            self.apply_flap_damping(now)
-        if self.target_stale:
-            self.recompute_target()
+        """Move the subset towards its target.
+
+        Args:
+            now: Microseconds.
+            pinned: Upstreams that are not dropped, as an operator has excluded them from traffic.
+
+        Returns:
+            The subset if it has changed, None otherwise.
+        """
+        self._refresh_target(now)
+        wanted = self._widened_target()
         lost = [name for name in self.active if name not in self.eligible]
-        wanted = self.widened_targets()
-        if (
-            not lost
-            and now < self.next_step_at
-            and len(self.active) >= min(len(wanted), self.settings.min_size)
-        ):
+        enough = min(len(wanted), self.settings.min_size)
+        if not lost and now < self._next_step_at and len(self.active) >= enough:
             return None
-        self.next_step_at = now + self.settings.step_interval
+        self._next_step_at = now + self.settings.step_interval
         for name in lost:
             del self.active[name]
         bound = max(1, round(len(wanted) * self.settings.move_fraction))
         missing = [name for name in wanted if name not in self.active]
+        added = self._add(now, wanted, missing, bound)
+        dropped: list[str] = []
+        if not missing or len(self.active) > len(wanted):
+            dropped = self._drop(now, wanted, pinned, bound)
+        return self._publish(added, lost + dropped)
+
+    def _apply_flap_damping(self, now: int) -> None:
+        suppressed = self.flap_damping.suppress(now, self.listed)
+        eligible = {name: upstream for name, upstream in self.listed.items() if name not in suppressed}
+        if eligible != self.eligible:
+            self.eligible = eligible
+            self._target_stale = True
+
+    def _refresh_target(self, now: int) -> None:
+        if self.view.trust_after(now, self.settings.doubt_hold):
+            self._target_stale = True
+        if self.flap_damping.suppressed:
+            self._apply_flap_damping(now)
+        if self._target_stale:
+            self._target_stale = False
+            views = self.view.containing(self.own.name)
+            self.target = compute_target(self.own, self.settings, views, self.eligible)
+
+    def _widened_target(self) -> list[str]:
+        """Return the target's upstreams, and the next ones by this balancer's ranks."""
+        others = [name for name in self.target.ranking if name not in self.target.weights]
+        return [*self.target.weights, *others[: self.extra]]
+
+    def _add(self, now: int, wanted: list[str], missing: list[str], bound: int) -> list[str]:
+        """Put missing upstreams to use: `bound` of them, or as many as the subset lacks in size."""
         lacking = len(wanted) - len(self.active)
         added = missing[: max(bound, lacking)]
         self.active.update(dict.fromkeys(added, now))
+        return added
+
+    def _drop(self, now: int, wanted: list[str], pinned: frozenset[str], bound: int) -> list[str]:
+        """Drop unwanted upstreams: at most `bound`, and as many as settled ones replace."""
         leaving = [name for name in self.active if name not in wanted and name not in pinned]
-        fresh = sum(now - since < self.settings.settle_time for since in self.active.values())
-        spare = max(0, min(bound, len(self.active) - fresh - (len(wanted) - bound)))
-        dropped = leaving[:spare] if not missing or len(self.active) > len(wanted) else []
+        unsettled = sum(now - since < self.settings.settle_time for since in self.active.values())
+        least = len(wanted) - bound
+        spare = max(0, min(bound, len(self.active) - unsettled - least))
+        dropped = leaving[:spare]
         for name in dropped:
             del self.active[name]
-        made = self.build_subset(added, lost + dropped)
-        before, self.published = self.published, made.weights
-        if made.weights.keys() == before.keys() and all(
-            abs(weight - before[name]) <= CLOSE * weight for name, weight in made.weights.items()
+        return dropped
+
+    def _publish(self, added: list[str], dropped: list[str]) -> ActiveSubset | None:
+        """Return the subset, unless it differs from the last one by small changes of weights alone."""
+        weights = self._active_weights()
+        before = self._published
+        if weights.keys() == before.keys() and all(
+            abs(weight - before[name]) <= WEIGHT_TOLERANCE * weight for name, weight in weights.items()
         ):
-            self.published = before
             return None
-        return made
+        self._published = weights
+        share_of_pool = self.target.demand_share * len(self.eligible)
+        return ActiveSubset(
+            weights=weights,
+            added=added,
+            dropped=dropped,
+            source=self.target.source,
+            balancers=self.target.balancers,
+            balancers_per_upstream=len(weights) / max(SMALLEST_SHARE, share_of_pool),
+        )
 
-    def build_subset(self, added: list[str], dropped: list[str]) -> ActiveSubset:
-        mean = sum(self.target_weights.values()) / max(1, len(self.target_weights))
-        weights = {name: self.target_weights.get(name, mean) for name in self.active}
+    def _active_weights(self) -> dict[str, float]:
+        """Return the weights of the upstreams in use, scaled so that their mean is 1."""
+        target = self.target.weights
+        mean = sum(target.values()) / max(1, len(target))
+        weights = {name: target.get(name, mean) for name in self.active}
         scale = len(weights) / (sum(weights.values()) or 1.0)
-        made = {name: weight * scale for name, weight in weights.items()}
-        sharing = len(made) / max(1e-9, self.demand_share * len(self.eligible))
-        return ActiveSubset(made, added, dropped, self.source, self.balancers, sharing)
-
-    def widened_targets(self) -> list[str]:
-        """The wanted ones, and the next of its own ranks."""
-        more = [name for name in self.own_ranking if name not in self.target_weights][: self.extra]
-        return [*self.target_weights, *more]
-
-    def recompute_target(self) -> None:
-        self.target_stale = False
-        names = sorted(self.eligible)
-        own = ranks([self.own.name], names)[0] if names else ()
-        self.own_ranking = [name for _, name in sorted(zip(own, names, strict=True), reverse=True)]
-        views = [
-            view
-            for view in (self.trusted_view, self.doubtful_view)
-            if any(p.name == self.own.name for p in view)
-        ]
-        self.source = ("name", self.settings.source, "both")[len(views)]
-        self.balancers = max((len(view) for view in views), default=self.settings.balancers)
-        # In doubt the smaller part: the larger would let in what the others may still be sending.
-        normalized_weights = (
-            sum(p.weight for p in view if p.name == self.own.name) / sum(p.weight for p in view)
-            for view in views
-        )
-        self.demand_share = min(normalized_weights, default=1.0 / self.settings.balancers)
-        if not views:
-            return self.target_without_view()
-        made: dict[str, float] = {}
-        for view in views:
-            terms, pool = self.settings, list(self.eligible.values())
-            relation = assign_subsets(view, pool, terms.min_size, terms.by_zone, terms.degree)
-            for name, part in relation.subset_of(self.own.name).items():
-                made[name] = made.get(name, 0.0) + part / len(views)
-        self.target_weights = made
-
-    def target_without_view(self) -> None:
-        """By the own name, and how many others there are said to be: as uneven as chance makes it."""
-        others = [Participant(f"{self.own.name} {n}") for n in range(1, self.settings.balancers)]
-        terms, pool = self.settings, list(self.eligible.values())
-        relation = assign_subsets([self.own, *others], pool, terms.min_size, degree=terms.degree)
-        chosen = self.own_ranking[: len(relation.subset_of(self.own.name))]
-        total = sum(self.eligible[name].weight for name in chosen) or 1.0
-        self.target_weights = {name: self.eligible[name].weight / total for name in chosen}
+        return {name: weight * scale for name, weight in weights.items()}
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -14,7 +14,7 @@
 from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.subsets import Subsets  # noqa: E402
-from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
+from dahliabend.subsetting.settings import SubsetSettings  # noqa: E402
 
 CALM, AFTER, LAST = 40, 60, 30  # seconds
 
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -20,7 +20,7 @@
 from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
 from dahliabend.simulation.cluster.work import Work, names  # noqa: E402
-from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
+from dahliabend.subsetting.settings import SubsetSettings  # noqa: E402
 
 MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
 REJECTED = {"uneven": 450.0, "most": 120.0}  # another rate
--- a/tests/simulation/cluster/test_subsets.py
+++ b/tests/simulation/cluster/test_subsets.py
@@ -5,7 +5,7 @@
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.subsets import Subsets
-from dahliabend.subsetting.controller import SubsetSettings
+from dahliabend.subsetting.settings import SubsetSettings
 
 
 def fleet(seed=0, many=30, pool=24):
--- a/tests/simulation/cluster/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -10,7 +10,7 @@
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.work import Work
-from dahliabend.subsetting.controller import SubsetSettings
+from dahliabend.subsetting.settings import SubsetSettings
 
 MANY, POOL = 20, 30
 SUBSETS = SubsetSettings(min_size=8, degree=8, balancers=MANY)
--- /dev/null
+++ b/tests/subsetting/participants.py
@@ -0,0 +1,11 @@
+"""Balancers and upstreams by number."""
+
+from collections.abc import Iterable
+
+from dahliabend.subsetting.selection import Participant
+
+SECOND = 1_000_000
+
+
+def participants(prefix: str, numbers: Iterable[int]) -> list[Participant]:
+    return [Participant(f"{prefix}{number}") for number in numbers]
--- a/tests/subsetting/test_controller.py
+++ b/tests/subsetting/test_controller.py
@@ -1,151 +1,165 @@
-"""A subset over time: never too few, never by leaps, widened by doubt and by what is held back."""
+"""A subset over time: never too small, changed in small steps, widened while much of it is unusable."""
 
+from collections.abc import Iterable
 from random import Random
 
 import pytest
+from participants import SECOND, participants
 
-from dahliabend.subsetting.controller import SubsetController, SubsetSettings
+from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant, assign_subsets
-
-S = 1_000_000
-
-
-def parties(of, numbers):
-    return [Participant(f"{of}{n}") for n in numbers]
-
-
-def keeper(balancers=20, upstreams=60, now=S, **terms):
-    made = SubsetController(Participant("b0"), SubsetSettings(**terms))
-    made.update_view(now, parties("b", range(balancers)), trusted=True)
-    made.update_upstreams(now, parties("u", range(upstreams)))
-    return made
-
-
-def run(made, now, beats, pinned=frozenset()):
-    steps = []
-    for beat in range(beats):
-        said = made.step(now + beat * S, pinned)
-        if said is not None:
-            steps.append(said)
-    return steps
-
-
-def wanted(balancers, upstreams):
-    return set(assign_subsets(parties("b", balancers), parties("u", upstreams)).subset_of("b0"))
-
-
-def test_the_first_is_whole_at_once_and_its_weights_are_the_choices():
-    made = keeper()
-    said = made.step(S)
-    assert set(said.weights) == wanted(range(20), range(60)) and said.source == "members"
-    assert sum(said.weights.values()) == pytest.approx(len(said.weights)) and made.step(3 * S) is None
-
-
-def test_moves_are_gentle_and_never_below_the_size():
-    made = keeper()
-    size = len(made.step(S).weights)
-    made.update_view(2 * S, parties("b", [0, *range(100, 119)]), trusted=True)
-    made.update_upstreams(2 * S, parties("u", range(10, 75)))  # ten go, fifteen come
-    steps = run(made, 3 * S, 60)
-    target = wanted([0, *range(100, 119)], range(10, 75))
-    assert set(made.active) == target
-    for said in steps[1:]:  # the first replaces those that are gone
-        assert len(said.added) <= max(2, size // 8 + 1) and len(said.dropped) <= size // 8 + 1
-        assert len(said.weights) >= min(size, len(target)) - size // 8 - 1
-
-
-def test_a_pool_replaced_as_a_whole_is_followed_without_a_moment_of_too_few():
-    made = keeper(upstreams=40)
-    least = len(made.step(S).weights)
+from dahliabend.subsetting.settings import SubsetSettings
+
+
+def controller_at_start(balancers: int = 20, upstreams: int = 60) -> SubsetController:
+    controller = SubsetController(Participant("b0"), SubsetSettings())
+    controller.update_view(SECOND, participants("b", range(balancers)), trusted=True)
+    controller.update_upstreams(SECOND, participants("u", range(upstreams)))
+    return controller
+
+
+def run(
+    controller: SubsetController, now: int, steps: int, pinned: frozenset[str] = frozenset()
+) -> list[ActiveSubset]:
+    """Step once a second, and return the subsets published."""
+    published = []
+    for step in range(steps):
+        subset = controller.step(now + step * SECOND, pinned)
+        if subset is not None:
+            published.append(subset)
+    return published
+
+
+def subset_in_view(balancers: Iterable[int], upstreams: Iterable[int]) -> set[str]:
+    assignment = assign_subsets(participants("b", balancers), participants("u", upstreams))
+    return set(assignment.subset_of("b0"))
+
+
+def test_first_subset_is_complete_with_the_weights_of_the_assignment():
+    controller = controller_at_start()
+    subset = controller.step(SECOND)
+    assert set(subset.weights) == subset_in_view(range(20), range(60))
+    assert subset.source == "members"
+    assert sum(subset.weights.values()) == pytest.approx(len(subset.weights))
+    assert controller.step(3 * SECOND) is None
+
+
+def test_changes_are_bounded_and_the_subset_never_falls_below_its_size():
+    controller = controller_at_start()
+    size = len(controller.step(SECOND).weights)
+    controller.update_view(2 * SECOND, participants("b", [0, *range(100, 119)]), trusted=True)
+    controller.update_upstreams(2 * SECOND, participants("u", range(10, 75)))  # ten leave, fifteen join
+    subsets = run(controller, 3 * SECOND, 60)
+    target = subset_in_view([0, *range(100, 119)], range(10, 75))
+    assert set(controller.active) == target
+    for subset in subsets[1:]:  # the first replaces those that have left
+        assert len(subset.added) <= max(2, size // 8 + 1)
+        assert len(subset.dropped) <= size // 8 + 1
+        assert len(subset.weights) >= min(size, len(target)) - size // 8 - 1
+
+
+def test_pool_that_is_replaced_leaves_the_subset_large_enough_at_any_time():
+    controller = controller_at_start(upstreams=40)
+    size = len(controller.step(SECOND).weights)
     for second in range(7):
-        gone = range(4 * (second + 1))
-        made.update_upstreams(
-            (2 + second) * S, parties("u", [*range(len(gone), 40), *range(100, 100 + len(gone))])
-        )
-        said = made.step((2 + second) * S)
-        assert said is None or len(said.weights) >= least * 7 // 8
-        assert set(made.active) <= set(made.eligible)
-
-
-def test_a_view_that_may_be_cut_off_narrows_nothing_until_it_has_held():
-    made = keeper(balancers=40)
-    before = set(made.step(S).weights)
-    made.update_view(2 * S, parties("b", range(15)), trusted=False)
-    run(made, 3 * S, 30)
-    assert before <= set(made.active) and wanted(range(15), range(60)) <= set(made.active)
-    made.update_view(40 * S, parties("b", range(40)), trusted=True)
-    run(made, 41 * S, 40)
-    assert set(made.active) == before
-    made.update_view(100 * S, parties("b", range(15)), trusted=False)
-    run(made, 101 * S, 120)
-    assert set(made.active) == wanted(range(15), range(60)) and made.source == "members"
-
-
-def test_held_back_it_widens_along_its_own_ranks_and_comes_back():
-    made = keeper(balancers=60)
-    size = len(made.step(S).weights)
-    for beat in range(20):
-        made.adjust_width(2)
-        made.step((3 + beat) * S)
-    assert len(made.active) == 2 * size
-    other = SubsetController(Participant("b1"), made.settings)
-    other.update_view(S, parties("b", range(60)), trusted=True)
-    other.update_upstreams(S, parties("u", range(60)))
-    other.step(S)
-    for beat in range(20):
+        replaced = 4 * (second + 1)
+        listed = participants("u", [*range(replaced, 40), *range(100, 100 + replaced)])
+        controller.update_upstreams((2 + second) * SECOND, listed)
+        subset = controller.step((2 + second) * SECOND)
+        assert subset is None or len(subset.weights) >= size * 7 // 8
+        assert set(controller.active) <= set(controller.eligible)
+
+
+def test_doubtful_view_narrows_nothing_until_it_has_lasted():
+    controller = controller_at_start(balancers=40)
+    before = set(controller.step(SECOND).weights)
+    controller.update_view(2 * SECOND, participants("b", range(15)), trusted=False)
+    run(controller, 3 * SECOND, 30)
+    assert before <= set(controller.active)
+    assert subset_in_view(range(15), range(60)) <= set(controller.active)
+    controller.update_view(40 * SECOND, participants("b", range(40)), trusted=True)
+    run(controller, 41 * SECOND, 40)
+    assert set(controller.active) == before
+    controller.update_view(100 * SECOND, participants("b", range(15)), trusted=False)
+    run(controller, 101 * SECOND, 120)
+    assert set(controller.active) == subset_in_view(range(15), range(60))
+    assert controller.target.source == "members"
+
+
+def test_subset_with_few_usable_upstreams_widens_along_its_own_ranks_and_narrows_again():
+    controller = controller_at_start(balancers=60)
+    size = len(controller.step(SECOND).weights)
+    for second in range(20):
+        controller.adjust_width(2)
+        controller.step((3 + second) * SECOND)
+    assert len(controller.active) == 2 * size
+    other = SubsetController(Participant("b1"), controller.settings)
+    other.update_view(SECOND, participants("b", range(60)), trusted=True)
+    other.update_upstreams(SECOND, participants("u", range(60)))
+    other.step(SECOND)
+    for second in range(20):
         other.adjust_width(2)
-        other.step((3 + beat) * S)
-    assert len(set(made.active) & set(other.active)) < 1.6 * size  # not all onto the same few
-    for beat in range(60):
-        made.adjust_width(len(made.active))
-        made.step((30 + beat) * S)
-    assert set(made.active) == wanted(range(60), range(60))
-
-
-def test_other_weights_alone_are_told_too():
-    """A fleet whose sets had come to rest kept weights of an earlier view: 1.11 of the mean for good."""
-    made = keeper()
-    before = made.step(S).weights
-    made.update_view(
-        2 * S, [Participant(f"b{n}", weight=5.0 if n == 3 else 1.0) for n in range(20)], trusted=True
-    )
-    told = run(made, 3 * S, 40)
-    assert told and made.step(60 * S) is None
-    target = assign_subsets(list(made.trusted_view), parties("u", range(60))).subset_of("b0")
-    last, total = told[-1].weights, sum(told[-1].weights.values())
-    assert last != before and all(last[n] / total == pytest.approx(target[n], rel=0.05) for n in target)
-
-
-def test_without_a_view_it_goes_by_its_name_and_says_so():
-    made = SubsetController(Participant("b0"), SubsetSettings(balancers=20))
-    made.update_upstreams(S, parties("u", range(60)))
-    said = made.step(S)
-    assert (
-        said.source == "name"
-        and 12 <= len(said.weights) < 60
-        and set(said.weights) == set(made.own_ranking[: len(said.weights)])
-    )
-
-
-def test_one_that_an_operator_holds_stays_and_an_empty_list_is_followed():
-    made = keeper()
-    held = frozenset([next(iter(made.step(S).weights))])
-    made.update_view(2 * S, parties("b", [0, *range(200, 219)]), trusted=True)
-    run(made, 3 * S, 60, held)
-    assert held <= set(made.active)
-    made.update_upstreams(99 * S, [])
-    assert made.step(100 * S).weights == {} and made.step(103 * S) is None
-    made.update_upstreams(104 * S, parties("u", range(5)))
-    assert len(made.step(105 * S).weights) == 5
-
-
-def test_a_balancer_that_flaps_moves_little_over_a_minute():
-    made, chance = keeper(balancers=40), Random(3)
-    made.step(S)
+        other.step((3 + second) * SECOND)
+    assert len(set(controller.active) & set(other.active)) < 1.6 * size, "not all along the same ranks"
+    for second in range(60):
+        controller.adjust_width(len(controller.active))
+        controller.step((30 + second) * SECOND)
+    assert set(controller.active) == subset_in_view(range(60), range(60))
+
+
+def test_changed_weights_alone_are_published_too():
+    """A fleet at rest would otherwise keep the weights of an earlier view for good."""
+    controller = controller_at_start()
+    before = controller.step(SECOND).weights
+    balancers = [Participant(f"b{n}", weight=5.0 if n == 3 else 1.0) for n in range(20)]
+    controller.update_view(2 * SECOND, balancers, trusted=True)
+    published = run(controller, 3 * SECOND, 40)
+    assert published
+    assert controller.step(60 * SECOND) is None
+    assignment = assign_subsets(list(controller.view.trusted), participants("u", range(60)))
+    target = assignment.subset_of("b0")
+    weights = published[-1].weights
+    total = sum(weights.values())
+    assert weights != before
+    assert all(weights[name] / total == pytest.approx(target[name], rel=0.05) for name in target)
+
+
+def test_without_a_view_the_subset_goes_by_the_own_name():
+    controller = SubsetController(Participant("b0"), SubsetSettings(balancers=20))
+    controller.update_upstreams(SECOND, participants("u", range(60)))
+    subset = controller.step(SECOND)
+    assert subset.source == "name"
+    assert 12 <= len(subset.weights) < 60
+    assert set(subset.weights) == set(controller.target.ranking[: len(subset.weights)])
+
+
+def test_pinned_upstream_is_not_dropped():
+    controller = controller_at_start()
+    pinned = frozenset([next(iter(controller.step(SECOND).weights))])
+    controller.update_view(2 * SECOND, participants("b", [0, *range(200, 219)]), trusted=True)
+    run(controller, 3 * SECOND, 60, pinned)
+    assert pinned <= set(controller.active)
+
+
+def test_empty_list_is_followed():
+    controller = controller_at_start()
+    pinned = frozenset([next(iter(controller.step(SECOND).weights))])
+    controller.update_view(2 * SECOND, participants("b", [0, *range(200, 219)]), trusted=True)
+    run(controller, 3 * SECOND, 60, pinned)
+    controller.update_upstreams(99 * SECOND, [])
+    assert controller.step(100 * SECOND).weights == {}
+    assert controller.step(103 * SECOND) is None
+    controller.update_upstreams(104 * SECOND, participants("u", range(5)))
+    assert len(controller.step(105 * SECOND).weights) == 5
+
+
+def test_balancer_that_flaps_for_a_minute_moves_little():
+    controller, random = controller_at_start(balancers=40), Random(3)
+    controller.step(SECOND)
     moved = 0
     for second in range(60):
-        there = [n for n in range(40) if n != 7 or chance.random() < 0.5]
-        made.update_view((2 + second) * S, parties("b", there), trusted=True)
-        said = made.step((2 + second) * S)
-        moved += len(said.added) + len(said.dropped) if said else 0
-    assert moved <= 2 * len(made.active)
+        present = [n for n in range(40) if n != 7 or random.random() < 0.5]
+        controller.update_view((2 + second) * SECOND, participants("b", present), trusted=True)
+        subset = controller.step((2 + second) * SECOND)
+        moved += len(subset.added) + len(subset.dropped) if subset else 0
+    assert moved <= 2 * len(controller.active)
--- a/tests/subsetting/test_flap_damping.py
+++ b/tests/subsetting/test_flap_damping.py
@@ -1,60 +1,62 @@
-"""Upstreams that flap rest at each return, and none for good."""
+"""Upstreams that flap are suppressed at each return, and none for good."""
 
-from dahliabend.subsetting.controller import SubsetController, SubsetSettings
+from participants import SECOND, participants
+
+from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.flap_damping import FlapDamping
 from dahliabend.subsetting.selection import Participant
-
-S = 1_000_000
-
-
-def parties(of, numbers):
-    return [Participant(f"{of}{n}") for n in numbers]
-
-
-def test_one_that_flaps_rests_and_is_back_once_it_has_stayed():
-    flaps, names = FlapDamping(), [f"u{n}" for n in range(16)]
-    for turn in range(20):
-        flaps.record_departures(S + 3 * turn * S, ["u3"])
-        rest = flaps.suppress(S + (3 * turn + 1) * S, names)
-        assert rest == (set() if turn < 2 else {"u3"})
-    assert (
-        flaps.suppress(58 * S + 30 * S, names) == {"u3"} and flaps.suppress(58 * S + 45 * S, names) == set()
-    )
-
-
-def test_two_restarts_far_apart_cost_nothing_and_a_part_of_the_pool_rests_at_the_most():
-    flaps, names = FlapDamping(), [f"u{n}" for n in range(16)]
-    for turn in range(4):
-        flaps.record_departures(S + 60 * turn * S, names)
-        assert flaps.suppress(2 * S + 60 * turn * S, names) == set()
-    for turn in range(6):
-        flaps.record_departures(400 * S + 2 * turn * S, names)
-    assert len(flaps.suppress(412 * S, names)) == 2
-    assert flaps.suppress(600 * S, names) == set() and not flaps.penalties
-
-
-def test_a_flapping_upstream_moves_little_over_a_minute():
-    """Else twenty turns would move some forty fair shares of pairs over the fleet."""
-    keepers = [
-        SubsetController(Participant(f"b{n}"), SubsetSettings(min_size=8, degree=8)) for n in range(20)
-    ]
-    pool, moved = parties("u", range(40)), 0
-    for each in keepers:
-        each.update_view(S, parties("b", range(20)), trusted=True)
-        each.update_upstreams(S, pool)
-        each.step(S)
-    fair = sum("u5" in each.active for each in keepers)
+from dahliabend.subsetting.settings import SubsetSettings
+
+NAMES = [f"u{n}" for n in range(16)]
+
+
+def test_flapping_upstream_is_suppressed_and_used_again_once_it_has_stayed():
+    damping = FlapDamping()
+    for flap in range(20):
+        damping.record_departures(SECOND + 3 * flap * SECOND, ["u3"])
+        suppressed = damping.suppress(SECOND + (3 * flap + 1) * SECOND, NAMES)
+        assert suppressed == (set() if flap < 2 else {"u3"})
+    assert damping.suppress(58 * SECOND + 30 * SECOND, NAMES) == {"u3"}
+    assert damping.suppress(58 * SECOND + 45 * SECOND, NAMES) == set()
+
+
+def test_restarts_far_apart_are_not_suppressed_and_of_a_pool_only_a_fraction_is():
+    damping = FlapDamping()
+    for restart in range(4):
+        damping.record_departures(SECOND + 60 * restart * SECOND, NAMES)
+        assert damping.suppress(2 * SECOND + 60 * restart * SECOND, NAMES) == set()
+    for flap in range(6):
+        damping.record_departures(400 * SECOND + 2 * flap * SECOND, NAMES)
+    assert len(damping.suppress(412 * SECOND, NAMES)) == 2
+    assert damping.suppress(600 * SECOND, NAMES) == set()
+    assert not damping.penalties
+
+
+def test_flapping_upstream_moves_little_over_a_minute():
+    """Twenty flaps would otherwise move some forty fair shares of pairs over the fleet."""
+    settings = SubsetSettings(min_size=8, degree=8)
+    controllers = [SubsetController(Participant(f"b{n}"), settings) for n in range(20)]
+    pool = participants("u", range(40))
+    for controller in controllers:
+        controller.update_view(SECOND, participants("b", range(20)), trusted=True)
+        controller.update_upstreams(SECOND, pool)
+        controller.step(SECOND)
+    fair_share = sum("u5" in controller.active for controller in controllers)
+    moved = 0
     for quarter in range(240):
-        now = 2 * S + quarter * S // 4
-        for each in keepers:
-            each.update_upstreams(now, [party for party in pool if party.name != "u5" or quarter % 12 >= 4])
-            made = each.step(now)
-            moved += len(made.added) + len(made.dropped) if made else 0
-    assert fair and moved <= 3 * 4 * fair + 20
-
-
-def test_a_list_of_which_half_is_missing_marks_nobody():
-    made = SubsetController(Participant("b0"), SubsetSettings())
-    for turn in range(6):
-        made.update_upstreams((1 + turn) * S, parties("u", range(20 if turn % 2 else 40)))
-    assert not made.flap_damping.penalties and not made.flap_damping.suppressed
+        now = 2 * SECOND + quarter * SECOND // 4
+        listed = [upstream for upstream in pool if upstream.name != "u5" or quarter % 12 >= 4]
+        for controller in controllers:
+            controller.update_upstreams(now, listed)
+            subset = controller.step(now)
+            moved += len(subset.added) + len(subset.dropped) if subset else 0
+    assert fair_share
+    assert moved <= 3 * 4 * fair_share + 20
+
+
+def test_list_that_loses_half_at_once_counts_as_no_departures():
+    controller = SubsetController(Participant("b0"), SubsetSettings())
+    for change in range(6):
+        controller.update_upstreams((1 + change) * SECOND, participants("u", range(20 if change % 2 else 40)))
+    assert not controller.flap_damping.penalties
+    assert not controller.flap_damping.suppressed
--- a/tests/subsetting/test_selection.py
+++ b/tests/subsetting/test_selection.py
@@ -1,100 +1,135 @@
-"""Who uses whom: even, never few, moved by little, the same for all that see the same."""
+"""The assignment: even, never too small, changed little by an event, the same for all that see the same."""
+
+from collections.abc import Callable
 
 import numpy as np
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dahliabend.subsetting.selection import MIN_SUBSET_SIZE, Participant, assign_subsets, normalized_weights
+from dahliabend.subsetting.rendezvous import FloatArray
+from dahliabend.subsetting.selection import (
+    MIN_SUBSET_SIZE,
+    Assignment,
+    Participant,
+    assign_subsets,
+    normalized_weights,
+)
+
 
+def fleet(
+    count: int, prefix: str = "b", zones: int = 1, weight: Callable[[int], float] = lambda n: 1.0
+) -> list[Participant]:
+    return [Participant(f"{prefix}{n}", f"z{n % zones}", weight(n)) for n in range(count)]
 
-def fleet(count, of="b", zones=1, weight=lambda n: 1.0):
-    return [Participant(f"{of}{n}", f"z{n % zones}", weight(n)) for n in range(count)]
 
+def by_name(participants: list[Participant]) -> list[Participant]:
+    return sorted(participants, key=lambda participant: participant.name)
 
-def spread(relation, upstreams):
+
+def relative_load(assignment: Assignment, upstreams: list[Participant]) -> FloatArray:
     """The load of each upstream over its capacity."""
-    return relation.shares.sum(axis=0) / normalized_weights(sorted(upstreams, key=lambda party: party.name))
+    return assignment.shares.sum(axis=0) / normalized_weights(by_name(upstreams))
 
 
-@pytest.mark.parametrize(("many", "pool"), [(1, 500), (500, 3), (200, 100), (7, 5), (100, 100), (40, 60)])
-def test_equal_demand_loads_all_the_same(many, pool):
+@pytest.mark.parametrize(
+    ("balancers", "pool"), [(1, 500), (500, 3), (200, 100), (7, 5), (100, 100), (40, 60)]
+)
+def test_equal_demand_loads_all_upstreams_alike(balancers, pool):
     upstreams = fleet(pool, "u")
-    made = assign_subsets(fleet(many), upstreams)
-    assert spread(made, upstreams).max() <= 1.05
-    assert (made.shares > 0).sum(axis=1).min() >= min(MIN_SUBSET_SIZE, pool)
-    assert made.shares.sum() == pytest.approx(1)
+    assignment = assign_subsets(fleet(balancers), upstreams)
+    assert relative_load(assignment, upstreams).max() <= 1.05
+    assert (assignment.shares > 0).sum(axis=1).min() >= min(MIN_SUBSET_SIZE, pool)
+    assert assignment.shares.sum() == pytest.approx(1)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(
-    st.integers(1, 60), st.integers(1, 60), st.integers(1, 4), st.integers(0, 2**32), st.booleans(),
-)  # fmt: skip
-def test_whatever_the_fleet_nobody_is_left_without_and_all_is_spread(many, pool, zones, seed, by_zone):
-    chance = np.random.default_rng(seed)
-    upstreams = fleet(pool, "u", zones, lambda n: float(chance.uniform(1, 4)))
-    balancers = fleet(many, "b", zones, lambda n: float(chance.uniform(1, 5)))
-    made = assign_subsets(balancers, upstreams, zones=by_zone)
-    rows, load = (made.shares > 0).sum(axis=1), spread(made, upstreams)
-    assert rows.min() >= 1 and np.isfinite(made.shares).all() and made.shares.min() >= 0
-    assert made.shares.sum(axis=1) == pytest.approx(
-        normalized_weights(sorted(balancers, key=lambda b: b.name))
-    )
+@given(st.integers(1, 60), st.integers(1, 60), st.integers(1, 4), st.integers(0, 2**32), st.booleans())
+def test_in_any_fleet_no_balancer_is_left_without_and_all_demand_is_assigned(
+    count, pool, zones, seed, by_zone
+):
+    random = np.random.default_rng(seed)
+    upstreams = fleet(pool, "u", zones, lambda n: float(random.uniform(1, 4)))
+    balancers = fleet(count, "b", zones, lambda n: float(random.uniform(1, 5)))
+    assignment = assign_subsets(balancers, upstreams, zones=by_zone)
+    sizes = (assignment.shares > 0).sum(axis=1)
+    assert sizes.min() >= 1
+    assert np.isfinite(assignment.shares).all()
+    assert assignment.shares.min() >= 0
+    assert assignment.shares.sum(axis=1) == pytest.approx(normalized_weights(by_name(balancers)))
     if not by_zone:
-        assert load.max() <= 1.15 and rows.min() >= min(MIN_SUBSET_SIZE, pool)
+        assert relative_load(assignment, upstreams).max() <= 1.15
+        assert sizes.min() >= min(MIN_SUBSET_SIZE, pool)
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(2, 80), st.integers(2, 80), st.randoms(use_true_random=False))
-def test_order_does_not_matter_and_an_event_moves_about_two_fair_shares(many, pool, chance):
-    balancers, upstreams = fleet(many), fleet(pool, "u")
+def test_order_does_not_matter_and_an_event_moves_about_two_fair_shares(count, pool, random):
+    balancers, upstreams = fleet(count), fleet(pool, "u")
     pairs = assign_subsets(balancers, upstreams).pairs()
-    chance.shuffle(balancers)
-    chance.shuffle(upstreams)
+    random.shuffle(balancers)
+    random.shuffle(upstreams)
     assert assign_subsets(balancers, upstreams).pairs() == pairs
-    for one, other, count in ((balancers[1:], upstreams, many), (balancers, upstreams[1:], pool)):
-        moved = len(pairs ^ assign_subsets(one, other).pairs())
-        assert moved <= 2 * len(pairs) / count + 4 * (len(pairs) / count) ** 0.5 + 2
+    for fewer_balancers, fewer_upstreams, number in (
+        (balancers[1:], upstreams, count),
+        (balancers, upstreams[1:], pool),
+    ):
+        moved = len(pairs ^ assign_subsets(fewer_balancers, fewer_upstreams).pairs())
+        fair_share = len(pairs) / number
+        assert moved <= 2 * fair_share + 4 * fair_share**0.5 + 2
 
 
-def test_own_zone_first_and_others_only_for_what_it_cannot_bear():
+def test_own_zone_comes_first_and_others_only_for_what_it_cannot_bear():
     upstreams = fleet(40, "u", 4)
-    made = assign_subsets(fleet(40, "b", 4), upstreams, zones=True)
-    assert all(a[1:].isdigit() and int(a[1:]) % 4 == int(b[1:]) % 4 for a, b in made.pairs())
-    crowded = [Participant(f"b{n}", "z0") for n in range(20)]
-    load = spread(assign_subsets(crowded, upstreams, zones=True), upstreams)
-    assert load.max() <= 1.15 and load.min() >= 0.9
+    assignment = assign_subsets(fleet(40, "b", 4), upstreams, zones=True)
+    assert all(
+        balancer[1:].isdigit() and int(balancer[1:]) % 4 == int(upstream[1:]) % 4
+        for balancer, upstream in assignment.pairs()
+    )
+    all_in_one_zone = [Participant(f"b{n}", "z0") for n in range(20)]
+    load = relative_load(assign_subsets(all_in_one_zone, upstreams, zones=True), upstreams)
+    assert load.max() <= 1.15
+    assert load.min() >= 0.9
 
 
-def test_one_that_comes_or_goes_opens_no_ways_between_zones():
-    """A zone with one balancer less has some demand less: told on exactly, all would use other zones' too."""
+def test_one_event_opens_no_flows_between_zones():
+    """With exact flows one balancer less would make its zone use upstreams of all other zones."""
     balancers, upstreams = fleet(40, "b", 2), fleet(60, "u", 2)
     pairs = assign_subsets(balancers, upstreams, zones=True).pairs()
-    for one, other in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
-        assert len(pairs ^ assign_subsets(one, other, zones=True).pairs()) <= 4 * len(pairs) / 40
+    for fewer_balancers, fewer_upstreams in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
+        after = assign_subsets(fewer_balancers, fewer_upstreams, zones=True).pairs()
+        assert len(pairs ^ after) <= 4 * len(pairs) / 40
 
 
-def test_two_views_one_event_apart_still_add_up():
-    """Half of the balancers know of one more that came or went, or of an upstream."""
+def test_load_stays_even_while_half_of_the_balancers_know_of_an_event():
     balancers, upstreams = fleet(60), fleet(40, "u")
-    for other_b, other_u in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
-        one, other = assign_subsets(balancers, upstreams), assign_subsets(other_b, other_u)
-        load = dict.fromkeys((party.name for party in upstreams), 0.0)
-        for number, party in enumerate(other_b):
-            made = one if number % 2 else other
-            for name, part in made.subset_of(party.name).items():
-                load[name] += part / len(other_b)
-        seen_by_all = [part for name, part in load.items() if name in {p.name for p in other_u}]
-        assert max(seen_by_all) / (sum(seen_by_all) / len(seen_by_all)) <= 1.25
-
-
-def test_names_that_sort_badly_or_weigh_nothing_do_no_harm():
+    for known_balancers, known_upstreams in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
+        before = assign_subsets(balancers, upstreams)
+        after = assign_subsets(known_balancers, known_upstreams)
+        load = dict.fromkeys((upstream.name for upstream in upstreams), 0.0)
+        for number, balancer in enumerate(known_balancers):
+            assignment = before if number % 2 else after
+            for name, share in assignment.subset_of(balancer.name).items():
+                load[name] += share / len(known_balancers)
+        known_to_all = {upstream.name for upstream in known_upstreams}
+        loads = [share for name, share in load.items() if name in known_to_all]
+        assert max(loads) / (sum(loads) / len(loads)) <= 1.25
+
+
+def test_unusual_names_and_weights_are_accepted():
     upstreams = [
-        Participant(name, weight=w) for name, w in (("", 1), ("10", 0), ("9", -1), ("é", 2), ("a" * 500, 1))
+        Participant("", weight=1),
+        Participant("10", weight=0),
+        Participant("9", weight=-1),
+        Participant("é", weight=2),
+        Participant("a" * 500, weight=1),
     ]
-    made = assign_subsets([Participant("b")], upstreams)
-    assert (made.shares > 0).all() and made.shares.sum() == pytest.approx(1)
-    assert (
-        assign_subsets([], upstreams).shares.shape == (0, 5)
-        and assign_subsets([Participant("b")], []).subset_of("b") == {}
-    )
+    assignment = assign_subsets([Participant("b")], upstreams)
+    assert (assignment.shares > 0).all()
+    assert assignment.shares.sum() == pytest.approx(1)
+
+
+def test_an_empty_side_gives_an_empty_assignment():
+    upstreams = fleet(5, "u")
+    assert assign_subsets([], upstreams).shares.shape == (0, 5)
+    assert assign_subsets([Participant("b")], []).subset_of("b") == {}
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -1,98 +1,90 @@
-"""The list on its way to the decisions: only the subset, drains at once, and faults of the table."""
-
-from types import SimpleNamespace
+"""The endpoint list on its way to the policy: only the subset, drains at once, and faults in the settings."""
 
 import pytest
+from fake_router import FakeRouter, FakeTimers
 
 from dahliabend.config.operator_file.schema import SubsetSettings
 from dahliabend.model import EndpointState
 from dahliabend.routing_rules.loaded_file import load_file
 from dahliabend.server.subset_filter import SubsetFilter
 
-
-class Router:
-    """Writes down what it is told."""
-
-    def __init__(self):
-        self.told, self.excluded, self.failed = [], set(), 0
-        self.table = SimpleNamespace(
-            indices={}, known_ids={}, remember_id=lambda name: self.table.known_ids.update({name: None})
-        )
-        self.balancer = SimpleNamespace(ready=[], window=1, last_heard=0)
-
-    def endpoints_changed(self, rows, full):
-        assert full
-        self.told.append({row[0]: row for row in rows})
-        self.table.indices = dict.fromkeys(row[0] for row in rows)
-        self.balancer.ready = [SimpleNamespace(ejected=False, ended=0, filled=0) for row in rows]
-
-    def endpoint_poll_failed(self):
-        self.failed += 1
+NAMES = {f"u{n}" for n in range(30)}
 
 
 def rows(numbers, state=EndpointState.READY):
     return [(f"u{n}", ("127.0.0.1", 1 + n), state, 0, 1.0, 0, "a") for n in numbers]
 
 
-def narrowed(**more):
-    router, timers = (
-        Router(),
-        SimpleNamespace(schedule=lambda when, call: [when, 0, call, ()], cancel=lambda entry: None),
+def filter_and_router(**settings):
+    """A filter for one of twenty balancers without membership, and the router that it feeds."""
+    router = FakeRouter()
+    subset_filter = SubsetFilter(
+        router, SubsetSettings(**settings), 20, None, "me", FakeTimers(), lambda *_, **__: None
     )
-    made = SubsetFilter(router, SubsetSettings(**more), 20, None, "me", timers, lambda *_, **__: None)
-    return made, router
+    return subset_filter, router
+
+
+@pytest.fixture
+def listed():
+    """The same with a list of thirty upstreams."""
+    subset_filter, router = filter_and_router(least=6, degree=4)
+    subset_filter.endpoints_changed(rows(range(30)), full=True)
+    return subset_filter, router
 
 
-def test_only_the_subset_is_told_and_the_rest_is_known_to_operators():
-    made, router = narrowed(least=6, degree=4)
-    made.endpoints_changed(rows(range(30)), full=True)
-    assert set(router.told[-1]) == set(made.subset.weights) and 6 <= len(router.told[-1]) <= 9
-    assert set(router.table.known_ids) == {f"u{n}" for n in range(30)}
-    assert made.status()["by"] == "name" and made.status()["of"] == 30
+def test_policy_gets_only_the_subset_and_operators_see_the_rest(listed):
+    subset_filter, router = listed
+    assert set(router.lists[-1]) == set(subset_filter.subset.weights)
+    assert 6 <= len(router.lists[-1]) <= 9
+    assert set(router.table.known_ids) == NAMES
+    assert subset_filter.status()["by"] == "name"
+    assert subset_filter.status()["of"] == 30
 
 
-def test_the_decisions_are_told_how_many_balancers_share_what_is_used():
-    made, router = narrowed(least=6, degree=4)
-    made.endpoints_changed(rows(range(30)), full=True)
-    assert router.balancer.instance_count == pytest.approx(len(router.told[-1]) * 20 / 30)
+def test_policy_gets_the_number_of_balancers_that_share_an_upstream(listed):
+    _, router = listed
+    assert router.balancer.instance_count == pytest.approx(len(router.lists[-1]) * 20 / 30)
 
 
-def test_by_their_numbers_all_come_to_one_relation_without_a_fleet():
+def test_balancers_with_configured_numbers_come_to_one_assignment_without_membership():
     load, sizes = dict.fromkeys((f"u{n}" for n in range(30)), 0.0), set()
     for index in range(20):
-        made, router = narrowed(least=6, degree=4, self_index=index)
-        made.endpoints_changed(rows(range(30)), full=True)
-        assert made.status()["by"] == "index" and made.status()["balancers"] == 20
-        sizes.add(made.status()["size"])
-        for name, weight in made.subset.weights.items():
-            load[name] += weight / made.status()["size"]
-    assert max(load.values()) <= 1.02 * sum(load.values()) / 30 and max(sizes) <= 9
-
-
-def test_a_drain_of_one_in_use_is_told_at_once_and_of_another_not_at_all():
-    made, router = narrowed(least=6, degree=4)
-    made.endpoints_changed(rows(range(30)), full=True)
-    used, other = (int(name[1:]) for name in (sorted(made.subset.weights)[0],
-                   sorted({f"u{n}" for n in range(30)} - made.subset.weights.keys())[0]))  # fmt: skip
-    made.endpoints_changed(rows([used, other], EndpointState.DRAINING), full=False)
-    assert router.told[-1][f"u{used}"][2] is EndpointState.DRAINING and f"u{other}" not in router.told[-1]
-    made.endpoints_changed(rows([used], EndpointState.REMOVED), full=False)
-    assert f"u{used}" not in router.told[-1] and len(router.told[-1]) >= 6
-
-
-def test_one_that_was_taken_out_by_an_operator_is_held():
-    made, router = narrowed(least=6, degree=4)
-    made.endpoints_changed(rows(range(30)), full=True)
-    name = sorted(made.subset.weights)[0]
+        subset_filter, _ = filter_and_router(least=6, degree=4, self_index=index)
+        subset_filter.endpoints_changed(rows(range(30)), full=True)
+        assert subset_filter.status()["by"] == "index"
+        assert subset_filter.status()["balancers"] == 20
+        sizes.add(subset_filter.status()["size"])
+        for name, weight in subset_filter.subset.weights.items():
+            load[name] += weight / subset_filter.status()["size"]
+    assert max(load.values()) <= 1.02 * sum(load.values()) / 30
+    assert max(sizes) <= 9
+
+
+def test_drain_is_passed_on_at_once_for_an_upstream_in_use_only(listed):
+    subset_filter, router = listed
+    used = min(subset_filter.subset.weights)
+    other = min(NAMES - subset_filter.subset.weights.keys())
+    draining = rows([int(used[1:]), int(other[1:])], EndpointState.DRAINING)
+    subset_filter.endpoints_changed(draining, full=False)
+    assert router.lists[-1][used][2] is EndpointState.DRAINING
+    assert other not in router.lists[-1]
+    subset_filter.endpoints_changed(rows([int(used[1:])], EndpointState.REMOVED), full=False)
+    assert used not in router.lists[-1]
+    assert len(router.lists[-1]) >= 6
+
+
+def test_upstream_that_an_operator_has_excluded_stays_in_the_subset(listed):
+    subset_filter, router = listed
+    name = min(subset_filter.subset.weights)
     router.excluded.add(name)
-    made.endpoints_changed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
-    assert name in router.told[-1]
+    subset_filter.endpoints_changed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
+    assert name in router.lists[-1]
 
 
-def test_a_list_that_fails_is_passed_on():
-    made, router = narrowed()
-    made.endpoint_poll_failed()
-    assert router.failed == 1
+def test_failed_poll_of_the_list_is_passed_on():
+    subset_filter, router = filter_and_router()
+    subset_filter.endpoint_poll_failed()
+    assert router.failed_polls == 1
 
 
 @pytest.mark.parametrize(
@@ -106,7 +98,7 @@
         ("self-index = 1", "pools.p.subset.self-index: 1 is not between 0 and 0: see balancers"),
     ],
 )
-def test_a_fault_of_the_table_is_told_by_line(tmp_path, text, says):
+def test_fault_in_the_settings_is_reported_with_its_line(tmp_path, text, says):
     path = tmp_path / "file.toml"
     path.write_text(f"""[listeners.callers]
 address = "127.0.0.1:8080"
