--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -229,7 +229,7 @@
             self.serving = True
             self.start_request(*self.queue.popleft())
         # Whoever sends on without waiting for answers waits itself: else its requests pile up here.
-        self.input_held = bool(self.queue or self.error_status)
+        self.input_blocked = bool(self.queue or self.error_status)
         if (
             self.error_status
             and self.upload is not None
@@ -405,7 +405,7 @@
         """Ends the sending behind the last answer, and goes once the caller has ended its own. Closed at
         once, whatever comes from it meanwhile, or lies unread, would wipe the answer out before it is read.
         The answer's deadline still runs, and it makes room like any that is idle."""
-        self.is_lingering, self.error_status, self.input_held, self.reading_suspended = True, 0, False, False
+        self.is_lingering, self.error_status, self.input_blocked, self.reading_suspended = True, 0, False, False
         self.queue.clear()
         self.descriptors.mark_idle(self.handle, clock())
         self.stall_timer = self.timers.schedule(clock() + self.write_timeout // 4, self.abort)
--- a/dahliabend/transport/__init__.py
+++ b/dahliabend/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, their rings and the tables that own them. Nothing here knows HTTP."""
+"""Sockets with their buffers, and the tables and timers that own them. Nothing here knows HTTP."""
--- a/dahliabend/transport/handles.py
+++ b/dahliabend/transport/handles.py
@@ -1,13 +1,18 @@
-"""Tables of numbered slots."""
+"""A table of numbered slots whose numbers are not reused."""
 
+from collections.abc import Iterator
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
 
+NO_HANDLE = -1
+
 
 class HandleTable(Generic[T]):
-    """Items by number. A number names one stay in a slot: once it is over, the number finds nothing,
-    so a late event never reaches whoever has the slot next.
+    """Items by handle, of a fixed capacity.
+
+    A handle names one occupancy of a slot: once that is over, the handle finds nothing, so that a late
+    event never reaches whoever has the slot next.
 
     >>> table = HandleTable(1)
     >>> first = table.add("a"); table.add("b"), table.remove(first), table.get(first)
@@ -19,17 +24,17 @@
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.items: list[T | None] = []
-        self.handles: list[int] = []
+        self.handles: list[int] = []  # by slot, of its present or last occupancy
         self.free_slots: list[int] = []
 
     def __len__(self) -> int:
         return len(self.items) - len(self.free_slots)
 
-    def __iter__(self):
+    def __iter__(self) -> Iterator[T]:
         return iter([item for item in self.items if item is not None])
 
     def add(self, item: T) -> int:
-        """The number of its stay; -1 where no slot is free."""
+        """Stores an item; returns its handle, or `NO_HANDLE` if no slot is free."""
         if self.free_slots:
             slot = self.free_slots.pop()
             self.handles[slot] += self.capacity
@@ -39,14 +44,18 @@
             self.handles.append(slot)
             self.items.append(item)
         else:
-            return -1
+            return NO_HANDLE
         return self.handles[slot]
 
     def get(self, handle: int) -> T | None:
+        """The item, if its occupancy is not over."""
         slot = handle % self.capacity
-        return self.items[slot] if slot < len(self.items) and self.handles[slot] == handle else None
+        if slot < len(self.items) and self.handles[slot] == handle:
+            return self.items[slot]
+        return None
 
     def remove(self, handle: int) -> T | None:
+        """Ends an occupancy; returns the item, or None if it was over already."""
         item = self.get(handle)
         if item is not None:
             slot = handle % self.capacity
--- a/dahliabend/transport/ring_buffer.py
+++ b/dahliabend/transport/ring_buffer.py
@@ -1,4 +1,4 @@
-"""A ring of bytes of fixed size."""
+"""A ring buffer of bytes of fixed size."""
 
 
 class RingBuffer:
@@ -11,22 +11,30 @@
     (2, b'd')
     >>> ring.consume(1); bytes(ring.readable_view())
     b'ef'
+
+    Attributes:
+        size: How many bytes it holds at most.
+        head: Position of the oldest byte.
+        count: How many bytes it holds now.
     """
 
     __slots__ = ("count", "head", "size", "view")
 
     def __init__(self, size: int) -> None:
         self.view = memoryview(bytearray(size))
-        self.size, self.head, self.count = size, 0, 0
+        self.size = size
+        self.head = 0
+        self.count = 0
 
     def writable_view(self) -> memoryview:
-        """The free bytes that lie together behind the tail; empty only when the ring is full."""
+        """The free bytes that lie together behind the tail; empty only if the ring is full."""
         tail = self.head + self.count
         if tail >= self.size:
             return self.view[tail - self.size : self.head]
         return self.view[tail:]
 
     def commit(self, count: int) -> None:
+        """Takes in the first `count` bytes of the writable view, now that they are written."""
         self.count += count
 
     def readable_view(self) -> memoryview:
@@ -34,16 +42,17 @@
         return self.view[self.head : min(self.head + self.count, self.size)]
 
     def consume(self, count: int) -> None:
+        """Drops the oldest `count` bytes."""
         self.count -= count
         self.head = (self.head + count) % self.size if self.count else 0
 
     def write_from(self, data: bytes, start: int) -> int:
-        """Copies as much of `data` from `start` on as there is room for; how many bytes that was."""
-        done = start
-        while done < len(data) and self.count < self.size:
-            room = self.writable_view()
-            part = min(len(room), len(data) - done)
-            room[:part] = data[done : done + part]
-            self.commit(part)
-            done += part
-        return done - start
+        """Copies `data` from `start` on, as far as there is space; returns how many bytes that was."""
+        end = start
+        while end < len(data) and self.count < self.size:
+            space = self.writable_view()
+            count = min(len(space), len(data) - end)
+            space[:count] = data[end : end + count]
+            self.commit(count)
+            end += count
+        return end - start
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -292,7 +292,7 @@
     feed(caller, raw)
     feed(caller, raw * (BUFFER_SIZE // len(raw)))
     feed(caller, raw * 9)
-    assert caller.input_held and len(caller.queue) <= BUFFER_SIZE // len(raw)
+    assert caller.input_blocked and len(caller.queue) <= BUFFER_SIZE // len(raw)
 
 
 def test_the_silent_and_the_trickling_are_owed_an_end_counted_from_connecting():
