--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -405,7 +405,12 @@
         """Ends the sending behind the last answer, and goes once the caller has ended its own. Closed at
         once, whatever comes from it meanwhile, or lies unread, would wipe the answer out before it is read.
         The answer's deadline still runs, and it makes room like any that is idle."""
-        self.is_lingering, self.error_status, self.input_blocked, self.reading_suspended = True, 0, False, False
+        self.is_lingering, self.error_status, self.input_blocked, self.reading_suspended = (
+            True,
+            0,
+            False,
+            False,
+        )
         self.queue.clear()
         self.descriptors.mark_idle(self.handle, clock())
         self.stall_timer = self.timers.schedule(clock() + self.write_timeout // 4, self.abort)
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -11,7 +11,8 @@
 
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.platform import parse_address
-from dahliabend.discovery.watch import DiscoveryClient, EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
+from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
 from dahliabend.membership.codec import MemberStatus, Update
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from dahliabend.discovery.watch import EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.transport import host_info
 from dahliabend.transport.timers import TimerQueue, clock
 
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -11,7 +11,8 @@
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.config.operator_file.source import format_key
 from dahliabend.config.platform import IDLE_REUSE_RATIO, ServerSettings, parse_address
-from dahliabend.discovery.watch import DiscoveryClient, EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
+from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 from dahliabend.proxy.dispatcher import Dispatcher, Pool
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable, Mapping
 
 from dahliabend.config.platform import ServerSettings, reread_server_settings
-from dahliabend.discovery.watch import DiscoveryClient, EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
+from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.admin_connection import AdminConnection
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.proxy.endpoint_table import EndpointTable
--- a/dahliabend/transport/timers.py
+++ b/dahliabend/transport/timers.py
@@ -68,8 +68,8 @@
             self.arm()
         return timer
 
-    def cancel(self, timer: Timer | None) -> None:
-        """Cancels a timer; None, or one that has run or was cancelled before, is fine."""
+    def cancel(self, timer: list[Any] | None) -> None:
+        """Cancels a timer of `schedule`; None, or one that has run or was cancelled before, is fine."""
         if timer is None or timer[_CALLBACK] is None:
             return
         timer[_CALLBACK] = timer[_ARGUMENTS] = None
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -12,8 +12,9 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
+from dahliabend.discovery import endpoint_list
 from dahliabend.discovery import watch as discovery
-from dahliabend.discovery.watch import EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
@@ -70,7 +71,7 @@
 
 
 def use_those_that_drain():
-    return instead(discovery, "_STATE_NAMES", {**discovery._STATE_NAMES, "draining": EndpointState.READY})
+    return instead(endpoint_list, "_STATE_NAMES", {**endpoint_list._STATE_NAMES, "draining": EndpointState.READY})
 
 
 def no_cold_budget():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,8 @@
 import pytest
 from helpers import MS, Notes, S
 
-from dahliabend.discovery.watch import DiscoveryClient, EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
+from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
