--- a/dahliabend/http/__init__.py
+++ b/dahliabend/http/__init__.py
@@ -1,1 +1,1 @@
-"""What the bytes mean: HTTP to callers and upstreams, the list of upstreams, load reports."""
+"""HTTP/1.1 to clients, upstreams and operators, and the load reports that it carries."""
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -1,24 +1,31 @@
-"""HTTP to operators: one call a connection, answered in the turn of the loop in which it has come whole."""
+"""HTTP connections of operators: one call each, answered in the loop's turn in which it has come whole."""
 
+import asyncio
 from collections.abc import Callable
 
 import httptools
 
-from dahliabend.http import headers as wire
+from dahliabend.http.responses import CONNECTION_CLOSE, CONTINUE, response_head
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
-from dahliabend.transport.timers import TimerQueue, clock
+from dahliabend.transport.timers import Timer, TimerQueue, clock
 
-MAX_REQUEST_BYTES = 8192  # bytes, head and body
-REQUEST_TIMEOUT = (
-    2_500_000  # for a call to come whole, counted from connecting, and for its answer to be read
-)
+MAX_REQUEST_BYTES = 8192  # head and body
+REQUEST_TIMEOUT = 2_500_000  # microseconds from connecting until the call has come and its answer is read
 
 AdminResponse = tuple[int, bytes, bytes]  # status, further header lines, body
 
 
 class AdminConnection(Connection):
-    """One call. `answer` is told method, path and body."""
+    """One operator's call.
+
+    Attributes:
+        target: Of the call, as far as it has come.
+        body: Likewise.
+        size: Bytes that have come.
+        responded: It is answered.
+        timeout_timer: Closes it when `REQUEST_TIMEOUT` is over.
+    """
 
     def __init__(
         self,
@@ -26,62 +33,87 @@
         timers: TimerQueue,
         handle_request: Callable[[bytes, bytes, bytes], AdminResponse],
     ) -> None:
-        super().__init__(descriptors)
-        self.timers, self.handle_request = timers, handle_request
-        self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.target, self.body, self.size, self.responded = b"", b"", 0, False
-        self.timeout_timer: list | None = None
+        """Creates it.
 
-    def connection_made(self, transport) -> None:
+        Args:
+            descriptors: Owner of its descriptor.
+            timers: Of the process.
+            handle_request: Answers a call; takes its method, path and body.
+        """
+        super().__init__(descriptors)
+        self.timers = timers
+        self.handle_request = handle_request
+        self.parser = httptools.HttpRequestParser(self)
+        self.target = b""
+        self.body = b""
+        self.size = 0
+        self.responded = False
+        self.timeout_timer: Timer | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Its call is due from now on.
+
+        The oldest that has not sent one is evicted once another wants in: otherwise a few silent ones would
+        lock the operators out.
+        """
         super().connection_made(transport)
-        # It owes its call from now on: the oldest that has not sent one goes once another wants in. Held for
-        # as long as they like, a few silent ones would lock the operators out.
         self.descriptors.mark_awaiting_request(self.handle, clock())
         self.timeout_timer = self.timers.schedule(clock() + REQUEST_TIMEOUT, self.abort)
 
     def can_evict(self) -> bool:
+        """Whether no call can be lying unread."""
         return not self.unread_input()
 
+    # Called by the parser.
+
     def on_url(self, part: bytes) -> None:
+        """A part of the target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header; none but Expect is heeded."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
-            self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            self.write(CONTINUE)
 
     def on_body(self, part: bytes) -> None:
+        """A part of the body."""
         self.body += part
 
     def on_message_complete(self) -> None:
+        """The call has come whole."""
         path = self.target.partition(b"?")[0]
-        self.send_response(*self.handle_request(self.parser.get_method(), path, self.body))
+        status, headers, body = self.handle_request(self.parser.get_method(), path, self.body)
+        self.send_response(status, headers, body)
 
     def bytes_received(self, view: memoryview) -> None:
+        """Reads the call; what follows it is discarded."""
         if self.responded:
-            return  # one call a connection
+            return
         self.size += len(view)
         if self.size > MAX_REQUEST_BYTES:
-            return self.send_response(413, b"", b"too long\n")
+            self.send_response(413, b"", b"too long\n")
+            return
         try:
             self.parser.feed_data(view)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.send_response(400, b"", b"not understood\n")
 
-    def send_response(self, status: int, extra: bytes, body: bytes) -> None:
-        if self.responded:
-            return
-        self.responded = True
-        head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\nConnection: close\r\n" % (
-            status, wire.REASONS.get(status, b"Other"), len(body),
-        )  # fmt: skip
-        self.write(head + extra + b"\r\n", body)
+    def send_response(self, status: int, headers: bytes, body: bytes) -> None:
+        """Answers the call, once."""
+        if not self.responded:
+            self.responded = True
+            self.write(response_head(status, CONNECTION_CLOSE + headers, b"", len(body)), body)
 
     def output_flushed(self) -> None:
-        # Closed with a part of the call unread, the answer could be wiped out before it is read: it ends
-        # when the operator ends it, or at its limit.
+        """Ends the sending behind the answer.
+
+        Closed with a part of the call unread, the answer could be wiped out before it is read: the connection
+        ends when the operator ends it, or when its time is over.
+        """
         if self.responded and self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def connection_closed(self) -> None:
-        self.parser = None  # it holds this connection and its rings
+        """Lets go of the parser, which holds this connection and its buffers."""
+        del self.parser
         self.timers.cancel(self.timeout_timer)
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -16,6 +16,7 @@
 from dahliabend.discovery import watch as discovery
 from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.serving_state import ServingState
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
@@ -71,7 +72,9 @@
 
 
 def use_those_that_drain():
-    return instead(endpoint_list, "_STATE_NAMES", {**endpoint_list._STATE_NAMES, "draining": EndpointState.READY})
+    return instead(
+        endpoint_list, "_STATE_NAMES", {**endpoint_list._STATE_NAMES, "draining": EndpointState.READY}
+    )
 
 
 def no_cold_budget():
@@ -317,7 +320,7 @@
 
     def linger(self):
         real(self)
-        self.final_response_sent = self.is_lingering = False
+        self.state = ServingState.WAITING
 
     return instead(ClientConnection, "linger", linger)
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,7 +7,9 @@
 from helpers import MS, PATIENCE, Caller, S, Upstream, answer, balancer, call, program, until
 from test_net import DESK, Pipe, feed, upstream_table
 
-from dahliabend.http.client_connection import BODY_PAUSE_TIMEOUT, ClientConnection
+from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.request_parser import BODY_PAUSE_TIMEOUT
+from dahliabend.http.serving_state import ServingState
 from dahliabend.model import Outcome
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import clock
@@ -123,12 +125,12 @@
     caller, came = ClientConnection(DescriptorBudget(100), upstream_table().timers, DESK, 9 * S), clock()
     Pipe(caller)
     feed(caller, SIZED % (b"t", 60_000))
-    caller.head_complete_at = caller.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
+    caller.parser.head_complete_at = caller.parser.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
     caller.request_timed_out()
-    assert not caller.error_status and caller.stall_timer[0] >= came + BODY_PAUSE_TIMEOUT // 2 - MS
-    caller.head_complete_at = caller.last_body_byte_at = came - 2 * BODY_PAUSE_TIMEOUT
+    assert not caller.parser.error_status and caller.stall_timer[0] >= came + BODY_PAUSE_TIMEOUT // 2 - MS
+    caller.parser.head_complete_at = caller.parser.last_body_byte_at = came - 2 * BODY_PAUSE_TIMEOUT
     caller.request_timed_out()
-    assert caller.error_status == 408 or caller.transport.written.startswith(b"HTTP/1.1 408")
+    assert caller.parser.error_status == 408 or caller.transport.written.startswith(b"HTTP/1.1 408")
 
 
 def test_a_body_that_comes_counts_as_in_flight_from_its_last_byte_on():
@@ -163,7 +165,7 @@
     for behind, kept in ((1, True), (0, False)):
         caller = ClientConnection(DescriptorBudget(100), upstream_table().timers, desk, S)
         Pipe(caller)
-        caller.serving = caller.keep_alive = True
+        caller.state, caller.keep_alive = ServingState.SERVING, True
         caller.queue.extend([()] * behind)
-        caller.start_response(b"", 9, None)
+        caller.start_response(b"", 9, SimpleNamespace(reading_suspended=False))
         assert caller.keep_alive is kept and (b"Connection: close" in caller.transport.written) is not kept
