--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -12,9 +12,11 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
+from dahliabend.discovery import endpoint_list
 from dahliabend.discovery import watch as discovery
-from dahliabend.discovery.watch import EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.serving_state import ServingState
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
@@ -70,7 +72,9 @@
 
 
 def use_those_that_drain():
-    return instead(discovery, "_STATE_NAMES", {**discovery._STATE_NAMES, "draining": EndpointState.READY})
+    return instead(
+        endpoint_list, "_STATE_NAMES", {**endpoint_list._STATE_NAMES, "draining": EndpointState.READY}
+    )
 
 
 def no_cold_budget():
@@ -316,7 +320,7 @@
 
     def linger(self):
         real(self)
-        self.final_response_sent = self.is_lingering = False
+        self.state = ServingState.WAITING
 
     return instead(ClientConnection, "linger", linger)
 
