--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-from dahliabend.config.platform import parse_address
+from dahliabend.config.address import parse_address
 from dahliabend.model import EndpointState
 
 UNKNOWN_VERSION = -1
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -10,7 +10,8 @@
 import pytest
 from defects import DEFECTS, SHOWN, caught
 
-from dahliabend.simulation.script import Duration, Fault, LoadSpec, Scenario, WorldSpec, draw, read
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.script import Fault, LoadSpec, Scenario, WorldSpec, draw, read
 from dahliabend.simulation.shrink import shrink
 from dahliabend.simulation.sweep import look, sweep
 from dahliabend.simulation.world import World, play
