--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -1,23 +1,23 @@
-"""Plain types shared by the decisions and whatever protocol drives them. No I/O here.
+"""Plain types and interfaces shared by the decisions and whatever drives them. No I/O here.
 
-All times are whole microseconds. Upstreams are small indices given out at the door.
+All times are whole microseconds. Endpoints are small indices that the driver gives out.
 """
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Protocol
+from typing import Any, NamedTuple, Protocol
 
 
 class Effect(IntEnum):
-    """What a repeat of a transaction may do."""
+    """What a repeat of a request may do."""
 
     IDEMPOTENT = 0  # may run again
-    DEDUPLICATED = 1  # carries a mark by which a repeat is known inside its group
+    DEDUPLICATED = 1  # carries a key by which a repeat is known inside its scope
     NON_IDEMPOTENT = 2  # must never run twice
 
 
 class DeduplicationScope(IntEnum):
-    """Which upstreams drop a journalled transaction's repeats."""
+    """Which endpoints drop repeats of a deduplicated request."""
 
     ALL = 0
     ZONE = 1
@@ -25,11 +25,11 @@
 
 
 class Outcome(IntEnum):
-    """How a hop or a probe ended."""
+    """How an attempt or a health check ended."""
 
     SUCCEEDED = 1
-    FAILED = 2  # the upstream's own error; it may have run
-    REJECTED = 3  # turned away unseen
+    FAILED = 2  # the endpoint's own error; it may have run
+    REJECTED = 3  # refused unseen
     TIMED_OUT = 4
     UNREACHABLE = 5  # no connection in time
     RESET = 6
@@ -38,14 +38,15 @@
 
     @property
     def proves_not_executed(self) -> bool:
+        """Whether the endpoint can't have run the request."""
         return self in _NOT_EXECUTED
 
 
-_NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
+_NOT_EXECUTED = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # a tuple: found by identity
 
 
 class EndpointState(IntEnum):
-    """What a list says of an upstream, or an operator."""
+    """What a list says of an endpoint, or an operator."""
 
     REMOVED = 0
     READY = 1
@@ -53,60 +54,204 @@
     EXCLUDED = 3  # by an operator, whatever the list says
 
 
+class StoredFields(tuple[str, ...]):
+    """Names of a record's fields that are handed over to the decisions that follow, in the stored order."""
+
+    __slots__ = ()
+
+    def read(self, record: object) -> list[Any]:
+        """Returns the values of these fields."""
+        return [getattr(record, name) for name in self]
+
+    def write(self, record: object, values: list[Any]) -> None:
+        """Sets these fields to values that `read` returned."""
+        for name, value in zip(self, values, strict=True):
+            setattr(record, name, value)
+
+
+STORED_LIMIT = StoredFields(
+    (
+        "limit", "mean_in_flight", "sustained_in_flight", "latency_ratio", "least_latency_ratio",
+        "mean_latency", "ticks", "is_overloaded",
+    )
+)  # fmt: skip
+STORED_ENDPOINT = StoredFields(
+    (
+        "started_at", "relative_latency", "silent_since", "answered_at", "position", "is_ejected",
+        "ejected_since", "consecutive_failures", "slow_start_budget", "budget_filled_at",
+    )
+)  # fmt: skip
+Snapshot = dict[str, Any]  # what one balancer hands over, by the keys of its stored form
+
+
+class EndpointRow(NamedTuple):
+    """What a list says of one endpoint."""
+
+    endpoint: int  # its index
+    state: EndpointState
+    started_at: int  # of its process; 0: not told
+    weight: float
+    cell: int
+    zone: int
+    identity: bytes  # its id as listed, the same at every balancer
+
+
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """What an operator says of one kind of requests."""
+
     effect: Effect
     deduplication_scope: DeduplicationScope
-    deduplication_window: int  # how long a group remembers a journalled transaction
+    deduplication_window: int  # how long a repeat is known
     latency_objective: int
     deadline: int
     priority_weight: float
-    late_weight: float  # of the revenue, for an answer after the service goal
-    is_ordered: bool = False  # those of one key run one at a time, as taken
-    attempt_timeout: int = 0  # that one hop may take; 0: what is left
+    late_weight: float  # of its priority, for an answer after the latency objective
+    is_ordered: bool = False  # those of one key run one at a time, as admitted
+    attempt_timeout: int = 0  # that one attempt may take; 0: what is left
     max_attempts: int = 0  # 0: as the settings say
-    max_retries_after_execution: int = (
-        -1
-    )  # hops after ones that may have run; -1: as many as the effect allows
-    hedge_delay: int = 0  # from a hop's sending until its handle is told that it is slow; 0: never
+    max_retries_after_execution: int = -1  # after attempts that may have executed; -1: as the effect allows
+    hedge_delay: int = 0  # after which an attempt is reported as slow; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """What the decisions of one balancer go by."""
+
     instance_count: int
-    instance_index: int  # of this balancer among them; -1: not told
+    instance_index: int  # of this balancer among them; -1: unknown
     tier: int
     zone: int
     request_classes: tuple[RequestClass, ...]
-    tenant_quotas: tuple[float, ...]  # by customer: transactions a second, all balancers together
-    over_quota_weight: float  # of the revenue, beyond the allowance
+    tenant_quotas: tuple[float, ...]  # by tenant: requests a second, all balancers together
+    over_quota_weight: float  # of the priority, beyond the quota
     overall_weight: float  # what the whole run weighs in the operators' goal
-    worst_class_weight: float  # and what the worst-served profile weighs
+    worst_class_weight: float  # and what the worst-served class weighs
     cross_zone_cost: float
     max_attempts: int
     can_cancel: bool
     can_health_check: bool
-    sends_retry_after: bool  # clients are handed a time to come back
+    sends_retry_after: bool  # clients are told when to come back
     max_retry_after: int
     polls_endpoints: bool
     poll_deadline: int
     initial_capacity: float
     warmup_time: int
     warmup_multiple: float
-    key_rest: int = 0  # a key rests this long after a hop that may go on
-    only_draining_binds: bool = False  # only draining binds: one that is gone without it may still be sent to
-    retry_budget_ratio: float = 0.1  # of first hops: what may be spent on hops after one that may have run
+    key_rest: int = 0  # a key rests this long after an attempt that may go on
+    only_draining_binds: bool = False  # one gone without draining may still be sent to
+    retry_budget_ratio: float = 0.1  # of first attempts: retries that may have executed
 
 
 class Port(Protocol):
-    """What the decisions act through. `ref` is whatever the driver gave to `Balancer.take`."""
-
-    def send(self, ref: int, upstream: int, timeout: int) -> None: ...
-    def reject(self, ref: int, retry_after: int) -> None: ...
-    def fail(self, ref: int) -> None: ...
-    def cancel(self, ref: int, hop: int) -> None: ...
-    def check_health(self, upstream: int) -> None: ...
-    def close_idle_connections(self, upstream: int, age: int) -> None: ...  # those idle for longer, or all
-    def set_timer(self, at: int, token: int) -> None: ...
-    def poll_endpoints(self) -> None: ...
-    def send_to_peer(self, peer: int, payload: bytes) -> None: ...
+    """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
+
+    def send(self, ref: int, endpoint: int, timeout: int) -> None:
+        """Sends an attempt of a request to an endpoint; it is to be ended after the time-out."""
+
+    def reject(self, ref: int, retry_after: int) -> None:
+        """Answers that the request was not done, and when to come back (0: nothing is told)."""
+
+    def fail(self, ref: int) -> None:
+        """Answers that the request failed, and may have been done."""
+
+    def cancel(self, ref: int, attempt: int) -> None:
+        """Ends an attempt, by its place among those of the request; its end is reported as any other."""
+
+    def check_health(self, endpoint: int) -> None:
+        """Checks an endpoint, for `Balancer.health_check_finished`."""
+
+    def close_idle_connections(self, endpoint: int, age: int) -> None:
+        """Closes connections to an endpoint that have been idle for longer than this."""
+
+    def set_timer(self, at: int, token: int) -> None:
+        """Has `Balancer.timer_fired` called at this time, with this token."""
+
+    def poll_endpoints(self) -> None:
+        """Asks for the list of endpoints."""
+
+    def send_to_peer(self, peer: int, payload: bytes) -> None:
+        """Sends bytes to another balancer."""
+
+
+class RequestHandle(Protocol):
+    """What `Balancer.admit` returns: the driver reports on it what becomes of the request."""
+
+    deadline: int
+    body_pending: bool  # its body is still being received
+    request_class: RequestClass
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether the request is answered, or nobody waits for it, and none of its attempts is in flight."""
+
+    def attempt_finished(
+        self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
+    ) -> None:
+        """Reports how an attempt ended; another is sent where one may follow.
+
+        Args:
+            now: The time.
+            number: The place of the attempt among those of the request.
+            outcome: How it ended.
+            took: How long it took.
+            complete: Whether the client has its answer.
+            idle: How long its connection had been idle before, where the driver can tell.
+        """
+
+    def response_started(self, now: int, number: int) -> None:
+        """Reports a streamed response: the client has a part of it, so the attempt is not cancelled."""
+
+    def body_received(self, now: int, deadline: int) -> int:
+        """Reports that the attempt in flight has the last byte: it begins now. Returns its time-out."""
+
+    def body_consumed(self) -> None:
+        """Reports that a part of the body is gone, so that nothing whole is left to send again."""
+
+    def hedge_timer_fired(self, now: int) -> None:
+        """Reports that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
+
+    def client_disconnected(self, now: int) -> None:
+        """Reports that nobody waits for an answer any more."""
+
+
+class Decisions(Protocol):
+    """The events of `policy.balancer.Balancer`, all on one thread; it acts through its `Port`."""
+
+    def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
+        """Takes over a list of endpoints, or (not `full`) changes of it."""
+
+    def endpoint_poll_failed(self, now: int) -> None:
+        """Reports that the list was asked for in vain: it is asked for again after a while, at random."""
+
+    def admit(
+        self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
+        repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+    ) -> RequestHandle:  # fmt: skip
+        """Sends a request, queues it behind others of its key, or rejects it.
+
+        Args:
+            now: The time.
+            ref: By which the `Port` is told of the request.
+            class_index: Its request class.
+            tenant: Its tenant; one beyond the quotas has none.
+            deadline: When an answer is worth nothing.
+            repeat: Whether its client sends it again after a rejection.
+            body_pending: Whether its body is still being received.
+            key: By which requests of ordered classes are sent one at a time; 0: none.
+        """
+
+    def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
+        """Reports how a health check of an endpoint ended."""
+
+    def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
+        """Counts attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+
+    def timer_fired(self, now: int, token: int) -> None:
+        """Reports that a timer of `Port.set_timer` has come."""
+
+    def snapshot(self, ends: bool) -> Snapshot:
+        """Returns what is known, in plain values; `ends`: this balancer admits nothing more."""
+
+    def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
+        """Goes on from a snapshot, by pairs of own and former classes. Returns how many endpoints fit."""
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -1,74 +1,71 @@
-"""Order among transactions of one key: one at a time, as taken; after a hop that may go on, the key rests.
-Nothing is kept for a key once its line is empty and its rest over. Part of the decisions, free of I/O."""
+"""Order among requests of one key: one at a time; after an attempt that may go on, the key rests."""
 
 from heapq import heappop, heappush
 
-REST = 2  # the token of a waking at the end of a key's rest
+from dahliabend.model import Port
+from dahliabend.policy.retries import RequestState
 
+REST_TIMER = 2  # the token of the timer at the end of a key's rest
 
-class Line:
-    """Of one key: whose turn it is, until when it rests (0: not), and who waits, as taken."""
+
+class KeyQueue:
+    """Of one key: whose turn it is, until when the key rests (0: not), and who waits, as admitted."""
 
     def __init__(self) -> None:
-        self.turn, self.until, self.waiting = None, 0, {}
+        self.current: RequestState | None = None
+        self.rests_until, self.waiting = 0, dict[RequestState, None]()
 
 
-class Lines:
-    """All lines of one balancer; `pause` is the rest in microseconds, `port` is asked for wakings."""
+class KeyQueues:
+    """The queues of all keys of one balancer. Nothing is kept of a key once its queue and rest are over."""
 
-    def __init__(self, pause: int, port) -> None:
-        self.pause, self.port = pause, port
-        self.lines: dict[int | bytes, Line] = {}
-        self.rests: list[tuple[int, int | bytes]] = []  # until when, the key
+    def __init__(self, rest_time: int, port: Port) -> None:
+        self.rest_time, self.port = rest_time, port
+        self.queues: dict[int | bytes, KeyQueue] = {}
+        self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
 
-    def restore(self, before: "Lines") -> None:
-        """Goes on with those lines, for decisions that take over in this process; what rests wakes these."""
-        self.lines, self.rests = before.lines, before.rests
+    def take_over(self, before: "KeyQueues") -> None:  # for decisions that follow in this process
+        self.queues, self.rests = before.queues, before.rests
         for until, _ in self.rests:
-            self.port.set_timer(until, REST)
+            self.port.set_timer(until, REST_TIMER)
 
     def ahead(self, key: int | bytes) -> int:  # turns that come first, a rest among them
-        return len(self.lines[key].waiting) + 1 if key in self.lines else 0
-
-    def waiting(self) -> list:
-        return [request for line in self.lines.values() for request in line.waiting]
+        return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
-    def join(self, request) -> bool:
-        """Behind all of its key taken before. Is it its turn?"""
-        line = self.lines.setdefault(request.key, Line())
-        if line.turn or line.until:
-            line.waiting[request] = None
+    def join(self, request: RequestState) -> bool:  # behind all of its key; is it its turn?
+        queue = self.queues.setdefault(request.key, KeyQueue())
+        if queue.current or queue.rests_until:
+            queue.waiting[request] = None
             return False
-        line.turn = request
+        queue.current = request
         return True
 
-    def unsure(self, request, now: int) -> None:
-        """A hop of the one whose turn it is may go on: sent now, the next could overtake it there."""
-        self.lines[request.key].until = now + self.pause
-
-    def leave(self, request, now: int) -> None:
-        """It is over, whether its turn had come or not."""
-        line = self.lines.get(request.key)
-        if line and line.turn is request:
-            line.turn = None
-            self.advance(request.key, line, now)
-        elif line:
-            line.waiting.pop(request, None)
-
-    def advance(self, key: int | bytes, line: Line, now: int) -> None:
-        if now < line.until:
-            heappush(self.rests, (line.until, key))
-            return self.port.set_timer(line.until, REST)
-        line.until = 0
-        while line.waiting and not line.turn:
-            line.turn = request = next(iter(line.waiting))
-            del line.waiting[request]
-            request.home.send(request, now)
-            line.turn = None if request.is_finished else request  # given up unsent
-        if not line.turn:
-            del self.lines[key]  # else a key seen once would be kept for ever
+    def rest(self, request: RequestState, now: int) -> None:  # the next could overtake its attempt
+        self.queues[request.key].rests_until = now + self.rest_time
+
+    def leave(self, request: RequestState, now: int) -> None:  # if it is finished, whether its turn had come
+        queue = self.queues.get(request.key) if request.is_finished else None
+        if queue and queue.current is request:
+            queue.current = None
+            self.advance(request.key, queue, now)
+        elif queue:
+            queue.waiting.pop(request, None)
+
+    def advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
+        if now < queue.rests_until:
+            heappush(self.rests, (queue.rests_until, key))
+            self.port.set_timer(queue.rests_until, REST_TIMER)
+            return
+        queue.rests_until = 0
+        while queue.waiting and not queue.current:
+            queue.current = request = next(iter(queue.waiting))
+            del queue.waiting[request]
+            request.balancer.send(request, now)
+            queue.current = None if request.is_finished else request  # given up unsent
+        if not queue.current:
+            del self.queues[key]  # else a key seen once would be kept for ever
 
     def timer_fired(self, now: int) -> None:
         while self.rests and self.rests[0][0] <= now:
             key = heappop(self.rests)[1]
-            self.advance(key, self.lines[key], now)
+            self.advance(key, self.queues[key], now)
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -61,7 +61,9 @@
     def ready_fraction(self) -> float:
         """Of its upstreams, how many can be sent to."""
         balancer = self.router.balancer
-        return sum(not u.ejected for u in balancer.ready) / max(1, len(balancer.upstreams))
+        return sum(not u.is_ejected for u in balancer.selection.ready) / max(
+            1, len(balancer.selection.endpoints)
+        )
 
 
 @dataclass(slots=True)
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -76,7 +76,7 @@
     return (
         NO_DEADLINE
         if first is None or first is handle.attempts[-1]
-        else first.sent + handle.request_class.deduplication_window
+        else first.sent_at + handle.request_class.deduplication_window
     )
 
 
@@ -124,7 +124,7 @@
     def request_written(self) -> None:
         request, self.moved = self.request, clock()
         self.router.metrics.count_attempt(request.name)
-        after = request.policy.balancer.profiles[request.profile].hedge_delay
+        after = request.policy.balancer.request_classes[request.profile].hedge_delay
         if after and not self.order and request.upload is None:
             self.late = self.endpoint.table.timers.schedule(self.started_at + after, self.slow)
         if request.upload is not None and request.state.body_pending:
@@ -276,7 +276,7 @@
         self.install(node)
         self.policies[-1].endpoints_changed([(u, u.state) for u in self.table.endpoints.values()], full=True)
         # Else one of a key could be sent beside another that the ones before still have out.
-        self.balancer.lines.restore(before.lines)
+        self.balancer.key_queues.take_over(before.key_queues)
         return self.balancer.restore(before.snapshot(ends=True), self.pairs(profiles))
 
     def pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
@@ -302,7 +302,7 @@
 
     def attempts_in_flight(self) -> int:
         """Hops in flight, of all sets of decisions."""
-        return sum(policy.balancer.out for policy in self.policies)
+        return sum(policy.balancer.concurrency.in_flight for policy in self.policies)
 
     def endpoint_entries(self) -> list[dict]:
         """The list as it stands, in discovery's form."""
@@ -406,7 +406,7 @@
     def ready(self) -> bool:
         """Able to serve: the list has been asked for, and names somebody to send to."""
         asked = self.discovery is not None and self.discovery.attempted
-        return asked and bool(self.balancer.ready) and not self.closing()
+        return asked and bool(self.balancer.selection.ready) and not self.closing()
 
     def closing(self) -> bool:
         """Are callers to go elsewhere?"""
@@ -421,7 +421,8 @@
     def telemetry(self) -> dict:
         """Of the list: how many upstreams it has, and how many of them nothing is sent to now."""
         ejected = sum(
-            u.ejected or u.state is not EndpointState.READY for u in self.balancer.upstreams.values()
+            u.is_ejected or u.state is not EndpointState.READY
+            for u in self.balancer.selection.endpoints.values()
         )
         return {"registry_entries": len(self.table.endpoints), "out_of_rotation": ejected}
 
@@ -433,7 +434,7 @@
             upstream = self.table.get_or_create(name)
             if not (
                 state is EndpointState.REMOVED
-                and self.balancer.only_draining_binds
+                and self.balancer.settings.only_draining_binds
                 and upstream.state is EndpointState.READY
             ):
                 upstream.state = state
@@ -449,7 +450,7 @@
             policy.endpoints_changed(told, full)
         for index in tuple(self.table.endpoints):
             # Where only draining binds, the decisions keep some that the list has lost, to be sent to.
-            if not any(index in policy.balancer.upstreams for policy in self.policies):
+            if not any(index in policy.balancer.selection.endpoints for policy in self.policies):
                 self.table.remove(index)
 
     def update_connection_reuse(self, upstream: Endpoint) -> None:
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -163,7 +163,7 @@
         members = {m.name for m in view.members if m.state != "unreached"}
         for pool, router in self.pools():
             balancer, places = router.balancer, router.table.endpoints
-            indices = {places[u.index].name: u.index for u in balancer.ready if not u.ejected}
+            indices = {places[u.index].name: u.index for u in balancer.selection.ready if not u.is_ejected}
 
             def told(name: str, tried: int, bad: int, balancer=balancer, indices=indices) -> None:
                 balancer.add_peer_report(indices[name], tried, bad)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -365,7 +365,7 @@
                 self.timers,
                 self.descriptors,
                 router.table.connect_timeout,
-                router.balancer.chance,
+                router.balancer.random,
                 self.log,
             )
             self.timers.loop.call_soon(keeper.open)
@@ -462,10 +462,10 @@
                 pool=pool.name,
                 counts=pool.router.counts,
                 held=len(pool.router.requests),
-                out=balancer.out,
-                crowd=round(balancer.ceiling, 1),
-                tier=round(balancer.tier.metric, 2),
-                ready=len(balancer.ready),
+                out=balancer.concurrency.in_flight,
+                crowd=round(balancer.concurrency.limit, 1),
+                tier=round(balancer.throttling.tier.reduction, 2),
+                ready=len(balancer.selection.ready),
                 retired=pool.retired,
             )
         if self.cluster is not None and self.cluster.opened:
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -48,7 +48,7 @@
         self.endpoint_list = endpoint_list = EndpointList(self.router, log)
         self.discovery = self.router.discovery = DiscoveryClient(
             node.discovery, endpoint_list, self.timers, self.descriptors, node.connect_timeout,
-            self.router.balancer.chance, log, node.settings.polls_endpoints,
+            self.router.balancer.random, log, node.settings.polls_endpoints,
         )  # fmt: skip
         self.listener = Listener(self.timers, self.descriptors, self.accept)
         self.admin_descriptors, self.operations = (
@@ -90,7 +90,7 @@
         self.sweep()
 
     def listening_fields(self) -> dict:
-        return {"entrance": self.router.balancer.entrance}
+        return {"entrance": self.router.balancer.is_entry_tier}
 
     async def end(self) -> None:
         await self.done
@@ -148,7 +148,7 @@
             self.descriptors.set_share(1 / 2 if self.sharing_descriptors else 1)
         if living:
             self.handover.publish_in_flight(self.router.attempts_in_flight())
-        self.router.balancer.beside = sum(living.values())
+        self.router.balancer.concurrency.in_flight_elsewhere = sum(living.values())
         excluded = self.handover.exclusions()
         for name in sorted(excluded ^ self.router.excluded):
             self.router.table.remember_id(name)
@@ -220,9 +220,14 @@
         balancer = self.router.balancer
         self.log(
             "figures", counts=self.router.counts, held=len(self.router.requests),
-            connections=len(self.descriptors.connections), out=balancer.out, crowd=round(balancer.ceiling, 1),
-            tier=round(balancer.tier.metric, 2), ready=len(balancer.ready), using=len(balancer.using),
-            aside=[self.router.table.endpoints[u.index].name for u in balancer.ready if u.ejected],
+            connections=len(self.descriptors.connections), out=balancer.concurrency.in_flight,
+            crowd=round(balancer.concurrency.limit, 1),
+            tier=round(balancer.throttling.tier.reduction, 2), ready=len(balancer.selection.ready),
+            using=len(balancer.selection.selected),
+            aside=[
+                self.router.table.endpoints[u.index].name
+                for u in balancer.selection.ready if u.is_ejected
+            ],
         )  # fmt: skip
         self.timers.schedule(clock() + METRICS_INTERVAL, self.beat)
 
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -112,7 +112,7 @@
                 rows.append(row)  # it drains: kept until it is gone, for what is out there
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
-        self.router.balancer.instance_count = self.subset.balancers_per_upstream
+        self.router.balancer.selection.instance_count = self.subset.balancers_per_upstream
         self.router.endpoints_changed(rows, full=True)
 
     def stop(self) -> None:
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -274,7 +274,9 @@
             return
         work.at(work.now + GOSSIP_INTERVAL, self.gossips)
         members = machine.view(work.now).names()
-        indices = {work.nodes[u.index].name: u.index for u in self.balancer.ready if not u.ejected}
+        indices = {
+            work.nodes[u.index].name: u.index for u in self.balancer.selection.ready if not u.is_ejected
+        }
 
         def told(name: str, tried: int, bad: int) -> None:
             work.counts["believed"] += 1
@@ -306,13 +308,13 @@
             return False
         work.counts["moved"] += len(made.added) + len(made.dropped)
         self.weights = made.weights
-        self.balancer.instance_count = made.balancers_per_upstream
+        self.balancer.selection.instance_count = made.balancers_per_upstream
         return True
 
     def tell_rows(self) -> None:
         rows = list(self.rows.values())
         if self.keeper is not None:
-            rows, known = [], self.balancer.upstreams
+            rows, known = [], self.balancer.selection.endpoints
             for name, row in self.rows.items():
                 weight = self.weights.get(name)
                 if weight is not None:
@@ -320,7 +322,7 @@
                 elif row[1] is not EndpointState.READY and row[0] in known:
                     rows.append(row)
         self.balancer.update_endpoints(self.work.now, rows, full=True)
-        for index in [index for index in self.links if index not in self.balancer.upstreams]:
+        for index in [index for index in self.links if index not in self.balancer.selection.endpoints]:
             del self.links[index]
 
 
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -58,9 +58,12 @@
             program.metrics.open_requests == 0,
             f"{program.metrics.open_requests} open requests in the figures",
         )
-        held = sum(len(u.held) for u in router.balancer.upstreams.values())
+        held = sum(len(u.in_flight) for u in router.balancer.selection.endpoints.values())
         want(not held, f"{held} hops held by the decisions")
-        want(router.balancer.out == 0, f"{router.balancer.out} hops in flight by the decisions' count")
+        want(
+            router.balancer.concurrency.in_flight == 0,
+            f"{router.balancer.concurrency.in_flight} hops in flight by the decisions' count",
+        )
         tables = [*program.descriptors.connections, *program.admin_descriptors.connections]
         listening = sum(listener.sock is not None for listener in (program.listener, program.admin_listener))
         want(
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -66,14 +66,14 @@
 
 def count_usable(balancer, now: int) -> int:
     """Of those in use, how many can be sent to, as the decisions see them (`decide.Balancer`)."""
-    heard = balancer.last_heard
+    heard = balancer.outliers.last_answer_at
     # Where a hop has ended unanswered since.
-    vain = sum(u.ended > max(heard, u.filled) for u in balancer.ready)
-    if now - heard >= balancer.window and vain >= min(SILENT, len(balancer.ready)) > 0:
+    vain = sum(u.last_ended_at > max(heard, u.budget_filled_at) for u in balancer.selection.ready)
+    if now - heard >= balancer.throttling.window and vain >= min(SILENT, len(balancer.selection.ready)) > 0:
         # The decisions set nobody aside while all are silent: that is the tier's trouble. But these are only
         # some of it, and the rest may answer.
         return 0
-    return sum(not upstream.ejected for upstream in balancer.ready)
+    return sum(not upstream.is_ejected for upstream in balancer.selection.ready)
 
 
 class SubsetController:
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -17,7 +17,7 @@
 from helpers import FREE, MARKED, MS, S, balancer  # noqa: E402
 
 from dahliabend.model import Outcome  # noqa: E402
-from dahliabend.policy.key_order import REST  # noqa: E402
+from dahliabend.policy.key_order import REST_TIMER  # noqa: E402
 
 KEYS, OUT = 1_000_000, 200
 UNSURE = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
@@ -27,7 +27,7 @@
     made, port = balancer(
         request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1
     )
-    made.ceiling = 1e9  # the crowd is not what is looked at
+    made.concurrency.limit = 1e9  # the crowd is not what is looked at
     chance, now, out = Random(1), 100 * S, deque()
     tracemalloc.start()
     for number in range(1, KEYS + 1):
@@ -38,17 +38,17 @@
             out.append(request)
         while len(out) > OUT:
             request = out.popleft()
-            if request.out:
+            if request.in_flight:
                 outcome = chance.choice(UNSURE) if chance.random() < 1 / 3 else Outcome.SUCCEEDED
                 request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
             elif not request.is_finished:
                 request.client_disconnected(now)
-        made.timer_fired(now, REST)
+        made.timer_fired(now, REST_TIMER)
         port.clear()
         if number % 100_000 == 0:
             kept = tracemalloc.get_traced_memory()[0] // 1024
             print(
-                f"{number:9,} keys: {kept:6,} KiB, {len(made.lines.lines)} lines, {len(made.lines.rests)} rests"
+                f"{number:9,} keys: {kept:6,} KiB, {len(made.key_queues.queues)} lines, {len(made.key_queues.rests)} rests"
             )
 
 
--- a/tests/health_gossip/test_health_gossip.py
+++ b/tests/health_gossip/test_health_gossip.py
@@ -207,7 +207,8 @@
 
 def test_the_decisions_set_aside_by_what_they_were_told_as_by_own_hops():
     from dahliabend.model import EndpointState
-    from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
+    from dahliabend.policy.balancer import Balancer
+    from dahliabend.policy.throttling import FLOOR, WINDOW_TICKS
     from dahliabend.simulation.cluster.script import Fleet
     from dahliabend.simulation.cluster.work import Work
 
@@ -216,6 +217,6 @@
     made.update_endpoints(S, [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)], True)
     made.add_peer_report(1, FLOOR, FLOOR)
     made.add_peer_report(7, FLOOR, FLOOR)  # not listed any more
-    for beat in range(WINDOW):
-        made.timer_fired(S + (beat + 1) * made.beat, 0)
-    assert [u.ejected for _, u in sorted(made.upstreams.items())] == [False, True, False]
+    for beat in range(WINDOW_TICKS):
+        made.timer_fired(S + (beat + 1) * made.tick, 0)
+    assert [u.is_ejected for _, u in sorted(made.selection.endpoints.items())] == [False, True, False]
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -71,14 +71,16 @@
         assert state is not None
         program.resume_from(state)
         decisions, upstreams = program.router.balancer, program.router.table.endpoints
-        for index, u in sorted(decisions.upstreams.items()):
+        for index, u in sorted(decisions.selection.endpoints.items()):
             values[upstreams[index].name] = [
-                u.born, u.pace, u.heard, u.answered, u.turn, u.ejected, u.since, u.strikes, u.budget,
-                u.filled,
+                u.started_at, u.relative_latency, u.silent_since, u.answered_at, u.position, u.is_ejected,
+                u.ejected_since, u.consecutive_failures, u.slow_start_budget, u.budget_filled_at,
             ]  # fmt: skip
+        limit = decisions.concurrency
         values["all"] = [
-            decisions.ceiling, decisions.crowd, decisions.borne, decisions.stretch, decisions.low,
-            decisions.took, decisions.beats, decisions.pressed, decisions.gap, *decisions.usual,
+            limit.limit, limit.mean_in_flight, limit.sustained_in_flight, limit.latency_ratio,
+            limit.least_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
+            decisions.outliers.fatal_idle_time, *decisions.usual,
         ]  # fmt: skip
         mine.write_state_for((3, 99), program.handover_state)
 
--- a/tests/policy/test_key_order.py
+++ b/tests/policy/test_key_order.py
@@ -7,8 +7,8 @@
 from helpers import FREE, MARKED, MS, S, balancer
 
 from dahliabend.model import Outcome
-from dahliabend.policy.balancer import BEAT
-from dahliabend.policy.key_order import REST
+from dahliabend.policy.balancer import TICK_OBJECTIVES
+from dahliabend.policy.key_order import REST_TIMER
 
 T = 100 * S
 PAUSE = 100 * MS
@@ -60,11 +60,11 @@
     one.attempt_finished(T + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
     assert sent(port) == ([1] if outcome in UNSURE else [1, 2])
     if outcome in UNSURE:
-        assert port[-1] == ("set_timer", T + MS + PAUSE, REST)
-        made.timer_fired(T + PAUSE, REST)
+        assert port[-1] == ("set_timer", T + MS + PAUSE, REST_TIMER)
+        made.timer_fired(T + PAUSE, REST_TIMER)
         took(made, 3, now=T + PAUSE)
         assert sent(port) == [1]
-        made.timer_fired(T + MS + PAUSE, REST)
+        made.timer_fired(T + MS + PAUSE, REST_TIMER)
         assert sent(port) == [1, 2]
 
 
@@ -76,7 +76,7 @@
     assert sent(port) == [1, 1]
     one.attempt_finished(T + PAUSE - 1, 1, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 1]  # nor does its answer end the rest
-    made.timer_fired(T + PAUSE, REST)
+    made.timer_fired(T + PAUSE, REST_TIMER)
     assert sent(port) == [1, 1, 2]
 
 
@@ -87,7 +87,7 @@
     one.client_disconnected(T)
     assert sent(port) == [1] and not one.is_finished
     one.attempt_finished(T + MS, 0, Outcome.CANCELLED, MS, True)
-    made.timer_fired(T + MS + PAUSE, REST)
+    made.timer_fired(T + MS + PAUSE, REST_TIMER)
     assert sent(port) == [1, 2]
 
 
@@ -100,7 +100,7 @@
     one.attempt_finished(T + 2 * MS, 1, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 1]
     one.attempt_finished(T + 3 * MS, 0, Outcome.CANCELLED, MS, True)
-    made.timer_fired(T + 3 * MS + PAUSE, REST)
+    made.timer_fired(T + 3 * MS + PAUSE, REST_TIMER)
     assert sent(port) == [1, 1, 2]
 
 
@@ -117,7 +117,7 @@
     made, port = queue()
     took(made, 1)
     two = took(made, 2, limit=S)
-    beat = round(FREE.latency_objective * BEAT)
+    beat = round(FREE.latency_objective * TICK_OBJECTIVES)
     for number in range(1, 4):
         made.timer_fired(T + number * beat, 0)
     assert two.is_finished and port.of("reject")[0][1] == 2 and sent(port) == [1]
@@ -151,14 +151,16 @@
             request = out.pop(chance.randrange(50))
             if not request.is_finished:
                 request.attempt_finished(now, 0, chance.choice((Outcome.SUCCEEDED, *UNSURE)), MS, False)
-            made.timer_fired(now, REST)
+            made.timer_fired(now, REST_TIMER)
         port.clear()
-        assert len(made.lines.lines) <= 51 + 100 + 1  # those out, and those at rest for as many milliseconds
+        assert (
+            len(made.key_queues.queues) <= 51 + 100 + 1
+        )  # those out, and those at rest for as many milliseconds
     for request in out:
         if not request.is_finished:
             request.attempt_finished(now, 0, Outcome.RESET, MS, False)
-    made.timer_fired(now + PAUSE, REST)
-    assert not made.lines.lines and not made.lines.rests
+    made.timer_fired(now + PAUSE, REST_TIMER)
+    assert not made.key_queues.queues and not made.key_queues.rests
 
 
 def test_decisions_that_take_over_stand_behind_what_the_ones_before_have_in_hand():
@@ -167,13 +169,13 @@
     other = took(made, 3, key=5)
     other.attempt_finished(T, 0, Outcome.RESET, MS, False)  # key 5 rests
     after, port2 = queue()
-    after.lines.restore(made.lines)
-    assert ("set_timer", T + PAUSE, REST) in port2
+    after.key_queues.take_over(made.key_queues)
+    assert ("set_timer", T + PAUSE, REST_TIMER) in port2
     took(after, 4)
     took(after, 5, key=5)
     assert not sent(port2)
     one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     two.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sent(port) == [1, 3, 2] and sent(port2) == [4]
-    after.timer_fired(T + PAUSE, REST)
+    after.timer_fired(T + PAUSE, REST_TIMER)
     assert sent(port2) == [4, 5]
--- a/tests/simulation/cluster/test_work.py
+++ b/tests/simulation/cluster/test_work.py
@@ -69,7 +69,7 @@
     made.run(12 * S)
     # While all that it knows is silent nobody is set aside: without another sign it would never widen.
     assert mine.keeper.extra > 0
-    assert sum(not made.nodes[u.index].hung and u.answered > 0 for u in mine.balancer.ready) >= 4
+    assert sum(not made.nodes[u.index].hung and u.answered_at > 0 for u in mine.balancer.selection.ready) >= 4
 
 
 def test_demand_told_makes_room_for_one_that_many_come_to():
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -18,7 +18,8 @@
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
-from dahliabend.policy.key_order import Lines
+from dahliabend.policy.key_order import KeyQueues
+from dahliabend.policy.selection import EndpointSelection
 from dahliabend.proxy import router
 from dahliabend.proxy.endpoint_table import EndpointTable, Phase, UpstreamRequest
 from dahliabend.proxy.router import Attempt, Router
@@ -66,7 +67,9 @@
 
 
 def resend_what_may_have_run():
-    return instead(RequestState, "repeatable", lambda self, now: not self.spent and not self.out)
+    return instead(
+        RequestState, "may_be_sent", lambda self, now: not self.is_body_consumed and not self.in_flight
+    )
 
 
 def use_those_that_drain():
@@ -74,7 +77,7 @@
 
 
 def no_cold_budget():
-    return instead(Balancer, "warmth", lambda self, u, now: 1.0)
+    return instead(EndpointSelection, "warm_share", lambda self, endpoint, now: 1.0)
 
 
 def keep_a_descriptor():
@@ -185,15 +188,15 @@
 
 def roll_back_what_may_have_run():
     def give_up(self, request):
-        request.done = True
-        self.call_off(request)
+        request.is_answered = True
+        self.cancel(request)
         self.port.reject(request.ref, 0)
 
     return instead(Balancer, "give_up", give_up)
 
 
 def leave_the_group():
-    return instead(Balancer, "same_group", lambda self, request, u, risk: True)
+    return instead(RequestState, "is_deduplicated_at", lambda self, endpoint, first: True)
 
 
 def pass_on_cut_answers():
@@ -333,27 +336,28 @@
 
     def admit(self, now, *arguments, **more):
         self.crowded = getattr(self, "crowded", now)
-        self.ceiling = self.ceiling if now - self.crowded < 3 * S else 0.0
+        if now - self.crowded >= 3 * S:
+            self.concurrency.limit = 0.0
         return real(self, now, *arguments, **more)
 
     return instead(Balancer, "admit", admit)
 
 
 def leave_out_the_rest():
-    return instead(Lines, "unsure", lambda self, request, now: None)
+    return instead(KeyQueues, "rest", lambda self, request, now: None)
 
 
 def forget_the_line_at_a_time_out():
-    return instead(Lines, "unsure", lambda self, request, now: self.lines.pop(request.key, None))
+    return instead(KeyQueues, "rest", lambda self, request, now: self.queues.pop(request.key, None))
 
 
 def last_come_first_served():
     def ahead(self, key):
-        if line := self.lines.get(key):
-            line.turn, line.until = None, 0
+        if queue := self.queues.get(key):
+            queue.current, queue.rests_until = None, 0
         return 0
 
-    return instead(Lines, "ahead", ahead)
+    return instead(KeyQueues, "ahead", ahead)
 
 
 DEFECTS = {
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -18,13 +18,19 @@
         self.table = SimpleNamespace(
             indices={}, known_ids={}, remember_id=lambda name: self.table.known_ids.update({name: None})
         )
-        self.balancer = SimpleNamespace(ready=[], window=1, last_heard=0)
+        self.balancer = SimpleNamespace(
+            selection=SimpleNamespace(ready=[]),
+            throttling=SimpleNamespace(window=1),
+            outliers=SimpleNamespace(last_answer_at=0),
+        )
 
     def endpoints_changed(self, rows, full):
         assert full
         self.told.append({row[0]: row for row in rows})
         self.table.indices = dict.fromkeys(row[0] for row in rows)
-        self.balancer.ready = [SimpleNamespace(ejected=False, ended=0, filled=0) for row in rows]
+        self.balancer.selection.ready = [
+            SimpleNamespace(is_ejected=False, last_ended_at=0, budget_filled_at=0) for row in rows
+        ]
 
     def endpoint_poll_failed(self):
         self.failed += 1
@@ -54,7 +60,7 @@
 def test_the_decisions_are_told_how_many_balancers_share_what_is_used():
     made, router = narrowed(least=6, degree=4)
     made.endpoints_changed(rows(range(30)), full=True)
-    assert router.balancer.instance_count == pytest.approx(len(router.told[-1]) * 20 / 30)
+    assert router.balancer.selection.instance_count == pytest.approx(len(router.told[-1]) * 20 / 30)
 
 
 def test_by_their_numbers_all_come_to_one_relation_without_a_fleet():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -233,11 +233,15 @@
 
 def test_an_upstream_that_has_gone_gives_its_place_and_its_connections_back():
     class Told(Notes):
-        balancer = SimpleNamespace(only_draining_binds=False)
+        balancer = SimpleNamespace(
+            settings=SimpleNamespace(only_draining_binds=False), selection=SimpleNamespace()
+        )
 
         def endpoints_changed(self, rows, full):
             self[:] = [(u.index, u.name) for u, _ in rows]
-            self.balancer.upstreams = {u.index for u, state in rows if state is not EndpointState.REMOVED}
+            self.balancer.selection.endpoints = {
+                u.index for u, state in rows if state is not EndpointState.REMOVED
+            }
 
     told, all_of = Told(), upstream_table()
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[told], excluded=set(), balancer=told.balancer)
@@ -466,8 +470,8 @@
         zones={},
         balancer=SimpleNamespace(
             update_endpoints=lambda now, rows, full: told.append(rows[0]),
-            upstreams=all_of.endpoints,
-            only_draining_binds=False,
+            selection=SimpleNamespace(endpoints=all_of.endpoints),
+            settings=SimpleNamespace(only_draining_binds=False),
         ),
     )
     desk = SimpleNamespace(table=all_of, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -134,17 +134,17 @@
 def test_a_body_that_comes_counts_as_in_flight_from_its_last_byte_on():
     made, port = balancer()
     request = made.admit(100 * S, 1, 2, 0, 900 * S, body_pending=True)
-    upstream = made.upstreams[port.of("send")[0][2]]
-    assert made.out == 0 and not upstream.held
+    upstream = made.selection.endpoints[port.of("send")[0][2]]
+    assert made.concurrency.in_flight == 0 and not upstream.in_flight
     for n in range(30):  # others are heard, this upstream is not: nothing runs there yet
-        made.last_heard = 100 * S + n * S
+        made.outliers.last_answer_at = 100 * S + n * S
         made.timer_fired(100 * S + n * S, 0)
-    assert not upstream.ejected
-    assert request.body_received(130 * S, 134 * S) == 4 * S and made.out == 1
+    assert not upstream.is_ejected
+    assert request.body_received(130 * S, 134 * S) == 4 * S and made.concurrency.in_flight == 1
     request.response_started(131 * S, 0)
-    assert made.out == 0 and not upstream.held
+    assert made.concurrency.in_flight == 0 and not upstream.in_flight
     request.attempt_finished(190 * S, 0, Outcome.SUCCEEDED, S, True)
-    assert made.out == 0 and request.is_finished
+    assert made.concurrency.in_flight == 0 and request.is_finished
 
 
 def test_what_has_gone_by_is_not_sent_again_and_never_ran():
