--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -86,7 +86,13 @@
             self.keeper.follow_membership(now, settled, cluster.view())
         balancer = self.router.balancer
         if self.subset.weights:
-            self.keeper.adjust_width(count_usable(balancer, now))
+            usable = count_usable(
+                balancer.selection.ready,
+                balancer.outliers.last_answer_at,
+                balancer.throttling.window,
+                now,
+            )
+            self.keeper.adjust_width(usable)
         made = self.keeper.step(now, frozenset(self.router.excluded & self.subset.weights.keys()))
         if made is None:
             return False
@@ -114,7 +120,7 @@
                 rows.append(row)  # it drains: kept until it is gone, for what is out there
         # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
         # and turn callers back while its upstreams idle.
-        self.router.balancer.instance_count = self.subset.balancers_per_upstream
+        self.router.balancer.selection.instance_count = self.subset.balancers_per_upstream
         self.router.endpoints_changed(rows, full=True)
 
     def stop(self) -> None:
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -5,7 +5,8 @@
 from dahliabend.config.policy_settings import read_policy_settings, to_microseconds
 from dahliabend.errors import SimulatorProtocolError
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.policy.balancer import Balancer, RequestState
+from dahliabend.policy.balancer import Balancer
+from dahliabend.policy.retries import RequestState
 from dahliabend.simulator_adapter import actions
 from dahliabend.simulator_adapter.wire_format import (
     ENDPOINT_ENTRY,
--- a/dahliabend/subsetting/usable_endpoints.py
+++ b/dahliabend/subsetting/usable_endpoints.py
@@ -7,46 +7,37 @@
 
 
 class EndpointHealth(Protocol):
-    """What is read of one endpoint of the policy."""
+    """What is read of one endpoint of the policy. Times are in microseconds."""
 
     @property
-    def ended(self) -> int:
-        """When an attempt last ended without an answer, in microseconds."""
+    def last_ended_at(self) -> int:
+        """When an attempt last ended there, with or without an answer."""
 
     @property
-    def filled(self) -> int:
-        """When it last answered, in microseconds."""
+    def budget_filled_at(self) -> int:
+        """When its slow-start budget was last filled: as it became known, or was last considered."""
 
     @property
-    def ejected(self) -> bool:
+    def is_ejected(self) -> bool:
         """Whether it is out of use as an outlier."""
 
 
-class PolicyHealth(Protocol):
-    """What is read of the policy of a pool."""
-
-    @property
-    def last_heard(self) -> int:
-        """When any endpoint last answered, in microseconds."""
-
-    @property
-    def window(self) -> int:
-        """Time that outcomes count, in microseconds."""
-
-    @property
-    def ready(self) -> Sequence[EndpointHealth]:
-        """Endpoints in use."""
-
-
-def count_usable(balancer: PolicyHealth, now: int) -> int:
+def count_usable(endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int) -> int:
     """Return how many of the endpoints in use can be sent to.
 
     While all are silent the policy ejects none, as a fault of the whole tier. But a subset is only a part of
     the tier and the rest may answer, so that a silent subset counts as unusable here.
+
+    Args:
+        endpoints: The endpoints in use.
+        last_answer_at: When any of them last answered, in microseconds.
+        window: How long outcomes count, in microseconds.
+        now: The time, in microseconds.
     """
-    last_heard = balancer.last_heard
-    unanswered = sum(endpoint.ended > max(last_heard, endpoint.filled) for endpoint in balancer.ready)
-    silent_for_a_window = now - last_heard >= balancer.window
-    if silent_for_a_window and unanswered >= min(MIN_SILENT, len(balancer.ready)) > 0:
+    unanswered = sum(
+        endpoint.last_ended_at > max(last_answer_at, endpoint.budget_filled_at) for endpoint in endpoints
+    )
+    silent_for_a_window = now - last_answer_at >= window
+    if silent_for_a_window and unanswered >= min(MIN_SILENT, len(endpoints)) > 0:
         return 0
-    return sum(not endpoint.ejected for endpoint in balancer.ready)
+    return sum(not endpoint.is_ejected for endpoint in endpoints)
--- a/tests/health_gossip/test_peer_reports_in_policy.py
+++ b/tests/health_gossip/test_peer_reports_in_policy.py
@@ -5,7 +5,8 @@
 from fake_reports import SECOND
 
 from dahliabend.model import EndpointState
-from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
+from dahliabend.policy.balancer import Balancer
+from dahliabend.policy.throttling import FLOOR, WINDOW_TICKS
 from dahliabend.simulation.cluster.script import Fleet
 from dahliabend.simulation.cluster.work import Work
 
@@ -17,7 +18,7 @@
     balancer.update_endpoints(SECOND, rows, full=True)
     balancer.add_peer_report(1, FLOOR, FLOOR)
     balancer.add_peer_report(7, FLOOR, FLOOR)  # not listed any more
-    for tick in range(WINDOW):
-        balancer.timer_fired(SECOND + (tick + 1) * balancer.beat, 0)
-    ejected = [upstream.ejected for _, upstream in sorted(balancer.upstreams.items())]
+    for tick in range(WINDOW_TICKS):
+        balancer.timer_fired(SECOND + (tick + 1) * balancer.tick, 0)
+    ejected = [endpoint.is_ejected for _, endpoint in sorted(balancer.selection.endpoints.items())]
     assert ejected == [False, True, False]
--- a/tests/subsetting/fake_router.py
+++ b/tests/subsetting/fake_router.py
@@ -11,7 +11,11 @@
         self.excluded = set()
         self.failed_polls = 0
         self.table = SimpleNamespace(indices={}, known_ids={}, remember_id=self.remember_id)
-        self.balancer = SimpleNamespace(ready=[], window=1, last_heard=0)
+        self.balancer = SimpleNamespace(
+            selection=SimpleNamespace(ready=[]),
+            throttling=SimpleNamespace(window=1),
+            outliers=SimpleNamespace(last_answer_at=0),
+        )
 
     def remember_id(self, name: str) -> None:
         self.table.known_ids[name] = None
@@ -20,7 +24,9 @@
         assert full
         self.lists.append({row[0]: row for row in rows})
         self.table.indices = dict.fromkeys(row[0] for row in rows)
-        self.balancer.ready = [SimpleNamespace(ejected=False, ended=0, filled=0) for row in rows]
+        self.balancer.selection.ready = [
+            SimpleNamespace(is_ejected=False, last_ended_at=0, budget_filled_at=0) for row in rows
+        ]
 
     def endpoint_poll_failed(self):
         self.failed_polls += 1
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -43,7 +43,7 @@
 
 def test_policy_gets_the_number_of_balancers_that_share_an_upstream(listed):
     _, router = listed
-    assert router.balancer.instance_count == pytest.approx(len(router.lists[-1]) * 20 / 30)
+    assert router.balancer.selection.instance_count == pytest.approx(len(router.lists[-1]) * 20 / 30)
 
 
 def test_balancers_with_configured_numbers_come_to_one_assignment_without_membership():
