--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -107,7 +107,7 @@
 @click.argument("file", required=False)
 def serve(file: str | None) -> None:
     """Serves: by an operator's FILE, or without one as PROXY_CONFIG says."""
-    from dahliabend.__main__ import run
+    from dahliabend.server.startup import run
 
     if file is None:
         raise click.exceptions.Exit(run())
@@ -115,8 +115,9 @@
 
     import uvloop
 
-    from dahliabend.server.operator_file_server import InvalidOperatorFileError, serve_operator_file
-    from dahliabend.server.platform_server import BLOCKED_SIGNALS
+    from dahliabend.server.lifecycle import BLOCKED_SIGNALS
+    from dahliabend.server.operator_file_loading import InvalidOperatorFileError
+    from dahliabend.server.operator_file_server import serve_operator_file
     from dahliabend.server.structured_log import StructuredLog
 
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -1,24 +1,63 @@
-"""What each of the operators' calls does."""
+"""The admin API: what each call of an operator does."""
 
 from collections.abc import Callable
+from typing import Any, Protocol
 
 import orjson
 
 from dahliabend.http.admin_connection import AdminResponse
+from dahliabend.server.log import EventLog
 
-_JSON = b"Content-Type: application/json\r\n"
+FIRST_ERROR_STATUS = 400
+MAX_LOGGED_CHARACTERS = 100  # of a path or a name that an operator sent
+_JSON_HEADER = b"Content-Type: application/json\r\n"
 
+AdminCall = Callable[[bytes], AdminResponse]
 
-def said(status: int, **fields) -> AdminResponse:
-    return status, _JSON, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE)
+
+class AdminTarget(Protocol):
+    """The server as admin calls see it."""
+
+    def ready(self) -> bool:
+        """Return whether requests can be served."""
+
+    def telemetry(self) -> dict[str, Any]:
+        """Return the counts."""
+
+    def members(self) -> dict[str, Any] | None:
+        """Return the other balancers; None if there is no membership."""
+
+    def subsets(self) -> dict[str, Any]:
+        """Return, by pool, the upstreams in use, where a pool uses a subset."""
+
+    def signals(self) -> dict[str, Any] | None:
+        """Return the health reports exchanged with other balancers; None if there are none."""
+
+    def turns(self) -> dict[str, Any] | None:
+        """Return the leases of shared health checks; None if they are not shared."""
+
+    def exclude(self, name: str, excluded: bool) -> bool:
+        """Take an upstream out or put it back; False if no list has ever had it."""
+
+    def evacuate(self) -> None:
+        """Send the clients to other balancers."""
+
+    def rejoin(self) -> None:
+        """Accept clients again."""
+
+
+def json_response(status: int, **fields: object) -> AdminResponse:
+    """Return a response with these fields as a JSON object."""
+    return status, _JSON_HEADER, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE)
 
 
 class AdminApi:
-    """The calls by path, each with its method. They act on the program, which has all that is asked about."""
+    """The admin calls by path, each with its method."""
 
-    def __init__(self, program, log: Callable) -> None:
-        self.program, self.log = program, log
-        self.calls = {
+    def __init__(self, target: AdminTarget, log: EventLog) -> None:
+        self.target = target
+        self.log = log
+        self.calls: dict[bytes, tuple[bytes, AdminCall]] = {
             b"/api/ready": (b"GET", self.ready),
             b"/api/telemetry": (b"GET", self.telemetry),
             b"/api/exclude": (b"PUT", self.exclude),
@@ -32,60 +71,79 @@
         }
 
     def __call__(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
-        wanted, call = self.calls.get(path, (b"", None))
+        """Answer a call, and log it if it changed something or failed."""
+        allowed_method, call = self.calls.get(path, (b"", None))
         if call is None:
-            answer = said(404, error="no such call")
-        elif method != wanted:
-            answer = 405, b"Allow: %b\r\n" % wanted, b"wrong method\n"
+            response = json_response(404, error="no such call")
+        elif method != allowed_method:
+            response = 405, b"Allow: %b\r\n" % allowed_method, b"wrong method\n"
         else:
-            answer = call(body)
-        if wanted != b"GET" or answer[0] >= 400:
+            response = call(body)
+        status = response[0]
+        if allowed_method != b"GET" or status >= FIRST_ERROR_STATUS:
             self.log(
-                "call", method=method.decode("latin-1"), path=path.decode("latin-1")[:100], status=answer[0]
+                "call",
+                method=method.decode("latin-1"),
+                path=path.decode("latin-1")[:MAX_LOGGED_CHARACTERS],
+                status=status,
             )
-        return answer
+        return response
+
+    def ready(self, _body: bytes) -> AdminResponse:
+        """Answer whether requests can be served."""
+        ready = self.target.ready()
+        return json_response(200 if ready else 503, ready=ready)
 
-    def ready(self, _: bytes) -> AdminResponse:
-        ready = self.program.ready()
-        return said(200 if ready else 503, ready=ready)
+    def telemetry(self, _body: bytes) -> AdminResponse:
+        """Answer with the counts."""
+        return json_response(200, **self.target.telemetry())
 
-    def telemetry(self, _: bytes) -> AdminResponse:
-        return said(200, **self.program.telemetry())
+    def members(self, _body: bytes) -> AdminResponse:
+        """Answer with the other balancers."""
+        return _found(self.target.members(), "there is no [members]")
 
-    def members(self, _: bytes) -> AdminResponse:
-        shown = self.program.members()
-        return said(404, error="there is no [members]") if shown is None else said(200, **shown)
+    def subsets(self, _body: bytes) -> AdminResponse:
+        """Answer with the subsets in use, by pool."""
+        return json_response(200, pools=self.target.subsets())
 
-    def subsets(self, _: bytes) -> AdminResponse:
-        return said(200, pools=self.program.subsets())
+    def signals(self, _body: bytes) -> AdminResponse:
+        """Answer with the health reports of all balancers."""
+        return _found(self.target.signals(), "[members] has no signals")
 
-    def signals(self, _: bytes) -> AdminResponse:
-        shown = self.program.signals()
-        return said(404, error="[members] has no signals") if shown is None else said(200, **shown)
+    def turns(self, _body: bytes) -> AdminResponse:
+        """Answer with the leases of shared health checks."""
+        return _found(self.target.turns(), "[members] has no probing")
 
-    def turns(self, _: bytes) -> AdminResponse:
-        shown = self.program.turns()
-        return said(404, error="[members] has no probing") if shown is None else said(200, **shown)
+    def exclude(self, body: bytes) -> AdminResponse:
+        """Take an upstream out of all pools."""
+        return self._set_excluded(body, excluded=True)
+
+    def include(self, body: bytes) -> AdminResponse:
+        """Put an upstream back that was taken out."""
+        return self._set_excluded(body, excluded=False)
 
-    def exclude(self, body: bytes, out: bool = True) -> AdminResponse:
+    def evacuate(self, _body: bytes) -> AdminResponse:
+        """Send the clients to other balancers."""
+        self.target.evacuate()
+        return json_response(200, evacuated=True)
+
+    def rejoin(self, _body: bytes) -> AdminResponse:
+        """Accept clients again."""
+        self.target.rejoin()
+        return json_response(200, evacuated=False)
+
+    def _set_excluded(self, body: bytes, *, excluded: bool) -> AdminResponse:
         try:
             target = orjson.loads(body)["target"]
         except (ValueError, TypeError, KeyError):
-            return said(400, error="no JSON object with a target")
+            return json_response(400, error="no JSON object with a target")
         if not isinstance(target, str) or not target:
-            return said(400, error="target: no text, or empty")
-        if not self.program.exclude(target, out):
-            return said(404, error="target: never listed")
-        self.log("excluded" if out else "included", upstream=target[:100])
-        return said(200, target=target, excluded=out)
-
-    def include(self, body: bytes) -> AdminResponse:
-        return self.exclude(body, out=False)
+            return json_response(400, error="target: no text, or empty")
+        if not self.target.exclude(target, excluded):
+            return json_response(404, error="target: never listed")
+        self.log("excluded" if excluded else "included", upstream=target[:MAX_LOGGED_CHARACTERS])
+        return json_response(200, target=target, excluded=excluded)
 
-    def evacuate(self, _: bytes) -> AdminResponse:
-        self.program.evacuate()
-        return said(200, evacuated=True)
 
-    def rejoin(self, _: bytes) -> AdminResponse:
-        self.program.rejoin()
-        return said(200, evacuated=False)
+def _found(status: dict[str, Any] | None, error: str) -> AdminResponse:
+    return json_response(404, error=error) if status is None else json_response(200, **status)
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -1,49 +1,74 @@
-"""A list of upstreams or of balancers that stands in a file."""
+"""A list of endpoints that stands in a file: upstreams, or other balancers."""
 
-from collections.abc import Callable
+from typing import Any
 
 import orjson
 
 from dahliabend.discovery.watch import EndpointList
+from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 from dahliabend.transport.timers import TimerQueue, clock
 
-LOOK = 1_000_000  # how often the file is read again
+READ_INTERVAL = 1_000_000  # microseconds between two readings of a watched file
 
 
 class EndpointListFile:
-    """A list where no discovery keeps it: in the operator's file, or in one of its own, watched."""
+    """The source of a list that no discovery service keeps.
 
-    def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: Callable) -> None:
-        self.endpoint_list, self.timers, self.log = endpoint_list, timers, log
-        self.attempted, self.path, self.text, self.again = True, "", b"", None
+    It stands in the operator's file itself, or in a file of its own that is watched. It takes the place of a
+    discovery client.
 
-    def say(self, rows: list[dict]) -> None:
+    Attributes:
+        attempted: Always true: unlike a discovery service, a file need not be waited for.
+    """
+
+    def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: EventLog) -> None:
+        self.endpoint_list = endpoint_list
+        self.timers = timers
+        self.log = log
+        self.attempted = True
+        self._path = ""
+        self._applied_text = b""
+        self._read_timer: Any = None
+
+    def set_endpoints(self, rows: list[dict[str, Any]]) -> None:
+        """Replace the whole list by these entries, in the discovery service's form."""
         message = {"version": self.endpoint_list.version + 1, "full": True, "servers": rows}
         self.endpoint_list.apply(message, first=True)
 
     def watch(self, path: str) -> None:
+        """Read the list from that file, now and whenever it changes."""
         self.stop()
-        self.path = path
-        self.look()
+        self._path = path
+        self._read()
+
+    def open(self) -> None:
+        """Do nothing: there is no connection to open."""
+
+    def poll(self) -> None:
+        """Do nothing: a watched file is read at intervals anyway."""
 
-    def look(self) -> None:
-        self.again = self.timers.schedule(clock() + LOOK, self.look)
+    def stop(self) -> None:
+        """Stop watching the file."""
+        self.timers.cancel(self._read_timer)
+
+    def _read(self) -> None:
+        self._read_timer = self.timers.schedule(clock() + READ_INTERVAL, self._read)
         try:
-            text = host_info.read_file(self.path)
-            if text == self.text:
+            text = host_info.read_file(self._path)
+            if text == self._applied_text:
                 return
-            rows = orjson.loads(text)["servers"]
-            if not isinstance(rows, list):
-                raise ValueError("servers is no list")
+            rows = _parse_rows(text)
         except (OSError, ValueError, KeyError, TypeError) as error:
-            # Half a file, or none for a moment: what is known holds, nothing is taken out for it.
-            return self.log("members.unread", file=self.path, why=str(error))
-        self.text = text
-        self.say(rows)
+            # Half a file, or none for a moment: the list stays as it is, and nothing is taken out for it.
+            self.log("members.unread", file=self._path, why=str(error))
+            return
+        self._applied_text = text
+        self.set_endpoints(rows)
 
-    def open(self) -> None: ...
-    def poll(self) -> None: ...
 
-    def stop(self) -> None:
-        self.timers.cancel(self.again)
+def _parse_rows(text: bytes) -> list[dict[str, Any]]:
+    rows = orjson.loads(text)["servers"]
+    if not isinstance(rows, list):
+        raise TypeError("servers is no list")
+    return rows
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -1,104 +1,148 @@
-"""What two processes before the same callers share: who lives, what is known, who is excluded.
+"""The directory that two processes on one listening socket share, for a restart without an interruption.
 
-A folder of small files, each written whole under another name and renamed. One that can't be read is
-passed over.
+It holds small files, each written as a whole under another name and renamed. One that can't be read is
+skipped. In it stand: who lives, the state for a successor, and the upstreams that an operator has excluded.
 """
 
 from collections.abc import Callable
 from hashlib import blake2b
+from typing import Any, NamedTuple
 
 import orjson
 
+from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 from dahliabend.transport.runtime_directory import LockedFile
 
 VERSION = 1  # of the files' form: what another version wrote is not read
-BANS = "excluded"
+EXCLUSIONS_DIRECTORY = "excluded"
+DIGEST_BYTES = 16  # of an upstream's name, in the name of its file
+
+
+class ProcessKey(NamedTuple):
+    """A process among those that share the directory; an older one compares as less.
+
+    Attributes:
+        generation: One more than that of the newest process at its start.
+        process_id: Its number in the system.
+    """
+
+    generation: int
+    process_id: int
+
+
+def _file_suffix(process: tuple[int, int]) -> str:
+    generation, process_id = process
+    return f"{generation}-{process_id}"
 
 
 class HotRestart:
-    """This process among those that share the folder. The one in service writes what it knows for its
-    successor; exclusions are a file each, so that calls to either process can't undo one another."""
+    """This process among those that share the directory.
+
+    The one in service writes its state for its successor. Exclusions are a file each, so that calls to either
+    process can't undo one another.
+
+    Attributes:
+        process_key: This process; (0, 0) until `open`.
+    """
 
-    def __init__(self, folder: str, log: Callable) -> None:
-        self.folder, self.log = host_info.runtime_directory(folder), log
-        self.process_key = (0, 0)
-        self.claim: LockedFile | None = None
-        self.written_for: tuple[int, int] | None = None  # the successor that has been written for
+    def __init__(self, path: str, log: EventLog) -> None:
+        self.directory = host_info.runtime_directory(path)
+        self.log = log
+        self.process_key = ProcessKey(0, 0)
+        self._alive_file: LockedFile | None = None
+        self._last_successor: tuple[int, int] | None = None  # the state has been written for it
 
     def open(self) -> None:
-        """Takes a place behind those that live; what the dead have left goes. OSError: it has no folder."""
-        self.folder.make_directory(BANS)
-        live_processes = self.live_processes()
-        for name in self.folder.glob("for-*"):
-            if not any(name.endswith(f"-{number}-{pid}") for number, pid in live_processes):
-                self.folder.remove(name)
-        self.process_key = (max((n for n, _ in live_processes), default=0) + 1, host_info.process_id())
-        self.claim = self.folder.create_locked(f"alive-{self.process_key[0]}-{self.process_key[1]}")
-
-    def live_processes(self) -> dict[tuple[int, int], int]:
-        """The others that hold their locks, oldest first, with their hops in flight."""
+        """Register this process as the newest, and remove what dead ones have left.
+
+        Raises:
+            OSError: The directory can't be used.
+        """
+        self.directory.make_directory(EXCLUSIONS_DIRECTORY)
+        live = self.live_processes()
+        for name in self.directory.glob("for-*"):
+            if not any(name.endswith(f"-{_file_suffix(key)}") for key in live):
+                self.directory.remove(name)
+        newest = max((key.generation for key in live), default=0)
+        self.process_key = ProcessKey(newest + 1, host_info.process_id())
+        self._alive_file = self.directory.create_locked(f"alive-{_file_suffix(self.process_key)}")
+
+    def live_processes(self) -> dict[ProcessKey, int]:
+        """Return the others that hold their locks, oldest first, with their attempts in flight."""
         found = {}
-        for name in self.folder.glob("alive-*-*"):
-            number, pid = name.split("-")[1:]
-            process_key = int(number), int(pid)
-            if process_key != self.process_key and (out := self.folder.read_locked(name)) is not None:
-                found[process_key] = int(out) if out.strip().isdigit() else 0
+        for name in self.directory.glob("alive-*-*"):
+            generation, process_id = name.split("-")[1:]
+            key = ProcessKey(int(generation), int(process_id))
+            if key == self.process_key:
+                continue
+            in_flight = self.directory.read_locked(name)
+            if in_flight is not None:
+                found[key] = int(in_flight) if in_flight.strip().isdigit() else 0
         return dict(sorted(found.items()))
 
-    # What is known.
+    # State for a successor.
 
-    def write_state_for(self, successor: tuple[int, int], state: Callable[[], dict]) -> None:
-        """Once for each successor."""
-        if successor != self.written_for:
-            self.written_for = successor
-            self.write(f"for-{successor[0]}-{successor[1]}", {"version": VERSION, **state()})
-            self.log("handed_over", to=successor[1])
+    def write_state_for(self, successor: tuple[int, int], state: Callable[[], dict[str, Any]]) -> None:
+        """Write the state for that process, once for each successor.
 
-    def read_state(self) -> dict | None:
-        """What the one in service has written for this one, if it has and it can be read."""
-        name = f"for-{self.process_key[0]}-{self.process_key[1]}"
-        raw = self.folder.read(name)
+        Args:
+            successor: The process that is to go on from it.
+            state: Called for the state if it has to be written.
+        """
+        if successor == self._last_successor:
+            return
+        self._last_successor = successor
+        content = {"version": VERSION, **state()}
+        try:
+            self.directory.write(f"for-{_file_suffix(successor)}", orjson.dumps(content))
+        except OSError as error:
+            self.log("handover.unwritten", why=str(error))
+        self.log("handed_over", to=successor[1])
+
+    def read_state(self) -> dict[str, Any] | None:
+        """Return the state that was written for this process, once; None if there is none to be read."""
+        name = f"for-{_file_suffix(self.process_key)}"
+        raw = self.directory.read(name)
         if raw is None:
             return None
-        self.folder.remove(name)
+        self.directory.remove(name)
         try:
-            state = orjson.loads(raw)
-            if state["version"] == VERSION:
-                return state
-            self.log("handover.unread", why=f"version {state['version']!r}")
+            state: dict[str, Any] = orjson.loads(raw)
+            version = state["version"]
         except (ValueError, TypeError, KeyError) as error:
             self.log("handover.unread", why=repr(error))
-        return None
-
-    def write(self, name: str, value) -> None:
-        try:
-            self.folder.write(name, orjson.dumps(value))
-        except OSError as error:
-            self.log("handover.unwritten", why=str(error))
+            return None
+        if version != VERSION:
+            self.log("handover.unread", why=f"version {version!r}")
+            return None
+        return state
 
-    def publish_in_flight(self, out: int) -> None:
-        """How many hops this one has in flight."""
-        self.claim.write(b"%8d" % out)
+    def publish_in_flight(self, attempts: int) -> None:
+        """Tell the other processes how many attempts this one has in flight."""
+        if self._alive_file is not None:
+            self._alive_file.write(b"%8d" % attempts)
 
     # Exclusions.
 
     def exclusions(self) -> set[str]:
+        """Return the names of all excluded upstreams."""
         names = set()
-        for name in self.folder.glob(f"{BANS}/*"):
+        for file_name in self.directory.glob(f"{EXCLUSIONS_DIRECTORY}/*"):
             try:
-                names.add((self.folder.read(name) or b"").decode())
+                names.add((self.directory.read(file_name) or b"").decode())
             except ValueError:
                 continue
-        return names - {""}  # ended meanwhile
+        return names - {""}  # removed between the two calls
 
-    def set_excluded(self, name: str, out: bool) -> None:
-        digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=16).hexdigest()
-        path = f"{BANS}/{digest}"
+    def set_excluded(self, name: str, excluded: bool) -> None:
+        """Exclude an upstream in all processes, or include it again."""
+        digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=DIGEST_BYTES).hexdigest()
+        path = f"{EXCLUSIONS_DIRECTORY}/{digest}"
         try:
-            if out and not self.folder.exists(path):
-                self.folder.write(path, name.encode())
-            elif not out:
-                self.folder.remove(path)
+            if not excluded:
+                self.directory.remove(path)
+            elif not self.directory.exists(path):
+                self.directory.write(path, name.encode())
         except (OSError, ValueError) as error:
             self.log("handover.unwritten", why=str(error))
--- /dev/null
+++ b/dahliabend/server/lifecycle.py
@@ -0,0 +1,143 @@
+"""Start, readiness, graceful shutdown and end of a server."""
+
+import asyncio
+import gc
+import signal
+from collections.abc import Callable, Sized
+from enum import Enum, auto
+from typing import Protocol
+
+from dahliabend.server.log import Log
+from dahliabend.transport.listener import Listener
+from dahliabend.transport.timers import TimerQueue, clock
+
+BLOCKED_SIGNALS = (signal.SIGHUP,)  # from the start of the process until they can be acted on
+
+# All in microseconds. The platform sends SIGKILL after SIGTERM, no sooner than the longest deadline of a
+# request, counted up to MAX_REQUEST_TIME, and STOP_MARGIN.
+MAX_REQUEST_TIME = 3_000_000
+STOP_MARGIN = 700_000
+ANSWER_MARGIN = 300_000  # before SIGKILL is due: by then the last responses go out
+ACCEPT_PERIOD = 500_000  # after SIGTERM, while new connections still come (for 0.4 s at the most)
+CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two looks whether all clients have gone
+CLIENT_GRACE = ANSWER_MARGIN // 2  # after the last requests were given up, for their responses to be read
+
+
+class ServerState(Enum):
+    """What a server does with clients."""
+
+    STARTING = auto()  # no client is accepted yet
+    SERVING = auto()
+    DRAINING = auto()  # it was told to stop: clients are answered and sent away, late ones still accepted
+    CLOSING = auto()  # no more clients are accepted; those with a request are still answered
+    STOPPED = auto()
+
+
+class TrafficRouter(Protocol):
+    """Where requests go, as far as shutting down is concerned."""
+
+    shutdown_deadline: int
+
+    @property
+    def requests(self) -> Sized:
+        """Return the requests in flight."""
+
+    def shut_down_by(self, when: int) -> None:
+        """Give up at that time what has not been answered by then."""
+
+
+class StoppableServer(Protocol):
+    """The server as its lifecycle sees it."""
+
+    log: Log
+    timers: TimerQueue
+    listener: Listener
+    max_request_time: int
+
+    @property
+    def router(self) -> TrafficRouter:
+        """Return where requests go."""
+
+    def close_idle_clients(self) -> Sized:
+        """Close connections between two requests; return the client connections that there were."""
+
+
+class Lifecycle:
+    """The state of a server, with one method for each transition.
+
+    Attributes:
+        state: What the server does with clients.
+        stopped: Done when the server has stopped.
+    """
+
+    def __init__(self, server: StoppableServer, loop: asyncio.AbstractEventLoop) -> None:
+        self.server = server
+        self.state = ServerState.STARTING
+        self.stopped: asyncio.Future[None] = loop.create_future()
+
+    def serving(self) -> None:
+        """Clients are accepted, unless the server was told to stop while it started."""
+        if self.state is ServerState.STARTING:
+            self.state = ServerState.SERVING
+
+    def drain(self) -> None:
+        """Begin the graceful shutdown; told again, nothing changes.
+
+        Connections of idle clients are closed, so that they go to other balancers; those with a request are
+        answered first. New connections are accepted for a while, unless another process accepts them.
+        """
+        if self.state not in (ServerState.STARTING, ServerState.SERVING):
+            return
+        self.state = ServerState.DRAINING
+        server = self.server
+        now = clock()
+        server.log("stopping", held=len(server.router.requests))
+        request_time = min(server.max_request_time, MAX_REQUEST_TIME)
+        server.router.shut_down_by(now + request_time + STOP_MARGIN - ANSWER_MARGIN)
+        server.close_idle_clients()
+        accept_period = 0 if server.listener.shared else ACCEPT_PERIOD
+        server.timers.schedule(now + accept_period, self._close_listener)
+
+    def _close_listener(self) -> None:
+        self.state = ServerState.CLOSING
+        self.server.listener.close()
+        self._check_clients()
+
+    def _check_clients(self) -> None:
+        server = self.server
+        if not server.close_idle_clients() or clock() >= server.router.shutdown_deadline + CLIENT_GRACE:
+            self.state = ServerState.STOPPED
+            self.stopped.set_result(None)
+        else:
+            server.timers.schedule(clock() + CLIENT_CHECK_INTERVAL, self._check_clients)
+
+
+class RunnableServer(Protocol):
+    """A server that can be run until it has stopped."""
+
+    async def start(self) -> None:
+        """Start accepting clients."""
+
+    async def end(self) -> None:
+        """Wait until it has stopped."""
+
+
+async def run_server(make_server: Callable[[], RunnableServer], log: Log) -> None:
+    """Make a server and run it until it has stopped.
+
+    Args:
+        make_server: Called once the event loop and the log are ready.
+        log: Where faults of the program itself are logged.
+    """
+    loop = asyncio.get_running_loop()
+    log.attach(loop)
+    loop.set_exception_handler(
+        lambda _, context: log("error", what=context.get("message"), why=repr(context.get("exception")))
+    )
+    server = make_server()
+    # What was made by now stays: no later garbage collection need walk it. Done before anything is connected:
+    # a pause longer than the connect timeout would have connections given up.
+    gc.collect()
+    gc.freeze()
+    await server.start()
+    await server.end()
--- a/dahliabend/server/log_events.py
+++ b/dahliabend/server/log_events.py
@@ -1,126 +1,133 @@
-"""Every event that a balancer logs: level, occasion and fields. `docs/events.md` is made of this table."""
+"""Every event that a balancer logs: its level, occasion and fields. `docs/events.md` is made of it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class LogEvent:
+    """One kind of event.
+
+    Attributes:
+        level: `debug`, `info`, `warning` or `error`.
+        when: The occasion on which it is logged, as the page of events describes it.
+        fields: Names of its fields, beside those of `CONTEXT`.
+    """
+
     level: str
     when: str
     fields: tuple[str, ...]
 
 
-ENDED = ("tx", "profile", "route", "hops", "out", "ms")  # of a transaction
+REQUEST_FIELDS = ("tx", "profile", "route", "hops", "out", "ms")  # of a request that has ended
 EVENTS = {
-    "abandoned": Event("info", "a transaction was answered as failed", ENDED),
-    "access": Event(
+    "abandoned": LogEvent("info", "a request was answered as failed", REQUEST_FIELDS),
+    "access": LogEvent(
         "info",
-        "a transaction has its answer; off by default",
+        "a request has its response; off by default",
         ("tx", "how", "profile", "route", "hops", "ms"),
     ),
-    "call": Event(
+    "call": LogEvent(
         "info", "an operator called, and it changed something or failed", ("method", "path", "status")
     ),
-    "believed": Event(
+    "believed": LogEvent(
         "info",
-        "several others find an upstream bad: the decisions were told so, as of own hops",
+        "several other balancers report that an upstream fails; counted like attempts of this one",
         ("pool", "upstream", "origins"),
     ),
-    "committed": Event("debug", "never by itself: see access", ENDED),
-    "cut": Event("warning", "an answer that had begun could not be finished", ENDED),
-    "demand": Event("info", "this balancer tells the others how much it is asked", ("weight",)),
-    "duty": Event(
+    "committed": LogEvent("debug", "never by itself: see access", REQUEST_FIELDS),
+    "cut": LogEvent("warning", "a response that had begun could not be finished", REQUEST_FIELDS),
+    "demand": LogEvent("info", "this balancer tells the others how many requests it gets", ("weight",)),
+    "duty": LogEvent(
         "info",
-        "this balancer does from now on what one does for all; `place` 0: it is the first in the order",
+        "this balancer holds a lease from now on; `place` 0: it is the first in the order of candidates",
         ("duty", "fence", "place"),
     ),
-    "ended": Event("info", "the process ends in order", ("counts",)),
-    "error": Event("error", "a fault of the program itself: report it", ("what", "why")),
-    "excluded": Event("info", "an operator took an upstream out", ("upstream",)),
-    "failed": Event("error", "it could not start", ("why",)),
-    "figures": Event(
+    "ended": LogEvent("info", "the process ends in order", ("counts",)),
+    "error": LogEvent("error", "a fault of the program itself: report it", ("what", "why")),
+    "excluded": LogEvent("info", "an operator took an upstream out", ("upstream",)),
+    "failed": LogEvent("error", "it could not start", ("why",)),
+    "figures": LogEvent(
         "info",
         "every 5 s, for each pool where there are some",
         ("counts", "held", "connections", "out", "crowd", "tier", "ready", "using", "aside", "retired"),
     ),
-    "followed": Event("info", "a process took over from the one before it", ("kept", "upstreams")),
-    "handed_over": Event("info", "what is known was written for a successor", ("to",)),
-    "handover.none": Event("warning", "there is no folder to share; an upgrade starts afresh", ("why",)),
-    "handover.unread": Event("warning", "what another process wrote can't be read", ("why",)),
-    "handover.unwritten": Event("warning", "a file for another process could not be written", ("why",)),
-    "hop": Event("info", "a hop did not commit", ("tx", "order", "upstream", "outcome", "ms", "why")),
-    "included": Event("info", "an operator put an upstream back", ("upstream",)),
-    "left": Event("info", "a caller left before its answer", ENDED),
-    "list": Event(
-        "info", "a list of upstreams, or a change of it, was taken over", ("version", "full", "entries")
-    ),
-    "list.bad_entry": Event(
-        "warning", "an entry of the list can't be read and is passed over", ("why", "entry")
-    ),
-    "listening": Event("info", "callers are taken", ("address", "entrance", "pools")),
-    "member": Event(
+    "followed": LogEvent("info", "a process took over from the one before it", ("kept", "upstreams")),
+    "handed_over": LogEvent("info", "the state was written for a successor", ("to",)),
+    "handover.none": LogEvent(
+        "warning", "there is no directory to share; an upgrade starts with no state", ("why",)
+    ),
+    "handover.unread": LogEvent("warning", "what another process wrote can't be read", ("why",)),
+    "handover.unwritten": LogEvent(
+        "warning", "a file for another process could not be written", ("why",)
+    ),
+    "hop": LogEvent(
+        "info", "an attempt did not succeed", ("tx", "order", "upstream", "outcome", "ms", "why")
+    ),
+    "included": LogEvent("info", "an operator put an upstream back", ("upstream",)),
+    "left": LogEvent("info", "a client disconnected before its response", REQUEST_FIELDS),
+    "list": LogEvent(
+        "info", "a list of upstreams, or a change of it, was applied", ("version", "full", "entries")
+    ),
+    "list.bad_entry": LogEvent(
+        "warning", "an entry of the list can't be read and is skipped", ("why", "entry")
+    ),
+    "listening": LogEvent("info", "clients are accepted", ("address", "entrance", "pools")),
+    "member": LogEvent(
         "info",
-        "what is known of one balancer changed: joined, suspected, refuted, left, died, returned; unreached "
+        "the state of one balancer changed: joined, suspected, refuted, left, died, returned; unreached "
         "and reached (that one from here), conflict (one name twice), paused (it was away itself), outcast "
         "and counted (it itself, by the others)",
         ("change", "member", "by", "incarnation"),
     ),
-    "members.figures": Event(
+    "members.figures": LogEvent(
         "info",
         "every 5 s, where the file has [members]",
         (
-            "version",
-            "mark",
-            "members",
-            "suspected",
-            "stable",
-            "cut",
-            "outcast",
-            "age_ms",
-            "confidence",
-            "doubt",
-            "sent",
-            "sent_bytes",
-            "come",
-            "come_bytes",
-            "dropped",
+            "version", "mark", "members", "suspected", "stable", "cut", "outcast", "age_ms", "confidence",
+            "doubt", "sent", "sent_bytes", "come", "come_bytes", "dropped",
         ),
     ),
-    "members.open": Event(
-        "info", "it speaks with the other balancers", ("name", "address", "advertise", "life", "resumed")
+    "members.open": LogEvent(
+        "info",
+        "it communicates with the other balancers",
+        ("name", "address", "advertise", "life", "resumed"),
+    ),
+    "members.unread": LogEvent(
+        "warning", "a list's file can't be read; the list stays as it is", ("file", "why")
+    ),
+    "no_room": LogEvent("warning", "more requests than the table holds", ("requests",)),
+    "passed_on": LogEvent("debug", "a pool rejected a request unsent; its fallback has it", REQUEST_FIELDS),
+    "pool.gone": LogEvent(
+        "info", "a pool that the file no longer has has ended its last request", ("pool",)
     ),
-    "members.unread": Event("warning", "a list's file can't be read; what is known holds", ("file", "why")),
-    "no_room": Event("warning", "more transactions than the table holds", ("requests",)),
-    "passed_on": Event("debug", "a pool turned one away unseen; its fallback has it", ENDED),
-    "pool.gone": Event(
-        "info", "a pool that the file no longer has has ended its last transaction", ("pool",)
+    "probe": LogEvent("debug", "a health check ended", ("upstream", "outcome", "ms", "load")),
+    "reload.refused": LogEvent("error", "a file was refused; nothing has changed", ("why", "faults")),
+    "reloaded": LogEvent("info", "a file was applied", ("discovery", "debug", "changes", "passed_over")),
+    "rolled_back": LogEvent(
+        "info", "a request was rejected: it was not executed, and a retry is harmless", REQUEST_FIELDS
     ),
-    "probe": Event("debug", "a probe ended", ("upstream", "outcome", "ms", "load")),
-    "reload.refused": Event("error", "a file was turned down; nothing has changed", ("why", "faults")),
-    "reloaded": Event("info", "a file was taken over", ("discovery", "debug", "changes", "passed_over")),
-    "rolled_back": Event("info", "a transaction was answered with trying again is harmless", ENDED),
-    "share": Event(
-        "info", "this balancer's part of a shared limit, by what it is asked", ("route", "part", "asked")
+    "share": LogEvent(
+        "info", "this balancer's share of a shared limit, by its demand", ("route", "part", "asked")
     ),
-    "stopping": Event("info", "SIGTERM came", ("held",)),
-    "subset": Event(
+    "stopping": LogEvent("info", "SIGTERM came", ("held",)),
+    "subset": LogEvent(
         "info",
         "the upstreams of a pool that this balancer uses have changed; `by` members, both (a view that may "
-        "be cut off and the last sure one), index (self-index) or its own name",
+        "be partitioned and the last trusted one), index (self-index) or its own name",
         ("size", "of", "added", "dropped", "by", "balancers"),
     ),
-    "switched": Event("info", "other settings are in force", ("held", "kept", "afresh")),
-    "unmet": Event("warning", "settings that are read and not acted on", ("settings",)),
-    "watch.broken": Event("warning", "the watch of the list said what can't be read", ("why",)),
-    "watch.ended": Event(
+    "switched": LogEvent("info", "other settings are in force", ("held", "kept", "afresh")),
+    "unmet": LogEvent("warning", "settings that are read and not acted on", ("settings",)),
+    "watch.broken": LogEvent("warning", "the watch of the list sent what can't be read", ("why",)),
+    "watch.ended": LogEvent(
         "warning", "the watch of the list ended; it is opened again", ("version", "again_in_ms")
     ),
-    "watch.silent": Event("warning", "the watch of the list said nothing for too long", ("version",)),
-}
+    "watch.silent": LogEvent("warning", "the watch of the list sent nothing for too long", ("version",)),
+}  # fmt: skip
 CONTEXT = {"pool": "the pool that it is about", "balancer": "this process's name", "at": "the time, UTC"}
 
 
-TOP = """# Events
+PAGE_HEAD = """# Events
 
 Made by `dahliabend events` from `dahliabend/server/log_events.py`. One JSON object a line on standard error,
 with `event` and `level`, and where it applies {context}.
@@ -128,19 +135,19 @@
 | event | level | logged when | fields |
 | --- | --- | --- | --- |
 """
-END = """
-`hops` is the trail of a transaction: of each hop its upstream, its outcome and its milliseconds. `[log]` in
-an operator's file sets the least `level`, `sample` by event, and `access`. A balancer that goes by
+PAGE_END = """
+`hops` lists the attempts of a request: of each its upstream, its outcome and its milliseconds. `[log]` in
+an operator's file sets the least `level`, `sample` by event, and `access`. A balancer that is configured by
 `PROXY_CONFIG` logs the same events without `level`. Where nobody reads, lines beyond 1 MiB are dropped, and
 the next one says how many (`lines_lost`).
 """
 
 
 def page() -> str:
-    """`docs/events.md`."""
+    """Return `docs/events.md`."""
     rows = (
-        f"| `{name}` | {event.level} | {event.when} | {', '.join(f'`{each}`' for each in event.fields)} |\n"
+        f"| `{name}` | {event.level} | {event.when} | {', '.join(f'`{field}`' for field in event.fields)} |\n"
         for name, event in EVENTS.items()
     )
-    context = ", ".join(f"`{name}` ({what})" for name, what in CONTEXT.items())
-    return TOP.format(context=context) + "".join(rows) + END
+    context = ", ".join(f"`{name}` ({meaning})" for name, meaning in CONTEXT.items())
+    return PAGE_HEAD.format(context=context) + "".join(rows) + PAGE_END
--- a/dahliabend/server/metrics.py
+++ b/dahliabend/server/metrics.py
@@ -1,28 +1,42 @@
-"""What operators count by: raised where it happens, by the class's name, for as long as the process runs."""
+"""The counts that operators see: incremented where something happens, for as long as the process runs."""
 
-MAX_CLASSES = 256  # names kept; files with ever new ones must not make this grow
+from collections.abc import Collection, Iterable
+from typing import Any
+
+MAX_CLASSES = 256  # class names kept, lest files with ever new ones make the table grow
 
 FULFILLED, THROTTLED, FAULTED, RELAYED = range(4)
-KINDS = ("fulfilled", "throttled", "faulted", "relayed")
-_REFUSALS = (429, 503)
+KINDS = ("fulfilled", "throttled", "faulted", "relayed")  # names of these in the telemetry
+OK_STATUS = 200
+THROTTLED_STATUSES = (429, 503)
 
 
 class Metrics:
-    """Names come in as on the wire. One that settings drop keeps its counts.
+    """Counts by request class, named as on the wire, and of the whole process.
+
+    A class that the settings no longer have keeps its counts.
 
     >>> metrics = Metrics()
     >>> metrics.count_response(b"a", 200), metrics.count_response(b"a", 429), metrics.count_attempt(b"a")
     (None, None, None)
     >>> metrics.classes[b"a"], metrics.total(RELAYED)
     ([1, 1, 0, 1], 1)
+
+    Attributes:
+        classes: By class name, a count for each of `KINDS`.
+        open_requests: Requests that have not been answered yet.
+        configs_accepted: Reloads that were applied.
+        configs_rejected: Reloads that were refused.
     """
 
     def __init__(self) -> None:
         self.classes: dict[bytes, list[int]] = {}
-        self.open_requests = self.configs_accepted = self.configs_rejected = 0
+        self.open_requests = 0
+        self.configs_accepted = 0
+        self.configs_rejected = 0
 
-    def set_active_classes(self, names) -> None:
-        """These are in force: shown from now on, also at 0. Where there is no room the oldest others go."""
+    def set_active_classes(self, names: Collection[bytes]) -> None:
+        """Show these classes from now on, also at 0, and drop the oldest others beyond `MAX_CLASSES`."""
         for name in names:
             self.classes.setdefault(name, [0] * len(KINDS))
         for name in list(self.classes):
@@ -30,24 +44,28 @@
                 del self.classes[name]
 
     def count_response(self, name: bytes, status: int) -> None:
-        kind = FULFILLED if status == 200 else THROTTLED if status in _REFUSALS else FAULTED
+        """Count a response to a client, by its HTTP status."""
+        kind = FULFILLED if status == OK_STATUS else THROTTLED if status in THROTTLED_STATUSES else FAULTED
         self.classes.setdefault(name, [0] * len(KINDS))[kind] += 1
 
     def count_attempt(self, name: bytes) -> None:
+        """Count an attempt that was sent to an upstream."""
         self.classes.setdefault(name, [0] * len(KINDS))[RELAYED] += 1
 
     def total(self, kind: int) -> int:
+        """Return one kind of count over all classes."""
         return sum(counts[kind] for counts in self.classes.values())
 
-    def snapshot(self) -> dict:
-        """By class, and the hops over all classes too."""
+    def snapshot(self) -> dict[str, Any]:
+        """Return all counts in the form of the telemetry."""
         return {
-            "operations": {
-                name.decode("utf-8", "replace"): dict(zip(KINDS, counts, strict=True))
-                for name, counts in self.classes.items()
-            },
+            "operations": dict(self._operations()),
             "relayed": self.total(RELAYED),
             "open_requests": self.open_requests,
             "cfg_accepted": self.configs_accepted,
             "cfg_invalid": self.configs_rejected,
         }
+
+    def _operations(self) -> Iterable[tuple[str, dict[str, int]]]:
+        for name, counts in self.classes.items():
+            yield name.decode("utf-8", "replace"), dict(zip(KINDS, counts, strict=True))
--- /dev/null
+++ b/dahliabend/server/operator_file_loading.py
@@ -0,0 +1,101 @@
+"""Reading an operator's file for a server: all of it is usable, or the file is refused."""
+
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from importlib.util import find_spec
+
+from dahliabend.config.operator_file.schema import OperatorFile
+from dahliabend.config.operator_file.source import Key, Source, format_key
+from dahliabend.config.platform import parse_address
+from dahliabend.errors import DahliabendError
+from dahliabend.http.headers import MAX_BODY_BYTES
+from dahliabend.routing_rules.loaded_file import LoadedFile, load_file
+from dahliabend.server.server import Address
+from dahliabend.transport import host_info
+
+CLIENT_LISTENER = "callers"  # names of listeners in the file
+ADMIN_LISTENER = "operators"
+
+
+class InvalidOperatorFileError(DahliabendError, ValueError):
+    """A file that can't be used.
+
+    Attributes:
+        faults: All that is wrong with it; each as text names file, line and key.
+    """
+
+    def __init__(self, faults: Iterable[object]) -> None:
+        self.faults = list(faults)
+        super().__init__("; ".join(map(str, self.faults)))
+
+
+@dataclass(frozen=True, slots=True)
+class UsableFile:
+    """A file without faults.
+
+    Attributes:
+        loaded: The file with the place of each key.
+        file: Its settings.
+    """
+
+    loaded: LoadedFile
+    file: OperatorFile
+
+
+def load_usable_file(path: str, environment: Mapping[str, str]) -> UsableFile:
+    """Read and check a file.
+
+    Args:
+        path: Where it stands.
+        environment: The variables that it may refer to.
+
+    Raises:
+        InvalidOperatorFileError: The file has faults, or wants a library that is missing.
+    """
+    loaded = load_file(path, environment=environment, read=host_info.read_file)
+    if loaded.file is None or not loaded.is_usable:
+        raise InvalidOperatorFileError(loaded.faults)
+    _check_libraries(loaded.file, loaded.source)
+    return UsableFile(loaded, loaded.file)
+
+
+def listener_address(file: OperatorFile, name: str) -> Address | None:
+    """Return the address of a listener, if the file has it."""
+    listener = file.listeners.get(name)
+    return parse_address(listener.address) if listener is not None else None
+
+
+def unsupported_keys(file: OperatorFile) -> Iterator[str]:
+    """Yield the settings that are read and not acted on."""
+    for name, request_class in file.classes.items():
+        if request_class.longest_body != MAX_BODY_BYTES:
+            yield f"classes.{name}.longest-body"
+
+
+@dataclass(frozen=True, slots=True)
+class _OptionalLibrary:
+    """A library that a key of the file wants, and the group of dependencies that has it."""
+
+    key: Key
+    name: str
+    group: str
+
+
+def _check_libraries(file: OperatorFile, source: Source) -> None:
+    """Refuse a file that wants a missing library: found later, the file would be half applied."""
+    for library in _wanted_libraries(file):
+        if find_spec(library.name) is None:
+            place = source.place(library.key)
+            command = f"pip install 'dahliabend[{library.group}]'"
+            reason = f"{library.name} is missing: {command}"
+            raise InvalidOperatorFileError(
+                [f"{place.file}:{place.line}: {format_key(library.key)}: {reason}"]
+            )
+
+
+def _wanted_libraries(file: OperatorFile) -> Iterator[_OptionalLibrary]:
+    if file.members is not None:
+        yield _OptionalLibrary(("members",), "cryptography", "members")
+    for name, pool in file.pools.items():
+        if pool.subset is not None:
+            yield _OptionalLibrary(("pools", name, "subset"), "numpy", "subsets")
--- /dev/null
+++ b/dahliabend/server/pool_manager.py
@@ -0,0 +1,261 @@
+"""The pools of an operator's file as they run: each with its router, its endpoint list and its subset."""
+
+import os
+from collections.abc import Mapping
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING, Any, cast
+
+from dahliabend.config.operator_file import schema
+from dahliabend.config.operator_file.schema import OperatorFile
+from dahliabend.config.platform import ServerSettings, parse_address
+from dahliabend.discovery.watch import DiscoveryClient, EndpointList, EndpointListObserver
+from dahliabend.proxy.dispatcher import Dispatcher, Pool
+from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.router import Router
+from dahliabend.server.endpoint_list_file import EndpointListFile
+from dahliabend.server.log import EventLog
+from dahliabend.server.metrics import Metrics
+from dahliabend.server.pool_settings import PoolSettings, endpoint_rows, pool_settings
+from dahliabend.server.structured_log import bind_pool
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue
+
+if TYPE_CHECKING:
+    from dahliabend.server.clustering import ClusterMember
+    from dahliabend.server.subset_filter import SubsetFilter
+
+EndpointSource = DiscoveryClient | EndpointListFile
+
+
+@dataclass(frozen=True, slots=True)
+class PoolResources:
+    """What all pools of a process share.
+
+    Attributes:
+        dispatcher: Sends requests to the pools.
+        timers: The process's timers.
+        descriptors: The budget for connections.
+        metrics: The process's counts.
+        log: The event log.
+        directory: That relative paths in the operator's file start from.
+        seed: Of random numbers.
+        descriptor_limit: Descriptors that the process may have.
+    """
+
+    dispatcher: Dispatcher
+    timers: TimerQueue
+    descriptors: DescriptorBudget
+    metrics: Metrics
+    log: EventLog
+    directory: str
+    seed: int
+    descriptor_limit: int
+
+
+@dataclass(slots=True)
+class RunningPool:
+    """A pool with what keeps its endpoint list.
+
+    Attributes:
+        pool: The pool as the dispatcher has it.
+        source: Where its endpoints come from, once that is known.
+        subset_filter: Narrows the list, where this balancer uses a subset.
+        subset_terms: What the filter was made of: the subset's settings and the number of balancers.
+    """
+
+    pool: Pool
+    source: EndpointSource | None = None
+    subset_filter: "SubsetFilter | None" = None
+    subset_terms: tuple[schema.SubsetSettings, int] | None = None
+
+    @property
+    def observer(self) -> EndpointListObserver:
+        """Return what observes the endpoint list."""
+        return self.subset_filter or self.pool.router
+
+    def set_source(self, source: EndpointSource | None) -> None:
+        """Take the endpoints from there, and from nowhere else."""
+        if self.source is not None and self.source is not source:
+            self.source.stop()
+        self.source = source
+        self.pool.router.discovery = cast("Any", source)  # a file serves as a discovery client here
+
+    def close(self) -> None:
+        """Stop watching for endpoints."""
+        if self.source is not None:
+            self.source.stop()
+        if self.subset_filter is not None:
+            self.subset_filter.stop()
+
+
+class PoolManager:
+    """Owns the pools from the first file that has them until their last request has ended."""
+
+    def __init__(self, resources: PoolResources, cluster: "ClusterMember | None") -> None:
+        """Make a manager without pools.
+
+        Args:
+            resources: What all pools share.
+            cluster: The other balancers, if there is membership.
+        """
+        self.resources = resources
+        self.cluster = cluster
+        self._running: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
+
+    def settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
+        """Return the settings of each pool of a file."""
+        seed, limit = self.resources.seed, self.resources.descriptor_limit
+        return {name: pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools}
+
+    def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
+        """Open a pool of a file, or change it if it runs already."""
+        known = self.resources.dispatcher.pools_by_name.get(name)
+        if known is None:
+            running = self._open(name, settings.server)
+        else:
+            running = self._running[known.number]
+            _change_router(known.router, settings.server)
+        router = running.pool.router
+        router.logs_access = file.log.access
+        router.route_names = [file.routes[number].name for number in settings.class_by_route]
+        self._apply_subset(running, file.pools[name])
+        self._apply_source(running, file.pools[name])
+
+    def retire_missing(self, pools: Mapping[str, object]) -> None:
+        """Give no new requests to the running pools that are not among these."""
+        dispatcher = self.resources.dispatcher
+        for name in [name for name in dispatcher.pools_by_name if name not in pools]:
+            dispatcher.retire_pool(name)
+
+    def close_finished(self) -> None:
+        """Close the retired pools whose last request has ended."""
+        for pool in self.resources.dispatcher.remove_finished_pools():
+            self._running.pop(pool.number).close()
+            table = pool.router.table
+            for index in tuple(table.endpoints):
+                table.remove(index)
+            self.resources.log("pool.gone", pool=pool.name)
+
+    def close(self) -> None:
+        """Stop watching for endpoints."""
+        for running in self._running.values():
+            running.close()
+
+    def active_routers(self) -> list[tuple[str, Router]]:
+        """Return name and router of each pool that has not been retired."""
+        return [(pool.name, pool.router) for pool in self.resources.dispatcher if not pool.retired]
+
+    def subset_status(self) -> dict[str, Any]:
+        """Return, by pool, the subset in use, where there is one."""
+        return {
+            running.pool.name: running.subset_filter.status()
+            for running in self._running.values()
+            if running.subset_filter is not None
+        }
+
+    def subset_request_count(self) -> int:
+        """Return the requests that pools with a subset have had until now."""
+        return sum(
+            sum(running.pool.router.counts.values())
+            for running in self._running.values()
+            if running.subset_filter is not None
+        )
+
+    def _open(self, name: str, settings: ServerSettings) -> RunningPool:
+        resources = self.resources
+        log = bind_pool(resources.log, name)
+        table = EndpointTable(
+            resources.timers,
+            resources.descriptors,
+            settings.connect_timeout,
+            settings.idle_reuse_time,
+            log.debug,
+        )
+        router = Router(settings, resources.timers, table, resources.metrics, log)
+        table.close_expired_connections()
+        gossip = self.cluster.gossip if self.cluster is not None else None
+        if gossip is not None:
+            router.on_attempt_finished = partial(gossip.record_outcome, name)
+            if gossip.health_checks is not None:
+                router.health_check_delegate = partial(gossip.health_checks.request_check, name)
+        running = RunningPool(resources.dispatcher.add_pool(name, router))
+        self._running[running.pool.number] = running
+        return running
+
+    def _apply_subset(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+        """Use a subset of the upstreams, or all; if that changes, the endpoint list is read again."""
+        terms = (settings.subset, settings.balancers) if settings.subset is not None else None
+        if running.subset_terms == terms:
+            return
+        running.subset_terms = terms
+        if running.subset_filter is not None:
+            running.subset_filter.stop()
+            running.subset_filter = None
+        if settings.subset is not None:
+            # The balancer that is first to check an upstream may not use it.
+            running.pool.router.health_check_delegate = None
+            running.subset_filter = self._make_subset_filter(
+                running.pool, settings.subset, settings.balancers
+            )
+        running.set_source(None)
+
+    def _make_subset_filter(
+        self, pool: Pool, subset: schema.SubsetSettings, balancers: int
+    ) -> "SubsetFilter":
+        from dahliabend.server.subset_filter import SubsetFilter
+
+        resources = self.resources
+        return SubsetFilter(
+            pool.router,
+            subset,
+            balancers,
+            self.cluster,
+            f"{resources.seed:x}",
+            resources.timers,
+            bind_pool(resources.log, pool.name),
+        )
+
+    def _apply_source(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+        """Take a pool's endpoints from where its settings say. What is known of them stays."""
+        if settings.discovery is None:
+            self._apply_list_file(running, settings)
+        elif isinstance(running.source, DiscoveryClient):
+            running.source.change_address(parse_address(settings.discovery))
+        else:
+            self._open_discovery(running, settings.discovery)
+
+    def _open_discovery(self, running: RunningPool, address: str) -> None:
+        resources = self.resources
+        router = running.pool.router
+        client = DiscoveryClient(
+            parse_address(address),
+            EndpointList(running.observer, resources.log),
+            resources.timers,
+            resources.descriptors,
+            router.table.connect_timeout,
+            router.balancer.chance,
+            resources.log,
+        )
+        resources.timers.loop.call_soon(client.open)
+        running.set_source(client)
+
+    def _apply_list_file(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+        resources = self.resources
+        source = running.source
+        if not isinstance(source, EndpointListFile):
+            source = EndpointListFile(
+                EndpointList(running.observer, resources.log), resources.timers, resources.log
+            )
+        if settings.members is not None:
+            source.stop()
+            source.set_endpoints(endpoint_rows(settings.members))
+        elif settings.file is not None:
+            source.watch(os.path.join(resources.directory, settings.file))
+        running.set_source(source)
+
+
+def _change_router(router: Router, settings: ServerSettings) -> None:
+    router.table.connect_timeout = settings.connect_timeout
+    router.table.idle_timeout = settings.idle_reuse_time
+    router.apply_settings(settings)
--- /dev/null
+++ b/dahliabend/server/pool_settings.py
@@ -0,0 +1,175 @@
+"""What an operator's file says of a pool, in the form that a router is configured by."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from dahliabend.config.operator_file import schema
+from dahliabend.config.operator_file.schema import OperatorFile
+from dahliabend.config.platform import IDLE_REUSE_RATIO, ServerSettings
+from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
+from dahliabend.routing_rules.checks import EffectiveTreatment, target_pools
+from dahliabend.transport import host_info
+
+MAX_IN_FLIGHT = 20_000  # requests of a pool
+DEADLINE_SLACK = 20_000  # microseconds by which a client's deadline may be nearer than it seems
+MAX_RETRY_AFTER = 3_000_000  # microseconds
+DEFAULT_RETRY_RATIO = 0.1  # of a pool whose routes say nothing of retries
+NANOSECONDS = 1000  # in a microsecond
+
+_EFFECTS = {
+    "idempotent": Effect.IDEMPOTENT,
+    "journalled": Effect.DEDUPLICATED,
+    "non-idempotent": Effect.NON_IDEMPOTENT,
+}
+_SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+
+_UNUSED_CLASS = RequestClass(  # of a pool without a route: a policy wants one class at least
+    effect=Effect.IDEMPOTENT,
+    deduplication_scope=DeduplicationScope.ALL,
+    deduplication_window=0,
+    latency_objective=1_000_000,
+    deadline=2_000_000,
+    priority_weight=1.0,
+    late_weight=0.0,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class PoolSettings:
+    """What a pool's router is configured by.
+
+    Attributes:
+        server: The settings of a router; those of a whole server are empty.
+        class_by_route: The index of each route's request class, by the route's number in the file.
+    """
+
+    server: ServerSettings
+    class_by_route: dict[int, int]
+
+
+def pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
+    """Return the settings of a pool's router.
+
+    Args:
+        file: The operator's file.
+        name: The pool.
+        seed: Of the policy's random numbers.
+        descriptor_limit: Descriptors that the process may have.
+    """
+    pool = file.pools[name]
+    routes = _routes_to_pool(file, name)
+    settings = _policy_settings(file, pool, routes)
+    zones = sorted({member.zone for member in pool.members or ()})
+    server = ServerSettings(
+        name=name,
+        listen=("", 0),
+        discovery=("", 0),
+        admin=None,
+        listener_descriptor=None,
+        shared_directory="",
+        seed=seed,
+        descriptor_limit=descriptor_limit,
+        known_endpoints={},
+        verbose=False,
+        settings=settings,
+        class_indices={file.routes[route].name.encode(): index for index, route in enumerate(routes)},
+        tenant_indices={},
+        zone_indices={zone: index for index, zone in enumerate(zones)},
+        class_deadlines=tuple(request_class.deadline for request_class in settings.request_classes),
+        deadline_slack=DEADLINE_SLACK,
+        connect_timeout=pool.dial_time,
+        idle_reuse_time=round(pool.idle * IDLE_REUSE_RATIO),
+        health_check_timeout=2 * pool.dial_time,
+        max_in_flight=MAX_IN_FLIGHT,
+        report_fields=(),
+        unsupported_keys=(),
+        named_keys=frozenset(),
+        monotonic_offset=host_info.monotonic_ns() // NANOSECONDS - host_info.time_ns() // NANOSECONDS,
+    )
+    return PoolSettings(server, {route: index for index, route in enumerate(routes)})
+
+
+def endpoint_rows(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
+    """Return the endpoints that stand in the file, in the discovery service's form."""
+    return [
+        {
+            "id": endpoint.id,
+            "addr": endpoint.address,
+            "zone": endpoint.zone,
+            "cell": endpoint.cell,
+            "weight": endpoint.weight,
+            "state": "up",
+        }
+        for endpoint in endpoints
+    ]
+
+
+def _routes_to_pool(file: OperatorFile, pool: str) -> list[int]:
+    """Return the numbers of the routes whose requests may come to a pool."""
+    return [number for number, route in enumerate(file.routes) if pool in _reachable_pools(file, route)]
+
+
+def _reachable_pools(file: OperatorFile, route: schema.RouteSettings) -> set[str]:
+    """Return the pools of a route, with its mirror and all fallbacks."""
+    reachable: set[str] = set()
+    waiting = [*target_pools(route), route.mirror, route.fallback]
+    while waiting:
+        name = waiting.pop()
+        if name is not None and name not in reachable:
+            reachable.add(name)
+            waiting.append(file.pools[name].fallback)
+    return reachable
+
+
+def _request_class(file: OperatorFile, number: int) -> RequestClass:
+    """Return the request class of a route: that of its settings, with its own times and counts."""
+    route = file.routes[number]
+    settings = file.classes[route.class_]
+    treatment = EffectiveTreatment(file, route, number)
+    deadline = min(settings.hard_limit, treatment.total_time)
+    return RequestClass(
+        effect=_EFFECTS[settings.effect],
+        deduplication_scope=_SCOPES[settings.group],
+        deduplication_window=settings.repeat_window,
+        latency_objective=min(settings.service_goal, deadline),
+        deadline=deadline,
+        priority_weight=settings.revenue,
+        late_weight=float(settings.late_share),
+        attempt_timeout=treatment.hop_time or 0,
+        max_attempts=treatment.attempts,
+        max_retries_after_execution=treatment.replays,
+        hedge_delay=treatment.second_copy_after or 0,
+    )
+
+
+def _policy_settings(file: OperatorFile, pool: schema.PoolSettings, routes: list[int]) -> Settings:
+    classes = tuple(_request_class(file, number) for number in routes)
+    return Settings(
+        instance_count=pool.balancers,
+        instance_index=-1,
+        tier=0,
+        zone=0,
+        request_classes=classes or (_UNUSED_CLASS,),
+        tenant_quotas=(),
+        over_quota_weight=1.0,
+        overall_weight=1.0,
+        worst_class_weight=0.0,
+        cross_zone_cost=0.0,
+        max_attempts=max((request_class.max_attempts for request_class in classes), default=1),
+        can_cancel=pool.cancels,
+        can_health_check=pool.probes,
+        sends_retry_after=True,
+        max_retry_after=MAX_RETRY_AFTER,
+        polls_endpoints=False,
+        poll_deadline=0,
+        initial_capacity=float(pool.cold.share),
+        warmup_time=pool.cold.time,
+        warmup_multiple=pool.cold.multiple,
+        retry_budget_ratio=_retry_ratio(file, routes),
+    )
+
+
+def _retry_ratio(file: OperatorFile, routes: list[int]) -> float:
+    """Return the least share of retries that any of the routes allows."""
+    ratios = [EffectiveTreatment(file, file.routes[number], number).retry_share for number in routes]
+    return float(min((ratio for ratio in ratios if ratio is not None), default=DEFAULT_RETRY_RATIO))
--- /dev/null
+++ b/dahliabend/server/process_takeover.py
@@ -0,0 +1,118 @@
+"""Taking over from another process on the same listening socket, and serving beside it until it has ended."""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from dahliabend.proxy.router import Router
+from dahliabend.server.hot_restart import HotRestart, ProcessKey
+from dahliabend.server.log import EventLog
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
+
+CHECK_INTERVAL = 100_000  # microseconds between two looks for other processes
+STATE_TIMEOUT = 1_000_000  # microseconds that an older process is waited for to write its state
+STATE_CHECKS_PER_INTERVAL = 4  # while it is waited for
+MICROSECONDS = 1e6  # in a second
+FULL_SHARE = 1.0
+SHARE_BESIDE_ANOTHER = 1 / 2  # of the descriptors: to the system's limits both processes are one balancer
+
+
+class ProcessTakeover:
+    """This process beside others on the same listening socket.
+
+    Attributes:
+        directory: What the processes share.
+    """
+
+    def __init__(
+        self,
+        directory: HotRestart,
+        router: Router,
+        descriptors: DescriptorBudget,
+        timers: TimerQueue,
+        log: EventLog,
+    ) -> None:
+        self.directory = directory
+        self.router = router
+        self.descriptors = descriptors
+        self.timers = timers
+        self.log = log
+        self._older: list[ProcessKey] = []
+        self._descriptors_shared = False
+
+    async def take_over(
+        self, capture_state: Callable[[], dict[str, Any]], restore_state: Callable[[dict[str, Any]], None]
+    ) -> bool:
+        """Go on from the process in service, if there is one, and look for others from now on.
+
+        Args:
+            capture_state: Returns the state for a later successor.
+            restore_state: Goes on from the state of the predecessor.
+
+        Returns:
+            False if there is no usable directory: it serves without one, and an upgrade loses the state.
+        """
+        try:
+            self.directory.open()
+        except OSError as error:
+            self.log("handover.none", why=str(error))
+            return False
+        state = await self._wait_for_state()
+        if self._older and state:
+            try:
+                restore_state(state)
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
+                self.log("handover.unread", why=repr(error))
+        self._check_periodically(capture_state)
+        return True
+
+    def set_excluded(self, name: str, excluded: bool) -> None:
+        """Exclude an upstream in all processes, or include it again."""
+        self.directory.set_excluded(name, excluded)
+
+    async def _wait_for_state(self) -> dict[str, Any] | None:
+        self._check_processes()
+        deadline = clock() + STATE_TIMEOUT
+        state: dict[str, Any] | None = None
+        while self._older and clock() < deadline:
+            state = self.directory.read_state()
+            if state:
+                break
+            await asyncio.sleep(CHECK_INTERVAL / MICROSECONDS / STATE_CHECKS_PER_INTERVAL)
+            self._check_processes()
+        return state
+
+    def _check_periodically(self, capture_state: Callable[[], dict[str, Any]]) -> None:
+        self.timers.schedule(clock() + CHECK_INTERVAL, self._check_periodically, capture_state)
+        newer = self._check_processes()
+        if newer:
+            self.directory.write_state_for(newer[-1], capture_state)
+
+    def _check_processes(self) -> list[ProcessKey]:
+        """Adapt to the processes that live now, and to what an operator has told another one.
+
+        Returns:
+            The processes newer than this one, oldest first.
+        """
+        live = self.directory.live_processes()
+        own_key = self.directory.process_key
+        self._older = [key for key in live if key < own_key]
+        self._share_descriptors(bool(live))
+        if live:
+            self.directory.publish_in_flight(self.router.attempts_in_flight())
+        self.router.balancer.beside = sum(live.values())
+        self._apply_exclusions()
+        return [key for key in live if key > own_key]
+
+    def _share_descriptors(self, shared: bool) -> None:
+        if shared == self._descriptors_shared:
+            return
+        self._descriptors_shared = shared
+        self.descriptors.set_share(SHARE_BESIDE_ANOTHER if shared else FULL_SHARE)
+
+    def _apply_exclusions(self) -> None:
+        excluded = self.directory.exclusions()
+        for name in sorted(excluded ^ self.router.excluded):
+            self.router.table.remember_id(name)
+            self.router.exclude(name, name in excluded)
--- /dev/null
+++ b/dahliabend/server/stored_membership.py
@@ -0,0 +1,94 @@
+"""The file in which a member keeps whom it knows, for the next process in its place."""
+
+import os
+from typing import Any
+
+import msgspec
+
+from dahliabend.membership.codec import Update
+from dahliabend.server.log import EventLog
+from dahliabend.transport import host_info
+
+NANOSECONDS = 1000  # in a microsecond
+MAX_AGE_PERIODS = 30  # protocol periods for which a successor may go on as the member that wrote the file
+
+
+class StoredMembership(msgspec.Struct):
+    """What a process leaves for the next one in its place. The names of the fields stand in the file.
+
+    Attributes:
+        name: The member's name.
+        place: Its address, as the others send to it.
+        handed: Whether the next process goes on as this one; else it only knows whom to ask.
+        at: When it was written, in Unix microseconds.
+        life: The member's generation.
+        incarnation: Its last incarnation number.
+        serial: Its last sequence number.
+        members: The last update of each other member.
+    """
+
+    name: str
+    place: str
+    handed: bool
+    at: int
+    life: int
+    incarnation: int
+    serial: int
+    members: list[Update]
+
+
+class MembershipFile:
+    """One member's file."""
+
+    def __init__(self, path: str, *, label: str, name: str, address: str, period: int, log: EventLog) -> None:
+        """Name a file; nothing is read yet.
+
+        Args:
+            path: Where it stands.
+            label: The path as the operator's file has it, for log lines.
+            name: The member's name.
+            address: Its address, as the others send to it.
+            period: Its protocol period in microseconds.
+            log: The event log.
+        """
+        self.path = path
+        self.label = label
+        self.name = name
+        self.address = address
+        self.period = period
+        self.log = log
+
+    def read(self) -> StoredMembership | None:
+        """Return what stands in the file; None if there is none, it is another member's, or unreadable."""
+        try:
+            stored = msgspec.json.decode(host_info.read_file(self.path), type=StoredMembership)
+        except FileNotFoundError:
+            return None
+        except (OSError, ValueError) as error:
+            self.log("handover.unread", why=f"{self.label}: {error}")
+            return None
+        if (stored.name, stored.place) != (self.name, self.address):
+            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.place}")
+            return None
+        # Written too long ago, or by a clock that was set back: only whom to ask is taken from it.
+        age = _unix_microseconds() - stored.at
+        stored.handed = stored.handed and 0 <= age < self.period * MAX_AGE_PERIODS
+        return stored
+
+    def write(self, state: dict[str, Any], *, handed: bool) -> None:
+        """Replace the file.
+
+        Args:
+            state: The member's state, by the last four fields of `StoredMembership`.
+            handed: Whether the next process is to go on as this one.
+        """
+        stored = StoredMembership(self.name, self.address, handed, _unix_microseconds(), **state)
+        directory, file_name = os.path.split(self.path)
+        try:
+            host_info.runtime_directory(directory).write(file_name, msgspec.json.encode(stored))
+        except OSError as error:
+            self.log("handover.unwritten", why=str(error))
+
+
+def _unix_microseconds() -> int:
+    return host_info.time_ns() // NANOSECONDS
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -1,104 +1,136 @@
-"""The log of a balancer that goes by an operator's file: structlog with orjson, levels, sampling, context.
+"""The log of a balancer with an operator's file: structlog with orjson, levels, sampling and context.
 
-Lines go into the same bounded buffer as the platform's: a full pipe must not stop the balancer.
+Lines go into the same bounded buffer as those of the platform's log: a full pipe must not stop the balancer.
 """
 
 import logging
+from collections.abc import MutableMapping
 from random import Random
+from typing import Any, cast
 
 import orjson
 import structlog
 
 from dahliabend.config.operator_file import schema
-from dahliabend.server.log import Log
+from dahliabend.server.log import STANDARD_ERROR, EventLog, Log
 from dahliabend.server.log_events import EVENTS
 
-SECRET = {"authorization", "cookie", "set-cookie", "password", "passwd", "secret", "token", "api-key"}
-SECRET |= {"x-api-key", "private-key"}
-HIDDEN = "***"
+SECRET_FIELDS = frozenset(
+    (
+        "authorization", "cookie", "set-cookie", "password", "passwd", "secret", "token", "api-key",
+        "x-api-key", "private-key",
+    )
+)  # fmt: skip
+REDACTED = "***"
+DEFAULT_LEVEL = "info"  # of an event that the table of events does not have
 
 
-def hide(_, __, line: dict) -> dict:
-    """A secret is never in a line, at whatever depth a field holds it."""
+def redact(value: object) -> object:
+    """Return the value with each secret replaced, at whatever depth a field holds it."""
+    if isinstance(value, dict):
+        return {
+            key: REDACTED if str(key).lower().replace("_", "-") in SECRET_FIELDS else redact(item)
+            for key, item in value.items()
+        }
+    if isinstance(value, list | tuple):
+        return [redact(item) for item in value]
+    return value
 
-    def clean(value):
-        if isinstance(value, dict):
-            return {
-                k: HIDDEN if str(k).lower().replace("_", "-") in SECRET else clean(v)
-                for k, v in value.items()
-            }
-        if isinstance(value, list | tuple):
-            return [clean(each) for each in value]
-        return value
 
-    return clean(line)
+def redact_line(_logger: object, _method: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """Redact a line; a processor of structlog."""
+    return cast("MutableMapping[str, Any]", redact(line))
 
 
-def render(value, **_) -> bytes:
-    return orjson.dumps(value, default=str, option=orjson.OPT_APPEND_NEWLINE)
+def render_json(line: object, **_options: object) -> bytes:
+    """Encode a line; a serializer of structlog."""
+    return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
 
 
-class Sink:
-    """What structlog writes to."""
+class LineSink:
+    """The logger that structlog writes encoded lines to, with one method for each level."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
 
     def put(self, line: bytes) -> None:
+        """Append a line to the log's buffer."""
         self.log.put(line)
 
     debug = info = warning = error = put
 
 
 class StructuredLog(Log):
-    """Called as `Log` is. `bind` gives one with more context, into the same buffer."""
+    """A log with levels, sampling and context, called as `Log` is."""
 
-    def __init__(self, name: str, sink: int = 2, seed: int = 0) -> None:
+    def __init__(self, name: str, sink: int = STANDARD_ERROR, seed: int = 0) -> None:
+        """Make a log with the default settings.
+
+        Args:
+            name: The balancer's name, which stands in each line.
+            sink: File descriptor to write to.
+            seed: Of the random numbers that sampling goes by.
+        """
         super().__init__(name, sink=sink)
-        self.chance = Random(seed).random
-        self.sample: dict[str, float] = {}
-        self.logger = None
+        self.random = Random(seed).random
+        self.sample_rates: dict[str, float] = {}
+        self.logger: Any = None
         self.apply_settings(schema.LogSettings())
 
     def apply_settings(self, settings: schema.LogSettings) -> None:
-        self.sample = {name: float(share) for name, share in settings.sample.items()}
+        """Log by these settings from now on."""
+        self.sample_rates = {event: float(rate) for event, rate in settings.sample.items()}
         self.verbose = settings.level == "debug"
         self.logger = structlog.wrap_logger(
-            Sink(self),
+            LineSink(self),
             processors=[
                 structlog.processors.add_log_level,
                 structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
-                hide,
-                structlog.processors.JSONRenderer(serializer=render),
+                redact_line,
+                structlog.processors.JSONRenderer(serializer=render_json),
             ],
             wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, settings.level.upper())),
             cache_logger_on_first_use=False,
         ).bind(balancer=self.name)
 
-    def __call__(self, event: str, **fields) -> None:
-        self.say(event, fields)
+    def __call__(self, event: str, **fields: object) -> None:
+        """Log an event with its fields, at the event's own level."""
+        self.log_event(event, fields)
 
-    def say(self, event: str, fields: dict) -> None:
-        known = EVENTS.get(event)
-        share = self.sample.get(event, 1.0)
-        if share < 1.0 and self.chance() >= share:
+    def log_event(self, event: str, fields: dict[str, object]) -> None:
+        """Log an event unless sampling drops it."""
+        sample_rate = self.sample_rates.get(event, 1.0)
+        if sample_rate < 1.0 and self.random() >= sample_rate:
             return
-        getattr(self.logger, known.level if known is not None else "info")(event, **fields)
+        known = EVENTS.get(event)
+        level = known.level if known is not None else DEFAULT_LEVEL
+        getattr(self.logger, level)(event, **fields)
 
-    def debug(self, event: str, **fields) -> None:
-        self.say(event, fields)
+    def debug(self, event: str, **fields: object) -> None:
+        """Log an event; its own level decides whether it is wanted."""
+        self.log_event(event, fields)
 
-    def bind(self, **context) -> "BoundLog":
+    def bind(self, **context: object) -> "BoundLog":
+        """Return a log into the same buffer, with these fields in each of its lines."""
         return BoundLog(self, context)
 
 
 class BoundLog:
-    """The same log with fields that stand in each of its lines."""
+    """A structured log with fields that stand in each of its lines."""
+
+    def __init__(self, log: StructuredLog, context: dict[str, object]) -> None:
+        self.log = log
+        self.context = context
+
+    def __call__(self, event: str, **fields: object) -> None:
+        """Log an event with its fields and the context."""
+        self.log.log_event(event, self.context | fields)
 
-    def __init__(self, log: StructuredLog, context: dict) -> None:
-        self.log, self.context = log, context
+    def debug(self, event: str, **fields: object) -> None:
+        """Log an event with its fields and the context; its own level decides whether it is wanted."""
+        self.log.log_event(event, self.context | fields)
 
-    def __call__(self, event: str, **fields) -> None:
-        self.log.say(event, self.context | fields)
 
-    debug = __call__
+def bind_pool(log: EventLog, pool: str) -> EventLog:
+    """Return the log with the pool's name in each line, where the log can do that."""
+    return log.bind(pool=pool) if isinstance(log, StructuredLog) else log
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -1,131 +1,177 @@
-"""A pool's list, narrowed to this balancer's subset before the decisions hear of it.
+"""A pool's endpoint list, narrowed to this balancer's subset before the policy sees it.
 
 Imported only where a pool has `subset`: nothing else pays for it.
 """
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
 
 from dahliabend.config.operator_file import schema
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
+from dahliabend.server.log import EventLog
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController, SubsetSettings, count_usable
 from dahliabend.subsetting.selection import Participant
 from dahliabend.transport.timers import TimerQueue, clock
 
-LOOK = 250_000  # how often it looks whether something has to move
+if TYPE_CHECKING:
+    from dahliabend.server.clustering import ClusterMember
+
+UPDATE_INTERVAL = 250_000  # microseconds between two looks whether the subset has to change
+MAX_LOGGED_NAMES = 20  # upstreams added and dropped, in a log line
+WEIGHT_DIGITS = 4  # decimal places of what operators are shown
+
+EndpointRow = tuple[Any, ...]  # an entry of the endpoint list, with the following positions
+NAME, STATE, WEIGHT, ZONE = 0, 2, 4, 6
 
 
 class SubsetFilter:
-    """Stands between a pool's list and its router, as the list's reader. `fleet` tells who balances."""
+    """Stands between a pool's endpoint list and its router; observes the list.
+
+    Attributes:
+        subset: The upstreams in use, with their weights.
+    """
 
     def __init__(
         self,
         router: Router,
         settings: schema.SubsetSettings,
         balancers: int,
-        cluster,
-        name: str,
+        cluster: "ClusterMember | None",
+        instance_name: str,
         timers: TimerQueue,
-        log: Callable,
+        log: EventLog,
     ) -> None:
-        self.router, self.cluster, self.timers, self.log = router, cluster, timers, log
-        self.rows: dict[str, tuple] = {}  # by id, all that the list has
-        self.subset: ActiveSubset = ActiveSubset()
-        own = cluster.settings if cluster is not None else None
-        index = settings.self_index
-        me = Participant(
-            cluster.name if own else name if index is None else f"{index}", own.zone if own else ""
-        )
-        terms = SubsetSettings(
-            source="members" if index is None else "index",
-            min_size=settings.least,
-            degree=settings.degree,
-            by_zone=settings.zones,
-            balancers=balancers,
-            doubt_hold=settings.hold,
-        )
-        self.keeper = SubsetController(me, terms)
-        if index is not None:  # all know how many there are, and each its own place among them
-            self.keeper.update_view(clock(), [Participant(f"{n}") for n in range(balancers)], trusted=True)
-        self.timer: list | None = None
-        self.look()
+        """Make a filter, and look from now on whether the subset has to change.
 
-    def endpoints_changed(self, rows: list[tuple], full: bool) -> None:
+        Args:
+            router: Gets the subset as its whole list.
+            settings: What the operator's file says of the subset.
+            balancers: The configured number of balancers.
+            cluster: Knows the other balancers, if any do.
+            instance_name: Names this balancer where it has neither a cluster nor an index.
+            timers: The process's timers.
+            log: The event log.
+        """
+        self.router = router
+        self.cluster = cluster
+        self.timers = timers
+        self.log = log
+        self.subset = ActiveSubset()
+        self._rows: dict[str, EndpointRow] = {}  # by name, the whole list
+        self._controller = _make_controller(settings, balancers, cluster, instance_name)
+        self._timer: Any = None
+        self._update_periodically()
+
+    def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
+        """Apply changes of the list, or the whole list."""
         if full:
-            self.rows = {}
+            self._rows = {}
         for row in rows:
-            if row[2] is EndpointState.REMOVED:
-                self.rows.pop(row[0], None)
+            name = row[NAME]
+            if row[STATE] is EndpointState.REMOVED:
+                self._rows.pop(name, None)
             else:
-                self.rows[row[0]] = row
-                self.router.table.remember_id(row[0])  # an operator may take it out before it is in use
-        self.keeper.update_upstreams(
-            clock(),
-            [
-                Participant(name, row[6], row[4])
-                for name, row in self.rows.items()
-                if row[2] is EndpointState.READY
-            ],
-        )
-        self.move()
-        self.tell()  # drains of those in use are heard at once, whatever moves
+                self._rows[name] = row
+                self.router.table.remember_id(name)  # an operator may take it out before it is in use
+        ready = [
+            Participant(name, row[ZONE], row[WEIGHT])
+            for name, row in self._rows.items()
+            if row[STATE] is EndpointState.READY
+        ]
+        self._controller.update_upstreams(clock(), ready)
+        self._update_subset()
+        self._update_router()  # also if the subset stays: the router hears of draining upstreams at once
 
     def endpoint_poll_failed(self) -> None:
+        """Tell the router that the list could not be had."""
         self.router.endpoint_poll_failed()
 
-    def look(self) -> None:
-        self.timer = self.timers.schedule(clock() + LOOK, self.look)
-        if self.move():
-            self.tell()
+    def stop(self) -> None:
+        """Leave the subset as it is."""
+        self.timers.cancel(self._timer)
+
+    def status(self) -> dict[str, Any]:
+        """Return the subset for operators."""
+        subset = self.subset
+        weights = {name: round(weight, WEIGHT_DIGITS) for name, weight in sorted(subset.weights.items())}
+        return {
+            "size": len(subset.weights),
+            "of": len(self._rows),
+            "by": subset.source,
+            "balancers": subset.balancers,
+            "wider": self._controller.extra,
+            "weights": weights,
+        }
+
+    def _update_periodically(self) -> None:
+        self._timer = self.timers.schedule(clock() + UPDATE_INTERVAL, self._update_periodically)
+        if self._update_subset():
+            self._update_router()
 
-    def move(self) -> bool:
-        now, cluster = clock(), self.cluster
-        if cluster is not None and (settled := cluster.settled()) is not None:
-            self.keeper.follow_membership(now, settled, cluster.view())
-        balancer = self.router.balancer
+    def _update_subset(self) -> bool:
+        """Choose the upstreams anew; return whether the subset has changed."""
+        now = clock()
+        if self.cluster is not None:
+            settled = self.cluster.settled()
+            if settled is not None:
+                self._controller.follow_membership(now, settled, self.cluster.view())
         if self.subset.weights:
-            self.keeper.adjust_width(count_usable(balancer, now))
-        made = self.keeper.step(now, frozenset(self.router.excluded & self.subset.weights.keys()))
-        if made is None:
+            self._controller.adjust_width(count_usable(self.router.balancer, now))
+        pinned = frozenset(self.router.excluded & self.subset.weights.keys())
+        subset = self._controller.step(now, pinned)
+        if subset is None:
             return False
-        self.subset = made
+        self.subset = subset
         self.log(
             "subset",
-            size=len(made.weights),
-            of=len(self.rows),
-            added=made.added[:20],
-            dropped=made.dropped[:20],
-            by=made.source,
-            balancers=made.balancers,
+            size=len(subset.weights),
+            of=len(self._rows),
+            added=subset.added[:MAX_LOGGED_NAMES],
+            dropped=subset.dropped[:MAX_LOGGED_NAMES],
+            by=subset.source,
+            balancers=subset.balancers,
         )
         return True
 
-    def tell(self) -> None:
-        """One that leaves the subset is as gone to the decisions: nothing new, what is out ends there."""
+    def _update_router(self) -> None:
+        """Give the router the subset as its whole list.
+
+        An upstream that leaves the subset counts as removed: it gets nothing new, and attempts end there.
+        """
         known = self.router.table.indices
         rows = []
-        for name, row in self.rows.items():
+        for name, row in self._rows.items():
             weight = self.subset.weights.get(name)
             if weight is not None:
-                rows.append((*row[:4], weight, *row[5:]))
-            elif row[2] is not EndpointState.READY and name in known:
-                rows.append(row)  # it drains: kept until it is gone, for what is out there
-        # Not all balancers of the fleet send to these: taken for so many, each would let in a crowd of a few
-        # and turn callers back while its upstreams idle.
+                rows.append((*row[:WEIGHT], weight, *row[WEIGHT + 1 :]))
+            elif row[STATE] is not EndpointState.READY and name in known:
+                rows.append(row)  # it is draining: kept until it is removed, for the attempts in flight there
+        # Not all balancers send to these upstreams. Divided by all of them, the concurrency limit would be
+        # too low, and clients be rejected while the upstreams idle.
         self.router.balancer.instance_count = self.subset.balancers_per_upstream
         self.router.endpoints_changed(rows, full=True)
 
-    def stop(self) -> None:
-        self.timers.cancel(self.timer)
 
-    def status(self) -> dict:
-        made = self.subset
-        weights = {name: round(weight, 4) for name, weight in sorted(made.weights.items())}
-        return {
-            "size": len(made.weights),
-            "of": len(self.rows),
-            "by": made.source,
-            "balancers": made.balancers,
-            "wider": self.keeper.extra,
-            "weights": weights,
-        }
+def _make_controller(
+    settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", instance_name: str
+) -> SubsetController:
+    index = settings.self_index
+    controller_settings = SubsetSettings(
+        source="members" if index is None else "index",
+        min_size=settings.least,
+        degree=settings.degree,
+        by_zone=settings.zones,
+        balancers=balancers,
+        doubt_hold=settings.hold,
+    )
+    controller = SubsetController(_own_participant(index, cluster, instance_name), controller_settings)
+    if index is not None:  # all know how many balancers there are, and each its own place among them
+        participants = [Participant(f"{number}") for number in range(balancers)]
+        controller.update_view(clock(), participants, trusted=True)
+    return controller
+
+
+def _own_participant(index: int | None, cluster: "ClusterMember | None", instance_name: str) -> Participant:
+    if cluster is not None:
+        return Participant(cluster.name, cluster.settings.zone)
+    return Participant(instance_name if index is None else f"{index}")
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -161,20 +161,20 @@
 
 def hear_others(program: OperatorFileServer) -> None:
     """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
-    fleet, now = program.cluster, clock()
+    cluster, exchange, now = program.cluster, program.cluster.gossip, clock()
     for name in ("b2", "b3", "b4", "b5"):
         alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
-        fleet.failure_detector.store_update(now, alive, "")
+        cluster.failure_detector.store_update(now, alive, "")
         if name == "b5":
-            fleet.failure_detector.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
+            cluster.failure_detector.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
         else:
-            fleet.gossip.report_table.merge(
+            exchange.gossip.report_table.merge(
                 now, HealthReport(name, 1, 1, 0, 0, [UpstreamCounts("plain", "u-0", 200, 200)])
             )
     for _ in range(20):
-        fleet.saw("plain", "u-0", Outcome.FAILED)
-    fleet.probing.beat([("b1", ""), ("b2", "")], True, program.pools_in_gossip())
-    fleet.signal()
+        exchange.record_outcome("plain", "u-0", Outcome.FAILED)
+    exchange.health_checks.tick([("b1", ""), ("b2", "")], True, program.pools.active_routers())
+    exchange.tick()
 
 
 def in_a_loop(act: Callable[[Path], dict]) -> dict:
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -110,7 +110,7 @@
     said = []
     made = HotRestart(str(tmp_path / "shared"), lambda event, **_: said.append(event))
     made.open()
-    path = made.folder.path / f"for-{made.process_key[0]}-{made.process_key[1]}"
+    path = made.directory.path / f"for-{made.process_key[0]}-{made.process_key[1]}"
     assert made.read_state() is None and not said
     for raw in (b"", b'{"version": 1, "li', b"[]", b'{"version": 99}'):
         path.write_bytes(raw)
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -9,7 +9,7 @@
 from dahliabend.config.operator_file.schema import LogSettings
 from dahliabend.config.operator_file.units import Fraction
 from dahliabend.server import log as plain
-from dahliabend.server.log_events import CONTEXT, ENDED, EVENTS, page
+from dahliabend.server.log_events import CONTEXT, EVENTS, REQUEST_FIELDS, page
 from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
@@ -52,7 +52,7 @@
         assert event in EVENTS, (event, place)
         assert fields <= {*EVENTS[event].fields, *CONTEXT}, (event, place, fields)
     assert len(seen) > 30 and not EVENTS.keys() - seen - {"failed"}
-    assert all(EVENTS[how].fields == ENDED for how in OUTCOMES)
+    assert all(EVENTS[how].fields == REQUEST_FIELDS for how in OUTCOMES)
 
 
 def test_the_page_is_made_of_the_table():
