--- a/dahliabend/cli/peer_state.py
+++ b/dahliabend/cli/peer_state.py
@@ -5,7 +5,7 @@
 
 from dahliabend.cli.operators_api import balancer_argument, fetch, format_age
 from dahliabend.cli.output import json_option, print_json, print_table
-from dahliabend.leases.election import TOKEN_SUFFIX_BITS
+from dahliabend.leases.fencing import TOKEN_SUFFIX_BITS
 
 TABLE_WIDTH = 140
 
--- a/dahliabend/cli/serve.py
+++ b/dahliabend/cli/serve.py
@@ -22,8 +22,9 @@
 
     import uvloop
 
-    from dahliabend.server.operator_file_server import InvalidOperatorFileError, serve_operator_file
-    from dahliabend.server.platform_server import BLOCKED_SIGNALS
+    from dahliabend.server.lifecycle import BLOCKED_SIGNALS
+    from dahliabend.server.operator_file_loading import InvalidOperatorFileError
+    from dahliabend.server.operator_file_server import serve_operator_file
     from dahliabend.server.structured_log import StructuredLog
 
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
--- a/dahliabend/server/startup.py
+++ b/dahliabend/server/startup.py
@@ -7,8 +7,9 @@
 import uvloop
 
 from dahliabend.config.platform import read_server_settings
+from dahliabend.server.lifecycle import BLOCKED_SIGNALS
 from dahliabend.server.log import Log
-from dahliabend.server.platform_server import BLOCKED_SIGNALS, serve_platform
+from dahliabend.server.platform_server import serve_platform
 
 EXIT_OK = 0
 EXIT_FAILED = 1  # an address can't be listened on, or another failure of the system
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -13,17 +13,20 @@
 from random import Random
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
-from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
+from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
-from dahliabend.policy.balancer import Balancer, RequestState
+from dahliabend.policy.balancer import Balancer
+from dahliabend.policy.retries import RequestState
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.nodes import Kind, Node
 from dahliabend.simulation.cluster.script import Fleet, S
-from dahliabend.subsetting.controller import SubsetController, SubsetSettings, count_usable
+from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
 from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.usable_endpoints import count_usable
 
 MS = 1_000
 LOOK = 250 * MS  # how often a subset is looked at, as in a pool
@@ -274,7 +277,9 @@
             return
         work.at(work.now + GOSSIP_INTERVAL, self.gossips)
         members = machine.view(work.now).names()
-        indices = {work.nodes[u.index].name: u.index for u in self.balancer.ready if not u.ejected}
+        indices = {
+            work.nodes[u.index].name: u.index for u in self.balancer.selection.ready if not u.is_ejected
+        }
 
         def told(name: str, tried: int, bad: int) -> None:
             work.counts["believed"] += 1
@@ -300,19 +305,26 @@
         if machine is not None and (settled := machine.last_stable_view(work.now)) is not None:
             keeper.follow_membership(work.now, settled, machine.view(work.now))
         if self.weights:
-            keeper.adjust_width(count_usable(self.balancer, work.now))
+            balancer = self.balancer
+            usable = count_usable(
+                balancer.selection.ready,
+                balancer.outliers.last_answer_at,
+                balancer.throttling.window,
+                work.now,
+            )
+            keeper.adjust_width(usable)
         made = keeper.step(work.now)
         if made is None:
             return False
         work.counts["moved"] += len(made.added) + len(made.dropped)
         self.weights = made.weights
-        self.balancer.instance_count = made.balancers_per_upstream
+        self.balancer.selection.instance_count = made.balancers_per_upstream
         return True
 
     def tell_rows(self) -> None:
         rows = list(self.rows.values())
         if self.keeper is not None:
-            rows, known = [], self.balancer.upstreams
+            rows, known = [], self.balancer.selection.endpoints
             for name, row in self.rows.items():
                 weight = self.weights.get(name)
                 if weight is not None:
@@ -320,7 +332,7 @@
                 elif row[1] is not EndpointState.READY and row[0] in known:
                     rows.append(row)
         self.balancer.update_endpoints(self.work.now, rows, full=True)
-        for index in [index for index in self.links if index not in self.balancer.upstreams]:
+        for index in [index for index in self.links if index not in self.balancer.selection.endpoints]:
             del self.links[index]
 
 
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from dahliabend.simulation.script import MS, Duration, LoadSpec, Scenario, WorldSpec, check
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.script import MS, LoadSpec, Scenario, WorldSpec, check
 from dahliabend.simulation.world import play
 
 MOST = 400  # runs that a shrinking takes at the most
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -4,8 +4,9 @@
 
 from dahliabend.config.policy_settings import read_policy_settings, to_microseconds
 from dahliabend.errors import SimulatorProtocolError
-from dahliabend.model import EndpointState, Outcome
-from dahliabend.policy.balancer import Balancer, RequestState
+from dahliabend.model import EndpointRow, EndpointState, Outcome
+from dahliabend.policy.balancer import Balancer
+from dahliabend.policy.retries import RequestState
 from dahliabend.simulator_adapter import actions
 from dahliabend.simulator_adapter.wire_format import (
     ENDPOINT_ENTRY,
@@ -61,10 +62,10 @@
 
     # The port: what the policy does.
 
-    def send(self, ref: int, upstream: int, timeout: int) -> None:
+    def send(self, ref: int, endpoint: int, timeout: int) -> None:
         """Send an attempt of a request to an endpoint."""
         timeout_ms = timeout / MICROSECONDS_PER_MILLISECOND
-        self._actions.append(actions.send_attempt(self.number, ref, self._addresses[upstream], timeout_ms))
+        self._actions.append(actions.send_attempt(self.number, ref, self._addresses[endpoint], timeout_ms))
 
     def reject(self, ref: int, retry_after: int) -> None:
         """Answer that a request did not run; it is forgotten here if it had been waiting for its turn."""
@@ -80,13 +81,13 @@
         """Cancel an attempt."""
         self._actions.append(actions.cancel(self.number, ref, attempt))
 
-    def check_health(self, upstream: int) -> None:
+    def check_health(self, endpoint: int) -> None:
         """Check the health of an endpoint."""
-        self._actions.append(actions.check_health(self.number, self._addresses[upstream]))
+        self._actions.append(actions.check_health(self.number, self._addresses[endpoint]))
 
-    def close_idle_connections(self, upstream: int, age: int) -> None:  # noqa: ARG002 - the port has it
+    def close_idle_connections(self, endpoint: int, age: int) -> None:  # noqa: ARG002 - the port has it
         """Close the idle connections to an endpoint: the simulator closes all, whatever their age."""
-        self._actions.append(actions.close_idle_connections(self.number, self._addresses[upstream]))
+        self._actions.append(actions.close_idle_connections(self.number, self._addresses[endpoint]))
 
     def set_timer(self, at: int, token: int) -> None:
         """Fire a timer at a time in microseconds."""
@@ -166,7 +167,7 @@
             return
         entries = endpoint_lists.get(record.list_number, b"")
         rows = [
-            (
+            EndpointRow(
                 self._index_of(address),
                 EndpointState(state),
                 to_microseconds(started_at),
