--- /dev/null
+++ b/tests/cli/test_operators_commands.py
@@ -0,0 +1,113 @@
+"""Commands that ask a running balancer: what they print of its answers, and their exit status."""
+
+import json
+
+import pytest
+from click.testing import CliRunner
+from fake_balancer import ANSWERS, MEMBERS, balancer
+
+from dahliabend.cli.commands import group
+
+
+def run(*arguments):
+    """The exit status and the output of a command, with all errors in it."""
+    result = CliRunner().invoke(group, arguments)
+    return result.exit_code, result.output
+
+
+@pytest.mark.parametrize(
+    ("command", "path"), [("members", "/api/members"), ("signals", "/api/signals"), ("turns", "/api/turns")]
+)
+def test_as_json_the_answer_is_printed_as_it_came(command, path):
+    with balancer() as address:
+        status, output = run(command, address, "--json")
+    assert status == 0
+    assert json.loads(output) == ANSWERS[path]
+
+
+def test_members_are_shown_with_their_state_and_the_view_with_its_confidence():
+    with balancer() as address:
+        status, output = run("members", address)
+    rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
+    assert status == 0
+    assert ["b1", "alive", "its start", "", "z", "1.5", "4", "b2", "10.0.0.1:7946"] in rows
+    assert ["b2", "dead", "4 min", "b1", "z", "", "4", "", "10.0.0.2:7946"] in rows
+    assert output.splitlines()[-1] == (
+        "b1: view abc version 3, stable; heard 1.2 s ago, confidence 0.75; datagrams dropped: 1 bad, 2 late"
+    )
+
+
+def test_a_view_that_is_not_stable_is_shown_and_ends_with_a_failure():
+    view = {**MEMBERS, "stable": False, "cut": True, "outcast": "b9", "dropped": {}}
+    with balancer({"/api/members": view}) as address:
+        status, output = run("members", address)
+    assert status == 1
+    assert "not settled; it may be cut off; the others don't count it in: b9" in output
+    assert output.endswith("datagrams dropped: none\n")
+
+
+def test_gossip_is_shown_by_origin_and_what_is_believed_of_it():
+    with balancer() as address:
+        status, output = run("signals", address)
+    rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
+    assert status == 0
+    assert ["b1 (this one)", "0.0 s", "0", "p u1", "5", "2"] in rows
+    assert ["b2", "0.4 s", "2", "nothing", "", ""] in rows
+    assert ["b3", "3 min", "1", "p u2", "9", "0"] in rows
+    assert output.splitlines()[-2:] == [
+        "0.1 s ago: p u1, said by 3",
+        "3 beliefs told to the decisions; 1 datagrams unread, 2 reports refused",
+    ]
+
+
+def test_leases_are_shown_with_holder_age_and_this_ones_place():
+    with balancer() as address:
+        status, output = run("turns", address)
+    rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
+    by_task = {row[0]: (row[1], *row[3:]) for row in rows}
+    assert status == 0
+    assert by_task["probe p u1"] == ("b1", "", "ok", "none")
+    assert by_task["probe p u2"] == ("b2", "5.5 s ago", "bad", "0")
+    assert output.splitlines()[-1] == "period 2.5 s; not settled; 4 probes by this one; 5 refused"
+
+
+def test_subsets_of_a_running_balancer_are_shown_by_pool():
+    with balancer() as address:
+        status, output = run("subset", address)
+    rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
+    assert status == 0
+    assert ["p", "2", "5", "view", "3", "1", "u1 1, u2 0.25"] in rows
+
+
+def test_the_address_may_be_that_of_an_operators_file(tmp_path):
+    path = tmp_path / "file.toml"
+    with balancer() as address:
+        path.write_text(
+            f'[listeners.operators]\naddress = "{address}"\n[pools.a]\ndiscovery = "10.2.0.1:8500"\n'
+            '[classes.query]\neffect = "idempotent"\nservice-goal = "1s"\nhard-limit = "2s"\n'
+            '[[routes]]\nname = "all"\nclass = "query"\npool = "a"\n'
+        )
+        assert run("members", str(path))[0] == 0
+        path.write_text(path.read_text().replace("listeners.operators", "listeners.callers"))
+        status, output = run("members", str(path))
+    assert status == 1
+    assert f"{path}:1: listeners.operators: is missing" in output
+
+
+def test_an_error_of_the_balancer_is_printed_with_its_address():
+    with balancer({"/api/members": {"error": "not a member"}}, status=404) as address:
+        assert run("members", address) == (1, f"Error: {address}: not a member\n")
+
+
+def test_a_key_is_printed_without_asking_anybody():
+    status, output = run("members", "--key")
+    assert status == 0
+    assert len(bytes.fromhex(output.strip())) == 32
+
+
+def test_every_command_is_listed_with_its_help():
+    status, output = run("--help")
+    assert status == 0
+    for name in ("check", "completion", "diff", "emulate", "events", "explain", "members", "rig", "serve",
+                 "show", "signals", "subset", "turns", "version"):  # fmt: skip
+        assert any(line.split()[:1] == [name] for line in output.splitlines())
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -30,7 +30,7 @@
     return load_file(next(iter(texts)), environment={"HERE": "10.0.0.1"}, read=get)
 
 
-def test_of_500_files_each_broken_one_is_refused_at_its_line_with_its_reason_and_no_sound_one():
+def test_of_500_files_each_faulty_one_is_refused_at_its_line_with_its_reason_and_no_sound_one():
     kinds = set()
     for seed in range(CORPUS):
         made = make(seed)
@@ -60,7 +60,7 @@
 """
 
 
-def test_all_faults_are_told_in_one_go_by_their_lines():
+def test_all_faults_are_reported_together_by_their_lines():
     text = (
         SMALL.replace('"1s"', "1000")
         .replace('"2s"', '"2 weeks"')
@@ -74,7 +74,7 @@
     assert "is 'class' meant?" in faults[3].reason
 
 
-def test_includes_come_first_and_what_comes_later_goes_before():
+def test_included_files_are_read_first_and_later_values_replace_earlier_ones():
     route = '[[routes]]\nname = "first"\npath = "/x"\nclass = "query"\npool = "a"\n'
     below = f"[classes.query]\nrevenue = 2.0\n{route}"
     made = read(file='include = ["below.toml"]\n' + SMALL, below=below)
@@ -89,26 +89,26 @@
     )
 
 
-def test_an_include_that_goes_round_is_told_with_its_ring():
+def test_an_include_cycle_is_reported_with_its_files():
     made = read(one='include = ["two.toml"]\n' + SMALL, two='\ninclude = ["one.toml"]\n')
     assert [str(fault) for fault in made.faults] == [
         "two.toml:2: include: goes round: one.toml -> two.toml -> one.toml"
     ]
 
 
-def test_the_environment_is_put_in_and_a_default_where_it_says_nothing():
+def test_variables_are_substituted_and_defaults_where_they_are_not_set():
     text = SMALL.replace("10.2.0.1", "${HERE}").replace("8500", "${PORT:-85}")
     assert read(file=text).file.pools["a"].discovery == "10.0.0.1:85"
 
 
-def test_the_place_of_every_key_and_item():
+def test_the_line_of_every_key_and_item_is_found():
     found = key_lines(b'[a."b c"]\nd = [\n 1,\n {e = 2},\n]\n[[f]]\n[f.g]\nh = 1\n[[f]]\nh.i = 2\n')
     assert found[("a", "b c", "d", 1, "e")] == 4
     assert found[("f", 0, "g", "h")] == 8
     assert found[("f", 1, "h", "i")] == 10
 
 
-def test_what_cannot_be_read_is_told():
+def test_a_file_that_cannot_be_read_is_a_fault():
     assert "can't be read" in str(load_file("/nowhere.toml").faults[0])
     source = load_source("x", {}, lambda _: b"a = 1\n\xff\n")
     assert str(source.faults[0]) == "x:2: is no UTF-8"
@@ -125,7 +125,7 @@
     assert made["total-time"] == ExplainedValue("2s", "classes.query.hard-limit")
 
 
-def test_a_difference_goes_by_the_names_of_routes_not_their_order():
+def test_routes_are_compared_by_name_not_by_order():
     other = '[[routes]]\nname = "more"\npath = "/m"\nclass = "query"\npool = "a"\n'
     old, new = read(file=SMALL + other), read(file=other + SMALL.replace('"1s"', '"800ms"'))
     assert [(entry["key"], entry["old"], entry["new"]) for entry in diff(old, new)] == [
@@ -143,7 +143,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-def test_the_example_is_sound_and_the_commands_say_what_it_does(tmp_path):
+def test_the_example_file_is_sound_and_the_commands_describe_it(tmp_path):
     example = "deploy/example.toml"
     assert run("check", example)[0] == 0
     status, out, _ = run("explain", example, "get", "/reading/7", "-H", "X-Version: next", "--json")
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("name", ["check", "show", "explain", "diff", "emulate", "serve", "version"])
-def test_each_command_says_what_it_does(name):
+def test_each_command_has_a_help_text(name):
     status, out, _ = run(name, "--help")
     assert status == 0
     assert "Usage: dahliabend" in out
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -8,9 +8,9 @@
 
 from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.routing_rules import loaded_file
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.limits import Limit
+from dahliabend.routing_rules.loaded_file import load_file
 from dahliabend.routing_rules.route_table import RouteTable
 from dahliabend.routing_rules.weighted_split import WeightedSplit
 
@@ -26,27 +26,28 @@
     return None if number is None else routes[number].name
 
 
-def test_a_part_of_a_limit_lets_in_its_part_and_says_what_was_asked():
+def test_a_fraction_of_a_limit_admits_that_fraction_and_reports_the_demand():
     limit = Limit(rate=100.0, concurrency=40)
     limit.set_fraction(0.25)
-    entered = sum(limit.try_acquire(now) for now in range(0, 2_000_000, 5_000))
-    assert entered == 10 and limit.concurrency == 10, "in hand, all at once"
-    for _ in range(entered):
+    admitted = sum(limit.try_acquire(now) for now in range(0, 2_000_000, 5_000))
+    assert admitted == 10, "in flight, all at once"
+    assert limit.concurrency == 10
+    for _ in range(admitted):
         limit.release()
     assert limit.take_demand(2_000_000) == 1.0
     assert limit.take_demand(1_000_000) == 0.0
-    let_in = 0
+    admitted = 0
     for now in range(2_000_000, 6_000_000, 5_000):
         if limit.try_acquire(now):
-            let_in += 1
+            admitted += 1
             limit.release()
-    assert 100 <= let_in <= 100 + 10
+    assert 100 <= admitted <= 100 + 10
     limit.update(Limit(rate=200.0))
     assert limit.concurrency is None
     assert limit.rate == 200.0 * 0.25 / 1e6
 
 
-def test_the_longest_path_goes_first_by_whole_segments():
+def test_the_longest_path_matches_first_by_complete_segments():
     routes = [route("all"), route("a", "/a"), route("ab", "/a/b/")]
     assert found(routes, "GET", "/a/b/c?x=/a") == "ab"
     assert found(routes, "GET", "/a/bc") == "a"
@@ -67,19 +68,19 @@
     assert found(routes, "GET", "/a", **{"x-v": "3"}) == "plain"
 
 
-def test_where_a_deeper_route_asks_for_more_a_shallower_one_takes_the_rest():
+def test_requests_that_a_deeper_route_does_not_match_go_to_a_shallower_one():
     routes = [route("all"), route("deep", "/a/b", methods=["POST"])]
     assert found(routes, "GET", "/a/b") == "all"
     assert found(routes, "POST", "/a/b/c") == "deep"
 
 
-def test_what_is_never_reached_is_named_with_what_is_before_it():
+def test_a_shadowed_route_is_reported_with_the_route_that_shadows_it():
     routes = [route("one", "/a", methods=["GET", "POST"]), route("two", "/a/", methods=["POST"]),
               route("three", "/a", methods=["POST", "PUT"])]  # fmt: skip
     assert list(RouteTable(routes).shadowed()) == [(1, 0)]
 
 
-def test_a_key_stays_in_its_pool_and_a_moved_weight_moves_only_its_part():
+def test_a_key_stays_in_its_pool_and_a_changed_weight_moves_only_its_share_of_keys():
     keys = [b"customer %d" % n for n in range(20_000)]
     before, after = WeightedSplit(["main", "canary"], [90, 10]), WeightedSplit(["main", "canary"], [80, 20])
     part = sum(before.pool_for_key(key) == "canary" for key in keys) / len(keys)
@@ -89,7 +90,7 @@
     assert all(after.pool_for_key(key) == "canary" for key in keys if before.pool_for_key(key) == "canary")
 
 
-def test_turns_hold_each_part_to_one_over_any_run():
+def test_round_robin_holds_each_share_over_any_run():
     split = WeightedSplit(["a", "b", "c"], [7, 2, 1])
     turns = [split.next_pool() for _ in range(1_000)]
     for start in range(0, 900, 37):
@@ -100,16 +101,17 @@
         WeightedSplit(["a"], [0])
 
 
-def test_a_rate_lets_in_its_burst_then_its_rate_and_says_when_to_come_back():
-    limit, let_in = Limit(rate=100.0, burst=20), 0
+def test_a_rate_admits_its_burst_then_its_rate_and_reports_when_to_retry():
+    limit = Limit(rate=100.0, burst=20)
+    admitted = 0
     for now in range(0, 10 * S, 1_000):
-        let_in += limit.try_acquire(now)
-    assert 20 + 990 <= let_in <= 20 + 1_001
+        admitted += limit.try_acquire(now)
+    assert 20 + 990 <= admitted <= 20 + 1_001
     assert not limit.try_acquire(10 * S - 1_000)
     assert 0 < limit.time_until_token(10 * S - 1_000) <= 10_000
 
 
-def test_a_limit_counts_who_is_in_hand_also_over_a_reload():
+def test_a_limit_counts_requests_in_flight_over_a_reload():
     old = Limit(concurrency=2)
     assert old.try_acquire(0)
     assert old.try_acquire(0)
@@ -145,28 +147,28 @@
 """
 
 
-def made(text=FILE):
-    plan = loaded_file.load_file("f", environment={}, read=lambda _: text.encode())
-    assert plan.is_usable, plan.faults
-    return plan.file
+def usable_file(text=FILE):
+    loaded = load_file("f", environment={}, read=lambda _: text.encode())
+    assert loaded.is_usable, loaded.faults
+    return loaded.file
 
 
-def test_a_fallback_acts_where_too_little_is_ready_and_not_before():
-    file = made()
-    choice = CompiledRoute(file, file.routes[0], 0)
-    key = next(k for n in range(99) if choice.split.pool_for_key(k := b"%d" % n) == "next")
+def test_a_fallback_is_used_only_where_too_little_of_a_pool_is_ready():
+    file = usable_file()
+    compiled = CompiledRoute(file, file.routes[0], 0)
+    key = next(k for n in range(99) if compiled.split.pool_for_key(k := b"%d" % n) == "next")
     for ready, goes in (
         ({"next": 1.0, "main": 1.0, "spare": 1.0}, ["next", "main", "spare"]),
         ({"next": 0.0, "main": 1.0, "spare": 1.0}, ["main", "spare"]),
         ({"next": 0.0, "main": 0.25, "spare": 1.0}, ["spare"]),
         ({"next": 0.0, "main": 0.0, "spare": 0.0}, ["next"]),
     ):
-        assert choice.candidate_pools(key, ready.__getitem__) == goes
-    assert choice.reachable_pools == ("main", "spare", "next")
+        assert compiled.candidate_pools(key, ready.__getitem__) == goes
+    assert compiled.reachable_pools == ("main", "spare", "next")
 
 
-def test_a_reload_keeps_turns_and_those_in_hand_by_the_routes_name():
-    file = made(FILE.replace('split-by = "X-Customer"\n', ""))
+def test_a_reload_keeps_round_robin_state_and_requests_in_flight_by_the_routes_name():
+    file = usable_file(FILE.replace('split-by = "X-Customer"\n', ""))
     before = CompiledRoute(file, file.routes[0], 0)
     turns = [before.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
     before.limit.try_acquire(0)
@@ -176,14 +178,14 @@
     assert after.limit.in_flight == 1
 
 
-def test_the_cost_of_a_look_up_does_not_grow_with_the_routes():
-    """Counted in steps of the look-up, not in time: nodes walked and shapes asked for."""
+def test_the_cost_of_a_look_up_does_not_grow_with_the_number_of_routes():
+    """Counted in steps of the look-up, not in time: nodes walked and conditions looked up."""
 
     class Counting(dict):
-        asked = 0
+        calls = 0
 
         def get(self, *key):
-            Counting.asked += 1
+            Counting.calls += 1
             return super().get(*key)
 
     costs = []
@@ -196,14 +198,14 @@
             node = waiting.pop()
             waiting.extend(node.children.values())
             node.children = Counting(node.children)
-            node.conditions = {shape: Counting(group) for shape, group in node.conditions.items()}
-        Counting.asked = 0
+            node.conditions = {condition: Counting(numbers) for condition, numbers in node.conditions.items()}
+        Counting.calls = 0
         assert table.find("GET", "/s5/t5/more", {"x": "2"}) == 5
-        costs.append(Counting.asked)
+        costs.append(Counting.calls)
     assert costs[0] == costs[1]
 
 
-def test_a_cold_upstream_in_two_pools_gets_no_more_than_one_budget_allows():
+def test_an_upstream_in_slow_start_in_two_pools_gets_no_more_than_one_budget_allows():
     """Each pool has decisions of its own and knows nothing of the other. What both send in any second stays
     under the multiple of what it bears, which grows from a fifth to what a warm one gets of both."""
     now, pools, hops, multiple, cold = 100 * S, [], [], 3.0, 10 * S
@@ -243,4 +245,5 @@
         sum(at <= other < at + S for other in hops) / (bears * (0.2 + 0.8 * (at - start) / cold))
         for at in hops
     )
-    assert len(hops) > 20 and worst < multiple, worst
+    assert len(hops) > 20
+    assert worst < multiple, worst
