--- a/dahliabend/membership/__init__.py
+++ b/dahliabend/membership/__init__.py
@@ -1,4 +1,6 @@
-"""Membership among the balancers: who is there, who is suspected, who has gone. The machine is free of I/O.
+"""Cluster membership by SWIM: which balancers are alive, suspected, dead or have left.
 
-A part begun: docs/members.md says what stands and what comes next. Nothing imports it yet.
+`protocol.MembershipProtocol` is the entry point. It is free of I/O: it takes datagrams and the time and
+leaves datagrams, events and the time of its next timer; `udp_transport` moves them. docs/members.md has the
+design.
 """
--- a/dahliabend/membership/authentication.py
+++ b/dahliabend/membership/authentication.py
@@ -1,53 +1,65 @@
-"""Datagrams sealed by a shared key: HMAC-SHA-256 (RFC 2104) of the `cryptography` library, cut to 16 bytes.
+"""Authentication of datagrams by a shared key: HMAC-SHA-256 (RFC 2104), truncated to `TAG_BYTES`.
 
-Two keys are valid while one is replaced: the first seals, each opens. What is said can be read by who listens
-in; it can't be made by who has no key. A seal holds no time: what comes again is dropped by its serial.
+Two keys are valid while one is replaced: the first signs, each verifies. The content is readable to whoever
+listens in, but only who has a key can make it. A tag holds no time: replays are dropped by sequence number.
 """
 
+from collections.abc import Sequence
+
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, TAG_BYTES
 
-MIN_KEY_BYTES = 32  # bytes of a key
-DOMAIN_SEPARATOR = b"dahliabend members 1\0"  # a key used elsewhere too seals nothing that is valid here
+MIN_KEY_BYTES = 32
+# Goes into each tag before the data: a key that is used elsewhere too gives no tag that is valid here.
+DOMAIN_SEPARATOR = b"dahliabend members 1\0"
 
 
 class DatagramAuthenticator:
-    """
+    """Signs outgoing datagrams and verifies incoming ones.
+
     >>> old = DatagramAuthenticator([b"o" * 32])
     >>> new = DatagramAuthenticator([b"n" * 32, b"o" * 32])
     >>> new.verify(old.sign(b"hello")), old.verify(new.sign(b"hello")), new.verify(b"hello" * 9)
     (b'hello', None, None)
     """
 
-    def __init__(self, keys: list[bytes]) -> None:
-        self.made = [hmac.HMAC(key, hashes.SHA256()) for key in keys]
-        for each in self.made:
-            each.update(DOMAIN_SEPARATOR)
+    def __init__(self, keys: Sequence[bytes]) -> None:
+        self._contexts = [hmac.HMAC(key, hashes.SHA256()) for key in keys]
+        for context in self._contexts:
+            context.update(DOMAIN_SEPARATOR)
 
     def sign(self, data: bytes) -> bytes:
-        return data + self.tag(self.made[0], data)
+        """Return the datagram with the tag of the first key behind it."""
+        return data + _tag(self._contexts[0], data)
 
     def verify(self, data: bytes) -> bytes | None:
-        """None for what no key has sealed; its cost is bounded by its size, which is looked at first."""
+        """Return the datagram without its tag; None if no key gives this tag.
+
+        The size is checked first, so that the cost is bounded.
+        """
         if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return None
         payload, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
-        for each in self.made:
-            if constant_time.bytes_eq(self.tag(each, payload), tag):
+        for context in self._contexts:
+            if constant_time.bytes_eq(_tag(context, payload), tag):
                 return payload
         return None
 
-    @staticmethod
-    def tag(made: hmac.HMAC, data: bytes) -> bytes:
-        copy = made.copy()
-        copy.update(data)
-        return copy.finalize()[:TAG_BYTES]
+
+def _tag(context: hmac.HMAC, data: bytes) -> bytes:
+    keyed = context.copy()
+    keyed.update(data)
+    return keyed.finalize()[:TAG_BYTES]
 
 
 def parse_key(raw: bytes) -> bytes:
-    """A key as its file has it, without space around it. ValueError for one that is too short."""
-    made = raw.strip()
-    if len(made) < MIN_KEY_BYTES:
-        raise ValueError(f"{len(made)} bytes; a key has {MIN_KEY_BYTES} at least")
-    return made
+    """Return a key as its file has it, without the white space around it.
+
+    Raises:
+        ValueError: It is too short.
+    """
+    key = raw.strip()
+    if len(key) < MIN_KEY_BYTES:
+        raise ValueError(f"{len(key)} bytes; a key has {MIN_KEY_BYTES} at least")
+    return key
--- a/dahliabend/membership/codec.py
+++ b/dahliabend/membership/codec.py
@@ -1,92 +1,38 @@
-"""Datagrams between members: msgpack by msgspec, a version and a serial in each, 1,400 bytes at most."""
+"""Datagrams as bytes: msgpack with a version and a sequence number, at most `MAX_DATAGRAM_BYTES` each."""
 
-from enum import IntEnum
+from collections.abc import Sequence
 
 import msgspec
 
-PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 1_400  # bytes of a datagram, with its seal
-TAG_BYTES = 16  # bytes of it that the seal takes
-MAX_TEXT_LENGTH = 64  # bytes of a name, a zone or an address
-MAX_UNREACHABLE_PEERS = 8  # names that one can't reach, told
-
-
-class MemberStatus(IntEnum):
-    """Of a member, as told; of one incarnation a later one outdoes an earlier one."""
-
-    ALIVE = 0
-    SUSPECT = 1
-    DEAD = 2
-    LEFT = 3
-
-
-class Update(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one member: of which life and incarnation, and by whom. What it says of itself, also
-    whom it can't reach, goes with its incarnation."""
-
-    name: str
-    generation: int
-    incarnation: int
-    status: MemberStatus
-    address: str
-    zone: str = ""
-    weight: float = 1.0
-    reported_by: str = ""
-    unreachable_peers: tuple[str, ...] = ()
-
-
-class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
-    probe_number: int
-    name: str  # whom it is meant for: another may have its address by now
-
-
-class PingRequest(msgspec.Struct, array_like=True, tag="q", frozen=True):
-    """Ping that one for me."""
-
-    probe_number: int
-    name: str
-    address: str
-
-
-class Ack(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    probe_number: int
-    direct: bool = True  # from the one that was pinged, not by way of another
-
-
-class Nack(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    """I am there, and it has not answered me either."""
-
-    probe_number: int
-
-
-class Sync(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """A part of the table, for those that join and against what gossip lost; `wants`: yours, please. `size`
-    is how many are known there."""
+from dahliabend.errors import DatagramError
+from dahliabend.membership.messages import Message, Packet, Update
 
-    reply_requested: bool
-    member_count: int = 0
-
-
-class UserMessage(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """For what stands on membership; what is in it is that part's to read."""
-
-    data: bytes
-
-
-Message = Ping | PingRequest | Ack | Nack | Sync | UserMessage
-
-
-class Packet(msgspec.Struct, array_like=True, frozen=True):
-    version: int
-    sender: str
-    generation: int
-    sequence_number: int  # counts the datagrams of a life
-    message: Message
-    updates: list[Update]
+PROTOCOL_VERSION = 1
+MAX_DATAGRAM_BYTES = 1_400  # authentication tag included
+TAG_BYTES = 16  # of the authentication tag at the end of a datagram
+MAX_TEXT_LENGTH = 64  # characters of a name, a zone or an address
+MAX_UNREACHABLE_PEERS = 8  # names in one update
+MAX_WEIGHT = 1e9
+ARRAY_HEADER_GROWTH = 4  # bytes by which the array header of the updates may grow
+
+# A packet of another version can't be decoded, but its version can be read: msgpack has an array of up to 15
+# items as one byte 0x90 to 0x9F, and an integer below 128 as itself.
+FIXARRAY_MIN = 0x90
+FIXARRAY_MAX = 0x9F
+FIXINT_LIMIT = 0x80
+VERSION_PREFIX_BYTES = 2  # array header and version
+
+# Why a datagram is dropped; operators see these words beside a count.
+REASON_OVERSIZED = "oversized"
+REASON_UNREADABLE = "unreadable"
+REASON_NEWER_VERSION = "newer"
+REASON_NOT_AUTHENTICATED = "foreign"
+REASON_STALE_GENERATION = "former"
+REASON_REPLAYED = "replayed"
 
 
 class _EncodedPacket(msgspec.Struct, array_like=True):
-    """As `Packet`, with rumours that are encoded already."""
+    """A `Packet` whose updates are encoded already."""
 
     version: int
     sender: str
@@ -101,52 +47,70 @@
 
 
 def encode_update(update: Update) -> bytes:
-    """A rumour as it stands in a datagram."""
+    """Return an update as it stands in a datagram."""
     return _encode(update)
 
 
-def encode_packet(sender: str, life: int, serial: int, body: Message, updates) -> tuple[bytes, int]:
-    """The datagram, and how many of the packed rumours found room in it; these are the first ones."""
-    room = (
-        MAX_DATAGRAM_BYTES
-        - TAG_BYTES
-        - len(_encode(_EncodedPacket(PROTOCOL_VERSION, sender, life, serial, body, [])))
-        - 4
-    )
-    given: list[msgspec.Raw] = []
+def encode_packet(
+    sender: str, generation: int, sequence_number: int, message: Message, updates: Sequence[bytes]
+) -> tuple[bytes, int]:
+    """Encode a datagram with as many of the updates as fit, in their order.
+
+    Args:
+        sender: Name of the sender.
+        generation: Its generation.
+        sequence_number: Number of this datagram.
+        message: The message.
+        updates: Updates that `encode_update` has encoded.
+
+    Returns:
+        The datagram without its authentication tag, and how many updates it carries.
+    """
+    packet = _EncodedPacket(PROTOCOL_VERSION, sender, generation, sequence_number, message, [])
+    available = MAX_DATAGRAM_BYTES - TAG_BYTES - len(_encode(packet)) - ARRAY_HEADER_GROWTH
     for update in updates:
-        room -= len(update)
-        if room < 0:
+        available -= len(update)
+        if available < 0:
             break
-        given.append(msgspec.Raw(update))
-    return _encode(_EncodedPacket(PROTOCOL_VERSION, sender, life, serial, body, given)), len(given)
+        packet.updates.append(msgspec.Raw(update))
+    return _encode(packet), len(packet.updates)
 
 
-class DatagramError(ValueError):
-    """A datagram that is dropped; its text is the kind that is counted."""
+def decode_packet(data: bytes) -> Packet:
+    """Decode and check a datagram without its authentication tag.
 
+    Args:
+        data: The datagram.
 
-def decode_packet(data: bytes) -> Packet:
-    """Refused for what is oversized, can't be read, or is of another version."""
+    Returns:
+        The packet; its texts, counts and numbers are within their bounds.
+
+    Raises:
+        DatagramError: It is oversized, unreadable, or of a newer version.
+    """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramError("oversized")
+        raise DatagramError(REASON_OVERSIZED)
     try:
         packet = _decode(data)
     except (ValueError, RecursionError):  # msgspec's errors are ValueErrors
-        raise DatagramError("newer" if _version(data) > PROTOCOL_VERSION else "unreadable") from None
+        raise _version_error(_read_version(data)) from None
     if packet.version != PROTOCOL_VERSION:
-        raise DatagramError("newer" if packet.version > PROTOCOL_VERSION else "unreadable")
-    if (
-        not all(_is_valid(update) for update in packet.updates)
-        or not 0 < len(packet.sender) <= MAX_TEXT_LENGTH
-    ):
-        raise DatagramError("unreadable")
+        raise _version_error(packet.version)
+    if not 0 < len(packet.sender) <= MAX_TEXT_LENGTH or not all(map(_is_valid, packet.updates)):
+        raise DatagramError(REASON_UNREADABLE)
     return packet
 
 
-def _version(data: bytes) -> int:
-    """The version of a datagram in another form; 0 where none is to be read. A small number is a byte."""
-    return data[1] if len(data) > 1 and 0x90 <= data[0] <= 0x9F and data[1] < 0x80 else 0
+def _version_error(version: int) -> DatagramError:
+    return DatagramError(REASON_NEWER_VERSION if version > PROTOCOL_VERSION else REASON_UNREADABLE)
+
+
+def _read_version(data: bytes) -> int:
+    """Return the version of a datagram of another format; 0 if there is none."""
+    if len(data) < VERSION_PREFIX_BYTES:
+        return 0
+    header, version = data[0], data[1]
+    return version if FIXARRAY_MIN <= header <= FIXARRAY_MAX and version < FIXINT_LIMIT else 0
 
 
 def _is_valid(update: Update) -> bool:
@@ -155,6 +119,6 @@
         all(len(text) <= MAX_TEXT_LENGTH for text in texts)
         and bool(update.name)
         and len(update.unreachable_peers) <= MAX_UNREACHABLE_PEERS
-        and 0 < update.weight < 1e9
+        and 0 < update.weight < MAX_WEIGHT
         and min(update.generation, update.incarnation) >= 0
     )
--- /dev/null
+++ b/dahliabend/membership/partition_detector.py
@@ -0,0 +1,50 @@
+"""Detection of network partitions by the number of simultaneous losses."""
+
+from dahliabend.membership.swim_config import SwimConfig
+
+
+class PartitionDetector:
+    """Takes many simultaneous losses for a network partition that this member may be on the small side of."""
+
+    __slots__ = ("_config", "_partitioned", "_recent_losses")
+
+    def __init__(self, config: SwimConfig) -> None:
+        self._config = config
+        self._recent_losses: dict[str, int] = {}  # by name: microseconds
+        self._partitioned: set[str] = set()  # lost at once with many others, and not back
+
+    def record_loss(self, now: int, name: str, cluster_size: int) -> None:
+        """Record that a member was declared dead.
+
+        Args:
+            now: Microseconds.
+            name: The member.
+            cluster_size: Members still present, this one included.
+        """
+        # Twice the time of a suspicion: a member with a bad health score takes longer.
+        since = now - 2 * self._config.max_suspicion_time
+        self._recent_losses = {other: at for other, at in self._recent_losses.items() if at > since}
+        self._recent_losses[name] = now
+        if self._are_many(len(self._recent_losses), cluster_size):
+            self._partitioned.update(self._recent_losses)
+
+    def forget(self, name: str) -> None:
+        """Record that a member is back, or forgotten."""
+        self._recent_losses.pop(name, None)
+        self._partitioned.discard(name)
+
+    def forget_recent(self) -> None:
+        """Forget the losses that have not been taken for a partition."""
+        self._recent_losses.clear()
+
+    def is_partitioned(self, cluster_size: int) -> bool:
+        """Tell whether this member may be cut off from a large part of the cluster."""
+        return self._are_many(len(self._partitioned), cluster_size)
+
+    def copy_state(self, other: "PartitionDetector") -> None:
+        """Take over a copy of another one's state."""
+        self._recent_losses = other._recent_losses.copy()
+        self._partitioned = other._partitioned.copy()
+
+    def _are_many(self, lost: int, cluster_size: int) -> bool:
+        return lost > self._config.partition_ratio * (cluster_size + lost)
--- /dev/null
+++ b/dahliabend/membership/parts.py
@@ -0,0 +1,108 @@
+"""The parts of the protocol, each with its own state, and how they are put together."""
+
+from dataclasses import replace
+from random import Random
+
+from dahliabend.membership.anti_entropy import AntiEntropy
+from dahliabend.membership.conflicts import ConflictReporter
+from dahliabend.membership.dissemination import Disseminator
+from dahliabend.membership.events import EventLog
+from dahliabend.membership.failure_detector import FailureDetector
+from dahliabend.membership.local_health import LocalHealth
+from dahliabend.membership.local_member import LocalMember
+from dahliabend.membership.member_table import MemberTable
+from dahliabend.membership.receiver import PacketReceiver
+from dahliabend.membership.replay_window import ReplayFilter
+from dahliabend.membership.schedule import Schedule
+from dahliabend.membership.self_updates import Reachability, Refuter, SelfAnnouncer
+from dahliabend.membership.suspicion import SuspicionTimers
+from dahliabend.membership.swim_config import SwimConfig
+from dahliabend.membership.update_rules import UpdateRules
+from dahliabend.membership.view_builder import ViewBuilder
+
+
+class Parts:
+    """The parts of one member.
+
+    Attributes:
+        local: This member.
+        events: Events for the owner.
+        health: Local health score.
+        schedule: Due times.
+        table: The other members.
+        disseminator: Outgoing datagrams and the updates on them.
+        announcer: New updates about this member.
+        anti_entropy: Exchange of whole tables.
+        conflicts: Reports of names used twice.
+        reachability: Whom this member can reach directly.
+        refuter: Answers to what others say of this member.
+        detector: Pings.
+        suspicions: Deadlines of suspicions.
+        receiver: Checks of incoming datagrams.
+        rules: Which update overrides which.
+        views: Views for the owner.
+    """
+
+    def __init__(
+        self, config: SwimConfig, random: Random, local: LocalMember, *, first_probe_number: int
+    ) -> None:
+        self._config = config
+        self._random = random
+        self.local = local
+        self.events = EventLog()
+        self.health = LocalHealth(config)
+        self.schedule = Schedule(config)
+        self.table = MemberTable(config)
+        self.disseminator = Disseminator(config, local, self.table)
+        self.announcer = SelfAnnouncer(local, self.table, self.disseminator)
+        self.anti_entropy = AntiEntropy(config, random, local, self.table, self.disseminator)
+        self.conflicts = ConflictReporter(config, self.table, self.events)
+        self.reachability = Reachability(local, self.table, self.announcer, self.events)
+        self.refuter = Refuter(
+            local, self.table, self.disseminator, self.anti_entropy, self.health, self.conflicts, self.events
+        )
+        self.detector = FailureDetector(
+            config,
+            random,
+            local,
+            self.table,
+            self.health,
+            self.schedule,
+            self.disseminator,
+            first_probe_number,
+        )
+        self.suspicions = SuspicionTimers(config, self.table, self.schedule)
+        replay_filter = ReplayFilter()
+        self.receiver = PacketReceiver(local, self.table, self.anti_entropy, replay_filter)
+        self.rules = UpdateRules(
+            self.table, self.suspicions, self.detector.probe_round, self.disseminator, self.announcer,
+            self.conflicts, self.events, replay_filter,
+        )  # fmt: skip
+        self.views = ViewBuilder(config, local, self.table, self.health, self.schedule, self.receiver)
+
+    def duplicate(self) -> "Parts":
+        """Return parts in the same state that go on independently; both share the source of chance."""
+        duplicate = Parts(self._config, self._random, replace(self.local), first_probe_number=0)
+        duplicate.events.pending = self.events.pending.copy()
+        duplicate.health.score = self.health.score
+        duplicate.schedule.copy_state(self.schedule)
+        duplicate.table.copy_state(self.table)
+        duplicate.disseminator.copy_state(self.disseminator)
+        duplicate.anti_entropy.seeds = self.anti_entropy.seeds
+        duplicate.conflicts.copy_state(self.conflicts)
+        duplicate.detector.copy_state(self.detector)
+        duplicate.receiver.copy_state(self.receiver)
+        duplicate.views.copy_state(self.views)
+        return duplicate
+
+    def state_key(self) -> tuple[object, ...]:
+        """Return all that later behaviour depends on: neither events nor counts of dropped datagrams."""
+        return (
+            self.local.update,
+            self.local.exclusion,
+            self.health.score,
+            *self.schedule.state_key(),
+            *self.detector.state_key(),
+            *self.disseminator.state_key(),
+            tuple((name, *member.state_key()) for name, member in self.table.members.items()),
+        )
--- /dev/null
+++ b/dahliabend/membership/protocol.py
@@ -0,0 +1,396 @@
+"""The membership protocol of one member: SWIM (2002), with what Lifeguard (2017) adds to it.
+
+It is free of I/O. Its owner calls `receive_datagram` and `timer_fired` with the time, takes datagrams, events
+and user messages after each call, and calls `timer_fired` again at `timer_due`. Time is that of a clock which
+only moves forward; all chance comes from one source, so that a seed replays a run.
+"""
+
+from collections import Counter
+from collections.abc import Iterable, Mapping, Sequence
+from copy import copy
+from random import Random
+
+from msgspec.structs import replace
+
+from dahliabend.membership.dissemination import Datagram
+from dahliabend.membership.events import Event, EventKind
+from dahliabend.membership.local_member import LocalMember
+from dahliabend.membership.member_table import Member
+from dahliabend.membership.message_handler import MessageHandler
+from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Message, Update, UserMessage
+from dahliabend.membership.parts import Parts
+from dahliabend.membership.snapshot import (
+    GENERATION_KEY,
+    INCARNATION_KEY,
+    MEMBERS_KEY,
+    SEQUENCE_NUMBER_KEY,
+    Snapshot,
+)
+from dahliabend.membership.swim_config import SwimConfig
+from dahliabend.membership.view import Exclusion, MembershipView
+
+PROBE_NUMBER_BITS = 32
+
+
+class MembershipProtocol:
+    """One member of the cluster; all times are microseconds.
+
+    Attributes:
+        name: Name of this member.
+        config: Parameters of the protocol.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        generation: int,
+        address: str,
+        config: SwimConfig,
+        random: Random,
+        zone: str = "",
+        weight: float = 1.0,
+    ) -> None:
+        """Create a member that has not started.
+
+        Args:
+            name: Name of this member.
+            generation: Higher than that of earlier processes of this name.
+            address: Host and port that the others send to.
+            config: Parameters of the protocol.
+            random: Source of all random choices.
+            zone: Zone that it runs in.
+            weight: Its share of the work, relative to the other members.
+        """
+        self.name = name
+        self.config = config
+        self._random = random
+        local = LocalMember.create(name, generation, address, zone, weight)
+        self._adopt(Parts(config, random, local, first_probe_number=random.getrandbits(PROBE_NUMBER_BITS)))
+
+    def _adopt(self, parts: Parts) -> None:
+        self._parts = parts
+        self._schedule = parts.schedule
+        self._messages = MessageHandler(parts)
+
+    # What the owner sees.
+
+    @property
+    def generation(self) -> int:
+        """Generation of this member."""
+        return self._parts.local.generation
+
+    @property
+    def self_update(self) -> Update:
+        """The newest update about this member."""
+        return self._parts.local.update
+
+    @property
+    def exclusion(self) -> Exclusion:
+        """Why others may not count this member, as far as they have said so; empty if they do."""
+        return self._parts.local.exclusion
+
+    @property
+    def sequence_number(self) -> int:
+        """Number of the last datagram of this generation."""
+        return self._parts.disseminator.sequence_number
+
+    @property
+    def health_score(self) -> int:
+        """Local health score; 0 is healthy."""
+        return self._parts.health.score
+
+    @property
+    def timer_due(self) -> int:
+        """When `timer_fired` is to be called next."""
+        return self._schedule.timer_due
+
+    @property
+    def unsettled_until(self) -> int:
+        """Until then this member trusts nothing that it knows: it has just started or was stopped."""
+        return self._schedule.unsettled_until
+
+    @property
+    def seeds(self) -> list[str]:
+        """Addresses of members that may be there."""
+        return self._parts.anti_entropy.seeds
+
+    @property
+    def members(self) -> dict[str, Member]:
+        """The other members by name, departed ones included."""
+        return self._parts.table.members
+
+    @property
+    def suspects(self) -> dict[str, None]:
+        """Names of the members that are suspected, the oldest first."""
+        return self._parts.table.suspects
+
+    @property
+    def departed(self) -> dict[str, None]:
+        """Names of the members that are dead or have left, the oldest first."""
+        return self._parts.table.departed
+
+    @property
+    def dropped_datagrams(self) -> Counter[str]:
+        """Datagrams dropped, by reason."""
+        return self._parts.receiver.dropped
+
+    @property
+    def outgoing(self) -> list[Datagram]:
+        """Datagrams that have not been taken."""
+        return self._parts.disseminator.outgoing
+
+    @property
+    def events(self) -> list[Event]:
+        """Events that have not been taken."""
+        return self._parts.events.pending
+
+    @property
+    def user_messages(self) -> list[bytes]:
+        """Payloads of user messages that have not been taken."""
+        return self._messages.user_messages
+
+    def take_outgoing(self) -> list[Datagram]:
+        """Return the datagrams to send since the last call."""
+        return self._parts.disseminator.take_outgoing()
+
+    def take_events(self) -> list[Event]:
+        """Return the events since the last call."""
+        return self._parts.events.take()
+
+    def take_user_messages(self) -> list[bytes]:
+        """Return the payloads of user messages since the last call."""
+        return self._messages.take_user_messages()
+
+    def view(self, now: int) -> MembershipView:
+        """Return the view at this time."""
+        return self._parts.views.latest(now)
+
+    def last_stable_view(self, now: int) -> MembershipView | None:
+        """Return the last stable view; one is looked for now and in each protocol period."""
+        return self._parts.views.last_stable(now)
+
+    # What the owner asks for.
+
+    def start(self, now: int, seeds: Iterable[str]) -> None:
+        """Join the cluster.
+
+        Args:
+            now: The time.
+            seeds: Addresses of members that may be there; this member's own does no harm.
+        """
+        self._parts.receiver.last_received_at = now
+        self._schedule.restart(now + self._random.randrange(self.config.period))
+        self._parts.anti_entropy.set_seeds(seeds)
+        if self.seeds:
+            self._schedule.unsettled_until = now + self.config.max_suspicion_time
+        self._parts.disseminator.enqueue(self._parts.local.update)
+        self._parts.anti_entropy.contact_seeds()
+
+    def set_seeds(self, seeds: Iterable[str]) -> None:
+        """Replace the seeds while running."""
+        self._parts.anti_entropy.set_seeds(seeds)
+
+    def leave(self, _now: int) -> None:
+        """Tell the others that this member leaves; the process may end one protocol period later."""
+        self._parts.local.is_leaving = True
+        self._parts.announcer.announce(status=MemberStatus.LEFT)
+        self._parts.anti_entropy.announce_to_some()
+
+    def update_self(self, _now: int, **fields: object) -> None:
+        """Disseminate other values of these fields of this member's `Update`: `zone`, `weight`."""
+        self._parts.announcer.announce(**fields)
+
+    def send_user_message(self, name: str, data: bytes) -> None:
+        """Send a payload of another component to a member; dropped if it is not present."""
+        member = self.members.get(name)
+        if member is not None and member.is_present:
+            self._parts.disseminator.send(member.address, UserMessage(data), [])
+
+    def send(self, address: str, message: Message, updates: Sequence[bytes]) -> None:
+        """Send a message with these encoded updates."""
+        self._parts.disseminator.send(address, message, updates)
+
+    def record_dropped(self, reason: str) -> None:
+        """Count a datagram that the owner has dropped."""
+        self._parts.receiver.dropped[reason] += 1
+
+    def snapshot(self) -> Snapshot:
+        """Return what a successor process in the same place needs, so that nobody sees a change."""
+        return {
+            GENERATION_KEY: self.generation,
+            INCARNATION_KEY: self._parts.local.incarnation,
+            SEQUENCE_NUMBER_KEY: self.sequence_number,
+            MEMBERS_KEY: [member.update for member in self.members.values()],
+        }
+
+    def restore(self, now: int, state: Snapshot) -> None:
+        """Go on as a predecessor of the same name and place; before `start`.
+
+        What it knew of others is asked about before it counts.
+
+        Args:
+            now: The time.
+            state: Its `Snapshot`; other keys are ignored.
+        """
+        self._parts.local.change(generation=state[GENERATION_KEY], incarnation=state[INCARNATION_KEY] + 1)
+        self._parts.disseminator.sequence_number = state[SEQUENCE_NUMBER_KEY]
+        for update in state[MEMBERS_KEY]:
+            if update.name != self.name and update.status in PRESENT_STATUSES:
+                self.store_update(now, replace(update, status=MemberStatus.ALIVE), None)
+        self._parts.disseminator.clear_unsent()
+
+    # Datagrams.
+
+    def receive_datagram(self, now: int, data: bytes, source: str) -> None:
+        """Process a datagram.
+
+        Args:
+            now: The time.
+            data: The datagram without its authentication tag.
+            source: Address of its sender.
+        """
+        if now - self.timer_due > self.config.period:
+            self.recover_from_pause(now)  # what has waited in the socket may be read before the timer fires
+        packet = self._parts.receiver.receive(now, data, source)
+        if packet is None:
+            return
+        for update in self._parts.receiver.credible_updates(packet):
+            self.apply_update(now, update)
+        self._messages.handle(now, packet, source)
+
+    # Updates.
+
+    def apply_update(self, now: int, update: Update) -> None:
+        """Apply an update about any member, this one included, if it says something new."""
+        if update.name == self.name:
+            self._parts.refuter.receive(now, update)
+        else:
+            self._parts.rules.apply(now, update)
+
+    def store_update(self, now: int, update: Update, event: EventKind | None) -> None:
+        """Store an update about another member whatever was known before; report the event, if any."""
+        self._parts.rules.store(now, update, event or None)
+
+    def suspect_member(self, now: int, name: str) -> None:
+        """Suspect a member that did not answer, unless this member has itself lost touch."""
+        member = self.members.get(name)
+        if member is None or not member.is_present:
+            return
+        if self._schedule.is_settled(now) and not self._parts.table.is_unreachable(self.name):
+            update = replace(member.update, status=MemberStatus.SUSPECT, reported_by=self.name)
+            self.apply_update(now, update)
+
+    def declare_dead(self, now: int, member: Member) -> None:
+        """Store that a member is dead, by this member's own observation."""
+        update = replace(member.update, status=MemberStatus.DEAD, reported_by=self.name)
+        self.store_update(now, update, "died")
+
+    # Time.
+
+    def timer_fired(self, now: int) -> None:
+        """Do what is due at this time."""
+        self._check_punctuality(now)
+        self._parts.detector.expire_relayed(now)
+        failed = self._parts.detector.check_probe(now)
+        if failed is not None:
+            # Had the members that were asked been there, their nacks would have come: this member hears
+            # badly.
+            self._parts.health.worsen(max(1, failed.pending_nacks))
+            self.suspect_member(now, failed.name)
+        for member in self._parts.suspicions.expire(now):
+            self.declare_dead(now, member)
+        if now >= self._schedule.period_due:
+            self._begin_period(now)
+        deadlines = [
+            self._schedule.period_due,
+            *self._parts.suspicions.deadlines(),
+            *self._parts.detector.deadlines(),
+        ]
+        self._schedule.timer_due = max(now + 1, min(deadlines))
+
+    def recover_from_pause(self, now: int) -> None:
+        """Begin anew after this process was stopped for longer than a protocol period.
+
+        The probe of then suspects nobody, suspicions begin anew, and nobody is declared dead before the
+        others have been asked. Else whoever was suspected when the process was stopped would be declared
+        dead.
+
+        Args:
+            now: The time.
+        """
+        self._parts.detector.abort()
+        self._parts.health.set_worst()
+        self._parts.suspicions.restart(now)
+        self._parts.table.partitions.forget_recent()
+        self._parts.events.record(now, "paused", self.name, self.name)
+        if self._parts.table.present or self.seeds:
+            self._schedule.unsettled_until = now + self.config.max_suspicion_time
+        self._schedule.restart(now)
+        self._parts.anti_entropy.sync_periodically()
+
+    def _check_punctuality(self, now: int) -> None:
+        """Take a late timer for a sign that this process is slow, or was stopped."""
+        late = now - self.timer_due
+        tolerance = self.config.late_timer_ratio * self.config.period
+        if late > self.config.period:
+            self.recover_from_pause(now)
+        elif late > tolerance:
+            self._parts.health.worsen()
+            self._schedule.unsettled_until = max(self.unsettled_until, now + round(tolerance))
+
+    def _begin_period(self, now: int) -> None:
+        self._schedule.begin_period(now)
+        self._parts.table.remove_expired(now)
+        if (
+            self._parts.detector.probe is None
+            and not self._parts.local.is_leaving
+            and not self._parts.detector.begin_probe(now)
+        ):
+            self._parts.anti_entropy.sync_without_members()
+        self._parts.anti_entropy.sync(self._schedule.period_count, is_settled=self._schedule.is_settled(now))
+        self._parts.anti_entropy.query_suspects()
+        self._parts.views.last_stable(now)
+
+    # Simulations and the model checker.
+
+    def assume_members(self, now: int, updates: Iterable[Update], encoded: Mapping[str, bytes]) -> None:
+        """Know these members and no others, as after a long time: all settled, nothing to disseminate.
+
+        Args:
+            now: The time.
+            updates: The newest update of each member; that of this member is passed over.
+            encoded: The same, encoded, by name; may be shared.
+        """
+        self._parts.table.replace_all(
+            now, [update for update in updates if update.name != self.name], encoded
+        )
+        self._parts.disseminator.clear_unsent()
+        self._parts.detector.probe_round.clear()
+        self._schedule.unsettled_until = 0
+
+    def start_with_members(self, now: int, updates: Iterable[Update], first_period_at: int) -> None:
+        """Start with members that are known, and with nothing to disseminate.
+
+        Args:
+            now: The time.
+            updates: The newest update of each member; that of this member is passed over.
+            first_period_at: Microseconds; when the first protocol period begins.
+        """
+        self.start(now, [])
+        for update in updates:
+            if update.name != self.name:
+                self.store_update(now, update, None)
+        self._parts.disseminator.clear_unsent()
+        self._parts.events.take()
+        self._schedule.restart(first_period_at)
+
+    def duplicate(self) -> "MembershipProtocol":
+        """Return a member in the same state that goes on independently; both share the source of chance."""
+        duplicate = copy(self)
+        duplicate._adopt(self._parts.duplicate())
+        duplicate._messages.user_messages = self.user_messages.copy()
+        return duplicate
+
+    def state_key(self) -> tuple[object, ...]:
+        """Return all that later behaviour depends on: neither events nor counts of dropped datagrams."""
+        return self._parts.state_key()
--- /dev/null
+++ b/dahliabend/membership/receiver.py
@@ -0,0 +1,90 @@
+"""Checks of incoming datagrams, before the protocol reads them."""
+
+from collections import Counter
+from collections.abc import Sequence
+
+from dahliabend.errors import DatagramError
+from dahliabend.membership.anti_entropy import AntiEntropy
+from dahliabend.membership.codec import REASON_REPLAYED, REASON_STALE_GENERATION, decode_packet
+from dahliabend.membership.local_member import LocalMember
+from dahliabend.membership.member_table import MemberTable
+from dahliabend.membership.messages import MemberStatus, Packet, Update
+from dahliabend.membership.replay_window import ReplayFilter
+
+ACCUSATIONS = (MemberStatus.SUSPECT, MemberStatus.DEAD)
+
+
+class PacketReceiver:
+    """Decodes datagrams and drops those that are unreadable, replayed or of an earlier generation.
+
+    Attributes:
+        dropped: Datagrams dropped, by reason.
+        last_received_at: Microseconds; when the last datagram was accepted.
+        replay_filter: Windows of sequence numbers, by sender.
+    """
+
+    __slots__ = ("_anti_entropy", "_local", "_table", "dropped", "last_received_at", "replay_filter")
+
+    def __init__(
+        self, local: LocalMember, table: MemberTable, anti_entropy: AntiEntropy, replay_filter: ReplayFilter
+    ) -> None:
+        self._local = local
+        self._table = table
+        self._anti_entropy = anti_entropy
+        self.replay_filter = replay_filter
+        self.dropped: Counter[str] = Counter()
+        self.last_received_at = 0
+
+    def receive(self, now: int, data: bytes, source: str) -> Packet | None:
+        """Decode a datagram.
+
+        Args:
+            now: Microseconds.
+            data: The datagram without its authentication tag.
+            source: Address of its sender.
+
+        Returns:
+            The packet; None if it is dropped.
+        """
+        try:
+            packet = decode_packet(data)
+            if packet.sender == self._local.name and packet.generation == self._local.generation:
+                return None  # this member's own datagram has come back
+            self._check_freshness(packet, source)
+        except DatagramError as error:
+            self.dropped[error.reason] += 1
+            return None
+        self.last_received_at = now
+        return packet
+
+    def credible_updates(self, packet: Packet) -> Sequence[Update]:
+        """Return the updates of a packet without those that its sender is in no position to report.
+
+        A member that is taken for dead, or that few can reach, may itself have lost touch: its suspicions of
+        others do not count.
+        """
+        sender = self._table.members.get(packet.sender)
+        if sender is None or (sender.is_present and not self._table.is_unreachable(packet.sender)):
+            return packet.updates
+        own_name = self._local.name
+        return [each for each in packet.updates if each.name == own_name or each.status not in ACCUSATIONS]
+
+    def copy_state(self, other: "PacketReceiver") -> None:
+        """Take over a copy of another one's state."""
+        self.replay_filter.copy_state(other.replay_filter)
+        self.dropped = other.dropped.copy()
+        self.last_received_at = other.last_received_at
+
+    def _check_freshness(self, packet: Packet, source: str) -> None:
+        origin = f"{packet.sender} {source}"  # a process elsewhere that uses the same name is another sender
+        if self.replay_filter.is_stale_generation(origin, packet.generation):
+            self._correct(packet.sender, source)
+            raise DatagramError(REASON_STALE_GENERATION)
+        if not self.replay_filter.accept(origin, packet.generation, packet.sequence_number):
+            raise DatagramError(REASON_REPLAYED)
+
+    def _correct(self, name: str, source: str) -> None:
+        """Tell a sender of an earlier generation which one is known: its clock may have been set back."""
+        member = self._table.members.get(name)
+        if member is not None and source == member.address:
+            self._anti_entropy.send_updates(source, [member.encoded_update])
--- a/dahliabend/membership/replay_window.py
+++ b/dahliabend/membership/replay_window.py
@@ -1,45 +1,94 @@
-"""Which datagrams of each sender have come: one that comes again, or of a life that is over, is known."""
+"""Detection of replayed datagrams, by a sliding window of sequence numbers for each sender."""
 
-WINDOW = 1024  # datagrams of one sender that may come out of order
+from dataclasses import dataclass, replace
+
+WINDOW_SIZE = 1024  # datagrams of one sender that may arrive out of order
+WINDOW_MASK = (1 << WINDOW_SIZE) - 1
+
+
+@dataclass(slots=True)
+class _Window:
+    """What has been received of one sender.
+
+    Attributes:
+        generation: Its generation.
+        highest: The highest sequence number.
+        seen: Bit n stands for the sequence number `highest - n`.
+    """
+
+    generation: int
+    highest: int
+    seen: int
+
+    def accept(self, sequence_number: int) -> bool:
+        """Record a number; False if it is recorded already, or before the window."""
+        ahead = sequence_number - self.highest
+        if ahead > 0:
+            self.highest = sequence_number
+            self.seen = (self.seen << ahead | 1) & WINDOW_MASK if ahead < WINDOW_SIZE else 1
+            return True
+        behind = -ahead
+        if behind >= WINDOW_SIZE or self.seen >> behind & 1:
+            return False
+        self.seen |= 1 << behind
+        return True
 
 
 class ReplayFilter:
-    """A window a sender, as IPsec keeps it (RFC 4303, 3.4.3); the oldest sender is forgotten for a new one.
+    """One window a sender, as in IPsec (RFC 4303, 3.4.3); the oldest sender gives way to a new one.
 
     >>> replay_filter = ReplayFilter()
     >>> [replay_filter.accept("a", 1, n) for n in (5, 3, 5, 4, 3)]
     [True, True, False, True, False]
-    >>> replay_filter.accept("a", 1, 5 + WINDOW)
-    True
-    >>> replay_filter.accept("a", 1, 5), replay_filter.accept("a", 2, 1)
-    (False, True)
-    >>> replay_filter.is_stale_generation("a", 1)
-    True
+    >>> replay_filter.accept("a", 1, 5 + WINDOW_SIZE), replay_filter.accept("a", 1, 5)
+    (True, False)
+    >>> replay_filter.accept("a", 2, 1), replay_filter.is_stale_generation("a", 1)
+    (True, True)
     """
 
+    __slots__ = ("_windows", "max_senders")
+
     def __init__(self, max_senders: int = 256) -> None:
         self.max_senders = max_senders
-        self.windows: dict[str, tuple[int, int, int]] = {}  # life, highest serial, a bit for each below it
+        self._windows: dict[str, _Window] = {}
+
+    def __len__(self) -> int:
+        """Return the number of senders that have a window."""
+        return len(self._windows)
+
+    def copy_state(self, other: "ReplayFilter") -> None:
+        """Take over a copy of another one's state."""
+        self.max_senders = other.max_senders
+        self._windows = {sender: replace(window) for sender, window in other._windows.items()}
 
     def is_stale_generation(self, sender: str, generation: int) -> bool:
-        return sender in self.windows and generation < self.windows[sender][0]
+        """Tell whether a later generation of this sender has been accepted."""
+        window = self._windows.get(sender)
+        return window is not None and generation < window.generation
 
     def accept(self, sender: str, generation: int, sequence_number: int) -> bool:
-        known, highest, bits = self.windows.get(sender, (-1, 0, 0))
-        if generation < max(known, 0) or sequence_number <= 0:
+        """Record a datagram.
+
+        Args:
+            sender: Name and address of its sender.
+            generation: Generation of the sender.
+            sequence_number: Number of the datagram, from 1.
+
+        Returns:
+            Whether it is new: neither replayed, nor too old to tell, nor of a stale generation.
+        """
+        if generation < 0 or sequence_number <= 0:
             return False
-        if generation > known:
-            highest, bits = sequence_number, 1
-            while known < 0 and len(self.windows) >= self.max_senders:
-                del self.windows[next(iter(self.windows))]
-        elif sequence_number > highest:
-            ahead = sequence_number - highest
-            bits = (bits << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            highest = sequence_number
-        else:
-            bit = highest - sequence_number
-            if bit >= WINDOW or bits >> bit & 1:
-                return False
-            bits |= 1 << bit
-        self.windows[sender] = generation, highest, bits
-        return True
+        window = self._windows.get(sender)
+        if window is None:
+            self._evict_oldest()
+            self._windows[sender] = _Window(generation, sequence_number, 1)
+            return True
+        if generation > window.generation:
+            self._windows[sender] = _Window(generation, sequence_number, 1)
+            return True
+        return generation == window.generation and window.accept(sequence_number)
+
+    def _evict_oldest(self) -> None:
+        while len(self._windows) >= self.max_senders:
+            del self._windows[next(iter(self._windows))]
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -1,115 +1,164 @@
-"""The machine on a socket: datagrams in and out, one timer, events to whoever listens."""
+"""The membership protocol on a UDP socket, with one timer."""
 
 import asyncio
 import contextlib
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from typing import Any
 
 from dahliabend.config.platform import parse_address
 from dahliabend.membership.authentication import DatagramAuthenticator
-from dahliabend.membership.codec import MAX_DATAGRAM_BYTES
-from dahliabend.membership.failure_detector import Event, MembershipProtocol
+from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, REASON_NOT_AUTHENTICATED, REASON_OVERSIZED
+from dahliabend.membership.events import Event
+from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.transport import host_info
 from dahliabend.transport.timers import TimerQueue, clock
 
-MAX_CACHED_ADDRESSES = 20_000  # addresses remembered as read
+MAX_CACHED_ADDRESSES = 20_000
+
+Address = tuple[str, int]  # host and port, as sockets have them
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """Owns the socket and the timer from `open` until `close`."""
+    """Carries datagrams, time and events between a `MembershipProtocol` and the event loop.
+
+    It owns the socket and the timer from `open` until `close`.
+
+    Attributes:
+        membership: The protocol.
+        authenticator: Signs and verifies the datagrams; may be replaced while running.
+        on_user_messages: Called with payloads of other components; None: they are dropped.
+        sent: Datagrams sent.
+        sent_bytes: Their bytes, authentication tags included.
+        received: Datagrams received, dropped ones included.
+        received_bytes: Their bytes.
+    """
 
     def __init__(
         self,
-        machine: MembershipProtocol,
+        membership: MembershipProtocol,
         authenticator: DatagramAuthenticator,
         timers: TimerQueue,
         on_event: Callable[[Event], None],
     ) -> None:
-        self.machine, self.authenticator, self.timers, self.on_event = (
-            machine,
-            authenticator,
-            timers,
-            on_event,
-        )
-        self.transport: asyncio.DatagramTransport | None = None
-        self.timer: list | None = None
-        self.on_user_messages: Callable[[list[bytes]], None] | None = None  # what stands on membership
-        self.parsed_addresses: dict[str, tuple[str, int] | None] = {}
-        self.sent = self.sent_bytes = self.received = self.received_bytes = 0
-
-    async def open(self, place: tuple[str, int], seeds: list[str]) -> None:
-        """OSError where the address can't be had."""
+        """Create a transport that is not open.
+
+        Args:
+            membership: The protocol.
+            authenticator: Signs and verifies the datagrams.
+            timers: Where the timer is scheduled.
+            on_event: Called with each event.
+        """
+        self.membership = membership
+        self.authenticator = authenticator
+        self.on_user_messages: Callable[[list[bytes]], None] | None = None
+        self.sent = 0
+        self.sent_bytes = 0
+        self.received = 0
+        self.received_bytes = 0
+        self._timers = timers
+        self._on_event = on_event
+        self._transport: asyncio.DatagramTransport | None = None
+        self._timer: list[Any] | None = None
+        self._timer_due = 0
+        self._addresses: dict[str, Address | None] = {}  # None: not an address
+
+    async def open(self, address: Address, seeds: Iterable[str]) -> None:
+        """Bind the socket and join the cluster.
+
+        Args:
+            address: Host and port to listen on.
+            seeds: Addresses of members that may be there.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         sock = host_info.datagram_socket()
         try:
             sock.setblocking(False)
-            sock.bind(place)
-            await self.timers.loop.create_datagram_endpoint(lambda: self, sock=sock)
+            sock.bind(address)
+            await self._timers.loop.create_datagram_endpoint(lambda: self, sock=sock)
         except OSError:
             sock.close()
             raise
-        self.machine.start(clock(), seeds)
+        self.membership.start(clock(), seeds)
+        self.flush()
+
+    def close(self) -> None:
+        """Release the socket and the timer; may be called again."""
+        self._timers.cancel(self._timer)
+        self._timer = None
+        if self._transport is not None:
+            self._transport.close()
+            self._transport = None
+
+    def leave(self) -> None:
+        """Tell the others that this member leaves."""
+        self.membership.leave(clock())
         self.flush()
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(
+        self,
+        transport: asyncio.DatagramTransport,  # type: ignore[override]  # a datagram endpoint has no other
+    ) -> None:
+        """Take the transport of the socket."""
+        self._transport = transport
 
-    def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
+    def datagram_received(self, data: bytes, source: Address) -> None:
+        """Pass a datagram to the protocol if it is authentic."""
         self.received += 1
         self.received_bytes += len(data)
-        opened = self.authenticator.verify(data)
-        if opened is None:
-            self.machine.dropped_datagrams["oversized" if len(data) > MAX_DATAGRAM_BYTES else "foreign"] += 1
+        payload = self.authenticator.verify(data)
+        if payload is None:
+            is_oversized = len(data) > MAX_DATAGRAM_BYTES
+            self.membership.record_dropped(REASON_OVERSIZED if is_oversized else REASON_NOT_AUTHENTICATED)
             return
-        self.machine.receive_datagram(clock(), opened, f"{source[0]}:{source[1]}")
+        self.membership.receive_datagram(clock(), payload, f"{source[0]}:{source[1]}")
         self.flush()
 
-    def error_received(self, error: OSError) -> None:
-        """The system says that nobody is there: its silence tells the machine."""
+    def error_received(self, error: Exception) -> None:
+        """Ignore that nobody listens at some address: the failure detector finds it out by itself."""
 
-    def timer_fired(self) -> None:
-        self.timer = None
-        self.machine.timer_fired(clock())
-        self.flush()
+    def flush(self) -> None:
+        """Carry out what the protocol has left to do."""
+        for address, data in self.membership.take_outgoing():
+            self._send(address, data)
+        for event in self.membership.take_events():
+            self._on_event(event)
+        user_messages = self.membership.take_user_messages()
+        if user_messages and self.on_user_messages is not None:
+            self.on_user_messages(user_messages)
+        self._schedule_timer()
 
-    def leave(self) -> None:
-        self.machine.leave(clock())
+    def _send(self, address: str, data: bytes) -> None:
+        destination = self._parse_address(address)
+        if destination is None or self._transport is None:
+            return
+        datagram = self.authenticator.sign(data)
+        self.sent += 1
+        self.sent_bytes += len(datagram)
+        with contextlib.suppress(OSError):  # the buffer is full, or there is no route: as if lost on the way
+            self._transport.sendto(datagram, destination)
+
+    def _schedule_timer(self) -> None:
+        due = self.membership.timer_due
+        if self._timer is not None and self._timer_due == due:
+            return
+        self._timers.cancel(self._timer)
+        self._timer = self._timers.schedule(due, self._timer_fired)
+        self._timer_due = due
+
+    def _timer_fired(self) -> None:
+        self._timer = None
+        self.membership.timer_fired(clock())
         self.flush()
 
-    def flush(self) -> None:
-        """Carries what the machine has left."""
-        machine = self.machine
-        out = machine.take_outgoing()
-        for text, data in out:
-            place = self.parse_address(text)
-            if place is not None and self.transport is not None:
-                sealed = self.authenticator.sign(data)
-                self.sent += 1
-                self.sent_bytes += len(sealed)
-                with contextlib.suppress(OSError):  # its buffer is full, or no way there: as lost on the way
-                    self.transport.sendto(sealed, place)
-        events = machine.take_events()
-        for event in events:
-            self.on_event(event)
-        said = machine.take_user_messages()
-        if said and self.on_user_messages is not None:
-            self.on_user_messages(said)
-        if self.timer is None or self.timer[0] != machine.timer_due:
-            self.timers.cancel(self.timer)
-            self.timer = self.timers.schedule(machine.timer_due, self.timer_fired)
-
-    def parse_address(self, text: str) -> tuple[str, int] | None:
-        """None for what is no address: a peer may say anything, and names are not looked up."""
-        if text not in self.parsed_addresses:
-            if len(self.parsed_addresses) >= MAX_CACHED_ADDRESSES:
-                self.parsed_addresses.clear()
+    def _parse_address(self, text: str) -> Address | None:
+        """Return an address that a peer has reported; None if it is none. Names are not resolved."""
+        if text not in self._addresses:
+            if len(self._addresses) >= MAX_CACHED_ADDRESSES:
+                self._addresses.clear()
             try:
-                self.parsed_addresses[text] = parse_address(text)
+                self._addresses[text] = parse_address(text)
             except ValueError:
-                self.parsed_addresses[text] = None
-        return self.parsed_addresses[text]
-
-    def close(self) -> None:
-        self.timers.cancel(self.timer)
-        self.timer = None
-        if self.transport is not None:
-            self.transport.close()
-            self.transport = None
+                self._addresses[text] = None
+        return self._addresses[text]
--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -1,16 +1,31 @@
-"""What others build on: who is there, as one instance sees it at one time. Immutable."""
+"""The membership as one instance sees it at one time, for the components that build on it. Immutable."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Literal
 from zlib import crc32
 
 MemberState = Literal["alive", "suspected", "unreached"]
+Exclusion = Literal["", "dead", "unreached", "conflict"]
 
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """A member of the fleet. `unreached`: more than half of the others can't reach it; what it says still
-    comes, so it is not dead, and nothing should be asked of it."""
+    """A present member.
+
+    Attributes:
+        name: Its name.
+        address: Host and port that it listens on.
+        zone: Zone that it runs in.
+        weight: Its share of the work, relative to the other members.
+        generation: Tells the processes of one name apart.
+        incarnation: Counts what it has said of itself.
+        state: `unreached`: more than half of the others cannot reach it. It is not dead, as its datagrams
+            still arrive, and nothing should be sent to it.
+        since: Microseconds of the viewer's clock; when the viewer first saw it so. 0 for the viewer itself.
+        reported_by: The member that reported it.
+        unreachable_peers: Members that it cannot reach itself.
+    """
 
     name: str
     address: str
@@ -19,18 +34,27 @@
     generation: int
     incarnation: int
     state: MemberState
-    since: int  # when this instance first saw it so; microseconds of its own clock
-    reported_by: str  # who said so
-    unreachable_peers: tuple[str, ...]  # whom it can't reach itself
+    since: int
+    reported_by: str
+    unreachable_peers: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """`version` counts the changes that this instance has seen. `mark` is the same wherever the same members
-    are in the same states. `stable`: nobody is suspected, and this instance has asked since it began or
-    paused. `cut`: so many were lost at once that it may be cut off from them. `outcast`: why the others may
-    not count this one in ("" where they do). `age`: microseconds since it heard from anybody. `confidence`:
-    from 0 to 1, the share not suspected, less what it doubts itself by."""
+    """All present members.
+
+    Attributes:
+        version: Counts the changes that this instance has seen.
+        at: Microseconds; when the view was made.
+        members: The members by name, this instance included.
+        checksum: The same wherever the same members are in the same states.
+        stable: Nobody is suspected, and this instance has asked the others since it started or was stopped.
+        possibly_partitioned: So many were lost at once that this instance may be cut off from them.
+        exclusion: Why the others may not count this instance as a member; empty if they do.
+        time_since_contact: Microseconds since a datagram of any member arrived.
+        confidence: From 0 to 1: the part of the members not suspected, lowered by this instance's health
+            score.
+    """
 
     version: int
     at: int
@@ -38,19 +62,20 @@
     checksum: str
     stable: bool
     possibly_partitioned: bool
-    exclusion: Literal["", "dead", "unreached", "conflict"]
+    exclusion: Exclusion
     time_since_contact: int
     confidence: float
 
     def names(self) -> set[str]:
+        """Return the names of the members."""
         return {member.name for member in self.members}
 
 
-def checksum(members: tuple[MemberView, ...]) -> str:
-    """Eight hexadecimal digits for who is there, of which life, in which state, with what weight.
+def checksum(members: Sequence[MemberView]) -> str:
+    """Return eight hexadecimal digits for names, generations, states, zones and weights.
 
     >>> checksum(()), len(checksum((MemberView("a", "h:1", "z", 1.0, 1, 0, "alive", 5, "a", ()),)))
     ('00000000', 8)
     """
-    told = [(m.name, m.generation, m.state, m.zone, m.weight) for m in members]
-    return f"{crc32(repr(told).encode()) if told else 0:08x}"
+    fields = [(m.name, m.generation, m.state, m.zone, m.weight) for m in members]
+    return f"{crc32(repr(fields).encode()) if fields else 0:08x}"
--- /dev/null
+++ b/dahliabend/membership/view_builder.py
@@ -0,0 +1,121 @@
+"""Makes views of the member table."""
+
+from typing import NamedTuple
+
+from dahliabend.membership.local_health import LocalHealth
+from dahliabend.membership.local_member import LocalMember
+from dahliabend.membership.member_table import MemberTable
+from dahliabend.membership.messages import MemberStatus, Update
+from dahliabend.membership.receiver import PacketReceiver
+from dahliabend.membership.schedule import Schedule
+from dahliabend.membership.swim_config import SwimConfig
+from dahliabend.membership.view import Exclusion, MembershipView, MemberState, MemberView, checksum
+
+
+class _Members(NamedTuple):
+    version: int
+    members: tuple[MemberView, ...]
+    checksum: str
+
+
+class ViewBuilder:
+    """Makes views, and remembers the last stable one. The members are listed anew only after a change."""
+
+    __slots__ = (
+        "_config",
+        "_health",
+        "_last_stable",
+        "_local",
+        "_members",
+        "_receiver",
+        "_schedule",
+        "_table",
+    )
+
+    def __init__(
+        self,
+        config: SwimConfig,
+        local: LocalMember,
+        table: MemberTable,
+        health: LocalHealth,
+        schedule: Schedule,
+        receiver: PacketReceiver,
+    ) -> None:
+        self._config = config
+        self._local = local
+        self._table = table
+        self._health = health
+        self._schedule = schedule
+        self._receiver = receiver
+        self._members: _Members | None = None
+        self._last_stable: MembershipView | None = None
+
+    def latest(self, now: int) -> MembershipView:
+        """Return the view at this time, in microseconds."""
+        version, members, digest = self._listed_members()
+        table = self._table
+        silence = now - self._receiver.last_received_at
+        is_alone = bool(table.present) and silence > self._config.max_suspicion_time
+        return MembershipView(
+            version=version,
+            at=now,
+            members=members,
+            checksum=digest,
+            stable=not table.suspects and self._schedule.is_settled(now),
+            possibly_partitioned=is_alone or table.partitions.is_partitioned(len(members)),
+            exclusion=self._exclusion(),
+            time_since_contact=silence,
+            confidence=(1 - len(table.suspects) / len(members)) * self._health.confidence,
+        )
+
+    def last_stable(self, now: int) -> MembershipView | None:
+        """Return the view at this time if it is stable, else the last stable one; None if there was none."""
+        latest = self.latest(now)
+        if latest.stable:
+            self._last_stable = latest
+        return self._last_stable
+
+    def copy_state(self, other: "ViewBuilder") -> None:
+        """Take over another one's state; it is immutable."""
+        self._members = other._members
+        self._last_stable = other._last_stable
+
+    def _exclusion(self) -> Exclusion:
+        if self._local.exclusion:
+            return self._local.exclusion
+        return "unreached" if self._table.is_unreachable(self._local.name) else ""
+
+    def _listed_members(self) -> _Members:
+        listed = self._members
+        if listed is None or listed.version != self._table.version:
+            members = self._list_members()
+            listed = self._members = _Members(self._table.version, members, checksum(members))
+        return listed
+
+    def _list_members(self) -> tuple[MemberView, ...]:
+        present = [member.update for member in self._table.members_named(self._table.present)]
+        return tuple(self._view_of(update) for update in sorted([self._local.update, *present], key=_name))
+
+    def _view_of(self, update: Update) -> MemberView:
+        state: MemberState = "alive"
+        if update.status is MemberStatus.SUSPECT:
+            state = "suspected"
+        elif self._table.is_unreachable(update.name):
+            state = "unreached"
+        member = self._table.members.get(update.name)
+        return MemberView(
+            name=update.name,
+            address=update.address,
+            zone=update.zone,
+            weight=update.weight,
+            generation=update.generation,
+            incarnation=update.incarnation,
+            state=state,
+            since=member.since if member is not None else 0,
+            reported_by=update.reported_by,
+            unreachable_peers=update.unreachable_peers,
+        )
+
+
+def _name(update: Update) -> str:
+    return update.name
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -15,8 +15,9 @@
 
 from dahliabend.leases.shared_limits import OVERCOMMIT_LIMIT
 from dahliabend.membership.authentication import DatagramAuthenticator
-from dahliabend.membership.codec import Ping, encode_packet
-from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.membership.codec import encode_packet
+from dahliabend.membership.messages import Ping
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.process_tests.fault_proxy import Relay
 from dahliabend.process_tests.load import CLASSES, Traffic
 from dahliabend.process_tests.processes import Instance, free_ports
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -14,8 +14,10 @@
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MS, HealthGossip
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
-from dahliabend.membership.codec import MemberStatus, Update
-from dahliabend.membership.failure_detector import Event, MembershipProtocol, SwimConfig
+from dahliabend.membership.events import Event
+from dahliabend.membership.messages import MemberStatus, Update
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import MembershipView
 from dahliabend.model import EndpointState
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import log10
 
-from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.ground_truth import Truth
 
 MOST = 40  # violations kept
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -4,7 +4,9 @@
 
 from dahliabend.membership import codec
 from dahliabend.membership.codec import encode_update
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.messages import Ping
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.ground_truth import Truth
 from dahliabend.simulation.cluster.invariants import Bounds, Claim, Outcome, judge
 from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
@@ -172,7 +174,7 @@
             for _ in range(20):
                 junk = chance.randbytes(chance.choice((0, 1, 40, 1_400, 9_000)))
                 machine.receive_datagram(self.now, junk, "b0")
-            data, _ = codec.encode_packet("b0", 1, 1, codec.Ping(1, name), [])
+            data, _ = codec.encode_packet("b0", 1, 1, Ping(1, name), [])
             machine.receive_datagram(self.now, data, "b0")
             self.town.carry(name)
 
--- a/dahliabend/simulation/cluster/search.py
+++ b/dahliabend/simulation/cluster/search.py
@@ -11,8 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from dahliabend.membership.codec import MemberStatus
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.messages import MemberStatus
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 
 Letter = tuple[str, str, bytes]  # source, target, datagram
 
--- a/dahliabend/simulation/cluster/subsets.py
+++ b/dahliabend/simulation/cluster/subsets.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.model import Model
 from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.subsetting.controller import SubsetController, SubsetSettings
--- a/dahliabend/simulation/cluster/town.py
+++ b/dahliabend/simulation/cluster/town.py
@@ -4,7 +4,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 
 S = 1_000_000
 SOON = (200, 20_000)  # microseconds of a datagram's way, where nothing else is said
--- a/dahliabend/simulation/cluster/work.py
+++ b/dahliabend/simulation/cluster/work.py
@@ -15,7 +15,8 @@
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass, Settings
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.simulation.cluster.model import Model
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.membership.failure_detector import SwimConfig  # noqa: E402
+from dahliabend.membership.swim_config import SwimConfig  # noqa: E402
 from dahliabend.simulation.cluster.model import Model  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S  # noqa: E402
 from dahliabend.simulation.cluster.town import Town  # noqa: E402
--- /dev/null
+++ b/tests/membership/test_cluster_member.py
@@ -0,0 +1,101 @@
+"""A member as the server runs it: the snapshot that it leaves for a successor, and its sources of seeds."""
+
+import asyncio
+import json
+from random import Random
+
+import msgspec
+import pytest
+from polling import until
+
+from dahliabend.config.operator_file.schema import MembershipSettings
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.membership.messages import MemberStatus, Update
+from dahliabend.process_tests.processes import free_ports
+from dahliabend.server.clustering import ClusterMember
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.transport import host_info
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue
+
+
+def cluster_member(folder, **more):
+    (folder / "key").write_text("k" * 32)
+    settings = MembershipSettings(
+        address="127.0.0.1:7946", name="b1", key_files=["key"], keep="b1.keep", **more
+    )
+    lines = []
+    loop = asyncio.new_event_loop()
+    try:
+        member = ClusterMember(settings, str(folder), TimerQueue(loop), DescriptorBudget(64), 1,
+                     lambda event, **fields: lines.append((event, fields)))  # fmt: skip
+    finally:
+        loop.close()
+    return member, lines
+
+
+def test_a_successor_restores_a_recent_snapshot_and_takes_only_seeds_from_an_old_one(tmp_path):
+    before, _ = cluster_member(tmp_path)
+    known = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
+    before.failure_detector.store_update(1, known, "joined")
+    before.store(handed=True)
+    after, _ = cluster_member(tmp_path)
+    assert after.stored.handed
+    assert after.seeds() == ["127.0.0.1:7947"]
+    for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
+        snapshot = json.loads((tmp_path / "b1.keep").read_text())
+        snapshot["at"] = host_info.time_ns() // 1000 + step
+        (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
+        later, _ = cluster_member(tmp_path)
+        assert not later.stored.handed
+        assert later.failure_detector.generation > before.failure_detector.generation
+        assert later.seeds() == ["127.0.0.1:7947"]
+
+
+@pytest.mark.parametrize("text", ["", "{", '{"name": 7}', "[]", '{"name": "b1"}'])
+def test_an_unreadable_snapshot_is_logged_and_ignored(tmp_path, text):
+    (tmp_path / "b1.keep").write_text(text)
+    member, lines = cluster_member(tmp_path)
+    assert member.stored is None
+    assert [event for event, _ in lines] == ["handover.unread"]
+
+
+def test_the_snapshot_of_another_member_is_ignored(tmp_path):
+    before, _ = cluster_member(tmp_path)
+    before.store(handed=True)
+    member, lines = cluster_member(tmp_path, advertise="127.0.0.1:9999")
+    assert member.stored is None
+    assert "127.0.0.1:7946" in lines[0][1]["why"]
+
+
+def test_seeds_follow_the_discovery_list(tmp_path):
+    async def run():
+        loop = asyncio.get_running_loop()
+        registry, (port, own) = Registry(), free_ports(2)
+        registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "up", "zone": "a"})
+        agent = Agent(registry, loop, lambda *_: None, Random(1), 1_000)
+        await agent.open("127.0.0.1", port)
+        (tmp_path / "key").write_text("k" * 32)
+        table = MembershipSettings(
+            address=f"127.0.0.1:{own}", name="b1", key_files=["key"], seeds_discovery=f"127.0.0.1:{port}"
+        )
+        member = ClusterMember(
+            table, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
+        )
+        await member.open()
+        await until(lambda: member.failure_detector.seeds == ["127.0.0.1:7"])
+        registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "removed", "zone": "a"})
+        await until(lambda: member.failure_detector.seeds == [])
+        member.close()
+        for server in agent.servers:
+            server.close()
+
+    asyncio.run(run())
+
+
+def test_seeds_follow_a_watched_file(tmp_path):
+    member, _ = cluster_member(tmp_path, seeds=["127.0.0.1:1"], period=Duration(100_000))
+    member.seed_list.endpoints_changed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
+    assert member.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
+    member.seed_list.endpoints_changed([], full=True)
+    assert member.failure_detector.seeds == ["127.0.0.1:1"]
--- a/tests/membership/test_fuzz.py
+++ b/tests/membership/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever comes in at the datagram's door: no exception, no growth.
+"""Arbitrary datagrams: the protocol raises nothing, and nothing that it stores grows without bound.
 
 A million: `PYTHONPATH=. python tests/membership/test_fuzz.py`.
 """
@@ -6,104 +6,124 @@
 import sys
 from random import Random
 
+import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from dahliabend.membership import codec
+from dahliabend.membership.anti_entropy import MAX_SYNC_DATAGRAMS
 from dahliabend.membership.authentication import DatagramAuthenticator
-from dahliabend.membership.codec import Ack, MemberStatus, Nack, Ping, PingRequest, Sync, Update
-from dahliabend.membership.failure_detector import MAX_SYNC_DATAGRAMS, MembershipProtocol, SwimConfig
+from dahliabend.membership.messages import Ack, MemberStatus, Nack, Packet, Ping, PingRequest, Sync, Update
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 
-MOST = 40
-EACH = 100  # datagrams an example
+MAX_MEMBERS = 40
+DATAGRAMS_PER_EXAMPLE = 100
 NAMES = ("a", "b", "c", "d", "e", "é" * 30, "x" * 70, "", "127.0.0.1:1")
 
 
-def number(chance):
-    return chance.choice((0, 1, 2, 5, chance.randrange(10_000), -1, 2**62, chance.getrandbits(63)))
+def number(random):
+    return random.choice((0, 1, 2, 5, random.randrange(10_000), -1, 2**62, random.getrandbits(63)))
 
 
-def update(chance):
-    name = chance.choice(NAMES) if chance.random() < 0.5 else f"n{chance.randrange(200)}"
-    cannot = tuple(chance.choice(NAMES) for _ in range(chance.choice((0, 0, 1, 9))))
-    weight = chance.choice((1.0, 1.0, 0.0, -1.0, float("nan"), float("inf"), 3.5))
-    return Update(name, number(chance), number(chance), chance.choice(list(MemberStatus)),
-                  chance.choice(NAMES), chance.choice(NAMES),
-                  weight, chance.choice(NAMES), cannot)  # fmt: skip
+def update(random):
+    name = random.choice(NAMES) if random.random() < 0.5 else f"n{random.randrange(200)}"
+    unreachable_peers = tuple(random.choice(NAMES) for _ in range(random.choice((0, 0, 1, 9))))
+    weight = random.choice((1.0, 1.0, 0.0, -1.0, float("nan"), float("inf"), 3.5))
+    return Update(
+        name,
+        number(random),
+        number(random),
+        random.choice(list(MemberStatus)),
+        random.choice(NAMES),
+        random.choice(NAMES),
+        weight,
+        random.choice(NAMES),
+        unreachable_peers,
+    )
 
 
-def body(chance):
-    name, count = chance.choice(NAMES), number(chance)
-    kinds = Ping(count, name), PingRequest(count, name, chance.choice(NAMES)), Ack(count), Nack(count)
-    return chance.choice((*kinds, Sync(chance.random() < 0.5, count)))
+def message(random):
+    name, count = random.choice(NAMES), number(random)
+    kinds = Ping(count, name), PingRequest(count, name, random.choice(NAMES)), Ack(count), Nack(count)
+    return random.choice((*kinds, Sync(random.random() < 0.5, count)))
 
 
-def datagram(chance):
-    """Sound, with one byte changed, cut short, or of nobody's."""
-    kind = chance.randrange(5)
+def datagram(random):
+    """Valid, with one byte changed, truncated, or random bytes."""
+    kind = random.randrange(5)
     if kind == 0:
-        return chance.randbytes(chance.randrange(200))
-    updates = [update(chance) for _ in range(chance.randrange(4))]
-    version = chance.choice((1, 1, 1, 2, 0))
-    name, life, serial = chance.choice(NAMES), number(chance), number(chance)
-    data = codec._encode(codec.Packet(version, name, life, serial, body(chance), updates))
+        return random.randbytes(random.randrange(200))
+    updates = [update(random) for _ in range(random.randrange(4))]
+    version = random.choice((1, 1, 1, 2, 0))
+    name, generation, sequence_number = random.choice(NAMES), number(random), number(random)
+    packet = Packet(version, name, generation, sequence_number, message(random), updates)
+    data = msgspec.msgpack.encode(packet)
     if kind == 1:
-        at = chance.randrange(len(data))
-        data = data[:at] + chance.randbytes(1) + data[at + 1 :]
+        position = random.randrange(len(data))
+        data = data[:position] + random.randbytes(1) + data[position + 1 :]
     elif kind == 2:
-        data = data[: chance.randrange(len(data) + 1)]
+        data = data[: random.randrange(len(data) + 1)]
     return data
 
 
-class Door:
-    """One machine that hears everything; what it holds is looked at after each."""
+class FuzzedMember:
+    """One member that receives everything; what it stores is checked after each datagram."""
 
     def __init__(self):
-        self.machine = MembershipProtocol("a", 5, "a", SwimConfig(max_members=MOST), Random(1))
-        self.machine.start(0, ["b"])
-        self.authenticator, self.now = DatagramAuthenticator([b"k" * 32]), 1
+        self.protocol = MembershipProtocol("a", 5, "a", SwimConfig(max_members=MAX_MEMBERS), Random(1))
+        self.protocol.start(0, ["b"])
+        self.authenticator = DatagramAuthenticator([b"k" * 32])
+        self.now = 1
 
-    def hear(self, data, source):
-        machine = self.machine
+    def receive(self, data, source):
+        protocol = self.protocol
         self.now += 1_000
         assert self.authenticator.verify(data) is None
-        before = len(machine.outgoing)
-        machine.receive_datagram(self.now, data, source)
-        assert len(machine.outgoing) - before <= MAX_SYNC_DATAGRAMS + 3
-        if self.now >= machine.timer_due:
-            machine.timer_fired(self.now)
-        assert all(len(sent) <= codec.MAX_DATAGRAM_BYTES - codec.TAG_BYTES for _, sent in machine.outgoing)
-        machine.outgoing.clear()
-        machine.events.clear()
-        assert len(machine.members) <= MOST
-        assert len(machine.relayed_probes) <= 4 * MOST and len(machine.probe_queue) <= 4 * MOST
-        assert len(machine.replay_filter.windows) <= 64 + 4 * MOST + 1
-        assert len(machine.conflicts_reported_at) <= MOST + 2 and len(machine.dropped_datagrams) <= 6
-        assert len(machine.unsent_updates) + len(machine.sent_updates) <= 2 * MOST + 2
-        assert {*machine.present} == {
-            *machine.positions
-        } and not machine.suspects.keys() - machine.positions.keys()
-        assert machine.view(self.now).members
+        before = len(protocol.outgoing)
+        protocol.receive_datagram(self.now, data, source)
+        assert len(protocol.outgoing) - before <= MAX_SYNC_DATAGRAMS + 3
+        if self.now >= protocol.timer_due:
+            protocol.timer_fired(self.now)
+        assert all(len(sent) <= codec.MAX_DATAGRAM_BYTES - codec.TAG_BYTES for _, sent in protocol.outgoing)
+        protocol.outgoing.clear()
+        protocol.events.clear()
+        self.check_bounds()
+        assert protocol.view(self.now).members
+
+    def check_bounds(self):
+        protocol, parts = self.protocol, self.protocol._parts
+        assert len(protocol.members) <= MAX_MEMBERS
+        assert parts.detector.relayed_count <= 4 * MAX_MEMBERS
+        assert len(parts.detector.probe_round.queue) <= 4 * MAX_MEMBERS
+        assert len(parts.receiver.replay_filter) <= 64 + 4 * MAX_MEMBERS + 1
+        assert len(parts.conflicts) <= MAX_MEMBERS + 2
+        assert len(protocol.dropped_datagrams) <= 6
+        assert len(parts.disseminator.unsent) + len(parts.disseminator.sent) <= 2 * MAX_MEMBERS + 2
+        assert {*parts.table.present} == {*parts.table._positions}
+        assert not protocol.suspects.keys() - parts.table._positions.keys()
 
 
 def fuzz(examples):
-    door = Door()
+    member = FuzzedMember()
 
     @settings(max_examples=examples, database=None, deadline=None, derandomize=True)
     @given(st.integers(0, 2**62))
-    def some(seed):
-        chance = Random(seed)
-        for _ in range(EACH):
-            door.hear(datagram(chance), chance.choice(("b", "c", "elsewhere")))
+    def receive_some(seed):
+        random = Random(seed)
+        for _ in range(DATAGRAMS_PER_EXAMPLE):
+            member.receive(datagram(random), random.choice(("b", "c", "elsewhere")))
 
-    some()
-    return door.machine
+    receive_some()
+    return member.protocol
 
 
-def test_whatever_comes_nothing_is_raised_and_nothing_grows():
-    machine = fuzz(100)
-    assert machine.dropped_datagrams["unreadable"] > 1_000 and len(machine.members) > 5
+def test_arbitrary_datagrams_raise_nothing_and_grow_nothing():
+    protocol = fuzz(100)
+    assert protocol.dropped_datagrams["unreadable"] > 1_000
+    assert len(protocol.members) > 5
 
 
 if __name__ == "__main__":
-    print(fuzz((int(sys.argv[1]) if len(sys.argv) > 1 else 1_000_000) // EACH).refused)
+    datagrams = int(sys.argv[1]) if len(sys.argv) > 1 else 1_000_000
+    print(fuzz(datagrams // DATAGRAMS_PER_EXAMPLE).dropped_datagrams)
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -16,7 +16,7 @@
 
 from dahliabend.config import platform as config
 from dahliabend.health_gossip.report_table import HealthReport, UpstreamCounts
-from dahliabend.membership.codec import MemberStatus, Update
+from dahliabend.membership.messages import MemberStatus, Update
 from dahliabend.model import Outcome
 from dahliabend.server.metrics import Metrics
 from dahliabend.server.operator_file_server import OperatorFileServer
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -18,7 +18,7 @@
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.config.platform import read_server_settings
-from dahliabend.membership.codec import Ping
+from dahliabend.membership.messages import Ping
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.server.hot_restart import VERSION, HotRestart
 from dahliabend.server.platform_server import PlatformServer
--- a/tests/pins/test_membership_datagrams.py
+++ b/tests/pins/test_membership_datagrams.py
@@ -11,7 +11,7 @@
 
 from dahliabend.membership import codec
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
-from dahliabend.membership.codec import (
+from dahliabend.membership.messages import (
     Ack,
     MemberStatus,
     Message,
@@ -23,7 +23,8 @@
     Update,
     UserMessage,
 )
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 
 KINDS_GOLDEN = "membership_datagrams.json"
 TRANSCRIPT_GOLDEN = "membership_transcript.json"
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.membership.codec import MemberStatus
-from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.membership.messages import MemberStatus
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster import script
 from dahliabend.simulation.cluster.ground_truth import Truth
 from dahliabend.simulation.cluster.invariants import Claim, Outcome, judge
--- a/tests/simulation/cluster/test_search.py
+++ b/tests/simulation/cluster/test_search.py
@@ -2,8 +2,9 @@
 
 import pytest
 
-from dahliabend.membership.codec import MemberStatus
-from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.membership.messages import MemberStatus
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.search import agreed, begin, search, sound
 
 QUICK = SwimConfig(indirect_probes=1, sync_interval=5, suspicion_multiplier=1.0, max_suspicion_factor=1.0)
