--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from dahliabend.membership.failure_detector import MembershipProtocol
+from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import MembershipView, MemberView
 
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -13,7 +13,9 @@
 from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.membership.authentication import DatagramAuthenticator, parse_key
-from dahliabend.membership.failure_detector import Event, MembershipProtocol, SwimConfig
+from dahliabend.membership.events import Event
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import MembershipView
 from dahliabend.server import cluster_status
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -12,8 +12,8 @@
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.health_gossip.reports import UpstreamCounts
-from dahliabend.membership.codec import MemberStatus
-from dahliabend.membership.failure_detector import MembershipProtocol
+from dahliabend.membership.messages import MemberStatus
+from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import MembershipView
 from dahliabend.model import Outcome
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dahliabend.membership.codec import Update
+from dahliabend.membership.messages import Update
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
