--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -62,7 +62,7 @@
             return self.key_queues.timer_fired(now) if token == REST_TIMER else self.port.poll_endpoints()
         self.port.set_timer(now + self.tick, TICK_TIMER)
         for request in [request for queue in self.key_queues.queues.values() for request in queue.waiting]:
-            if request.deadline - now <= request.balancer.least_time(request):
+            if request.deadline - now <= request.balancer._least_time(request):
                 request.balancer.give_up(request)  # unsent at its deadline, it would have no answer in time
                 request.balancer.key_queues.leave(request, now)
         for endpoint in self.selection.ready:
@@ -125,14 +125,14 @@
                 return request
         ahead = self.key_queues.ahead(key)  # 0 where it has no key
         wait = round(ahead * self.usual[class_index])
-        if ahead and (body_pending or request.deadline - now <= wait + self.least_time(request)):
+        if ahead and (body_pending or request.deadline - now <= wait + self._least_time(request)):
             self.give_up(request, wait)  # its queue would grow beyond what can still be served in time
         elif not key or self.key_queues.join(request):
             self.send(request, now)
             self.key_queues.leave(request, now)
         return request
 
-    def least_time(self, request: RequestState) -> int:  # that has to be left at its turn
+    def _least_time(self, request: RequestState) -> int:  # that has to be left at its turn
         return max(self.tick, round(self.usual[request.class_index]))
 
     def useful_deadline(self, request: RequestState, now: int, deadline: int) -> int:
@@ -149,14 +149,14 @@
             return self.give_up(request)  # it would hold places until it fails too
         endpoint = self.outliers.trial(request, now, self.usual[index]) or self.selection.choose(request, now)
         if endpoint and not request.attempts:
-            endpoint = self.throttled(request, endpoint, now)
+            endpoint = self._throttled(request, endpoint, now)
         if not endpoint:
             return self.give_up(request)
         if not request.attempts:
             self.retry_budget = min(BUDGET_LIMIT, self.retry_budget + self.settings.retry_budget_ratio)
         return self.dispatch(request, endpoint, now)
 
-    def throttled(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
+    def _throttled(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
         governing = self.throttling.governing(endpoint.entries, request.class_index, now)
         if governing is not self.throttling.tier:
             if self.random() >= governing.valid_reduction(now):
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -47,11 +47,11 @@
         queue = self.queues.get(request.key) if request.is_finished else None
         if queue and queue.current is request:
             queue.current = None
-            self.advance(request.key, queue, now)
+            self._advance(request.key, queue, now)
         elif queue:
             queue.waiting.pop(request, None)
 
-    def advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
+    def _advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
         if now < queue.rests_until:
             heappush(self.rests, (queue.rests_until, key))
             self.port.set_timer(queue.rests_until, REST_TIMER)
@@ -68,4 +68,4 @@
     def timer_fired(self, now: int) -> None:
         while self.rests and self.rests[0][0] <= now:
             key = heappop(self.rests)[1]
-            self.advance(key, self.queues[key], now)
+            self._advance(key, self.queues[key], now)
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -57,9 +57,9 @@
             endpoint.is_listed = False
             if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
                 endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
-        self.rank()
+        self._rank()
 
-    def rank(self) -> None:  # attempts in flight keep the record of one that is gone until they end
+    def _rank(self) -> None:  # attempts in flight keep the record of one that is gone until they end
         self.endpoints = {i: e for i, e in self.endpoints.items() if e.state is not EndpointState.REMOVED}
         ready = (e for e in self.endpoints.values() if e.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda endpoint: endpoint.rank, reverse=True)
@@ -96,7 +96,7 @@
                 weight = endpoint.weight / endpoint.relative_latency
                 if endpoint.started_at:
                     weight *= self.warm_share(endpoint, now)
-                is_throttled = unthrottled and not self.is_unthrottled(endpoint, request, now)
+                is_throttled = unthrottled and not self._is_unthrottled(endpoint, request, now)
                 if not weight or is_throttled or len(endpoint.in_flight) > load_limit * weight:
                     continue
                 endpoint.position += weight
@@ -108,7 +108,7 @@
                 return best
         return None
 
-    def is_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:  # known to be so
+    def _is_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:  # known to be so
         governing = self.throttling.governing(endpoint.entries, request.class_index, now)
         return endpoint.entries[-1].valid_until > 0 and not governing.valid_reduction(now)
 
@@ -127,7 +127,7 @@
         for endpoint in stale:
             endpoint.state = EndpointState.REMOVED
         if stale:
-            self.rank()
+            self._rank()
 
     def close_window(self, now: int) -> None:
         some_warm = any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -14,7 +14,7 @@
 root = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(root), str(root / "tests")]
 
-from helpers import FREE, MARKED, MS, S, balancer  # noqa: E402
+from fake_port import DEDUPLICATED, IDEMPOTENT, MS, S, make_balancer  # noqa: E402
 
 from dahliabend.model import Outcome  # noqa: E402
 from dahliabend.policy.key_order import REST_TIMER  # noqa: E402
@@ -24,8 +24,10 @@
 
 
 def main() -> None:
-    made, port = balancer(
-        request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1
+    made, port = make_balancer(
+        request_classes=(replace(DEDUPLICATED, is_ordered=True), IDEMPOTENT),
+        key_rest=100 * MS,
+        max_attempts=1,
     )
     made.concurrency.limit = 1e9  # the crowd is not what is looked at
     chance, now, out = Random(1), 100 * S, deque()
--- /dev/null
+++ b/tests/fake_port.py
@@ -0,0 +1,58 @@
+"""A port that records what it is asked to do, and balancers that act through one."""
+
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, RequestClass, Settings
+from dahliabend.policy.balancer import Balancer
+
+MS, S = 1_000, 1_000_000
+IDEMPOTENT = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+DEDUPLICATED = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
+NON_IDEMPOTENT = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+BASE = dict(
+    instance_count=2,
+    instance_index=0,
+    tier=0,
+    zone=0,
+    request_classes=(IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT),
+    tenant_quotas=(),
+    over_quota_weight=0.2,
+    overall_weight=1.0,
+    worst_class_weight=0.0,
+    cross_zone_cost=0.0,
+    max_attempts=3,
+    can_cancel=True,
+    can_health_check=True,
+    sends_retry_after=True,
+    max_retry_after=S,
+    polls_endpoints=False,
+    poll_deadline=10 * S,
+    initial_capacity=0.2,
+    warmup_time=10 * S,
+    warmup_multiple=3.0,
+)
+
+
+class RecordingPort(list):
+    """Each action as (its name, its arguments)."""
+
+    def __getattr__(self, name):
+        return lambda *args: self.append((name, *args))
+
+    def of(self, name):
+        return [note for note in self if note[0] == name]
+
+
+def make_balancer(endpoints=4, cells=2, born=0, now=100 * S, **changes):
+    """A balancer with so many endpoints ready, and its port."""
+    port = RecordingPort()
+    made = Balancer(Settings(**{**BASE, **changes}), port, 7)
+    made.update_endpoints(
+        now,
+        [(n, EndpointState.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(endpoints)],
+        full=True,
+    )
+    return made, port
+
+
+def admit(made, profile, now=100 * S, ref=1, **more):
+    """Admits a request of a class, with 5 s until its deadline."""
+    return made.admit(now, ref, profile, 0, now + 5 * S, **more)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A port that writes down what it is asked to do, balancers in a wanted state, and stand-ins on sockets."""
+"""The program on sockets, and stand-ins for what it speaks to."""
 
 import json
 import os
@@ -12,61 +12,10 @@
 from tempfile import NamedTemporaryFile
 from threading import Thread
 
-from dahliabend.model import DeduplicationScope, Effect, EndpointState, RequestClass, Settings
-from dahliabend.policy.balancer import Balancer
-
-MS, S = 1_000, 1_000_000
-FREE = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
-MARKED = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
-ONCE = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
-BASE = dict(
-    instance_count=2,
-    instance_index=0,
-    tier=0,
-    zone=0,
-    request_classes=(FREE, MARKED, ONCE),
-    tenant_quotas=(),
-    over_quota_weight=0.2,
-    overall_weight=1.0,
-    worst_class_weight=0.0,
-    cross_zone_cost=0.0,
-    max_attempts=3,
-    can_cancel=True,
-    can_health_check=True,
-    sends_retry_after=True,
-    max_retry_after=S,
-    polls_endpoints=False,
-    poll_deadline=10 * S,
-    initial_capacity=0.2,
-    warmup_time=10 * S,
-    warmup_multiple=3.0,
-)
-
-
-class Notes(list):
-    """Each action as (its name, its arguments)."""
-
-    def __getattr__(self, name):
-        return lambda *args: self.append((name, *args))
-
-    def of(self, name):
-        return [note for note in self if note[0] == name]
-
-
-def balancer(upstreams=4, cells=2, born=0, now=100 * S, **changes):
-    port = Notes()
-    made = Balancer(Settings(**{**BASE, **changes}), port, 7)
-    made.update_endpoints(
-        now,
-        [(n, EndpointState.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(upstreams)],
-        full=True,
-    )
-    return made, port
-
-
-def taken(made, profile, now=100 * S, ref=1, **more):
-    return made.admit(now, ref, profile, 0, now + 5 * S, **more)
+import fake_port
 
+MS, S = fake_port.MS, fake_port.S  # these two lines: for tests that import them from here still
+Notes, balancer = fake_port.RecordingPort, fake_port.make_balancer
 
 # The program on sockets, and stand-ins for what it speaks to. All waits end: at an event, or at PATIENCE.
 
--- /dev/null
+++ b/tests/policy/test_concurrency.py
@@ -0,0 +1,96 @@
+"""The adaptive concurrency limit, and quotas of tenants."""
+
+from fake_port import IDEMPOTENT, S, admit, make_balancer
+
+from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
+from dahliabend.policy.throttling import TIER_FLOOR
+
+T = 100 * S
+
+
+def test_concurrency_is_limited_from_the_start_and_high_priority_is_rejected_last():
+    worth = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
+    made, _ = make_balancer(request_classes=(IDEMPOTENT, worth), instance_count=1)
+    made.concurrency.in_flight = round(made.concurrency.limit) - 1
+    assert admit(made, 0).is_finished and not admit(made, 1).is_finished
+    assert admit(made, 1).is_finished
+
+
+def test_limit_falls_with_latency_but_not_below_its_minimum():
+    made, _ = make_balancer(endpoints=10)
+    made.concurrency.least_latency_ratio, made.concurrency.latency_ratio, made.concurrency.in_flight = (
+        0.2,
+        0.8,
+        40,
+    )
+    made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
+    assert made.concurrency.is_overloaded and made.concurrency.limit == 20
+    made.concurrency.in_flight = 4
+    made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
+    assert made.concurrency.limit == 20
+
+
+def test_limit_grows_faster_in_the_first_validity():
+    for ticks, grown in ((1, 15.0), (99, 12.5)):
+        made, _ = make_balancer(instance_count=2, endpoints=4)
+        (
+            made.concurrency.ticks,
+            made.concurrency.latency_ratio,
+            made.concurrency.least_latency_ratio,
+            made.concurrency.has_rejected,
+        ) = ticks, 0.1, 0.1, True
+        made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
+        assert made.concurrency.limit == grown
+
+
+def test_one_of_many_balancers_may_exceed_the_limit_by_chance_while_its_mean_is_below():
+    for balancers, mean, over in ((1, 1.0, True), (9, 1.0, False), (9, 9.0, True)):
+        made, _ = make_balancer(instance_count=balancers)
+        made.concurrency.limit, made.concurrency.mean_in_flight, made.concurrency.in_flight = 4.0, mean, 4
+        assert admit(made, 0).is_finished == over
+
+
+def test_latency_of_slow_endpoints_counts_less_and_of_silent_ones_not():
+    for pace, heard, how, seen in (
+        (1, T, 1, 1 / 2),
+        (4, T, 1, 1 / 3),
+        (1, T + 1, 4, 1 / 2),
+        (1, T - S, 4, 0),
+    ):
+        made, _ = make_balancer()
+        request = admit(made, 2)
+        request.attempts[0].endpoint.relative_latency, request.attempts[0].endpoint.silent_since = pace, heard
+        request.attempt_finished(T + S, 0, Outcome(how), S, True)
+        assert abs(made.concurrency.latency_ratio - seen) < 1e-6
+
+
+def test_tenant_beyond_its_quota_loses_priority():
+    made, _ = make_balancer(tenant_quotas=(2.0, 2.0))
+    values = [admit(made, 0, ref=n).priority for n in range(4)]
+    assert values[0] == 1 and values[-1] == made.settings.over_quota_weight
+
+
+def test_limit_is_adjusted_with_half_the_floor_after_a_validity_but_not_first():
+    made, _ = make_balancer()
+    made.concurrency.succeeded, made.concurrency.latency_ratio = TIER_FLOOR // 2, 0.9
+    made.timer_fired(T + S, 0)
+    assert not made.concurrency.adjusted_at
+    made.concurrency.adjusted_at = T
+    made.timer_fired(T + made.throttling.span - 1, 0)
+    assert made.concurrency.adjusted_at == T
+    made.timer_fired(T + made.throttling.span, 0)
+    assert made.concurrency.adjusted_at > T
+
+
+def test_one_slow_attempt_counts_no_more_than_its_latency_objective():
+    made, _ = make_balancer()
+    admit(made, 2).attempt_finished(T + S, 0, Outcome.SUCCEEDED, 40 * S, True)
+    assert made.concurrency.latency_ratio == 1
+
+
+def test_attempts_in_flight_elsewhere_count_against_the_limit():
+    made, port = make_balancer(endpoints=1, instance_count=1)
+    made.concurrency.limit, made.concurrency.in_flight_elsewhere = 8.0, 8
+    assert admit(made, 0).is_answered and not port.of("send")  # two processes let in what one may
+    made.concurrency.in_flight_elsewhere = 0
+    assert not admit(made, 0, ref=2).is_answered
--- /dev/null
+++ b/tests/policy/test_selection.py
@@ -0,0 +1,207 @@
+"""Endpoint lists, subsets, zones, round robin and slow start."""
+
+from fake_port import MS, S, admit, make_balancer
+
+from dahliabend.model import EndpointState, Outcome
+from dahliabend.policy.concurrency import INITIAL_LIMIT
+from dahliabend.policy.selection import LEAST_SUBSET
+from dahliabend.policy.throttling import FLOOR, VALIDITY_WINDOWS
+
+T = 100 * S
+
+
+def test_draining_and_unlisted_endpoints_get_no_requests():
+    made, port = make_balancer(endpoints=3)
+    made.update_endpoints(T, [(0, EndpointState.DRAINING, 0, 1.0, 0, 0, b"")], full=False)
+    made.update_endpoints(
+        T,
+        [(0, EndpointState.DRAINING, 0, 1.0, 0, 0, b""), (2, EndpointState.READY, 0, 1.0, 0, 0, b"")],
+        full=True,
+    )
+    for ref in range(6):
+        admit(made, 0, ref=ref)
+    assert {note[2] for note in port.of("send")} == {2}
+
+
+def test_removed_endpoint_leaves_no_state_and_late_reports_on_it_are_ignored():
+    for full in (False, True):
+        made, port = make_balancer(endpoints=2)
+        request = admit(made, 0)
+        gone = port[-1][2]
+        made.outliers.eject(made.selection.endpoints[gone], T)
+        rows = [
+            (1 - gone, EndpointState.READY, 0, 1.0, 0, 0, b"1"),
+            (gone, EndpointState.REMOVED, 0, 1.0, 0, 0, b"0"),
+        ]
+        made.update_endpoints(T, rows[: 1 if full else 2], full)
+        assert list(made.selection.endpoints) == [1 - gone] and made.concurrency.in_flight == 0
+        made.health_check_finished(T + 9 * S, gone, Outcome.SUCCEEDED)
+        made.update_endpoints(T, [(gone, EndpointState.READY, 0, 1.0, 0, 0, b"new")], False)
+        assert not made.selection.endpoints[gone].is_ejected and not made.selection.endpoints[gone].in_flight
+        request.attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
+        assert (
+            made.selection.endpoints[gone].entries[-1].sampled == 0
+            and request.attempts[-1].endpoint.index == 1 - gone
+        )
+
+
+def test_cold_endpoints_get_no_more_than_their_slow_start_budget():
+    made, port = make_balancer(endpoints=4, born=0)
+    made.update_endpoints(T, [(3, EndpointState.READY, T, 1.0, 1, 1, b"")], full=False)
+    made.selection.send_rate, made.concurrency.limit = 400 / S, 1e9  # a hundred a second and endpoint
+    for step in range(4000):
+        now = T + step * S // 4000
+        admit(made, 0, now=now, ref=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
+    sent = sum(note[2] == 3 for note in port.of("send"))
+    assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5  # its share of half the multiple, a little risen
+
+
+def test_with_all_endpoints_cold_new_requests_set_the_send_rate():
+    made, port = make_balancer(endpoints=2, born=T)
+    assert admit(made, 0).is_finished  # nothing is known yet
+    made.selection.new_requests = 100
+    made.close_windows(T + S)
+    admit(made, 0, now=T + S)
+    admit(made, 0, now=T + 2 * S)
+    assert port.of("send")
+
+
+def test_round_robin_is_even():
+    made, port = make_balancer(endpoints=4)
+    for ref in range(40):
+        admit(made, 0, ref=ref).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
+    assert sorted(note[2] for note in port.of("send")) == sorted([0, 1, 2, 3] * 10)
+
+
+def test_endpoints_above_the_mean_in_flight_are_skipped():
+    made, port = make_balancer(endpoints=3)
+    made.selection.endpoints[0].in_flight.update(dict.fromkeys(range(9)))
+    for ref in range(4):
+        admit(made, 0, ref=ref)
+    assert 0 not in {note[2] for note in port.of("send")}
+
+
+def test_slow_endpoint_gets_a_smaller_share():
+    made, port = make_balancer(endpoints=2)
+    made.selection.endpoints[0].relative_latency, made.concurrency.limit = 4.0, 1e9
+    for ref in range(50):
+        admit(made, 2, ref=ref).client_disconnected(T)
+        made.selection.endpoints[0].in_flight.clear()
+        made.selection.endpoints[1].in_flight.clear()
+    assert sum(note[2] == 0 for note in port.of("send")) == 10
+
+
+def test_balancer_with_few_attempts_selects_its_highest_ranks():
+    used = []
+    for number in (0, 1, 0, -1):
+        made, _ = make_balancer(endpoints=40, instance_index=number)
+        made.selection.sent = 15
+        made.close_windows(T + S)
+        used.append({u.index for u in made.selection.selected})
+    size = round(15 * VALIDITY_WINDOWS / FLOOR)  # each reaches its floor within a validity
+    assert len(used[0]) == size and used[0] == used[2] != used[1] and len(used[3]) == 40
+    made, port = make_balancer(endpoints=40)
+    made.selection.subset_size = LEAST_SUBSET
+    gone = made.selection.ready[0]
+    made.outliers.eject(gone, T)
+    assert len(made.selection.selected) == LEAST_SUBSET and gone not in made.selection.selected
+    for ref in range(30):
+        admit(made, 2, ref=ref).client_disconnected(T)
+    assert {note[2] for note in port.of("send")} == {u.index for u in made.selection.selected}
+
+
+def test_subsets_cover_all_endpoints():
+    counts = [0] * 40
+    for number in range(60):
+        made, _ = make_balancer(endpoints=40, instance_count=60, instance_index=number)
+        made.selection.subset_size = 5
+        made.selection.select()
+        for u in made.selection.selected:
+            counts[u.index] += 1
+    assert min(counts) > 0 and max(counts) < 3 * 60 * 5 / 40
+
+
+def same_zone_reduction(outcome, took, attempts=FLOOR, cost=0.1):
+    """The reduction of the own zone after so many attempts, and the share that crosses zones."""
+    made, port = make_balancer(cross_zone_cost=cost)
+    for ref in range(attempts):
+        admit(made, 2, ref=ref).attempt_finished(T, 0, outcome, took, True)
+    assert {note[2] % 2 for note in port.of("send")} == {0}
+    made.close_windows(T + S)
+    for ref in range(100, 140):
+        admit(made, 2, ref=ref, now=T + S).attempt_finished(T + S, 0, Outcome.SUCCEEDED, MS, True)
+    far = sum(note[2] % 2 for note in port.of("send")) / 40
+    return made.throttling.same_zone.valid_reduction(T + S), far
+
+
+def test_reduction_of_the_own_zone_crosses_zones_and_no_more():
+    assert same_zone_reduction(Outcome.SUCCEEDED, MS) == (0, 0)
+    reduction, far = same_zone_reduction(Outcome.SUCCEEDED, 2 * S)  # late
+    assert round(reduction, 3) == 0.475 and 0.25 < far < 0.7  # half of what they miss beyond half the cost
+    assert same_zone_reduction(Outcome.REJECTED, MS, cost=2.0)[0] == 0
+
+
+def test_timed_out_attempt_counts_in_its_endpoints_latency():
+    made, _ = make_balancer(endpoints=1)
+    made.usual[2] = 10 * MS
+    admit(made, 2).attempt_finished(T, 0, Outcome.TIMED_OUT, 80 * MS, True)
+    assert made.selection.ready[0].relative_latency > 2
+
+
+def test_one_of_very_many_balancers_starts_with_a_small_subset_and_limit():
+    made, _ = make_balancer(endpoints=40, instance_count=300)
+    assert (
+        len(made.selection.selected) == LEAST_SUBSET
+        and abs(made.concurrency.limit - INITIAL_LIMIT * (40 / 300) ** 0.5) < 1e-9
+    )
+    assert make_balancer(endpoints=40, instance_count=20)[0].concurrency.limit == INITIAL_LIMIT * 2
+    assert len(make_balancer(endpoints=40, instance_count=40)[0].selection.selected) == 40
+
+
+def test_excluded_endpoint_gets_no_requests_or_health_checks_and_returns_without_reductions():
+    made, port = make_balancer(endpoints=2, instance_count=1)
+    u = made.selection.endpoints[0]
+    made.outliers.eject(u, 100 * S)
+    entry = u.entries[-1]
+    entry.reduction, entry.valid_until = 1.0, 900 * S
+    port.clear()
+    made.update_endpoints(101 * S, [(0, EndpointState.EXCLUDED, 0, 1.0, 0, 0, b"0")], full=False)
+    for n in range(9):
+        made.timer_fired(101 * S + n * S, 0)
+        admit(made, 0, now=101 * S + n * S, ref=n)
+    assert {note[2] for note in port.of("send")} == {1} and not port.of("check_health")
+    made.update_endpoints(120 * S, [(0, EndpointState.READY, 119 * S, 1.0, 0, 0, b"0")], full=False)
+    assert not u.is_ejected and not u.consecutive_failures and not u.entries[-1].reduction
+
+
+def row(index, state=EndpointState.READY):
+    return (index, state, 0, 1.0, 0, 0, b"%d" % index)
+
+
+def test_where_only_draining_binds_a_removed_endpoint_stays_while_it_answers():
+    cases = (
+        ([[row(1, EndpointState.REMOVED)]], True),
+        ([[row(1, EndpointState.DRAINING)], [row(1, EndpointState.REMOVED)]], False),
+        ([[row(1, EndpointState.REMOVED)], [row(1, EndpointState.DRAINING)]], False),
+        ([[row(1, EndpointState.REMOVED)], [row(1, EndpointState.DRAINING)], [row(1)]], True),
+        ([[row(1, EndpointState.EXCLUDED)], [row(1, EndpointState.REMOVED)]], False),
+    )
+    for lists, kept in cases:
+        made, _ = make_balancer(endpoints=2, only_draining_binds=True)
+        for rows in lists:
+            made.update_endpoints(T, rows, full=False)
+        assert (made.selection.endpoints.get(1) in made.selection.ready) is kept
+    made, _ = make_balancer(endpoints=2, only_draining_binds=True, warmup_time=10 * S)
+    made.update_endpoints(T, [row(0)], full=True)  # left out
+    made.update_endpoints(T, [row(7, EndpointState.REMOVED)], full=False)  # never named by any list
+    assert [u.index for u in made.selection.ready if u.is_listed] == [0] and set(
+        made.selection.endpoints
+    ) == {0, 1}
+    made.selection.endpoints[1].answered_at = T
+    made.close_windows(T + 10 * S)
+    assert 1 in made.selection.endpoints
+    made.close_windows(T + 10 * S + 1)
+    assert set(made.selection.endpoints) == {0}
+    bound, _ = make_balancer(endpoints=2)
+    bound.update_endpoints(T, [row(1, EndpointState.REMOVED)], full=False)
+    assert set(bound.selection.endpoints) == {0}
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import MS, balancer
+from fake_port import MS, make_balancer
 
 from dahliabend.config.operator_file.schema import RouteSettings
 from dahliabend.model import EndpointState, Outcome
@@ -208,8 +208,8 @@
     under the multiple of what it bears, which grows from a fifth to what a warm one gets of both."""
     now, pools, hops, multiple, cold = 100 * S, [], [], 3.0, 10 * S
     for count, every in ((4, 10 * MS), (2, 20 * MS)):  # 100 and 50 a second
-        made, port = balancer(
-            upstreams=count,
+        made, port = make_balancer(
+            endpoints=count,
             instance_count=1,
             warmup_multiple=multiple,
             warmup_time=cold,
