--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -97,16 +97,16 @@
     def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
         for index, former in same_classes:
             self.usual[index] = known["usual"][former]
-        self.outliers.fatal_idle_time, taken_over = known["gap"], 0
+        self.outliers.fatal_idle_time, restored = known["gap"], 0
         if known["shape"] == self.shape:  # the limit would grow anew from its start
             STORED_LIMIT.write(self.concurrency, known["crowd"])
         for index, values in known["upstreams"].items():
             endpoint = self.selection.endpoints.get(index)
             if endpoint is not None and endpoint.started_at == values[0]:  # the same process still
                 STORED_ENDPOINT.write(endpoint, values)
-                taken_over += 1
+                restored += 1
         self.selection.select()
-        return taken_over
+        return restored
 
     def admit(
         self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -10,7 +10,9 @@
 def test_request_past_its_deadline_is_rejected_at_once():
     made, port = make_balancer()
     request = made.admit(T, 1, 0, 0, T)
-    assert request.is_finished and port[-1][0] == "reject" and not port.of("send")
+    assert request.is_finished
+    assert port[-1][0] == "reject"
+    assert not port.of("send")
 
 
 def test_no_attempt_outlasts_the_deadline_and_the_last_timeout_is_answered():
@@ -18,21 +20,25 @@
     request = admit(made, 2)
     assert port[-1][3] == 5 * S
     request.attempt_finished(T + 5 * S, 0, Outcome.TIMED_OUT, 5 * S, False)
-    assert request.is_finished and port[-1] == ("fail", 1)
+    assert request.is_finished
+    assert port[-1] == ("fail", 1)
 
 
 def test_without_endpoints_requests_are_rejected_with_retry_after():
     made, port = make_balancer(endpoints=0)
-    assert admit(made, 0).is_finished and port[-1] == ("reject", 1, S // 2)
+    assert admit(made, 0).is_finished
+    assert port[-1] == ("reject", 1, S // 2)
 
 
 def test_nothing_is_sent_after_the_client_disconnected():
     made, port = make_balancer()
     request = admit(made, 0)
     request.client_disconnected(T)
-    assert port[-1] == ("cancel", 1, 0) and not request.is_finished
+    assert port[-1] == ("cancel", 1, 0)
+    assert not request.is_finished
     request.attempt_finished(T, 0, Outcome.CANCELLED, 0, True)
-    assert request.is_finished and len(port.of("send")) == 1
+    assert request.is_finished
+    assert len(port.of("send")) == 1
 
 
 def test_endpoint_list_is_polled_at_start_and_again_after_a_failure():
@@ -66,12 +72,12 @@
         can_health_check=False,
     )
     assert made.restore(old.snapshot(ends=True), [(0, 1), (2, 0)]) == 3
-    assert made.usual == [9 * MS, 0, 7 * MS] and made.outliers.fatal_idle_time == S
-    assert (
-        made.selection.endpoints[0].relative_latency == 3
-        and made.selection.endpoints[2].relative_latency == 1
-    )  # started again: nothing holds
-    assert made.concurrency.limit != 99 and made.retry_budget == 1
+    assert made.usual == [9 * MS, 0, 7 * MS]
+    assert made.outliers.fatal_idle_time == S
+    assert made.selection.endpoints[0].relative_latency == 3
+    assert made.selection.endpoints[2].relative_latency == 1
+    assert made.concurrency.limit != 99
+    assert made.retry_budget == 1
     made.selection.subset_size = 4
     made.selection.select()
     for ref in range(9):
@@ -81,7 +87,7 @@
 
 
 def test_cold_endpoint_has_one_budget_through_a_change_of_settings():
-    old, before = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
+    old, _before = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
     made, port = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
     old.selection.endpoints[0].slow_start_budget = made.selection.endpoints[0].slow_start_budget = 1.0
     made.restore(old.snapshot(ends=True), [])
@@ -107,7 +113,5 @@
     made, _ = make_balancer(endpoints=1, born=T)
     old.selection.endpoints[0].slow_start_budget, old.concurrency.limit = 1.0, 99.0
     made.restore(old.snapshot(ends=False), [(0, 0)])
-    assert (
-        old.selection.endpoints[0].slow_start_budget + made.selection.endpoints[0].slow_start_budget == 1
-        and made.concurrency.limit == 99
-    )
+    assert old.selection.endpoints[0].slow_start_budget + made.selection.endpoints[0].slow_start_budget == 1
+    assert made.concurrency.limit == 99
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -12,7 +12,8 @@
     worth = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
     made, _ = make_balancer(request_classes=(IDEMPOTENT, worth), instance_count=1)
     made.concurrency.in_flight = round(made.concurrency.limit) - 1
-    assert admit(made, 0).is_finished and not admit(made, 1).is_finished
+    assert admit(made, 0).is_finished
+    assert not admit(made, 1).is_finished
     assert admit(made, 1).is_finished
 
 
@@ -24,7 +25,8 @@
         40,
     )
     made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
-    assert made.concurrency.is_overloaded and made.concurrency.limit == 20
+    assert made.concurrency.is_overloaded
+    assert made.concurrency.limit == 20
     made.concurrency.in_flight = 4
     made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
     assert made.concurrency.limit == 20
@@ -67,7 +69,8 @@
 def test_tenant_beyond_its_quota_loses_priority():
     made, _ = make_balancer(tenant_quotas=(2.0, 2.0))
     values = [admit(made, 0, ref=n).priority for n in range(4)]
-    assert values[0] == 1 and values[-1] == made.settings.over_quota_weight
+    assert values[0] == 1
+    assert values[-1] == made.settings.over_quota_weight
 
 
 def test_limit_is_adjusted_with_half_the_floor_after_a_validity_but_not_first():
@@ -91,6 +94,7 @@
 def test_attempts_in_flight_elsewhere_count_against_the_limit():
     made, port = make_balancer(endpoints=1, instance_count=1)
     made.concurrency.limit, made.concurrency.in_flight_elsewhere = 8.0, 8
-    assert admit(made, 0).is_answered and not port.of("send")  # two processes let in what one may
+    assert admit(made, 0).is_answered
+    assert not port.of("send")
     made.concurrency.in_flight_elsewhere = 0
     assert not admit(made, 0, ref=2).is_answered
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -34,15 +34,15 @@
             (gone, EndpointState.REMOVED, 0, 1.0, 0, 0, b"0"),
         ]
         made.update_endpoints(T, rows[: 1 if full else 2], full)
-        assert list(made.selection.endpoints) == [1 - gone] and made.concurrency.in_flight == 0
+        assert list(made.selection.endpoints) == [1 - gone]
+        assert made.concurrency.in_flight == 0
         made.health_check_finished(T + 9 * S, gone, Outcome.SUCCEEDED)
         made.update_endpoints(T, [(gone, EndpointState.READY, 0, 1.0, 0, 0, b"new")], False)
-        assert not made.selection.endpoints[gone].is_ejected and not made.selection.endpoints[gone].in_flight
+        assert not made.selection.endpoints[gone].is_ejected
+        assert not made.selection.endpoints[gone].in_flight
         request.attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
-        assert (
-            made.selection.endpoints[gone].entries[-1].sampled == 0
-            and request.attempts[-1].endpoint.index == 1 - gone
-        )
+        assert made.selection.endpoints[gone].entries[-1].sampled == 0
+        assert request.attempts[-1].endpoint.index == 1 - gone
 
 
 def test_cold_endpoints_get_no_more_than_their_slow_start_budget():
@@ -99,12 +99,15 @@
         made.close_windows(T + S)
         used.append({u.index for u in made.selection.selected})
     size = round(15 * VALIDITY_WINDOWS / FLOOR)  # each reaches its floor within a validity
-    assert len(used[0]) == size and used[0] == used[2] != used[1] and len(used[3]) == 40
+    assert len(used[0]) == size
+    assert used[0] == used[2] != used[1]
+    assert len(used[3]) == 40
     made, port = make_balancer(endpoints=40)
     made.selection.subset_size = LEAST_SUBSET
     gone = made.selection.ready[0]
     made.outliers.eject(gone, T)
-    assert len(made.selection.selected) == LEAST_SUBSET and gone not in made.selection.selected
+    assert len(made.selection.selected) == LEAST_SUBSET
+    assert gone not in made.selection.selected
     for ref in range(30):
         admit(made, 2, ref=ref).client_disconnected(T)
     assert {note[2] for note in port.of("send")} == {u.index for u in made.selection.selected}
@@ -118,7 +121,8 @@
         made.selection.select()
         for u in made.selection.selected:
             counts[u.index] += 1
-    assert min(counts) > 0 and max(counts) < 3 * 60 * 5 / 40
+    assert min(counts) > 0
+    assert max(counts) < 3 * 60 * 5 / 40
 
 
 def same_zone_reduction(outcome, took, attempts=FLOOR, cost=0.1):
@@ -137,7 +141,8 @@
 def test_reduction_of_the_own_zone_crosses_zones_and_no_more():
     assert same_zone_reduction(Outcome.SUCCEEDED, MS) == (0, 0)
     reduction, far = same_zone_reduction(Outcome.SUCCEEDED, 2 * S)  # late
-    assert round(reduction, 3) == 0.475 and 0.25 < far < 0.7  # half of what they miss beyond half the cost
+    assert round(reduction, 3) == 0.475
+    assert 0.25 < far < 0.7
     assert same_zone_reduction(Outcome.REJECTED, MS, cost=2.0)[0] == 0
 
 
@@ -150,10 +155,8 @@
 
 def test_one_of_very_many_balancers_starts_with_a_small_subset_and_limit():
     made, _ = make_balancer(endpoints=40, instance_count=300)
-    assert (
-        len(made.selection.selected) == LEAST_SUBSET
-        and abs(made.concurrency.limit - INITIAL_LIMIT * (40 / 300) ** 0.5) < 1e-9
-    )
+    assert len(made.selection.selected) == LEAST_SUBSET
+    assert abs(made.concurrency.limit - INITIAL_LIMIT * (40 / 300) ** 0.5) < 1e-9
     assert make_balancer(endpoints=40, instance_count=20)[0].concurrency.limit == INITIAL_LIMIT * 2
     assert len(make_balancer(endpoints=40, instance_count=40)[0].selection.selected) == 40
 
@@ -169,9 +172,12 @@
     for n in range(9):
         made.timer_fired(101 * S + n * S, 0)
         admit(made, 0, now=101 * S + n * S, ref=n)
-    assert {note[2] for note in port.of("send")} == {1} and not port.of("check_health")
+    assert {note[2] for note in port.of("send")} == {1}
+    assert not port.of("check_health")
     made.update_endpoints(120 * S, [(0, EndpointState.READY, 119 * S, 1.0, 0, 0, b"0")], full=False)
-    assert not u.is_ejected and not u.consecutive_failures and not u.entries[-1].reduction
+    assert not u.is_ejected
+    assert not u.consecutive_failures
+    assert not u.entries[-1].reduction
 
 
 def row(index, state=EndpointState.READY):
@@ -194,9 +200,8 @@
     made, _ = make_balancer(endpoints=2, only_draining_binds=True, warmup_time=10 * S)
     made.update_endpoints(T, [row(0)], full=True)  # left out
     made.update_endpoints(T, [row(7, EndpointState.REMOVED)], full=False)  # never named by any list
-    assert [u.index for u in made.selection.ready if u.is_listed] == [0] and set(
-        made.selection.endpoints
-    ) == {0, 1}
+    assert [u.index for u in made.selection.ready if u.is_listed] == [0]
+    assert set(made.selection.endpoints) == {0, 1}
     made.selection.endpoints[1].answered_at = T
     made.close_windows(T + 10 * S)
     assert 1 in made.selection.endpoints
--- a/tests/policy/test_key_order.py
+++ b/tests/policy/test_key_order.py
@@ -36,7 +36,8 @@
     one, two, _ = (admit(made, ref) for ref in (1, 2, 3))
     assert sent_refs(port) == [1]
     one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
-    assert sent_refs(port) == [1, 2] and one.is_finished
+    assert sent_refs(port) == [1, 2]
+    assert one.is_finished
     two.attempt_finished(T, 0, Outcome.FAILED, MS, False)
     assert sent_refs(port) == [1, 2, 3]
 
@@ -85,7 +86,8 @@
     one = admit(made, 1)
     admit(made, 2)
     one.client_disconnected(T)
-    assert sent_refs(port) == [1] and not one.is_finished
+    assert sent_refs(port) == [1]
+    assert not one.is_finished
     one.attempt_finished(T + MS, 0, Outcome.CANCELLED, MS, True)
     made.timer_fired(T + MS + PAUSE, REST_TIMER)
     assert sent_refs(port) == [1, 2]
@@ -120,7 +122,9 @@
     tick = round(IDEMPOTENT.latency_objective * TICK_OBJECTIVES)
     for number in range(1, 4):
         made.timer_fired(T + number * tick, 0)
-    assert two.is_finished and port.of("reject")[0][1] == 2 and sent_refs(port) == [1]
+    assert two.is_finished
+    assert port.of("reject")[0][1] == 2
+    assert sent_refs(port) == [1]
 
 
 def test_queue_is_no_longer_than_can_be_served_and_retry_after_tells_its_length():
@@ -138,7 +142,9 @@
     two = admit(made, 2)
     three = admit(made, 3, limit=50 * S)
     one.attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, MS, True)
-    assert two.is_finished and not three.is_finished and sent_refs(port) == [1, 3]
+    assert two.is_finished
+    assert not three.is_finished
+    assert sent_refs(port) == [1, 3]
 
 
 def test_nothing_is_kept_of_a_key_once_its_queue_is_empty_and_its_rest_over():
@@ -160,7 +166,8 @@
         if not request.is_finished:
             request.attempt_finished(now, 0, Outcome.RESET, MS, False)
     made.timer_fired(now + PAUSE, REST_TIMER)
-    assert not made.key_queues.queues and not made.key_queues.rests
+    assert not made.key_queues.queues
+    assert not made.key_queues.rests
 
 
 def test_requests_of_the_decisions_that_follow_wait_for_those_in_hand():
@@ -176,6 +183,7 @@
     assert not sent_refs(port2)
     one.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     two.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
-    assert sent_refs(port) == [1, 3, 2] and sent_refs(port2) == [4]
+    assert sent_refs(port) == [1, 3, 2]
+    assert sent_refs(port2) == [4]
     after.timer_fired(T + PAUSE, REST_TIMER)
     assert sent_refs(port2) == [4, 5]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -15,7 +15,9 @@
     u = request.attempts[0].endpoint
     made.outliers.last_answer_at = T + S
     made.timer_fired(T + 2 * S, 0)
-    assert u.is_ejected and ("cancel", 1, 0) in port and made.concurrency.in_flight == 0
+    assert u.is_ejected
+    assert ("cancel", 1, 0) in port
+    assert made.concurrency.in_flight == 0
     made.timer_fired(T + 2 * S + 2 * made.tick, 0)
     assert ("check_health", u.index) in port
     request.attempt_finished(T + 2 * S, 0, Outcome.CANCELLED, S, False)
@@ -29,7 +31,8 @@
     made.health_check_finished(T + 5 * S, u.index, Outcome.SUCCEEDED)
     made.usual[0] = S
     admit(made, 0, now=T + 5 * S, ref=9).attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, S, True)
-    assert not u.is_ejected and u.consecutive_failures == 0
+    assert not u.is_ejected
+    assert u.consecutive_failures == 0
 
 
 def test_without_health_checks_one_idempotent_request_tries_an_ejected_endpoint():
@@ -38,7 +41,8 @@
     made.outliers.eject(made.selection.endpoints[0], T)
     wait = max(made.throttling.validity, made.throttling.span << 1)
     made.timer_fired(T + wait - 1, 0)
-    assert not made.outliers.awaiting_trial and not port.of("check_health")
+    assert not made.outliers.awaiting_trial
+    assert not port.of("check_health")
     for outcome, back in ((Outcome.TIMED_OUT, False), (Outcome.SUCCEEDED, True)):
         now = T + wait
         made.timer_fired(now, 0)
@@ -60,7 +64,8 @@
     for u in (made.selection.endpoints[0], made.selection.endpoints[1]):
         u.entries[-1].sampled, u.entries[-1].failed = FLOOR, FLOOR * (u.index == 0)
     made.close_windows(T + S)
-    assert made.selection.endpoints[0].is_ejected and not made.selection.endpoints[1].is_ejected
+    assert made.selection.endpoints[0].is_ejected
+    assert not made.selection.endpoints[1].is_ejected
 
 
 def test_failed_connect_ejects_only_an_endpoint_that_has_not_answered_lately():
@@ -69,11 +74,9 @@
         request = admit(made, 2)
         request.attempts[0].endpoint.answered_at = answered
         request.attempt_finished(T + MS, 0, Outcome.UNREACHABLE, MS, False)
-        assert (
-            request.attempts[0].endpoint.is_ejected == ejected
-            and made.throttling.tier.failed == 1
-            and len(port.of("send")) == 2
-        )
+        assert request.attempts[0].endpoint.is_ejected == ejected
+        assert made.throttling.tier.failed == 1
+        assert len(port.of("send")) == 2
 
 
 def test_idle_connections_that_lose_requests_are_closed_before_sending():
@@ -147,7 +150,8 @@
     made.health_check_finished(T + 100 * S, 0, Outcome.SUCCEEDED)
     assert not u.is_ejected
     fails()
-    assert u.is_ejected and u.consecutive_failures == 2
+    assert u.is_ejected
+    assert u.consecutive_failures == 2
 
 
 def test_endpoint_ejected_again_is_restored_by_a_trial_and_not_by_a_health_check():
@@ -172,7 +176,8 @@
         assert [note[2] for note in port.of("send")] == [1, 0]
         tried.attempt_finished(now + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
         port.clear()
-    assert not u.is_ejected and u.consecutive_failures == 0
+    assert not u.is_ejected
+    assert u.consecutive_failures == 0
 
 
 def test_endpoint_that_nothing_tries_is_restored_by_its_second_health_check():
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -24,13 +24,13 @@
     made.retry_budget = 5
     request.attempt_finished(T + S, 0, Outcome.FAILED, S, False)
     first, second = (note[2] for note in port.of("send"))
-    assert first % 2 == second % 2 and first != second  # cells by parity
+    assert first % 2 == second % 2
+    assert first != second
     attempt = request.first_possibly_executed()
     assert attempt.sent_at == T
     request.in_flight = 0
-    assert request.may_be_sent(T + DEDUPLICATED.deduplication_window - 1) and not request.may_be_sent(
-        T + DEDUPLICATED.deduplication_window
-    )
+    assert request.may_be_sent(T + DEDUPLICATED.deduplication_window - 1)
+    assert not request.may_be_sent(T + DEDUPLICATED.deduplication_window)
 
 
 def test_deduplicated_request_that_may_have_executed_fails_unless_every_endpoint_knows_it():
@@ -51,7 +51,8 @@
     made, port = make_balancer()
     made.retry_budget = 0.5
     admit(made, 0).attempt_finished(T, 0, Outcome.FAILED, MS, False)
-    assert len(port.of("send")) == 1 and port.of("reject")
+    assert len(port.of("send")) == 1
+    assert port.of("reject")
 
 
 def test_hedge_goes_to_another_endpoint_and_the_first_success_cancels_the_other():
@@ -59,13 +60,18 @@
     request = admit(made, 0)
     first = port.of("send")[-1][2]
     request.hedge_timer_fired(100 * S + 300 * MS)
-    assert [len(port.of("send")), request.in_flight] == [2, 2] and port.of("send")[-1][2] != first
+    assert [len(port.of("send")), request.in_flight] == [2, 2]
+    assert port.of("send")[-1][2] != first
     request.hedge_timer_fired(100 * S + 400 * MS)
     assert request.in_flight == 2  # never a third
     request.attempt_finished(100 * S + 500 * MS, 1, Outcome.SUCCEEDED, 200 * MS, True)
-    assert port.of("cancel") and {note[2] for note in port.of("cancel")} == {0, 1} and not request.is_finished
+    assert port.of("cancel")
+    assert {note[2] for note in port.of("cancel")} == {0, 1}
+    assert not request.is_finished
     request.attempt_finished(100 * S + 500 * MS, 0, Outcome.CANCELLED, 500 * MS, True)
-    assert request.is_finished and made.concurrency.in_flight == 0 and not port.of("reject")
+    assert request.is_finished
+    assert made.concurrency.in_flight == 0
+    assert not port.of("reject")
 
 
 def test_failed_attempt_leaves_the_hedge_to_answer():
@@ -74,7 +80,9 @@
     request = admit(made, 0)
     request.hedge_timer_fired(100 * S + 300 * MS)
     request.attempt_finished(100 * S + 400 * MS, 0, Outcome.RESET, 400 * MS, False)
-    assert request.in_flight == 1 and len(port.of("send")) == 2 and not port.of("reject")
+    assert request.in_flight == 1
+    assert len(port.of("send")) == 2
+    assert not port.of("reject")
     request.attempt_finished(100 * S + 500 * MS, 1, Outcome.FAILED, 200 * MS, False)
     assert len(port.of("send")) == 3  # its attempts are not spent
 
@@ -84,7 +92,8 @@
     made.retry_budget = 0.5
     request = admit(made, 0)
     request.hedge_timer_fired(100 * S + 300 * MS)
-    assert request.in_flight == 1 and len(port.of("send")) == 1
+    assert request.in_flight == 1
+    assert len(port.of("send")) == 1
     alone, port = make_balancer(endpoints=1)
     request = admit(alone, 0)
     request.hedge_timer_fired(100 * S + 300 * MS)
@@ -101,6 +110,8 @@
     request = made.admit(T, 1, 0, 0, T + 1_500 * MS)
     assert port.of("send")[0][3] == 300 * MS  # half of what it may take at all
     request.attempt_finished(T + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
-    assert [note[3] for note in port.of("send")] == [300 * MS, 300 * MS] and request.in_flight == 1
+    assert [note[3] for note in port.of("send")] == [300 * MS, 300 * MS]
+    assert request.in_flight == 1
     request.attempt_finished(T + 600 * MS, 1, Outcome.TIMED_OUT, 300 * MS, False)
-    assert request.is_finished and len(port.of("send")) == 2
+    assert request.is_finished
+    assert len(port.of("send")) == 2
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -19,8 +19,10 @@
     assert closed_window(19, 19, 6 * S).reduction == 0  # below the floor a window counts as zero
     assert closed_window(19, 19, 4 * S).sampled == 19  # but stays open for a quiet balancer until then
     entry = closed_window(20, 10, 6 * S)
-    assert entry.reduction == 0.5 and entry.valid_until == 11 * S
-    assert closed_window(100, 52, 8 * S, entry).reduction == 0.5 and entry.valid_until == 13 * S  # renewed
+    assert entry.reduction == 0.5
+    assert entry.valid_until == 11 * S
+    assert closed_window(100, 52, 8 * S, entry).reduction == 0.5
+    assert entry.valid_until == 13 * S
     assert closed_window(100, 60, 9 * S, entry).reduction == 0.6  # replaced
     assert closed_window(0, 0, 13 * S, entry).valid_until == 14 * S  # an empty window renews nothing
     assert closed_window(100, 0, 13 * S, entry).reduction == 0.3  # eased, not dropped: no wave
@@ -48,18 +50,12 @@
     u = made.selection.endpoints[0]
     for entry, reduction in ((made.throttling.tier, 0.3), (u.entries[-1], 0.2), (u.entries[1], 0.1)):
         entry.reduction, entry.valid_until = reduction, T + S
-    assert (
-        made.throttling.governing(u.entries, 1, T) is u.entries[1]
-        and made.throttling.governing(u.entries, 0, T) is u.entries[-1]
-    )
-    assert (
-        made.throttling.governing(made.selection.endpoints[1].entries, 0, T) is made.throttling.tier
-        and made.throttling.tier.valid_reduction(T) == 0.3
-    )
-    assert (
-        made.throttling.governing(u.entries, 1, T + S) is made.throttling.tier
-        and made.throttling.tier.valid_reduction(T + S) == 0.0
-    )
+    assert made.throttling.governing(u.entries, 1, T) is u.entries[1]
+    assert made.throttling.governing(u.entries, 0, T) is u.entries[-1]
+    assert made.throttling.governing(made.selection.endpoints[1].entries, 0, T) is made.throttling.tier
+    assert made.throttling.tier.valid_reduction(T) == 0.3
+    assert made.throttling.governing(u.entries, 1, T + S) is made.throttling.tier
+    assert made.throttling.tier.valid_reduction(T + S) == 0.0
 
 
 def test_reduced_share_goes_to_an_endpoint_known_to_hold_no_reduction():
@@ -152,7 +148,9 @@
         [u.entries[-1].failed for u in made.selection.ready],
     )
     port.clear()
-    assert admit(made, 0, now=T + S).is_finished and port[-1][0] == "reject" and not port.of("send")
+    assert admit(made, 0, now=T + S).is_finished
+    assert port[-1][0] == "reject"
+    assert not port.of("send")
     made.throttling.classes[0].reduction, made.concurrency.mean_latency = 1 - OUTLIER_REDUCTION, MS
     while not port.of("send"):
         request = admit(made, 0, now=T + S)
@@ -161,10 +159,8 @@
     made.timer_fired(T + 2 * S - 1, 0)
     assert not u.is_ejected  # silent, but nothing else is out there
     request.attempt_finished(T + 2 * S, 0, Outcome.TIMED_OUT, S, False)
-    assert (
-        made.concurrency.latency_ratio == stretch
-        and [u.entries[-1].failed for u in made.selection.ready] == bad
-    )
+    assert made.concurrency.latency_ratio == stretch
+    assert [u.entries[-1].failed for u in made.selection.ready] == bad
     made.throttling.classes[0].valid_until = 0  # lapsed: tried again
     port.clear()
     assert not admit(made, 0, now=T + 3 * S).is_finished
