--- /dev/null
+++ b/tests/server/processes_on_one_listener.py
@@ -0,0 +1,37 @@
+"""Several processes of one balancer that accept clients from one listening socket, as on the platform."""
+
+import json
+import socket
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, closing, contextmanager
+from subprocess import Popen
+from tempfile import TemporaryDirectory
+
+from helpers import Agent, Upstream, call, entry, program
+
+
+@contextmanager
+def platform(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
+    """Yield a function that starts one more process: its address, the process and its discovery service."""
+    agent = Agent(*(entry(f"s-{number}", upstream) for number, upstream in enumerate(upstreams)))
+    with ExitStack() as stack:
+        for server in (agent, *upstreams):
+            stack.enter_context(closing(server))
+        listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=512))
+        directory = stack.enter_context(TemporaryDirectory())
+
+        def start(**more: object) -> tuple[str, Popen, Agent]:
+            return stack.enter_context(program(*upstreams, agent=agent, beside=(listener, directory), **more))
+
+        yield start
+
+
+def set_excluded(process: Popen, excluded: bool, target: str = "s-0") -> int:
+    """Call a process to exclude or include an upstream; return the status."""
+    path = "/api/exclude" if excluded else "/api/include"
+    return call(process.admin, path, "PUT", json.dumps({"target": target}).encode())[0]
+
+
+def telemetry_value(process: Popen, name: str) -> object:
+    """Return one value of a process's telemetry."""
+    return call(process.admin, "/api/telemetry")[1][name]
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -1,57 +1,29 @@
-"""Two processes before the same callers: a replacement without a moment in which nobody serves."""
+"""Two processes before the same clients: a replacement without a moment in which nobody serves."""
 
-import json
 import os
 import signal
-import socket
-from contextlib import ExitStack, closing, contextmanager
-from tempfile import TemporaryDirectory
 from threading import Event, Thread
 
-from helpers import PATIENCE, Agent, Caller, Upstream, call, entry, logged, program, until
+from helpers import PATIENCE, Caller, Upstream, call, logged, until
+from processes_on_one_listener import platform, set_excluded, telemetry_value
 
 from dahliabend.server.hot_restart import VERSION, HotRestart
 
 
-@contextmanager
-def platform(*upstreams):
-    """What all processes of a balancer share; a function that starts one more."""
-    agent = Agent(*(entry(f"s-{n}", u) for n, u in enumerate(upstreams)))
-    with ExitStack() as stack:
-        for server in (agent, *upstreams):
-            stack.enter_context(closing(server))
-        listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=512))
-        folder = stack.enter_context(TemporaryDirectory())
+def test_two_restarts_in_a_row_under_load_lose_no_request():
+    stop, statuses = Event(), []
 
-        def start(**more):
-            return stack.enter_context(program(*upstreams, agent=agent, beside=(listener, folder), **more))
-
-        yield start
-
-
-def banned(process, out, target="s-0"):
-    path = "/api/exclude" if out else "/api/include"
-    return call(process.admin, path, "PUT", json.dumps({"target": target}).encode())[0]
-
-
-def shown(process, name):
-    return call(process.admin, "/api/telemetry")[1][name]
-
-
-def test_two_upgrades_in_a_row_under_load_lose_no_request():
-    stop, got = Event(), []
-
-    def load(address, kept, number):
-        caller, n = None, 0
+    def load(address, keeps_connection, number):
+        client, n = None, 0
         while not stop.is_set():
-            caller, n = caller or Caller(address), n + 1
-            answered = caller.ask(trace=f"l{number}-{n}")
-            if answered is None and kept:  # closed between requests: a client asks once more
-                caller = Caller(address)
-                answered = caller.ask(trace=f"l{number}-{n}")
-            got.append(answered and answered[0])
-            if not kept or answered is None or "connection" in answered[1]:
-                caller = None
+            client, n = client or Caller(address), n + 1
+            answered = client.ask(trace=f"l{number}-{n}")
+            if answered is None and keeps_connection:  # closed between requests: a client asks once more
+                client = Caller(address)
+                answered = client.ask(trace=f"l{number}-{n}")
+            statuses.append(answered and answered[0])
+            if not keeps_connection or answered is None or "connection" in answered[1]:
+                client = None
 
     with platform(Upstream(), Upstream()) as start:
         address, before, _ = start()
@@ -65,35 +37,40 @@
                 assert logged(after, "followed")["kept"] == 2
                 before.send_signal(signal.SIGTERM)
                 assert before.wait(PATIENCE) == 0
-                many, before = len(got), after
-                until(lambda many=many: len(got) > many + 50)
+                count, before = len(statuses), after
+                until(lambda count=count: len(statuses) > count + 50)
         finally:
             stop.set()
             for thread in threads:
                 thread.join(PATIENCE)
-    assert set(got) == {200}
+    assert set(statuses) == {200}
 
 
-def test_an_exclusion_holds_in_both_processes_wherever_the_call_came_and_over_the_upgrade():
+def test_an_exclusion_holds_in_both_processes_and_over_the_restart():
     one, two, three = Upstream(), Upstream(), Upstream()
     with platform(one, two, three) as start:
-        address, old, agent = start()
-        assert banned(old, True, "s-0") == 200
+        address, old, _ = start()
+        assert set_excluded(old, True, "s-0") == 200
         new = start()[1]
-        assert shown(new, "out_of_rotation") == 1
-        assert banned(old, True, "s-1") == 200 and until(lambda: shown(new, "out_of_rotation") == 2)
-        assert banned(new, False, "s-0") == 200 and until(lambda: shown(old, "out_of_rotation") == 1)
-        assert banned(new, True, "s-9") == 404
+        assert telemetry_value(new, "out_of_rotation") == 1
+        assert set_excluded(old, True, "s-1") == 200
+        assert until(lambda: telemetry_value(new, "out_of_rotation") == 2)
+        assert set_excluded(new, False, "s-0") == 200
+        assert until(lambda: telemetry_value(old, "out_of_rotation") == 1)
+        assert set_excluded(new, True, "s-9") == 404
         old.kill()  # outright
         last = start()[1]
         new.send_signal(signal.SIGTERM)
-        assert new.wait(PATIENCE) == 0 and shown(last, "out_of_rotation") == 1
+        assert new.wait(PATIENCE) == 0
+        assert telemetry_value(last, "out_of_rotation") == 1
         two.came.queue.clear()
-        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9 and two.came.empty()
-        assert banned(last, False, "s-1") == 200 and shown(last, "out_of_rotation") == 0
+        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9
+        assert two.came.empty()
+        assert set_excluded(last, False, "s-1") == 200
+        assert telemetry_value(last, "out_of_rotation") == 0
 
 
-def test_a_successor_that_dies_before_its_yes_leaves_the_one_in_service_as_it_was():
+def test_a_successor_that_dies_during_its_start_leaves_the_process_in_service_unchanged():
     with platform(Upstream()) as start:
         address, old, _ = start()
         dying = start(ready=False)[1]
@@ -102,34 +79,36 @@
         assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9
         new = start()[1]
         old.send_signal(signal.SIGTERM)
-        assert old.wait(PATIENCE) == 0 and Caller(address).ask()[0] == 200
+        assert old.wait(PATIENCE) == 0
+        assert Caller(address).ask()[0] == 200
         assert call(new.admin, "/api/ready")[0] == 200
 
 
-def test_what_is_cut_short_or_of_another_version_is_passed_over(tmp_path):
-    said = []
-    made = HotRestart(str(tmp_path / "shared"), lambda event, **_: said.append(event))
-    made.open()
-    path = made.directory.path / f"for-{made.process_key[0]}-{made.process_key[1]}"
-    assert made.read_state() is None and not said
+def test_truncated_state_and_state_of_another_version_is_ignored(tmp_path):
+    logged_events = []
+    hot_restart = HotRestart(str(tmp_path / "shared"), lambda event, **_: logged_events.append(event))
+    hot_restart.open()
+    path = hot_restart.directory.path / f"for-{hot_restart.process_key[0]}-{hot_restart.process_key[1]}"
+    assert hot_restart.read_state() is None
+    assert not logged_events
     for raw in (b"", b'{"version": 1, "li', b"[]", b'{"version": 99}'):
         path.write_bytes(raw)
-        assert made.read_state() is None and said.pop() == "handover.unread" and not path.exists()
+        assert hot_restart.read_state() is None
+        assert logged_events.pop() == "handover.unread"
+        assert not path.exists()
     path.write_bytes(b'{"version": %d, "a": 1}' % VERSION)
-    assert made.read_state()["a"] == 1
+    assert hot_restart.read_state()["a"] == 1
 
 
-def test_the_dead_are_told_from_the_living_by_their_locks(tmp_path):
-    made = HotRestart(str(tmp_path), print)
+def test_dead_processes_are_recognized_by_their_missing_locks(tmp_path):
+    hot_restart = HotRestart(str(tmp_path), print)
     (tmp_path / "alive-7-1").touch()  # nobody holds it
     (tmp_path / "for-7-1").touch()
-    made.open()
-    assert (
-        made.process_key == (1, os.getpid())
-        and made.live_processes() == {}
-        and not (tmp_path / "for-7-1").exists()
-    )
-    made.set_excluded("s-1/../x", True)
-    assert made.exclusions() == {"s-1/../x"}
-    made.set_excluded("s-1/../x", False)
-    assert made.exclusions() == set()
+    hot_restart.open()
+    assert hot_restart.process_key == (1, os.getpid())
+    assert hot_restart.live_processes() == {}
+    assert not (tmp_path / "for-7-1").exists()
+    hot_restart.set_excluded("s-1/../x", True)
+    assert hot_restart.exclusions() == {"s-1/../x"}
+    hot_restart.set_excluded("s-1/../x", False)
+    assert hot_restart.exclusions() == set()
--- /dev/null
+++ b/tests/server/test_server_forwarding.py
@@ -0,0 +1,226 @@
+"""Requests and responses through a running process, over sockets."""
+
+import socket
+import time
+from contextlib import ExitStack
+from threading import Event
+from types import SimpleNamespace
+
+import pytest
+from fake_upstream_responses import NOT_EXECUTED, closes, never_ends, responds, truncates
+from helpers import (
+    CONF,
+    PATIENCE,
+    Agent,
+    Caller,
+    Upstream,
+    answer,
+    entry,
+    is_ready,
+    program,
+    until,
+)
+
+SETTLE = CONF["caps"]["dial-timeout"] / 8 / 1000  # seconds in which a second answer may still come
+
+
+def test_requests_and_responses_pass_unchanged_over_reused_connections():
+    upstream = Upstream()
+    with program(upstream) as (address, _, _):
+        client, body = Caller(address), b"x" * 65536
+        for trace in ("t1", "t2"):
+            response = client.ask(
+                "submit", "POST", body, "1500", trace, extra="X-Own: 7\r\nConnection: x-hop\r\nX-Hop: 1\r\n"
+            )
+            assert response[0] == 200
+            assert response[2] == body
+            first, headers, sent = upstream.came.get(timeout=PATIENCE)
+            assert first == "POST /submit?a=b HTTP/1.1"
+            assert sent == body
+            assert headers["x-trace-id"] == trace
+            assert 0 < int(headers["x-expires-in-ms"]) <= 1500
+            assert headers["x-own"] == "7"
+            assert "x-hop" not in headers
+            time.sleep(SETTLE)
+        assert len(upstream.open) == 1
+
+
+@pytest.mark.parametrize(
+    ("respond", "retried"),
+    [
+        (closes, False), (truncates, False), (never_ends, False), (responds("HTTP/1.1 500 No"), False),
+        (responds("HTTP/1.1 503 No"), False), (responds("HTTP/1.1 400 No", NOT_EXECUTED), False),
+        (responds("HTTP/1.1 200 OK", "Content-Length: 33554433\r\n"), False), (responds("rubbish"), False),
+        (responds("HTTP/1.1 503 No", NOT_EXECUTED), True), (responds("HTTP/1.1 504 No", NOT_EXECUTED), True),
+    ],
+)  # fmt: skip
+def test_only_requests_that_cannot_have_executed_are_retried(respond, retried):
+    asked = []
+
+    def first_only(conn, request):
+        asked.append(request)
+        return respond(conn, request) if len(asked) == 1 else conn.sendall(answer()) is None
+
+    with program(Upstream(first_only), Upstream(first_only)) as (address, _, _):
+        status = Caller(address).ask("submit", "POST", b"x")[0]
+        assert (status, len(asked)) == ((200, 2) if retried else (502, 1))
+
+
+def test_a_response_longer_than_the_request_limit_passes_complete():
+    with program(Upstream(responds("HTTP/1.1 200 OK", body=b"x" * 380_000))) as (address, _, _):
+        assert Caller(address).ask("submit", "POST")[::2] == (200, b"x" * 380_000)
+
+
+def test_an_attempt_whose_connection_is_refused_is_retried():
+    with (
+        socket.socket() as bound,
+        program(upstream := Upstream(), ready=False, agent=Agent()) as (address, _, agent),
+    ):
+        bound.bind(("127.0.0.1", 0))  # and not listening: nobody else can get this port
+        dead = SimpleNamespace(address=f"127.0.0.1:{bound.getsockname()[1]}")
+        agent.asked.get(timeout=PATIENCE)
+        agent.tell(2, True, entry("s-0", dead), entry("s-1", upstream))
+        assert until(lambda: is_ready(address) == 200)
+        assert [Caller(address).ask("submit", "POST", trace=f"t{n}")[0] for n in range(4)] == [200] * 4
+
+
+def test_a_client_is_answered_by_its_deadline_when_the_upstream_is_silent():
+    silent = Event()
+    with program(Upstream(lambda conn, request: silent.wait(PATIENCE))) as (address, _, _):
+        client = Caller(address)
+        assert client.ask("submit", "POST", expires="300")[0] == 502
+        response = client.ask("query", expires="300")
+        assert response[0] == 503
+        assert 0 < float(response[1]["retry-after"]) <= 3
+        silent.set()
+
+
+def test_a_connection_that_is_never_established_times_out():
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full, ExitStack() as stack:
+        for _ in range(4):  # its queue is full: the system drops what comes now, and says nothing
+            waiting = stack.enter_context(socket.socket())
+            waiting.setblocking(False)
+            waiting.connect_ex(full.getsockname())
+        silent = SimpleNamespace(address=f"127.0.0.1:{full.getsockname()[1]}", close=lambda: None)
+        with program(silent) as (address, _, _):
+            assert Caller(address).ask("submit", "POST")[0] == 503
+            assert Caller(address).ask("submit", "POST", expires="90")[0] == 503
+
+
+GOOD = "POST /submit HTTP/1.1\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 900\r\n"
+
+
+@pytest.mark.parametrize(
+    ("raw", "status"),
+    [
+        ("rubbish\r\n\r\n", 400), ("\x16\x03\x01\x02\x00\x01\x00", 400),
+        (GOOD.replace("X-Trace-Id: t\r\n", "") + "\r\n", 400),
+        (GOOD.replace("submit", "other") + "\r\n", 404),
+        (GOOD.replace("900", "soon") + "\r\n", 400), (GOOD.replace("900", "0") + "\r\n", 400),
+        (GOOD.replace("900", "-5") + "\r\n", 400),
+        (GOOD.replace("X-Expires-In-Ms: 900\r\n", "") + "\r\n", 400),
+        (GOOD + "X-Expires-In-Ms: 800\r\n\r\n", 400), (GOOD + "Content-Length: 33554433\r\n\r\n", 413),
+        (GOOD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (GOOD + "Transfer-Encoding: chunked\r\n\r\n" + ("80000\r\n" + "x" * (1 << 19) + "\r\n") * 65, 413),
+        (GOOD + "X-Long: " + "x" * 20000 + "\r\n\r\n", 431), (GOOD + "X-Endless: " + "x" * 40000, 431),
+        (GOOD + "Upgrade: h2c\r\nConnection: upgrade\r\nContent-Length: 2\r\n\r\nok", 400),
+        ("DELETE" + GOOD[4:] + "\r\n", 405),
+        ("GET /-/other HTTP/1.1\r\n\r\n", 404), ("GET " + "/x" * 20000 + " HTTP/1.1\r\n\r\n", 431),
+    ],
+)  # fmt: skip
+def test_malformed_requests_get_an_error_and_disturb_no_other_client(served, raw, status):
+    address, upstream = served
+    other, bad = Caller(address), Caller(address)
+    bad.sock.sendall(raw.encode("latin-1"))
+    response = bad.read()
+    assert response[0] == status
+    assert other.ask()[0] == 200
+    assert upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"] == "t1"
+
+
+@pytest.fixture(scope="module")
+def served():
+    upstream = Upstream()
+    with program(upstream) as (address, _, _):
+        yield address, upstream
+
+
+def test_pipelined_and_trickled_requests_are_answered_in_order(served):
+    address, upstream = served
+    client = Caller(address)
+    raw = (GOOD + "Content-Length: 1\r\n\r\n%d").encode()
+    client.sock.sendall(b"".join(raw % n for n in range(5)))
+    assert [client.read()[2] for _ in range(5)] == [b"%d" % n for n in range(5)]
+    for n in raw % 7:
+        client.sock.sendall(bytes([n]))
+    assert client.read()[::2] == (200, b"7")
+    for _ in range(6):
+        upstream.came.get(timeout=PATIENCE)
+
+
+def test_a_trace_id_in_use_is_rejected_and_the_first_request_goes_on():
+    proceed = Event()
+    upstream = Upstream(
+        lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer(b"first")) is None
+    )
+    with program(upstream) as (address, _, _):
+        first, other = Caller(address), Caller(address)
+        first.send("submit", "POST")
+        upstream.came.get(timeout=PATIENCE)
+        assert other.ask("submit", "POST")[0] == 409
+        assert upstream.came.empty()
+        proceed.set()
+        assert first.read()[::2] == (200, b"first")
+        assert other.ask("submit", "POST")[0] == 200
+
+
+def test_an_idle_client_connection_is_closed(served):
+    client = Caller(served[0])
+    assert client.ask()[0] == 200
+    assert served[1].came.get(timeout=PATIENCE)
+    assert client.read() is None
+
+
+def test_the_attempt_is_cancelled_when_its_client_disconnects():
+    upstream = Upstream(lambda conn, request: True)
+    with program(upstream) as (address, _, _):
+        client = Caller(address)
+        client.send()
+        upstream.came.get(timeout=PATIENCE)
+        client.file.close()
+        client.sock.close()
+        assert upstream.ended.get(timeout=PATIENCE)
+
+
+def test_idle_upstream_connections_are_closed_before_the_idle_timeout():
+    upstream = Upstream()
+    caps = {**CONF["caps"], "conn-idle": 400.0}
+    with program(upstream, conf={"caps": caps}) as (address, _, _):
+        assert Caller(address).ask()[0] == 200
+        assert upstream.ended.get(timeout=PATIENCE)
+
+
+def test_no_request_is_lost_when_descriptors_are_scarce():
+    proceed = Event()
+    upstream = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
+    with program(upstream, limits={"sockets": 64}, conf={"balancers": 1}) as (address, _, _):
+        idle_clients = [Caller(address) for _ in range(20)]
+        proceed.set()
+        assert [client.ask(trace="k")[0] for client in idle_clients] == [200] * 20
+        proceed.clear()
+        clients = [Caller(address) for _ in range(150)]
+        for n, client in enumerate(clients):
+            client.send(trace=f"t{n}", expires="3000")  # the kept ones make room for these
+        upstream.came.get(timeout=PATIENCE)
+        proceed.set()
+        statuses = [(client.read() or (0,))[0] for client in clients]
+        assert set(statuses) <= {200, 503}
+        assert 200 in statuses
+
+
+def test_slow_senders_do_not_keep_other_clients_out():
+    with program(Upstream(), limits={"sockets": 80}) as (address, _, _):
+        slow = [Caller(address) for _ in range(60)]
+        for client in slow:
+            client.sock.sendall(b"POST /submit HTTP/1.1\r\nX-Tr")
+        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(5)] == [200] * 5
--- /dev/null
+++ b/tests/server/test_server_reload.py
@@ -0,0 +1,188 @@
+"""Reload of the configuration by SIGHUP, and changes of the endpoint list, in a running process."""
+
+import os
+import signal
+from contextlib import closing
+from queue import Empty
+from threading import Event
+
+import pytest
+from helpers import (
+    CONF,
+    PATIENCE,
+    Agent,
+    Caller,
+    Upstream,
+    answer,
+    call,
+    entry,
+    is_ready,
+    logged,
+    program,
+    replace,
+)
+
+
+def test_list_changes_take_effect_and_a_lost_watch_catches_up():
+    one, two, three = Upstream(), Upstream(), Upstream()
+    agent = Agent(entry("s-1", one))
+    with program(one, two, three, agent=agent) as (address, _, _):
+        client = Caller(address)
+        assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1"
+
+        def reaches(upstream):
+            """The list arrives when it does: asked until it has."""
+            for n in range(1000):
+                client.ask(trace=f"r{n}")
+                try:
+                    return bool(upstream.came.get(timeout=0.02))
+                except Empty:
+                    continue
+            return False
+
+        assert reaches(one)
+        agent.tell(2, False, entry("s-2", two), entry("s-1", one, "draining"))
+        assert reaches(two)
+        one.came.queue.clear()
+        assert [client.ask()[0] for _ in range(6)] == [200] * 6
+        assert one.came.empty()
+        agent.tell(3, False, entry("s-2", three))  # the same upstream at another address
+        assert reaches(three)
+        agent.watches[-1].shutdown(2)
+        assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=3"
+        agent.tell(4, True, entry("s-1", one))  # left out of a full list is gone
+        assert reaches(one)
+        agent.tell(5, False, {"id": "s-1", "state": "removed"}, {"id": 7}, {"state": "up"})
+        for _ in range(1000):
+            if is_ready(address) == 503:
+                break
+        assert is_ready(address) == 503
+        assert client.ask()[0] == 503
+
+
+def test_reload_moves_the_watch_and_a_faulty_file_changes_nothing():
+    one, two, other = Upstream(), Upstream(), Agent()
+    with program(one, two, agent=Agent(entry("s-1", one))) as (address, process, agent), closing(other):
+        replace(process, discovery="127.0.0.1:70000")
+        assert logged(process, "reload.refused")["why"].startswith(f"{process.path}: discovery: ")
+        assert Caller(address).ask()[0] == 200
+        assert len(agent.watches) == 1
+        other.servers = [entry("s-2", two)]
+        replace(process, discovery=other.address, log="debug")
+        assert other.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=1"
+        other.tell(2, True, entry("s-2", two))
+        while logged(process, "list")["version"] < 2:
+            pass
+        assert Caller(address).ask(trace="t2")[0] == 200
+        assert two.came.get(timeout=PATIENCE)
+        replace(process, log="info")  # a file that leaves out what the one in force names is turned down
+        assert agent.asked.get(timeout=PATIENCE)
+        assert agent.asked.get(timeout=PATIENCE)
+
+
+CHANGED_SETTINGS = {
+    **CONF, "balancers": 7, "localities": ["b", "a"], "locality": 1, "fees": {"cross-zone": 0.2},
+    "profiles": [
+        CONF["profiles"][0],
+        {"name": "upload", "service-goal": 500.0, "hard-limit": 2000.0, "semantics": "at_most_once"},
+    ],
+    "caps": {**CONF["caps"], "probing": False, "max-streams": 100},
+}  # fmt: skip
+
+
+def test_settings_change_under_traffic_and_a_faulty_file_changes_nothing():
+    proceed = Event()
+    one = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
+    with program(one, Upstream()) as (address, process, agent):
+        in_flight = [Caller(address) for _ in range(6)]
+        for n, client in enumerate(in_flight):
+            client.send("submit", "POST", trace=f"h{n}")
+        assert one.came.get(timeout=PATIENCE)[0].startswith("POST /submit")
+        replace(process, settings={**CHANGED_SETTINGS, "fees": {"cross-zone": -1}})
+        assert "settings.fees.cross-zone" in logged(process, "reload.refused")["why"]
+        replace(process, settings=CHANGED_SETTINGS)
+        switched = logged(process, "switched")
+        assert switched["kept"] == 2
+        assert not switched["afresh"]
+        assert switched["held"] >= 1
+        assert logged(process, "unmet")["settings"] == ["caps.max-streams"]
+        agent.tell(2, False, entry("s-0", one, "draining"))
+        while logged(process, "list")["version"] < 2:
+            pass
+        assert Caller(address).ask("submit", trace="n1")[0] == 404  # dropped by the new file
+        answers = [Caller(address).ask("upload", "POST", trace=f"u{n}", expires="1500") for n in range(4)]
+        assert [a[0] for a in answers] == [200] * 4
+        assert not any("upload" in request[0] for request in one.came.queue)
+        proceed.set()
+        assert [client.read()[0] for client in in_flight] == [200] * 6  # each once: the connections go on
+        assert [client.ask(trace=f"g{n}")[0] for n, client in enumerate(in_flight)] == [200] * 6
+        back = {
+            **CHANGED_SETTINGS,
+            **CONF,
+            "fees": {"cross-zone": 0},
+            "caps": {**CONF["caps"], "max-streams": 1},
+        }
+        replace(process, settings={**back, "fees": {}})
+        assert "settings.fees.cross-zone" in logged(process, "reload.refused")["why"]
+        replace(process, settings=back)
+        assert logged(process, "switched")["kept"] == 2
+        assert Caller(address).ask("submit", "POST", trace="n2")[0] == 200
+
+
+def test_requests_in_flight_over_a_reload_go_to_no_draining_upstream():
+    proceed = Event()
+
+    def closes(conn, request):
+        proceed.wait(PATIENCE)
+
+    one, two = Upstream(closes), Upstream()
+    with program(one, agent=Agent(entry("s-0", one))) as (address, process, agent):
+        client = Caller(address)
+        client.send(trace="q1")
+        one.came.get(timeout=PATIENCE)
+        replace(process, settings=CHANGED_SETTINGS)
+        logged(process, "switched")
+        agent.tell(2, False, entry("s-0", one, "draining"), entry("s-1", two))
+        while logged(process, "list")["version"] < 2:
+            pass
+        proceed.set()
+        assert client.read()[0] == 200
+        assert two.came.get(timeout=PATIENCE)
+        assert one.came.empty()
+    two.close()
+
+
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        ("", ""), ('{"settings": {"balan', ""), ("[]", ""),
+        ({"settings": {**CONF, "profiles": [{**CONF["profiles"][0], "hard-limit": -5}]}}, "hard-limit"),
+        ({"settings": {**CONF, "profiles": [{**CONF["profiles"][0], "hard-limit": True}]}}, "hard-limit"),
+        ({"settings": {**CONF, "profiles": [{**CONF["profiles"][0], "hard-limit": "5"}]}}, "hard-limit"),
+        ({"settings": {**CONF, "profiles": [{"name": "query", "semantics": "idempotent"}]}}, "profiles"),
+        ({"settings": {**CONF, "caps": {**CONF["caps"], "most-hops": 0}}}, "settings.caps.most-hops"),
+        ({"settings": {**CONF, "caps": {**CONF["caps"], "most-hops": float("nan")}}}, ""),
+        ({"settings": {**CONF, "caps": {"most-hops": 4}}}, "settings.caps.conn-idle: missing"),
+        ({"settings": {key: CONF[key] for key in CONF if key != "contract"}}, "contract"),
+    ],
+)  # fmt: skip
+def test_an_invalid_file_is_refused_on_reload_and_counted(running, text, key):
+    address, process = running
+    invalid = call(process.admin, "/api/telemetry")[1]["cfg_invalid"]
+    if isinstance(text, str):
+        with open(f"{process.path}.new", "w") as file:
+            file.write(text)
+        os.replace(file.name, process.path)
+        process.send_signal(signal.SIGHUP)
+    else:
+        replace(process, discovery="127.0.0.1:9", **text)
+    assert key in logged(process, "reload.refused")["why"]
+    telemetry = call(process.admin, "/api/telemetry")[1]
+    assert (telemetry["cfg_accepted"], telemetry["cfg_invalid"]) == (0, invalid + 1)
+    assert Caller(address).ask("submit", "POST")[0] == 200
+
+
+@pytest.fixture(scope="module")
+def running():
+    with program(Upstream()) as (address, process, _):
+        yield address, process
--- /dev/null
+++ b/tests/server/test_server_states.py
@@ -0,0 +1,78 @@
+"""The states of a server from its start to its end, on a clock that is moved by hand."""
+
+import pytest
+from fake_draining_server import FakeDrainingServer
+
+from dahliabend.server import lifecycle
+from dahliabend.server.lifecycle import ACCEPT_PERIOD, ANSWER_MARGIN, CLIENT_GRACE, STOP_MARGIN, ServerState
+
+
+@pytest.fixture
+def make_server(monkeypatch):
+    """Makes servers whose clock is that of their timers."""
+
+    def make(clients, **options):
+        server = FakeDrainingServer(clients, **options)
+        monkeypatch.setattr(lifecycle, "clock", lambda: server.timers.now)
+        return server
+
+    return make
+
+
+def test_a_server_serves_once_it_has_started(make_server):
+    server = make_server(0)
+    assert server.lifecycle.state is ServerState.STARTING
+    server.lifecycle.serving()
+    assert server.lifecycle.state is ServerState.SERVING
+
+
+def test_a_server_that_was_stopped_during_its_start_goes_on_draining(make_server):
+    server = make_server(1)
+    server.lifecycle.drain()
+    server.lifecycle.serving()
+    assert server.lifecycle.state is ServerState.DRAINING
+
+
+def test_draining_accepts_late_connections_and_stops_once_all_clients_have_gone(make_server):
+    server = make_server(2)
+    server.lifecycle.serving()
+    server.lifecycle.drain()
+    begin = server.timers.now
+    server.timers.run_until(begin + ACCEPT_PERIOD - 1)
+    assert server.lifecycle.state is ServerState.DRAINING
+    assert server.events == ["stopping"]
+    server.timers.run_until(begin + ACCEPT_PERIOD)
+    assert server.lifecycle.state is ServerState.CLOSING
+    assert server.events == ["stopping", "listener closed"]
+    server.clients = 0
+    server.timers.run_until(begin + 2 * ACCEPT_PERIOD)
+    assert server.lifecycle.state is ServerState.STOPPED
+    assert server.lifecycle.stopped.done()
+
+
+def test_a_listener_that_another_process_has_too_is_closed_at_once(make_server):
+    server = make_server(1, shared_listener=True)
+    server.lifecycle.drain()
+    server.timers.run_until(server.timers.now)
+    assert server.lifecycle.state is ServerState.CLOSING
+
+
+def test_clients_that_stay_are_not_waited_for_beyond_the_deadline(make_server):
+    server = make_server(1)
+    server.lifecycle.drain()
+    deadline = server.timers.now + server.max_request_time + STOP_MARGIN - ANSWER_MARGIN
+    assert server.router.shutdown_deadline == deadline
+    server.timers.run_until(deadline + CLIENT_GRACE - 1)
+    assert server.lifecycle.state is ServerState.CLOSING
+    server.timers.run_until(deadline + CLIENT_GRACE + lifecycle.CLIENT_CHECK_INTERVAL)
+    assert server.lifecycle.state is ServerState.STOPPED
+
+
+def test_a_second_stop_changes_nothing(make_server):
+    server = make_server(1)
+    server.lifecycle.drain()
+    server.timers.run_until(server.timers.now + ACCEPT_PERIOD)
+    deadline = server.router.shutdown_deadline
+    server.lifecycle.drain()
+    assert server.events == ["stopping", "listener closed"]
+    assert server.router.shutdown_deadline == deadline
