--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -24,16 +24,16 @@
     def telemetry(self) -> dict[str, Any]:
         """Return the counts."""
 
-    def members(self) -> dict[str, Any] | None:
+    def membership_status(self) -> dict[str, Any] | None:
         """Return the other balancers; None if there is no membership."""
 
-    def subsets(self) -> dict[str, Any]:
+    def subset_status(self) -> dict[str, Any]:
         """Return, by pool, the upstreams in use, where a pool uses a subset."""
 
-    def signals(self) -> dict[str, Any] | None:
+    def gossip_status(self) -> dict[str, Any] | None:
         """Return the health reports exchanged with other balancers; None if there are none."""
 
-    def turns(self) -> dict[str, Any] | None:
+    def lease_status(self) -> dict[str, Any] | None:
         """Return the leases of shared health checks; None if they are not shared."""
 
     def exclude(self, name: str, excluded: bool) -> bool:
@@ -66,8 +66,8 @@
             b"/api/rejoin": (b"PUT", self.rejoin),
             b"/api/members": (b"GET", self.members),
             b"/api/subsets": (b"GET", self.subsets),
-            b"/api/signals": (b"GET", self.signals),
-            b"/api/turns": (b"GET", self.turns),
+            b"/api/signals": (b"GET", self.gossip),
+            b"/api/turns": (b"GET", self.leases),
         }
 
     def __call__(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
@@ -100,19 +100,19 @@
 
     def members(self, _body: bytes) -> AdminResponse:
         """Answer with the other balancers."""
-        return _found(self.target.members(), "there is no [members]")
+        return _found(self.target.membership_status(), "there is no [members]")
 
     def subsets(self, _body: bytes) -> AdminResponse:
         """Answer with the subsets in use, by pool."""
-        return json_response(200, pools=self.target.subsets())
+        return json_response(200, pools=self.target.subset_status())
 
-    def signals(self, _body: bytes) -> AdminResponse:
+    def gossip(self, _body: bytes) -> AdminResponse:
         """Answer with the health reports of all balancers."""
-        return _found(self.target.signals(), "[members] has no signals")
+        return _found(self.target.gossip_status(), "[members] has no signals")
 
-    def turns(self, _body: bytes) -> AdminResponse:
+    def leases(self, _body: bytes) -> AdminResponse:
         """Answer with the leases of shared health checks."""
-        return _found(self.target.turns(), "[members] has no probing")
+        return _found(self.target.lease_status(), "[members] has no probing")
 
     def exclude(self, body: bytes) -> AdminResponse:
         """Take an upstream out of all pools."""
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -20,7 +20,9 @@
 ANSWER_MARGIN = 300_000  # before SIGKILL is due: by then the last responses go out
 ACCEPT_PERIOD = 500_000  # after SIGTERM, while new connections still come (for 0.4 s at the most)
 CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two looks whether all clients have gone
-CLIENT_GRACE = ANSWER_MARGIN // 2  # after the last requests were given up, for their responses to be read
+CLIENT_CLOSE_TIMEOUT = (
+    ANSWER_MARGIN // 2
+)  # after the last requests were given up, for their responses to be read
 
 
 class ServerState(Enum):
@@ -105,7 +107,10 @@
 
     def _check_clients(self) -> None:
         server = self.server
-        if not server.close_idle_clients() or clock() >= server.router.shutdown_deadline + CLIENT_GRACE:
+        if (
+            not server.close_idle_clients()
+            or clock() >= server.router.shutdown_deadline + CLIENT_CLOSE_TIMEOUT
+        ):
             self.state = ServerState.STOPPED
             self.stopped.set_result(None)
         else:
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -236,20 +236,20 @@
         if self.cluster is not None and self.cluster.has_opened:
             self.log("members.figures", **self.cluster.metrics())
 
-    def members(self) -> dict[str, Any] | None:
+    def membership_status(self) -> dict[str, Any] | None:
         """Return the other balancers; None if there is no membership."""
         return self.cluster.status() if self.cluster is not None else None
 
-    def subsets(self) -> dict[str, Any]:
+    def subset_status(self) -> dict[str, Any]:
         """Return, by pool, the upstreams in use, where a pool uses a subset."""
         return self.pools.subset_status()
 
-    def signals(self) -> dict[str, Any] | None:
+    def gossip_status(self) -> dict[str, Any] | None:
         """Return the health reports exchanged with other balancers; None if there are none."""
         gossip = self.cluster.gossip if self.cluster is not None else None
         return gossip.status() if gossip is not None else None
 
-    def turns(self) -> dict[str, Any] | None:
+    def lease_status(self) -> dict[str, Any] | None:
         """Return the leases of shared health checks; None if they are not shared."""
         gossip = self.cluster.gossip if self.cluster is not None else None
         checks = gossip.health_checks if gossip is not None else None
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -169,8 +169,8 @@
         table.connect_timeout = settings.connect_timeout
         table.idle_timeout = settings.idle_reuse_time
         in_flight = len(self.router.requests)
-        kept = self.router.apply_settings(settings)
-        self.log("switched", held=in_flight, kept=kept, afresh=len(table.endpoints) - kept)
+        restored = self.router.apply_settings(settings)
+        self.log("switched", held=in_flight, kept=restored, afresh=len(table.endpoints) - restored)
         self.log_unsupported(settings.unsupported_keys)
 
 
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -181,19 +181,19 @@
         """Return the counts that operators see."""
         return self.metrics.snapshot() | self.router.telemetry()
 
-    def members(self) -> dict[str, Any] | None:
+    def membership_status(self) -> dict[str, Any] | None:
         """Return the other balancers; None if there is no membership."""
         return None
 
-    def subsets(self) -> dict[str, Any]:
+    def subset_status(self) -> dict[str, Any]:
         """Return, by pool, the upstreams in use, where a pool uses a subset."""
         return {}
 
-    def signals(self) -> dict[str, Any] | None:
+    def gossip_status(self) -> dict[str, Any] | None:
         """Return the health reports exchanged with other balancers; None if there are none."""
         return None
 
-    def turns(self) -> dict[str, Any] | None:
+    def lease_status(self) -> dict[str, Any] | None:
         """Return the leases of shared health checks; None if they are not shared."""
         return None
 
--- a/tests/server/test_server_states.py
+++ b/tests/server/test_server_states.py
@@ -4,7 +4,13 @@
 from fake_draining_server import FakeDrainingServer
 
 from dahliabend.server import lifecycle
-from dahliabend.server.lifecycle import ACCEPT_PERIOD, ANSWER_MARGIN, CLIENT_GRACE, STOP_MARGIN, ServerState
+from dahliabend.server.lifecycle import (
+    ACCEPT_PERIOD,
+    ANSWER_MARGIN,
+    CLIENT_CLOSE_TIMEOUT,
+    STOP_MARGIN,
+    ServerState,
+)
 
 
 @pytest.fixture
@@ -62,9 +68,9 @@
     server.lifecycle.drain()
     deadline = server.timers.now + server.max_request_time + STOP_MARGIN - ANSWER_MARGIN
     assert server.router.shutdown_deadline == deadline
-    server.timers.run_until(deadline + CLIENT_GRACE - 1)
+    server.timers.run_until(deadline + CLIENT_CLOSE_TIMEOUT - 1)
     assert server.lifecycle.state is ServerState.CLOSING
-    server.timers.run_until(deadline + CLIENT_GRACE + lifecycle.CLIENT_CHECK_INTERVAL)
+    server.timers.run_until(deadline + CLIENT_CLOSE_TIMEOUT + lifecycle.CLIENT_CHECK_INTERVAL)
     assert server.lifecycle.state is ServerState.STOPPED
 
 
