--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -1,6 +1,7 @@
 """The file in which a member keeps whom it knows, for the next process in its place."""
 
 import os
+from collections.abc import Mapping
 from typing import Any
 
 import msgspec
@@ -75,7 +76,7 @@
         stored.handed = stored.handed and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
-    def write(self, state: dict[str, Any], *, handed: bool) -> None:
+    def write(self, state: Mapping[str, Any], *, handed: bool) -> None:
         """Replace the file.
 
         Args:
