--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from dahliabend.config.platform import parse_address
+from dahliabend.config.address import parse_address
 from dahliabend.membership.authentication import DatagramAuthenticator
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, REASON_NOT_AUTHENTICATED, REASON_OVERSIZED
 from dahliabend.membership.events import Event
