--- a/dahliabend/cli/about.py
+++ b/dahliabend/cli/about.py
@@ -1,4 +1,4 @@
-"""`dahliabend version`, `completion` and `events`: what the program says of itself."""
+"""`dahliabend version`, `completion` and `events`: facts about the program itself."""
 
 from importlib.metadata import PackageNotFoundError
 from importlib.metadata import version as installed_version
--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/operators_api.py
@@ -1,4 +1,4 @@
-"""Asks a running balancer through its operators' listener."""
+"""Calls to a running balancer through its operators' listener."""
 
 import json
 from http.client import HTTPConnection, HTTPException
@@ -43,10 +43,10 @@
         path: Of the call.
 
     Returns:
-        What it answers.
+        Its answer.
 
     Raises:
-        click.ClickException: It answers nothing, or an error.
+        click.ClickException: There is no answer, or it is an error.
     """
     host, port = operators_address(where)
     connection = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT)
--- a/dahliabend/cli/peer_state.py
+++ b/dahliabend/cli/peer_state.py
@@ -1,4 +1,4 @@
-"""`dahliabend signals` and `turns`: gossip and leases, as one running balancer holds them."""
+"""`dahliabend signals` and `turns`: gossip and leases as one running balancer knows them."""
 
 import click
 from rich.table import Table
--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -18,7 +18,7 @@
 MAX_UPSTREAMS = 64
 MICROSECONDS_PER_MILLISECOND = 1000
 MICROSECONDS_PER_SECOND = 1e6
-STEP_MARK = "STEP"  # in a line of the time line that says that a step of the script begins
+STEP_MARK = "STEP"  # in each line of the time line at which a step of the script begins
 
 instances_option = click.option(
     "--instances", type=click.IntRange(2, MAX_INSTANCES), default=5, show_default=True
--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -37,7 +37,7 @@
         upstreams: All of them.
         least: Upstreams that each balancer uses.
         degree: Balancers that use each upstream, in the mean.
-        has_zones: Whether the same zone goes first.
+        has_zones: Whether upstreams of the same zone are preferred.
     """
 
     balancers: list[Participant]
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -21,7 +21,8 @@
 ) -> Source:
     """Read a file and all that it includes.
 
-    Included files come first, in order: what comes later replaces it, but lists are joined.
+    Files are merged in order, included ones before the file that includes them: a later value replaces an
+    earlier one, lists are joined.
 
     Args:
         path: The top file.
@@ -154,7 +155,7 @@
 
 
 def _merge(source: Source, tree: dict[str, Any], places: dict[Key, Place]) -> None:
-    """Put a file's tree over what the files before it have said."""
+    """Merge a file's tree into that of the files before it."""
     list_lengths: dict[str | int, int] = {
         name: len(source.tree.get(name, [])) for name, value in tree.items() if isinstance(value, list)
     }
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -84,7 +84,7 @@
 
 
 class PoolSettings(FileTable, kw_only=True):
-    """`[pools.NAME]`: upstreams with one set of decisions. One of the first three says who they are."""
+    """`[pools.NAME]`: upstreams with one set of decisions. One of the first three keys lists them."""
 
     discovery: str | None = None
     members: list[EndpointSettings] | None = None
@@ -119,12 +119,12 @@
 
     name: str
     class_: str = msgspec.field(name="class")
-    path: str = "/"  # a prefix, by whole segments
+    path: str = "/"  # a prefix, by complete segments
     methods: list[str] = []  # none: all
     headers: dict[str, str] = {}  # all have to be there, with that value
     pool: str | None = None
     pools: dict[str, float] | None = None  # by weight
-    split_by: str | None = None  # a header: the same value goes to the same pool
+    split_by: str | None = None  # a header; requests with the same value use the same pool
     fallback: str | None = None  # in place of its pool's
     shared: bool = False  # its rate and concurrency are those of all balancers, divided by their demand
     mirror: str | None = None  # a pool that gets copies whose answers are dropped
@@ -132,7 +132,7 @@
 
 
 class MembershipSettings(FileTable, kw_only=True):
-    """`[members]`: the balancers among themselves. Seeds come from all keys together that name some."""
+    """`[members]`: the balancers among themselves. Seeds are collected from all keys that name some."""
 
     address: str  # where their datagrams come in, UDP
     advertise: str | None = None  # where the others send to; the address, if left out
@@ -145,15 +145,15 @@
     seeds: list[str] = []
     seeds_file: str | None = None  # in discovery's form, watched
     seeds_discovery: str | None = None
-    key_files: list[str] = []  # the first authenticates what is sent, each what comes
-    keep: str | None = None  # a file: who was known, and what a successor goes on from
+    key_files: list[str] = []  # the first signs datagrams, each of them verifies
+    keep: str | None = None  # a file: known members, and the state that a successor takes over
     period: Duration = Duration(SECOND)
     forget: Duration = Duration(3600 * SECOND)
     cut: Fraction = Fraction(1 / 3)
 
 
 class OperatorFile(FileTable, kw_only=True):
-    """The whole file, after its includes."""
+    """The complete file, with its includes."""
 
     include: list[str] = []
     listeners: dict[str, ListenerSettings] = {}
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -101,7 +101,7 @@
 
 
 class Fraction(float):
-    """A part of the whole: "10%", or a number from 0 to 1.
+    """A fraction of 1, written as "10%" or as a number from 0 to 1.
 
     >>> Fraction.parse("10%"), Fraction.parse(0.25), str(Fraction(0.1))
     (0.1, 0.25, '10%')
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a balancer on sockets: a JSON file, and variables that go before it.
+"""The platform's configuration of a balancer on sockets: a JSON file, overridden by the environment.
 
 Every error names the file and the key at fault in one line.
 """
@@ -29,7 +29,7 @@
 def read_server_settings(
     environment: Mapping[str, str], required_keys: frozenset[str] = frozenset()
 ) -> ServerSettings:
-    """Read the file that PROXY_CONFIG names; variables of the environment go before what it says.
+    """Read the file that PROXY_CONFIG names; environment variables override its values.
 
     Args:
         environment: The variables of this process.
@@ -56,8 +56,9 @@
 def reread_server_settings(environment: Mapping[str, str], required_keys: frozenset[str]) -> ServerSettings:
     """Read the file once more, while running.
 
-    What it says of discovery goes before the variable, which still names the service of the start. A key that
-    the file in force has may not be missing: if it was cut by mistake, its default would take over unseen.
+    Its discovery address overrides the environment variable, which still names the one of the start. A key
+    that the file in force has may not be missing: if it was removed by mistake, its default would be applied
+    unnoticed.
 
     Args:
         environment: The variables of this process.
@@ -123,7 +124,7 @@
 
 
 def _overridden(text: str, environment: Mapping[str, str], variable: str) -> str:
-    """What a variable says, or else the file."""
+    """The value of an environment variable, or else of the file."""
     return environment.get(variable) or text
 
 
--- a/dahliabend/config/platform_schema.py
+++ b/dahliabend/config/platform_schema.py
@@ -81,7 +81,7 @@
 
 
 class PolicySection(Struct):
-    """Settings of the decisions: `settings` in the file of a process, the whole JSON from the simulator."""
+    """Settings of the policy: `settings` in the file of a process, the complete JSON of the simulator."""
 
     instance_count: int = field(name="balancers")
     profiles: list[ProfileSection]
--- a/dahliabend/config/policy_settings.py
+++ b/dahliabend/config/policy_settings.py
@@ -26,7 +26,7 @@
 
 
 def to_microseconds(milliseconds: float) -> int:
-    """Convert a time of the wire or of a file to whole microseconds."""
+    """Convert a time of the wire or of a file to microseconds, rounded."""
     return round(milliseconds * 1000)
 
 
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -23,7 +23,7 @@
         descriptor_limit: How many descriptors may be open at once.
         known_endpoints: The endpoint list as this balancer last had it, in discovery's form.
         verbose: Whether debug lines are logged.
-        settings: Of the decisions.
+        settings: Of the policy.
         class_indices: Index of each request class, by its name on the wire.
         tenant_indices: Index of each tenant, by its name on the wire.
         zone_indices: Index of each zone, by its name.
@@ -66,7 +66,7 @@
 
     @property
     def policy_inputs(self) -> tuple[object, ...]:
-        """All that the decisions and their port go by: if it differs after a reload, they are made anew."""
+        """All that the policy and its port depend on: if it differs after a reload, they are created anew."""
         return (
             self.settings,
             self.class_indices,
--- a/dahliabend/routing_rules/checks/__init__.py
+++ b/dahliabend/routing_rules/checks/__init__.py
@@ -1,4 +1,4 @@
-"""What a file may not say, although each key is well formed: the rules, and what could never act.
+"""Rules for a file whose keys are all well formed, and settings that could never take effect.
 
 Every check adds its faults to the source, with the place of the key that has to change.
 """
--- a/dahliabend/routing_rules/checks/common.py
+++ b/dahliabend/routing_rules/checks/common.py
@@ -36,7 +36,7 @@
 
 
 def check_treatment_values(table: TreatmentSettings, key: Key, source: Source) -> None:
-    """Values that may not be so in any table that says how requests are treated."""
+    """Bounds that hold in every table with a treatment of requests."""
     check_positive(table, POSITIVE_TREATMENT_FIELDS, key, source)
     if table.attempts is not None and not 1 <= table.attempts <= MAX_ATTEMPTS:
         source.fault((*key, "attempts"), f"{table.attempts} is not between 1 and {MAX_ATTEMPTS}")
@@ -48,10 +48,10 @@
     """Whether a name is one of those that the file has; if not, that is a fault.
 
     Args:
-        name: As the key says it.
-        known: All that there are.
-        what: They are called.
-        key: That says the name.
+        name: The value of the key.
+        known: All names that exist.
+        what: What is named, for the fault.
+        key: Of the name, for the fault.
         source: For the fault.
     """
     names = list(known)
--- a/dahliabend/routing_rules/checks/membership.py
+++ b/dahliabend/routing_rules/checks/membership.py
@@ -18,7 +18,7 @@
 
 
 def check_membership(members: MembershipSettings, source: Source) -> None:
-    """The whole table."""
+    """Check the complete table."""
     _check_addresses(members, source)
     _check_names(members, source)
     _check_numbers(members, source)
--- a/dahliabend/routing_rules/checks/treatments.py
+++ b/dahliabend/routing_rules/checks/treatments.py
@@ -1,6 +1,6 @@
 """Checks of how a route's requests are treated, against the rules of its class.
 
-Each fault stands at the key that says the value, wherever that is.
+Each fault names the key that sets the value, in whichever table that is.
 """
 
 from dahliabend.config.operator_file.schema import ClassSettings, OperatorFile, RouteSettings
@@ -36,7 +36,7 @@
         self._treatment = EffectiveTreatment(file, self._route, number)
 
     def _fault(self, field: str, reason: str) -> None:
-        """A fault at the key that says a field."""
+        """Add a fault at the key that sets a field."""
         key = self._treatment.keys[field]
         inherited = f" (for the route {self._route.name!r})" if key[0] != "routes" else ""
         self._source.fault(key, reason + inherited)
@@ -67,7 +67,7 @@
             self._fault("hop_time", reason)
         elif treatment.hop_time > treatment.total_time:
             self._fault("hop_time", f"{treatment.hop_time} is over the total time, {treatment.total_time}")
-        elif self._is_said("attempts"):
+        elif self._is_set("attempts"):
             needed = Duration(treatment.attempts * treatment.hop_time)
             if needed > treatment.total_time:
                 reason = (
@@ -97,7 +97,7 @@
             return
         if self._class.effect == "non-idempotent":
             self._fault("replays", f"{self._route.class_!r} is non-idempotent: it may have an effect twice")
-        elif treatment.replays >= treatment.attempts and self._is_said("replays"):
+        elif treatment.replays >= treatment.attempts and self._is_set("replays"):
             reason = (
                 f"{treatment.replays} replays need {treatment.replays + 1} attempts, "
                 f"there are {treatment.attempts}"
@@ -140,10 +140,10 @@
                 return
 
     def _pool_share(self, name: str) -> float:
-        """The part of the route's requests that goes to one of its pools."""
+        """The share of the route's requests of one of its pools."""
         weights = self._route.pools or {name: 1.0}
         return weights.get(name, 0.0) / (sum(weights.values()) or 1)
 
-    def _is_said(self, field: str) -> bool:
-        """Whether a key of the file says the field, and no default does."""
+    def _is_set(self, field: str) -> bool:
+        """Whether a key of the file sets the field; else it is a default."""
         return self._treatment.keys[field][-1] == field
--- a/dahliabend/routing_rules/comparison.py
+++ b/dahliabend/routing_rules/comparison.py
@@ -11,7 +11,7 @@
 class Change(TypedDict):
     """One setting that differs, as it is shown."""
 
-    key: str  # of the setting; a route goes by its name
+    key: str  # of the setting; a route is identified by its name
     how: str  # "added", "removed" or "changed"
     old: object  # None where it was added
     new: object  # None where it was removed
--- a/dahliabend/routing_rules/compiled_route.py
+++ b/dahliabend/routing_rules/compiled_route.py
@@ -1,4 +1,4 @@
-"""A route as it is decided by: its pools by weight and fallback, its limit, its times. Free of I/O."""
+"""A route prepared for decisions: its pools by weight and fallback, its limit, its times. Free of I/O."""
 
 from collections.abc import Callable, Mapping
 
@@ -76,10 +76,10 @@
         return chain
 
     def candidate_pools(self, key: bytes, ready_share: Callable[[str], float]) -> list[str]:
-        """The pools that a request is offered to, in order; where one rejects it unseen, the next has it.
+        """The pools that a request is offered to, in order: if one rejects it, the next is tried.
 
-        A pool of which too little is ready is left out. If all are, the first has the request: its fault is
-        its own, and not the last one's.
+        A pool of which too little is ready is left out. If that holds for all, the first one is used: then
+        its own failure is reported, and not that of the last one.
 
         Args:
             key: The header's value by which requests are split; empty: in turn.
@@ -91,9 +91,9 @@
         return [name for name in chain if ready_share(name) > thresholds[name]] or chain[:1]
 
     def inherit_state(self, before: "CompiledRoute") -> None:
-        """Go on after a reload with the state of the route so far.
+        """Take over the state of the route so far, after a reload.
 
-        Requests in flight still count, and turns go on, so that a canary's part holds.
+        Requests in flight still count, and the round robin continues, so that a canary keeps its share.
         """
         before.limit.update(self.limit)
         self.limit = before.limit
@@ -104,8 +104,8 @@
     """Compile all routes of a file without faults, in its order.
 
     Args:
-        file: The whole file.
-        before: The routes so far, by name; those of the same name go on with their state.
+        file: The complete file.
+        before: The routes so far, by name; those of the same name keep their state.
     """
     routes = [CompiledRoute(file, route, number) for number, route in enumerate(file.routes)]
     for route in routes:
--- a/dahliabend/routing_rules/explanation.py
+++ b/dahliabend/routing_rules/explanation.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, why, what will be tried and for how long: for people."""
+"""Which route a request takes, why, which attempts are made and for how long, in words."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainedValue:
-    """A value of the treatment in force, and the key that says it."""
+    """A value of the treatment in force, and the key that sets it."""
 
     value: object
     key: str
@@ -32,11 +32,11 @@
 
     Attributes:
         route: Its name.
-        place: Where the file says it.
+        place: Where the file defines it.
         reason: Why this one.
         request_class: The name of its class.
         effect: Of requests of this class.
-        pools: The part of the requests that goes to each, as a percentage.
+        pools: The share of the requests of each, as a percentage.
         split: How requests are divided among the pools.
         fallback: The route's, or the fallback of each of its pools that has one.
         mirror: Which part is copied to which pool; None: nothing is.
--- a/dahliabend/routing_rules/limits.py
+++ b/dahliabend/routing_rules/limits.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-MIN_PARTIAL_BURST = 3.0  # that a fraction of a limit admits at once, where the whole limit does
+MIN_PARTIAL_BURST = 3.0  # that a fraction of a limit admits at once, if the complete limit does
 BURSTS_PER_SECOND = 10  # a default burst is a tenth of a second at the rate
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -18,7 +18,7 @@
 class Limit:
     """A token bucket that fills at the rate up to the burst, and a count of requests in flight.
 
-    Times are whole microseconds.
+    Times are integer microseconds.
 
     >>> limit = Limit(concurrency=2, rate=10.0, burst=1)
     >>> limit.try_acquire(0), limit.try_acquire(0), limit.time_until_token(0)
@@ -27,7 +27,7 @@
     (True, False, None, True)
 
     Attributes:
-        configured: The whole limit.
+        configured: The complete limit.
         fraction: Of it, that is in force here.
         concurrency: Requests in flight that this fraction allows; None: any number.
         rate: Tokens a microsecond of this fraction; 0: any number.
@@ -73,17 +73,18 @@
         self.set_fraction(1.0)
 
     def set_fraction(self, fraction: float) -> None:
-        """Put only a fraction of the whole limit in force; requests in flight stay so."""
+        """Apply only a fraction of the complete limit; requests in flight are not affected."""
         concurrency, rate, burst = self.configured
         self.fraction = fraction
         self.rate = rate * fraction / MICROSECONDS_PER_SECOND
-        # A bucket of one empties between two requests that come by chance: a third of a part would be lost.
+        # A bucket of one token is often empty when requests arrive at random: a third of the rate would
+        # be lost.
         self.burst = max(min(burst, MIN_PARTIAL_BURST), burst * fraction)
         self.concurrency = concurrency and max(1, int(concurrency * fraction))
         self.tokens = min(self.tokens, self.burst)
 
     def take_demand(self, span: int) -> float:
-        """What was requested since this was last called, as a fraction of the whole limit; 1 at the most.
+        """What was requested since this was last called, as a fraction of the complete limit; 1 at the most.
 
         Args:
             span: Microseconds since then.
@@ -121,7 +122,7 @@
         return max(0, round((1 - self.tokens) / self.rate)) if self.tokens < 1 else 0
 
     def update(self, other: "Limit") -> None:
-        """Put the terms of another limit in force; requests in flight stay so."""
+        """Apply the terms of another limit; requests in flight are not affected."""
         self.configured = other.configured
         self.set_fraction(self.fraction)
 
--- a/dahliabend/routing_rules/loaded_file.py
+++ b/dahliabend/routing_rules/loaded_file.py
@@ -1,4 +1,4 @@
-"""A file read whole: its settings, unless it has faults of form, and all of its faults."""
+"""An operator's file, loaded: its settings, unless it has faults of form, and all of its faults."""
 
 import os
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -23,7 +23,7 @@
     """What came of a file.
 
     Attributes:
-        source: What it says, and where.
+        source: The merged tree, with the place of each key.
         file: Its settings; None if it has faults of form.
         faults: All of its faults, by place.
     """
--- a/dahliabend/routing_rules/route_table.py
+++ b/dahliabend/routing_rules/route_table.py
@@ -58,7 +58,7 @@
     """Routes by number.
 
     Longer paths go before shorter ones, then more headers, then a method, then the order of the file. Paths
-    match by whole segments.
+    match by complete segments.
     """
 
     def __init__(self, routes: Sequence[RouteSettings]) -> None:
--- a/dahliabend/routing_rules/treatment.py
+++ b/dahliabend/routing_rules/treatment.py
@@ -1,4 +1,4 @@
-"""How the requests of a route are treated: the values in force, and the key that says each."""
+"""How the requests of a route are treated: the values in force, and the key that sets each."""
 
 from collections.abc import Iterator
 
@@ -56,7 +56,7 @@
         concurrency: Requests in flight at once.
         rate: Requests a second.
         burst: Requests that may come at once above the rate.
-        keys: The key that says each value, by the field's name; for a default, the route's.
+        keys: The key that sets each value, by the field's name; for a default, the route's.
     """
 
     hop_time: Duration | None
@@ -73,7 +73,7 @@
         """Find the values in force.
 
         Args:
-            file: The whole file.
+            file: The complete file.
             route: One of its routes, whose class is in the file.
             number: The route's, from 0.
         """
@@ -105,5 +105,5 @@
         self.keys[name] = levels[0][1]
 
     def value(self, name: str) -> object:
-        """The value in force of a field, by its name; None where nothing is said."""
+        """The value in force of a field, by its name; None if it is not set."""
         return getattr(self, name)
--- a/dahliabend/routing_rules/weighted_split.py
+++ b/dahliabend/routing_rules/weighted_split.py
@@ -1,4 +1,4 @@
-"""Which pool of several by weight: by a stable hash where the file names a header, else in turn."""
+"""Which pool of several by weight: by a stable hash where the file names a header, else by round robin."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 class WeightedSplit:
     """Pools by weight.
 
-    The same key always goes to the same pool; as weights move, only that part of the keys changes its pool.
+    The same key always selects the same pool; when weights change, only that share of the keys moves.
 
     >>> split = WeightedSplit(["main", "canary"], [90, 10])
     >>> split.pool_for_key(b"customer-7") == split.pool_for_key(b"customer-7")
@@ -40,7 +40,7 @@
         self._salt = salt[:_MAX_SALT_BYTES]
         self._shares = [weight / total for weight in weights]
         self._cumulative_shares = [end / total for end in accumulate(weights)]
-        self._credits = [0.0] * len(self.names)  # what each pool is owed, in turns
+        self._credits = [0.0] * len(self.names)  # requests that each pool is owed
 
     def pool_for_key(self, key: bytes) -> str:
         """The pool of a key, by its hash."""
@@ -52,7 +52,7 @@
     def next_pool(self) -> str:
         """The next pool in turn, by smooth weighted round robin.
 
-        Any run of turns holds each pool's share, to one.
+        Over any run of calls each pool has its share, to one.
         """
         for index, share in enumerate(self._shares):
             self._credits[index] += share
@@ -61,7 +61,7 @@
         return self.names[best]
 
     def inherit_credits(self, before: "WeightedSplit") -> None:
-        """Go on with the turns of another split, if it is of the same pools."""
+        """Continue the round robin of another split, if it has the same pools."""
         credit_by_name = dict(zip(before.names, before._credits, strict=True))
         if credit_by_name.keys() == set(self.names):
             self._credits = [credit_by_name[name] for name in self.names]
--- a/dahliabend/simulator_adapter/actions.py
+++ b/dahliabend/simulator_adapter/actions.py
@@ -19,7 +19,7 @@
 
 # Instance, request, address, timeout: send an attempt of a request to an endpoint.
 send_attempt: Callable[[int, int, bytes, float], bytes] = _encoder(ActionCode.SEND_ATTEMPT, "IQ6sd")
-# Instance, request, attempt: stop waiting for an attempt and tell its endpoint.
+# Instance, request, attempt: cancel an attempt; its endpoint is notified.
 cancel: Callable[[int, int, int], bytes] = _encoder(ActionCode.CANCEL, "IQH")
 # Instance, request, when to retry: answer that a request did not run; 0 names no time.
 reject: Callable[[int, int, float], bytes] = _encoder(ActionCode.REJECT, "IQd")
--- a/dahliabend/simulator_adapter/codec.py
+++ b/dahliabend/simulator_adapter/codec.py
@@ -39,7 +39,7 @@
         The batch, its records not yet decoded; None if the input has ended.
 
     Raises:
-        SimulatorProtocolError: The batch is cut short, or its header says what no batch can have.
+        SimulatorProtocolError: The batch is cut short, or its header is not that of a batch.
     """
     header = stream.read(BATCH_HEADER.size)
     if not header:
