--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -1,149 +1,143 @@
-"""Takes callers' requests by an operator's routes, into pools that have decisions of their own."""
+"""Takes requests by an operator's routes to the pools, each with a router and a policy of its own."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.http.streaming import StreamingBody
-from dahliabend.proxy.router import Router
+from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
+from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
+from dahliabend.proxy.pool import Pool
+from dahliabend.proxy.request import Client, IncomingRequest, Request
+from dahliabend.proxy.router import NO_REQUEST, Router
 from dahliabend.routing_rules.checks import HTTP_METHODS
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.route_table import RouteTable
 from dahliabend.transport.timers import clock
 
-MAX_POOLS = 1024  # at once; a transaction's number tells its pool by the rest
-ADVICE = 1_000_000  # microseconds at the most that a limit's turning away tells a caller to wait
-NO_ROOM = b"too many of this route\n"
-
-
-class DiscardingClient:
-    """The caller of a mirrored transaction: its answer is for nobody."""
-
-    __slots__ = ("closed", "profile")
-
-    def __init__(self, profile: bytes) -> None:
-        self.profile, self.closed = profile, False
-
-    def send_response(self, status: int, headers: bytes, body: bytes) -> None: ...
-    def send_error(self, status: int) -> None: ...
-    def start_response(self, headers: bytes, length: int | None, source) -> None: ...
-    def send_part(self, part: bytes) -> None: ...
-    def finish_response(self) -> None: ...
-    def abort_response(self) -> None: ...
-
-
-def renamed(passed: bytes, trace: bytes) -> bytes:
-    """Header lines of a copy, with an id of its own: else an upstream in both pools would know it already.
-
-    >>> renamed(b"Host: a\\r\\nx-trace-id: 7\\r\\n", b"7-m")
-    b'Host: a\\r\\nX-Trace-Id: 7-m\\r\\nX-Mirror: 1\\r\\n'
-    """
-    kept = [line for line in passed.split(b"\r\n") if line and not line.lower().startswith(TRACE + b":")]
-    return b"".join(line + b"\r\n" for line in (*kept, b"X-Trace-Id: " + trace, b"X-Mirror: 1"))
-
-
-@dataclass(slots=True)
-class Pool:
-    """One pool as it runs. `stop` ends what keeps its list."""
-
-    name: str
-    number: int
-    router: Router
-    stop: Callable[[], None] = lambda: None
-    file: str = ""
-    retired: bool = False  # not in the file any more: it ends what it has
-    subset_settings: object = None  # of its subset, where it has one
-    subset_filter: object = None  # and what stands between its list and its router then
-
-    @property
-    def ready_fraction(self) -> float:
-        """Of its upstreams, how many can be sent to."""
-        balancer = self.router.balancer
-        return sum(not u.ejected for u in balancer.ready) / max(1, len(balancer.upstreams))
+MAX_POOLS = 1024  # at once; the handle of a request modulo this is its pool's number modulo this
+MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds
+LIMIT_EXCEEDED_BODY = b"too many of this route\n"
+POOL_TELEMETRY = ("registry_entries", "out_of_rotation")
 
 
 @dataclass(slots=True)
 class ActiveRoutes:
-    """The routes in force. A transaction keeps those that it was taken by."""
+    """The routes in force. A request keeps those that it was dispatched by.
+
+    Attributes:
+        file: The file that they stand in.
+        table: Finds the route of a request.
+        choices: The routes, by number, as requests are decided by them.
+        matched_headers: Names of the headers that any route looks at.
+        class_indices: By pool, the class index there of each route that leads to it.
+    """
 
     file: OperatorFile
     table: RouteTable
     choices: list[CompiledRoute]
-    seen: tuple[str, ...] = ()  # headers that any route asks for
-    profiles: dict[str, dict[int, int]] = field(default_factory=dict)  # by pool: of each route its profile
+    matched_headers: tuple[str, ...] = ()
+    class_indices: dict[str, dict[int, int]] = field(default_factory=dict)
 
 
-class Dispatcher:
-    """What callers are served by. Numbers of transactions tell the pool too."""
+class Dispatcher(BaseDispatcher):
+    """Hands each request to the pools that its route names. Handles of requests name their pool too.
+
+    Attributes:
+        methods: Request methods that are served.
+        pools: The pools by number, retired ones among them.
+        pools_by_name: Those in force, by name.
+        routes: The routes in force, from the first `apply_routes` on.
+        excluded: Ids of endpoints that an operator has excluded.
+        limited: How many requests a route's limit has rejected.
+    """
 
     methods = frozenset(method.encode() for method in HTTP_METHODS)
+    routes: ActiveRoutes
 
-    def __init__(self, metrics, log: Callable, seed: int) -> None:
-        self.metrics, self.log = metrics, log
-        self.count_response = metrics.count_response
-        self.chance = Random(seed)
+    def __init__(self, metrics: RequestMetrics, log: Callable[..., None], seed: int) -> None:
+        super().__init__(metrics)
+        self.log = log
+        self.random = Random(seed)
         self.pools: dict[int, Pool] = {}
         self.pools_by_name: dict[str, Pool] = {}
-        self.next = 0
-        self.routes: ActiveRoutes | None = None
+        self.next_pool_number = 0
         self.excluded: set[str] = set()
-        self.evacuated, self.shutdown_deadline = False, 0
-        self.turned_away = 0
-        self.fields: dict[bytes, bytes] = {}
+        self.limited = 0
+        self.request_headers: dict[bytes, bytes] = {}  # of the request that is dispatched next
 
-    # Pools.
+    # Pools and routes.
 
     def add_pool(self, name: str, router: Router) -> Pool:
-        made = self.pools[self.next] = self.pools_by_name[name] = Pool(name, self.next, router)
-        self.next += 1
-        for upstream in self.excluded:
-            router.table.remember_id(upstream)
-            router.exclude(upstream, True)
-        return made
+        """Add a pool; endpoints that an operator has excluded are excluded there too."""
+        pool = Pool(name, self.next_pool_number, router)
+        self.next_pool_number += 1
+        self.pools[pool.number] = pool
+        self.pools_by_name[name] = pool
+        for endpoint_name in self.excluded:
+            router.table.remember_id(endpoint_name)
+            router.exclude(endpoint_name, True)
+        return pool
 
     def retire_pool(self, name: str) -> None:
-        """It takes nothing new; gone once its last transaction has ended."""
+        """Send nothing more to a pool. It is removed once its last request has ended."""
         pool = self.pools_by_name.pop(name)
         pool.retired = True
 
     def remove_finished_pools(self) -> list[Pool]:
-        """Pools that have retired and hold nothing: forgotten here, for whoever owns their parts to end."""
-        done = [pool for pool in self.pools.values() if pool.retired and not len(pool.router.requests)]
-        for pool in done:
+        """Remove the retired pools without requests; the caller stops what belongs to them."""
+        finished = [pool for pool in self.pools.values() if pool.retired and not len(pool.router.requests)]
+        for pool in finished:
             del self.pools[pool.number]
-        return done
-
-    def apply_routes(self, file: OperatorFile, profiles: dict[str, dict[int, int]]) -> None:
-        """These routes from now on. Turns and buckets go on where a route of that name was there before."""
-        before = {c.name: c for c in self.routes.choices} if self.routes is not None else {}
-        made = compile_routes(file, before)
-        seen = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
-        self.routes = ActiveRoutes(file, RouteTable(file.routes), made, tuple(sorted(seen - {""})), profiles)
+        return finished
+
+    def apply_routes(self, file: OperatorFile, class_indices: dict[str, dict[int, int]]) -> None:
+        """Put the routes of a file in force.
+
+        A route goes on with its limits and its split if there was one of its name before.
+
+        Args:
+            file: The file.
+            class_indices: By pool, the class index there of each route that leads to it.
+        """
+        routes_before = getattr(self, "routes", None)
+        before = {route.name: route for route in routes_before.choices} if routes_before is not None else {}
+        compiled = compile_routes(file, before)
+        headers = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
+        matched_headers = tuple(sorted(headers - {""}))
+        self.routes = ActiveRoutes(file, RouteTable(file.routes), compiled, matched_headers, class_indices)
         self.metrics.set_active_classes([name.encode() for name in file.classes])
 
-    # What callers bring.
+    # Requests from clients.
 
-    def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
+    def classify(self, method: bytes, path: bytes, headers: dict[bytes, bytes]) -> tuple[bytes, int] | None:
+        """Return the name of a request's class and the number of its route, None if no route matches."""
         routes = self.routes
-        headers = {name: fields.get(name.encode(), b"").decode("latin-1") for name in routes.seen}
-        number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), headers)
+        matched = {name: headers.get(name.encode(), b"").decode("latin-1") for name in routes.matched_headers}
+        number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), matched)
         return None if number is None else (routes.choices[number].class_name, number)
 
-    def identify(self, number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
-        """The transaction's id and how long its caller waits; made here where it names neither."""
-        self.fields = fields  # of the request that is taken next: its caller may be reading another by now
-        trace = fields.get(TRACE) or b"%032x" % self.chance.getrandbits(128)
-        return trace, fields.get(EXPIRES) or b"%d" % (self.routes.choices[number].total_timeout // 1000)
+    def identify(self, route_number: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+        """Return a request's id and the milliseconds that its client waits.
+
+        An id is made up, and the route's timeout taken, where the client says nothing.
+        """
+        # Kept until `dispatch`: by then the client's connection may be reading the next request.
+        self.request_headers = headers
+        trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
+        timeout_ms = self.routes.choices[route_number].total_timeout // 1000
+        return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
 
-    def dispatch(
+    def dispatch(  # noqa: PLR0913 - the signature that client connections call
         self,
-        client,
-        number: int,
+        client: Client,
+        route_number: int,
         method: bytes,
         target: bytes,
-        passed: bytes,
+        headers: bytes,
         body: bytes,
         *,
         client_timeout: int,
@@ -154,93 +148,117 @@
         upload: StreamingBody | None = None,
         key: bytes = b"",
     ) -> int:
-        routes, now = self.routes, clock()
-        choice = routes.choices[number]
-        if not choice.limit.try_acquire(now):
-            self.turned_away += 1
-            wait = min(ADVICE, choice.limit.time_until_token(now))
-            advice = b"Retry-After: %.3f\r\n" % (wait / 1e6) if wait else b""
-            client.send_response(503, advice, NO_ROOM)
-            return -1
-        client.on_request_finished = choice.limit.release
-        split = self.fields.get(choice.split_by, b"") if choice.split_by else b""
-        names = choice.candidate_pools(split, self.ready_fraction)
-        if not self.fields.get(TRACE):
-            passed += b"X-Trace-Id: %b\r\n" % trace_id
-        common = {
-            "client_timeout": client_timeout,
-            "received_at": received_at,
-            "tenant": tenant,
-            "is_retry": is_retry,
-            "key": key,
-        }
-        if choice.mirror and upload is None and self.chance.random() < choice.mirror_share:
-            self.pools_by_name[choice.mirror].router.dispatch(
-                DiscardingClient(client.profile), routes.profiles[choice.mirror][number], method, target,
-                renamed(passed, trace_id + b"-m"), body, trace_id=trace_id + b"-m", **common,
-            )  # fmt: skip
-        for name in names:
-            pool, turned_away = self.pools_by_name[name], []
-            request = pool.router.dispatch(
-                client, routes.profiles[name][number], method, target, passed, body, trace_id=trace_id,
-                upload=upload, on_rejected=turned_away.append if name != names[-1] else None, **common,
-            )  # fmt: skip
-            if not turned_away:
+        """Hand a request to its route's pools; for the arguments see `IncomingRequest`.
+
+        Returns:
+            The request's handle, or -1 if it has its response already.
+        """
+        now = clock()
+        route = self.routes.choices[route_number]
+        if not route.limit.try_acquire(now):
+            self._reject_by_limit(client, route, now)
+            return NO_REQUEST
+        client.on_request_finished = route.limit.release
+        split_key = self.request_headers.get(route.split_by, b"") if route.split_by else b""
+        candidates = route.candidate_pools(split_key, self.ready_fraction)
+        if not self.request_headers.get(TRACE):
+            headers += b"X-Trace-Id: %b\r\n" % trace_id
+        incoming = IncomingRequest(
+            client, method, target, headers, body, client_timeout, received_at, tenant, is_retry, trace_id,
+            upload, key,
+        )  # fmt: skip
+        if route.mirror and upload is None and self.random.random() < route.mirror_share:
+            self._mirror(incoming, route.mirror, route_number)
+        return self._admit(incoming, candidates, route_number)
+
+    def _reject_by_limit(self, client: Client, route: CompiledRoute, now: int) -> None:
+        self.limited += 1
+        retry_after = min(MAX_LIMIT_RETRY_AFTER, route.limit.time_until_token(now))
+        advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
+        client.send_response(503, advice, LIMIT_EXCEEDED_BODY)
+
+    def _mirror(self, incoming: IncomingRequest, pool_name: str, route_number: int) -> None:
+        """Send a copy of a request to a pool whose responses are dropped."""
+        trace_id = incoming.trace_id + TRACE_ID_SUFFIX
+        copy = incoming._replace(
+            client=DiscardingClient(incoming.client.profile),
+            headers=mirror_headers(incoming.headers, trace_id),
+            trace_id=trace_id,
+        )
+        class_index = self.routes.class_indices[pool_name][route_number]
+        self.pools_by_name[pool_name].router.admit(copy, class_index)
+
+    def _admit(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
+        """Offer a request to pools in order, until one of them doesn't reject it at once.
+
+        The rejection of the last one is the response.
+        """
+        class_indices = self.routes.class_indices
+        for name in candidates:
+            pool = self.pools_by_name[name]
+            rejected: list[int] = []
+            on_rejected = rejected.append if name != candidates[-1] else None
+            number = pool.router.admit(incoming, class_indices[name][route_number], on_rejected)
+            if not rejected:
                 break
-        return -1 if request < 0 else request * MAX_POOLS + pool.number % MAX_POOLS
+        return NO_REQUEST if number < 0 else number * MAX_POOLS + pool.number % MAX_POOLS
 
     def ready_fraction(self, name: str) -> float:
+        """Return the fraction of a pool's endpoints that requests can be sent to."""
         return self.pools_by_name[name].ready_fraction
 
     def client_disconnected(self, number: int) -> None:
-        request, slot = divmod(number, MAX_POOLS)
+        """Handle that the client of a request has gone."""
+        pool_request, slot = divmod(number, MAX_POOLS)
         for pool in self.pools.values():
             if pool.number % MAX_POOLS == slot:
-                pool.router.client_disconnected(request)
+                pool.router.client_disconnected(pool_request)
 
-    # What the program asks.
+    # What the server asks.
 
     def ready(self) -> bool:
-        """Every pool that a route goes to first has somebody to send to, itself or its fallback."""
+        """Tell whether every route has a pool, or a fallback, with an endpoint that is ready."""
         return not self.closing() and all(
-            any(self.ready_fraction(name) > 0 for name in choice.reachable_pools)
-            for choice in self.routes.choices
+            any(self.ready_fraction(name) > 0 for name in route.reachable_pools)
+            for route in self.routes.choices
         )
 
-    def closing(self) -> bool:
-        return self.shutdown_deadline > 0 or self.evacuated
-
-    def request_opened(self) -> None:
-        self.metrics.open_requests += 1
-
-    def request_closed(self) -> None:
-        self.metrics.open_requests -= 1
-
-    def exclude(self, name: str, out: bool) -> bool:
-        """In every pool that has it: its exclusion is the upstream's, not a pool's."""
-        known = [pool.router.exclude(name, out) for pool in self.pools.values()]
-        if any(known):
-            (self.excluded.add if out else self.excluded.discard)(name)
-        return any(known)
-
-    def shut_down_by(self, when: int) -> None:
-        self.shutdown_deadline = when
+    def exclude(self, name: str, excluded: bool) -> bool:
+        """Exclude an endpoint in every pool that has it, or include it again.
+
+        Returns:
+            False if no pool has ever had an endpoint with that id.
+        """
+        known = [pool.router.exclude(name, excluded) for pool in self.pools.values()]
+        if not any(known):
+            return False
+        if excluded:
+            self.excluded.add(name)
+        else:
+            self.excluded.discard(name)
+        return True
+
+    def shut_down_by(self, deadline: int) -> None:
+        """Give every request of every pool until `deadline` (us) at the most."""
+        super().shut_down_by(deadline)
         for pool in self.pools.values():
-            pool.router.shut_down_by(when)
+            pool.router.shut_down_by(deadline)
 
     @property
-    def requests(self) -> list:
+    def requests(self) -> list[Request]:
+        """The open requests of all pools."""
         return [request for pool in self.pools.values() for request in pool.router.requests]
 
     @property
     def counts(self) -> dict[str, dict[str, int]]:
+        """By pool, ended requests by the operators' names of their ends."""
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
-    def telemetry(self) -> dict:
+    def telemetry(self) -> dict[str, Any]:
+        """Return counts of endpoints, in total and by pool, and of requests that limits have rejected."""
         by_pool = {pool.name: pool.router.telemetry() for pool in self.pools.values()}
-        whole = {name: sum(shown[name] for shown in by_pool.values())
-                 for name in ("registry_entries", "out_of_rotation")}  # fmt: skip
-        return whole | {"pools": by_pool, "limited": self.turned_away}
+        totals = {name: sum(counts[name] for counts in by_pool.values()) for name in POOL_TELEMETRY}
+        return totals | {"pools": by_pool, "limited": self.limited}
 
     def __iter__(self) -> Iterator[Pool]:
         return iter(list(self.pools.values()))
--- /dev/null
+++ b/dahliabend/proxy/endpoint.py
@@ -0,0 +1,143 @@
+"""One endpoint of a pool: an upstream's address and state, and the connections to it."""
+
+from bisect import bisect_right
+from typing import TYPE_CHECKING, NamedTuple
+
+from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.model import EndpointState
+from dahliabend.transport.timers import clock
+
+if TYPE_CHECKING:
+    from dahliabend.proxy.endpoint_table import EndpointTable
+
+
+EndpointEntry = tuple[str, tuple[str, int], EndpointState, int, float, int, str]
+"""Of the endpoint list: id, address, state, start (Unix ms, 0: not known), weight, cell, zone."""
+
+
+class IdleConnection(NamedTuple):
+    """A connection taken for the next request, if there was one, and how long it had been idle (us)."""
+
+    connection: UpstreamConnection | None
+    idle_time: int
+
+
+class Endpoint:
+    """The record of one upstream, with its idle connections; the one used last is used next.
+
+    State, start, weight, cell and zone are as the endpoint list said last: a policy with other settings needs
+    them again.
+
+    Attributes:
+        table: The table that it stands in.
+        index: Its number there.
+        name: Its id in the endpoint list.
+        address: Host and port.
+        state: What the endpoint list says of it.
+        started_at: When its process was started (us, monotonic); 0 if that is not known.
+        included_at: When an operator last put it back, 0 if none has; it may have been restarted before.
+        weight: Its part of the load, relative to the others.
+        cell: The cell that it stands in.
+        zone: The zone that it stands in.
+        enabled: Whether requests may be sent to it, and connections to it stay open when idle.
+        connections: All open connections to it.
+        idle_connections: Those that are idle, by when they became so.
+    """
+
+    def __init__(self, table: "EndpointTable", index: int, name: str) -> None:
+        self.table = table
+        self.index = index
+        self.name = name
+        self.address = ("", 0)
+        self.state = EndpointState.REMOVED
+        self.started_at = 0
+        self.included_at = 0
+        self.weight = 1.0
+        self.cell = 0
+        self.zone = ""
+        self.enabled = False
+        self.connections: set[UpstreamConnection] = set()
+        self.idle_connections: list[UpstreamConnection] = []
+
+    def update(self, entry: EndpointEntry, epoch: int) -> None:
+        """Take an entry of the endpoint list over, but for the state.
+
+        Args:
+            entry: The entry.
+            epoch: Monotonic time less Unix time (us).
+        """
+        _, address, state, started_ms, weight, cell, zone = entry
+        self.weight = weight
+        self.cell = cell
+        self.zone = zone
+        self.started_at = (started_ms * 1000 + epoch or 1) if started_ms else 0
+        if state is not EndpointState.REMOVED:
+            self.set_address(address)
+
+    def take_idle_connection(self, now: int) -> IdleConnection:
+        """Take an idle connection that is surely still open at the other end, if there is one."""
+        idle_since = self.table.descriptors.idle
+        # A surplus response may come some milliseconds late and would be taken for the next request's. Where
+        # requests are frequent, many connections became idle after that time: they are not looked at singly.
+        position = bisect_right(
+            self.idle_connections,
+            now - self.table.reuse_delay,
+            key=lambda connection: idle_since.get(connection.handle, 0),
+        )
+        while position:
+            position -= 1
+            connection = self.idle_connections[position]
+            idle_time = now - idle_since.get(connection.handle, 0)
+            if idle_time < self.table.reuse_delay and not connection.closed:
+                continue  # a connection just closed has no time, and may have misled the search
+            del self.idle_connections[position]
+            if self._is_reusable(connection, idle_time):
+                self.table.descriptors.mark_busy(connection.handle)
+                return IdleConnection(connection, idle_time)
+            connection.abort()
+        return IdleConnection(None, 0)
+
+    def _is_reusable(self, connection: UpstreamConnection, idle_time: int) -> bool:
+        # Unread bytes would be taken for the start of the next response.
+        return (
+            not connection.closed
+            and idle_time < self.table.idle_timeout
+            and connection.unread_input() is None
+        )
+
+    def return_connection(self, connection: UpstreamConnection) -> None:
+        """Keep a connection that has no request any more, or close it where nothing more is sent."""
+        if not self.enabled:
+            connection.abort()
+        elif not connection.closed:
+            self.idle_connections.append(connection)
+            self.table.descriptors.mark_idle(connection.handle, clock())
+
+    def remove_connection(self, connection: UpstreamConnection) -> None:
+        """Forget a connection that has been closed."""
+        self.connections.discard(connection)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
+
+    def close_idle(self, since: int) -> None:
+        """Close the connections that have been idle since `since` or longer."""
+        idle_since = self.table.descriptors.idle
+        while self.idle_connections and idle_since.get(self.idle_connections[0].handle, 0) <= since:
+            self.idle_connections.pop(0).abort()
+
+    def disable(self) -> None:
+        """Send nothing more: it is draining, removed or excluded."""
+        self.enabled = False
+        self.close_idle(clock())
+
+    def enable(self) -> None:
+        """Let requests be sent."""
+        self.enabled = True
+
+    def set_address(self, address: tuple[str, int]) -> None:
+        """Connect to `address` from now on. Requests on connections to the former address are completed."""
+        if address != self.address:
+            self.address = address
+            for connection in self.connections:
+                connection.keep_alive = False
+            self.close_idle(clock())
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -1,27 +1,46 @@
-"""Probes of upstreams."""
+"""Active health checks of endpoints."""
 
 from collections.abc import Callable
 
-from dahliabend.http import load_reports as loads
+from dahliabend.http import load_reports
 from dahliabend.http.headers import HEALTHY, LOAD_PATH
 from dahliabend.model import Outcome
-from dahliabend.proxy.endpoint_table import Endpoint, UpstreamRequest
+from dahliabend.proxy.endpoint import Endpoint
+from dahliabend.proxy.upstream_request import UpstreamRequest, UpstreamResponse
 
 
 class HealthCheck(UpstreamRequest):
-    """Either path is a probe; the one with a load report tells the log more."""
-
-    def __init__(self, upstream: Endpoint, fields: tuple[str, ...], timeout: int, told: Callable) -> None:
-        path = LOAD_PATH if fields else HEALTHY
-        message = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (
-            path, upstream.address[0].encode(), upstream.address[1],
-        )  # fmt: skip
-        super().__init__(upstream, message, b"", timeout)
-        self.fields, self.told = fields, told
-
-    def on_finished(self, outcome: Outcome, took: int, answer: tuple | None) -> None:
-        load = loads.parse(answer[1] or answer[2], self.fields) if answer else {}
+    """A GET of the health path, or of the load path where fields of the load report are configured.
+
+    Either checks the health; the latter also writes the endpoint's load to the log.
+
+    Args:
+        endpoint: Endpoint to check.
+        report_fields: Fields of the load report to log; empty for none.
+        timeout: How long it may take (us).
+        on_result: Called with the endpoint's index and the outcome.
+    """
+
+    def __init__(
+        self,
+        endpoint: Endpoint,
+        report_fields: tuple[str, ...],
+        timeout: int,
+        on_result: Callable[[int, Outcome], None],
+    ) -> None:
+        path = LOAD_PATH if report_fields else HEALTHY
+        host, port = endpoint.address
+        head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (path, host.encode(), port)
+        super().__init__(endpoint, head, b"", timeout)
+        self.report_fields = report_fields
+        self.on_result = on_result
+
+    def on_finished(self, outcome: Outcome, duration: int, response: UpstreamResponse | None) -> None:
+        """Log the result and pass it on."""
+        load = {}
+        if response is not None:
+            load = load_reports.parse(response.body or response.load_report, self.report_fields)
         self.endpoint.table.log(
-            "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=took // 1000, load=load
+            "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=duration // 1000, load=load
         )
-        self.told(self.endpoint.index, outcome)
+        self.on_result(self.endpoint.index, outcome)
--- /dev/null
+++ b/dahliabend/proxy/mirroring.py
@@ -0,0 +1,55 @@
+"""Copies of requests that are sent to a mirror pool, and whose responses are dropped."""
+
+from collections.abc import Callable
+
+from dahliabend.http.headers import TRACE
+from dahliabend.transport.connection import Connection
+
+TRACE_ID_SUFFIX = b"-m"
+
+
+class DiscardingClient:
+    """The client of a mirrored request: nobody gets the response.
+
+    Args:
+        profile: Name of the request's class.
+    """
+
+    __slots__ = ("closed", "on_request_finished", "profile")
+
+    def __init__(self, profile: bytes) -> None:
+        self.profile = profile
+        self.closed = False
+        self.on_request_finished: Callable[[], None] | None = None
+
+    def send_response(self, status: int, headers: bytes, body: bytes) -> None:
+        """Drop a response."""
+
+    def send_error(self, status: int) -> None:
+        """Drop an error."""
+
+    def start_response(self, headers: bytes, length: int | None, source: Connection) -> None:
+        """Drop the head of a streamed response."""
+
+    def send_part(self, part: bytes) -> None:
+        """Drop a part of a streamed response."""
+
+    def finish_response(self) -> None:
+        """Do nothing."""
+
+    def abort_response(self) -> None:
+        """Do nothing."""
+
+
+def mirror_headers(headers: bytes, trace_id: bytes) -> bytes:
+    r"""Return the header lines of a copy, with an id of its own.
+
+    With the same id, an upstream that is in both pools would take the copy for a repeat.
+
+    >>> mirror_headers(b"Host: a\r\nx-trace-id: 7\r\n", b"7-m")
+    b'Host: a\r\nX-Trace-Id: 7-m\r\nX-Mirror: 1\r\n'
+    """
+    trace_prefix = TRACE + b":"
+    lines = [line for line in headers.split(b"\r\n") if line and not line.lower().startswith(trace_prefix)]
+    lines += [b"X-Trace-Id: " + trace_id, b"X-Mirror: 1"]
+    return b"".join(line + b"\r\n" for line in lines)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -14,8 +14,9 @@
 from dahliabend.discovery.watch import DiscoveryClient, EndpointList
 from dahliabend.http.headers import MAX_BODY_BYTES
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
-from dahliabend.proxy.dispatcher import Dispatcher, Pool
+from dahliabend.proxy.dispatcher import Dispatcher
 from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.pool import Pool
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.checks import EffectiveTreatment, target_pools
 from dahliabend.routing_rules.compiled_route import CompiledRoute
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -4,8 +4,9 @@
 
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.proxy.endpoint_table import Endpoint
-from dahliabend.proxy.router import PolicyPort, Router
+from dahliabend.proxy.endpoint import Endpoint
+from dahliabend.proxy.policy_port import PolicyPort
+from dahliabend.proxy.router import Router
 from dahliabend.transport.timers import clock
 
 
--- /dev/null
+++ b/tests/proxy/test_base_dispatcher.py
@@ -0,0 +1,29 @@
+"""What every dispatcher counts, and when it sends clients elsewhere."""
+
+from types import SimpleNamespace
+
+from dahliabend.proxy.base_dispatcher import BaseDispatcher
+
+
+def base_dispatcher():
+    return BaseDispatcher(SimpleNamespace(open_requests=0, count_response=lambda name, status: None))
+
+
+def test_clients_go_elsewhere_while_evacuated_and_from_the_shutdown_on():
+    dispatcher = base_dispatcher()
+    assert not dispatcher.closing()
+    dispatcher.evacuated = True
+    assert dispatcher.closing()
+    dispatcher.evacuated = False
+    assert not dispatcher.closing()
+    dispatcher.shut_down_by(5)
+    assert dispatcher.closing()
+    assert dispatcher.shutdown_deadline == 5
+
+
+def test_open_requests_are_those_whose_response_has_not_been_sent():
+    dispatcher = base_dispatcher()
+    dispatcher.request_opened()
+    dispatcher.request_opened()
+    dispatcher.request_closed()
+    assert dispatcher.metrics.open_requests == 1
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -19,9 +19,11 @@
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer, RequestState
 from dahliabend.policy.key_order import Lines
-from dahliabend.proxy import router
-from dahliabend.proxy.endpoint_table import EndpointTable, Phase, UpstreamRequest
-from dahliabend.proxy.router import Attempt, Router
+from dahliabend.proxy import attempt
+from dahliabend.proxy.attempt import Attempt
+from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.router import Router
+from dahliabend.proxy.upstream_request import Phase, UpstreamRequest
 from dahliabend.server.hot_restart import HotRestart
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation import sweep
@@ -279,7 +281,7 @@
 
 
 def repeat_past_the_window():
-    return instead(router, "deduplication_deadline", lambda handle: router.NO_DEADLINE)
+    return instead(attempt, "deduplication_deadline", lambda state: attempt.NO_DEADLINE)
 
 
 def tell_the_time_of_the_choice():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,8 +14,11 @@
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.proxy.endpoint_table import EndpointTable, UpstreamRequest
-from dahliabend.proxy.router import PolicyPort, Request, Router
+from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.policy_port import PolicyPort
+from dahliabend.proxy.request import Request
+from dahliabend.proxy.router import Router
+from dahliabend.proxy.upstream_request import UpstreamRequest
 from dahliabend.transport.connection import BUFFER_SIZE, Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.handles import HandleTable
