--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -12,8 +12,9 @@
 from dahliabend.config.server_settings import ServerSettings
 from dahliabend.discovery.endpoint_list import EndpointList, EndpointListObserver
 from dahliabend.discovery.watch import DiscoveryClient
-from dahliabend.proxy.dispatcher import Dispatcher, Pool
+from dahliabend.proxy.dispatcher import Dispatcher
 from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.pool import Pool
 from dahliabend.proxy.router import Router
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import EventLog
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -8,8 +8,9 @@
 
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import EndpointState, Outcome
-from dahliabend.proxy.endpoint_table import Endpoint
-from dahliabend.proxy.router import PolicyPort, Router
+from dahliabend.proxy.endpoint import Endpoint
+from dahliabend.proxy.policy_port import PolicyPort
+from dahliabend.proxy.router import Router
 from dahliabend.server.log import EventLog
 from dahliabend.transport.timers import clock
 
