--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,4 +1,4 @@
-"""Random one-operator changes of the network code and the decisions: which does the emulator notice?
+"""Random one-operator changes of the network code and the decisions: which does the simulation notice?
 
     python benchmarks/mutants.py --count 100 --seeds 100 --jobs 4 [--root TREE] [--out FILE]
 
@@ -22,14 +22,10 @@
 from pathlib import Path
 from random import Random
 
-# What a plain run of the emulator goes through.
-FILES = (
-    "decide.py", "order.py", "net/routing/router.py", "net/routing/upstreams.py", "net/routing/probes.py",
-    "net/protocol/callers.py", "net/protocol/upstreams.py", "net/protocol/discovery.py",
-    "net/protocol/bodies.py", "net/transport/connection.py", "net/transport/deadlines.py",
-    "net/transport/descriptors.py", "net/transport/listener.py", "net/transport/slots.py",
-    "net/transport/ring.py", "net/program/serve.py",
-)  # fmt: skip
+# What a plain run of the simulation goes through: packages, and modules of others.
+PACKAGES = ("policy", "proxy", "http", "discovery", "transport")
+MODULES = ("server/platform_server.py",)
+NOT_RUN = ("__init__.py", "host_info.py", "runtime_directory.py")
 _PAIRS = (
     (ast.Lt, ast.LtE), (ast.Gt, ast.GtE), (ast.Eq, ast.NotEq), (ast.Is, ast.IsNot), (ast.In, ast.NotIn),
     (ast.And, ast.Or), (ast.Add, ast.Sub), (ast.Mult, ast.FloorDiv),
@@ -37,16 +33,23 @@
 SWAPS = {a: b for pair in _PAIRS for a, b in (pair, pair[::-1])}
 PLAY = """
 import sys
-from dahliabend.simulation.script import draw
-from dahliabend.simulation.sweep import look
+from dahliabend.simulation.scenario_generator import draw
+from dahliabend.simulation.sweep import run_seed
 for seed in range(int(sys.argv[1])):
-    rules = look(draw(seed)).rules
+    rules = run_seed(draw(seed)).rules
     if rules:
         print(seed, *sorted(rules), sep=",")
         sys.exit(1)
 """
 
 
+def files(root: Path) -> list[str]:
+    """The modules that are changed, by their paths in the package."""
+    base = root / "dahliabend"
+    found = [path for package in PACKAGES for path in sorted((base / package).glob("*.py"))]
+    return [str(path.relative_to(base)) for path in found if path.name not in NOT_RUN] + list(MODULES)
+
+
 def sites(tree: ast.AST) -> list[tuple[int, int]]:
     """What can be changed: a node's place in the walk, and which of its parts."""
     found = []
@@ -117,8 +120,8 @@
     parser.add_argument("--root", type=Path, default=Path(__file__).resolve().parent.parent)
     parser.add_argument("--out", type=Path)
     given = parser.parse_args()
-    trees = {name: ast.parse((given.root / "dahliabend" / name).read_text()) for name in FILES}
-    every = [(name, site) for name in FILES for site in sites(trees[name])]
+    trees = {name: ast.parse((given.root / "dahliabend" / name).read_text()) for name in files(given.root)}
+    every = [(name, site) for name in trees for site in sites(trees[name])]
     chosen = Random(given.draw).sample(every, min(given.count, len(every)))
     how, took = play(given.root, given.seeds, "", None, None)
     if how:
--- a/dahliabend/process_tests/__init__.py
+++ b/dahliabend/process_tests/__init__.py
@@ -1,5 +1,5 @@
-"""Real processes of the program on loopback, with faults between them, and a recorder of what they claim.
+"""Tests of real processes on loopback, with faults between them, and checks of what they report.
 
-Every pair of instances talks through a fault proxy. Scripts are those of
+Each pair of instances communicates through a fault proxy. The scripts are those of
 `dahliabend.simulation.cluster`.
 """
--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -1,93 +1,122 @@
-"""What lies between the instances: each is reached by a place of the relay's, which knows who sends to whom.
+"""A proxy of datagrams between the instances, which loses, delays, duplicates and blocks them.
 
-A datagram of a for b comes in at b's place; it goes on to b from a's place, so that b answers there. Loss,
-delay, doubling and cuts one way are decided here, from one seeded generator.
+Each instance is reached at an endpoint of the proxy's. A datagram of a for b arrives at b's endpoint; it goes
+on to b from a's endpoint, so that b answers there. All faults are drawn from one seeded generator.
 """
 
 import asyncio
 from collections.abc import Callable
+from functools import partial
 from random import Random
+from typing import cast
 
+from dahliabend.simulation.cluster.ground_truth import Link
 from dahliabend.simulation.cluster.script import S
-
-MOST_WAITING = 20_000  # datagrams on their way at once: more are lost, as in a full queue
-
-
-class Relay:
-    """Owns the places' sockets from `open` until `close`."""
-
-    def __init__(self, chance: Random, host: str = "127.0.0.1") -> None:
-        self.chance, self.host = chance, host
-        self.places: list[Place] = []
-        self.cut: set[tuple[int, int]] = set()
-        self.loss = self.twice = 0.0
-        self.delay = self.more = 0  # microseconds in the mean, and on top at the most
-        self.waiting = self.passed = self.dropped = 0
-        self.tap: Callable[[int, int, bytes], None] | None = None
-
-    async def open(self, count: int) -> list[tuple[str, int]]:
-        """The place of each instance."""
+from dahliabend.simulation.connections import Address
+
+MAX_IN_TRANSIT = 20_000  # datagrams: more are lost, as in a full queue
+MIN_TIMER_DELAY = 200  # microseconds: for a shorter delay a timer would be too late
+UNKNOWN = -1
+LOOPBACK = "127.0.0.1"
+
+DatagramTap = Callable[[int, int, bytes], None]  # sender, receiver, payload
+
+
+class FaultProxy:
+    """Owns the sockets of its endpoints from `open` until `close`."""
+
+    def __init__(self, rng: Random, host: str = LOOPBACK) -> None:
+        self.rng = rng
+        self.host = host
+        self.endpoints: list[ProxyEndpoint] = []
+        self.blocked_links: set[Link] = set()
+        self.loss = 0.0  # the share of datagrams that is lost
+        self.duplication = 0.0  # the share that arrives twice
+        self.mean_delay = 0  # microseconds
+        self.max_extra_delay = 0  # microseconds
+        self.in_transit = 0
+        self.forwarded = 0
+        self.dropped = 0
+        self.tap: DatagramTap | None = None
+
+    async def open(self, count: int) -> list[Address]:
+        """Open an endpoint for each instance, and return their addresses."""
         loop = asyncio.get_running_loop()
         for number in range(count):
-            _, place = await loop.create_datagram_endpoint(
-                lambda number=number: Place(self, number), local_addr=(self.host, 0)
+            _, endpoint = await loop.create_datagram_endpoint(
+                partial(ProxyEndpoint, self, number), local_addr=(self.host, 0)
             )
-            self.places.append(place)
-        return [place.transport.get_extra_info("sockname") for place in self.places]
+            self.endpoints.append(endpoint)
+        return [endpoint.transport.get_extra_info("sockname") for endpoint in self.endpoints]
 
-    def stands_at(self, number: int, address: tuple[str, int]) -> None:
-        """Where an instance's own socket is."""
-        self.places[number].behind = address
+    def set_target(self, number: int, address: Address) -> None:
+        """Set where an instance's own socket is."""
+        self.endpoints[number].target = address
 
-    def who(self, address: tuple[str, int]) -> int:
-        return next((place.number for place in self.places if place.behind == address), -1)
+    def _sender_at(self, address: Address) -> int:
+        return next((endpoint.number for endpoint in self.endpoints if endpoint.target == address), UNKNOWN)
 
-    def come(self, source: tuple[str, int], to: int, data: bytes) -> None:
-        sender = self.who(source)
-        if sender < 0 or (sender, to) in self.cut or self.chance.random() < self.loss:
+    def datagram_arrived(self, source: Address, receiver: int, payload: bytes) -> None:
+        """A datagram has come to an instance's endpoint."""
+        sender = self._sender_at(source)
+        is_lost = sender == UNKNOWN or (sender, receiver) in self.blocked_links
+        if is_lost or self.rng.random() < self.loss:
             self.dropped += 1
             return
         if self.tap is not None:
-            self.tap(sender, to, data)
-        for _ in range(2 if self.chance.random() < self.twice else 1):
-            wait = self.delay * (0.5 + self.chance.random()) + self.more * self.chance.random()
-            if self.waiting >= MOST_WAITING:
-                self.dropped += 1
-            elif wait < 200:  # a timer would be later than that
-                self.pass_on(sender, to, data)
-            else:
-                self.waiting += 1
-                asyncio.get_running_loop().call_later(wait / S, self.due, sender, to, data)
-
-    def due(self, sender: int, to: int, data: bytes) -> None:
-        self.waiting -= 1
-        self.pass_on(sender, to, data)
-
-    def pass_on(self, sender: int, to: int, data: bytes) -> None:
-        target, behind = self.places[sender], self.places[to].behind
-        if behind is not None and not target.transport.is_closing():
-            self.passed += 1
-            target.transport.sendto(data, behind)
-
-    def throw(self, to: int, data: bytes) -> None:
-        """As a stranger would, from a place of nobody's."""
-        self.pass_on(to, to, data)
+            self.tap(sender, receiver, payload)
+        for _ in range(2 if self.rng.random() < self.duplication else 1):
+            jittered = self.mean_delay * (0.5 + self.rng.random())
+            self._forward_after(
+                jittered + self.max_extra_delay * self.rng.random(), sender, receiver, payload
+            )
+
+    def _forward_after(self, delay: float, sender: int, receiver: int, payload: bytes) -> None:
+        if self.in_transit >= MAX_IN_TRANSIT:
+            self.dropped += 1
+        elif delay < MIN_TIMER_DELAY:
+            self.forward(sender, receiver, payload)
+        else:
+            self.in_transit += 1
+            loop = asyncio.get_running_loop()
+            loop.call_later(delay / S, self._timer_fired, sender, receiver, payload)
+
+    def _timer_fired(self, sender: int, receiver: int, payload: bytes) -> None:
+        self.in_transit -= 1
+        self.forward(sender, receiver, payload)
+
+    def forward(self, sender: int, receiver: int, payload: bytes) -> None:
+        """Send a datagram on to its receiver, from the sender's endpoint."""
+        transport, target = self.endpoints[sender].transport, self.endpoints[receiver].target
+        if target is not None and not transport.is_closing():
+            self.forwarded += 1
+            transport.sendto(payload, target)
+
+    def inject(self, receiver: int, payload: bytes) -> None:
+        """Send a datagram to an instance that comes from no other instance."""
+        self.forward(receiver, receiver, payload)
 
     def close(self) -> None:
-        for place in self.places:
-            place.transport.close()
+        """Close all endpoints."""
+        for endpoint in self.endpoints:
+            endpoint.transport.close()
+
 
+class ProxyEndpoint(asyncio.DatagramProtocol):
+    """The proxy's socket for one instance."""
 
-class Place(asyncio.DatagramProtocol):
-    def __init__(self, relay: Relay, number: int) -> None:
-        self.relay, self.number = relay, number
-        self.behind: tuple[str, int] | None = None
+    def __init__(self, proxy: FaultProxy, number: int) -> None:
+        self.proxy = proxy
+        self.number = number
+        self.target: Address | None = None  # the instance's own socket
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """As asyncio."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        self.relay.come(source, self.number, data)
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        """As asyncio."""
+        self.proxy.datagram_arrived(addr, self.number, data)
 
-    def error_received(self, error: OSError) -> None:
-        """Nobody is behind it just now: the datagram is lost."""
+    def error_received(self, exc: Exception) -> None:
+        """Nobody listens at the target just now: the datagram is lost."""
--- /dev/null
+++ b/dahliabend/process_tests/foreign_datagrams.py
@@ -0,0 +1,27 @@
+"""Datagrams that an instance has to reject: noise, another key, another version, replays."""
+
+from random import Random
+
+from dahliabend.membership.authentication import DatagramAuthenticator
+from dahliabend.membership.codec import Ping, encode_packet
+
+KEY_BYTES = 32
+NOISE_DATAGRAMS = 20
+NOISE_SIZES = (1, 40, 1_400, 9_000)  # bytes
+MAX_REPLAYED = 20
+NEWER_VERSION = b"\x07"  # of the datagrams' format
+
+
+def foreign_datagrams(rng: Random, key: str, replayed: list[bytes]) -> list[bytes]:
+    """The datagrams to send to one instance.
+
+    Args:
+        rng: of the noise.
+        key: of the cluster.
+        replayed: datagrams that members sent before.
+    """
+    noise = [rng.randbytes(rng.choice(NOISE_SIZES)) for _ in range(NOISE_DATAGRAMS)]
+    valid, _ = encode_packet("b0", 1, 1, Ping(1, "b1"), [])
+    other_key = DatagramAuthenticator([b"x" * KEY_BYTES]).sign(valid)
+    newer = DatagramAuthenticator([key.encode()]).sign(valid[:1] + NEWER_VERSION + valid[2:])
+    return [*noise, other_key, newer, *replayed[:MAX_REPLAYED]]
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -1,23 +1,39 @@
-"""Upstreams, clients and the list on real sockets, and the rules held against what they saw.
-
-What no peer on sockets can see (when a hop's first byte was written) is the emulator's to check. Here: one
-answer each, within its limit; nothing that may not repeat runs twice; every 200 holds what an upstream made;
-nothing new to one that drains after the grace; no cold one pushed over.
-"""
+"""Upstreams, clients and discovery on real sockets, for tests of real processes."""
 
 import asyncio
 import time
-from collections import Counter
 from collections.abc import Callable
 from random import Random
 
-from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.process_tests.load_observer import DRAIN_TIME, LIMIT, SLACK, LoadObserver
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.connections import Address, format_address
+from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
 
-MS, S = 1_000, 1_000_000
-LIMIT, GRACE, SLACK = 2 * S, 1_500 * MS, 400 * MS  # the slack covers a loaded machine
-CLASSES = """
+S = 1_000_000  # microseconds in a second
+LOOPBACK = "127.0.0.1"
+DISCOVERY_DELAY = 20_000  # microseconds
+UPSTREAM_WORK = 3_000  # microseconds
+UPSTREAM_IDLE_TIMEOUT = 20 * S
+WARMUP_TIME = 4 * S
+INITIAL_CAPACITY = 0.2
+UPSTREAM_CORES = 4
+SUBMIT_SHARE = 0.4  # of the requests
+FAULT_INTERVAL = (6, 15)  # seconds between two faults of upstreams
+FAULT_TIME = 2.0  # seconds
+RESTART_TIME = 0.5  # seconds that a replaced upstream is gone
+FAULTS = ("replace", "replace", "fail", "hang", "reset")
+# Faults that are switches of an upstream: the switch, its value while the fault lasts, and after it.
+SWITCHES: dict[str, tuple[str, object, object]] = {
+    "fail": ("failing", 0.9, 0.0),
+    "hang": ("hung", True, False),
+}
+DRAIN_TICK = 0.05  # seconds
+DRAIN_TICKS = 100  # that open requests are waited for at the end
+BODY = b"x" * 50
+POOLS_TEMPLATE = """
 [pools.main]
 discovery = "{discovery}"
 balancers = {balancers}
@@ -45,174 +61,158 @@
 """
 
 
-class Traffic:
-    def __init__(self, chance: Random, rate: float, upstreams: int, ports: list[int]) -> None:
-        self.chance, self.rate = chance, rate
+def pools_text(fleet: Fleet, discovery_address: Address) -> str:
+    """The part of each instance's file that describes pools, classes and routes."""
+    subset = f'[pools.main.subset]\nleast = {fleet.subset}\ndegree = {fleet.subset}\nhold = "5s"'
+    return POOLS_TEMPLATE.format(
+        discovery=format_address(discovery_address),
+        balancers=fleet.instances,
+        subset=subset if fleet.subset else "",
+        limit=f'rate = "{fleet.limit}/s"\nshared = true' if fleet.limit else "",
+    )
+
+
+class LoadGenerator:
+    """Sends requests to instances, and injects faults of upstreams."""
+
+    def __init__(self, rng: Random, rate: float, upstreams: int, ports: list[int]) -> None:
+        """Prepare the load.
+
+        Args:
+            rng: of arrivals and faults.
+            rate: requests a second.
+            upstreams: how many there are.
+            ports: for the upstreams, and one for discovery.
+        """
+        self.rng = rng
+        self.rate = rate
+        self.observer = LoadObserver()
         self.registry = Registry()
         self.upstreams: list[Upstream] = []
         self.specs = [
-            UpstreamSpec(f"u{n}", "127.0.0.1", port, "z0", n, cores=4, work=3_000, cold=4 * S, cold_share=0.2,
-                         rest=20 * S)
-            for n, port in enumerate(ports[:upstreams])
-        ]  # fmt: skip
-        self.list_at = ("127.0.0.1", ports[upstreams])
-        self.asked: dict[str, tuple[float, str, int]] = {}
-        self.served: Counter[str] = Counter()  # by upstream
-        self.submits: list[float] = []  # when each ran
-        self.probed: dict[str, list[float]] = {}  # and when
-        self.answers: Counter[str] = Counter()
-        self.effects: Counter[str] = Counter()
-        self.made: dict[str, set[bytes]] = {}
-        self.draining: dict[str, float] = {}
-        self.excused: dict[int, list[float]] = {}  # by instance: when it was killed or stopped
-        self.broken: list[str] = []
-        self.counts: Counter[str] = Counter()
-        self.of: dict[str, int] = {}  # the instance that a request went to
-        self.fronts: dict[int, Clients] = {}
-        self.tasks: list[asyncio.Task] = []
-        self.troubled, self.settled = asyncio.Lock(), False  # held by the trouble that there is
+            UpstreamSpec(
+                f"u{number}",
+                LOOPBACK,
+                port,
+                "z0",
+                number,
+                cores=UPSTREAM_CORES,
+                mean_work=UPSTREAM_WORK,
+                warmup_time=WARMUP_TIME,
+                initial_capacity=INITIAL_CAPACITY,
+                idle_timeout=UPSTREAM_IDLE_TIMEOUT,
+            )
+            for number, port in enumerate(ports[:upstreams])
+        ]
+        self.discovery_address: Address = (LOOPBACK, ports[upstreams])
+        self.clients: dict[int, Clients] = {}  # by instance
+        self._tasks: list[asyncio.Task[None]] = []
+        self._fault_lock = asyncio.Lock()  # held by the fault in force
+        self._are_faults_over = False
 
     async def open(self) -> None:
+        """Start the upstreams and discovery."""
         loop = asyncio.get_running_loop()
         for spec in self.specs:
-            await self.bring_up(spec, 0)
-        agent = Agent(self.registry, loop, self.witness, Random(1), 20_000)
-        await agent.open(*self.list_at)
-
-    async def bring_up(self, spec: UpstreamSpec, born: int) -> Upstream:
-        loop = asyncio.get_running_loop()
-        made = Upstream(spec, loop, self.witness, Random(f"{spec.name} {born}"), born, lambda: True)
-        await made.open()
-        self.upstreams = [u for u in self.upstreams if u.spec.name != spec.name] + [made]
-        self.put(spec, "up", born)
-        return made
-
-    def put(self, spec: UpstreamSpec, state: str, born: int = 0) -> None:
-        started = round(time.time() * 1000) if born else 0
-        self.registry.put({"id": spec.name, "addr": f"{spec.host}:{spec.port}", "zone": spec.zone,
-                           "cell": spec.cell, "state": state, "started_ms": started})  # fmt: skip
-
-    def clients(self, number: int, place: tuple[str, int]) -> None:
-        loop = asyncio.get_running_loop()
-        front = Front([place])
-        self.fronts[number] = Clients(loop, self.witness, Random(f"clients {number}"), front, f"c{number}-")
-
-    def begin(self, ready: Callable[[int], bool]) -> None:
+            await self.start_upstream(spec, 0)
+        agent = Agent(self.registry, loop, self.observer, Random(1), DISCOVERY_DELAY)
+        await agent.open(*self.discovery_address)
+
+    async def start_upstream(self, spec: UpstreamSpec, started_at: int) -> Upstream:
+        """Start an upstream, in the place of the one of that name; `started_at` as in `Upstream`."""
+        loop, rng = asyncio.get_running_loop(), Random(f"{spec.name} {started_at}")
+        upstream = Upstream(spec, loop, self.observer, rng, started_at, lambda _: True)
+        await upstream.open()
+        self.upstreams = [other for other in self.upstreams if other.spec.name != spec.name] + [upstream]
+        self.publish(spec, "up", started_at)
+        return upstream
+
+    def publish(self, spec: UpstreamSpec, state: str, started_at: int = 0) -> None:
+        """Publish an upstream's state to discovery."""
+        self.registry.put(
+            {
+                "id": spec.name,
+                "addr": f"{spec.host}:{spec.port}",
+                "zone": spec.zone,
+                "cell": spec.cell,
+                "state": state,
+                "started_ms": round(time.time() * 1000) if started_at else 0,
+            }
+        )
+
+    def add_clients(self, instance: int, address: Address) -> None:
+        """Add clients of an instance."""
+        loop, rotation = asyncio.get_running_loop(), ConnectionRotation([address])
+        rng = Random(f"clients {instance}")
+        self.clients[instance] = Clients(loop, self.observer, rng, rotation, f"c{instance}-")
+
+    def begin(self, is_available: Callable[[int], bool]) -> None:
+        """Begin to send requests, to the instances that are available."""
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.go_on(ready)), loop.create_task(self.trouble())]
+        self._tasks = [
+            loop.create_task(self._send_requests(is_available)),
+            loop.create_task(self._inject_faults()),
+        ]
 
-    async def trouble(self) -> None:
-        """An upstream drains, goes and comes back cold; fails, hangs, or resets all that it has."""
+    async def _send_requests(self, is_available: Callable[[int], bool]) -> None:
         while True:
-            await asyncio.sleep(self.chance.uniform(6, 15))
-            async with self.troubled:
-                await self.befall(self.chance.choice(self.upstreams))
+            await asyncio.sleep(self.rng.expovariate(self.rate))
+            instances = [instance for instance in self.clients if is_available(instance)]
+            if not instances:
+                continue
+            instance = self.rng.choice(instances)
+            clients = self.clients[instance]
+            trace_id = clients.next_trace_id()
+            if self.rng.random() < SUBMIT_SHARE:
+                request = ClientRequest(trace_id, "submit", LIMIT, LIMIT, path="/submit", body=BODY)
+            else:
+                request = ClientRequest(trace_id, "query", LIMIT, LIMIT, path="/q")
+            self.observer.instances[trace_id] = instance
+            clients.send(request)
+
+    async def _inject_faults(self) -> None:
+        """An upstream drains, goes and comes back cold; fails, hangs, or resets all its connections."""
+        while True:
+            await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL))
+            async with self._fault_lock:
+                await self._inject_fault(self.rng.choice(self.upstreams))
 
-    async def befall(self, upstream: Upstream) -> None:
-        what = self.chance.choice(("replace", "replace", "fail", "hang", "reset"))
-        self.counts[f"upstream {what}"] += 1
+    async def _inject_fault(self, upstream: Upstream) -> None:
+        what = self.rng.choice(FAULTS)
+        self.observer.counts[f"upstream {what}"] += 1
         if what == "replace":
-            await self.replace(upstream)
+            await self._replace(upstream)
         elif what == "reset":
             upstream.reset_all()
         else:
-            name, bad, well = ("failing", 0.9, 0.0) if what == "fail" else ("hung", True, False)
-            setattr(upstream, name, bad)
-            await asyncio.sleep(2)
-            setattr(upstream, name, well)
-
-    async def settle(self) -> None:
-        """No more troubles of upstreams, once the one that there is has ended."""
-        if not self.settled:
-            self.settled = await self.troubled.acquire()
+            switch, value, normal = SWITCHES[what]
+            setattr(upstream, switch, value)
+            await asyncio.sleep(FAULT_TIME)
+            setattr(upstream, switch, normal)
 
-    async def replace(self, upstream: Upstream) -> None:
+    async def _replace(self, upstream: Upstream) -> None:
         spec = upstream.spec
-        self.put(spec, "draining")
-        await asyncio.sleep(2 * (GRACE + SLACK) / S)
-        self.put(spec, "removed")
+        self.publish(spec, "draining")
+        await asyncio.sleep(2 * (DRAIN_TIME + SLACK) / S)
+        self.publish(spec, "removed")
         upstream.server.close()
         upstream.reset_all()
-        await asyncio.sleep(0.5)
-        born = round(asyncio.get_running_loop().time() * S)
-        await self.bring_up(spec, born)
+        await asyncio.sleep(RESTART_TIME)
+        await self.start_upstream(spec, round(asyncio.get_running_loop().time() * S))
 
-    async def go_on(self, ready: Callable[[int], bool]) -> None:
-        while True:
-            await asyncio.sleep(self.chance.expovariate(self.rate))
-            numbers = [number for number in self.fronts if ready(number)]
-            if not numbers:
-                continue
-            number = self.chance.choice(numbers)
-            clients = self.fronts[number]
-            name = "submit" if self.chance.random() < 0.4 else "query"
-            ask = Ask(clients.name(), name, LIMIT, LIMIT, path="/submit" if name == "submit" else "/q",
-                      body=b"x" * 50 if name == "submit" else b"")  # fmt: skip
-            self.of[ask.trace] = number
-            clients.ask(ask)
+    async def end_faults(self) -> None:
+        """Inject no more faults, once the one in force has ended."""
+        if not self._are_faults_over:
+            self._are_faults_over = await self._fault_lock.acquire()
 
     async def end(self) -> None:
-        for task in self.tasks:
+        """Send no more requests, wait for the open ones, and check that all were answered."""
+        for task in self._tasks:
             task.cancel()
-        for _ in range(100):
-            if not any(clients.out for clients in self.fronts.values()):
+        for _ in range(DRAIN_TICKS):
+            if not any(clients.open_requests for clients in self.clients.values()):
                 break
-            await asyncio.sleep(0.05)
-        for trace, (at, _, _) in self.asked.items():
-            if not self.answers[trace] and not self.was_away(trace, at):
-                self.broken.append(f"one answer: {trace} had none")
+            await asyncio.sleep(DRAIN_TICK)
+        self.observer.check_answered()
         for upstream in self.upstreams:
             upstream.server.close()
-
-    def away(self, number: int) -> None:
-        """An instance is killed, stopped or gone on just now: what it held may have no answer in time."""
-        self.excused.setdefault(number, []).append(asyncio.get_running_loop().time())
-
-    def was_away(self, trace: str, since: float) -> bool:
-        return any(at >= since - 1 for at in self.excused.get(self.of[trace], ()))
-
-    def witness(self, kind: str, *values) -> None:
-        now = asyncio.get_running_loop().time()
-        if kind == "asked":
-            trace, name, _, expires = values
-            self.asked.setdefault(trace, (now, name, expires))
-            self.counts["asked"] += 1
-        elif kind == "made":
-            self.made.setdefault(values[0], set()).add(values[1])
-        elif kind == "effect":
-            trace, upstream = values
-            self.effects[trace] += 1
-            if self.asked[trace][1] == "submit":
-                self.submits.append(now)
-            self.served[upstream] += 1
-            at = self.draining.get(upstream)
-            if at is not None and now > at + (GRACE + SLACK) / S:
-                self.broken.append(f"drain: {trace} ran at {upstream} {now - at:.2f} s after it was told")
-            if self.asked[trace][1] == "submit" and self.effects[trace] > 1:
-                self.broken.append(f"no effect twice: {trace} ran {self.effects[trace]} times")
-        elif kind == "answer":
-            trace, status, body = values
-            self.answers[trace] += 1
-            self.counts[str(status)] += 1
-            at, _, expires = self.asked[trace]
-            if self.answers[trace] > 1:
-                self.broken.append(f"one answer: {trace} had {self.answers[trace]}")
-            if status == 200 and body not in self.made.get(trace, ()):
-                self.broken.append(f"whole answer: {trace} got what no upstream made")
-            if now - at > (expires + SLACK) / S and not self.was_away(trace, at):
-                self.broken.append(f"one answer: {trace} late by {now - at - expires / S:.2f} s")
-        elif kind in ("lost", "left"):
-            trace = values[0]
-            self.counts[kind] += 1
-            if trace in self.asked and self.was_away(trace, self.asked[trace][0]):
-                self.answers[trace] += 1  # its balancer was away: no answer is owed
-        elif kind == "toppled":
-            self.broken.append(f"cold: {values[0]} fell over, sent {values[1]:.1f} times what it bears")
-        elif kind == "told" and values[2] == "draining":
-            self.draining.setdefault(values[1], now)
-        elif kind == "told" and values[2] == "up":
-            self.draining.pop(values[1], None)
-        elif kind == "probed":
-            self.probed.setdefault(values[0], []).append(now)
-        elif kind in ("extra", "spoilt"):
-            self.broken.append(f"one answer: {kind} {values}"[:200])
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -1,4 +1,4 @@
-"""Instances as real processes: their files, their starts, signals and ends, and what they log."""
+"""Instances as real processes: their files, their starts, signals and ends, and their logs."""
 
 import asyncio
 import os
@@ -8,29 +8,43 @@
 from collections.abc import Callable
 from contextlib import ExitStack, suppress
 from pathlib import Path
+from typing import Any
 
 import orjson
 
 from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.connections import Address, format_address
 from dahliabend.simulation.peers.operators import call
-from dahliabend.simulation.world import joined
 
-PATIENCE = 30.0  # seconds until a process has to take callers, or to be gone
-FIRST, LAST = 20_000, 30_000  # ports, below those that the system hands out
+START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
+FIRST_PORT, LAST_PORT = 20_000, 30_000  # below those that the system hands out
+PORT_STRIDE = 97  # spreads processes that look for ports at the same time
+MAX_ERROR_TEXT = 300  # characters
+LOOPBACK = "127.0.0.1"
+OK = 200
+
+LogRecord = dict[str, Any]
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of 127.0.0.1 that nobody holds now, for TCP and UDP; they may be bound again and again."""
+    """Ports of 127.0.0.1 that nobody uses now, for TCP and UDP; they may be bound again and again.
+
+    Raises:
+        OSError: there are not so many.
+    """
     found: list[int] = []
-    start = FIRST + os.getpid() * 97 % (LAST - FIRST)
+    port_count = LAST_PORT - FIRST_PORT
+    offset = os.getpid() * PORT_STRIDE % port_count
     with ExitStack() as stack:
-        for step in range(LAST - FIRST):
-            port = FIRST + (start - FIRST + step) % (LAST - FIRST)
-            both = [stack.enter_context(socket.socket(socket.AF_INET, kind))
-                    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)]  # fmt: skip
+        for step in range(port_count):
+            port = FIRST_PORT + (offset + step) % port_count
+            sockets = [
+                stack.enter_context(socket.socket(socket.AF_INET, kind))
+                for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
+            ]
             with suppress(OSError):
-                for each in both:
-                    each.bind(("127.0.0.1", port))
+                for sock in sockets:
+                    sock.bind((LOOPBACK, port))
                 found.append(port)
             if len(found) == count:
                 return found
@@ -38,32 +52,60 @@
 
 
 class Instance:
-    """One place of the fleet, through its processes."""
-
-    def __init__(self, number: int, folder: Path, ports: tuple[int, int, int], heard: Callable) -> None:
-        self.number, self.name, self.folder, self.heard = number, f"b{number}", folder, heard
-        self.callers, self.operators, self.datagrams = (("127.0.0.1", port) for port in ports)
+    """One member of the cluster, through its processes."""
+
+    def __init__(
+        self,
+        number: int,
+        directory: Path,
+        ports: list[int],
+        on_log: Callable[["Instance", LogRecord], None],
+    ) -> None:
+        """Create an instance that has not started.
+
+        Args:
+            number: of the instance.
+            directory: of its files.
+            ports: for clients, operators and datagrams.
+            on_log: called with each record of its log.
+        """
+        self.number = number
+        self.name = f"b{number}"
+        self.directory = directory
+        self.on_log = on_log
+        client_port, admin_port, datagram_port = ports
+        self.client_address: Address = (LOOPBACK, client_port)
+        self.admin_address: Address = (LOOPBACK, admin_port)
+        self.datagram_address: Address = (LOOPBACK, datagram_port)
         self.process: asyncio.subprocess.Process | None = None
-        self.reading: asyncio.Task | None = None
-        self.stopped = False
-        self.errors: list[str] = []  # what it said that it should not have
+        self.reader: asyncio.Task[None] | None = None
+        self.opened: asyncio.Future[None]
+        self.is_stopped = False
+        self.errors: list[str] = []
 
     @property
     def path(self) -> Path:
-        return self.folder / f"{self.name}.toml"
-
-    def write(self, fleet: Fleet, places: list[tuple[str, int]], rest: str) -> None:
-        seeds = ", ".join(f'"{places[n][0]}:{places[n][1]}"' for n in fleet.seeds)
-        here = places[self.number]
-        self.path.write_text(f'''
+        """Its operator's file."""
+        return self.directory / f"{self.name}.toml"
+
+    def write(self, fleet: Fleet, addresses: list[Address], pools: str) -> None:
+        """Write its file.
+
+        Args:
+            fleet: the script's cluster.
+            addresses: where the members are reached, by number.
+            pools: the rest of the file.
+        """
+        seeds = ", ".join(f'"{format_address(addresses[number])}"' for number in fleet.seeds)
+        self.path.write_text(f"""
 [listeners.callers]
-address = "{joined(self.callers)}"
+address = "{format_address(self.client_address)}"
 [listeners.operators]
-address = "{joined(self.operators)}"
+address = "{format_address(self.admin_address)}"
 [members]
 name = "{self.name}"
-address = "{joined(self.datagrams)}"
-advertise = "{joined(here)}"
+address = "{format_address(self.datagram_address)}"
+advertise = "{format_address(addresses[self.number])}"
 zone = "z{self.number % fleet.zones}"
 seeds = [{seeds}]
 key-files = ["key"]
@@ -71,76 +113,100 @@
 period = "{fleet.period}"
 signals = {str(fleet.signals).lower()}
 probing = "{fleet.probing}"
-{rest}''')
+{pools}""")
 
     async def start(self) -> None:
-        """Until it speaks with the others."""
+        """Start a process; `wait_until_open` waits until it communicates."""
         loop = asyncio.get_running_loop()
-        self.open = loop.create_future()
+        self.opened = loop.create_future()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "dahliabend", "serve", str(self.path), stderr=asyncio.subprocess.PIPE,
-            stdin=asyncio.subprocess.DEVNULL, env={**os.environ, "DAHLIABEND_SEED": f"{self.number + 1:x}"},
-        )  # fmt: skip
-        self.stopped = False
-        self.reading = loop.create_task(self.read(self.process))
-
-    async def opened(self) -> None:
-        await asyncio.wait_for(self.open, PATIENCE)
-
-    async def read(self, process: asyncio.subprocess.Process) -> None:
-        """Each line as it comes: the witness's clock orders them."""
+            sys.executable,
+            "-m",
+            "dahliabend",
+            "serve",
+            str(self.path),
+            stderr=asyncio.subprocess.PIPE,
+            stdin=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "DAHLIABEND_SEED": f"{self.number + 1:x}"},
+        )
+        self.is_stopped = False
+        self.reader = loop.create_task(self._read_log(self.process))
+
+    async def wait_until_open(self) -> None:
+        """Wait until the process communicates with the other members.
+
+        Raises:
+            TimeoutError: that took too long.
+            OSError: the process ended.
+        """
+        await asyncio.wait_for(self.opened, START_TIMEOUT)
+
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
+        """Handle each record as it comes: the clock of this process orders them."""
+        if process.stderr is None:
+            return
         while line := await process.stderr.readline():
             try:
-                said = orjson.loads(line)
+                record = orjson.loads(line)
             except ValueError:
-                self.errors.append(line.decode("utf-8", "replace").strip()[:300])
+                self.errors.append(line.decode("utf-8", "replace").strip()[:MAX_ERROR_TEXT])
                 continue
-            event = said.get("event")
-            if event == "members.open" and not self.open.done():
-                self.open.set_result(None)
+            event = record.get("event")
+            if event == "members.open" and not self.opened.done():
+                self.opened.set_result(None)
             if event in ("error", "failed"):
-                self.errors.append(str(said)[:300])
-            self.heard(self, said)
-        if not self.open.done():
-            self.open.set_exception(OSError(f"{self.name} ended at its start: {self.errors[-1:]}"))
+                self.errors.append(str(record)[:MAX_ERROR_TEXT])
+            self.on_log(self, record)
+        if not self.opened.done():
+            self.opened.set_exception(OSError(f"{self.name} ended at its start: {self.errors[-1:]}"))
 
     @property
     def alive(self) -> bool:
+        """Whether its process runs."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: int) -> None:
-        if self.alive:
+    @property
+    def is_running(self) -> bool:
+        """Whether its process runs and is not stopped."""
+        return self.alive and not self.is_stopped
+
+    def send(self, signal_number: int) -> None:
+        """Send its process a signal."""
+        if self.process is not None and self.alive:
             with suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     def stop(self) -> None:
-        self.stopped = True
+        """Stop its process."""
+        self.is_stopped = True
         self.send(signal.SIGSTOP)
 
-    def go_on(self) -> None:
-        self.stopped = False
+    def resume(self) -> None:
+        """Have its stopped process run again."""
+        self.is_stopped = False
         self.send(signal.SIGCONT)
 
-    async def end(self, number: int = signal.SIGTERM) -> int:
-        """Its exit status."""
+    async def end(self, signal_number: int = signal.SIGTERM) -> int:
+        """End its process by a signal, and return the exit status."""
         if self.process is None:
             return 0
         self.send(signal.SIGCONT)
-        self.send(number)
+        self.send(signal_number)
         try:
-            await asyncio.wait_for(self.process.wait(), PATIENCE)
+            await asyncio.wait_for(self.process.wait(), START_TIMEOUT)
         except TimeoutError:
-            self.errors.append(f"{self.name} did not end on signal {number}")
+            self.errors.append(f"{self.name} did not end on signal {signal_number}")
             self.send(signal.SIGKILL)
             await self.process.wait()
-        await self.reading
-        status = self.process.returncode
+        if self.reader is not None:
+            await self.reader
+        status = self.process.returncode or 0
         if status not in (0, -signal.SIGKILL):
             self.errors.append(f"{self.name} ended with {status}")
         return status
 
-    async def ask(self, path: str) -> dict | None:
-        """What its door answers; None where it does not."""
+    async def ask(self, path: str) -> dict[str, Any] | None:
+        """The answer of its admin interface, None if there is none."""
         loop = asyncio.get_running_loop()
-        status, body = await call(loop, self.operators, "GET", path)
-        return orjson.loads(body) if status == 200 else None
+        status, body = await call(loop, self.admin_address, "GET", path)
+        return orjson.loads(body) if status == OK else None
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -1,7 +1,7 @@
-"""Plays a fleet's script with real processes, and has the same claims checked as the model.
+"""Runs a cluster's script with real processes, and has their reports checked as those of the simulation.
 
-What the machine under it does badly is part of what was so: a loop of the rig that came late is a time in
-which no way was whole.
+What the test machine does badly is part of what really happened: while this process could not run, no link
+between the instances worked.
 """
 
 import asyncio
@@ -9,373 +9,384 @@
 import signal
 import tempfile
 from collections.abc import Callable
-from contextlib import suppress
 from pathlib import Path
 from random import Random
+from typing import Any
 
-from dahliabend.leases.shared_limits import OVERCOMMIT_LIMIT
-from dahliabend.membership.authentication import DatagramAuthenticator
-from dahliabend.membership.codec import Ping, encode_packet
 from dahliabend.membership.failure_detector import SwimConfig
-from dahliabend.process_tests.fault_proxy import Relay
-from dahliabend.process_tests.load import CLASSES, Traffic
-from dahliabend.process_tests.processes import Instance, free_ports
-from dahliabend.routing_rules.limits import MIN_PARTIAL_BURST
-from dahliabend.simulation.cluster.invariants import Bounds, Claim, judge
-from dahliabend.simulation.cluster.model import LOOK, Player
-from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
-from dahliabend.simulation.world import joined
-
-TICK, LATE = (
-    20_000,
-    150_000,
-)  # microseconds: how often the rig looks at its own clock, and what counts as late
-FAR = 4  # a condition's bound is so many times what the terms allow: far off, not to be reached by luck
-AT_ONCE = 6  # doors asked at once
-BUSY = 0.5  # seconds that a busy machine may add between an instance's look and an upstream's log
-LIMITED = 4.0  # seconds over which what a limit let through is counted
-EVEN = 21 / 20  # of the mean: the most that an upstream may be used where subsets add up
-RECENT = 64  # datagrams kept to be sent again by strangers
-
-
-class Rig(Player):
+from dahliabend.process_tests.checks import (
+    are_out,
+    are_subsets_even,
+    check_health_checks,
+    check_rate_limit,
+    do_agree,
+)
+from dahliabend.process_tests.fault_proxy import FaultProxy
+from dahliabend.process_tests.foreign_datagrams import KEY_BYTES, foreign_datagrams
+from dahliabend.process_tests.load import LoadGenerator, pools_text
+from dahliabend.process_tests.load_observer import LoadObserver
+from dahliabend.process_tests.processes import Instance, LogRecord, free_ports
+from dahliabend.simulation.cluster.invariants import (
+    MembershipChange,
+    Outcome,
+    check_membership_changes,
+)
+from dahliabend.simulation.cluster.model import CHECKS_PER_PERIOD, ScenarioRunner, subject_number
+from dahliabend.simulation.cluster.script import LINK_FAULTS, Fleet, S, Step
+
+CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two looks at this process's own clock
+MAX_CLOCK_DELAY = 150_000  # microseconds by which such a look may be late
+BOUND_FACTOR = 4  # times what the settings allow: a condition's bound that luck does not reach
+MAX_PARALLEL_CALLS = 6  # of admin interfaces
+MAX_REPLAYED = 64  # datagrams kept to be sent again
+FAILING_SHARE = 0.9  # of the requests of a failing upstream
+MIN_RATE = 0.01  # requests a second
+PORTS_PER_INSTANCE = 3
+
+
+class ProcessTestRunner(ScenarioRunner):
+    """The script's instances as real processes, with a fault proxy between them."""
+
     def __init__(
         self,
         fleet: Fleet,
         traffic: float = 0.0,
         upstreams: int = 4,
-        told: Callable[[str], None] | None = None,
+        on_log: Callable[[str], None] | None = None,
     ) -> None:
+        """Prepare a run.
+
+        Args:
+            fleet: the cluster and its script.
+            traffic: requests a second; 0: none.
+            upstreams: how many there are.
+            on_log: called with each line of the time line.
+        """
         super().__init__(fleet, SwimConfig(period=fleet.period))
-        self.told, self.chance = told or (lambda _: None), Random(f"rig {fleet.seed}")
-        self.relay = Relay(Random(f"relay {fleet.seed}"))
+        self.on_log = on_log or (lambda _: None)
+        self.rng = Random(f"rig {fleet.seed}")
+        self.proxy = FaultProxy(Random(f"relay {fleet.seed}"))
+        self.proxy.tap = self._keep_for_replay
         self.instances: list[Instance] = []
-        self.undo: list[tuple[int, Step]] = []
-        self.recent: list[bytes] = []
-        self.rate, self.wanted = traffic, upstreams
-        self.traffic: Traffic | None = None
-        self.watching: asyncio.Task | None = None
-        self.zero = 0.0
-        self.upstreams: list[str] = []
-        self.agreed: float | None = None  # when all had one view for the first time
-        self.shown: dict[str, dict] = {}  # the subset of each, as it was last asked
+        self.rate = traffic
+        self.upstream_count = upstreams
+        self.upstream_names: list[str] = []
+        self.load: LoadGenerator | None = None
+        self.first_agreement: float | None = None  # when all had one view for the first time
+        self.subsets: dict[str, dict[str, Any]] = {}  # of each instance, as it was last asked
+        self._replayed: list[bytes] = []
+        self._key = secrets.token_hex(KEY_BYTES)
+        self._clock_watch: asyncio.Task[None] | None = None
+        self._started_at = 0.0
 
     @property
     def now(self) -> int:
-        return round((asyncio.get_running_loop().time() - self.zero) * S) + S
+        """Microseconds of the run's clock."""
+        return round((asyncio.get_running_loop().time() - self._started_at) * S) + S
 
-    # What is heard.
+    # Observations.
 
-    def heard(self, instance: Instance, said: dict) -> None:
-        if said.get("event") == "believed":
+    def record_log(self, instance: Instance, record: LogRecord) -> None:
+        """Take a record of an instance's log."""
+        event = record.get("event")
+        if event == "believed":
             self.outcome.counts["believed"] += 1
-            self.line(self.now, f"{instance.name}: {said['upstream']} is bad, {said['origins']} say")
-        if said.get("event") != "member":
-            return
-        about = said["member"]
-        number = int(about[1:]) if about[1:].isdigit() else -1
-        self.claims.append(Claim(self.now, instance.number, said["change"], number, said["by"]))
-        self.line(self.now, f"{instance.name}: {about} {said['change']}, by {said['by']}")
-
-    def line(self, now: int, text: str) -> None:
-        super().line(now, text)
-        self.told(self.outcome.lines[-1])
-
-    def keep(self, _: int, __: int, data: bytes) -> None:
-        if len(self.recent) < RECENT:
-            self.recent.append(data)
-
-    async def watch_clock(self) -> None:
-        """Whatever stops the rig stops all ways between the instances."""
+            text = f"{instance.name}: {record['upstream']} is bad, {record['origins']} say"
+            self.log(self.now, text)
+        elif event == "member":
+            subject, kind, reported_by = record["member"], record["change"], record["by"]
+            change = MembershipChange(self.now, instance.number, kind, subject_number(subject), reported_by)
+            self.membership_changes.append(change)
+            self.log(self.now, f"{instance.name}: {subject} {kind}, by {reported_by}")
+
+    def log(self, now: int, text: str) -> None:
+        """Add a line to the time line."""
+        super().log(now, text)
+        self.on_log(self.outcome.lines[-1])
+
+    def _keep_for_replay(self, _sender: int, _receiver: int, payload: bytes) -> None:
+        if len(self._replayed) < MAX_REPLAYED:
+            self._replayed.append(payload)
+
+    async def _watch_clock(self) -> None:
+        """Record when this process could not run: no link between the instances worked then."""
         loop = asyncio.get_running_loop()
         everyone = range(self.fleet.instances)
         last = loop.time()
         while True:
-            await asyncio.sleep(TICK / S)
-            late = (loop.time() - last) * S - TICK
+            await asyncio.sleep(CLOCK_CHECK_INTERVAL / S)
+            delay = (loop.time() - last) * S - CLOCK_CHECK_INTERVAL
             last = loop.time()
-            if late > LATE:
+            if delay > MAX_CLOCK_DELAY:
                 self.outcome.counts["rig late"] += 1
-                all_ways = {(a, b) for a in everyone for b in everyone if a != b}
-                self.truth.ways(max(self.truth.last_change(), self.now - round(late)), all_ways)
-                self.truth.ways(self.now, self.cuts())
-                self.line(self.now, f"RIG late by {late / S:.2f} s")
-
-    # The play.
-
-    async def play(self):
-        self.zero = asyncio.get_running_loop().time()
-        with tempfile.TemporaryDirectory(prefix="dahliabend-rig-") as folder:
+                all_links = {(a, b) for a in everyone for b in everyone if a != b}
+                since = max(self.ground_truth.last_change(), self.now - round(delay))
+                self.ground_truth.set_blocked_links(since, all_links)
+                self.ground_truth.set_blocked_links(self.now, self.blocked_links())
+                self.log(self.now, f"RIG late by {delay / S:.2f} s")
+
+    # The run.
+
+    async def run_script(self) -> Outcome:
+        """Run the whole script and check what was reported."""
+        self._started_at = asyncio.get_running_loop().time()
+        with tempfile.TemporaryDirectory(prefix="dahliabend-rig-") as directory:
             try:
-                await self.build(Path(folder))
-                self.watching = asyncio.get_running_loop().create_task(self.watch_clock())
-                await self.start([n for n in range(self.fleet.instances) if n not in self.fleet.late])
-                if self.traffic is not None:
-                    self.traffic.begin(self.may_ask)
-                if self.fleet.probing and self.traffic is not None:
-                    await self.traffic.settle()  # else the decisions ask for probes of their own
-                for step in self.fleet.steps:
-                    await self.act(step)
-                    await self.run(step.wait)
-                    await self.until(step)
+                await self._build(Path(directory))
+                await self._run_steps()
                 end = self.now
-                self.check_probes()
-                self.check_limit()
-                if self.traffic is not None:
-                    await self.traffic.end()
+                self._check_load(end)
+                if self.load is not None:
+                    await self.load.end()
             finally:
-                await self.close()
-        judge(self.truth, self.claims, self.terms, end, self.outcome)
-        self.outcome.counts.update(passed=self.relay.passed, dropped=self.relay.dropped)
-        for instance in self.instances:
-            for error in instance.errors:
-                self.outcome.broken("process", end, error)
-        if self.traffic is not None:
-            self.outcome.counts.update({f"tx {name}": n for name, n in self.traffic.counts.items()})
-            for what in self.traffic.broken:
-                self.outcome.broken("rule", end, what)
+                await self._close()
+        check_membership_changes(self.ground_truth, self.membership_changes, self.config, end, self.outcome)
+        self._collect_results(end)
         return self.outcome
 
-    def check_probes(self) -> None:
-        """By the upstreams' own logs: about once a period, never more than twice, no gap over two, from two
-        periods after the first view in which all agreed."""
-        period = self.fleet.probing / S
-        if not period or self.agreed is None:
-            return
-        begin, end = self.agreed + 2 * period, asyncio.get_running_loop().time()
-        for name in self.upstreams:
-            times = [at for at in self.traffic.probed.get(name, ()) if at >= begin]
-            gaps = [b - a for a, b in zip([begin, *times], [*times, end], strict=True)]
-            if max(gaps) > 2 * period + BUSY:
-                self.outcome.broken("probes", self.now, f"{name}: none for {max(gaps):.1f} s")
-            most = max((sum(at <= t < at + period - BUSY for t in times) for at in times), default=0)
-            if most > 2:
-                self.outcome.broken("probes", self.now, f"{name}: {most} in {period:g} s")
-            self.outcome.counts["probes"] += len(times)
-        self.outcome.counts["probe periods"] = round(len(self.upstreams) * (end - begin) / period)
-
-    def check_limit(self) -> None:
-        """By the upstreams' own logs: no more of what is limited ran in any span than a tenth above the
-        limit, and what had been saved up."""
-        limit, times = self.fleet.limit, sorted(self.traffic.submits) if self.traffic is not None else []
-        if not limit:
-            return
-        most, first = 0, 0
-        for last, at in enumerate(times):
-            while times[first] < at - LIMITED:
-                first += 1
-            most = max(most, last - first + 1)
-        allowed = OVERCOMMIT_LIMIT * limit * (LIMITED + BUSY) + MIN_PARTIAL_BURST * len(self.instances)
-        self.outcome.counts.update({"limited": len(times), "limited most": most})
-        if most > allowed:
-            self.outcome.broken("limit", self.now, f"{most} in {LIMITED:g} s, {allowed:.0f} allowed")
-
-    async def even(self) -> bool:
-        """Does what all use add up? While upstreams come and go it does not: their troubles end before."""
-        self.shown = {}
+    async def _run_steps(self) -> None:
+        self._clock_watch = asyncio.get_running_loop().create_task(self._watch_clock())
+        await self.start([n for n in range(self.fleet.instances) if n not in self.fleet.late])
+        if self.load is not None:
+            self.load.begin(self.is_available)
+            if self.fleet.probing:
+                await self.load.end_faults()  # else the policy asks for health checks of its own
+        for step in self.fleet.steps:
+            await self.apply_step(step)
+            await self.run(step.wait)
+            await self.wait_for_condition(step)
+
+    def _collect_results(self, end: int) -> None:
+        self.outcome.counts.update(passed=self.proxy.forwarded, dropped=self.proxy.dropped)
         for instance in self.instances:
-            if instance.alive and not instance.stopped:
-                said = await instance.ask("/api/subsets")
-                if said is None:
-                    return False
-                self.shown[instance.name] = said["pools"]["main"]
-        load = dict.fromkeys(self.upstreams, 0.0)
-        for pool in self.shown.values():
-            total = sum(pool["weights"].values())
-            for name, weight in pool["weights"].items():
-                load[name] += weight / total
-        return max(load.values()) <= EVEN * sum(load.values()) / len(load)
-
-    async def build(self, folder: Path) -> None:
+            for error in instance.errors:
+                self.outcome.report("process", end, error)
+        if self.load is not None:
+            observer = self.load.observer
+            self.outcome.counts.update({f"tx {name}": n for name, n in observer.counts.items()})
+            for violation in observer.violations:
+                self.outcome.report("rule", end, violation)
+
+    async def _build(self, directory: Path) -> None:
+        """Write the instances' files, and start the proxy, the upstreams and discovery."""
         fleet = self.fleet
-        self.relay.delay = fleet.delay
-        self.relay.tap = self.keep
-        places = await self.relay.open(fleet.instances)
-        self.key = secrets.token_hex(32)
-        (folder / "key").write_text(self.key + "\n")
-        ports = free_ports(3 * fleet.instances + self.wanted + 1)
-        own, rest = ports[: 3 * fleet.instances], ports[3 * fleet.instances :]
-        self.traffic = Traffic(Random(f"traffic {fleet.seed}"), max(self.rate, 0.01), self.wanted, rest)
-        await self.traffic.open()
-        self.upstreams = [spec.name for spec in self.traffic.specs]
-        subset = f'[pools.main.subset]\nleast = {fleet.subset}\ndegree = {fleet.subset}\nhold = "5s"'
-        text = CLASSES.format(
-            discovery=joined(self.traffic.list_at), balancers=fleet.instances,
-            subset=subset if fleet.subset else "",
-            limit=f'rate = "{fleet.limit}/s"\nshared = true' if fleet.limit else "",
-        )  # fmt: skip
+        self.proxy.mean_delay = fleet.delay
+        addresses = await self.proxy.open(fleet.instances)
+        (directory / "key").write_text(self._key + "\n")
+        own_count = PORTS_PER_INSTANCE * fleet.instances
+        ports = free_ports(own_count + self.upstream_count + 1)
+        load_rng = Random(f"traffic {fleet.seed}")
+        load = LoadGenerator(load_rng, max(self.rate, MIN_RATE), self.upstream_count, ports[own_count:])
+        await load.open()
+        self.upstream_names = [spec.name for spec in load.specs]
+        pools = pools_text(fleet, load.discovery_address)
         for number in range(fleet.instances):
-            made = Instance(number, folder, tuple(own[3 * number : 3 * number + 3]), self.heard)
-            made.write(fleet, places, text)
-            self.relay.stands_at(number, made.datagrams)
-            self.instances.append(made)
+            own_ports = ports[PORTS_PER_INSTANCE * number : PORTS_PER_INSTANCE * (number + 1)]
+            instance = Instance(number, directory, own_ports, self.record_log)
+            instance.write(fleet, addresses, pools)
+            self.proxy.set_target(number, instance.datagram_address)
+            self.instances.append(instance)
             if self.rate:
-                self.traffic.clients(number, made.callers)
-        if not self.rate:
-            self.traffic = None
+                load.add_clients(number, instance.client_address)
+        if self.rate:
+            self.load = load
 
-    async def close(self) -> None:
-        if self.watching is not None:
-            self.watching.cancel()
+    async def _close(self) -> None:
+        if self._clock_watch is not None:
+            self._clock_watch.cancel()
         await asyncio.gather(*(instance.end() for instance in self.instances if instance.alive))
         for instance in self.instances:
-            if instance.reading is not None:
-                instance.reading.cancel()
-        self.relay.close()
+            if instance.reader is not None:
+                instance.reader.cancel()
+        self.proxy.close()
 
-    def may_ask(self, number: int) -> bool:
+    def is_available(self, number: int) -> bool:
+        """Whether clients may send requests to an instance."""
         instance = self.instances[number]
-        return instance.alive and not instance.stopped and instance.open.done()
+        return instance.is_running and instance.opened.done()
+
+    # Steps.
 
     async def start(self, numbers: list[int]) -> None:
-        """All at once. One is there from the moment in which it speaks: until then none can know it."""
+        """Start instances at the same time. One exists from when it communicates: none can know it before."""
         for number in numbers:
             await self.instances[number].start()
         for number in numbers:
-            await self.instances[number].opened()
-            self.truth.start(self.now, number)
-
-    async def end(self, number: int, how: int) -> None:
-        self.truth.end(self.now, number)
-        if self.traffic is not None:
-            self.traffic.away(number)
-        await self.instances[number].end(how)
-
-    async def act(self, step: Step) -> None:
-        self.line(self.now, f"STEP {step.what} {step.whom or step.parts or ''}")
+            await self.instances[number].wait_until_open()
+            self.ground_truth.start(self.now, number)
+
+    async def end(self, number: int, signal_number: int) -> None:
+        """End an instance by a signal."""
+        self.ground_truth.end(self.now, number)
+        self._interrupted(number)
+        await self.instances[number].end(signal_number)
+
+    def _interrupted(self, number: int) -> None:
+        if self.load is not None:
+            self.load.observer.interrupted(number)
+
+    async def apply_step(self, step: Step) -> None:
+        """Do what a step says."""
+        self.log_step(self.now, step)
         if step.what == "mend":
-            undo, self.undo = self.undo, []
-            for _, other in undo:
-                await self.over(other)
-            self.ways.clear()
-            self.set_ways()
-        elif step.what in WAYS:
-            self.ways.append(step)
-            self.set_ways()
+            await self._revert_all()
+        elif step.what in LINK_FAULTS:
+            self.link_faults.append(step)
+            self.apply_link_faults()
         elif step.what == "strangers":
-            self.strangers()
+            self.inject_foreign_datagrams()
         elif step.what == "bad":
-            self.make_bad(step, 0.9)
-        starting = []
-        for number in step.whom if step.what not in WAYS else ():
-            instance = self.instances[number]
-            if step.what == "start" and not instance.alive:
-                starting.append(number)
-            elif not instance.alive:
-                continue
-            elif step.what == "kill":
-                await self.end(number, signal.SIGKILL)
-            elif step.what == "restart":
-                await self.end(number, signal.SIGKILL)
-                starting.append(number)
-            elif step.what in ("stop", "block"):
-                instance.stop()
-                self.truth.stop(self.now, number)
-                if self.traffic is not None:
-                    self.traffic.away(number)
-            elif step.what == "leave":
-                await self.end(number, signal.SIGTERM)
-            elif step.what == "hand":
-                await self.end(number, signal.SIGUSR2)
+            self._set_failing(step, FAILING_SHARE)
+        starting: list[int] = []
+        for number in step.whom if step.what not in LINK_FAULTS else ():
+            if self.instances[number].alive:
+                if await self._apply_to_running(step.what, number):
+                    starting.append(number)
+            elif step.what == "start":
                 starting.append(number)
         await self.start(starting)
-        if step.span and step.what not in ("calm", "mend"):
-            self.undo.append((self.now + step.span, step))
-            self.undo.sort(key=lambda entry: entry[0])
-
-    async def over(self, step: Step) -> None:
-        if step in self.ways:
-            self.ways.remove(step)
-            self.set_ways()
+        self.schedule_reversal(self.now, step)
+
+    async def _apply_to_running(self, what: str, number: int) -> bool:
+        """Apply a step to an instance that runs; whether it has to be started afterwards."""
+        if what in ("kill", "restart"):
+            await self.end(number, signal.SIGKILL)
+        elif what in ("stop", "block"):
+            self.instances[number].stop()
+            self.ground_truth.stop(self.now, number)
+            self._interrupted(number)
+        elif what == "leave":
+            await self.end(number, signal.SIGTERM)
+        elif what == "hand":
+            await self.end(number, signal.SIGUSR2)
+        return what in ("restart", "hand")
+
+    async def _revert_all(self) -> None:
+        reversals, self.pending_reversals = self.pending_reversals, []
+        for _, step in reversals:
+            await self.revert_step(step)
+        self.link_faults.clear()
+        self.apply_link_faults()
+
+    async def revert_step(self, step: Step) -> None:
+        """Undo what a step did."""
+        if step in self.link_faults:
+            self.link_faults.remove(step)
+            self.apply_link_faults()
         if step.what == "bad":
-            self.make_bad(step, 0.0)
-        starting = []
-        for number in step.whom if step.what not in WAYS else ():
+            self._set_failing(step, 0.0)
+        starting: list[int] = []
+        for number in step.whom if step.what not in LINK_FAULTS else ():
             instance = self.instances[number]
-            if step.what in ("stop", "block") and instance.stopped and instance.alive:
-                instance.go_on()
-                self.truth.go_on(self.now, number)
-                if self.traffic is not None:
-                    self.traffic.away(number)
+            if step.what in ("stop", "block") and instance.is_stopped and instance.alive:
+                instance.resume()
+                self.ground_truth.resume(self.now, number)
+                self._interrupted(number)
             elif step.what in ("kill", "leave") and not instance.alive:
                 starting.append(number)
         await self.start(starting)
 
-    def make_bad(self, step: Step, failing: float) -> None:
-        for upstream in self.traffic.upstreams if self.traffic is not None else ():
+    def _set_failing(self, step: Step, share: float) -> None:
+        for upstream in self.load.upstreams if self.load is not None else ():
             if upstream.spec.cell in step.to:
-                upstream.failing = failing
-
-    async def believing(self) -> bool:
-        said = [await each.ask("/api/signals") for each in self.instances if each.alive and not each.stopped]
-        return all(said) and any(each["told"] for each in said)
-
-    def set_ways(self) -> None:
-        self.relay.cut = cuts = self.cuts()
-        if cuts != self.truth.cut:
-            self.truth.ways(self.now, cuts)
-        lose, delay, twice = (self.strongest(what) for what in ("lose", "delay", "double"))
-        self.relay.loss = lose.size if lose else 0.0
-        self.relay.twice = twice.size if twice else 0.0
-        self.relay.more = delay.delay if delay else 0
-
-    def strangers(self) -> None:
-        """What no member has said, has said before, or says in another version; sealed by another key."""
-        chance, other = self.chance, DatagramAuthenticator([b"x" * 32])
-        valid, _ = encode_packet("b0", 1, 1, Ping(1, "b1"), [])
-        newer = DatagramAuthenticator([self.key.encode()]).sign(valid[:1] + b"\x07" + valid[2:])
+                upstream.failing = share
+
+    def apply_link_faults(self) -> None:
+        """Bring the proxy in line with the link faults in force."""
+        blocked = self.blocked_links()
+        self.proxy.blocked_links = blocked
+        if blocked != self.ground_truth.blocked_links:
+            self.ground_truth.set_blocked_links(self.now, blocked)
+        lose = self.strongest_fault("lose")
+        delay = self.strongest_fault("delay")
+        double = self.strongest_fault("double")
+        self.proxy.loss = lose.size if lose else 0.0
+        self.proxy.duplication = double.size if double else 0.0
+        self.proxy.max_extra_delay = delay.delay if delay else 0
+
+    def inject_foreign_datagrams(self) -> None:
+        """Send each instance datagrams that no member sent, and replays."""
         for number in range(self.fleet.instances):
-            for _ in range(20):
-                self.relay.throw(number, chance.randbytes(chance.choice((1, 40, 1_400, 9_000))))
-            for data in (other.sign(valid), newer, *self.recent[:20]):
-                self.relay.throw(number, data)
+            for payload in foreign_datagrams(self.rng, self._key, self._replayed):
+                self.proxy.inject(number, payload)
 
     async def run(self, span: int) -> None:
+        """Let so many microseconds pass, and undo the steps whose span ends."""
         end = self.now + span
-        while self.undo and self.undo[0][0] <= end:
-            at, step = self.undo.pop(0)
+        while self.pending_reversals and self.pending_reversals[0][0] <= end:
+            at, step = self.pending_reversals.pop(0)
             await asyncio.sleep(max(0, at - self.now) / S)
-            await self.over(step)
+            await self.revert_step(step)
         await asyncio.sleep(max(0, end - self.now) / S)
 
-    async def until(self, step: Step) -> None:
+    # Conditions and checks.
+
+    async def wait_for_condition(self, step: Step) -> None:
+        """Let time pass until the step's condition holds; it is a violation if that takes too long."""
         if not step.until:
             return
-        if step.until == "even" and self.traffic is not None:
-            await self.traffic.settle()
-        bounds = Bounds(self.terms, self.fleet.instances, self.fleet.instances)
-        usual = bounds.detect if step.until == "out" else bounds.agree
-        limit = self.now + FAR * (step.within or usual)
-        while not await self.holds(step):
+        if step.until == "even" and self.load is not None:
+            await self.load.end_faults()
+        limit = self.now + BOUND_FACTOR * self.condition_bound(step)
+        while not await self.condition_holds(step):
             if self.now >= limit:
-                return self.outcome.broken(step.until, self.now, f"not within {FAR} times its bound")
-            await self.run(self.terms.period // LOOK)
-        if step.until == "agree" and self.agreed is None:
-            self.agreed = asyncio.get_running_loop().time()
-
-    async def holds(self, step: Step) -> bool:
+                self.outcome.report(step.until, self.now, f"not within {BOUND_FACTOR} times its bound")
+                return
+            await self.run(self.config.period // CHECKS_PER_PERIOD)
+        if step.until == "agree" and self.first_agreement is None:
+            self.first_agreement = asyncio.get_running_loop().time()
+
+    async def condition_holds(self, step: Step) -> bool:
+        """Whether the step's condition holds now."""
         if step.until == "believed":
-            return await self.believing()
-        asked = [each for each in self.instances if each.alive and not each.stopped and each.open.done()]
-        shown = {}
-        for at in range(0, len(asked), AT_ONCE):
-            some = asked[at : at + AT_ONCE]
-            for instance, said in zip(
-                some, await asyncio.gather(*(each.ask("/api/members") for each in some)), strict=True
-            ):
-                if said is None:
-                    return False
-                shown[instance.name] = said
-        names = {name: {row["name"] for row in said["here"]} for name, said in shown.items()}
+            return await self._are_reports_used()
+        views = await self._views()
+        if views is None:
+            return False
         if step.until == "out":
-            gone = {f"b{number}" for number in step.whom}
-            return all(not gone & seen for name, seen in names.items() if name not in gone)
-        wanted = {each.name for each in self.instances if each.alive}
-        stable = all(said["stable"] and names[name] == wanted for name, said in shown.items())
-        agreed = stable and len({said["mark"] for said in shown.values()}) <= 1
-        return agreed and (step.until != "even" or await self.even())
+            return are_out(views, {f"b{number}" for number in step.whom})
+        members = {instance.name for instance in self.instances if instance.alive}
+        return do_agree(views, members) and (step.until != "even" or await self._are_subsets_even())
+
+    async def _views(self) -> dict[str, dict[str, Any]] | None:
+        """The views of all instances that run, None if one does not answer."""
+        asked = [each for each in self.instances if each.is_running and each.opened.done()]
+        views: dict[str, dict[str, Any]] = {}
+        for at in range(0, len(asked), MAX_PARALLEL_CALLS):
+            some = asked[at : at + MAX_PARALLEL_CALLS]
+            answers = await asyncio.gather(*(instance.ask("/api/members") for instance in some))
+            for instance, view in zip(some, answers, strict=True):
+                if view is None:
+                    return None
+                views[instance.name] = view
+        return views
+
+    async def _are_reports_used(self) -> bool:
+        """Whether the policy of any instance has used the health reports of others."""
+        answers = [await each.ask("/api/signals") for each in self.instances if each.is_running]
+        return all(answers) and any(answer["told"] for answer in answers if answer is not None)
+
+    async def _are_subsets_even(self) -> bool:
+        """Whether the subsets add up: faults of upstreams end before, as these disturb them."""
+        self.subsets = {}
+        for instance in self.instances:
+            if instance.is_running:
+                answer = await instance.ask("/api/subsets")
+                if answer is None:
+                    return False
+                self.subsets[instance.name] = answer["pools"]["main"]
+        return are_subsets_even(self.upstream_names, self.subsets)
+
+    def _check_load(self, end: int) -> None:
+        """Check what the upstreams recorded."""
+        observer = self.load.observer if self.load is not None else LoadObserver()
+        if self.load is not None and self.fleet.probing and self.first_agreement is not None:
+            times = {name: observer.health_check_times.get(name, []) for name in self.upstream_names}
+            check_health_checks(times, self.fleet.probing, self.first_agreement, end, self.outcome)
+        if self.fleet.limit:
+            check_rate_limit(observer.submit_times, self.fleet.limit, len(self.instances), end, self.outcome)
+
+    play = run_script  # the name that `dahliabend.cli` uses
 
 
-async def play(fleet: Fleet, traffic: float = 0.0, upstreams: int = 4, told=None):
-    with suppress(asyncio.CancelledError):
-        return await Rig(fleet, traffic, upstreams, told).play()
+Rig = ProcessTestRunner  # the name that `dahliabend.cli` imports
--- /dev/null
+++ b/dahliabend/simulation/balancer_host.py
@@ -0,0 +1,256 @@
+"""A balancer of a simulation through its processes: its configuration, starts, signals and ends."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from typing import TYPE_CHECKING, Any, Protocol
+
+import orjson
+
+from dahliabend.config.platform import read_server_settings
+from dahliabend.server.platform_server import PlatformServer
+from dahliabend.simulation.connections import Address, format_address
+from dahliabend.simulation.event_loop import Process
+from dahliabend.simulation.peers.discovery import Agent, Registry
+from dahliabend.simulation.recorder import Recorder
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.world import Simulation
+
+CLIENT_PORT = 8080
+SECOND_TIER_PORT = 9080
+AGENT_PORT = 8500
+ADMIN_PORT = 9000
+MIN_TERMINATION_TIME = 3_700_000  # microseconds from SIGTERM to SIGKILL
+MAX_COUNTED_DEADLINE = 3_000_000  # microseconds: longer deadlines don't lengthen the grace
+TERMINATION_MARGIN = 700_000  # microseconds over the deadline of requests
+RESERVED_DESCRIPTORS = 4
+FIRST_PROCESS_ID = 1_000
+LATE_VALUE = 0.25  # the share of its value that an answer after the latency objective earns
+MILLISECOND = 1_000  # microseconds
+# Events of the program's log about single requests: the peers record these themselves.
+UNRECORDED_LOG_EVENTS = frozenset({"hop", "rolled_back", "abandoned", "left", "committed", "figures"})
+RECORDED_LOG_FIELDS = ("why", "version", "kept", "status")
+
+
+class LogOwner(Protocol):
+    """Where a program's log goes."""
+
+    recorder: Recorder
+
+
+class ProgramLog:
+    """A program's structured log, into the time line."""
+
+    def __init__(self, simulation: LogOwner, process: str) -> None:
+        self.recorder = simulation.recorder
+        self.process = process
+        self.verbose = False
+
+    def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401 -- the log takes any value
+        """Record a log event."""
+        if event == "listening":
+            self.recorder("listening", self.process)
+        if event == "error":
+            self.recorder("crashed", self.process, f"{fields.get('what')}: {fields.get('why')}")
+        elif event not in UNRECORDED_LOG_EVENTS:
+            shown = {key: fields[key] for key in RECORDED_LOG_FIELDS if key in fields}
+            self.recorder("log", self.process, event, orjson.dumps(shown, default=str).decode())
+
+    def debug(self, event: str, **fields: Any) -> None:  # noqa: ANN401 -- the log takes any value
+        """Debug events are not recorded."""
+
+    def loop_failed(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Record an exception that reached the process's event loop."""
+        self("error", what=context.get("message"), why=repr(context.get("exception")))
+
+
+class BalancerHost:
+    """One balancer, its discovery agent, and the processes that it had."""
+
+    def __init__(
+        self, simulation: Simulation, name: str, host: str, registry: Registry, tier: int, index: int
+    ) -> None:
+        """Create a balancer that has not started.
+
+        Args:
+            simulation: that it belongs to.
+            name: of the balancer.
+            host: its address, which its agent has too.
+            registry: of the upstreams of its tier.
+            tier: 0 for clients' requests, 1 for those of upstreams.
+            index: of this balancer in its tier.
+        """
+        self.simulation = simulation
+        self.name = name
+        self.host = host
+        self.tier = tier
+        self.index = index
+        self.address: Address = (host, SECOND_TIER_PORT if tier else CLIENT_PORT)
+        self.admin_address: Address = (host, ADMIN_PORT)
+        self.agent_port = AGENT_PORT
+        self.starts = 0
+        self.process: Process | None = None
+        self.program: PlatformServer | None = None
+        zone = simulation.network.zones[host]
+        self.agent_process = Process(simulation.scheduler, f"{name}-agent", host, zone)
+        rng = simulation.rng_for(f"agent {name}")
+        notice = simulation.spec.notice
+        self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, notice)
+        self.agent.name = name
+        simulation.spawn(self.agent_process, self.agent.open(host, self.agent_port))
+        self.settings = platform_settings(simulation, tier, index)
+
+    def program_config(self) -> dict[str, Any]:
+        """The program's configuration file."""
+        simulation = self.simulation
+        return {
+            "name": self.name,
+            "listen": format_address(self.address),
+            "discovery": f"{self.host}:{self.agent_port}",
+            "seed": f"{simulation.rng.getrandbits(48):x}",
+            "limits": {"sockets": simulation.spec.sockets},
+            "known": self.agent.full_list(),
+            "settings": self.settings,
+        }
+
+    @property
+    def config_path(self) -> str:
+        """Where the program's configuration file is."""
+        return f"/run/{self.name}.json"
+
+    def write_config(self, text: bytes | None = None) -> None:
+        """Write the program's configuration file, or another text in its place."""
+        content = orjson.dumps(self.program_config()) if text is None else text
+        self.simulation.host.files[self.config_path] = content
+
+    def start(self) -> None:
+        """Start a process, beside the one that may still run."""
+        simulation = self.simulation
+        self.starts += 1
+        self.write_config()
+        process = Process(
+            simulation.scheduler,
+            f"{self.name}/{self.starts}",
+            self.host,
+            simulation.network.zones[self.host],
+            simulation.spec.sockets - RESERVED_DESCRIPTORS,
+        )
+        process.process_id = FIRST_PROCESS_ID + self.starts
+        process.loop.network = simulation.network
+        process.on_exit = lambda reason: simulation.recorder("ended", process.name, reason)
+        environment = {"PROXY_CONFIG": self.config_path}
+        if simulation.spec.admin and not self.tier:
+            self.admin_address = (self.host, ADMIN_PORT + self.starts)
+            environment["PROXY_ADMIN"] = format_address(self.admin_address)
+        if simulation.spec.shared and not self.tier:
+            environment |= {"PROXY_FD": "3", "TMPDIR": f"/tmp/{self.name}"}
+        self.process = process
+        self.program = None
+        simulation.recorder("starts", process.name, self.address)
+        process.run(self._run_program, process, environment)
+
+    def start_if_down(self) -> None:
+        """Start a process if none runs."""
+        if not self.alive:
+            self.start()
+
+    def _run_program(self, process: Process, environment: dict[str, str]) -> None:
+        log: Any = ProgramLog(self.simulation, process.name)  # stands in for the program's log
+
+        async def main() -> None:
+            """Run the program as its command does."""
+            program = PlatformServer(read_server_settings(environment), environment, log)
+            if self.process is process:
+                self.program = program
+            await program.start()
+            await program.end()
+
+        process.loop.set_exception_handler(log.loop_failed)
+        terminate_when_done(process, process.loop.create_task(main()), self.simulation.recorder)
+
+    @property
+    def alive(self) -> bool:
+        """Whether its newest process runs."""
+        return self.process is not None and self.process.alive
+
+    def kill(self) -> None:
+        """Kill its newest process."""
+        if not self.simulation.spec.shared:
+            self.simulation.invariants.endpoints.forget_exclusions(self.name)
+        self.signal(signal.SIGKILL)
+
+    def signal(self, signal_number: int) -> None:
+        """Send its newest process a signal."""
+        if self.process is not None:
+            self.process.signal(signal_number)
+
+    def terminate(self, process: Process) -> None:
+        """End a process as the platform does: SIGTERM, and SIGKILL if that takes too long."""
+        process.signal(signal.SIGTERM)
+        deadline = min(self.simulation.spec.limit, MAX_COUNTED_DEADLINE)
+        wait = max(MIN_TERMINATION_TIME, deadline + TERMINATION_MARGIN)
+        self.simulation.call_later(wait, process.signal, signal.SIGKILL)
+
+
+def terminate_when_done(process: Process, task: asyncio.Task[None], recorder: Recorder) -> None:
+    """Have a process end as its main task ends."""
+
+    def ended(task: asyncio.Task[None]) -> None:
+        """End the process with the task's result."""
+        error = None if task.cancelled() else task.exception()
+        if error is not None:
+            recorder("crashed", process.name, repr(error))
+        process.terminate("crashed" if error else "returned")
+
+    task.add_done_callback(ended)
+
+
+def platform_settings(simulation: Simulation, tier: int, index: int) -> dict[str, Any]:
+    """The settings that the platform hands to a balancer, with the keys of the wire."""
+    spec, load = simulation.spec, simulation.load
+    objective, deadline = spec.goal / MILLISECOND, spec.limit / MILLISECOND
+
+    def request_class(name: str, semantics: str, value: float, **more: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
+        """One request class of the settings."""
+        return {
+            "name": name,
+            "service-goal": objective,
+            "hard-limit": deadline,
+            "semantics": semantics,
+            "revenue": value,
+            "tardy-revenue": LATE_VALUE,
+            **more,
+        }
+
+    deduplication = {"dedup-window": spec.repeat_window / MILLISECOND, "in-order": load.keys > 0}
+    return {
+        "balancers": spec.upstreams if tier else spec.balancers,
+        "tier": tier,
+        "self-index": index,
+        "discovery": "pushed",
+        "locality": 0,
+        "localities": ["a", "b", "c", "d"][: spec.zones],
+        "profiles": [
+            request_class("query", "idempotent", 1.0),
+            request_class("submit", "at_most_once", 10.0),
+            request_class("mark", "deduplicated", 2.0, group=load.group, **deduplication),
+        ],
+        "caps": {
+            "most-hops": spec.hops,
+            "may-cancel": spec.may_cancel,
+            "probing": spec.may_probe,
+            "retry-after": spec.advises,
+            "max-retry-after": 3000.0,
+            "conn-idle": spec.conn_idle / MILLISECOND,
+            "dial-timeout": spec.dial / MILLISECOND,
+        },
+        "contract": {
+            "cold-share": spec.cold_share,
+            "cold": spec.cold / MILLISECOND,
+            "fall-multiple": spec.fall_multiple,
+            "answer-slack": 20.0,
+            "order-pause": spec.order_pause / MILLISECOND,
+        },
+    }
--- /dev/null
+++ b/dahliabend/simulation/client_faults.py
@@ -0,0 +1,92 @@
+"""Faults of clients: bursts, floods, bad manners, and clients that all leave at once."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from dahliabend.simulation.balancer_faults import open_malformed_connections
+from dahliabend.simulation.peers.misbehaving_clients import FloodingClient
+from dahliabend.simulation.scenario import MS, Fault
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.world import Simulation
+
+BURST_REQUESTS = 80  # times the fault's size
+BURST_TIME = 100 * MS
+FLOOD_REQUESTS = 90  # that one flooding client sends at once
+FLOODING_CLIENTS = 8  # times the fault's size
+HALF_CLOSE_CLIENTS = 12  # times the fault's size
+MALFORMED_CLIENTS = 150  # times the fault's size
+
+Undo = Callable[[], object] | None
+
+
+class ClientFaults:
+    """The faults of clients; each action returns what undoes it."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.actions: dict[str, Callable[[Fault], Undo]] = {
+            "crowd": self.burst,
+            "flood": self.flood,
+            "behind": self.send_after_half_close,
+            "leave": self.disconnect_all,
+            "rude": self.connect_malformed_clients,
+        }
+
+    def burst(self, fault: Fault) -> Undo:
+        """Many requests come at once."""
+        simulation = self.simulation
+        rng = simulation.rng_for("crowd")
+        for _ in range(int(BURST_REQUESTS * fault.size)):
+            request = simulation.draw_request(rng, simulation.load)
+            due = simulation.scheduler.now + int(BURST_TIME * rng.random())
+            simulation.scheduler.call_at(due, simulation.client_process, simulation.clients.send, request)
+        return None
+
+    def flood(self, fault: Fault) -> Undo:
+        """Some clients send many requests at once, more than is read ahead, and leave."""
+        simulation = self.simulation
+        rng = simulation.rng_for("flood")
+        for _ in range(1 + int(FLOODING_CLIENTS * fault.size)):
+            trace_ids = [simulation.clients.next_trace_id() for _ in range(FLOOD_REQUESTS)]
+            process = simulation.client_process
+            client = FloodingClient(process.loop, simulation.recorder, trace_ids, simulation.spec.limit, rng)
+            address = simulation.rotation.next_address()
+            if address is not None:
+                simulation.spawn(process, client.connect(address))
+        return None
+
+    def send_after_half_close(self, fault: Fault) -> Undo:
+        """Some clients keep a connection, and send a request once the balancer has closed its direction."""
+        simulation = self.simulation
+        rng = simulation.rng_for("behind")
+        for _ in range(1 + int(HALF_CLOSE_CLIENTS * fault.size)):
+            request = simulation.draw_request(rng, simulation.load)
+            follow_up = simulation.draw_request(rng, simulation.load)
+            request.disconnect_after = request.chunk_interval = follow_up.chunk_interval = 0
+            address = simulation.rotation.next_address()
+            if address is not None:
+                sending = simulation.clients.send_after_half_close(request, follow_up, address)
+                simulation.spawn(simulation.client_process, sending)
+        return None
+
+    def disconnect_all(self, _fault: Fault) -> Undo:
+        """All clients that wait for a response disconnect."""
+        clients = self.simulation.clients
+
+        def disconnect() -> None:
+            """Disconnect in the order of the connections."""
+            for connection in sorted(clients.waiting, key=lambda connection: connection.number):
+                connection.disconnect()
+
+        self.simulation.client_process.run(disconnect)
+        return None
+
+    def connect_malformed_clients(self, fault: Fault) -> Undo:
+        """Many clients send no request, or a malformed one, and stay."""
+        simulation = self.simulation
+        count = 1 + int(MALFORMED_CLIENTS * fault.size)
+        next_address = simulation.rotation.next_address
+        return open_malformed_connections(simulation, simulation.client_process, count, next_address)
--- /dev/null
+++ b/dahliabend/simulation/client_invariants.py
@@ -0,0 +1,194 @@
+"""Invariants on what clients see: one complete answer each, in time, and rejections safe to retry."""
+
+from collections.abc import Callable
+
+from dahliabend.simulation.observed_run import (
+    NOT_EXCUSED,
+    SLACK,
+    AttemptRecord,
+    ObservedRun,
+    RejectionStreak,
+    RequestRecord,
+)
+from dahliabend.simulation.recorder import Recorder
+
+REJECTED_STATUSES = (429, 503)
+OK = 200
+MAX_REJECTION_TIME = 4_000_000  # microseconds: a process that rejects all for longer serves nobody
+MIN_REJECTIONS = 15  # requests that it has to reject meanwhile
+SHOWN_BYTES = 60  # of unexpected data, in a violation
+
+
+class ClientInvariants:
+    """Follows the requests of all clients."""
+
+    def __init__(self, run: ObservedRun, recorder: Recorder) -> None:
+        self.run = run
+        handlers: dict[str, Callable[..., None]] = {
+            "asked": self.request_sent,
+            "nobody": self.no_balancer_ready,
+            "written": self.request_written,
+            "answer": self.response_received,
+            "extra": self.unexpected_data,
+            "began": self.response_began,
+            "cut": self.response_truncated,
+            "lost": self.connection_lost,
+            "left": self.client_disconnected,
+            "spoilt": self.response_unreadable,
+            "made": self.answer_made,
+        }
+        for kind, handler in handlers.items():
+            recorder.subscribe(kind, handler)
+
+    def request_sent(self, trace_id: str, class_name: str, connection: int, timeout: int) -> None:
+        """A client writes the first byte of a request, or writes it again on a new connection."""
+        run = self.run
+        request = run.requests.get(trace_id)
+        if request is None:
+            run.counts["asked"] += 1
+            run.tally[class_name].asked += 1
+            rules = run.classes[class_name]
+            run.requests[trace_id] = RequestRecord(trace_id, rules, connection, timeout, run.now)
+            run.open_requests.add(trace_id)
+        else:  # the connection before was closed without reading it
+            request.connection = connection
+            request.first_byte_at = run.now
+            request.written_at = 0
+
+    def no_balancer_ready(self, class_name: str) -> None:
+        """No balancer was there to take a request."""
+        self.run.tally[class_name].asked += 1
+        self.run.counts["nobody"] += 1
+
+    def request_written(self, trace_id: str) -> None:
+        """The last byte of a request is written: its time runs."""
+        run = self.run
+        request = run.requests[trace_id]
+        request.written_at = run.now
+        due = run.now + request.time_limit + SLACK
+        run.scheduler.call_at(due, None, self.answer_due, request, run.now)
+
+    def answer_due(self, request: RequestRecord, written_at: int) -> None:
+        """A request's time limit and the slack are over."""
+        run = self.run
+        if request.is_finished or request.written_at != written_at or request.answer_began_at:
+            return
+        excused_until = run.excuse(request)
+        if excused_until > run.now:
+            run.scheduler.call_at(excused_until, None, self.answer_due, request, written_at)
+        elif excused_until == NOT_EXCUSED:
+            process = run.process_serving(request)
+            run.report("one answer", f"{request.trace_id} at {process} had none by its limit")
+            run.finish(request, "lost")
+
+    def response_received(self, trace_id: str, status: int, body: bytes) -> None:
+        """A client has received a complete response."""
+        run = self.run
+        request = run.requests[trace_id]
+        if request.answered_at:
+            run.report("one answer", f"{trace_id} was answered twice, {request.status} and {status}")
+            return
+        request.answered_at = run.now
+        request.status = status
+        self._check_lateness(request)
+        if status == OK:
+            self._check_served(request, body)
+            run.finish(request, "served")
+        elif status in REJECTED_STATUSES:
+            self._check_rejection(request)
+            run.finish(request, "refused")
+        else:
+            run.finish(request, "failed")
+
+    def _check_lateness(self, request: RequestRecord) -> None:
+        run = self.run
+        late = run.now - request.written_at - request.time_limit - SLACK if request.written_at else 0
+        if late > 0 and not request.answer_began_at and not run.excuse(request):
+            run.report("one answer", f"{request.trace_id}: answered {late} us past its limit and the slack")
+
+    def _check_served(self, request: RequestRecord, body: bytes) -> None:
+        run = self.run
+        if body not in run.answers_made.get(request.trace_id, ()):
+            shown = repr(body[:SHOWN_BYTES])
+            run.report("whole answer", f"{request.trace_id}: 200 with what no upstream made for it: {shown}")
+        latency = (request.answer_began_at or request.answered_at) - request.written_at
+        tally = run.tally[request.request_class.name]
+        if latency <= request.request_class.latency_objective:
+            tally.in_time += 1
+        else:
+            tally.late += 1
+
+    def _check_rejection(self, request: RequestRecord) -> None:
+        """A retry has to be harmless, and a process must not reject everything for long."""
+        run = self.run
+        if process := run.process_serving(request):
+            self._count_rejection(process)
+        if request.request_class.may_repeat_anywhere:
+            return
+        for attempt in request.attempts:
+            if attempt.may_have_executed:
+                name = f"{request.trace_id} ({request.request_class.name})"
+                run.report("rollback", f"{name} rolled back; it may have run at {attempt.upstream}")
+
+    def _count_rejection(self, process: str) -> None:
+        run = self.run
+        streak = run.rejection_streaks.get(process, RejectionStreak(run.now, 0))
+        count = streak.length + 1
+        if streak.length >= MIN_REJECTIONS and run.now - streak.since > MAX_REJECTION_TIME:
+            run.rejection_streaks[process] = RejectionStreak(run.now, 0)
+            run.report("serves nobody", f"{process} turned away all {count} that came for 4 s")
+        else:
+            run.rejection_streaks[process] = RejectionStreak(streak.since, count)
+
+    def unexpected_data(self, trace_id: str, data: bytes) -> None:
+        """Data came on a connection on which nothing was due."""
+        shown = repr(data[:SHOWN_BYTES])
+        self.run.report("one answer", f"more than one answer came where {trace_id} was asked: {shown}")
+
+    def response_began(self, trace_id: str) -> None:
+        """The first bytes of a long response came."""
+        run = self.run
+        request = run.requests[trace_id]
+        request.answer_began_at = run.now
+        is_late = run.now - request.written_at > request.time_limit + SLACK
+        if request.written_at and is_late and not run.excuse(request):
+            run.report("one answer", f"{trace_id}: began past its limit")
+
+    def response_truncated(self, trace_id: str) -> None:
+        """A response began, and its connection ended before it was complete: the client can tell."""
+        run = self.run
+        request = run.requests[trace_id]
+        request.answered_at = run.now
+        if not run.excuse(request) and any(map(self._was_answer_delivered, request.attempts)):
+            run.report("whole answer", f"{trace_id}: cut, although its upstream gave all of it")
+        run.finish(request, "failed")
+
+    def _was_answer_delivered(self, attempt: AttemptRecord) -> bool:
+        """Whether all of an answer was sent, with nothing that broke the connection since."""
+        end = self.run.connections.get(attempt.connection)
+        if end is None or attempt.connection in self.run.torn_connections:
+            return False
+        return attempt.is_answer_sent and not (end.reset_received or end.peer.reset_received)
+
+    def response_unreadable(self, trace_id: str, why: str) -> None:
+        """A response could not be parsed."""
+        self.run.report("whole answer", f"{trace_id}: unreadable: {why}")
+
+    def connection_lost(self, trace_id: str, how: str) -> None:
+        """A request's connection ended without a response."""
+        run = self.run
+        request = run.requests[trace_id]
+        if request.written_at and not run.excuse(request):
+            run.report("one answer", f"{trace_id}: its connection ended without one: {how}")
+        run.finish(request, "lost")
+
+    def client_disconnected(self, trace_id: str) -> None:
+        """A client has given a request up."""
+        run = self.run
+        request = run.requests[trace_id]
+        request.disconnected_at = run.now
+        run.finish(request, "left")
+
+    def answer_made(self, trace_id: str, body: bytes) -> None:
+        """An upstream has made an answer."""
+        self.run.answers_made.setdefault(trace_id, set()).add(body)
--- a/dahliabend/simulation/cluster/__init__.py
+++ b/dahliabend/simulation/cluster/__init__.py
@@ -1,3 +1,6 @@
-"""Fleets of balancers that speak with each other: scripts, what was so, what each claimed, and the machines
-on a modelled network. `dahliabend.process_tests` plays the same scripts with real processes.
+"""Clusters of balancers that gossip with each other, on a simulated network.
+
+Scripts describe a cluster and the faults injected into it; a ground truth records what really happened; the
+invariants hold what each instance reported against it. `dahliabend.process_tests` runs the same scripts with
+real processes. The search modules explore all interleavings of three instances to a given depth.
 """
--- /dev/null
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -0,0 +1,400 @@
+"""One balancer process of the workload model: the real policy, subset controller and health gossip.
+
+Attempts go to simulated upstreams; there are no bytes. The instance is the policy's port.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from random import Random
+from typing import TYPE_CHECKING, NamedTuple
+
+from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
+from dahliabend.leases.leased_health_checks import LeasedHealthChecks
+from dahliabend.membership.failure_detector import MembershipProtocol
+from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass
+from dahliabend.policy.balancer import Balancer, RequestState
+from dahliabend.simulation.cluster.lying_gossip import LyingGossip
+from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream
+from dahliabend.subsetting.controller import SubsetController, count_usable
+from dahliabend.subsetting.demand import DemandEstimator
+from dahliabend.subsetting.selection import Participant
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.cluster.workload_model import WorkloadModel
+
+SUBSET_INTERVAL = 250 * MS  # between two steps of a subset controller
+ONE_WAY_DELAY = 1 * MS  # of a message to an upstream, or back
+CONNECT_TIME = 3 * MS
+CONNECT_TIMEOUT = 250 * MS
+IDLE_TIMEOUT = 15 * S  # of connections to upstreams
+LATENCY_OBJECTIVE = 1_500 * MS
+DEADLINE = 3 * S
+UNHEALTHY_FAILURE_SHARE = 0.5  # an upstream that fails more of its requests fails its health checks
+REQUEST_CLASSES = (
+    RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 1.0, 0.0),
+    RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 2.0, 0.0),
+)
+POOL = "main"
+REUSABLE_AFTER = frozenset({Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED})
+
+ResultCallback = Callable[[int, Outcome], None]
+
+
+class EndpointRow(NamedTuple):
+    """An upstream as `Balancer.update_endpoints` takes it."""
+
+    upstream: int
+    state: EndpointState
+    started_at: int
+    weight: float
+    cell: int
+    zone: int
+    name: bytes
+
+
+@dataclass(slots=True)
+class AttemptRecord:
+    """One attempt of a request."""
+
+    upstream: SimulatedUpstream
+    sent_at: int
+    is_finished: bool = False
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that a balancer holds."""
+
+    arrived_at: int
+    class_index: int
+    is_answered: bool = False
+    effects: int = 0  # how often it was executed
+    state: RequestState | None = None
+    attempts: list[AttemptRecord] = field(default_factory=list)
+
+
+class BalancerInstance:
+    """One balancer's process, from its start until its end."""
+
+    def __init__(self, model: WorkloadModel, number: int, generation: int) -> None:
+        self.model = model
+        self.number = number
+        self.is_alive = True
+        self.rows: dict[str, EndpointRow] = {}  # the endpoint list as it knows it
+        self.requests: dict[int, PendingRequest] = {}
+        self.next_ref = 0
+        self.admitted = 0
+        self.idle_connections: dict[int, list[int]] = {}  # by upstream: since when each is idle
+        self.busy_connections: Counter[int] = Counter()
+        seed = hash((model.fleet.seed, number, generation))
+        self.balancer = Balancer(model.settings(), self, seed=seed)
+        self.demand = DemandEstimator() if model.announces_demand else None
+        self.gossip = self._create_gossip(generation)
+        self.leased_checks: LeasedHealthChecks | None = None
+        if model.check_period and self.gossip is not None:
+            self.leased_checks = LeasedHealthChecks(
+                f"b{number}", model.check_period, self.run_leased_check, lambda *_, **__: None
+            )
+            self.gossip.leases = self.leased_checks.election.announcements
+            self.gossip.on_lease = self.leased_checks.apply_announcement
+        self.controller: SubsetController | None = None
+        if model.subset is not None:
+            self.controller = SubsetController(model.participant(number), model.subset)
+        self.weights: dict[str, float] = {}  # of the upstreams in the subset
+
+    def _create_gossip(self, generation: int) -> HealthGossip | None:
+        model, number = self.model, self.number
+        if not model.has_gossip:
+            return None
+        rng = Random(f"signals {model.fleet.seed} {number} {generation}")
+        if number in model.lies:
+            return LyingGossip(f"b{number}", generation, rng, model.lies[number], model.upstreams_by_name)
+        return HealthGossip(f"b{number}", generation, rng)
+
+    # The policy's port.
+
+    def send(self, ref: int, upstream: int, timeout: int) -> None:
+        """Send an attempt; a connection is opened where none is idle."""
+        model = self.model
+        now = model.now
+        request = self.requests[ref]
+        target = model.upstreams[upstream]
+        request.attempts.append(AttemptRecord(target, now))
+        number = len(request.attempts) - 1
+        model.counts["hops"] += 1
+        delay = ONE_WAY_DELAY
+        if not self._take_idle_connection(upstream):
+            model.counts["shakes"] += 1
+            delay += CONNECT_TIME
+        self.busy_connections[upstream] += 1
+        model.call_at(now + timeout, self.attempt_ended, ref, number, Outcome.TIMED_OUT)
+        if target.is_gone and target.is_silent:
+            model.call_at(now + CONNECT_TIMEOUT, self.attempt_ended, ref, number, Outcome.UNREACHABLE)
+        else:
+            model.call_at(now + delay, self.attempt_arrived, ref, number)
+
+    def _take_idle_connection(self, upstream: int) -> bool:
+        idle = self.idle_connections.setdefault(upstream, [])
+        while idle and self.model.now - idle[0] > IDLE_TIMEOUT:
+            idle.pop(0)
+        if not idle:
+            return False
+        idle.pop()
+        return True
+
+    def attempt_arrived(self, ref: int, number: int) -> None:
+        """An attempt has come to its upstream."""
+        request = self.requests.get(ref)
+        if request is None or request.attempts[number].is_finished:
+            return
+        model, upstream = self.model, request.attempts[number].upstream
+        result = upstream.request_arrived(model.now, self.number)
+        if result.outcome is Outcome.SUCCEEDED:
+            request.effects += 1
+            effect = REQUEST_CLASSES[request.class_index].effect
+            if request.effects > 1 and effect is Effect.NON_IDEMPOTENT:
+                model.report_violation(f"no effect twice: at {upstream.name}")
+            model.call_at(result.at, self.work_done, upstream)
+        if result.outcome is not None:
+            model.call_at(result.at + ONE_WAY_DELAY, self.attempt_ended, ref, number, result.outcome)
+
+    def work_done(self, upstream: SimulatedUpstream) -> None:
+        """An upstream has finished a request."""
+        upstream.in_flight -= not upstream.is_gone
+
+    def attempt_ended(self, ref: int, number: int, outcome: Outcome) -> None:
+        """An attempt has ended; the first end counts."""
+        request, model = self.requests.get(ref), self.model
+        if request is None or request.attempts[number].is_finished or not self.is_alive:
+            return
+        attempt = request.attempts[number]
+        upstream = attempt.upstream
+        if upstream.is_gone and outcome is Outcome.SUCCEEDED:
+            outcome = Outcome.RESET
+        attempt.is_finished = True
+        self._release_connection(upstream.index, outcome)
+        if self.gossip is not None:
+            self.gossip.record_outcome(model.now, POOL, upstream.name, outcome)
+        if outcome is Outcome.SUCCEEDED:
+            self._serve(request)
+        if request.state is not None:
+            latency = model.now - attempt.sent_at
+            request.state.attempt_finished(model.now, number, outcome, latency, request.is_answered)
+            if request.state.is_finished:
+                self.requests.pop(ref, None)
+
+    def _release_connection(self, upstream: int, outcome: Outcome) -> None:
+        self.busy_connections[upstream] -= 1
+        if outcome in REUSABLE_AFTER and upstream in self.idle_connections:
+            self.idle_connections[upstream].append(self.model.now)  # else it has left the list or the subset
+
+    def _serve(self, request: PendingRequest) -> None:
+        """Answer a request by its first successful attempt."""
+        if not request.is_answered:
+            is_in_time = self.model.now - request.arrived_at <= LATENCY_OBJECTIVE
+            self.answer(request, "served" if is_in_time else "late")
+
+    def answer(self, request: PendingRequest, result: str) -> None:
+        """Answer a request: "served", "late", "rolled back" (rejected) or "abandoned" (failed)."""
+        model = self.model
+        if request.is_answered:
+            model.report_violation("a second answer")
+            return
+        request.is_answered = True
+        if request.arrived_at < model.measured_since:
+            return
+        model.counts[result] += 1
+        if result == "served":
+            model.metrics.latencies.append(model.now - request.arrived_at)
+
+    def reject(self, ref: int, retry_after: int) -> None:  # noqa: ARG002 -- the signature of `Port`
+        """Reject a request."""
+        self.answer(self.requests[ref], "rolled back")
+
+    def fail(self, ref: int) -> None:
+        """Fail a request."""
+        self.answer(self.requests[ref], "abandoned")
+
+    def cancel(self, ref: int, hop: int) -> None:
+        """Cancel an attempt."""
+        if not self.requests[ref].attempts[hop].is_finished:
+            self.model.call_at(self.model.now, self.attempt_ended, ref, hop, Outcome.CANCELLED)
+
+    def check_health(self, upstream: int) -> None:
+        """Check an upstream's health, or have the lease holder do it."""
+        name = self.model.upstreams[upstream].name
+
+        def on_result(_: int, outcome: Outcome) -> None:
+            """Hand the result to the policy."""
+            self.health_check_finished(upstream, outcome)
+
+        checks = self.leased_checks
+        if checks is None or not checks.request_check(self.model.now, name, on_result):
+            self.run_check(upstream, on_result)
+
+    def run_leased_check(self, task: str, on_result: ResultCallback) -> None:
+        """Run the health check of a leased task, which is named for its upstream."""
+        upstream = self.model.upstreams_by_name.get(task)
+        if upstream is not None:
+            self.run_check(upstream.index, on_result)
+
+    def run_check(self, upstream: int, on_result: ResultCallback) -> None:
+        """Send a health check to an upstream."""
+        model = self.model
+        target = model.upstreams[upstream]
+        model.counts["probes"] += 1
+        is_silent = target.hung or target.is_gone or self.number in target.deaf_to
+        if is_silent:
+            outcome = Outcome.TIMED_OUT
+        elif target.failing > UNHEALTHY_FAILURE_SHARE:
+            outcome = Outcome.FAILED
+        else:
+            outcome = Outcome.SUCCEEDED
+        delay = 2 * CONNECT_TIMEOUT if is_silent else 2 * ONE_WAY_DELAY
+        model.call_at(model.now + delay, self.check_ended, on_result, outcome)
+
+    def check_ended(self, on_result: ResultCallback, outcome: Outcome) -> None:
+        """A health check's response or time-out has come."""
+        if self.is_alive:
+            on_result(self.model.now, outcome)
+
+    def health_check_finished(self, upstream: int, outcome: Outcome) -> None:
+        """Hand a health check's result to the policy."""
+        if self.is_alive:
+            self.balancer.health_check_finished(self.model.now, upstream, outcome)
+
+    def close_idle_connections(self, upstream: int, age: int) -> None:
+        """Close the connections that have been idle for so long."""
+        idle = self.idle_connections.get(upstream, [])
+        self.idle_connections[upstream] = [since for since in idle if self.model.now - since < age]
+
+    def set_timer(self, at: int, token: int) -> None:
+        """Have the policy's timer fire at a time."""
+        self.model.call_at(at, self.timer_fired, token)
+
+    def timer_fired(self, token: int) -> None:
+        """A timer of the policy has fired."""
+        if self.is_alive:
+            self.balancer.timer_fired(self.model.now, token)
+
+    def poll_endpoints(self) -> None:
+        """Nothing to do: changes of the endpoint list are pushed."""
+
+    def send_to_peer(self, peer: int, payload: bytes) -> None:
+        """Nothing to do: the settings have no peers."""
+
+    # Inputs.
+
+    def admit(self, class_index: int) -> None:
+        """Take a client's request."""
+        now = self.model.now
+        request = PendingRequest(now, class_index)
+        self.admitted += 1
+        ref = self.next_ref
+        self.next_ref += 1
+        self.requests[ref] = request
+        request.state = self.balancer.admit(now, ref, class_index, 0, now + DEADLINE)
+        if request.state.is_finished:
+            self.requests.pop(ref, None)
+
+    def endpoints_changed(self, changed: dict[str, EndpointRow]) -> None:
+        """Take a change of the endpoint list."""
+        if not self.is_alive:
+            return
+        self.rows.update(changed)
+        self.rows = {name: row for name, row in self.rows.items() if row.state is not EndpointState.REMOVED}
+        if self.controller is not None:
+            zones = self.model.zone_names
+            ready = [
+                Participant(name, zones[row.zone], row.weight)
+                for name, row in self.rows.items()
+                if row.state is EndpointState.READY
+            ]
+            self.controller.update_upstreams(self.model.now, ready)
+            self._step_subset()
+        self._update_policy()
+
+    def subset_timer_fired(self) -> None:
+        """Announce the demand and step the subset controller, periodically."""
+        if not self.is_alive or self.controller is None:
+            return
+        model = self.model
+        machine = model.machine(self.number)
+        model.call_at(model.now + SUBSET_INTERVAL, self.subset_timer_fired)
+        weight = self.demand.update(model.now, self.admitted) if self.demand is not None else None
+        if weight and machine is not None:
+            machine.update_self(model.now, weight=weight)
+        if self._step_subset():
+            self._update_policy()
+
+    def gossip_timer_fired(self) -> None:
+        """Use what other instances reported, run due health checks, and send own reports, periodically."""
+        model, gossip = self.model, self.gossip
+        machine = model.machine(self.number)
+        if not self.is_alive or gossip is None or machine is None:
+            return
+        model.call_at(model.now + GOSSIP_INTERVAL, self.gossip_timer_fired)
+        members = machine.view(model.now).names()
+        ready = (upstream for upstream in self.balancer.ready if not upstream.ejected)
+        indices = {model.upstreams[upstream.index].name: upstream.index for upstream in ready}
+
+        def on_suspected(name: str, sampled: int, failed: int) -> None:
+            """Hand the counts of others to the policy."""
+            model.counts["believed"] += 1
+            self.balancer.add_peer_report(indices[name], sampled, failed)
+
+        gossip.report_suspected(model.now, POOL, set(indices), members, on_suspected)
+        self._run_leased_checks(machine)
+        gossip.tick(model.now, sorted(members))
+        outbox, gossip.outbox = gossip.outbox, []
+        for name, payload in outbox:
+            model.send_gossip(machine.name, name, payload)
+
+    def _run_leased_checks(self, machine: MembershipProtocol) -> None:
+        """Run the health checks that are due to this instance."""
+        if self.leased_checks is not None:
+            now = self.model.now
+            settled = machine.last_stable_view(now)
+            rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else []
+            tasks = {name: "" for name, row in self.rows.items() if row.state is EndpointState.READY}
+            is_settled = bool(rows) and now >= machine.unsettled_until
+            self.leased_checks.tick(now, rows, is_settled, tasks)
+
+    def _step_subset(self) -> bool:
+        """Step the subset controller; whether the subset has changed."""
+        model, controller = self.model, self.controller
+        if controller is None:
+            return False
+        machine = model.machine(self.number)
+        settled = machine.last_stable_view(model.now) if machine is not None else None
+        if machine is not None and settled is not None:
+            controller.follow_membership(model.now, settled, machine.view(model.now))
+        if self.weights:
+            controller.adjust_width(count_usable(self.balancer, model.now))
+        subset = controller.step(model.now)
+        if subset is None:
+            return False
+        model.counts["moved"] += len(subset.added) + len(subset.dropped)
+        self.weights = subset.weights
+        count = subset.balancers_per_upstream
+        self.balancer.instance_count = count  # type: ignore[assignment]  # a mean: the policy takes fractions too
+        return True
+
+    def _update_policy(self) -> None:
+        """Hand the endpoints, or those of the subset, to the policy."""
+        rows = list(self.rows.values())
+        if self.controller is not None:
+            rows = []
+            known = self.balancer.upstreams
+            for name, row in self.rows.items():
+                weight = self.weights.get(name)
+                if weight is not None:
+                    rows.append(row._replace(weight=weight))
+                elif row.state is not EndpointState.READY and row.upstream in known:
+                    rows.append(row)
+        self.balancer.update_endpoints(self.model.now, rows, full=True)
+        for index in [index for index in self.idle_connections if index not in self.balancer.upstreams]:
+            del self.idle_connections[index]
--- a/dahliabend/simulation/cluster/ground_truth.py
+++ b/dahliabend/simulation/cluster/ground_truth.py
@@ -1,78 +1,113 @@
-"""What was so: who ran, which ways were whole, and when. The player tells it as it acts; checks ask it."""
+"""What really happened in a run: which instances ran, which links worked, and when.
+
+The scenario runner records each change as it makes it; the invariants query the record afterwards.
+"""
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+Link = tuple[int, int]  # from one instance to another, one way
+Span = tuple[int, int]  # begin and end, microseconds
+
+
+class Moment(NamedTuple):
+    """The state of the cluster from one time on."""
+
+    at: int
+    running: frozenset[int]
+    stopped: frozenset[int]
+    blocked_links: frozenset[Link]
+
+    @property
+    def awake(self) -> frozenset[int]:
+        """Instances that run and are not stopped."""
+        return self.running - self.stopped
 
 
 @dataclass(slots=True)
-class Truth:
-    """Times are those of the player's clock, in microseconds."""
+class GroundTruth:
+    """The history of one run. Times are microseconds of the runner's clock."""
 
-    count: int
-    began: dict[int, int] = field(default_factory=dict)  # since when each runs, where it does
+    instance_count: int
+    running_since: dict[int, int] = field(default_factory=dict)
     stopped: set[int] = field(default_factory=set)
-    cut: set[tuple[int, int]] = field(default_factory=set)  # ways, from one to another, that lose all
-    moments: list[tuple[int, frozenset, frozenset, frozenset]] = field(default_factory=list)
-    starts: dict[int, list[int]] = field(default_factory=dict)
-    left: dict[int, list[int]] = field(default_factory=dict)
-
-    def note(self, now: int) -> None:
-        """After each change."""
-        state = frozenset(self.began), frozenset(self.stopped), frozenset(self.cut)
-        if self.moments and self.moments[-1][0] == now:
-            self.moments.pop()
-        self.moments.append((now, *state))
-
-    def start(self, now: int, who: int) -> None:
-        self.began[who] = now
-        self.starts.setdefault(who, []).append(now)
-        self.stopped.discard(who)
-        self.note(now)
-
-    def end(self, now: int, who: int) -> None:
-        self.began.pop(who, None)
-        self.stopped.discard(who)
-        self.note(now)
-
-    def stop(self, now: int, who: int) -> None:
-        self.stopped.add(who)
-        self.note(now)
-
-    def go_on(self, now: int, who: int) -> None:
-        self.stopped.discard(who)
-        self.note(now)
-
-    def ways(self, now: int, cut: set[tuple[int, int]]) -> None:
-        self.cut = set(cut)
-        self.note(now)
+    blocked_links: set[Link] = field(default_factory=set)
+    history: list[Moment] = field(default_factory=list)
+    start_times: dict[int, list[int]] = field(default_factory=dict)
+
+    def start(self, now: int, instance: int) -> None:
+        """Record that an instance started."""
+        self.running_since[instance] = now
+        self.start_times.setdefault(instance, []).append(now)
+        self.stopped.discard(instance)
+        self._record(now)
+
+    def end(self, now: int, instance: int) -> None:
+        """Record that an instance ended, however it did."""
+        self.running_since.pop(instance, None)
+        self.stopped.discard(instance)
+        self._record(now)
+
+    def stop(self, now: int, instance: int) -> None:
+        """Record that an instance was stopped, as by SIGSTOP."""
+        self.stopped.add(instance)
+        self._record(now)
+
+    def resume(self, now: int, instance: int) -> None:
+        """Record that a stopped instance runs again."""
+        self.stopped.discard(instance)
+        self._record(now)
+
+    def set_blocked_links(self, now: int, blocked: set[Link]) -> None:
+        """Record which links lose every datagram from now on."""
+        self.blocked_links = set(blocked)
+        self._record(now)
 
     def last_change(self) -> int:
-        return self.moments[-1][0] if self.moments else 0
-
-    def running(self) -> list[int]:
-        return sorted(self.began)
-
-    def absences(self, of: int, to: int, until: int) -> list[tuple[int, int]]:
-        """When one was not there for another: it did not run, was stopped, or no way led there and back, also
-        by way of those that ran. Adjoining spans are one."""
-        found: list[tuple[int, int]] = []
-        ends = [moment[0] for moment in self.moments[1:]] + [until]
-        for (begin, running, stopped, cut), end in zip(self.moments, ends, strict=True):
-            if of in running - stopped and (not cut or of in reached(to, running - stopped, cut)):
+        """The time of the newest record, 0 if there is none."""
+        return self.history[-1].at if self.history else 0
+
+    def absences(self, of: int, to: int, until: int) -> list[Span]:
+        """Spans in which one instance was absent for another.
+
+        It is absent if it does not run, is stopped, or cannot be reached both ways, directly or through
+        other awake instances. Adjoining spans are merged.
+        """
+        found: list[Span] = []
+        for moment, end in self._moments_with_ends(until):
+            awake, blocked = moment.awake, moment.blocked_links
+            if of in awake and (not blocked or of in _reachable(to, awake, blocked)):
                 continue
-            if found and found[-1][1] == begin:
+            if found and found[-1][1] == moment.at:
                 found[-1] = found[-1][0], end
             else:
-                found.append((begin, end))
+                found.append((moment.at, end))
         return found
 
+    def presence(self, instance: int, until: int) -> list[Span]:
+        """Spans in which the instance's process existed."""
+        return [
+            (moment.at, end) for moment, end in self._moments_with_ends(until) if instance in moment.running
+        ]
+
+    def _moments_with_ends(self, until: int) -> list[tuple[Moment, int]]:
+        ends = [moment.at for moment in self.history[1:]] + [until]
+        return list(zip(self.history, ends, strict=True))
+
+    def _record(self, now: int) -> None:
+        if self.history and self.history[-1].at == now:
+            self.history.pop()
+        running = frozenset(self.running_since)
+        self.history.append(Moment(now, running, frozenset(self.stopped), frozenset(self.blocked_links)))
+
 
-def reached(start: int, awake: frozenset, cut: frozenset) -> set[int]:
-    """Whom one reaches by ways that are whole in both directions, from awake one to awake one."""
+def _reachable(start: int, awake: frozenset[int], blocked: frozenset[Link]) -> set[int]:
+    """Instances reachable over links that work in both directions, through awake instances."""
     seen, waiting = {start}, [start]
     while waiting:
         at = waiting.pop()
         for other in awake - seen:
-            if (at, other) not in cut and (other, at) not in cut:
+            if (at, other) not in blocked and (other, at) not in blocked:
                 seen.add(other)
                 waiting.append(other)
     return seen
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -1,134 +1,205 @@
-"""What each instance claimed, held against what was so. No rule asks for a time that luck decides: spans are
-those that the terms of membership allow, and what was observed is ordered by the witness's clock alone.
+"""The membership changes that instances reported, checked against the ground ground_truth.
+
+No invariant depends on a time that chance decides: the bounds are those that the membership settings allow,
+and observations are ordered by the clock of the observer of the run alone.
 """
 
-from collections import Counter
+from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 from math import log10
 
 from dahliabend.membership.failure_detector import SwimConfig
-from dahliabend.simulation.cluster.ground_truth import Truth
+from dahliabend.simulation.cluster.ground_truth import GroundTruth, Span
 
-MOST = 40  # violations kept
+MAX_VIOLATIONS = 40  # kept of a run; the others are only counted
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_HOUR = 3.6e9
+ABSENT_KINDS = frozenset({"died", "left"})
+PRESENT_KINDS = frozenset({"joined", "returned"})
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    at: int
-    who: int  # that said it
-    change: str
-    about: int  # -1: none of the fleet
-    by: str = ""
+class MembershipChange:
+    """A change of its view that an instance reported."""
+
+    at: int  # microseconds
+    observer: int  # the instance that reported it
+    kind: str  # "joined", "returned", "suspected", "died", "left", "paused"
+    subject: int  # -1: none of this cluster
+    reported_by: str = ""
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The result of a run. The field names appear in JSON output."""
+
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
-    first: list[int] = field(default_factory=list)  # microseconds from an end to the first that knows,
-    full: list[int] = field(default_factory=list)  # and until all know
-    hours: float = 0.0  # of instances
+    first: list[int] = field(default_factory=list)  # microseconds from an end until the first observer knows
+    full: list[int] = field(default_factory=list)  # and until all of them know
+    hours: float = 0.0  # of instance run time
     lines: list[str] = field(default_factory=list)
 
-    def broken(self, rule: str, at: int, what: str) -> None:
+    def report(self, rule: str, at: int, what: str) -> None:
+        """Add a violation of a rule, seen at a time in microseconds."""
         self.counts["violations"] += 1
-        if len(self.violations) < MOST:
-            self.violations.append(f"{at / 1e6:.3f} s: {rule}: {what}")
+        if len(self.violations) < MAX_VIOLATIONS:
+            self.violations.append(f"{at / MICROSECONDS_PER_SECOND:.3f} s: {rule}: {what}")
 
 
 class Bounds:
-    """What the terms allow, in microseconds, in a fleet of that size."""
-
-    def __init__(self, terms: SwimConfig, count: int, waiting: int = 0) -> None:
-        scale = max(1.0, log10(count + 1))
-        self.least = round(terms.suspicion_multiplier * scale * terms.period)
-        self.longest = round(self.least * terms.max_suspicion_factor)
-        # One that doubts itself waits longer for each probe of those that are not there. Whom it asks next is
-        # chance, within two rounds.
-        probing = (2 * count + (1 + terms.max_health_score) * (1 + waiting)) * terms.period
-        self.detect = probing + self.longest + 2 * terms.period
-        self.agree = self.detect + 3 * terms.sync_interval * terms.period
-
-
-def judge(truth: Truth, claims: list[Claim], terms: SwimConfig, end: int, outcome: Outcome) -> None:
-    count = truth.count
-    bounds = Bounds(terms, count)
-    outcome.counts.update(claim.change for claim in claims)
-    absent: dict[tuple[int, int], list[tuple[int, int]]] = {}
-
-    def absences(of: int, to: int) -> list[tuple[int, int]]:
-        if (of, to) not in absent:
-            absent[of, to] = truth.absences(of, to, end)
-        return absent[of, to]
-
-    starved = {}  # by instance: until when it says that it was away, though nobody stopped it
-    for claim in claims:
-        if claim.change == "paused":
-            starved.setdefault(claim.who, []).append(claim.at)
-    grace = bounds.detect + bounds.longest
-    for claim in claims:
-        if claim.change != "died" or claim.about < 0:
-            continue
-        excused = any(
-            stop - begin >= bounds.least and begin + bounds.least <= claim.at <= stop + grace
-            for begin, stop in absences(claim.about, claim.who)
-        )
-        if not excused and any(0 <= claim.at - at <= grace or 0 <= at - claim.at <= grace
-                               for at in starved.get(claim.about, ())):  # fmt: skip
-            outcome.counts["starved"] += 1  # the machine under the rig was too busy to let it run
-        elif not excused:
-            outcome.broken("false death", claim.at, f"{claim.who} buried {claim.about}, which it could reach")
-    detections(truth, claims, terms, end, outcome, absences)
+    """Time limits, in microseconds, that the settings imply for a cluster of a given size."""
+
+    def __init__(self, config: SwimConfig, instance_count: int, absent_count: int = 0) -> None:
+        """`absent_count`: instances that are absent at the same time."""
+        scale = max(1.0, log10(instance_count + 1))
+        self.min_suspicion = round(config.suspicion_multiplier * scale * config.period)
+        self.max_suspicion = round(self.min_suspicion * config.max_suspicion_factor)
+        # An instance with a bad local health score waits longer for each probe of an absent one. Which member
+        # it probes next is random, within two rounds.
+        slow_probes = (1 + config.max_health_score) * (1 + absent_count)
+        probing = (2 * instance_count + slow_probes) * config.period
+        self.detection = probing + self.max_suspicion + 2 * config.period
+        self.agreement = self.detection + 3 * config.sync_interval * config.period
+
+
+def check_membership_changes(
+    ground_truth: GroundTruth, changes: list[MembershipChange], config: SwimConfig, end: int, outcome: Outcome
+) -> None:
+    """Check all reported changes of a run that ended at `end`, and add what is found to the outcome."""
+    outcome.counts.update(change.kind for change in changes)
+    checker = _ChangeChecker(ground_truth, changes, config, end, outcome)
+    checker.check_deaths()
+    checker.check_detections()
     outcome.hours += sum(
-        (stop - begin) / 3.6e9
-        for number in range(count)
-        for begin, stop in presence(truth, number, end)
-    )  # fmt: skip
-
-
-def presence(truth: Truth, who: int, end: int) -> list[tuple[int, int]]:
-    ends = [moment[0] for moment in truth.moments[1:]] + [end]
-    return [(moment[0], stop) for moment, stop in zip(truth.moments, ends, strict=True) if who in moment[1]]
-
+        (stop - begin) / MICROSECONDS_PER_HOUR
+        for instance in range(ground_truth.instance_count)
+        for begin, stop in ground_truth.presence(instance, end)
+    )
+
+
+class _ChangeChecker:
+    """The checks of one run, with the spans of absence that they share."""
+
+    def __init__(
+        self,
+        ground_truth: GroundTruth,
+        changes: list[MembershipChange],
+        config: SwimConfig,
+        end: int,
+        outcome: Outcome,
+    ) -> None:
+        self.ground_truth = ground_truth
+        self.changes = changes
+        self.config = config
+        self.end = end
+        self.outcome = outcome
+        self.bounds = Bounds(config, ground_truth.instance_count)
+        self._absences: dict[tuple[int, int], list[Span]] = {}
+
+    def absences(self, of: int, to: int) -> list[Span]:
+        """As `GroundTruth.absences`, computed once a pair."""
+        if (of, to) not in self._absences:
+            self._absences[of, to] = self.ground_truth.absences(of, to, self.end)
+        return self._absences[of, to]
+
+    def check_deaths(self) -> None:
+        """No instance is declared dead that was not absent for the shortest suspicion."""
+        # Instances that noticed a pause of their own, though nobody stopped them: the test machine was busy.
+        pauses: defaultdict[int, list[int]] = defaultdict(list)
+        for change in self.changes:
+            if change.kind == "paused":
+                pauses[change.observer].append(change.at)
+        tolerance = self.bounds.detection + self.bounds.max_suspicion
+        for change in self.changes:
+            if change.kind != "died" or change.subject < 0 or self._was_absent(change, tolerance):
+                continue
+            if any(abs(change.at - at) <= tolerance for at in pauses[change.subject]):
+                self.outcome.counts["starved"] += 1
+            else:
+                text = f"{change.observer} buried {change.subject}, which it could reach"
+                self.outcome.report("false death", change.at, text)
+
+    def _was_absent(self, change: MembershipChange, tolerance: int) -> bool:
+        shortest = self.bounds.min_suspicion
+        return any(
+            stop - begin >= shortest and begin + shortest <= change.at <= stop + tolerance
+            for begin, stop in self.absences(change.subject, change.observer)
+        )
 
-def detections(
-    truth: Truth, claims: list[Claim], terms: SwimConfig, end: int, outcome: Outcome, absences
-) -> None:
-    """Whoever is away for the whole bound is out of every view by then, of those that ran all the time."""
-    believed: dict[tuple[int, int], list[tuple[int, bool]]] = {}
-    for claim in claims:
-        if claim.change in ("joined", "returned", "died", "left"):
-            told = believed.setdefault((claim.who, claim.about), [])
-            told.append((claim.at, claim.change in ("joined", "returned")))
-    others = range(truth.count)
-    for about in others:
-        for begin, stop in absences(about, about):
-            if begin == truth.moments[0][0]:
-                continue  # not started yet
-            waiting = sum(away(absences(each, each), begin, stop) for each in others)
-            bound = Bounds(terms, truth.count, waiting).detect
-            when, whole = [], stop - begin >= bound
-            for who in others:
-                starts = truth.starts.get(who, [])
-                since = max((at for at in starts if at <= begin), default=0)
-                told = [(at, there) for at, there in believed.get((who, about), []) if at >= since]
-                before = [there for at, there in told if at <= begin]
-                if any(begin < at <= begin + bound for at in starts):
-                    continue
-                if away(absences(who, who), begin, min(stop, begin + bound)) or not before or not before[-1]:
-                    continue
-                out = next((at - begin for at, there in told if not there and begin < at <= stop), None)
-                if out is not None:
-                    when.append(out)
-                if whole and (out is None or out > bound):
-                    took = "never" if out is None else f"after {out / 1e6:.1f} s"
-                    outcome.broken(
-                        "seen late", begin, f"{who} saw {about} go {took}, bound {bound / 1e6:.1f} s"
-                    )
-            if when and whole:
-                outcome.first.append(min(when))
-                outcome.full.append(max(when))
-
-
-def away(spans: list[tuple[int, int]], begin: int, stop: int) -> bool:
-    return any(b < stop and e > begin for b, e in spans)
+    def check_detections(self) -> None:
+        """An instance absent for longer than the bound is out of the view of all that ran all the time."""
+        views = self._view_changes()
+        everyone = range(self.ground_truth.instance_count)
+        for subject in everyone:
+            for begin, stop in self.absences(subject, subject):
+                if begin == self.ground_truth.history[0].at:
+                    continue  # not started yet
+                absent = sum(_overlaps(self.absences(each, each), begin, stop) for each in everyone)
+                bound = Bounds(self.config, self.ground_truth.instance_count, absent).detection
+                delays = self._detection_delays(subject, begin, stop, bound, views)
+                if delays and stop - begin >= bound:
+                    self.outcome.first.append(min(delays))
+                    self.outcome.full.append(max(delays))
+
+    def _view_changes(self) -> dict[tuple[int, int], list[tuple[int, bool]]]:
+        """By observer and subject: when the subject entered (True) or left its view."""
+        views: dict[tuple[int, int], list[tuple[int, bool]]] = {}
+        for change in self.changes:
+            if change.kind in PRESENT_KINDS or change.kind in ABSENT_KINDS:
+                seen = views.setdefault((change.observer, change.subject), [])
+                seen.append((change.at, change.kind in PRESENT_KINDS))
+        return views
+
+    def _detection_delays(
+        self,
+        subject: int,
+        begin: int,
+        stop: int,
+        bound: int,
+        views: dict[tuple[int, int], list[tuple[int, bool]]],
+    ) -> list[int]:
+        """How long each observer took to notice one absence; late ones are violations."""
+        delays = []
+        for observer in range(self.ground_truth.instance_count):
+            changes = self._changes_seen(observer, subject, begin, bound, views)
+            was_absent = _overlaps(self.absences(observer, observer), begin, min(stop, begin + bound))
+            if changes is None or was_absent:
+                continue
+            delay = next((at - begin for at, there in changes if not there and begin < at <= stop), None)
+            if delay is not None:
+                delays.append(delay)
+            if stop - begin >= bound and (delay is None or delay > bound):
+                self._report_late_detection(observer, subject, begin, delay, bound)
+        return delays
+
+    def _changes_seen(
+        self,
+        observer: int,
+        subject: int,
+        begin: int,
+        bound: int,
+        views: dict[tuple[int, int], list[tuple[int, bool]]],
+    ) -> list[tuple[int, bool]] | None:
+        """The view changes of an observer since its start, None if it has nothing to notice.
+
+        That is if it started after the absence began, or did not have the subject in its view.
+        """
+        starts = self.ground_truth.start_times.get(observer, [])
+        if any(begin < at <= begin + bound for at in starts):
+            return None
+        running_since = max((at for at in starts if at <= begin), default=0)
+        changes = [(at, there) for at, there in views.get((observer, subject), []) if at >= running_since]
+        before = [there for at, there in changes if at <= begin]
+        return changes if before and before[-1] else None
+
+    def _report_late_detection(
+        self, observer: int, subject: int, begin: int, delay: int | None, bound: int
+    ) -> None:
+        took = "never" if delay is None else f"after {delay / MICROSECONDS_PER_SECOND:.1f} s"
+        limit = f"bound {bound / MICROSECONDS_PER_SECOND:.1f} s"
+        self.outcome.report("seen late", begin, f"{observer} saw {subject} go {took}, {limit}")
+
+
+def _overlaps(spans: list[Span], begin: int, stop: int) -> bool:
+    return any(first < stop and last > begin for first, last in spans)
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -1,30 +1,55 @@
-"""Plays a fleet's script on the modelled network."""
+"""Runs a cluster's script on the simulated network.
+
+`ScenarioRunner` holds what the simulated run shares with the one of `dahliabend.process_tests`: the schedule,
+the ground truth and what the instances reported.
+"""
 
 from random import Random
+from typing import Any
 
 from dahliabend.membership import codec
 from dahliabend.membership.codec import encode_update
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
-from dahliabend.simulation.cluster.ground_truth import Truth
-from dahliabend.simulation.cluster.invariants import Bounds, Claim, Outcome, judge
-from dahliabend.simulation.cluster.script import WAYS, Fleet, S, Step
-from dahliabend.simulation.cluster.town import SOON, Town
+from dahliabend.simulation.cluster.ground_truth import GroundTruth, Link
+from dahliabend.simulation.cluster.invariants import (
+    Bounds,
+    MembershipChange,
+    Outcome,
+    check_membership_changes,
+)
+from dahliabend.simulation.cluster.script import LINK_FAULTS, Fleet, S, Step
+from dahliabend.simulation.cluster.simulated_cluster import DEFAULT_DELAY, SimulatedCluster
+
+CHECKS_PER_PERIOD = 4  # how often a condition is checked while it is waited for
+FOREVER = 10**15  # microseconds
+MAX_LOG_LINES = 100_000
+MAX_VIEWS_TEXT = 400  # characters of the views that a violation shows
+FOREIGN_DATAGRAMS = 20  # sent to each instance by one step
+FOREIGN_SIZES = (0, 1, 40, 1_400, 9_000)  # bytes
+
 
-LOOK = 4  # looks a period at whether a condition holds
+def subject_number(name: str) -> int:
+    """The number of the instance of that name, -1 for a name that is none of the cluster's."""
+    return int(name[1:]) if name[1:].isdigit() else -1
 
 
-class Player:
-    """The schedule, what was so and what was claimed; what acts is below it, a model or real processes."""
+class ScenarioRunner:
+    """The schedule of a script, what really happened, and what the instances reported."""
 
-    def __init__(self, fleet: Fleet, terms: SwimConfig) -> None:
-        self.fleet, self.terms = fleet, terms
-        self.truth, self.claims, self.outcome = Truth(fleet.instances), [], Outcome()
-        self.ways: list[Step] = []  # in force
+    def __init__(self, fleet: Fleet, config: SwimConfig) -> None:
+        self.fleet = fleet
+        self.config = config
+        self.ground_truth = GroundTruth(fleet.instances)
+        self.membership_changes: list[MembershipChange] = []
+        self.outcome = Outcome()
+        self.link_faults: list[Step] = []  # those in force
+        self.pending_reversals: list[tuple[int, Step]] = []  # when each step is undone, in order of time
 
-    def cuts(self) -> set[tuple[int, int]]:
+    def blocked_links(self) -> set[Link]:
+        """The links that lose every datagram now."""
         everyone = range(self.fleet.instances)
-        found = set()
-        for step in self.ways:
+        found: set[Link] = set()
+        for step in self.link_faults:
             if step.what == "cut":
                 found |= {(a, b) for a in step.whom for b in step.to or everyone if a != b}
             elif step.what == "split":
@@ -32,188 +57,229 @@
                 found |= {(a, b) for a in part for b in part if part[a] != part[b]}
         return found
 
-    def strongest(self, what: str) -> Step | None:
-        steps = [step for step in self.ways if step.what == what]
+    def strongest_fault(self, what: str) -> Step | None:
+        """The worst link fault of one kind that is in force."""
+        steps = [step for step in self.link_faults if step.what == what]
         return max(steps, key=lambda step: (step.size, step.delay), default=None)
 
-    def line(self, now: int, text: str) -> None:
-        if len(self.outcome.lines) < 100_000:
-            self.outcome.lines.append(f"{now / 1e6:12.3f}  {text}")
+    def log(self, now: int, text: str) -> None:
+        """Add a line to the run's time line."""
+        if len(self.outcome.lines) < MAX_LOG_LINES:
+            self.outcome.lines.append(f"{now / S:12.3f}  {text}")
+
+    def log_step(self, now: int, step: Step) -> None:
+        """Add a step to the run's time line."""
+        self.log(now, f"STEP {step.what} {step.whom or step.parts or ''}")
+
+    def schedule_reversal(self, now: int, step: Step) -> None:
+        """Have a step undone after its span, if it has one."""
+        if step.span and step.what not in ("calm", "mend"):
+            self.pending_reversals.append((now + step.span, step))
+            self.pending_reversals.sort(key=lambda entry: entry[0])
+
+    def condition_bound(self, step: Step) -> int:
+        """Microseconds within which the step's condition has to hold."""
+        if step.within:
+            return step.within
+        bounds = Bounds(self.config, self.fleet.instances, self.fleet.instances)
+        return bounds.detection if step.until == "out" else bounds.agreement
+
 
+class ClusterModel(ScenarioRunner):
+    """The script's instances as protocol state machines on a simulated network."""
 
-class Model(Player):
-    def __init__(self, fleet: Fleet, terms: SwimConfig | None = None, warm: bool = False) -> None:
-        super().__init__(fleet, terms or SwimConfig(period=fleet.period))
-        self.town = Town(0, fleet.seed, terms=self.terms, begin=False)
-        self.town.delay = (max(1, fleet.delay // 2), max(2, fleet.delay * 3 // 2)) if fleet.delay else SOON
-        self.town.heard = self.heard
-        self.usual = self.town.delay
-        self.lives = [0] * fleet.instances
-        self.gone: dict[int, MembershipProtocol] = {}
-        self.undo: list[tuple[int, Step]] = []
-        self.warm = warm
+    def __init__(self, fleet: Fleet, config: SwimConfig | None = None, starts_warm: bool = False) -> None:
+        """Prepare a run; `starts_warm`: the instances know each other from the start."""
+        super().__init__(fleet, config or SwimConfig(period=fleet.period))
+        self.cluster = SimulatedCluster(0, fleet.seed, config=self.config, start_instances=False)
+        if fleet.delay:
+            self.cluster.delay = (max(1, fleet.delay // 2), max(2, fleet.delay * 3 // 2))
+        else:
+            self.cluster.delay = DEFAULT_DELAY
+        self.cluster.on_events = self.record_events
+        self.base_delay = self.cluster.delay
+        self.generations = [0] * fleet.instances
+        self.starts_warm = starts_warm
 
     @property
     def now(self) -> int:
-        return self.town.now
-
-    def heard(self, name: str, machine: MembershipProtocol) -> None:
-        who = int(name[1:])
-        events = machine.take_events()
-        for event in events:
-            about = int(event.name[1:]) if event.name[1:].isdigit() else -1
-            self.claims.append(Claim(self.now, who, event.kind, about, event.reported_by))
-            self.line(self.now, f"{name}: {event.name} {event.kind}, by {event.reported_by}")
-
-    def play(self) -> Outcome:
-        fleet = self.fleet
-        for number in range(fleet.instances):
-            if number not in fleet.late:
-                self.start(number)
-        if self.warm:
-            self.know_all()
-        for step in fleet.steps:
-            self.act(step)
+        """Microseconds of the virtual clock."""
+        return self.cluster.now
+
+    def record_events(self, name: str, machine: MembershipProtocol) -> None:
+        """Take an instance's events into the list of reported changes."""
+        observer = int(name[1:])
+        for event in machine.take_events():
+            subject = subject_number(event.name)
+            change = MembershipChange(self.now, observer, event.kind, subject, event.reported_by)
+            self.membership_changes.append(change)
+            self.log(self.now, f"{name}: {event.name} {event.kind}, by {event.reported_by}")
+
+    def run_script(self) -> Outcome:
+        """Run the whole script and check what was reported."""
+        for number in range(self.fleet.instances):
+            if number not in self.fleet.late:
+                self.start_instance(number)
+        if self.starts_warm:
+            self.assume_full_membership()
+        for step in self.fleet.steps:
+            self.apply_step(step)
             self.run(step.wait)
-            self.until(step)
-        judge(self.truth, self.claims, self.terms, self.now, self.outcome)
+            self.wait_for_condition(step)
+        check_membership_changes(
+            self.ground_truth, self.membership_changes, self.config, self.now, self.outcome
+        )
         return self.outcome
 
-    def know_all(self) -> None:
-        """As after a long time: everybody knows everybody, and nothing is news."""
-        machines = list(self.town.machines.values())
+    def assume_full_membership(self) -> None:
+        """Make every instance know all others, with no updates left to spread, as after a long time."""
+        machines = list(self.cluster.machines.values())
         updates = [machine.self_update for machine in machines]
         encoded = {update.name: encode_update(update) for update in updates}
         for machine in machines:
             machine.assume_members(self.now, updates, encoded)
-        self.town.mail.clear()
+        self.cluster.in_transit.clear()
 
-    def start(self, number: int, state: dict | None = None) -> None:
-        self.lives[number] += 1
-        self.truth.start(self.now, number)
+    def start_instance(self, number: int, state: dict[str, Any] | None = None) -> None:
+        """Start an instance of the next generation, from a snapshot if one is given."""
+        self.generations[number] += 1
+        self.ground_truth.start(self.now, number)
         seeds = [f"b{seed}" for seed in self.fleet.seeds]
-        self.town.begin(f"b{number}", self.lives[number], seeds, state, f"z{number % self.fleet.zones}")
+        zone = f"z{number % self.fleet.zones}"
+        self.cluster.start_instance(f"b{number}", self.generations[number], seeds, state, zone)
 
-    def end(self, number: int) -> MembershipProtocol | None:
-        self.truth.end(self.now, number)
-        return self.town.end(f"b{number}")
+    def stop_instance(self, number: int) -> MembershipProtocol | None:
+        """End an instance at once."""
+        self.ground_truth.end(self.now, number)
+        return self.cluster.stop_instance(f"b{number}")
 
-    def act(self, step: Step) -> None:
-        town, truth = self.town, self.truth
-        self.line(self.now, f"STEP {step.what} {step.whom or step.parts or ''}")
+    def apply_step(self, step: Step) -> None:
+        """Do what a step says."""
+        self.log_step(self.now, step)
         if step.what == "mend":
-            for _, other in self.undo:
-                self.over(other)
-            self.undo.clear()
-            self.ways.clear()
-            self.set_ways()
-        elif step.what in WAYS:
-            self.ways.append(step)
-            self.set_ways()
+            self._revert_all()
+        elif step.what in LINK_FAULTS:
+            self.link_faults.append(step)
+            self.apply_link_faults()
         elif step.what == "strangers":
-            self.strangers()
-        for number in step.whom if step.what not in WAYS else ():
-            name = f"b{number}"
-            there = name in town.machines
-            if step.what == "start":
-                if not there:
-                    self.start(number)
-            elif not there:
-                continue
-            elif step.what == "kill":
-                self.end(number)
-            elif step.what == "restart":
-                self.end(number)
-                self.start(number)
-            elif step.what in ("stop", "block"):
-                truth.stop(self.now, number)
-                town.pause(name, 10**15)
-            elif step.what == "leave":
-                town.machines[name].leave(self.now)
-                town.carry(name)
-                self.end(number)
-            elif step.what == "hand":
-                machine = self.end(number)
-                self.lives[number] -= 1
-                self.start(number, machine.snapshot())
-        if step.span and step.what not in ("calm", "mend"):
-            self.undo.append((self.now + step.span, step))
-            self.undo.sort(key=lambda entry: entry[0])
-
-    def over(self, step: Step) -> None:
-        if step in self.ways:
-            self.ways.remove(step)
-            self.set_ways()
-        for number in step.whom if step.what not in WAYS else ():
+            self.inject_foreign_datagrams()
+        for number in step.whom if step.what not in LINK_FAULTS else ():
+            if f"b{number}" in self.cluster.machines:
+                self._apply_to_running(step.what, number)
+            elif step.what == "start":
+                self.start_instance(number)
+        self.schedule_reversal(self.now, step)
+
+    def _apply_to_running(self, what: str, number: int) -> None:
+        name = f"b{number}"
+        if what == "kill":
+            self.stop_instance(number)
+        elif what == "restart":
+            self.stop_instance(number)
+            self.start_instance(number)
+        elif what in ("stop", "block"):
+            self.ground_truth.stop(self.now, number)
+            self.cluster.pause(name, FOREVER)
+        elif what == "leave":
+            self.cluster.machines[name].leave(self.now)
+            self.cluster.transmit(name)
+            self.stop_instance(number)
+        elif what == "hand":
+            snapshot = self.cluster.machines[name].snapshot()
+            self.stop_instance(number)
+            self.generations[number] -= 1
+            self.start_instance(number, snapshot)
+
+    def _revert_all(self) -> None:
+        for _, step in self.pending_reversals:
+            self.revert_step(step)
+        self.pending_reversals.clear()
+        self.link_faults.clear()
+        self.apply_link_faults()
+
+    def revert_step(self, step: Step) -> None:
+        """Undo what a step did."""
+        if step in self.link_faults:
+            self.link_faults.remove(step)
+            self.apply_link_faults()
+        for number in step.whom if step.what not in LINK_FAULTS else ():
             name = f"b{number}"
-            if step.what in ("stop", "block") and self.town.away.get(name, 0) > self.now:
-                self.town.away[name] = self.now
-                machine = self.town.machines[name]
-                machine.timer_fired(self.now)
-                self.town.carry(name)
-                self.truth.go_on(self.now, number)
-            elif step.what in ("kill", "leave") and name not in self.town.machines:
-                self.start(number)
-
-    def set_ways(self) -> None:
-        cuts = self.cuts()
-        self.town.cut = {(f"b{a}", f"b{b}") for a, b in cuts}
-        if cuts != self.truth.cut:
-            self.truth.ways(self.now, cuts)
-        lose, delay, twice = (self.strongest(what) for what in ("lose", "delay", "double"))
-        self.town.loss = lose.size if lose else 0.0
-        self.town.twice = twice.size if twice else 0.0
-        self.town.delay = (self.usual[0], self.usual[1] + delay.delay) if delay else self.usual
-
-    def strangers(self) -> None:
-        """What no member has said, or has said before."""
-        chance = Random(f"strangers {self.fleet.seed} {self.now}")
-        for name, machine in list(self.town.machines.items()):
-            for _ in range(20):
-                junk = chance.randbytes(chance.choice((0, 1, 40, 1_400, 9_000)))
+            if step.what in ("stop", "block") and self.cluster.paused_until.get(name, 0) > self.now:
+                self.cluster.paused_until[name] = self.now
+                self.cluster.machines[name].timer_fired(self.now)
+                self.cluster.transmit(name)
+                self.ground_truth.resume(self.now, number)
+            elif step.what in ("kill", "leave") and name not in self.cluster.machines:
+                self.start_instance(number)
+
+    def apply_link_faults(self) -> None:
+        """Bring the network in line with the link faults in force."""
+        blocked = self.blocked_links()
+        self.cluster.blocked_links = {(f"b{a}", f"b{b}") for a, b in blocked}
+        if blocked != self.ground_truth.blocked_links:
+            self.ground_truth.set_blocked_links(self.now, blocked)
+        lose = self.strongest_fault("lose")
+        delay = self.strongest_fault("delay")
+        double = self.strongest_fault("double")
+        self.cluster.loss = lose.size if lose else 0.0
+        self.cluster.duplication = double.size if double else 0.0
+        shortest, longest = self.base_delay
+        self.cluster.delay = (shortest, longest + (delay.delay if delay else 0))
+
+    def inject_foreign_datagrams(self) -> None:
+        """Send each instance datagrams that no member sent, and one of a member that is a replay."""
+        rng = Random(f"strangers {self.fleet.seed} {self.now}")
+        for name, machine in list(self.cluster.machines.items()):
+            for _ in range(FOREIGN_DATAGRAMS):
+                junk = rng.randbytes(rng.choice(FOREIGN_SIZES))
                 machine.receive_datagram(self.now, junk, "b0")
             data, _ = codec.encode_packet("b0", 1, 1, codec.Ping(1, name), [])
             machine.receive_datagram(self.now, data, "b0")
-            self.town.carry(name)
+            self.cluster.transmit(name)
 
     def run(self, span: int) -> None:
+        """Let so many microseconds pass, and undo the steps whose span ends."""
         end = self.now + span
-        while self.undo and self.undo[0][0] <= end:
-            at, step = self.undo.pop(0)
-            self.town.run(max(0, at - self.now))
-            self.over(step)
-        self.town.run(max(0, end - self.now))
+        while self.pending_reversals and self.pending_reversals[0][0] <= end:
+            at, step = self.pending_reversals.pop(0)
+            self.cluster.run(max(0, at - self.now))
+            self.revert_step(step)
+        self.cluster.run(max(0, end - self.now))
 
-    def until(self, step: Step) -> None:
+    def wait_for_condition(self, step: Step) -> None:
+        """Let time pass until the step's condition holds; it is a violation if that takes too long."""
         if not step.until:
             return
-        bounds = Bounds(self.terms, self.fleet.instances, self.fleet.instances)
-        limit = self.now + (step.within or (bounds.detect if step.until == "out" else bounds.agree))
-        while not self.holds(step):
+        limit = self.now + self.condition_bound(step)
+        while not self.condition_holds(step):
             if self.now >= limit:
-                views = {name: sorted(self.town.sees(name)) for name in self.awake()}
-                return self.outcome.broken(step.until, self.now, f"not within its time: {views}"[:400])
-            self.run(self.terms.period // LOOK)
+                views = {name: sorted(self.cluster.view_of(name)) for name in self.awake_names()}
+                text = f"not within its time: {views}"[:MAX_VIEWS_TEXT]
+                self.outcome.report(step.until, self.now, text)
+                return
+            self.run(self.config.period // CHECKS_PER_PERIOD)
 
-    def awake(self) -> list[str]:
-        return [name for name in self.town.machines if self.town.away.get(name, 0) <= self.now]
+    def awake_names(self) -> list[str]:
+        """The instances that run and are not stopped."""
+        return [name for name in self.cluster.machines if self.cluster.paused_until.get(name, 0) <= self.now]
 
-    def holds(self, step: Step) -> bool:
-        awake = self.awake()
+    def condition_holds(self, step: Step) -> bool:
+        """Whether the step's condition holds now."""
         if step.until == "believed":
-            return True  # nothing is asked of upstreams here
+            return True  # there is no traffic to upstreams here
+        awake = self.awake_names()
         if step.until == "out":
             gone = {f"b{number}" for number in step.whom}
-            return all(not gone & self.town.sees(name) for name in awake if name not in gone)
-        views = [self.town.machines[name].view(self.now) for name in awake]
-        wanted = set(self.town.machines)
-        return all(view.stable and view.names() == wanted for view in views) and (
-            len({view.checksum for view in views}) <= 1
-        )
+            return all(not gone & self.cluster.view_of(name) for name in awake if name not in gone)
+        views = [self.cluster.machines[name].view(self.now) for name in awake]
+        wanted = set(self.cluster.machines)
+        are_complete = all(view.stable and view.names() == wanted for view in views)
+        return are_complete and len({view.checksum for view in views}) <= 1
 
 
-def play(fleet: Fleet, terms: SwimConfig | None = None, warm: bool = False) -> Outcome:
-    return Model(fleet, terms, warm).play()
+def run_script(fleet: Fleet, config: SwimConfig | None = None, starts_warm: bool = False) -> Outcome:
+    """Run a script on the simulated network."""
+    return ClusterModel(fleet, config, starts_warm).run_script()
 
 
-__all__ = ["Model", "Player", "S", "play"]
+play = run_script  # the name that `dahliabend.cli` imports
--- /dev/null
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -0,0 +1,178 @@
+"""Membership protocol instances on a simulated network with one virtual clock.
+
+The network delays, loses, duplicates and reorders datagrams; links can be blocked one way, and instances
+can be paused or stopped.
+"""
+
+from collections.abc import Callable, Iterable
+from heapq import heappop, heappush
+from random import Random
+from typing import Any, NamedTuple
+
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+
+S = 1_000_000  # microseconds in a second
+DEFAULT_DELAY = (200, 20_000)  # microseconds that a datagram takes, from and below
+ANY_SEED = 1  # the seed whose instances draw by their names alone
+
+
+class Datagram(NamedTuple):
+    """A datagram on its way; ordered by arrival."""
+
+    arrives_at: int
+    sequence: int
+    source: str
+    target: str
+    payload: bytes
+
+
+class Timer(NamedTuple):
+    """A timer that an instance asked for; ordered by time."""
+
+    due: int
+    name: str
+    machine: MembershipProtocol
+
+
+class SimulatedCluster:
+    """Instances by name. A name is the instance's address too, unless it was added under another one."""
+
+    def __init__(
+        self,
+        count: int,
+        seed: int = ANY_SEED,
+        loss: float = 0.0,
+        config: SwimConfig | None = None,
+        start_instances: bool = True,
+    ) -> None:
+        """Create a cluster and start `count` instances.
+
+        Args:
+            count: instances b0, b1, and so on.
+            seed: of the network's and the instances' random generators.
+            loss: the share of datagrams that is lost.
+            config: of the membership protocol.
+            start_instances: False starts none of them.
+        """
+        self.rng = Random(seed)
+        self.now = S
+        self.loss = loss
+        self.sequence = 0
+        self.seed = seed
+        self.config = config or SwimConfig(sync_interval=10)
+        self.delay = DEFAULT_DELAY
+        self.duplication = 0.0  # the share of datagrams that arrive twice
+        self.in_transit: list[Datagram] = []
+        self.blocked_links: set[tuple[str, str]] = set()  # links that lose all, from one name to another
+        self.paused_until: dict[str, int] = {}
+        self.machines: dict[str, MembershipProtocol] = {}
+        self.timers: list[Timer] = []
+        self.armed: dict[str, int] = {}  # the time of each instance's valid timer
+        self.bytes = 0
+        self.datagrams = 0
+        self.on_events: Callable[[str, MembershipProtocol], None] | None = None
+        for number in range(count if start_instances else 0):
+            self.start_instance(f"b{number}", generation=1, seeds=["b0", "b1"])
+
+    def start_instance(
+        self,
+        name: str,
+        generation: int,
+        seeds: list[str],
+        state: dict[str, Any] | None = None,
+        zone: str = "",
+    ) -> MembershipProtocol:
+        """Start an instance, from a predecessor's snapshot if one is given."""
+        own_seed = f"{name} {generation}" if self.seed == ANY_SEED else f"{self.seed} {name} {generation}"
+        machine = MembershipProtocol(name, generation, name, self.config, Random(own_seed), zone)
+        self.machines[name] = machine
+        if state is not None:
+            machine.restore(self.now, state)
+        machine.start(self.now, seeds)
+        self.transmit(name)
+        return machine
+
+    def stop_instance(self, name: str) -> MembershipProtocol | None:
+        """End an instance at once; None if there is none of that name."""
+        self.paused_until.pop(name, None)
+        self.armed.pop(name, None)
+        return self.machines.pop(name, None)
+
+    def transmit(self, name: str) -> None:
+        """Take over what an instance left after an input: its timer, its events and its datagrams."""
+        machine = self.machines[name]
+        if self.armed.get(name) != machine.timer_due:
+            self.armed[name] = machine.timer_due
+            heappush(self.timers, Timer(machine.timer_due, name, machine))
+        if self.on_events is not None and machine.events:
+            self.on_events(name, machine)
+        for address, payload in machine.take_outgoing():
+            self.datagrams += 1
+            self.bytes += len(payload)
+            if (name, address) in self.blocked_links or (self.loss and self.rng.random() < self.loss):
+                continue
+            self._send(name, address, payload)
+            if self.duplication and self.rng.random() < self.duplication:
+                self._send(name, address, payload)
+
+    def _send(self, name: str, address: str, payload: bytes) -> None:
+        self.sequence += 1
+        arrives_at = self.now + self.rng.randrange(*self.delay)
+        heappush(self.in_transit, Datagram(arrives_at, self.sequence, name, address, payload))
+
+    def run(self, span: int) -> "SimulatedCluster":
+        """Let so many microseconds pass."""
+        end = self.now + span
+        while True:
+            next_timer = self.timers[0].due if self.timers else end
+            at = min(next_timer, self.in_transit[0].arrives_at if self.in_transit else end)
+            if at >= end:
+                self.now = end
+                return self
+            self.now = max(self.now, at)
+            if self.in_transit and self.in_transit[0].arrives_at == at:
+                self._deliver(heappop(self.in_transit))
+            else:
+                self._fire(heappop(self.timers))
+
+    def _deliver(self, datagram: Datagram) -> None:
+        target = datagram.target
+        if target not in self.machines:
+            return
+        paused_until = self.paused_until.get(target, 0)
+        if paused_until > self.now:  # read once the instance resumes, after its timers
+            heappush(self.in_transit, datagram._replace(arrives_at=paused_until + 1))
+            return
+        self.machines[target].receive_datagram(self.now, datagram.payload, datagram.source)
+        self.transmit(target)
+
+    def _fire(self, timer: Timer) -> None:
+        name = timer.name
+        if self.machines.get(name) is not timer.machine or self.armed.get(name) != timer.due:
+            return  # of an earlier instance, or replaced by another timer
+        paused_until = self.paused_until.get(name, 0)
+        if paused_until > self.now:
+            self.armed[name] = paused_until
+            heappush(self.timers, timer._replace(due=paused_until))
+            return
+        self.armed.pop(name)
+        timer.machine.timer_fired(self.now)
+        self.transmit(name)
+
+    def pause(self, name: str, span: int) -> None:
+        """Stop an instance for so many microseconds; its timers and datagrams wait."""
+        self.paused_until[name] = self.now + span
+
+    def view_of(self, name: str) -> set[str]:
+        """The names in one instance's view."""
+        return self.machines[name].view(self.now).names()
+
+    def agrees(self, names: Iterable[str] | None = None) -> bool:
+        """Whether each of these instances, or of all, sees exactly these."""
+        wanted = set(names or self.machines)
+        return all(self.view_of(name) == wanted for name in wanted)
+
+    def declared_dead(self) -> set[str]:
+        """The names that any instance declared dead at any time."""
+        machines = self.machines.values()
+        return {event.name for machine in machines for event in machine.events if event.kind == "died"}
--- /dev/null
+++ b/dahliabend/simulation/cluster/subset_model.py
@@ -0,0 +1,128 @@
+"""The subsets of a whole cluster while faults are injected.
+
+Membership runs on the simulated network, with a subset controller for each instance. There are no requests:
+demand is given, and load is the sum of what the subsets' weights send to each upstream.
+"""
+
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+import numpy as np
+
+from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.simulation.cluster.model import ClusterModel
+from dahliabend.simulation.cluster.script import Fleet, S
+from dahliabend.subsetting.controller import SubsetController, SubsetSettings
+from dahliabend.subsetting.selection import Participant
+
+END_OF_TIME = 1 << 62  # microseconds
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterSample:
+    """One second of the cluster."""
+
+    at: int
+    running: int
+    imbalance: float  # the most loaded upstream over the mean
+    min_subset: int  # upstreams of the smallest subset
+    moved: int  # pairs that changed, over the cluster
+    max_connections: int  # the most balancers at one upstream
+
+
+class WorstSample(NamedTuple):
+    """The worst values of a stretch of time."""
+
+    imbalance: float
+    min_subset: int
+    moved: int  # in all
+
+
+@dataclass(slots=True)
+class SubsetHistory:
+    """A sample for each second of a run."""
+
+    samples: list[ClusterSample] = field(default_factory=list)
+
+    def worst(self, begin: int = 0, end: int = END_OF_TIME) -> WorstSample:
+        """The worst imbalance and subset size, and the sum of moved pairs, between two times."""
+        some = [sample for sample in self.samples if begin <= sample.at < end]
+        return WorstSample(
+            max(sample.imbalance for sample in some),
+            min(sample.min_subset for sample in some),
+            sum(sample.moved for sample in some),
+        )
+
+
+class SubsetModel(ClusterModel):
+    """As the cluster model, and every second all subset controllers step."""
+
+    def __init__(
+        self, fleet: Fleet, upstreams: int, subset: SubsetSettings, config: SwimConfig | None = None
+    ) -> None:
+        """Prepare a run with so many upstreams."""
+        super().__init__(fleet, config)
+        self.subset = subset
+        self.history = SubsetHistory()
+        self.pool = [Participant(f"u{n}") for n in range(upstreams)]
+        self.controllers: dict[int, SubsetController] = {}
+        self.weights: dict[int, dict[str, float]] = {}  # by instance, of the upstreams in its subset
+        self.upstreams_created = upstreams
+
+    def replace_upstreams(self, count: int) -> None:
+        """Replace the oldest upstreams by as many new ones."""
+        new = [Participant(f"u{self.upstreams_created + n}") for n in range(count)]
+        self.pool = self.pool[count:] + new
+        self.upstreams_created += count
+
+    def start_instance(self, number: int, state: dict[str, Any] | None = None) -> None:
+        """Start an instance with an empty subset."""
+        super().start_instance(number, state)
+        self.controllers[number] = SubsetController(Participant(f"b{number}"), self.subset)
+        self.weights.pop(number, None)
+
+    def run(self, span: int) -> None:
+        """Let so many microseconds pass, with a step of all controllers each second."""
+        end = self.now + span
+        while self.now < end:
+            super().run(min(S, end - self.now))
+            self.step_controllers()
+
+    def step_controllers(self) -> None:
+        """Have the controllers of all instances that run step, and take a sample."""
+        moved = 0
+        for name in self.awake_names():
+            number = int(name[1:])
+            machine = self.cluster.machines[name]
+            controller = self.controllers[number]
+            settled = machine.last_stable_view(self.now)
+            if settled is not None:
+                controller.follow_membership(self.now, settled, machine.view(self.now))
+            controller.update_upstreams(self.now, self.pool)
+            subset = controller.step(self.now)
+            if subset is not None:
+                before = self.weights.get(number, {})
+                moved += len(before.keys() ^ subset.weights.keys())
+                self.weights[number] = subset.weights
+        self._take_sample(moved)
+
+    def _take_sample(self, moved: int) -> None:
+        """All running instances have the same demand; one that is stopped sends nothing."""
+        running = [int(name[1:]) for name in self.awake_names()]
+        load = dict.fromkeys((upstream.name for upstream in self.pool), 0.0)
+        connections = dict.fromkeys(load, 0)
+        sizes = []
+        for number in running:
+            weights = {name: w for name, w in self.weights.get(number, {}).items() if name in load}
+            total = sum(weights.values())
+            sizes.append(len(weights))
+            for name, weight in weights.items():
+                load[name] += weight / total
+                connections[name] += 1
+        loads = np.array(list(load.values()))
+        imbalance = float(loads.max() / loads.mean()) if len(loads) and loads.sum() else 1.0
+        max_connections = max(connections.values(), default=0)
+        min_subset = min(sizes, default=0)
+        self.history.samples.append(
+            ClusterSample(self.now, len(running), imbalance, min_subset, moved, max_connections)
+        )
--- /dev/null
+++ b/dahliabend/simulation/cluster/upstream_model.py
@@ -0,0 +1,120 @@
+"""A simulated upstream: cores, a queue, a warm-up, and ways to fail.
+
+Work that was begun is done, whether anybody still waits for its response or not.
+"""
+
+from collections import deque
+from dataclasses import dataclass
+from heapq import heapify, heappop, heappush
+from random import Random
+from typing import NamedTuple
+
+from dahliabend.model import EndpointState, Outcome
+
+MS = 1_000  # microseconds in a millisecond
+S = 1_000_000  # microseconds in a second
+FAILURE_TIME_DIVISOR = 50  # a failure takes the mean work divided by this
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamProfile:
+    """What an upstream can do. Times in microseconds, of a core or of the clock."""
+
+    cores: int = 2
+    work: int = 200 * MS  # of a core for a request, in the mean; half of it is constant, half drawn
+    depth: int = 6  # requests that it accepts at once for each core; more are rejected
+    warmup_time: int = 8 * S
+    initial_capacity: float = 0.2  # the share of its capacity at the start of the warm-up
+    overload_multiple: float = 4.0  # times its capacity while warming up: it fails for good beyond that
+    overload_window: int = 2 * S
+
+
+class Arrival(NamedTuple):
+    """Work that came while an upstream warmed up."""
+
+    at: int
+    work: int
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ends and when; an outcome of None never comes back."""
+
+    outcome: Outcome | None
+    at: int
+
+
+class SimulatedUpstream:
+    """One process of an upstream. `index` is its own for good; a place in the endpoint list is its `name`."""
+
+    def __init__(
+        self, index: int, name: str, zone: str, profile: UpstreamProfile, started_at: int, rng: Random
+    ) -> None:
+        """Create a process; `started_at` 0: long ago, it is warm."""
+        self.index = index
+        self.name = name
+        self.zone = zone
+        self.profile = profile
+        self.started_at = started_at
+        self.rng = rng
+        self.state = EndpointState.READY
+        self.core_free_at = [0] * profile.cores  # a heap
+        self.in_flight = 0
+        # Switches for faults.
+        self.failing = 0.0  # the share of requests that fail
+        self.slower = 1.0  # how many times longer work takes
+        self.hung = False
+        self.deaf_to: set[int] = set()  # balancers whose requests do not arrive
+        self.is_gone = False
+        self.is_silent = False  # its machine is gone too: connections are not even refused
+        # Warm-up.
+        self.recent_arrivals: deque[Arrival] = deque()
+        self.recent_work = 0
+        self.is_overloaded = False
+
+    def warmup_factor(self, now: int) -> float:
+        """The share of its capacity that it has."""
+        profile = self.profile
+        age = now - self.started_at
+        if not self.started_at or age >= profile.warmup_time:
+            return 1.0
+        return profile.initial_capacity + (1 - profile.initial_capacity) * age / profile.warmup_time
+
+    def record_work(self, now: int, work: int, warmup_factor: float) -> None:
+        """Count work that arrives during the warm-up, also what is rejected; too much ends the process."""
+        profile = self.profile
+        self.recent_arrivals.append(Arrival(now, work))
+        self.recent_work += work
+        while self.recent_arrivals[0].at <= now - profile.overload_window:
+            self.recent_work -= self.recent_arrivals.popleft().work
+        capacity = warmup_factor * profile.cores * profile.overload_window
+        if self.recent_work > profile.overload_multiple * capacity:
+            self.is_overloaded = True
+            self.hung = True
+
+    def request_arrived(self, now: int, source: int = -1) -> AttemptResult:
+        """Take a request from a balancer, and tell how the attempt ends."""
+        if self.is_gone:
+            return AttemptResult(Outcome.UNREACHABLE, now)
+        if source in self.deaf_to:
+            return AttemptResult(None, now)
+        work = round(self.profile.work * (0.5 + 0.5 * self.rng.expovariate(1.0)))
+        warmup_factor = self.warmup_factor(now)
+        if warmup_factor < 1.0:
+            self.record_work(now, work, warmup_factor)
+        if self.hung:
+            return AttemptResult(None, now)
+        if self.in_flight >= self.profile.depth * self.profile.cores:
+            return AttemptResult(Outcome.REJECTED, now)
+        if self.failing and self.rng.random() < self.failing:
+            return AttemptResult(Outcome.FAILED, now + self.profile.work // FAILURE_TIME_DIVISOR)
+        self.in_flight += 1
+        end = max(now, heappop(self.core_free_at)) + round(work * self.slower / warmup_factor)
+        heappush(self.core_free_at, end)
+        return AttemptResult(Outcome.SUCCEEDED, end)
+
+    def end(self, now: int) -> None:
+        """End the process; whoever drives it resets the attempts in flight."""
+        self.is_gone = True
+        self.in_flight = 0
+        self.core_free_at = [now] * self.profile.cores
+        heapify(self.core_free_at)
--- /dev/null
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -0,0 +1,343 @@
+"""A cluster of balancers under load on the simulated network.
+
+Each balancer has the real policy, membership and subsets; the upstreams are simulated, and requests arrive
+whether or not others are answered. One seed gives the same arrivals with any settings, so that runs can be
+compared in pairs. A second of 40 balancers, 60 upstreams and 330 requests takes some 60 ms. Bytes are not
+simulated: what the network code does with them is for `dahliabend emulate`.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from heapq import heappop, heappush
+from random import Random
+from typing import Any
+
+from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL
+from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
+from dahliabend.model import EndpointState, Settings
+from dahliabend.simulation.cluster.balancer_instance import (
+    DEADLINE,
+    ONE_WAY_DELAY,
+    REQUEST_CLASSES,
+    BalancerInstance,
+    EndpointRow,
+)
+from dahliabend.simulation.cluster.model import ClusterModel
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream, UpstreamProfile
+from dahliabend.subsetting.controller import SubsetSettings
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND
+from dahliabend.subsetting.selection import Participant
+
+MEMBERSHIP_STEP = 250 * MS  # the members' clock follows the requests' in such steps
+DISCOVERY_DELAY = 200 * MS, 1_500 * MS  # until a balancer learns of a change of the endpoint list
+CLIENT_FAILOVER_TIME = 1 * S  # until clients send no more to a balancer that is gone
+DRAIN_TIME = 3 * S
+SAMPLE_INTERVAL = S
+SUBMIT_SHARE = 0.3  # of the requests
+
+
+@dataclass(slots=True)
+class WorkloadMetrics:
+    """The measurements of a run. Times are microseconds."""
+
+    counts: Counter[str] = field(default_factory=Counter)
+    latencies: list[int] = field(default_factory=list)  # of requests served in time
+    samples: list[dict[str, int]] = field(default_factory=list)  # the counts, each second
+    violations: list[str] = field(default_factory=list)
+    mean_connections: list[float] = field(default_factory=list)  # of an upstream, each second
+    max_connections: int = 0
+
+    @property
+    def served_share(self) -> float:
+        """The share of all requests that was served within the latency objective."""
+        return self.counts["served"] / max(1, self.counts["asked"])
+
+
+class WorkloadModel(ClusterModel):
+    """As the cluster model, under load. Without a subset each balancer uses all upstreams.
+
+    Args:
+        fleet: the cluster; its steps are not used.
+        upstreams: at the start.
+        rate: requests a second.
+        subset: settings of the subset controllers; None: each balancer uses all upstreams.
+        profile: what each upstream can do.
+        config: of the membership protocol.
+        zones: that balancers and upstreams are spread over.
+        announces_demand: balancers announce how many requests they get.
+        has_gossip: balancers exchange health reports.
+        lies: balancers whose reports are false, and how; see `LyingGossip`.
+        check_period: of leased health checks, in microseconds; 0: none.
+    """
+
+    def __init__(  # noqa: PLR0913 -- the settings of an experiment, all but one with a default
+        self,
+        fleet: Fleet,
+        upstreams: int = 60,
+        rate: float = 330.0,
+        subset: SubsetSettings | None = None,
+        *,
+        profile: UpstreamProfile | None = None,
+        config: SwimConfig | None = None,
+        zones: int = 1,
+        announces_demand: bool = False,
+        has_gossip: bool = False,
+        lies: dict[int, str] | None = None,
+        check_period: int = 0,
+    ) -> None:
+        """Prepare a run; the arguments are described at the class."""
+        super().__init__(fleet, config)
+        self.profile = profile or UpstreamProfile()
+        self.rate = rate
+        self.subset = subset
+        self.announces_demand = announces_demand
+        self.skewed_share = 0.0  # of the clients, which send to the first balancer alone
+        self.has_gossip = has_gossip
+        self.lies = lies or {}
+        self.check_period = check_period
+        self.zone_names = [f"z{n}" for n in range(zones)]
+        self.metrics = WorkloadMetrics()
+        self.clock = S
+        self.arrivals_rng = Random(f"arrivals {fleet.seed}")
+        self.rng = Random(f"nodes {fleet.seed}")
+        self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.sequence = 0
+        self.upstreams: list[SimulatedUpstream] = []  # all there ever were, by index
+        self.upstreams_by_name: dict[str, SimulatedUpstream] = {}  # the processes that run now
+        self.balancers: dict[int, BalancerInstance] = {}
+        self.targets: list[int] = []  # balancers that clients send to
+        self.measured_since = 0  # requests that arrived earlier are not counted
+        self.is_finished = False
+        for number in range(upstreams):
+            self.start_upstream(f"u{number}", started_at=0)
+
+    @property
+    def counts(self) -> Counter[str]:
+        """The counters of the run."""
+        return self.metrics.counts
+
+    def report_violation(self, what: str) -> None:
+        """Record a violated invariant."""
+        self.metrics.violations.append(f"{self.clock / S:.3f} s: {what}")
+
+    # One clock over the requests and the members, which follow in steps.
+
+    @property
+    def now(self) -> int:
+        """Microseconds of the virtual clock."""
+        return self.clock
+
+    def call_at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401 -- passed on
+        """Schedule a call."""
+        self.sequence += 1
+        heappush(self.events, (when, self.sequence, call, arguments))
+
+    def run(self, span: int) -> None:
+        """Let so many microseconds pass."""
+        end, events = self.clock + span, self.events
+        while self.clock < end:
+            until = min(self.clock + MEMBERSHIP_STEP, end)
+            while events and events[0][0] < until:
+                self.clock, _, call, arguments = heappop(events)
+                call(*arguments)
+            self.clock = until
+            while self.pending_reversals and self.pending_reversals[0][0] <= until:
+                self.revert_step(self.pending_reversals.pop(0)[1])
+            if self.uses_membership:
+                self.cluster.run(max(0, until - self.cluster.now))
+
+    @property
+    def uses_membership(self) -> bool:
+        """Whether anything follows the members; if not, their clock stands still."""
+        return self.subset is not None or self.has_gossip
+
+    def machine(self, number: int) -> MembershipProtocol | None:
+        """The membership protocol of a balancer."""
+        return self.cluster.machines.get(f"b{number}")
+
+    def send_gossip(self, source: str, target: str, payload: bytes) -> None:
+        """Send a datagram of health reports."""
+        self.counts["signal bytes"] += len(payload)
+        cluster = self.cluster
+        if (source, target) not in cluster.blocked_links and self.rng.random() >= cluster.loss:
+            self.call_at(self.clock + ONE_WAY_DELAY, self.gossip_arrived, int(target[1:]), payload)
+
+    def gossip_arrived(self, number: int, payload: bytes) -> None:
+        """A datagram of health reports has come to a balancer."""
+        balancer = self.balancers.get(number)
+        if balancer is not None and balancer.gossip is not None:
+            balancer.gossip.receive(self.clock, payload)
+
+    # Balancers.
+
+    def settings(self) -> Settings:
+        """The policy's settings of each balancer."""
+        return Settings(
+            instance_count=self.fleet.instances,
+            instance_index=-1,
+            tier=0,
+            zone=0,
+            request_classes=REQUEST_CLASSES,
+            tenant_quotas=(),
+            over_quota_weight=1.0,
+            overall_weight=1.0,
+            worst_class_weight=0.0,
+            cross_zone_cost=0.0,
+            max_attempts=3,
+            can_cancel=True,
+            can_health_check=True,
+            sends_retry_after=True,
+            max_retry_after=3 * S,
+            polls_endpoints=False,
+            poll_deadline=0,
+            initial_capacity=self.profile.initial_capacity,
+            warmup_time=self.profile.warmup_time,
+            warmup_multiple=self.profile.overload_multiple,
+        )
+
+    def participant(self, number: int) -> Participant:
+        """A balancer as the subset controllers know it."""
+        return Participant(f"b{number}", self.zone_of(number))
+
+    def zone_of(self, number: int) -> str:
+        """The zone of a balancer or upstream."""
+        return self.zone_names[number % len(self.zone_names)]
+
+    def start(self) -> None:
+        """Start the whole cluster, with full membership, and then the clients."""
+        for number in range(self.fleet.instances):
+            self.start_instance(number)
+        if self.uses_membership:
+            self.assume_full_membership()
+        self.call_at(self.clock, self.request_arrived)
+        self.call_at(self.clock, self.take_sample)
+
+    def start_instance(self, number: int, state: dict[str, Any] | None = None) -> None:
+        """Start a balancer."""
+        super().start_instance(number, state)
+        if self.announces_demand:
+            self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND)
+        balancer = self.balancers[number] = BalancerInstance(self, number, self.generations[number])
+        rows = {name: self.endpoint_row(upstream) for name, upstream in self.upstreams_by_name.items()}
+        balancer.endpoints_changed(rows)
+        balancer.subset_timer_fired()
+        if balancer.gossip is not None:
+            first = self.clock + self.rng.randrange(GOSSIP_INTERVAL)
+            self.call_at(first, balancer.gossip_timer_fired)
+        self.targets.append(number)
+
+    def stop_instance(self, number: int) -> MembershipProtocol | None:
+        """End a balancer at once; the requests that it holds are lost."""
+        balancer = self.balancers.pop(number)
+        balancer.is_alive = False
+        self.counts["lost"] += sum(
+            not request.is_answered and request.arrived_at >= self.measured_since
+            for request in balancer.requests.values()
+        )
+        self.call_at(self.clock + CLIENT_FAILOVER_TIME, self.clients_fail_over, number)
+        return super().stop_instance(number)
+
+    def clients_fail_over(self, number: int) -> None:
+        """Clients have noticed that a balancer is gone."""
+        if number not in self.balancers:
+            self.targets = [other for other in self.targets if other != number]
+
+    # Upstreams.
+
+    def endpoint_row(self, upstream: SimulatedUpstream) -> EndpointRow:
+        """An upstream as the endpoint list has it."""
+        zone = self.zone_names.index(upstream.zone)
+        name = upstream.name.encode()
+        return EndpointRow(upstream.index, upstream.state, upstream.started_at, 1.0, 0, zone, name)
+
+    def start_upstream(self, name: str, started_at: int | None = None) -> SimulatedUpstream:
+        """Start an upstream; `started_at` None: now, with a warm-up."""
+        started_at = self.clock if started_at is None else started_at
+        zone = self.zone_of(int(name[1:]))
+        rng = Random(f"{self.fleet.seed} {name} {started_at}")
+        upstream = SimulatedUpstream(len(self.upstreams), name, zone, self.profile, started_at, rng)
+        self.upstreams.append(upstream)
+        self.upstreams_by_name[name] = upstream
+        self.announce(upstream)
+        return upstream
+
+    def announce(self, upstream: SimulatedUpstream) -> None:
+        """Have each balancer learn an upstream's state, after a delay of its own."""
+        row = self.endpoint_row(upstream)
+        for balancer in self.balancers.values():
+            at = self.clock + self.rng.randint(*DISCOVERY_DELAY)
+            self.call_at(at, balancer.endpoints_changed, {upstream.name: row})
+
+    def drain_upstream(self, name: str) -> None:
+        """List an upstream as draining, and stop it once the drain time is over."""
+        upstream = self.upstreams_by_name[name]
+        upstream.state = EndpointState.DRAINING
+        self.announce(upstream)
+        self.call_at(self.clock + DRAIN_TIME, self.stop_upstream, upstream)
+
+    def stop_upstream(self, upstream: SimulatedUpstream, is_silent: bool = False) -> None:
+        """End an upstream's process; `is_silent`: its machine too, so that connections are not refused."""
+        upstream.end(self.clock)
+        upstream.state = EndpointState.REMOVED
+        upstream.is_silent = is_silent
+        if self.upstreams_by_name.get(upstream.name) is upstream:
+            del self.upstreams_by_name[upstream.name]
+        self.announce(upstream)
+
+    # Clients.
+
+    def request_arrived(self) -> None:
+        """A client sends a request; the next arrival is scheduled."""
+        if self.is_finished:
+            return
+        wait = max(1, round(self.arrivals_rng.expovariate(self.rate / S)))
+        self.call_at(self.clock + wait, self.request_arrived)
+        drawn = self.arrivals_rng.random()
+        number = self.targets[int(drawn * len(self.targets))] if self.targets else -1
+        if self.skewed_share and self.arrivals_rng.random() < self.skewed_share:
+            number = 0
+        class_index = int(self.arrivals_rng.random() < SUBMIT_SHARE)
+        self.counts["asked"] += 1
+        balancer = self.balancers.get(number)
+        if balancer is None:
+            self.counts["lost"] += 1
+        else:
+            balancer.admit(class_index)
+
+    def take_sample(self) -> None:
+        """Add a line to the measurements, periodically."""
+        self.call_at(self.clock + SAMPLE_INTERVAL, self.take_sample)
+        connections = Counter[int]()
+        for balancer in self.balancers.values():
+            connections.update({index: len(idle) for index, idle in balancer.idle_connections.items()})
+            connections.update(balancer.busy_connections)
+        here = [connections[upstream.index] for upstream in self.upstreams_by_name.values()]
+        metrics = self.metrics
+        metrics.mean_connections.append(sum(here) / max(1, len(here)))
+        metrics.max_connections = max(metrics.max_connections, max(here, default=0))
+        metrics.samples.append({"at": self.clock, **self.counts})
+
+    def finish(self) -> None:
+        """End the arrivals, and let the requests that are open get their answers."""
+        self.is_finished = True
+        self.run(DEADLINE + S)
+        self.counts["fallen"] = sum(upstream.is_overloaded for upstream in self.upstreams)
+
+    def reset_metrics(self) -> None:
+        """Begin the measurements now."""
+        self.measured_since = self.clock
+        metrics = self.metrics
+        metrics.counts.clear()
+        metrics.latencies.clear()
+        metrics.mean_connections.clear()
+        metrics.samples.clear()
+        metrics.max_connections = 0
+
+
+def upstream_names(numbers: Iterable[int]) -> list[str]:
+    """The names of upstreams by their numbers."""
+    return [f"u{number}" for number in numbers]
