--- /dev/null
+++ b/dahliabend/simulation/discovery_faults.py
@@ -0,0 +1,110 @@
+"""Faults of discovery: late, missing, invalid and misleading updates, and agents that move."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from dahliabend.simulation.scenario import MS, Fault
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.balancer_host import BalancerHost
+    from dahliabend.simulation.world import Simulation
+
+MAX_EXTRA_DELAY = 400 * MS  # times the fault's size
+OLD_ADDRESS_LIFETIME = 500 * MS  # for which an agent that has moved stays at its old address
+REPEATED_SIZE = 0.4  # of a fault that closes watches: larger ones do it again
+REPEAT_DELAYS = (60, 130, 300)  # milliseconds
+INVALID_UPDATE_KINDS = 100  # that the fault's size selects from
+
+Undo = Callable[[], object] | None
+
+
+class DiscoveryFaults:
+    """The faults of discovery agents; each action returns what undoes it."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.actions: dict[str, Callable[[Fault], Undo]] = {
+            "late": self.delay_updates,
+            "silent": self.silence,
+            "away": self.silence,
+            "end-watch": self.close_watches,
+            "deaf": self.mute_watches,
+            "whole": self.send_full_lists,
+            "anew": self.restart_versions,
+            "wrong": self.send_invalid_update,
+            "move": self.move,
+        }
+
+    def _balancer(self, fault: Fault) -> BalancerHost:
+        return self.simulation.balancers[fault.whom]
+
+    def delay_updates(self, fault: Fault) -> Undo:
+        """Updates come later."""
+        agent = self._balancer(fault).agent
+        agent.extra_delay = int(MAX_EXTRA_DELAY * fault.size)
+
+        def undo() -> None:
+            """Have updates come in time again."""
+            agent.extra_delay = 0
+
+        return undo
+
+    def silence(self, fault: Fault) -> Undo:
+        """The agent sends nothing; what it missed is sent once that ends."""
+        balancer = self._balancer(fault)
+        agent, process = balancer.agent, balancer.agent_process
+        agent.silent = True
+        return lambda: process.run(agent.end_silence)
+
+    def close_watches(self, fault: Fault) -> Undo:
+        """Watches end; where the fault is large, again as soon as they are open."""
+        balancer = self._balancer(fault)
+        process, agent = balancer.agent_process, balancer.agent
+        process.run(agent.close_watches)
+        if fault.size > REPEATED_SIZE:
+            for delay in REPEAT_DELAYS:
+                self.simulation.call_later(delay * MS, process.run, agent.close_watches)
+        return None
+
+    def mute_watches(self, fault: Fault) -> Undo:
+        """The watches that are open deliver nothing any more; new ones are served."""
+        for watch in list(self._balancer(fault).agent.watches):
+            watch.mute()
+        return None
+
+    def send_full_lists(self, fault: Fault) -> Undo:
+        """From now on a watch begins with the full list, without what drains, and ends at each drain."""
+        balancer = self._balancer(fault)
+        balancer.agent.sends_full_lists = True
+        balancer.agent_process.run(balancer.agent.close_watches)
+        return None
+
+    def restart_versions(self, fault: Fault) -> Undo:
+        """Versions begin anew; asked for changes since an older one, the agent says that there are none."""
+        balancer = self._balancer(fault)
+        balancer.agent_process.run(balancer.agent.restart_versions)
+        return None
+
+    def send_invalid_update(self, fault: Fault) -> Undo:
+        """The agent sends something invalid."""
+        balancer = self._balancer(fault)
+        kind = int(fault.size * INVALID_UPDATE_KINDS)
+        balancer.agent_process.run(balancer.agent.send_invalid_update, kind)
+        return None
+
+    def move(self, fault: Fault) -> Undo:
+        """The agent moves to another address; a new configuration has it."""
+        balancer, simulation = self._balancer(fault), self.simulation
+        old_servers = list(balancer.agent.servers)
+        balancer.agent_port += 1
+        opening = balancer.agent.open(balancer.host, balancer.agent_port)
+        simulation.spawn(balancer.agent_process, opening)
+        balancer.write_config()
+        if balancer.alive:
+            balancer.signal(signal.SIGHUP)
+        for server in old_servers:
+            simulation.call_later(OLD_ADDRESS_LIFETIME, server.close)
+        return None
--- a/dahliabend/simulation/event_loop.py
+++ b/dahliabend/simulation/event_loop.py
@@ -1,201 +1,258 @@
-"""Virtual time: one queue of events, the processes that own them, and an event loop for each process.
+"""Virtual time: a scheduler, the processes that own its events, and an event loop for each process.
 
-What is due at the same microsecond runs in the order in which it was asked for, so the order of all events
-is a function of the seed. A process that was killed runs nothing more; one that is stalled runs it later.
+What is due at the same microsecond runs in the order in which it was scheduled, so the order of all events is
+a function of the seed. A process that was killed runs nothing more; one that is stalled runs it later.
 """
 
 import asyncio
 import signal
 from asyncio import events
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from contextvars import Context
 from heapq import heappop, heappush
+from typing import TYPE_CHECKING, Any, NoReturn
 
-START = 1_000_000_000  # microseconds: what the virtual clock shows first
-EPOCH = 1_700_000_000_000_000  # Unix time in microseconds at virtual 0
+if TYPE_CHECKING:
+    from dahliabend.simulation.connections import Address
+    from dahliabend.simulation.network import Network
+    from dahliabend.simulation.sockets import Server, Socket
 
+CLOCK_START = 1_000_000_000  # microseconds: what the virtual clock shows first
+UNIX_TIME_AT_ZERO = 1_700_000_000_000_000  # microseconds of Unix time at virtual 0
+MICROSECONDS_PER_SECOND = 1e6
+MAX_STEPS = 5_000_000
+DEFAULT_MAX_SOCKETS = 1 << 20
+DEFAULT_BACKLOG = 128
 
-class Runaway(RuntimeError):
-    """More events than a run may have: something goes round without time passing, or without end."""
+Call = Callable[..., Any]
+ExceptionHandler = Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object]
 
 
-class Entry:
-    """Something to be run; the handle that a loop's callers cancel."""
+class StepLimitError(RuntimeError):
+    """More events than a run may have: a loop without end, or without time passing."""
 
-    __slots__ = ("arguments", "call", "context", "due", "owner", "timer")
 
-    def __init__(self, owner, due: int, call: Callable, arguments: tuple, context) -> None:
-        self.owner, self.due, self.call, self.arguments, self.context = owner, due, call, arguments, context
-        self.timer = False
+class ScheduledCall:
+    """A call that is to run; the handle that callers of the event loop cancel."""
+
+    __slots__ = ("arguments", "callback", "context", "due", "is_timer", "owner")
+
+    def __init__(
+        self,
+        owner: "Process | None",
+        due: int,
+        callback: Call,
+        arguments: tuple[Any, ...],
+        context: Context | None,
+    ) -> None:
+        self.owner = owner
+        self.due = due
+        self.callback: Call | None = callback
+        self.arguments: tuple[Any, ...] | None = arguments
+        self.context = context
+        self.is_timer = False
 
     def cancel(self) -> None:
-        self.call = self.arguments = None
+        """Have it not run."""
+        self.callback = self.arguments = None
 
     def cancelled(self) -> bool:
-        return self.call is None
+        """Whether it will not run any more."""
+        return self.callback is None
 
     def when(self) -> float:
-        return self.due / 1e6
+        """Seconds of the loop's clock at which it is due."""
+        return self.due / MICROSECONDS_PER_SECOND
 
 
-class Kernel:
-    """The queue and the clock."""
+class Scheduler:
+    """The queue of events and the clock. Times are microseconds."""
 
-    def __init__(self, most_steps: int = 5_000_000) -> None:
-        self.now = START
-        self.heap: list[tuple[int, int, Entry]] = []
-        self.ready: deque[Entry] = deque()
-        self.order = self.steps = 0
-        self.most_steps = most_steps
-        self.current: Process | None = None
+    def __init__(self, max_steps: int = MAX_STEPS) -> None:
+        self.now = CLOCK_START
+        self.timers: list[tuple[int, int, ScheduledCall]] = []
+        self.ready: deque[ScheduledCall] = deque()
+        self.sequence = 0
+        self.steps = 0
+        self.max_steps = max_steps
+        self.current_process: Process | None = None
         self.processes: list[Process] = []
 
-    def soon(self, owner, call: Callable, *arguments, context=None) -> Entry:
-        entry = Entry(owner, self.now, call, arguments, context)
-        self.ready.append(entry)
-        return entry
-
-    def next(self, call: Callable, *arguments) -> None:
-        """As the very next step, before all else that is due now."""
-        self.ready.appendleft(Entry(None, self.now, call, arguments, None))
-
-    def at(self, due: int, owner, call: Callable, *arguments, context=None) -> Entry:
-        entry = Entry(owner, due, call, arguments, context)
-        entry.timer = owner is not None
-        self.order += 1
-        heappush(self.heap, (due if due > self.now else self.now, self.order, entry))
-        return entry
-
-    def run(self, until: int) -> None:
-        """All that is due by then, and the clock is there afterwards."""
-        heap, ready = self.heap, self.ready
+    def call_soon(
+        self, owner: "Process | None", call: Call, *arguments: object, context: Context | None = None
+    ) -> ScheduledCall:
+        """Schedule a call for now, after what is ready already."""
+        scheduled = ScheduledCall(owner, self.now, call, arguments, context)
+        self.ready.append(scheduled)
+        return scheduled
+
+    def call_next(self, call: Call, *arguments: object) -> None:
+        """Schedule a call as the very next step, before all else that is due now."""
+        self.ready.appendleft(ScheduledCall(None, self.now, call, arguments, None))
+
+    def call_at(
+        self,
+        due: int,
+        owner: "Process | None",
+        call: Call,
+        *arguments: object,
+        context: Context | None = None,
+    ) -> ScheduledCall:
+        """Schedule a call for a time."""
+        scheduled = ScheduledCall(owner, due, call, arguments, context)
+        scheduled.is_timer = owner is not None
+        self.sequence += 1
+        heappush(self.timers, (due if due > self.now else self.now, self.sequence, scheduled))
+        return scheduled
+
+    def run_until(self, until: int) -> None:
+        """Run all that is due by then; the clock shows that time afterwards."""
+        timers, ready = self.timers, self.ready
         while True:
             if ready:
-                entry = ready.popleft()
-            elif heap and heap[0][0] <= until:
-                due, _, entry = heappop(heap)
+                scheduled = ready.popleft()
+            elif timers and timers[0][0] <= until:
+                due, _, scheduled = heappop(timers)
                 self.now = due
             else:
                 break
-            if entry.call is not None:
-                self.step(entry)
+            if scheduled.callback is not None:
+                self._run(scheduled)
         self.now = max(self.now, until)
 
     def close(self) -> None:
-        """The world is over: nothing of it outlives this."""
+        """End all processes, and drop all events."""
         for process in self.processes:
-            process.exit = None
-            process.end("over")
-        self.heap.clear()
+            process.on_exit = None
+            process.terminate("over")
+        self.timers.clear()
         self.ready.clear()
 
-    def step(self, entry: Entry) -> None:
-        owner = entry.owner
+    def _run(self, scheduled: ScheduledCall) -> None:
+        owner = scheduled.owner
         if owner is not None:
             if not owner.alive:
                 return
             if owner.stalled_until > self.now:
-                owner.parked.append(entry)
+                owner.deferred.append(scheduled)
                 return
         self.steps += 1
-        if self.steps > self.most_steps:
-            raise Runaway(f"more than {self.most_steps} steps, at {self.now - START} us")
-        call, arguments = entry.call, entry.arguments
-        entry.call = entry.arguments = None  # run once; kept, it would keep all that it names
+        if self.steps > self.max_steps:
+            raise StepLimitError(f"more than {self.max_steps} steps, at {self.now - CLOCK_START} us")
+        call, arguments = scheduled.callback, scheduled.arguments
+        scheduled.cancel()  # it has run; a kept handle does not keep what it refers to
+        if call is None or arguments is None:
+            return
         if owner is None:
             call(*arguments)
         else:
-            self.enter(owner, call, arguments, entry.context)
-
-    def enter(self, owner: "Process", call: Callable, arguments: tuple = (), context=None):
-        """Runs something as that process."""
-        before, self.current = self.current, owner
-        running = events._get_running_loop()
+            self.run_as(owner, call, arguments, scheduled.context)
+
+    def run_as(
+        self, owner: "Process", call: Call, arguments: tuple[Any, ...] = (), context: Context | None = None
+    ) -> Any:  # noqa: ANN401 -- what the call returns
+        """Run a call as that process: its loop is the running one, and gets the exceptions."""
+        previous, self.current_process = self.current_process, owner
+        running_loop = events._get_running_loop()
         events._set_running_loop(owner.loop)
         try:
             return call(*arguments) if context is None else context.run(call, *arguments)
-        except (KeyboardInterrupt, SystemExit, Runaway):
+        except (KeyboardInterrupt, SystemExit, StepLimitError):
             raise
         except BaseException as error:  # what a real loop does with it
-            name = getattr(call, "__qualname__", type(call).__name__)  # no address: runs are to be the same
+            name = getattr(call, "__qualname__", type(call).__name__)  # no address: runs have to be equal
             owner.loop.call_exception_handler({"message": name, "exception": error})
         finally:
-            self.current = before
-            events._set_running_loop(running)
+            self.current_process = previous
+            events._set_running_loop(running_loop)
 
 
 class Process:
-    """A process on a machine of the modelled world. It owns its loop and all sockets that it opens."""
-
-    def __init__(self, kernel: Kernel, name: str, address: str, zone: str = "", most_sockets: int = 1 << 20):
-        self.kernel, self.name, self.address, self.zone = kernel, name, address, zone
-        self.loop = VirtualLoop(kernel, self)
-        self.alive, self.stalled_until = True, 0
-        self.parked: list[Entry] = []
-        self.sockets: dict[int, object] = {}  # by descriptor, those that it holds
-        self.most_sockets = most_sockets
-        self.peak = 0  # most sockets held at once
-        self.number = 0  # its id, where several share a folder
-        self.started = kernel.now
-        kernel.processes.append(self)
-        self.exit: Callable[[str], None] | None = None  # told once, with how it ended
-        self.stalls: list[tuple[int, int]] = []
-
-    def run(self, call: Callable, *arguments):
-        return self.kernel.enter(self, call, arguments)
+    """A process on a simulated machine. It owns its loop and all sockets that it opens."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        name: str,
+        address: str,
+        zone: str = "",
+        max_sockets: int = DEFAULT_MAX_SOCKETS,
+    ) -> None:
+        self.scheduler = scheduler
+        self.name = name
+        self.address = address
+        self.zone = zone
+        self.loop = VirtualLoop(scheduler, self)  # type: ignore[abstract]  # it has what is used
+        self.alive = True
+        self.stalled_until = 0
+        self.deferred: list[ScheduledCall] = []  # due while it was stalled
+        self.sockets: dict[int, Socket] = {}  # by descriptor
+        self.max_sockets = max_sockets
+        self.peak_sockets = 0
+        self.process_id = 0  # where several share a runtime directory
+        self.on_exit: Callable[[str], None] | None = None  # called once, with the reason
+        scheduler.processes.append(self)
+
+    def run(self, call: Call, *arguments: object) -> Any:  # noqa: ANN401 -- what the call returns
+        """Run a call as this process, at once."""
+        return self.scheduler.run_as(self, call, arguments)
 
     def stall(self, span: int) -> None:
-        """As a machine that does something else, or a process that was stopped: what is due waits."""
-        until = self.kernel.now + span
+        """Keep it from running for so many microseconds; what is due meanwhile waits."""
+        until = self.scheduler.now + span
         if until > self.stalled_until:
             self.stalled_until = until
-            self.stalls.append((self.kernel.now, until))
-            self.kernel.at(until, None, self.go_on)
+            self.scheduler.call_at(until, None, self._resume)
 
-    def go_on(self) -> None:
-        if self.alive and self.stalled_until <= self.kernel.now:
-            parked, self.parked = self.parked, []
-            parked.sort(key=lambda entry: not entry.timer)  # a loop looks at its timers first
-            self.kernel.ready.extend(entry for entry in parked if entry.call is not None)
+    def _resume(self) -> None:
+        if self.alive and self.stalled_until <= self.scheduler.now:
+            deferred, self.deferred = self.deferred, []
+            deferred.sort(key=lambda scheduled: not scheduled.is_timer)  # a loop runs its timers first
+            self.scheduler.ready.extend(call for call in deferred if call.callback is not None)
 
-    def signal(self, number: int) -> None:
+    def signal(self, signal_number: int) -> None:
+        """Send it a signal; without a handler it ends."""
         if not self.alive:
             return
-        if number == signal.SIGKILL:
-            return self.end("killed")
-        handler = self.loop.handlers.get(number)
-        if handler is None:
-            return self.end(f"signal {number}")
-        self.kernel.soon(self, handler[0], *handler[1])
-
-    def end(self, how: str) -> None:
-        """No event of its runs from now on; its sockets are the kernel's to close."""
+        handler = self.loop.signal_handlers.get(signal_number)
+        if signal_number == signal.SIGKILL:
+            self.terminate("killed")
+        elif handler is None:
+            self.terminate(f"signal {signal_number}")
+        else:
+            callback, arguments = handler
+            self.scheduler.call_soon(self, callback, *arguments)
+
+    def terminate(self, reason: str) -> None:
+        """End it at once: none of its events runs any more, and the system closes its sockets."""
         if not self.alive:
             return
         self.alive = False
         for task in asyncio.all_tasks(self.loop):
-            task._log_destroy_pending = False  # it died with its process
+            task._log_destroy_pending = False  # type: ignore[attr-defined]  # it died with its process
         for sock in list(self.sockets.values()):
-            sock.process_ended()
+            sock.abort_on_process_exit()
         self.sockets.clear()
-        self.parked.clear()
-        self.loop.handlers.clear()
+        self.deferred.clear()
+        self.loop.signal_handlers.clear()
         self.loop.readers.clear()
-        exit, self.exit = self.exit, None
-        if exit is not None:
-            exit(how)
+        on_exit, self.on_exit = self.on_exit, None
+        if on_exit is not None:
+            on_exit(reason)
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """What asyncio, the network code and the peers ask of a loop, on virtual time."""
+    """What asyncio, the network code and the peers use of an event loop, on virtual time."""
 
-    network = None  # set by the world: where sockets and connections come from
+    network: "Network"  # set by whoever builds the run: where sockets and connections come from
 
-    def __init__(self, kernel: Kernel, process: Process) -> None:
-        self.kernel, self.process = kernel, process
-        self.handlers: dict[int, tuple[Callable, tuple]] = {}
-        self.readers: dict[int, tuple[Callable, tuple]] = {}
-        self.on_exception: Callable | None = None
+    def __init__(self, scheduler: Scheduler, process: Process) -> None:
+        self.scheduler = scheduler
+        self.process = process
+        self.signal_handlers: dict[int, tuple[Call, tuple[Any, ...]]] = {}
+        self.readers: dict[int, tuple[Call, tuple[Any, ...]]] = {}
+        self.exception_handler: ExceptionHandler | None = None
 
     def __repr__(self) -> str:
         return f"<loop of {self.process.name}>"
@@ -203,76 +260,111 @@
     # Calls and time.
 
     def time(self) -> float:
-        return self.kernel.now / 1e6
-
-    def call_soon(self, callback, *arguments, context=None) -> Entry:
-        return self.kernel.soon(self.process, callback, *arguments, context=context)
-
-    call_soon_threadsafe = call_soon
-
-    def call_later(self, delay, callback, *arguments, context=None) -> Entry:
-        due = self.kernel.now + max(0, round(delay * 1e6))
-        return self.kernel.at(due, self.process, callback, *arguments, context=context)
-
-    def call_at(self, when, callback, *arguments, context=None) -> Entry:
-        return self.kernel.at(round(when * 1e6), self.process, callback, *arguments, context=context)
-
-    def create_future(self) -> asyncio.Future:
+        """Seconds of the virtual clock."""
+        return self.scheduler.now / MICROSECONDS_PER_SECOND
+
+    def call_soon(  # type: ignore[override]  # a handle of our own
+        self, callback: Call, *arguments: object, context: Context | None = None
+    ) -> ScheduledCall:
+        """As asyncio."""
+        return self.scheduler.call_soon(self.process, callback, *arguments, context=context)
+
+    call_soon_threadsafe = call_soon  # type: ignore[assignment]  # there is one thread
+
+    def call_later(  # type: ignore[override]  # a handle of our own
+        self, delay: float, callback: Call, *arguments: object, context: Context | None = None
+    ) -> ScheduledCall:
+        """As asyncio."""
+        due = self.scheduler.now + max(0, round(delay * MICROSECONDS_PER_SECOND))
+        return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
+
+    def call_at(  # type: ignore[override]  # a handle of our own
+        self, when: float, callback: Call, *arguments: object, context: Context | None = None
+    ) -> ScheduledCall:
+        """As asyncio."""
+        due = round(when * MICROSECONDS_PER_SECOND)
+        return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
+
+    def create_future(self) -> asyncio.Future[Any]:
+        """As asyncio."""
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro, *, name=None, context=None) -> asyncio.Task:
+    def create_task(  # type: ignore[override]  # coroutines alone
+        self, coro: Coroutine[Any, Any, Any], *, name: str | None = None, context: Context | None = None
+    ) -> asyncio.Task[Any]:
+        """As asyncio."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
+        """Never in debug mode."""
         return False
 
     def is_running(self) -> bool:
+        """Whether its process is alive."""
         return self.process.alive
 
     def is_closed(self) -> bool:
+        """Whether its process has ended."""
         return not self.process.alive
 
-    def set_exception_handler(self, handler) -> None:
-        self.on_exception = handler
+    def set_exception_handler(self, handler: ExceptionHandler | None) -> None:
+        """As asyncio."""
+        self.exception_handler = handler
 
-    def default_exception_handler(self, context) -> None:
+    def default_exception_handler(self, context: dict[str, Any]) -> NoReturn:
+        """Raise the exception: nothing goes unnoticed in a simulation."""
         raise context.get("exception") or RuntimeError(context.get("message"))
 
-    def call_exception_handler(self, context) -> None:
+    def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """As asyncio."""
         if not self.process.alive:
             return
-        if self.on_exception is not None:
-            self.on_exception(self, context)
+        if self.exception_handler is not None:
+            self.exception_handler(self, context)
         else:
             self.default_exception_handler(context)
 
     # Signals, and descriptors that are waited for.
 
-    def add_signal_handler(self, sig, callback, *arguments) -> None:
-        self.handlers[sig] = callback, arguments
+    def add_signal_handler(self, sig: int, callback: Call, *arguments: object) -> None:
+        """As asyncio."""
+        self.signal_handlers[sig] = callback, arguments
 
-    def remove_signal_handler(self, sig) -> bool:
-        return self.handlers.pop(sig, None) is not None
+    def remove_signal_handler(self, sig: int) -> bool:
+        """As asyncio."""
+        return self.signal_handlers.pop(sig, None) is not None
 
-    def add_reader(self, fd, callback, *arguments) -> None:
+    def add_reader(self, fd: int, callback: Call, *arguments: object) -> None:  # type: ignore[override]  # descriptors alone
+        """As asyncio."""
         self.readers[fd] = callback, arguments
-        self.process.sockets[fd].watched()
+        self.process.sockets[fd].reader_added()
 
-    def remove_reader(self, fd) -> bool:
+    def remove_reader(self, fd: int) -> bool:  # type: ignore[override]  # descriptors alone
+        """As asyncio."""
         return self.readers.pop(fd, None) is not None
 
     # Connections.
 
-    async def sock_connect(self, sock, address) -> None:
+    async def sock_connect(self, sock: "Socket", address: "Address") -> None:  # type: ignore[override]  # simulated sockets
+        """As asyncio."""
         future = self.create_future()
         sock.connect(address, future)
         try:
             await future
         except asyncio.CancelledError:
-            sock.give_up_connecting()
+            sock.cancel_connect()
             raise
 
-    async def create_connection(self, protocol_factory, host=None, port=None, *, sock=None, **_):
+    async def create_connection(  # type: ignore[override]  # simulated sockets
+        self,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        host: str = "",
+        port: int = 0,
+        *,
+        sock: "Socket | None" = None,
+        **_options: object,
+    ) -> tuple[asyncio.Transport, Any]:
+        """As asyncio."""
         if sock is None:
             sock = self.network.socket(self.process)
             try:
@@ -282,12 +374,24 @@
                 raise
         return await self.connect_accepted_socket(protocol_factory, sock)
 
-    async def connect_accepted_socket(self, protocol_factory, sock, **_):
+    async def connect_accepted_socket(  # type: ignore[override]  # simulated sockets
+        self, protocol_factory: Callable[[], asyncio.BaseProtocol], sock: "Socket", **_options: object
+    ) -> tuple[asyncio.Transport, Any]:
+        """As asyncio."""
         waiter = self.create_future()
         protocol = protocol_factory()
-        transport = self.network.transport(self, sock, protocol, waiter)
+        transport = self.network.create_transport(self, sock, protocol, waiter)
         await waiter
         return transport, protocol
 
-    async def create_server(self, protocol_factory, host=None, port=None, *, backlog=128, **_):
-        return self.network.serve(self, protocol_factory, (host, port), backlog)
+    async def create_server(  # type: ignore[override]  # simulated sockets
+        self,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        host: str = "",
+        port: int = 0,
+        *,
+        backlog: int = DEFAULT_BACKLOG,
+        **_options: object,
+    ) -> "Server":
+        """As asyncio."""
+        return self.network.create_server(self, protocol_factory, (host, port), backlog)
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -1,119 +1,174 @@
-"""What is to be left of a run: nothing. Descriptors, slots, deadlines, tasks, buffers, from outside.
+"""What may be left of a run: nothing. Descriptors, slots, timers, tasks and buffers, seen from outside.
 
-The one place in this package that looks into the program. It asks what its owners hold, never how they
-decided.
+The one module of this package that looks into the program under test. It asks what the owners of resources
+hold, never how they decided.
 """
 
 import asyncio
 import gc
 from collections import deque
+from collections.abc import Iterator, Sequence
+from typing import Any, Protocol
 
-SPARE = 6  # deadlines and tasks that a program at rest may have more than at the run's start
-
+from dahliabend.simulation.event_loop import Process
+from dahliabend.simulation.invariants import InvariantChecker
+from dahliabend.simulation.observed_run import balancer_of
 
+TOLERANCE = 6  # timers and tasks that a program at rest may have more than at the run's start
+RULE = "left behind"
 # Packages whose objects must not grow with uptime.
 OWN_PACKAGES = tuple(
     f"dahliabend.{name}" for name in ("transport", "http", "discovery", "proxy", "server", "policy")
 )
 
+Program = Any  # the program under test, whose internals are looked into
+
+
+class ObservedBalancer(Protocol):
+    """A balancer as the leak checker needs it."""
+
+    process: Process | None
+    program: Program | None
+
+    @property
+    def alive(self) -> bool:
+        """Whether its process runs."""
+
+
+class ObservedSimulation(Protocol):
+    """A simulation as the leak checker needs it."""
+
+    invariants: InvariantChecker
+
+    @property
+    def all_balancers(self) -> Sequence[ObservedBalancer]:
+        """The balancers of all tiers."""
+
+
+class LeakChecker:
+    """Compares what programs hold at rest with what they held before the first request."""
 
-class Remains:
-    def __init__(self, world) -> None:
-        self.world = world
-        self.deadlines: dict[str, int] = {}
-        self.tasks: dict[str, int] = {}
+    def __init__(self, simulation: ObservedSimulation) -> None:
+        self.simulation = simulation
+        self.initial_timers: dict[str, int] = {}  # by balancer
+        self.initial_tasks: dict[str, int] = {}
 
-    def running(self):
-        for balancer in (*self.world.balancers, *self.world.sidecars):
-            if balancer.alive and balancer.program is not None:
+    def running_programs(self) -> Iterator[tuple[Process, Program]]:
+        """The programs that run, with their processes."""
+        for balancer in self.simulation.all_balancers:
+            if balancer.alive and balancer.process is not None and balancer.program is not None:
                 yield balancer.process, balancer.program
 
-    def begin(self) -> None:
-        """Before the first request: what a program at rest has."""
-        for process, program in self.running():
-            name = process.name.partition("/")[0]
-            self.deadlines[name] = live(program)
-            self.tasks[name] = len(asyncio.all_tasks(process.loop))
+    def record_baseline(self) -> None:
+        """Record what programs hold before the first request."""
+        for process, program in self.running_programs():
+            balancer = balancer_of(process.name)
+            self.initial_timers[balancer] = count_timers(program)
+            self.initial_tasks[balancer] = len(asyncio.all_tasks(process.loop))
 
     def check(self) -> None:
-        """At rest again, all callers gone and all upstreams well."""
-        for process, program in self.running():
-            self.look(process, program)
-
-    def look(self, process, program) -> None:
-        name, router, broken = process.name, program.router, self.world.rules.broken
-
-        def want(fine: bool, what: str) -> None:
-            if not fine:
-                broken("left behind", f"{name}: {what}")
-
-        want(not len(router.requests), f"{len(router.requests)} transactions that nobody waits for")
-        want(not router.trace_ids, f"{len(router.trace_ids)} ids of ended transactions")
-        want(len(router.policies) == 1, f"{len(router.policies)} sets of decisions")
-        want(
-            all(not policy.open_requests for policy in router.policies),
-            "a set of decisions holds a transaction",
-        )
-        want(
-            program.metrics.open_requests == 0,
-            f"{program.metrics.open_requests} open requests in the figures",
-        )
-        held = sum(len(u.held) for u in router.balancer.upstreams.values())
-        want(not held, f"{held} hops held by the decisions")
-        want(router.balancer.out == 0, f"{router.balancer.out} hops in flight by the decisions' count")
-        tables = [*program.descriptors.connections, *program.admin_descriptors.connections]
-        listening = sum(listener.sock is not None for listener in (program.listener, program.admin_listener))
-        want(
-            len(process.sockets) == len(tables) + listening,
-            f"{len(process.sockets)} sockets, {len(tables)} connections in the tables",
+        """Check the programs at rest, with no clients and all upstreams healthy."""
+        for process, program in self.running_programs():
+            self._check_requests(process, program)
+            self._check_connections(process, program)
+            self._check_timers_and_tasks(process, program)
+
+    def _expect(self, holds: bool, process: Process, what: str) -> None:
+        if not holds:
+            self.simulation.invariants.report(RULE, f"{process.name}: {what}")
+
+    def _check_requests(self, process: Process, program: Program) -> None:
+        router = program.router
+        open_requests = program.metrics.open_requests
+        reserved = sum(len(upstream.held) for upstream in router.balancer.upstreams.values())
+        in_flight = router.balancer.out
+        is_idle = all(not policy.open_requests for policy in router.policies)
+        self._expect(
+            not len(router.requests), process, f"{len(router.requests)} transactions that nobody waits for"
         )
+        self._expect(not router.trace_ids, process, f"{len(router.trace_ids)} ids of ended transactions")
+        self._expect(len(router.policies) == 1, process, f"{len(router.policies)} sets of decisions")
+        self._expect(is_idle, process, "a set of decisions holds a transaction")
+        self._expect(open_requests == 0, process, f"{open_requests} open requests in the figures")
+        self._expect(not reserved, process, f"{reserved} hops held by the decisions")
+        self._expect(in_flight == 0, process, f"{in_flight} hops in flight by the decisions' count")
+
+    def _check_connections(self, process: Process, program: Program) -> None:
+        tables = _connections(program)
+        listeners = (program.listener, program.admin_listener)
+        listening = sum(listener.sock is not None for listener in listeners)
+        sockets = len(process.sockets)
         watches = sum(type(connection).__name__ == "WatchConnection" for connection in tables)
-        want(watches == 1, f"{watches} watches of the list")
         closed = sum(connection.closed for connection in tables)
-        want(not closed, f"{closed} closed connections keep their slots")
-        bytes_left = sum(c.unsent_bytes + c.receive_buffer.count for c in tables)
-        want(not bytes_left, f"{bytes_left} bytes in buffers of connections at rest")
-        resting = sum(len(u.idle_connections) for u in router.table.endpoints.values())
-        links = sum(len(u.connections) for u in router.table.endpoints.values())
-        want(links <= resting + SPARE, f"{links} connections to upstreams, {resting} at rest")
-        for listener in (program.listener, program.admin_listener):
-            want(not listener.accept_tasks, f"{len(listener.accept_tasks)} connections that never came up")
-        base = name.partition("/")[0]
-        now, before = live(program), self.deadlines.get(base, 0) + len(tables) + SPARE
-        want(now <= before, f"{now} deadlines, {self.deadlines.get(base, 0)} at the start")
-        tasks, before = len(asyncio.all_tasks(process.loop)), self.tasks.get(base, 1) + SPARE
-        want(tasks <= before, f"{tasks} tasks, {self.tasks.get(base, 1)} at the start")
-
-    def ended(self) -> None:
-        """After SIGTERM to all."""
-        for balancer in (*self.world.balancers, *self.world.sidecars):
-            if balancer.alive:
-                self.world.rules.broken("left behind", f"{balancer.process.name} did not end on SIGTERM")
-        for trace in sorted(self.world.rules.open):
-            request = self.world.rules.requests[trace]
-            if request.written and not self.world.rules.excused(request):
-                self.world.rules.broken("one answer", f"{trace}: never answered")
-
-
-def live(program) -> int:
-    """Deadlines that are to come."""
+        buffered = sum(connection.unsent_bytes + connection.receive_buffer.count for connection in tables)
+        endpoints = program.router.table.endpoints.values()
+        idle = sum(len(endpoint.idle_connections) for endpoint in endpoints)
+        to_upstreams = sum(len(endpoint.connections) for endpoint in endpoints)
+        self._expect(
+            sockets == len(tables) + listening,
+            process,
+            f"{sockets} sockets, {len(tables)} connections in the tables",
+        )
+        self._expect(watches == 1, process, f"{watches} watches of the list")
+        self._expect(not closed, process, f"{closed} closed connections keep their slots")
+        self._expect(not buffered, process, f"{buffered} bytes in buffers of connections at rest")
+        self._expect(
+            to_upstreams <= idle + TOLERANCE,
+            process,
+            f"{to_upstreams} connections to upstreams, {idle} at rest",
+        )
+        for listener in listeners:
+            pending = len(listener.accept_tasks)
+            self._expect(not pending, process, f"{pending} connections that never came up")
+
+    def _check_timers_and_tasks(self, process: Process, program: Program) -> None:
+        balancer = balancer_of(process.name)
+        timers, tasks = count_timers(program), len(asyncio.all_tasks(process.loop))
+        initial_timers = self.initial_timers.get(balancer, 0)
+        initial_tasks = self.initial_tasks.get(balancer, 1)
+        max_timers = initial_timers + len(_connections(program)) + TOLERANCE
+        self._expect(timers <= max_timers, process, f"{timers} deadlines, {initial_timers} at the start")
+        self._expect(
+            tasks <= initial_tasks + TOLERANCE, process, f"{tasks} tasks, {initial_tasks} at the start"
+        )
+
+    def check_shutdown(self) -> None:
+        """Check that all processes have ended after SIGTERM, and that all requests were answered."""
+        invariants = self.simulation.invariants
+        for balancer in self.simulation.all_balancers:
+            if balancer.alive and balancer.process is not None:
+                invariants.report(RULE, f"{balancer.process.name} did not end on SIGTERM")
+        for trace_id in sorted(invariants.open_requests):
+            request = invariants.requests[trace_id]
+            if request.written_at and not invariants.excuse(request):
+                invariants.report("one answer", f"{trace_id}: never answered")
+
+
+def _connections(program: Program) -> list[Any]:
+    return [*program.descriptors.connections, *program.admin_descriptors.connections]
+
+
+def count_timers(program: Program) -> int:
+    """Timers of a program that are still to fire."""
     return sum(entry[2] is not None for entry in program.timers.heap)
 
 
-def weigh(program) -> dict[str, int]:
-    """What a program holds, by kind: its objects, and what lies in their containers. For long runs, in which
-    none of it may grow with time."""
+def count_objects(program: Program) -> dict[str, int]:
+    """The objects that a program holds, with those in their containers, by type.
+
+    None of these counts may grow with time in a long run.
+    """
     kinds: dict[str, int] = {}
     seen: set[int] = set()
-    waiting = [program]
+    waiting: list[Any] = [program]
     while waiting:
         item = waiting.pop()
         if id(item) in seen:
             continue
         seen.add(id(item))
         kind = type(item)
-        own = kind.__module__.startswith(OWN_PACKAGES)
-        if own or isinstance(item, dict | list | tuple | set | deque):
+        is_own = kind.__module__.startswith(OWN_PACKAGES)
+        if is_own or isinstance(item, dict | list | tuple | set | deque):
             name = kind.__qualname__
             kinds[name] = kinds.get(name, 0) + 1
             waiting.extend(gc.get_referents(item))
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -1,379 +1,397 @@
-"""Clients: an open loop of requests over kept connections, with retries, impatience and bad manners."""
+"""Clients: requests at given times over kept connections, with retries and impatience."""
 
 import asyncio
-import contextlib
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
+from typing import cast
 
 import httptools
 
-LARGE = 60_000  # bytes that may not all lie in the other end's buffer
-AFTER = 600_000  # microseconds past its limit: then a client gives a request up for lost
+from dahliabend.simulation.peers import RecordEvent
+
+LARGE_BODY = 60_000  # bytes that may not all fit into the other end's buffer
+DISCONNECT_DELAY = 600_000  # microseconds: then a client disconnects
+CHUNKS = 5  # that a request is sent in, where it is sent in chunks
+FIRST_BACKOFF = 50_000  # microseconds; doubled with each retry
+DRAIN_INTERVAL = 0.001  # seconds between two looks whether a long body was read
+FOLLOW_UP_TIMEOUT = 0.05  # seconds
+SHOWN_BYTES = 100  # of unexpected data
+UNKNOWN_LENGTH = 1 << 30
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_MILLISECOND = 1_000
+OK = 200
+NO_STATUS = 0  # of a request that got no response
+
+Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request, and how its client behaves."""
+class ClientRequest:
+    """One request, and how its client behaves. Times are microseconds."""
 
-    trace: str
-    name: str
-    expires: int
-    limit: int = 0
+    trace_id: str
+    class_name: str
+    timeout: int
+    deadline: int = 0
     body: bytes = b""
-    target: bytes = b""
-    path: str = ""  # where it is not the name
+    query_string: bytes = b""
+    path: str = ""  # where it is not the class's name
     method: str = ""
     headers: tuple[tuple[str, str], ...] = ()
-    key: str = ""  # what it concerns, where order is kept among those of one
-    again: int = 0  # which try this is
-    tries: int = 1
-    leaves_after: int = 0  # microseconds; 0: it stays
-    trickle: int = 0  # microseconds between the pieces in which it is sent
-    fresh: bool = False
-    honours: bool = True
-    resent: bool = False
-    done: Callable | None = None  # told the final status, or 0
+    key: str = ""  # the ordering key
+    retry_count: int = 0
+    max_attempts: int = 1
+    disconnect_after: int = 0  # 0: the client stays
+    chunk_interval: int = 0  # between the chunks in which it is sent; 0: at once
+    needs_new_connection: bool = False
+    honours_retry_after: bool = True
+    was_resent: bool = False  # on another connection, because the first was closed without reading it
+    on_finished: Callable[[int], None] | None = None  # called with the final status, or 0
 
     def message(self) -> bytes:
-        method = self.method.encode() or (b"GET" if self.name == "query" else b"POST")
-        path = self.path.encode() or b"/" + self.name.encode()
+        """The request as bytes."""
+        method = self.method.encode() or (b"GET" if self.class_name == "query" else b"POST")
+        path = self.path.encode() or b"/" + self.class_name.encode()
         head = b"%b %b%b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: %b\r\nX-Expires-In-Ms: %d\r\n" % (
-            method, path, self.target, self.trace.encode(), self.expires // 1000,
-        )  # fmt: skip
+            method,
+            path,
+            self.query_string,
+            self.trace_id.encode(),
+            self.timeout // MICROSECONDS_PER_MILLISECOND,
+        )
         for name, value in self.headers:
             head += f"{name}: {value}\r\n".encode()
         if self.key:
             head += f"X-Item: {self.key}\r\n".encode()
-        if self.again:
+        if self.retry_count:
             head += b"X-Second-Try: 1\r\n"
         if self.body or method == b"POST":
             head += b"Content-Length: %d\r\n" % len(self.body)
         return head + b"\r\n" + self.body
 
 
-class Front:
-    """Deals out connections among the balancers in rotation, each by its address."""
+class ConnectionRotation:
+    """Deals out connections among the balancers that are ready, in rotation."""
 
-    def __init__(self, places: list[tuple[str, int]]) -> None:
-        self.places, self.turn = list(places), 0
-        self.out: set[tuple[str, int]] = set()
+    def __init__(self, addresses: list[Address]) -> None:
+        self.addresses = list(addresses)
+        self.not_ready: set[Address] = set()
+        self._position = 0
 
-    def next(self) -> tuple[str, int] | None:
-        ready = [place for place in self.places if place not in self.out]
+    def next_address(self) -> Address | None:
+        """Where the next connection goes, None if no balancer is ready."""
+        ready = [address for address in self.addresses if address not in self.not_ready]
         if not ready:
             return None
-        self.turn += 1
-        return ready[self.turn % len(ready)]
+        self._position += 1
+        return ready[self._position % len(ready)]
 
 
 class Clients:
-    """All clients of one machine."""
+    """All clients of one machine, with the connections that they share."""
 
     def __init__(
-        self, loop, witness: Callable, chance: Random, front: Front, prefix: str, advised: int = 0
+        self,
+        loop: asyncio.AbstractEventLoop,
+        recorder: RecordEvent,
+        rng: Random,
+        rotation: ConnectionRotation,
+        prefix: str,
     ) -> None:
-        self.loop, self.witness, self.chance, self.front = loop, witness, chance, front
-        self.prefix, self.advised = prefix, advised
-        self.idle: list[Calling] = []
-        self.waiting: set[Calling] = set()  # those with a request out
-        self.count = 0
-        self.out = 0  # requests without an end yet
-        self.tasks: set[asyncio.Task] = set()
-
-    def name(self) -> str:
-        self.count += 1
-        return f"{self.prefix}{self.count}"
-
-    def ask(self, ask: Ask) -> None:
-        self.out += 1
-        self.send(ask)
-
-    def send(self, ask: Ask) -> None:
-        while self.idle and not ask.fresh:
+        """Create clients without connections; `prefix`: of their trace ids."""
+        self.loop = loop
+        self.recorder = recorder
+        self.rng = rng
+        self.rotation = rotation
+        self.prefix = prefix
+        self.idle: list[ClientConnection] = []
+        self.waiting: set[ClientConnection] = set()  # those with a request in flight
+        self.open_requests = 0
+        self._last_number = 0
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def next_trace_id(self) -> str:
+        """A new trace id."""
+        self._last_number += 1
+        return f"{self.prefix}{self._last_number}"
+
+    def send(self, request: ClientRequest) -> None:
+        """Send a new request."""
+        self.open_requests += 1
+        self.dispatch(request)
+
+    def dispatch(self, request: ClientRequest) -> None:
+        """Send a request on an idle connection or on a new one."""
+        while self.idle and not request.needs_new_connection:
             connection = self.idle.pop()
             if connection.is_usable():
-                return connection.ask(ask)
-        place = self.front.next()
-        if place is None:
-            self.witness("nobody", ask.name)
-            return self.retry(ask, 0, 0)
-        task = self.loop.create_task(self.connect(ask, place))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    async def come_behind(self, ask: Ask, more: Ask, place: tuple[str, int]) -> None:
-        """On a connection of its own, `more` as soon as the other end has ended its sending."""
+                connection.send(request)
+                return
+        address = self.rotation.next_address()
+        if address is None:
+            self.recorder("nobody", request.class_name)
+            self.retry(request, NO_STATUS, 0)
+            return
+        task = self.loop.create_task(self._connect(request, address))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def send_after_half_close(
+        self, request: ClientRequest, follow_up: ClientRequest, address: Address
+    ) -> None:
+        """Send a request on a connection of its own, and another once the balancer closes its direction."""
         try:
-            _, connection = await self.loop.create_connection(lambda: Behind(self, place, more), *place)
+            _, connection = await self.loop.create_connection(
+                lambda: HalfCloseClient(self, address, follow_up), *address
+            )
         except OSError:
             return
-        self.out += 1
-        connection.ask(ask)
+        self.open_requests += 1
+        connection.send(request)
 
-    async def connect(self, ask: Ask, place: tuple[str, int]) -> None:
+    async def _connect(self, request: ClientRequest, address: Address) -> None:
         try:
-            coming = self.loop.create_connection(lambda: Calling(self, place), *place)
-            _, connection = await asyncio.wait_for(coming, ask.expires / 1e6)
+            connecting = self.loop.create_connection(lambda: ClientConnection(self, address), *address)
+            _, connection = await asyncio.wait_for(connecting, request.timeout / MICROSECONDS_PER_SECOND)
         except (TimeoutError, OSError):
-            return self.retry(ask, 0, 0)
-        connection.ask(ask)
-
-    def end(self, ask: Ask, status: int) -> None:
-        self.out -= 1
-        if ask.done is not None:
-            ask.done(status)
-
-    def retry(self, ask: Ask, status: int, wait: int) -> None:
-        """A new request with a new id, where the client tries again."""
-        if status == 200 or ask.again + 1 >= ask.tries:
-            return self.end(ask, status)
-        ask.again += 1
-        back_off = 50_000 << ask.again
-        wait = wait if wait and ask.honours else round(back_off * (0.5 + self.chance.random()))
-        ask.trace, ask.resent, ask.leaves_after = self.name(), False, 0
-        self.loop.call_later(wait / 1e6, self.send, ask)
-
-
-class Calling(asyncio.Protocol):
-    """One connection to a balancer: one request at a time."""
-
-    def __init__(self, clients: Clients, place: tuple[str, int]) -> None:
-        self.clients, self.place = clients, place
-        self.asked: Ask | None = None
-        self.used = 0
-        self.last: Ask | None = None
-        self.timer = self.leaving = None
+            self.retry(request, NO_STATUS, 0)
+            return
+        connection.send(request)
+
+    def finish(self, request: ClientRequest, status: int) -> None:
+        """End a request for good."""
+        self.open_requests -= 1
+        if request.on_finished is not None:
+            request.on_finished(status)
+
+    def retry(self, request: ClientRequest, status: int, retry_after: int) -> None:
+        """Send a request again with a new trace id, where its client does so."""
+        if status == OK or request.retry_count + 1 >= request.max_attempts:
+            self.finish(request, status)
+            return
+        request.retry_count += 1
+        backoff = FIRST_BACKOFF << request.retry_count
+        if retry_after and request.honours_retry_after:
+            wait = retry_after
+        else:
+            wait = round(backoff * (0.5 + self.rng.random()))
+        request.trace_id = self.next_trace_id()
+        request.was_resent = False
+        request.disconnect_after = 0
+        self.loop.call_later(wait / MICROSECONDS_PER_SECOND, self.dispatch, request)
+
+
+class ClientConnection(asyncio.Protocol):
+    """One connection to a balancer, with one request at a time."""
+
+    def __init__(self, clients: Clients, address: Address) -> None:
+        self.clients = clients
+        self.address = address
+        self.request: ClientRequest | None = None
+        self.last_request: ClientRequest | None = None
+        self.requests_sent = 0
+        self.is_sent = False  # all of the request
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.disconnect_timer: asyncio.TimerHandle | None = None
         self.parser: httptools.HttpResponseParser | None = None
-        self.whole = self.sent = False
+        self._reset_response()
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        self.number = transport.get_extra_info("connection", id(self))
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """As asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.number: int = transport.get_extra_info("connection", id(self))
 
     def is_usable(self) -> bool:
-        return not self.transport.is_closing() and self.place not in self.clients.front.out
-
-    def ask(self, ask: Ask) -> None:
-        loop, clients = self.clients.loop, self.clients
-        self.asked, self.sent, self.whole = ask, False, False
-        clients.waiting.add(self)
-        self.used += 1
-        self.fresh()
-        clients.witness("asked", ask.trace, ask.name, self.number, ask.expires)
-        if ask.key:
-            clients.witness("keyed", ask.trace, ask.key)
-        if ask.leaves_after:
-            self.leaving = loop.call_later(ask.leaves_after / 1e6, self.leave)
-        message = ask.message()
-        if ask.trickle:
-            cut = max(1, len(message) // 5)
-            pieces = [message[at : at + cut] for at in range(0, len(message), cut)]
-            self.piece(ask, pieces)
+        """Whether another request may be sent on it."""
+        return not self.transport.is_closing() and self.address not in self.clients.rotation.not_ready
+
+    def send(self, request: ClientRequest) -> None:
+        """Send a request."""
+        loop, recorder = self.clients.loop, self.clients.recorder
+        self.request = request
+        self.is_sent = False
+        self.clients.waiting.add(self)
+        self.requests_sent += 1
+        self.parser = httptools.HttpResponseParser(self)
+        self._reset_response()
+        recorder("asked", request.trace_id, request.class_name, self.number, request.timeout)
+        if request.key:
+            recorder("keyed", request.trace_id, request.key)
+        if request.disconnect_after:
+            wait = request.disconnect_after / MICROSECONDS_PER_SECOND
+            self.disconnect_timer = loop.call_later(wait, self.disconnect)
+        message = request.message()
+        if request.chunk_interval:
+            size = max(1, len(message) // CHUNKS)
+            chunks = [message[at : at + size] for at in range(0, len(message), size)]
+            self._write_chunks(request, chunks)
         else:
-            self.write_last(ask, message)
+            self._write_last(request, message)
 
-    def piece(self, ask: Ask, pieces: list[bytes]) -> None:
-        if self.asked is not ask or self.transport.is_closing():
+    def _write_chunks(self, request: ClientRequest, chunks: list[bytes]) -> None:
+        if self.request is not request or self.transport.is_closing():
+            return
+        if len(chunks) == 1:
+            self._write_last(request, chunks[0])
             return
-        if len(pieces) == 1:
-            return self.write_last(ask, pieces[0])
-        self.transport.write(pieces.pop(0))
-        self.clients.loop.call_later(ask.trickle / 1e6, self.piece, ask, pieces)
+        self.transport.write(chunks.pop(0))
+        wait = request.chunk_interval / MICROSECONDS_PER_SECOND
+        self.clients.loop.call_later(wait, self._write_chunks, request, chunks)
 
-    def write_last(self, ask: Ask, data: bytes) -> None:
+    def _write_last(self, request: ClientRequest, data: bytes) -> None:
         self.transport.write(data)
-        if len(ask.body) > LARGE or self.transport.get_write_buffer_size():
-            self.write_on(ask)
+        if len(request.body) > LARGE_BODY or self.transport.get_write_buffer_size():
+            self._await_drain(request)
         else:
-            self.went(ask)
+            self._request_written(request)
 
-    def write_on(self, ask: Ask) -> None:
-        """The time of a long body begins once its last byte is read: whoever passes it on holds it back
-        while the next one is slower, and can't know for how long it has lain there."""
-        if self.asked is not ask or self.transport.is_closing():
+    def _await_drain(self, request: ClientRequest) -> None:
+        """Count a long body's time from when its last byte is read.
+
+        Whoever forwards it holds it back while the next one is slower, and cannot know for how long it lay.
+        """
+        if self.request is not request or self.transport.is_closing():
             return
-        unsent = self.transport.get_extra_info("unsent")
-        if self.transport.get_write_buffer_size() or unsent is not None and unsent():
-            self.clients.loop.call_later(0.001, self.write_on, ask)
+        unread: Callable[[], int] | None = self.transport.get_extra_info("unsent")
+        if self.transport.get_write_buffer_size() or (unread is not None and unread()):
+            self.clients.loop.call_later(DRAIN_INTERVAL, self._await_drain, request)
         else:
-            self.went(ask)
-
-    def went(self, ask: Ask) -> None:
-        self.sent = True
-        self.clients.witness("written", ask.trace)
-        self.timer = self.clients.loop.call_later((ask.expires + AFTER) / 1e6, self.give_up)
-
-    def pause_writing(self) -> None: ...
-
-    def resume_writing(self) -> None: ...
-
-    def leave(self) -> None:
-        ask = self.asked
-        if ask is not None:
-            self.over()
-            self.clients.witness("left", ask.trace)
+            self._request_written(request)
+
+    def _request_written(self, request: ClientRequest) -> None:
+        self.is_sent = True
+        self.clients.recorder("written", request.trace_id)
+        wait = (request.timeout + DISCONNECT_DELAY) / MICROSECONDS_PER_SECOND
+        self.deadline_timer = self.clients.loop.call_later(wait, self.disconnect)
+
+    def pause_writing(self) -> None:
+        """Nothing to do: the transport keeps what is written."""
+
+    def resume_writing(self) -> None:
+        """Nothing to do."""
+
+    def disconnect(self) -> None:
+        """Give the request up."""
+        request = self.request
+        if request is not None:
+            self._end_request()
+            self.clients.recorder("left", request.trace_id)
             self.transport.abort()
-            self.clients.end(ask, 0)
+            self.clients.finish(request, NO_STATUS)
 
-    give_up = leave
-
-    def over(self) -> None:
-        for timer in (self.timer, self.leaving):
+    def _end_request(self) -> None:
+        for timer in (self.deadline_timer, self.disconnect_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.leaving = None
-        self.last, self.asked = self.asked, None
+        self.deadline_timer = self.disconnect_timer = None
+        self.last_request, self.request = self.request, None
         self.clients.waiting.discard(self)
 
-    # The answer.
+    # The response.
 
-    def fresh(self) -> None:
-        self.parser = httptools.HttpResponseParser(self)
+    def _reset_response(self) -> None:
         self.body: list[bytes] = []
         self.headers: dict[bytes, bytes] = {}
-        self.status = 0
+        self.status = NO_STATUS
 
     def data_received(self, data: bytes) -> None:
-        if self.asked is None:
-            trace = self.last.trace if self.last is not None else "nothing"
-            self.clients.witness("extra", trace, data[:100])
-            return self.transport.abort()
-        ask = self.asked
+        """As asyncio."""
+        request, recorder = self.request, self.clients.recorder
+        if request is None or self.parser is None:
+            trace_id = self.last_request.trace_id if self.last_request is not None else "nothing"
+            recorder("extra", trace_id, data[:SHOWN_BYTES])
+            self.transport.abort()
+            return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self.asked is ask:
-                self.clients.witness("spoilt", ask.trace, str(error))
+            if self.request is request:
+                recorder("spoilt", request.trace_id, str(error))
             else:
-                self.clients.witness("extra", ask.trace, data[-100:])
+                recorder("extra", request.trace_id, data[-SHOWN_BYTES:])
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """As httptools."""
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        self.status = self.parser.get_status_code()
+        """As httptools."""
+        if self.parser is not None:
+            self.status = self.parser.get_status_code()
 
     def on_body(self, part: bytes) -> None:
-        whole = int(self.headers.get(b"content-length", 1 << 30))
-        if not self.body and self.asked is not None and len(part) < whole:
-            self.clients.witness("began", self.asked.trace)
+        """As httptools."""
+        length = int(self.headers.get(b"content-length", UNKNOWN_LENGTH))
+        if not self.body and self.request is not None and len(part) < length:
+            self.clients.recorder("began", self.request.trace_id)
         self.body.append(part)
 
     def on_message_complete(self) -> None:
-        if self.status < 200 or self.asked is None:
+        """As httptools."""
+        if self.status < OK or self.request is None or self.parser is None:
             return
-        ask, keep = self.asked, self.parser.should_keep_alive()
-        sent = self.sent
-        self.over()
-        self.clients.witness("answer", ask.trace, self.status, b"".join(self.body))
-        wait = round(float(self.headers.get(b"retry-after", 0)) * 1e6)
-        self.rest(keep and sent)
-        self.clients.retry(ask, self.status, wait)
-
-    def rest(self, keep: bool) -> None:
-        if keep:
+        request, is_reusable = self.request, self.parser.should_keep_alive() and self.is_sent
+        self._end_request()
+        self.clients.recorder("answer", request.trace_id, self.status, b"".join(self.body))
+        retry_after = round(float(self.headers.get(b"retry-after", 0)) * MICROSECONDS_PER_SECOND)
+        self.release(is_reusable)
+        self.clients.retry(request, self.status, retry_after)
+
+    def release(self, is_reusable: bool) -> None:
+        """The response is complete: keep the connection or close it."""
+        if is_reusable:
             self.clients.idle.append(self)
         else:
             self.transport.close()
 
     def eof_received(self) -> bool:
+        """As asyncio."""
         return False
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
+        """As asyncio."""
         self.parser = None
         if self in self.clients.idle:
             self.clients.idle.remove(self)
-        ask = self.asked
-        if ask is None:
+        request = self.request
+        if request is None:
             return
-        self.over()
-        if self.used > 1 and not error and not self.status and not ask.resent:
-            # Closed in order between requests, this one unread: once more on a new connection.
-            ask.resent = ask.fresh = True
-            return self.clients.send(ask)
-        how = "reset" if error else "closed"
-        if self.status == 200:
-            self.clients.witness("cut", ask.trace)
+        self._end_request()
+        if self.requests_sent > 1 and not error and not self.status and not request.was_resent:
+            # Closed in order between two requests, this one unread: it goes out on a new connection.
+            request.was_resent = request.needs_new_connection = True
+            self.clients.dispatch(request)
+            return
+        if self.status == OK:
+            self.clients.recorder("cut", request.trace_id)
         else:
-            self.clients.witness("lost", ask.trace, how)
-        self.clients.retry(ask, 0, 0)
+            self.clients.recorder("lost", request.trace_id, "reset" if error else "closed")
+        self.clients.retry(request, NO_STATUS, 0)
 
 
-class Behind(Calling):
-    """Rests after its answer until the balancer ends its sending, and asks once more on what is left."""
+class HalfCloseClient(ClientConnection):
+    """Keeps its connection until the balancer closes its direction, and then sends one more request."""
 
-    def __init__(self, clients: Clients, place: tuple[str, int], more: Ask) -> None:
-        super().__init__(clients, place)
-        self.more: Ask | None = more
+    def __init__(self, clients: Clients, address: Address, follow_up: ClientRequest) -> None:
+        super().__init__(clients, address)
+        self.follow_up: ClientRequest | None = follow_up
 
-    def rest(self, keep: bool) -> None: ...
+    def release(self, is_reusable: bool) -> None:
+        """Keep the connection, and send nothing on it for now."""
 
     def eof_received(self) -> bool:
-        more, self.more = self.more, None
-        if self.asked is not None or more is None or not self.used:
+        """Send the other request on the direction that is left."""
+        follow_up, self.follow_up = self.follow_up, None
+        if self.request is not None or follow_up is None or not self.requests_sent:
             return False
-        self.clients.witness("asked", more.trace, more.name, self.number, more.expires)
-        self.transport.write(more.message())
-        self.clients.loop.call_later(0.05, self.go, more)
+        trace_id = follow_up.trace_id
+        self.clients.recorder("asked", trace_id, follow_up.class_name, self.number, follow_up.timeout)
+        self.transport.write(follow_up.message())
+        self.clients.loop.call_later(FOLLOW_UP_TIMEOUT, self._give_up, trace_id)
         return True
 
-    def go(self, more: Ask) -> None:
-        self.clients.witness("left", more.trace)
+    def _give_up(self, trace_id: str) -> None:
+        self.clients.recorder("left", trace_id)
         self.transport.abort()
-
-
-class Flooding(asyncio.Protocol):
-    """Sends many requests at once, reads what comes, and goes soon after without waiting for all."""
-
-    def __init__(self, loop, witness: Callable, traces: list[str], expires: int, chance: Random) -> None:
-        self.loop, self.witness, self.traces, self.expires = loop, witness, traces, expires
-        self.stays = 0.02 + 0.2 * chance.random()
-        self.gone = False
-
-    async def come(self, place: tuple[str, int]) -> None:
-        with contextlib.suppress(OSError):
-            await self.loop.create_connection(lambda: self, *place)
-
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        number = transport.get_extra_info("connection", id(self))
-        for trace in self.traces:
-            ask = Ask(trace, "query", self.expires, body=b"z" * 300)
-            self.witness("asked", trace, "query", number, self.expires)
-            transport.write(ask.message())
-        self.loop.call_later(self.stays, self.leave)
-
-    def leave(self) -> None:
-        if not self.gone:
-            self.gone = True
-            for trace in self.traces:
-                self.witness("left", trace)
-            self.transport.abort()
-
-    def connection_lost(self, error) -> None:
-        self.leave()
-
-
-class Rude(asyncio.Protocol):
-    """Says something that is no request, or half of one, and stays."""
-
-    SAID = (
-        b"",
-        b"GET /query HT",
-        b"\x16\x03\x01\x02\x00",
-        b"GET /nowhere HTTP/1.1\r\n\r\n",
-        b"G" * 20_000,
-        b"POST /mark HTTP/1.1\r\nX-Trace-Id: r\r\nX-Expires-In-Ms: 500\r\nContent-Length: 99999999\r\n\r\n",
-        b"GET /query HTTP/1.1\r\nX-Expires-In-Ms: -5\r\nX-Trace-Id: rude\r\n\r\n",
-        b"GET /query HTTP/1.1\r\nX-Trace-Id: a\r\nX-Trace-Id: b\r\nX-Expires-In-Ms: 5\r\n\r\n",
-        b"POST /mark HTTP/1.1\r\nX-Trace-Id: r\r\nX-Expires-In-Ms: 5\r\nContent-Length: 50\r\n\r\nhalf",
-    )
-
-    def __init__(self, chance: Random) -> None:
-        self.said = chance.choice(self.SAID)
-
-    def connection_made(self, transport) -> None:
-        if self.said:
-            transport.write(self.said)
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -1,115 +1,153 @@
-"""Discovery: the list of upstreams, and the agent on each balancer's machine that tells of its changes."""
+"""Discovery: the endpoint list, and the agent on each balancer's machine that serves watches of it."""
 
 import asyncio
 import json
-from collections.abc import Callable
+from collections.abc import Iterable
 from random import Random
+from typing import TYPE_CHECKING, Any, cast
 
 import httptools
 
-BEAT = 2.0  # seconds between empty lines
+from dahliabend.simulation.peers import RecordEvent
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.transports import Transport
+
+KEEPALIVE_INTERVAL = 2.0  # seconds between empty lines on a watch
+MICROSECONDS_PER_SECOND = 1e6
+WHOLE_LIST = -1  # the version after which a watch asks for changes, where it asks for the list
+
+EndpointEntry = dict[str, Any]  # an endpoint as JSON: id, addr, zone, cell, state, weight, started_ms
 
 
 class Registry:
-    """The true list."""
+    """The true endpoint list."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.entries: dict[str, dict] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.agents: list[Agent] = []
 
-    def put(self, entry: dict) -> None:
-        """A new or changed entry; `removed` takes it out."""
+    def put(self, entry: EndpointEntry) -> None:
+        """Add or change an entry; the state `removed` takes it out."""
         self.version += 1
         if entry["state"] == "removed":
             self.entries.pop(entry["id"], None)
         else:
             self.entries[entry["id"]] = entry
         for agent in self.agents:
-            agent.hear(self.version, entry)
-
-    def whole(self) -> dict:
-        return {"version": self.version, "full": True, "servers": list(self.entries.values())}
+            agent.schedule_change(self.version, entry)
 
 
 class Agent:
-    """What one balancer is told, and when."""
-
-    def __init__(self, registry: Registry, loop, witness: Callable, chance: Random, notice: int) -> None:
-        self.registry, self.loop, self.witness, self.chance = registry, loop, witness, chance
-        self.notice = notice  # microseconds in the mean until it hears of a change
-        self.late = 0  # on top
-        self.silent = self.whole = False  # `whole`: see `faults`
-        self.name = ""  # of the balancer that it stands beside
-        self.before = 0  # where its count began anew
-        self.unsaid: dict[str, str] = {}  # states heard of while silent
+    """What one balancer is told of the endpoint list, and when."""
+
+    def __init__(
+        self,
+        registry: Registry,
+        loop: asyncio.AbstractEventLoop,
+        recorder: RecordEvent,
+        rng: Random,
+        mean_delay: int,
+    ) -> None:
+        """Create an agent that knows the list as it is now.
+
+        Args:
+            registry: of the endpoint list.
+            loop: that it runs on.
+            recorder: of events.
+            rng: of its delays.
+            mean_delay: microseconds until it learns of a change.
+        """
+        self.registry = registry
+        self.loop = loop
+        self.recorder = recorder
+        self.rng = rng
+        self.mean_delay = mean_delay
+        self.name = ""  # of the balancer that it serves
         self.version = registry.version
+        self.version_offset = 0  # of the registry's versions, once its own began anew
         self.entries = dict(registry.entries)
-        self.ever = set(registry.entries)  # ids that it has told of
-        self.log: list[tuple[int, dict]] = []  # the changes it has heard of
+        self.announced_ids = set(registry.entries)
+        self.changes: list[tuple[int, EndpointEntry]] = []  # those learned, by version
         self.watches: list[Watch] = []
-        self.due = 0.0
-        self.servers: list = []
+        self.servers: list[Any] = []
+        self._next_due = 0.0
+        # Faults.
+        self.extra_delay = 0  # microseconds
+        self.silent = False
+        self.sends_full_lists = False
+        self._withheld_states: dict[str, str] = {}  # learned while silent
         registry.agents.append(self)
 
     async def open(self, host: str, port: int) -> None:
+        """Serve watches at an address."""
         self.servers.append(await self.loop.create_server(lambda: Watch(self), host, port))
 
-    def hear(self, version: int, entry: dict) -> None:
-        wait = self.notice * (0.5 + self.chance.random()) + self.late
-        self.due = max(self.due, self.loop.time() + wait / 1e6)  # in order
-        self.loop.call_at(self.due, self.know, version, entry)
+    def schedule_change(self, version: int, entry: EndpointEntry) -> None:
+        """Learn of a change after a while, in order."""
+        wait = self.mean_delay * (0.5 + self.rng.random()) + self.extra_delay
+        self._next_due = max(self._next_due, self.loop.time() + wait / MICROSECONDS_PER_SECOND)
+        self.loop.call_at(self._next_due, self.apply_change, version, entry)
 
-    def know(self, version: int, entry: dict) -> None:
-        version -= self.before
+    def apply_change(self, version: int, entry: EndpointEntry) -> None:
+        """Learn of a change now."""
+        name, state = entry["id"], entry["state"]
+        version -= self.version_offset
         self.version = version
-        self.log.append((version, entry))
-        if self.silent and entry["state"] != "up":
-            self.unsaid[entry["id"]] = entry["state"]
-        else:  # that one is well again may stand in the file from which a process starts meanwhile
-            self.unsaid.pop(entry["id"], None)
-            self.witness("had", self.name, entry["id"], entry["state"])
-        if entry["state"] == "removed":
-            self.entries.pop(entry["id"], None)
+        self.changes.append((version, entry))
+        if self.silent and state != "up":
+            self._withheld_states[name] = state
+        else:  # that one is up again may be in the configuration from which a process starts meanwhile
+            self._withheld_states.pop(name, None)
+            self.recorder("had", self.name, name, state)
+        if state == "removed":
+            self.entries.pop(name, None)
         else:
-            self.entries[entry["id"]] = entry
-            self.ever.add(entry["id"])
-        if self.whole and entry["state"] != "up":
-            self.end_watches()
+            self.entries[name] = entry
+            self.announced_ids.add(name)
+        if self.sends_full_lists and state != "up":
+            self.close_watches()
         elif not self.silent:
             for watch in list(self.watches):
-                watch.tell(version, False, [entry])
+                watch.send_update(version, False, [entry])
 
-    def known(self) -> dict:
+    def full_list(self) -> dict[str, Any]:
+        """The list as this agent knows it, as JSON."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
-    def speak(self) -> None:
-        """After a silence: what was missed, on the watches that are still there."""
+    # Faults.
+
+    def end_silence(self) -> None:
+        """Send what was missed on the watches that are still there."""
         self.silent = False
-        for name, state in self.unsaid.items():
-            self.witness("had", self.name, name, state)
-        self.unsaid.clear()
+        for name, state in self._withheld_states.items():
+            self.recorder("had", self.name, name, state)
+        self._withheld_states.clear()
         for watch in list(self.watches):
             watch.catch_up()
 
-    def begin_anew(self) -> None:
-        self.before += self.version
-        self.version, self.log = 0, []
-        self.end_watches()
+    def restart_versions(self) -> None:
+        """Begin the versions anew, and end all watches."""
+        self.version_offset += self.version
+        self.version = 0
+        self.changes = []
+        self.close_watches()
 
-    def end_watches(self) -> None:
+    def close_watches(self) -> None:
+        """End all watches."""
         for watch in list(self.watches):
             watch.transport.abort()
 
-    def mislead(self, kind: int) -> None:
-        """What a list service should not say: old news, entries that can't be read, half an object."""
-        said = (
+    def send_invalid_update(self, kind: int) -> None:
+        """Send an old update, invalid entries or a truncated object on all watches."""
+        messages = (
             b'{"version":1,"full":false,"servers":[{"id":"s-0","state":"removed"}]}\n',
             b'{"version":%d,"full":true,"servers":[{"id":7},{"state":"up"},"x"]}\n' % self.version,
             b'{"version": \n',
         )
         for watch in list(self.watches):
-            watch.line(said[kind % len(said)])
+            watch.write_line(messages[kind % len(messages)])
 
 
 class Watch(asyncio.Protocol):
@@ -117,73 +155,101 @@
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
-        self.parser = httptools.HttpRequestParser(self)
-        self.target, self.after, self.open, self.beat = b"", -1, False, None
-        self.deaf = False  # nothing comes through any more: what it says is not told
-
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+        self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self.target = b""
+        self.after = WHOLE_LIST  # the version that its client has
+        self.is_open = False
+        self.is_muted = False
+        self.keepalive_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """As asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
         self.peer = transport.get_extra_info("caller", "")
 
     def data_received(self, data: bytes) -> None:
-        self.parser.feed_data(data)
+        """As asyncio."""
+        if self.parser is not None:
+            self.parser.feed_data(data)
 
     def on_url(self, part: bytes) -> None:
+        """As httptools."""
         self.target += part
 
     def on_message_complete(self) -> None:
+        """As httptools."""
         _, found, after = self.target.partition(b"after=")
-        self.after = int(after) if found else -1
+        self.after = int(after) if found else WHOLE_LIST
         self.agent.watches.append(self)
         if not self.agent.silent:
-            self.begin()
+            self._begin()
 
-    def begin(self) -> None:
-        self.open = True
-        self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    def _begin(self) -> None:
+        """Answer the request: with the list, or with the changes since the client's version."""
         agent = self.agent
-        missed = [entry for version, entry in agent.log if version > self.after]
-        if agent.whole:
-            self.tell(agent.version, True, [e for e in agent.entries.values() if e["state"] == "up"])
-        elif agent.before and self.after > agent.version:
-            self.tell(agent.version, False, [])
-        elif self.after < 0 or not agent.log or agent.log[0][0] > self.after + 1:
-            self.tell(agent.version, True, list(agent.entries.values()))
+        self.is_open = True
+        self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        oldest = agent.changes[0][0] if agent.changes else None
+        if agent.sends_full_lists:
+            up = [entry for entry in agent.entries.values() if entry["state"] == "up"]
+            self.send_update(agent.version, True, up)
+        elif agent.version_offset and self.after > agent.version:
+            self.send_update(agent.version, False, [])
+        elif self.after < 0 or oldest is None or oldest > self.after + 1:
+            self.send_update(agent.version, True, list(agent.entries.values()))
         else:
-            self.tell(agent.version, False, missed)
-        self.beat = agent.loop.call_later(BEAT, self.pulse)
+            self.send_update(agent.version, False, self._missed_entries())
+        self.keepalive_timer = agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
+
+    def _missed_entries(self) -> list[EndpointEntry]:
+        return [entry for version, entry in self.agent.changes if version > self.after]
 
     def catch_up(self) -> None:
-        if not self.open:
-            return self.begin()
-        missed = [entry for version, entry in self.agent.log if version > self.after]
+        """Send what was missed while the agent was silent."""
+        if not self.is_open:
+            self._begin()
+            return
+        missed = self._missed_entries()
         if missed:
-            self.tell(self.agent.version, False, missed)
+            self.send_update(self.agent.version, False, missed)
 
-    def pulse(self) -> None:
+    def _send_keepalive(self) -> None:
         if not self.transport.is_closing():
             if not self.agent.silent:
-                self.line(b"\n")
-            self.beat = self.agent.loop.call_later(BEAT, self.pulse)
+                self.write_line(b"\n")
+            self.keepalive_timer = self.agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
 
-    def tell(self, version: int, full: bool, entries: list[dict]) -> None:
+    def send_update(self, version: int, is_full: bool, entries: list[EndpointEntry]) -> None:
+        """Send entries; a full list announces by omission that others are removed."""
         self.after = version
-        if self.deaf:
+        if self.is_muted:
             return
-        self.line(json.dumps({"version": version, "full": full, "servers": entries}).encode() + b"\n")
+        self.write_line(
+            json.dumps({"version": version, "full": is_full, "servers": entries}).encode() + b"\n"
+        )
         for entry in entries:
-            self.agent.witness("told", self.peer, entry["id"], entry["state"])
-        named = {entry["id"] for entry in entries}
-        for name in sorted(self.agent.ever - named) if full else ():
-            self.agent.witness("told", self.peer, name, "removed")  # a whole list says so by leaving it out
+            self.agent.recorder("told", self.peer, entry["id"], entry["state"])
+        if is_full:
+            self._record_removals({entry["id"] for entry in entries})
 
-    def line(self, text: bytes) -> None:
-        if not self.transport.is_closing() and self.open and not self.deaf:
+    def _record_removals(self, listed: Iterable[str]) -> None:
+        for name in sorted(self.agent.announced_ids.difference(listed)):
+            self.agent.recorder("told", self.peer, name, "removed")
+
+    def write_line(self, text: bytes) -> None:
+        """Write one line as a chunk."""
+        if not self.transport.is_closing() and self.is_open and not self.is_muted:
             self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
-    def connection_lost(self, error) -> None:
+    def mute(self) -> None:
+        """Let nothing come through any more; what is sent is not recorded as announced."""
+        self.is_muted = True
+        cast("Transport", self.transport).end.drop_packets()
+
+    def connection_lost(self, _error: Exception | None) -> None:
+        """As asyncio."""
         self.parser = None
         if self in self.agent.watches:
             self.agent.watches.remove(self)
-        if self.beat is not None:
-            self.beat.cancel()
+        if self.keepalive_timer is not None:
+            self.keepalive_timer.cancel()
--- a/dahliabend/simulation/peers/operators.py
+++ b/dahliabend/simulation/peers/operators.py
@@ -1,62 +1,97 @@
-"""Operators and the front's questions: one call a connection, and what came of it."""
+"""Calls of the admin interface and of health endpoints: one request on a connection of its own."""
 
 import asyncio
 import json
 from collections.abc import Callable
+from typing import cast
 
 import httptools
 
-PATIENCE = 1.0  # seconds within which each answer is due
+ANSWER_TIMEOUT = 1.0  # seconds
+
+OnFinished = Callable[[int, bytes], None]
 
 
 class Call(asyncio.Protocol):
-    """One call, from its connection until its answer, or the end."""
+    """One call, from its connection until its response or the end of the connection."""
 
-    def __init__(self, message: bytes, done: Callable[[int, bytes], None]) -> None:
-        self.message, self.done = message, done
-        self.parser = httptools.HttpResponseParser(self)
-        self.body, self.told = b"", False
+    def __init__(self, message: bytes, on_finished: OnFinished) -> None:
+        self.message = message
+        self.on_finished = on_finished
+        self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
+        self.body = b""
+        self.status = 0
+        self.is_finished = False
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        transport.write(self.message)
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """As asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.transport.write(self.message)
 
     def data_received(self, data: bytes) -> None:
+        """As asyncio."""
         if self.parser is not None:
             self.parser.feed_data(data)
 
+    def on_headers_complete(self) -> None:
+        """As httptools."""
+        if self.parser is not None:
+            self.status = self.parser.get_status_code()
+
     def on_body(self, part: bytes) -> None:
+        """As httptools."""
         self.body += part
 
     def on_message_complete(self) -> None:
-        self.say(self.parser.get_status_code())
+        """As httptools."""
+        self._finish(self.status)
         self.transport.close()
 
-    def say(self, status: int) -> None:
-        if not self.told:
-            self.told = True
-            self.done(status, self.body)
+    def _finish(self, status: int) -> None:
+        if not self.is_finished:
+            self.is_finished = True
+            self.on_finished(status, self.body)
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
+        """As asyncio."""
         self.parser = None
-        self.say(0)
+        self._finish(0)
 
 
-async def call(loop, place: tuple[str, int], method: str, path: str, target: str = "") -> tuple[int, bytes]:
-    """The status, 0 where none came in time, and the body."""
+async def call(
+    loop: asyncio.AbstractEventLoop, address: tuple[str, int], method: str, path: str, target: str = ""
+) -> tuple[int, bytes]:
+    """Make a call.
+
+    Args:
+        loop: to make it on.
+        address: of the interface.
+        method: of the request.
+        path: of the request.
+        target: that the request's JSON body names; empty: no body.
+
+    Returns:
+        The status, 0 where no response came in time, and the body.
+    """
     body = json.dumps({"target": target}).encode() if target else b""
     message = f"{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
-    done = loop.create_future()
+    finished: asyncio.Future[tuple[int, bytes]] = loop.create_future()
+
+    def finish(status: int, text: bytes) -> None:
+        """Set the result, unless it is set."""
+        if not finished.done():
+            finished.set_result((status, text))
 
-    def tell(status: int, text: bytes) -> None:
-        if not done.done():
-            done.set_result((status, text))
+    def connect_finished(task: "asyncio.Task[tuple[asyncio.Transport, Call]]") -> None:
+        """Finish without a status if the connection failed."""
+        if not task.cancelled() and task.exception() is not None:
+            finish(0, b"")
 
-    timer = loop.call_later(PATIENCE, tell, 0, b"")
-    opening = loop.create_task(loop.create_connection(lambda: Call(message, tell), *place))
-    opening.add_done_callback(lambda task: task.cancelled() or task.exception() is None or tell(0, b""))
+    timer = loop.call_later(ANSWER_TIMEOUT, finish, 0, b"")
+    connecting = loop.create_task(loop.create_connection(lambda: Call(message, finish), *address))
+    connecting.add_done_callback(connect_finished)
     try:
-        return await done
+        return await finished
     finally:
         timer.cancel()
-        opening.cancel()
+        connecting.cancel()
--- a/dahliabend/simulation/peers/upstream.py
+++ b/dahliabend/simulation/peers/upstream.py
@@ -1,277 +1,384 @@
-"""An upstream: cores, slots, a queue, cold starts, and every way in which it can misbehave."""
+"""An upstream: cores, slots, a queue, a warm-up, and every way in which it can misbehave."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
+from typing import Any, NamedTuple, cast
 
 import httptools
 
-LONG = 150_000  # bytes of a long answer
-SECOND = 500, 6_000  # microseconds: how long after an answer it comes once more
-NEVER_RAN = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 5\r\n\r\nfull\n"
+from dahliabend.simulation.peers import RecordEvent
+
+LONG_ANSWER = 150_000  # bytes
+DUPLICATE_DELAY = 500, 6_000  # microseconds: how long after a response it is sent once more
+CONTENTION_FACTOR = 1.5  # times longer work takes beyond the contention share
+SUBMIT_FACTOR = 1.5  # times the work of a query
+CHUNKED_SHARE = 0.2  # of the answers
+UNHEALTHY_FAILURE_SHARE = 0.5  # an upstream that fails more of its requests fails its health checks
+FAILURE_TIME_DIVISOR = 50  # a failure takes the mean work divided by this
+MIN_WORK_DIVISOR = 8  # at least the mean work divided by this is done
+UNLIMITED = 1 << 20  # connections
+MICROSECONDS_PER_SECOND = 1e6
+REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 5\r\n\r\nfull\n"
+FAILED_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nbad\n"
+ADMIN_PREFIX = b"/-/"  # of the paths of health checks
 
 
 @dataclass(slots=True)
 class UpstreamSpec:
+    """What an upstream is and can do. Times are microseconds."""
+
     name: str
     host: str
     port: int
     zone: str
     cell: int
     cores: int = 2
-    slots: int = 8  # jobs at once on a core; they share it
-    queue: int = 8  # and those that wait, on a core
-    choke_at: float = 1.0  # of its slots: beyond, all work takes longer by half
-    work: int = 8_000  # microseconds of a core that a job takes in the mean
-    cold: int = 2_000_000
-    cold_share: float = 0.4
-    fall_multiple: float = 4.0
-    fall_window: int = 1_000_000
-    rest: int = 2_000_000  # idle connections are closed after that
-    may_probe: bool = True
-    chance: bool = False  # of many balancers: it falls beyond N + 2 root of N + 2 jobs, N being allowed
-
-
+    slots: int = 8  # requests executed at once on a core, which they share
+    queue: int = 8  # and waiting, on a core
+    contention_share: float = 1.0  # of its slots: beyond, all work takes longer
+    mean_work: int = 8_000  # of a core for a request
+    warmup_time: int = 2_000_000
+    initial_capacity: float = 0.4  # the share of its capacity at the start of the warm-up
+    overload_multiple: float = 4.0  # times its capacity while warming up: it fails for good beyond that
+    overload_window: int = 1_000_000
+    idle_timeout: int = 2_000_000  # of connections
+    answers_health_checks: bool = True
+    # With many balancers, requests are counted in place of their work: it fails beyond N + 2 sqrt(N) + 2 of
+    # them, where N are allowed.
+    counts_requests: bool = False
+
+
+class Arrival(NamedTuple):
+    """A request that came while an upstream warmed up."""
+
+    at: int
+    work: int
+    is_informed: bool  # its balancer knew of the start
+
+
+@dataclass(slots=True, eq=False)
 class Job:
-    __slots__ = ("connection", "name", "number", "over", "target", "trace", "work")
+    """A request that an upstream executes."""
 
-    def __init__(self, connection, number: int, trace: str, name: str, target: bytes, work: int) -> None:
-        self.connection, self.number, self.trace, self.name = connection, number, trace, name
-        self.target, self.work, self.over = target, work, False
+    connection: "Connection"
+    number: int  # of the connection
+    trace_id: str
+    class_name: str
+    target: bytes
+    work: int
+    is_orphaned: bool = False  # nobody waits for it any more
 
 
 class Upstream:
-    """One process of an upstream, from its start until it ends. What it does wrong is in its switches."""
+    """One process of an upstream, from its start until its end."""
 
     def __init__(
         self,
         spec: UpstreamSpec,
-        loop,
-        witness: Callable,
-        chance: Random,
-        born: int,
-        told: Callable[[str], bool],
+        loop: asyncio.AbstractEventLoop,
+        recorder: RecordEvent,
+        rng: Random,
+        started_at: int,
+        knows_start: Callable[[str], bool],
     ) -> None:
-        self.spec, self.loop, self.witness, self.chance = spec, loop, witness, chance
-        self.born = born  # microseconds of the loop's clock; 0: long ago, it is warm
-        self.told = told  # does that balancer know of its start? "": do all?
+        """Create a process.
+
+        Args:
+            spec: of the upstream.
+            loop: that it runs on.
+            recorder: of events.
+            rng: of its work.
+            started_at: microseconds of the loop's clock; 0: long ago, it is warm.
+            knows_start: whether a balancer knows of its start; called with "": whether all do.
+        """
+        self.spec = spec
+        self.loop = loop
+        self.recorder = recorder
+        self.rng = rng
+        self.started_at = started_at
+        self.knows_start = knows_start
+        self.server: Any = None
         self.running = 0
         self.queue: deque[Job] = deque()
         self.connections: set[Connection] = set()
-        self.sent: deque[tuple[int, int, bool]] = (
-            deque()
-        )  # while cold: when, how much work, and from one told
-        self.pressure = 0
-        self.made = 0
-        # Switches, for faults.
-        self.hung = self.draining = self.fallen = self.mute = False
-        self.failing = self.garbled = self.twice = 0.0  # `twice`: answers that come once more
+        self.recent_arrivals: deque[Arrival] = deque()  # while it warms up
+        self.recent_work = 0
+        self.answers_made = 0
+        # Calls the next tier with trace id, class name and what is to be called with the result.
+        self.call_next_tier: Callable[[str, str, Callable[[bool], None]], None] | None = None
+        # Switches for faults; scripts and tests set them by name.
+        self.hung = False
+        self.draining = False
+        self.mute = False  # it executes requests, and resets connections in place of answering
+        self.failing = 0.0
+        self.garbled = 0.0
+        self.twice = 0.0  # the share of responses that are sent once more
         self.slower = 1.0
-        self.limit = 1 << 20
-        self.onward: Callable | None = None  # calls the next tier: (trace, name, until, done)
-        self.server = None
+        self.connection_limit = UNLIMITED
+        self.is_overloaded = False
 
     async def open(self) -> None:
-        place = self.spec.host, self.spec.port
-        self.server = await self.loop.create_server(lambda: Connection(self), *place)
+        """Listen at its address."""
+        address = self.spec.host, self.spec.port
+        self.server = await self.loop.create_server(lambda: Connection(self), *address)
 
     def now(self) -> int:
-        return round(self.loop.time() * 1e6)
+        """Microseconds of the loop's clock."""
+        return round(self.loop.time() * MICROSECONDS_PER_SECOND)
 
-    # What it can do.
+    # Capacity.
 
-    def warmth(self) -> float:
-        spec, age = self.spec, self.now() - self.born
-        if not self.born or age >= spec.cold:
+    def warmup_factor(self) -> float:
+        """The share of its capacity that it has."""
+        spec, age = self.spec, self.now() - self.started_at
+        if not self.started_at or age >= spec.warmup_time:
             return 1.0
-        return spec.cold_share + (1 - spec.cold_share) * age / spec.cold
-
-    def press(self, work: int, caller: str) -> None:
-        """Every bit of work that comes counts, also what is turned away."""
-        now, spec, warm = self.now(), self.spec, self.warmth()
-        if warm >= 1.0:
-            self.sent.clear()
-            self.pressure = 0
+        return spec.initial_capacity + (1 - spec.initial_capacity) * age / spec.warmup_time
+
+    def record_work(self, work: int, process: str) -> None:
+        """Count work that arrives during the warm-up, also what is rejected; too much ends the process."""
+        now, spec, warmup_factor = self.now(), self.spec, self.warmup_factor()
+        if warmup_factor >= 1.0:
+            self.recent_arrivals.clear()
+            self.recent_work = 0
             return
-        self.sent.append((now, work, self.told(caller.partition("/")[0])))
-        self.pressure += work
-        while self.sent[0][0] <= now - spec.fall_window:
-            self.pressure -= self.sent.popleft()[1]
-        bears = warm * spec.cores * spec.fall_window
-        over, came = self.pressure > spec.fall_multiple * bears, len(self.sent)
-        if spec.chance:  # in jobs of mean work: what single ones happen to take is nobody's to know
-            jobs = spec.fall_multiple * bears / (spec.work * 9 / 8)
-            over = came > jobs + 2 * jobs**0.5 + 2
-        if over and not self.fallen:
-            self.fallen = self.hung = True
-            if 3 * sum(knew for *_, knew in self.sent) > 2 * came if spec.chance else self.told(""):
-                self.witness("toppled", self.spec.name, self.pressure / bears)
-
-    # Jobs.
-
-    def arrived(self, connection: "Connection", trace: str, name: str, target: bytes) -> None:
+        balancer = process.partition("/")[0]
+        self.recent_arrivals.append(Arrival(now, work, self.knows_start(balancer)))
+        self.recent_work += work
+        while self.recent_arrivals[0].at <= now - spec.overload_window:
+            self.recent_work -= self.recent_arrivals.popleft().work
+        capacity = warmup_factor * spec.cores * spec.overload_window
+        if self._is_too_much(capacity) and not self.is_overloaded:
+            self.is_overloaded = True
+            self.hung = True
+            if self._were_balancers_informed():
+                self.recorder("toppled", spec.name, self.recent_work / capacity)
+
+    def _is_too_much(self, capacity: float) -> bool:
         spec = self.spec
-        self.witness("begun", trace, spec.name, connection.number)
-        factor = 1.5 if name == "submit" else 1.0
-        work = int(spec.work * factor * self.chance.expovariate(1.0)) + spec.work // 8
-        self.press(work, connection.transport.get_extra_info("caller", ""))
+        if not spec.counts_requests:
+            return bool(self.recent_work > spec.overload_multiple * capacity)
+        # Requests of mean work: what single ones happen to take is not to be foreseen.
+        mean_work = spec.mean_work * (MIN_WORK_DIVISOR + 1) / MIN_WORK_DIVISOR
+        allowed = spec.overload_multiple * capacity / mean_work
+        return bool(len(self.recent_arrivals) > allowed + 2 * allowed**0.5 + 2)
+
+    def _were_balancers_informed(self) -> bool:
+        """Whether the balancers are to blame: all knew of the start, or two thirds of the requests did."""
+        if not self.spec.counts_requests:
+            return bool(self.knows_start(""))
+        informed = sum(arrival.is_informed for arrival in self.recent_arrivals)
+        return 3 * informed > 2 * len(self.recent_arrivals)
+
+    # Requests.
+
+    def request_arrived(
+        self, connection: "Connection", trace_id: str, class_name: str, target: bytes
+    ) -> None:
+        """A request has come: it is executed, queued or rejected."""
+        spec = self.spec
+        self.recorder("begun", trace_id, spec.name, connection.number)
+        factor = SUBMIT_FACTOR if class_name == "submit" else 1.0
+        work = int(spec.mean_work * factor * self.rng.expovariate(1.0)) + spec.mean_work // MIN_WORK_DIVISOR
+        self.record_work(work, connection.transport.get_extra_info("caller", ""))
         if self.hung:
-            connection.busy = True
+            connection.is_busy = True
+            return
+        if self.draining or len(self.connections) > self.connection_limit:
+            self.reject(connection, trace_id)
             return
-        if self.draining or len(self.connections) > self.limit:
-            return self.turn_away(connection, trace)
-        job = Job(connection, connection.number, trace, name, target, work)
-        connection.busy = True
-        connection.job = job
+        job = Job(connection, connection.number, trace_id, class_name, target, work)
         if self.running < spec.cores * spec.slots:
-            self.begin(job)
+            connection.assign(job)
+            self._start_job(job)
         elif len(self.queue) < spec.cores * spec.queue:
+            connection.assign(job)
             self.queue.append(job)
         else:
-            connection.job, connection.busy = None, False
-            self.turn_away(connection, trace)
+            connection.job = None
+            self.reject(connection, trace_id)
 
-    def turn_away(self, connection: "Connection", trace: str) -> None:
-        self.witness("unrun", trace, self.spec.name, connection.number)
-        connection.answer(NEVER_RAN)
+    def reject(self, connection: "Connection", trace_id: str) -> None:
+        """Reject a request; it is never executed."""
+        self.recorder("unrun", trace_id, self.spec.name, connection.number)
+        connection.respond(REJECTED_RESPONSE)
 
-    def begin(self, job: Job) -> None:
-        """From here on it may have an effect."""
+    def _start_job(self, job: Job) -> None:
+        """Execute a request: from here on it may have an effect."""
         spec = self.spec
         self.running += 1
-        self.witness("effect", job.trace, spec.name)
-        shared = max(1.0, self.running / spec.cores)
-        choked = 1.5 if self.running > spec.choke_at * spec.cores * spec.slots else 1.0
-        took = job.work * shared * choked * self.slower / self.warmth()
-        if self.failing and self.chance.random() < self.failing:
-            took = spec.work // 50
-        self.loop.call_later(took / 1e6, self.worked, job)
-
-    def worked(self, job: Job) -> None:
-        if self.onward is not None and not job.over:
-            return self.onward(job.trace, job.name, lambda fine: self.end(job, fine))
-        self.end(job, True)
-
-    def end(self, job: Job, fine: bool) -> None:
+        self.recorder("effect", job.trace_id, spec.name)
+        core_share = max(1.0, self.running / spec.cores)
+        is_contended = self.running > spec.contention_share * spec.cores * spec.slots
+        contention = CONTENTION_FACTOR if is_contended else 1.0
+        duration = job.work * core_share * contention * self.slower / self.warmup_factor()
+        if self.failing and self.rng.random() < self.failing:
+            duration = spec.mean_work // FAILURE_TIME_DIVISOR
+        self.loop.call_later(duration / MICROSECONDS_PER_SECOND, self._work_done, job)
+
+    def _work_done(self, job: Job) -> None:
+        if self.call_next_tier is not None and not job.is_orphaned:
+            self.call_next_tier(job.trace_id, job.class_name, lambda ok: self._finish_job(job, ok))
+        else:
+            self._finish_job(job, True)
+
+    def _finish_job(self, job: Job, is_ok: bool) -> None:
         self.running -= 1
         while self.queue and self.running < self.spec.cores * self.spec.slots:
-            self.begin(self.queue.popleft())
+            self._start_job(self.queue.popleft())
         connection = job.connection
-        if job.over or self.hung:
+        if job.is_orphaned or self.hung:
             return
         connection.job = None
-        failed = not fine or self.failing and self.chance.random() < self.failing
-        if failed:
-            self.witness("done", job.trace, self.spec.name, job.number, 500)
-            return connection.answer(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nbad\n")
-        self.made += 1
-        body = f"{job.trace} {self.spec.name} {self.made} ".encode()
-        if b"long" in job.target:
-            body += b"%x" % self.chance.getrandbits(4) * (LONG - len(body))
-        self.witness("made", job.trace, body)
+        if not is_ok or (self.failing and self.rng.random() < self.failing):
+            self.recorder("done", job.trace_id, self.spec.name, job.number, 500)
+            connection.respond(FAILED_RESPONSE)
+        else:
+            self._answer(job, connection)
+
+    def _answer(self, job: Job, connection: "Connection") -> None:
+        """Send a successful answer, or what a fault makes of it."""
+        body = self._make_body(job)
+        self.recorder("made", job.trace_id, body)
         if self.mute:
-            return connection.transport.abort()  # the answer is lost
-        self.witness("done", job.trace, self.spec.name, job.number, 200)
-        if self.garbled and self.chance.random() < self.garbled:
-            return connection.garble(body)
-        self.witness("gave", job.trace, self.spec.name, job.number)
-        if self.chance.random() < 0.2:
+            connection.transport.abort()
+            return
+        self.recorder("done", job.trace_id, self.spec.name, job.number, 200)
+        if self.garbled and self.rng.random() < self.garbled:
+            connection.respond_invalid(body)
+            return
+        self.recorder("gave", job.trace_id, self.spec.name, job.number)
+        if self.rng.random() < CHUNKED_SHARE:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(body)
-            return connection.answer(head + body + b"\r\n0\r\n\r\n")
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        connection.answer(answer)
-        if self.twice and self.chance.random() < self.twice:
-            late = SECOND[0] + (SECOND[1] - SECOND[0]) * self.chance.random()
-            self.loop.call_later(late / 1e6, connection.answer_again, answer)
+            connection.respond(head + body + b"\r\n0\r\n\r\n")
+            return
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        connection.respond(response)
+        if self.twice and self.rng.random() < self.twice:
+            shortest, longest = DUPLICATE_DELAY
+            delay = shortest + (longest - shortest) * self.rng.random()
+            self.loop.call_later(delay / MICROSECONDS_PER_SECOND, connection.respond_again, response)
+
+    def _make_body(self, job: Job) -> bytes:
+        self.answers_made += 1
+        body = f"{job.trace_id} {self.spec.name} {self.answers_made} ".encode()
+        if b"long" in job.target:
+            body += b"%x" % self.rng.getrandbits(4) * (LONG_ANSWER - len(body))
+        return body
 
     # Faults.
 
     def drain(self) -> None:
+        """Reject all requests from now on."""
         self.draining = True
 
     def reset_all(self) -> None:
-        for connection in sorted(self.connections, key=lambda c: c.number):
-            self.witness("torn", connection.number)
+        """Reset all connections."""
+        for connection in sorted(self.connections, key=lambda connection: connection.number):
+            self.recorder("torn", connection.number)
             connection.transport.abort()
 
 
 class Connection(asyncio.Protocol):
-    """One balancer's connection to it."""
+    """A balancer's connection to an upstream."""
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
-        self.parser = httptools.HttpRequestParser(self)
-        self.busy = False
+        self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self.is_busy = False
         self.job: Job | None = None
         self.number = 0
-        self.rest = None
-        self.fresh()
-
-    def fresh(self) -> None:
-        self.target, self.trace = b"", ""
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.target = b""
+        self.trace_id = ""
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """As asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
         self.number = transport.get_extra_info("connection", id(self))
         self.upstream.connections.add(self)
-        self.idle()
+        self._restart_idle_timer()
 
-    def idle(self) -> None:
-        upstream = self.upstream
-        if self.rest is not None:
-            self.rest.cancel()
-        self.rest = upstream.loop.call_later(upstream.spec.rest / 1e6, self.rested)
+    def _restart_idle_timer(self) -> None:
+        self._cancel_idle_timer()
+        idle_timeout = self.upstream.spec.idle_timeout / MICROSECONDS_PER_SECOND
+        self.idle_timer = self.upstream.loop.call_later(idle_timeout, self._idle_timer_fired)
 
-    def rested(self) -> None:
-        if not self.busy:
+    def _cancel_idle_timer(self) -> None:
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+
+    def _idle_timer_fired(self) -> None:
+        if not self.is_busy:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """As asyncio."""
+        if self.parser is None:
+            return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def on_url(self, part: bytes) -> None:
+        """As httptools."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """As httptools."""
         if name.lower() == b"x-trace-id":
-            self.trace = value.decode("latin-1")
+            self.trace_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        target, trace = self.target, self.trace
-        self.fresh()
-        self.rest.cancel()
+        """As httptools."""
+        target, trace_id = self.target, self.trace_id
+        self.target = b""
+        self.trace_id = ""
+        self._cancel_idle_timer()
+        upstream = self.upstream
+        if target.startswith(ADMIN_PREFIX):
+            self._health_check_arrived()
+            return
+        if self.is_busy:
+            upstream.recorder("unreadable", upstream.spec.name, "", "a request before the answer to the last")
+        class_name = target[1:].partition(b"?")[0].decode("latin-1")
+        upstream.request_arrived(self, trace_id, class_name, target)
+
+    def _health_check_arrived(self) -> None:
         upstream = self.upstream
-        if target.startswith(b"/-/"):
-            upstream.witness("probed", upstream.spec.name)
-            if upstream.hung:
-                return
-            well = not (upstream.draining or upstream.failing > 0.5)
-            status = b"200 OK" if upstream.spec.may_probe and well else b"503 Service Unavailable"
-            return self.answer(b"HTTP/1.1 %b\r\nContent-Length: 3\r\n\r\nok\n" % status)
-        if self.busy:
-            upstream.witness("unreadable", upstream.spec.name, "", "a request before the answer to the last")
-        upstream.arrived(self, trace, target[1:].partition(b"?")[0].decode("latin-1"), target)
-
-    def answer(self, data: bytes) -> None:
-        self.busy = False
+        upstream.recorder("probed", upstream.spec.name)
+        if upstream.hung:
+            return
+        is_healthy = not (upstream.draining or upstream.failing > UNHEALTHY_FAILURE_SHARE)
+        is_ok = upstream.spec.answers_health_checks and is_healthy
+        status = b"200 OK" if is_ok else b"503 Service Unavailable"
+        self.respond(b"HTTP/1.1 %b\r\nContent-Length: 3\r\n\r\nok\n" % status)
+
+    def assign(self, job: Job) -> None:
+        """Have it wait for a job's answer."""
+        self.is_busy = True
+        self.job = job
+
+    def respond(self, data: bytes) -> None:
+        """Send a response."""
+        self.is_busy = False
         if not self.transport.is_closing():
             self.transport.write(data)
-            self.idle()
+            self._restart_idle_timer()
 
-    def answer_again(self, data: bytes) -> None:
-        """Whatever came on it meanwhile is still to be answered."""
+    def respond_again(self, data: bytes) -> None:
+        """Send a response that was sent before; whatever came meanwhile is still to be answered."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def garble(self, body: bytes) -> None:
-        """An answer that can't be taken for whole: cut short, or with a spoilt head."""
-        self.busy = False
-        kind = self.upstream.chance.randrange(3)
+    def respond_invalid(self, body: bytes) -> None:
+        """Send a response that cannot be taken for complete: cut short, or with an invalid head."""
+        self.is_busy = False
+        kind = self.upstream.rng.randrange(3)
         if kind == 0:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:-3])
             self.transport.close()
@@ -280,14 +387,14 @@
         else:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + body)
 
-    def connection_lost(self, error) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
+        """As asyncio."""
         self.parser = None
-        if self.rest is not None:
-            self.rest.cancel()
+        self._cancel_idle_timer()
         upstream = self.upstream
         upstream.connections.discard(self)
         if self.job is not None:
-            self.job.over = True
-            if self.job in upstream.queue:  # it never ran
+            self.job.is_orphaned = True
+            if self.job in upstream.queue:  # it is never executed
                 upstream.queue.remove(self.job)
             self.job = None
--- a/dahliabend/simulation/recorder.py
+++ b/dahliabend/simulation/recorder.py
@@ -1,81 +1,129 @@
-"""What the peers and the wire saw: one time line, its digest, and who is told of what.
-
-The checks and the fault scripts live on this alone. the network code is never asked.
+"""The time line of a run: what the peers and the network saw, its digest, and its subscribers.
+
+The invariants and the fault scripts use these events alone; the network code under test is never asked.
+
+Kinds of events are stored in fault scripts and in printed time lines, so they keep their names. Where these
+are not plain, the terms of the code for them are:
+
+| kind | event |
+| --- | --- |
+| `asked`, `written` | the first, the last byte of a client's request is written |
+| `keyed` | a request has an ordering key |
+| `nobody` | no balancer was ready to take a request |
+| `answer`, `began`, `cut`, `lost` | a response is complete, begun, truncated, missing |
+| `extra`, `spoilt` | a response is unexpected, unreadable |
+| `left` | a client disconnects |
+| `hop.head`, `hop.whole` | the head, the last byte of an attempt is written |
+| `hop.told` | an attempt has a deadline header |
+| `begun` | an attempt has arrived complete at its upstream |
+| `unrun` | an upstream rejects an attempt without executing it |
+| `effect`, `made` | an upstream executes a request, is about to answer it |
+| `done`, `gave` | an upstream answers, has sent all of its answer |
+| `torn` | an upstream resets a connection |
+| `toppled` | an upstream fails because it got too much work while warming up |
+| `had`, `told` | discovery knows, has announced an endpoint's state |
+| `said`, `yes` | an operator's call was answered, was successful |
 """
 
 from collections.abc import Callable
 from hashlib import blake2b
+from typing import Any
 
 import httptools
 
-from dahliabend.simulation.event_loop import START, Kernel
-from dahliabend.simulation.network import End
+from dahliabend.simulation.connections import ConnectionEnd
+from dahliabend.simulation.event_loop import CLOCK_START, Scheduler
+
+MAX_STORED_EVENTS = 400_000  # the events beyond go into the digest alone
+DIGEST_BYTES = 12
+ADMIN_PREFIX = b"/-/"  # of the paths of health checks
+
+Event = tuple[Any, ...]  # microseconds since the start, the kind, and plain values
 
-MOST_LINES = 400_000  # a longer time line is cut, and its digest goes on
 
+class Recorder:
+    """Call it with the kind and the values of an event to record one now.
 
-class Witness:
-    """`witness(kind, *values)` notes one thing seen, now. Values are plain: names, numbers, bytes."""
+    Values are plain: names, numbers, bytes.
+    """
 
-    def __init__(self, kernel: Kernel) -> None:
-        self.kernel = kernel
-        self.lines: list[tuple] = []
-        self.heard: dict[str, list[Callable]] = {}
-        self.hash = blake2b(digest_size=12)
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
+        self.events: list[Event] = []
+        self._subscribers: dict[str, list[Callable[..., None]]] = {}
+        self._hash = blake2b(digest_size=DIGEST_BYTES)
 
-    def on(self, kind: str, call: Callable) -> None:
-        self.heard.setdefault(kind, []).append(call)
+    def subscribe(self, kind: str, call: Callable[..., None]) -> None:
+        """Have a function called with the values of each event of a kind."""
+        self._subscribers.setdefault(kind, []).append(call)
 
-    def __call__(self, kind: str, *values) -> None:
-        line = (self.kernel.now - START, kind, *values)
-        if len(self.lines) < MOST_LINES:
-            self.lines.append(line)
+    def __call__(self, kind: str, *values: object) -> None:
+        """Record an event."""
+        event = (self.scheduler.now - CLOCK_START, kind, *values)
+        if len(self.events) < MAX_STORED_EVENTS:
+            self.events.append(event)
         else:
-            self.hash.update(repr(line).encode())
-        for call in self.heard.get(kind, ()):
+            self._hash.update(repr(event).encode())
+        for call in self._subscribers.get(kind, ()):
             call(*values)
 
     def digest(self) -> str:
-        """Of all that was seen; the same wherever the same run is played."""
-        whole = self.hash.copy()
-        whole.update(repr(self.lines).encode())
-        return whole.hexdigest()
+        """A hash of all events; the same wherever the same run is simulated."""
+        total = self._hash.copy()
+        total.update(repr(self.events).encode())
+        return total.hexdigest()
 
 
-class HopTap:
-    """Reads along what a balancer writes to an upstream: when a hop's first and last byte were written."""
+class AttemptTap:
+    """Parses what a balancer writes on a connection to an upstream, and records its attempts."""
 
-    def __init__(self, witness: Witness, end: End, balancer: str, upstream: str) -> None:
-        self.witness, self.end, self.balancer, self.upstream = witness, end, balancer, upstream
+    def __init__(self, recorder: Recorder, end: ConnectionEnd, balancer: str, upstream: str) -> None:
+        self.recorder = recorder
+        self.end = end
+        self.balancer = balancer
+        self.upstream = upstream
         self.parser = httptools.HttpRequestParser(self)
-        self.first = 0
-        self.trace, self.path, self.told = "", b"", 0
+        self.started_at = 0
+        self.trace_id = ""
+        self.path = b""
+        self.announced_ms = 0  # the time that the deadline header gives
 
-    def sent(self, part: bytes) -> None:
+    def data_sent(self, part: bytes) -> None:
+        """The balancer has written bytes."""
         try:
             self.parser.feed_data(part)
         except httptools.HttpParserError as error:
-            self.witness("unreadable", self.upstream, self.balancer, str(error))
+            self.recorder("unreadable", self.upstream, self.balancer, str(error))
 
-    def answered(self, part: bytes) -> None: ...
+    def data_received(self, part: bytes) -> None:
+        """The upstream has written bytes; these are its own to record."""
 
     def on_message_begin(self) -> None:
-        self.first, self.trace, self.path, self.told = self.witness.kernel.now, "", b"", 0
+        """A request begins."""
+        self.started_at = self.recorder.scheduler.now
+        self.trace_id = ""
+        self.path = b""
+        self.announced_ms = 0
 
     def on_url(self, part: bytes) -> None:
+        """A part of the request's path."""
         self.path += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header of the request."""
         if name.lower() == b"x-trace-id":
-            self.trace = value.decode("latin-1")
+            self.trace_id = value.decode("latin-1")
         elif name.lower() == b"x-expires-in-ms" and value.isdigit():
-            self.told = int(value)
+            self.announced_ms = int(value)
 
     def on_headers_complete(self) -> None:
-        if not self.path.startswith(b"/-/"):
-            self.witness("hop.told", self.trace, self.upstream, self.told)
-            self.witness("hop.head", self.trace, self.balancer, self.upstream, self.end.number, self.first)
+        """The request's head is complete."""
+        if not self.path.startswith(ADMIN_PREFIX):
+            number = self.end.number
+            self.recorder("hop.told", self.trace_id, self.upstream, self.announced_ms)
+            self.recorder("hop.head", self.trace_id, self.balancer, self.upstream, number, self.started_at)
 
     def on_message_complete(self) -> None:
-        if not self.path.startswith(b"/-/"):
-            self.witness("hop.whole", self.trace, self.balancer, self.upstream, self.end.number)
+        """The request is complete."""
+        if not self.path.startswith(ADMIN_PREFIX):
+            self.recorder("hop.whole", self.trace_id, self.balancer, self.upstream, self.end.number)
--- /dev/null
+++ b/dahliabend/simulation/scenario.py
@@ -0,0 +1,305 @@
+"""Scenarios as data: the world, the load and the faults of one run.
+
+Files are TOML or JSON, decoded by msgspec. A span of time is text with its unit ("250ms", "1.5s", "1us");
+unknown keys, unknown faults and what cannot be in that world are rejected with their path.
+
+The keys and values of the files are stored and published, so they keep their names. Where these are not
+plain, the terms of the code for them are:
+
+| key or value | meaning |
+| --- | --- |
+| `whom` | the index of the fault's target |
+| `on`, `nth` | the recorder's event, and which of them, at which a fault begins |
+| `behind` (world) | upstreams of a second tier |
+| `cold`, `cold-share`, `fall-multiple` | warm-up time, initial capacity, overload multiple of an upstream |
+| `may-probe`, `advises` | upstreams answer health checks; rejections carry Retry-After |
+| `sending`, `window`, `piece` | send buffer, receive window, largest segment of the network |
+| `notice` | the mean delay of discovery |
+| `marked` | the share of deduplicated requests |
+| `leave`, `trickle`, `fresh` | shares of clients that disconnect, send in pieces, open a new connection |
+| `honours` | the share of clients that heed Retry-After |
+| `mute`, `vanish` | connects time out; the host is unreachable |
+| `twice`, `garble` | responses are sent twice; responses are invalid |
+| `deaf`, `silent`, `away` | a watch is muted; the discovery agent is silent, for a long time |
+| `whole`, `anew` | discovery sends full lists only; restarts its versions |
+| `wrong`, `move` | discovery sends invalid updates; changes its address |
+| `crowd`, `flood`, `rude` | a burst of requests; pipelined requests; clients that send malformed requests |
+| `behind` (fault) | clients that send a request after the server's half-close |
+"""
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Literal, TypeVar
+
+import msgspec
+
+from dahliabend.config.operator_file import units
+from dahliabend.config.operator_file.units import Duration
+
+MS = 1_000  # microseconds in a millisecond
+S = 1_000_000  # microseconds in a second
+MAX_REQUESTS = 1_000_000
+MAX_LENGTH = 24 * 3600 * S
+
+FaultKind = Literal[
+    "hang", "slow", "fail", "crash", "restart", "drain", "refuse", "mute", "vanish", "limit", "reset",
+    "garble", "flap", "cut-zone", "reset-hop", "lose-hop", "kill", "term", "stall", "reload", "drop-class",
+    "broken-file", "upgrade", "late", "silent", "end-watch", "wrong", "move", "exclude", "evacuate",
+    "half-call", "crowd", "rude", "twice", "slow-dial", "withdraw", "deaf", "whole", "anew", "flood",
+    "behind", "leave", "away",
+]  # fmt: skip
+FAULTS_BY_TARGET: dict[str, tuple[FaultKind, ...]] = {
+    "upstream": ("hang", "slow", "fail", "crash", "restart", "drain", "refuse", "mute", "vanish", "limit",
+                 "reset", "garble", "flap", "twice", "slow-dial", "withdraw"),
+    "zone": ("cut-zone",),
+    "hop": ("reset-hop", "lose-hop"),
+    "balancer": ("kill", "term", "stall", "reload", "drop-class", "broken-file", "upgrade"),
+    "discovery": ("late", "silent", "end-watch", "wrong", "move", "deaf", "whole", "anew", "away"),
+    "operator": ("exclude", "evacuate", "half-call"),
+    "clients": ("crowd", "rude", "flood", "behind", "leave"),
+}  # fmt: skip
+GROUP_OF: dict[str, str] = {what: group for group, kinds in FAULTS_BY_TARGET.items() for what in kinds}
+ATTEMPT_EVENTS = ("hop.head", "hop.whole", "begun", "made")
+TRIGGER_EVENTS = {
+    "hop.head": "an attempt's first byte is written",
+    "hop.whole": "an attempt's last byte is written",
+    "begun": "an attempt's last byte has come to its upstream",
+    "made": "an upstream is about to answer",
+    "answer": "a client has received its response",
+    "told": "a balancer is notified that an upstream drains or goes",
+    "yes": "an operator's call was successful",
+    "listening": "a process has just begun to accept clients",
+    "ended": "a process has ended",
+    "fault": "another fault begins",
+}
+COUNT_RANGES = (
+    ("balancers", 1, 32), ("upstreams", 1, 64), ("behind", 0, 32), ("zones", 1, 4), ("cores", 1, 64),
+    ("slots", 1, 256), ("queue", 0, 1024), ("hops", 1, 16), ("sockets", 64, 65536),
+)  # fmt: skip
+TWO_ZONES = 2
+RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
+
+Parsed = TypeVar("Parsed")
+
+
+class Table(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
+    """A table of a file: keys in kebab case, unknown ones rejected."""
+
+
+class WorldSpec(Table):
+    """The balancers, upstreams, network and settings of a run. Times in microseconds."""
+
+    balancers: int = 2
+    upstreams: int = 4
+    behind: int = 0  # upstreams of a second tier, which those of the first call
+    calls: float = 1.0  # calls of the second tier for each request, one after the other, in the mean
+    work_behind: Duration = Duration(0)  # of a request there; 0: as in the first tier
+    zones: int = 1
+    cores: int = 2  # of an upstream
+    slots: int = 8  # requests executed at once on a core
+    queue: int = 8  # and waiting
+    choke_at: float = 1.0  # of its slots: from there on an upstream slows down
+    work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
+    cold: Duration = Duration(2 * S)
+    cold_share: float = 0.4
+    fall_multiple: float = 4.0
+    grace: Duration = Duration(1_500 * MS)
+    goal: Duration = Duration(500 * MS)
+    limit: Duration = Duration(1_500 * MS)
+    hops: int = 4  # attempts of a request at the most
+    may_probe: bool = True
+    may_cancel: bool = True
+    advises: bool = True
+    sockets: int = 256  # descriptors of a balancer
+    conn_idle: Duration = Duration(2 * S)
+    dial: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
+    repeat_window: Duration = Duration(1_200 * MS)  # the deduplication window
+    order_pause: Duration = Duration(0)  # a key's rest after an attempt that may go on
+    shared: bool = False  # the platform holds the listener, and processes share a runtime directory
+    admin: bool = True
+    delay: Duration = Duration(250)
+    cross: Duration = Duration(3 * MS)
+    jitter: float = 0.3
+    sending: int = 262_144
+    window: int = 65_536
+    piece: int = 0
+    idle_dies: Duration = Duration(0)
+    idle_resets: bool = False
+    notice: Duration = Duration(50 * MS)
+
+
+class LoadSpec(Table):
+    """The clients' requests. Times in microseconds."""
+
+    requests: int = 110
+    over: Duration = Duration(4 * S)
+    burst: float = 0.0  # the share that comes within a tenth of the time
+    submits: float = 0.4
+    marked: float = 0.1
+    group: Literal["all", "zone", "cell"] = "cell"
+    retries: int = 1
+    honours: float = 0.8
+    leave: float = 0.02
+    trickle: float = 0.03
+    fresh: float = 0.1
+    long_bodies: float = 0.0
+    long_answers: float = 0.0
+    keys: int = 0  # ordering keys that deduplicated requests carry; 0: none
+
+
+class Fault(Table):
+    """A fault, at a time or at an event of the run.
+
+    `at` counts from the load's start. With `on`, the fault begins at the nth such event (of `name`, where the
+    event is about a request), `after` later.
+    """
+
+    what: FaultKind
+    whom: int = 0
+    at: Duration | None = None
+    on: str = ""
+    nth: int = 1
+    name: str = ""  # of a class, for events of requests
+    after: Duration = Duration(0)
+    span: Duration = Duration(500 * MS)
+    size: float = 0.0
+
+
+class Scenario(Table):
+    """A whole run."""
+
+    seed: int = 0
+    length: Duration = Duration(5 * S)
+    world: WorldSpec = msgspec.field(default_factory=WorldSpec)
+    load: LoadSpec = msgspec.field(default_factory=LoadSpec)
+    faults: list[Fault] = msgspec.field(default_factory=list)
+    why: str = ""  # for those who read the file
+    breaks: str = ""  # the rule that a regression file once violated
+
+
+def encode(scenario: Scenario) -> bytes:
+    """The JSON form of a scenario."""
+    return msgspec.json.format(msgspec.json.encode(plain(scenario))) + b"\n"
+
+
+def plain(value: object) -> object:
+    """A value with spans of time as text, and without what has its default."""
+    if isinstance(value, Duration):
+        return str(value)
+    if isinstance(value, msgspec.Struct):
+        fields = msgspec.structs.fields(value)
+        return {f.encode_name: plain(v) for f in fields if (v := getattr(value, f.name)) != _default(f)}
+    if isinstance(value, list):
+        return [plain(each) for each in value]
+    return value
+
+
+def _default(field: msgspec.structs.FieldInfo) -> object:
+    if field.default is not msgspec.NODEFAULT:
+        return field.default
+    return field.default_factory() if field.default_factory is not msgspec.NODEFAULT else msgspec.NODEFAULT
+
+
+def parse(kind: type[Parsed], text: bytes, name: str) -> Parsed:
+    """Parse a file, TOML or JSON by the ending of its name.
+
+    Raises:
+        ValueError: with the path of what is wrong.
+    """
+    decoder = msgspec.toml if name.endswith(".toml") else msgspec.json
+    parsed: Parsed = decoder.decode(text, type=kind, dec_hook=units.decode_unit)
+    return parsed
+
+
+def decode(text: bytes, name: str = "script.json") -> Scenario:
+    """Parse a scenario, TOML or JSON by the ending of its name.
+
+    Raises:
+        ValueError: with the path of what is wrong.
+    """
+    scenario = parse(Scenario, text, name)
+    check(scenario)
+    return scenario
+
+
+def read(path: str) -> Scenario:
+    """Read a scenario's file.
+
+    Raises:
+        ValueError: with the file and the path of what is wrong.
+    """
+    return read_with(decode, path)
+
+
+def read_with(decode: Callable[[bytes, str], Parsed], path: str) -> Parsed:
+    """Read a file by a decoder, which gets its content and its name.
+
+    Raises:
+        ValueError: with the file and what is wrong with it.
+    """
+    try:
+        return decode(Path(path).read_bytes(), path)
+    except OSError as error:
+        raise ValueError(f"{path}: {error.strerror}") from None
+    except ValueError as error:
+        raise ValueError(f"{path}: {error}") from None
+
+
+def check(scenario: Scenario) -> None:
+    """Check what the types cannot: whether the faults are possible in that world.
+
+    Raises:
+        ValueError: with the path of what is wrong.
+    """
+    for key, least, most in COUNT_RANGES:
+        value = getattr(scenario.world, key)
+        if not least <= value <= most:
+            raise ValueError(f"$.world.{key}: {value} is not between {least} and {most}")
+    requests = scenario.load.requests
+    if not 1 <= requests <= MAX_REQUESTS:
+        raise ValueError(f"$.load.requests: {requests} is not between 1 and {MAX_REQUESTS}")
+    if scenario.load.over > scenario.length:
+        raise ValueError("$.load.over: longer than the run")
+    if scenario.length > MAX_LENGTH:
+        raise ValueError("$.length: longer than a day")
+    for number, fault in enumerate(scenario.faults):
+        path = f"$.faults[{number}]"
+        _check_target(scenario.world, fault, path)
+        _check_requirements(scenario.world, fault, path)
+        _check_trigger(scenario, fault, path)
+
+
+def _check_target(world: WorldSpec, fault: Fault, path: str) -> None:
+    target = GROUP_OF[fault.what]
+    counts = {
+        "upstream": world.upstreams + world.behind,
+        "balancer": world.balancers,
+        "discovery": world.balancers,
+        "operator": world.balancers,
+        "zone": world.zones,
+    }
+    if target in counts and not 0 <= fault.whom < counts[target]:
+        raise ValueError(f"{path}.whom: there is no {target} {fault.whom}")
+
+
+def _check_requirements(world: WorldSpec, fault: Fault, path: str) -> None:
+    target = GROUP_OF[fault.what]
+    if fault.what == "cut-zone" and (world.zones < TWO_ZONES or fault.whom == 0):
+        raise ValueError(f"{path}.what: the callers' own zone, or the only one, can't be cut off")
+    if fault.what == "upgrade" and not world.shared:
+        raise ValueError(f"{path}.what: an upgrade wants world.shared")
+    if target == "operator" and not world.admin:
+        raise ValueError(f"{path}.what: there is no operators' door, world.admin is off")
+    if target == "hop" and fault.on not in ATTEMPT_EVENTS:
+        raise ValueError(f"{path}.on: {fault.what} needs a hop's event")
+
+
+def _check_trigger(scenario: Scenario, fault: Fault, path: str) -> None:
+    if (fault.at is None) == (not fault.on):
+        raise ValueError(f"{path}: needs either at or on")
+    if fault.on and fault.on not in TRIGGER_EVENTS:
+        raise ValueError(f"{path}.on: {fault.on!r} is none of {', '.join(TRIGGER_EVENTS)}")
+    if fault.at is not None and not 0 <= fault.at <= scenario.length:
+        raise ValueError(f"{path}.at: {fault.at} is outside the run")
+    if fault.after < 0 or fault.span < 0 or fault.nth < 1:
+        raise ValueError(f"{path}: after and span can't be negative, nth begins at 1")
--- /dev/null
+++ b/dahliabend/simulation/scenario_generator.py
@@ -0,0 +1,230 @@
+"""Draws scenarios from seeds.
+
+What a seed drew once it always draws: later additions have random generators of their own.
+"""
+
+from collections.abc import Sequence
+from random import Random
+from typing import cast
+
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.scenario import (
+    ATTEMPT_EVENTS,
+    FAULTS_BY_TARGET,
+    GROUP_OF,
+    MS,
+    TWO_ZONES,
+    Fault,
+    FaultKind,
+    LoadSpec,
+    S,
+    Scenario,
+    WorldSpec,
+    check,
+)
+
+# Faults that were added later, and are drawn apart.
+LATER_FAULTS: tuple[FaultKind, ...] = (
+    "twice", "slow-dial", "withdraw", "deaf", "whole", "anew", "flood", "behind", "leave", "away",
+)  # fmt: skip
+# Faults of discovery after each of which an upstream is withdrawn, in a longer run.
+DISCOVERY_SILENCES = ("deaf", "whole", "anew", "away")
+ALL_FAULTS: tuple[FaultKind, ...] = tuple(kind for kinds in FAULTS_BY_TARGET.values() for kind in kinds)
+EDGE_FAULTS: tuple[FaultKind, ...] = ("stall", "hang", "crash", "reset", "end-watch")
+DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds round the end of a drain's grace
+ORDERED_SHARE = 0.25  # of the seeds: requests with ordering keys
+LATER_FAULT_SHARE = 0.35  # of the seeds
+SHORT_DEADLINE_SHARE = 0.15  # of the seeds
+MANY_BALANCERS_SHARE = 0.18  # of the seeds, with those of short deadlines
+EVENT_TRIGGER_SHARE = 0.2  # of the faults
+SLOW_START_SHARE = 0.4  # of the kills
+EDGE_FAULT_SHARE = 0.6  # of the drains and restarts
+
+
+def draw(seed: int, kinds: tuple[str, ...] = ()) -> Scenario:
+    """Draw a scenario with one to three faults, of these kinds if any are given."""
+    rng = Random(f"scenario {seed}")
+    world = _draw_world(rng)
+    load = _draw_load(rng)
+    groups = [_draw_fault(rng, world, kinds) for _ in range(rng.choice((1, 1, 2, 2, 3)))]
+    order_rng = Random(f"order {seed}")
+    if order_rng.random() < ORDERED_SHARE:
+        world.order_pause = Duration(order_rng.choice((20, 100)) * MS)
+        load.keys = order_rng.choice((1, 3, 8))
+        load.marked = 0.4
+    scenario = Scenario(
+        seed=seed, world=world, load=load, faults=[fault for group in groups for fault in group]
+    )
+    _add_later_fault(Random(f"terms {seed}"), scenario, kinds)
+    _vary_sizes(Random(f"sizes {seed}"), scenario)
+    check(scenario)
+    return scenario
+
+
+def _happens(rng: Random, probability: float) -> bool:
+    return rng.random() < probability
+
+
+def _draw_world(rng: Random) -> WorldSpec:
+    pick = rng.choice
+    return WorldSpec(
+        balancers=2,
+        upstreams=rng.randint(3, 6),
+        behind=pick((0, 0, 0, 0, 0, 2)),
+        zones=pick((1, 1, 2)),
+        cores=pick((1, 2, 2)),
+        slots=pick((4, 8)),
+        queue=pick((2, 8)),
+        work=Duration(pick((10, 40, 80)) * MS),
+        cold=Duration(pick((1, 2)) * S),
+        cold_share=pick((0.15, 0.4)),
+        fall_multiple=pick((3.0, 4.0)),
+        shared=_happens(rng, 0.25),
+        sockets=pick((256, 256, 72)),
+        conn_idle=Duration(pick((1, 2, 5)) * S),
+        may_probe=_happens(rng, 0.8),
+        may_cancel=_happens(rng, 0.9),
+        advises=_happens(rng, 0.7),
+        sending=pick((262_144, 262_144, 3_000)),
+        window=pick((65_536, 65_536, 2_000)),
+        piece=pick((0, 0, 0, 700)),
+        idle_dies=Duration(pick((0, 0, 0, 700)) * MS),
+        idle_resets=_happens(rng, 0.5),
+        notice=Duration(pick((20, 80, 300)) * MS),
+    )
+
+
+def _draw_load(rng: Random) -> LoadSpec:
+    pick = rng.choice
+    return LoadSpec(
+        requests=rng.randint(100, 130),
+        burst=pick((0.0, 0.0, 0.3)),
+        marked=pick((0.0, 0.2)),
+        group=pick(("all", "zone", "cell")),
+        retries=pick((0, 1, 2)),
+        leave=pick((0.0, 0.05)),
+        long_bodies=pick((0.0, 0.0, 0.05)),
+        long_answers=pick((0.0, 0.0, 0.05)),
+    )
+
+
+def _vary_sizes(rng: Random, scenario: Scenario) -> None:
+    """Give some seeds short deadlines, or many balancers with a cold upstream under a burst."""
+    world, load, drawn = scenario.world, scenario.load, rng.random()
+    if drawn < SHORT_DEADLINE_SHARE:
+        world.limit = Duration(700 * MS)
+        world.goal = Duration(300 * MS)
+        world.repeat_window = Duration(rng.choice((150, 400)) * MS)
+    elif drawn < MANY_BALANCERS_SHARE and not world.behind and not world.shared:
+        world.balancers = rng.randint(20, 30)
+        load.requests *= 3
+        load.burst = 0.3
+        at = Duration(rng.randrange(600, 1_400) * MS)
+        upstream = rng.randrange(world.upstreams)
+        scenario.faults.append(Fault("crash", whom=upstream, at=at, span=Duration(300 * MS)))
+
+
+def _add_later_fault(rng: Random, scenario: Scenario, kinds: tuple[str, ...]) -> None:
+    """Give a third of the seeds, or those where they are asked for, one of the later faults."""
+    possible = [what for what in LATER_FAULTS if what in kinds] if kinds else LATER_FAULTS
+    if not possible or (not kinds and rng.random() > LATER_FAULT_SHARE):
+        return
+    world, faults = scenario.world, scenario.faults
+    what = rng.choice(possible)
+    at = Duration(rng.randrange(300, 1_500) * MS + rng.randrange(1_000))
+    counts = {"upstream": world.upstreams, "discovery": world.balancers, "clients": 1}
+    count = counts[GROUP_OF[what]]
+    target = rng.randrange(count)
+    size = round(rng.uniform(0.3, 1), 3)
+    fault = Fault(what, whom=target, at=at, span=Duration(2 * S), size=size)
+    faults.append(fault)
+    if what == "slow-dial":
+        _add_retries_of_slow_connects(rng, scenario, fault, count)
+    if what == "behind":  # the balancers end their connections meanwhile
+        balancer = rng.randrange(world.balancers)
+        faults.append(Fault("term", whom=balancer, at=Duration(at + S // 5)))
+    if what == "away":  # a process that starts meanwhile goes by what was known before
+        fault.span = Duration(8 * S)
+        faults.append(Fault("kill", whom=target, at=Duration(at + S // 2), span=Duration(300 * MS)))
+    if what in DISCOVERY_SILENCES:
+        soon = Duration(at + rng.randrange(50, 900) * MS)
+        faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=soon))
+        scenario.length = Duration(12 * S)
+        scenario.load.over = Duration(11 * S)
+        scenario.load.requests *= 2
+
+
+def _add_retries_of_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
+    """Have clients disconnect, attempts repeat and deduplication windows end while connections come up."""
+    world, load = scenario.world, scenario.load
+    begin = fault.at or Duration(0)
+    world.dial = Duration(rng.choice((75, 400, 900)) * MS)
+    load.leave = 0.4
+    world.may_cancel = world.may_cancel and _happens(rng, 0.5)
+    world.repeat_window = Duration(rng.choice((150, 400, 1_200)) * MS)
+    load.marked = 0.4
+    upstream = rng.randrange(count)
+    scenario.faults.append(Fault("fail", whom=upstream, at=begin, span=Duration(2 * S), size=0.5))
+    fault.at = Duration(rng.randrange(200) * MS)  # most connections come up in the first seconds
+    scenario.faults.append(Fault("reset", whom=fault.whom, at=Duration(begin + S // 2)))
+
+
+def _draw_fault(rng: Random, world: WorldSpec, kinds: Sequence[str]) -> list[Fault]:
+    """Draw a fault, sometimes with another one that comes at its worst moment."""
+    asked = cast("Sequence[FaultKind]", kinds) or ALL_FAULTS
+    possible = [kind for kind in asked if _is_possible(kind, world) and kind not in LATER_FAULTS]
+    if not possible:
+        return []
+    what = rng.choice(possible)
+    target = GROUP_OF[what]
+    counts = {
+        "upstream": world.upstreams + world.behind,
+        "balancer": world.balancers,
+        "discovery": world.balancers,
+        "operator": world.balancers,
+    }
+    fault = Fault(
+        what=what,
+        whom=1 if what == "cut-zone" else rng.randrange(counts.get(target, 1)),
+        at=Duration(rng.randrange(200, 2_500) * MS + rng.randrange(1_000)),
+        span=Duration(rng.choice((100, 400, 900, 1_600)) * MS + rng.randrange(1_000)),
+        size=round(rng.uniform(0.2, 1.0), 3),
+    )
+    if what == "exclude":  # what comes within the grace violates nothing
+        fault.span = Duration(world.grace + rng.randrange(300, 1_500) * MS)
+    if what == "crowd":
+        fault.size = round(2 * fault.size, 3)
+    if target == "hop" or rng.random() < EVENT_TRIGGER_SHARE:
+        fault.at = None
+        fault.nth = rng.randint(1, 60)
+        fault.on = rng.choice(ATTEMPT_EVENTS)
+        fault.name = rng.choice(("query", "submit", ""))
+        fault.after = Duration(rng.choice((0, 0, 1, 300)))
+    return [fault, *_draw_companion(rng, world, fault, kinds)]
+
+
+def _draw_companion(rng: Random, world: WorldSpec, fault: Fault, kinds: Sequence[str]) -> list[Fault]:
+    """A second fault: a slow start after a kill, or one exactly as the grace of a drain ends."""
+    what = fault.what
+    if what == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
+        span = Duration(rng.randrange(60, 500) * MS)
+        return [Fault("stall", whom=fault.whom, on="listening", span=span)]
+    if what in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
+        possible = [kind for kind in EDGE_FAULTS if not kinds or kind in kinds]
+        other = rng.choice(possible or [what])
+        edge_fault = Fault(
+            what=other,
+            whom=0 if GROUP_OF[other] in ("balancer", "discovery") else fault.whom,
+            on="told",
+            after=Duration(world.grace + rng.choice(DRAIN_EDGE_OFFSETS)),
+            span=Duration(200 * MS),
+            size=1.0,
+        )
+        return [edge_fault]
+    return []
+
+
+def _is_possible(what: str, world: WorldSpec) -> bool:
+    if what == "cut-zone":
+        return world.zones >= TWO_ZONES
+    return what != "upgrade" or world.shared
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -1,69 +1,117 @@
-"""Takes a violation down to the fewest faults and the least run that still shows it."""
+"""Reduces a scenario to the fewest faults and the smallest run that still violate an invariant."""
 
 from collections.abc import Callable, Iterator
 
 import msgspec
 
-from dahliabend.simulation.script import MS, Duration, LoadSpec, Scenario, WorldSpec, check
-from dahliabend.simulation.world import play
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.scenario import MS, Fault, LoadSpec, Scenario, WorldSpec, check
+from dahliabend.simulation.world import run_scenario
 
-MOST = 400  # runs that a shrinking takes at the most
+MAX_RUNS = 400
+MIN_LENGTH = 500 * MS  # of a run that is still halved
+LOAD_DIVISORS = (8, 4, 2)  # the number of requests is divided by these, the largest first
+COUNTS_REDUCED = ("balancers", "upstreams", "behind", "zones", "cores")
+WORLD_DEFAULTS_TRIED = (
+    "shared", "sockets", "conn_idle", "sending", "window", "piece", "idle_dies", "notice",
+    "work", "slots", "queue", "may_probe", "advises", "may_cancel",
+)  # fmt: skip
+LOAD_VALUES_TRIED: tuple[tuple[str, object], ...] = (
+    ("burst", 0.0), ("marked", 0.0), ("retries", 0), ("leave", 0.0), ("trickle", 0.0),
+    ("fresh", 0.0), ("long_bodies", 0.0), ("long_answers", 0.0), ("group", LoadSpec().group),
+)  # fmt: skip
 
+_replace = msgspec.structs.replace
 
-def breaks(scenario: Scenario, rule: str) -> bool:
-    return rule in play(scenario).rules
+
+def violates(scenario: Scenario, rule: str) -> bool:
+    """Whether a run of the scenario violates the rule."""
+    return rule in run_scenario(scenario).rules
 
 
 def shrink(
-    scenario: Scenario, rule: str, breaks: Callable[[Scenario, str], bool] = breaks, most: int = MOST
+    scenario: Scenario,
+    rule: str,
+    violates: Callable[[Scenario, str], bool] = violates,
+    max_runs: int = MAX_RUNS,
 ) -> tuple[Scenario, int]:
-    """The least found, and how many runs it took. ValueError where the scenario does not break that rule."""
-    if not breaks(scenario, rule):
+    """The smallest scenario found, and how many runs that took.
+
+    Raises:
+        ValueError: the scenario does not violate that rule.
+    """
+    if not violates(scenario, rule):
         raise ValueError(f"this run does not break the rule {rule!r}")
-    runs, best, again = 1, scenario, True
-    while again and runs < most:
-        again = False
+    runs, best, has_progressed = 1, scenario, True
+    while has_progressed and runs < max_runs:
+        has_progressed = False
         for smaller in candidates(best):
-            if runs >= most:
+            if runs >= max_runs:
                 break
-            try:
-                check(smaller)
-            except ValueError:
+            if not _is_valid(smaller):
                 continue
             runs += 1
-            if breaks(smaller, rule):
-                best, again = smaller, True
+            if violates(smaller, rule):
+                best, has_progressed = smaller, True
                 break
-    return msgspec.structs.replace(best, breaks=rule), runs
+    return _replace(best, breaks=rule), runs
+
+
+def _is_valid(scenario: Scenario) -> bool:
+    try:
+        check(scenario)
+    except ValueError:
+        return False
+    return True
 
 
 def candidates(scenario: Scenario) -> Iterator[Scenario]:
-    """Smaller ones, the boldest first."""
-    replace = msgspec.structs.replace
-    faults, load, world = scenario.faults, scenario.load, scenario.world
+    """Smaller scenarios, the boldest reductions first."""
+    faults = scenario.faults
     for number in range(len(faults)):
-        yield replace(scenario, faults=faults[:number] + faults[number + 1 :])
-    for part in (8, 4, 2):
-        if load.requests >= 2 * part:
-            yield replace(scenario, load=replace(load, requests=load.requests * (part // 2) // part))
+        yield _replace(scenario, faults=faults[:number] + faults[number + 1 :])
+    yield from _with_less_load(scenario)
+    if scenario.length > MIN_LENGTH:
+        yield _half_as_long(scenario)
+    yield from _with_smaller_world(scenario)
+    yield from _with_plain_load(scenario)
+
+
+def _with_less_load(scenario: Scenario) -> Iterator[Scenario]:
+    load = scenario.load
+    for divisor in LOAD_DIVISORS:
+        if load.requests >= 2 * divisor:
+            requests = load.requests * (divisor // 2) // divisor
+            yield _replace(scenario, load=_replace(load, requests=requests))
     if load.requests > 1:
-        yield replace(scenario, load=replace(load, requests=load.requests - max(1, load.requests // 10)))
-    if scenario.length > 500 * MS:
-        half = Duration(scenario.length // 2)
-        fewer = [fault for fault in faults if fault.at is None or fault.at <= half]
-        shorter = replace(load, over=Duration(min(load.over, half)))
-        yield replace(scenario, length=half, faults=fewer, load=shorter)
-    for name in ("balancers", "upstreams", "behind", "zones", "cores"):
+        requests = load.requests - max(1, load.requests // 10)
+        yield _replace(scenario, load=_replace(load, requests=requests))
+
+
+def _half_as_long(scenario: Scenario) -> Scenario:
+    half = Duration(scenario.length // 2)
+
+    def is_early(fault: Fault) -> bool:
+        """Whether a fault begins in the half that stays."""
+        return fault.at is None or fault.at <= half
+
+    load = _replace(scenario.load, over=Duration(min(scenario.load.over, half)))
+    return _replace(scenario, length=half, faults=list(filter(is_early, scenario.faults)), load=load)
+
+
+def _with_smaller_world(scenario: Scenario) -> Iterator[Scenario]:
+    world, plain = scenario.world, WorldSpec()
+    for name in COUNTS_REDUCED:
         least = 0 if name == "behind" else 1
         if getattr(world, name) > least:
-            yield replace(scenario, world=replace(world, **{name: getattr(world, name) - 1}))
-    plain_world, plain_load = WorldSpec(), LoadSpec()
-    for name in ("shared", "sockets", "conn_idle", "sending", "window", "piece", "idle_dies", "notice",
-                 "work", "slots", "queue", "may_probe", "advises", "may_cancel"):  # fmt: skip
-        if getattr(world, name) != getattr(plain_world, name):
-            yield replace(scenario, world=replace(world, **{name: getattr(plain_world, name)}))
-    for name, plain in (("burst", 0.0), ("marked", 0.0), ("retries", 0), ("leave", 0.0), ("trickle", 0.0),
-                        ("fresh", 0.0), ("long_bodies", 0.0), ("long_answers", 0.0),
-                        ("group", plain_load.group)):  # fmt: skip
-        if getattr(load, name) != plain:
-            yield replace(scenario, load=replace(load, **{name: plain}))
+            yield _replace(scenario, world=_replace(world, **{name: getattr(world, name) - 1}))
+    for name in WORLD_DEFAULTS_TRIED:
+        if getattr(world, name) != getattr(plain, name):
+            yield _replace(scenario, world=_replace(world, **{name: getattr(plain, name)}))
+
+
+def _with_plain_load(scenario: Scenario) -> Iterator[Scenario]:
+    load = scenario.load
+    for name, value in LOAD_VALUES_TRIED:
+        if getattr(load, name) != value:
+            yield _replace(scenario, load=_replace(load, **{name: value}))
--- a/dahliabend/simulation/timeline.py
+++ b/dahliabend/simulation/timeline.py
@@ -1,8 +1,12 @@
-"""A run's time line in words, one line an event."""
+"""The text of a run's time line, one line an event. The wording is printed for users, so it stays."""
 
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 
-WORDS = {
+from dahliabend.simulation.recorder import Event
+
+MICROSECONDS_PER_SECOND = 1e6
+MAX_BYTES_TEXT = 60  # characters of a value of bytes
+EVENT_FORMATS = {
     "asked": "{0}: {1} asked on connection {2}, for {3} us",
     "written": "{0}: its last byte is written",
     "answer": "{0}: answered {1}",
@@ -34,11 +38,11 @@
 }
 
 
-def lines(events: list[tuple], about: str = "") -> Iterator[str]:
-    """`about` keeps those that name a trace, a process or an upstream, and all faults."""
+def lines(events: Iterable[Event], about: str = "") -> Iterator[str]:
+    """Format events; `about` selects those that name a trace id, a process or an upstream, and all faults."""
     for at, kind, *values in events:
         if about and not kind.startswith("fault") and not any(about == str(value) for value in values):
             continue
-        said = [repr(v)[:60] if isinstance(v, bytes) else v for v in values]
-        text = WORDS[kind].format(*said) if kind in WORDS else f"{kind} {said}"
-        yield f"{at / 1e6:12.6f}  {text}"
+        shown = [repr(v)[:MAX_BYTES_TEXT] if isinstance(v, bytes) else v for v in values]
+        text = EVENT_FORMATS[kind].format(*shown) if kind in EVENT_FORMATS else f"{kind} {shown}"
+        yield f"{at / MICROSECONDS_PER_SECOND:12.6f}  {text}"
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -1,73 +1,80 @@
-"""asyncio's transport over an end of the modelled network, as uvloop has it on sockets.
+"""asyncio's transport over an end of a simulated connection, as uvloop has it on sockets.
 
-A write goes to the system at once; what it does not take waits here, and the protocol is told to pause.
+A write goes to the system at once; what it does not accept waits here, and the protocol is paused.
 """
 
 import asyncio
+from typing import Any
 
-from dahliabend.simulation.network import Socket
+from dahliabend.simulation.connections import ConnectionEnd
+from dahliabend.simulation.event_loop import VirtualLoop
+from dahliabend.simulation.sockets import Socket
 
-AT_ONCE = 262_144  # bytes read in one turn
+MAX_READ_PER_TURN = 262_144  # bytes
+READ_SIZE = 65_536  # bytes
+HIGH_WATER = 65_536  # bytes
 
 
 class Transport(asyncio.Transport):
-    def __init__(self, loop, sock: Socket, protocol, waiter) -> None:
-        end = sock.end
+    """A transport on virtual time."""
+
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        sock: Socket,
+        protocol: asyncio.BaseProtocol,
+        waiter: asyncio.Future[None] | None,
+    ) -> None:
+        end = sock.connected_end
         super().__init__(
-            {"socket": sock, "peername": end.remote, "sockname": end.local, "connection": end.number,
-             "caller": end.caller.name, "unsent": end.not_read}
-        )  # fmt: skip
-        self.loop, self.sock, self.end = loop, sock, end
-        self.protocol = protocol
-        self.takes_buffers = isinstance(protocol, asyncio.BufferedProtocol)
-        self.pieces: list[memoryview] = []
-        self.buffered = 0
-        self.high = 65536
-        self.pausing = self.held = self.closing = self.lost = self.told_end = self.ends = False
-        loop.call_soon(self.begin, waiter)
-
-    def begin(self, waiter) -> None:
+            {
+                "socket": sock,
+                "peername": end.remote,
+                "sockname": end.local,
+                "connection": end.number,
+                "caller": end.initiator.name,
+                "unsent": end.unread_by_peer,
+            }
+        )
+        self.loop = loop
+        self.sock = sock
+        self.end: ConnectionEnd = end
+        self.protocol: Any = protocol
+        self.uses_buffered_protocol = isinstance(protocol, asyncio.BufferedProtocol)
+        self.write_queue: list[memoryview] = []
+        self.write_buffer_size = 0
+        self.high_water = HIGH_WATER
+        self.protocol_paused = False
+        self.reading_paused = False
+        self.closing = False
+        self.loss_scheduled = False  # of the call of `connection_lost`
+        self.eof_reported = False
+        self.eof_queued = False
+        loop.call_soon(self._start, waiter)
+
+    def _start(self, waiter: asyncio.Future[None] | None) -> None:
         self.protocol.connection_made(self)
         self.sock.transport = self
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
         if not self.closing:
-            self.sock.readable()
+            self.sock.notify_readable()
 
     # Reading.
 
     def on_readable(self) -> None:
+        """Bytes, the end or a reset have come. While reading is paused, not even a reset is noticed."""
+        if self.loss_scheduled or self.closing or self.reading_paused:
+            return
         end = self.end
-        if self.lost or self.closing or self.held:  # not polled: even a reset goes unseen
+        if end.reset_received:
+            self.force_close(ConnectionResetError(104, "connection reset by peer"))
             return
-        if end.reset_seen:
-            return self.fail(ConnectionResetError(104, "connection reset by peer"))
-        left = AT_ONCE
         try:
-            while end.unread and not self.held and not self.closing and left > 0:
-                if self.takes_buffers:
-                    room = self.protocol.get_buffer(-1)
-                    count = min(len(room), len(end.unread))
-                    if not count:
-                        raise RuntimeError("get_buffer gave no room")
-                    room[:count] = end.unread[:count]
-                    del end.unread[:count]
-                    end.has_read()
-                    self.protocol.buffer_updated(count)
-                else:
-                    data = bytes(end.unread[:65536])
-                    count = len(data)
-                    del end.unread[:count]
-                    end.has_read()
-                    self.protocol.data_received(data)
-                left -= count
-            if end.unread and not self.held and not self.closing:
-                return self.sock.readable()
-            if end.fin_seen and not end.unread and not (self.told_end or self.held or self.closing):
-                self.told_end = True
-                if not self.protocol.eof_received():
-                    self.close()
-        except Exception as error:
+            self._read_available()
+            if self.is_reading():
+                self._continue_reading()
+        except Exception as error:  # as a real transport: the protocol's error ends it
             self.loop.call_exception_handler(
                 {
                     "message": "protocol failed",
@@ -76,103 +83,149 @@
                     "protocol": self.protocol,
                 }
             )
-            self.fail(error)
+            self.force_close(error)
+
+    def _read_available(self) -> None:
+        end = self.end
+        left = MAX_READ_PER_TURN
+        while end.receive_queue and not self.reading_paused and not self.closing and left > 0:
+            if self.uses_buffered_protocol:
+                buffer = self.protocol.get_buffer(-1)
+                count = min(len(buffer), len(end.receive_queue))
+                if not count:
+                    raise RuntimeError("get_buffer gave no room")
+                buffer[:count] = end.receive_queue[:count]
+                del end.receive_queue[:count]
+                end.data_consumed()
+                self.protocol.buffer_updated(count)
+            else:
+                data = bytes(end.receive_queue[:READ_SIZE])
+                count = len(data)
+                del end.receive_queue[:count]
+                end.data_consumed()
+                self.protocol.data_received(data)
+            left -= count
+
+    def _continue_reading(self) -> None:
+        """Read on in another turn, or report the end."""
+        end = self.end
+        if end.receive_queue:
+            self.sock.notify_readable()
+        elif end.fin_received and not self.eof_reported:
+            self.eof_reported = True
+            if not self.protocol.eof_received():
+                self.close()
 
     def pause_reading(self) -> None:
-        self.held = True
+        """As asyncio."""
+        self.reading_paused = True
 
     def resume_reading(self) -> None:
-        if self.held:
-            self.held = False
-            self.sock.readable()
+        """As asyncio."""
+        if self.reading_paused:
+            self.reading_paused = False
+            self.sock.notify_readable()
 
     def is_reading(self) -> bool:
-        return not self.held and not self.closing
+        """As asyncio."""
+        return not self.reading_paused and not self.closing
 
     # Writing.
 
-    def set_write_buffer_limits(self, high=None, low=None) -> None:
-        self.high = 65536 if high is None else high
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:  # noqa: ARG002 -- asyncio's signature
+        """Set the size from which the protocol is paused."""
+        self.high_water = HIGH_WATER if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        return self.buffered
+        """Bytes that the system has not accepted."""
+        return self.write_buffer_size
 
-    def write(self, data) -> None:
-        if self.closing or self.lost or self.ends or not data:
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """As asyncio."""
+        if self.closing or self.loss_scheduled or self.eof_queued or not data:
             return
-        if not self.buffered:
+        if not self.write_buffer_size:
             try:
-                taken = self.end.send(data)
+                accepted = self.end.send(data)
             except OSError as error:
-                return self.fail(error)
-            if taken == len(data):
+                self.force_close(error)
+                return
+            if accepted == len(data):
                 return
-            data = memoryview(data)[taken:]
-        self.pieces.append(memoryview(data))
-        self.buffered += len(data)
-        if self.buffered > self.high and not self.pausing:
-            self.pausing = True
+            data = memoryview(data)[accepted:]
+        self.write_queue.append(memoryview(data))
+        self.write_buffer_size += len(data)
+        if self.write_buffer_size > self.high_water and not self.protocol_paused:
+            self.protocol_paused = True
             self.protocol.pause_writing()
 
     def on_writable(self) -> None:
-        if self.lost or not self.buffered:
+        """The system has room for more bytes."""
+        if self.loss_scheduled or not self.write_buffer_size:
             return
         try:
-            while self.pieces:
-                piece = self.pieces[0]
-                taken = self.end.send(piece)
-                self.buffered -= taken
-                if taken < len(piece):
-                    self.pieces[0] = piece[taken:]
+            while self.write_queue:
+                piece = self.write_queue[0]
+                accepted = self.end.send(piece)
+                self.write_buffer_size -= accepted
+                if accepted < len(piece):
+                    self.write_queue[0] = piece[accepted:]
                     return
-                self.pieces.pop(0)
+                self.write_queue.pop(0)
         except OSError as error:
-            return self.fail(error)
-        if self.pausing:
-            self.pausing = False
+            self.force_close(error)
+            return
+        if self.protocol_paused:
+            self.protocol_paused = False
             self.protocol.resume_writing()
-        if self.buffered:
+        if self.write_buffer_size:
             return
         if self.closing:
-            self.end_soon(None)
-        elif self.ends:
-            self.end.shut_writing()
+            self._schedule_connection_lost(None)
+        elif self.eof_queued:
+            self.end.shutdown_write()
 
     def can_write_eof(self) -> bool:
+        """As asyncio."""
         return True
 
     def write_eof(self) -> None:
-        if not self.ends and not self.closing:
-            self.ends = True
-            if not self.buffered:
-                self.end.shut_writing()
+        """As asyncio."""
+        if not self.eof_queued and not self.closing:
+            self.eof_queued = True
+            if not self.write_buffer_size:
+                self.end.shutdown_write()
 
     # Ending.
 
     def is_closing(self) -> bool:
+        """As asyncio."""
         return self.closing
 
     def close(self) -> None:
+        """Close it once all is written."""
         if not self.closing:
             self.closing = True
-            if not self.buffered:
-                self.end_soon(None)
+            if not self.write_buffer_size:
+                self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        self.fail(None)
+        """Close it at once."""
+        self.force_close(None)
 
-    def fail(self, error: Exception | None) -> None:
+    def force_close(self, error: Exception | None) -> None:
+        """Close it at once, with the error that the protocol is to be told."""
         self.closing = True
-        self.pieces.clear()
-        self.buffered = 0
-        self.end_soon(error)
+        self.write_queue.clear()
+        self.write_buffer_size = 0
+        self._schedule_connection_lost(error)
 
-    def end_soon(self, error: Exception | None) -> None:
-        if not self.lost:
-            self.lost = True
-            self.loop.call_soon(self.finish, error)
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
+        if not self.loss_scheduled:
+            self.loss_scheduled = True
+            self.loop.call_soon(self._finish, error)
 
-    def finish(self, error: Exception | None) -> None:
+    def _finish(self, error: Exception | None) -> None:
         try:
             self.protocol.connection_lost(error)
         finally:
--- /dev/null
+++ b/dahliabend/simulation/upstream_faults.py
@@ -0,0 +1,170 @@
+"""Faults of upstreams: their processes, what they answer, how they can be reached, and their list entries."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from dahliabend.simulation.scenario import MS, RESET_SIZE, Fault
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.upstream_host import UpstreamHost
+    from dahliabend.simulation.world import Simulation
+
+RESTART_TIME = 200 * MS  # of a planned restart
+MAX_CONNECT_DELAY = 1_500 * MS  # times the fault's size
+MAX_SLOWDOWN = 10  # times the fault's size
+MAX_CONNECTIONS = 4  # of an upstream with a limit, times the fault's size
+FLAPS = 6  # changes of a list entry that flaps
+
+Undo = Callable[[], object] | None
+
+
+class UpstreamFaults:
+    """The faults of upstreams; each action returns what undoes it."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.actions: dict[str, Callable[[Fault], Undo]] = {
+            "hang": self.hang,
+            "slow": self.slow,
+            "fail": self.fail,
+            "garble": self.garble,
+            "twice": self.duplicate_responses,
+            "limit": self.limit_connections,
+            "reset": self.reset_connections,
+            "crash": self.crash,
+            "drain": self.drain,
+            "restart": self.restart,
+            "withdraw": self.withdraw,
+            "flap": self.flap,
+            "refuse": self.refuse_connections,
+            "mute": self.ignore_connections,
+            "vanish": self.vanish,
+            "slow-dial": self.slow_connects,
+        }
+
+    def _host(self, fault: Fault) -> UpstreamHost:
+        return self.simulation.upstreams[fault.whom]
+
+    def _set_behavior(self, fault: Fault, name: str, value: object) -> Undo:
+        """Set one of an upstream's switches."""
+        upstream = self._host(fault).upstream
+        before = getattr(upstream, name)
+        setattr(upstream, name, value)
+        return lambda: setattr(upstream, name, before)
+
+    def hang(self, fault: Fault) -> Undo:
+        """It accepts requests and answers nothing."""
+        return self._set_behavior(fault, "hung", True)
+
+    def slow(self, fault: Fault) -> Undo:
+        """Its work takes longer."""
+        return self._set_behavior(fault, "slower", 1 + MAX_SLOWDOWN * fault.size)
+
+    def fail(self, fault: Fault) -> Undo:
+        """A share of its requests fails."""
+        return self._set_behavior(fault, "failing", fault.size)
+
+    def garble(self, fault: Fault) -> Undo:
+        """A share of its responses is invalid."""
+        return self._set_behavior(fault, "garbled", fault.size)
+
+    def duplicate_responses(self, fault: Fault) -> Undo:
+        """A share of its responses is sent twice."""
+        return self._set_behavior(fault, "twice", fault.size)
+
+    def limit_connections(self, fault: Fault) -> Undo:
+        """It takes few connections."""
+        limits, address = self.simulation.network.connection_limits, self._host(fault).address
+        limits[address] = 1 + int(MAX_CONNECTIONS * fault.size)
+        return lambda: limits.pop(address, None)
+
+    def reset_connections(self, fault: Fault) -> Undo:
+        """It resets all its connections."""
+        host = self._host(fault)
+        host.process.run(host.upstream.reset_all)
+        return None
+
+    def crash(self, fault: Fault) -> Undo:
+        """It dies, and starts again cold."""
+        host = self._host(fault)
+        host.kill()
+        return lambda: self._start_again(host)
+
+    def _start_again(self, host: UpstreamHost) -> None:
+        if not host.process.alive:
+            host.start(needs_warmup=True)
+            host.publish("up")
+
+    def drain(self, fault: Fault) -> Undo:
+        """It drains, and is back later."""
+        host, simulation = self._host(fault), self.simulation
+        drain_time = simulation.spec.grace
+        host.publish("draining")
+        upstream = host.upstream
+        simulation.call_later(drain_time, upstream.drain)
+
+        def end_drain() -> None:
+            """List the upstream as up, if it is still the same process."""
+            if simulation.faults.is_stopping:
+                return
+            upstream.draining = False
+            if host.upstream is upstream and host.process.alive:
+                host.publish("up")
+
+        simulation.call_later(drain_time + 2 * fault.span, end_drain)
+        return None
+
+    def restart(self, fault: Fault) -> Undo:
+        """A planned restart: it drains, ends, and starts again cold."""
+        host, simulation = self._host(fault), self.simulation
+        host.publish("draining")
+
+        def end() -> None:
+            """Remove the upstream and start it again later."""
+            if host.process.alive:
+                host.publish("removed")
+                host.kill()
+                simulation.call_later(RESTART_TIME, self._start_again, host)
+
+        simulation.call_later(simulation.spec.grace + fault.span, end)
+        return None
+
+    def withdraw(self, fault: Fault) -> Undo:
+        """It drains, and goes on answering to the end of the run."""
+        self._host(fault).publish("draining")
+        return None
+
+    def flap(self, fault: Fault) -> Undo:
+        """Its list entry changes to and fro."""
+        host = self._host(fault)
+        for number in range(FLAPS):
+            state = "up" if number % 2 else "draining"
+            self.simulation.call_later(number * fault.span // FLAPS, host.publish, state)
+        return lambda: host.publish("up")
+
+    def refuse_connections(self, fault: Fault) -> Undo:
+        """New connections to it are refused."""
+        refusing, address = self.simulation.network.refusing_addresses, self._host(fault).address
+        refusing.add(address)
+        return lambda: refusing.discard(address)
+
+    def ignore_connections(self, fault: Fault) -> Undo:
+        """New connections to it never come up."""
+        unresponsive, address = self.simulation.network.unresponsive_addresses, self._host(fault).address
+        unresponsive.add(address)
+        return lambda: unresponsive.discard(address)
+
+    def vanish(self, fault: Fault) -> Undo:
+        """Its host cannot be reached."""
+        network, host = self.simulation.network, self._host(fault).spec.host
+        network.vanish(host)
+        return lambda: network.restore_host(host, resets=fault.size > RESET_SIZE)
+
+    def slow_connects(self, fault: Fault) -> Undo:
+        """A share of the new connections to all upstreams comes up late."""
+        slow_connects = self.simulation.network.slow_connects
+        for host in self.simulation.upstreams:
+            slow_connects[host.address] = int(MAX_CONNECT_DELAY * fault.size)
+        return slow_connects.clear
--- /dev/null
+++ b/dahliabend/simulation/upstream_host.py
@@ -0,0 +1,119 @@
+"""An upstream of a simulation through its processes, with its entry in the endpoint list."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from dahliabend.simulation.balancer_host import BalancerHost
+from dahliabend.simulation.connections import Address
+from dahliabend.simulation.event_loop import UNIX_TIME_AT_ZERO, Process
+from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.discovery import EndpointEntry, Registry
+from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+
+if TYPE_CHECKING:
+    from dahliabend.simulation.world import Simulation
+
+MICROSECONDS_PER_MILLISECOND = 1_000
+OK = 200
+
+
+class UpstreamHost:
+    """One upstream, and the processes that it had."""
+
+    def __init__(self, simulation: Simulation, spec: UpstreamSpec, registry: Registry) -> None:
+        self.simulation = simulation
+        self.spec = spec
+        self.registry = registry
+        self.state = "up"
+        self.started_ms = 0  # of Unix time; 0: long ago
+        self.starts = 0
+        self.upstream: Upstream
+        self.process: Process
+        self.sidecar: BalancerHost | None = None  # the balancer through which it calls the next tier
+        self.clients: Clients | None = None
+
+    @property
+    def address(self) -> Address:
+        """Where it listens."""
+        return self.spec.host, self.spec.port
+
+    def discovery_entry(self) -> EndpointEntry:
+        """Its entry in the endpoint list."""
+        spec = self.spec
+        return {
+            "id": spec.name,
+            "addr": f"{spec.host}:{spec.port}",
+            "zone": spec.zone,
+            "cell": spec.cell,
+            "state": self.state,
+            "weight": 1.0,
+            "started_ms": self.started_ms,
+        }
+
+    def publish(self, state: str) -> None:
+        """Publish its state to discovery, if that is a change or a start."""
+        if state != self.state or state == "up":
+            self.state = state
+            self.registry.put(self.discovery_entry())
+
+    def start(self, *, needs_warmup: bool) -> None:
+        """Start a process; a cold one warms up first."""
+        simulation, spec = self.simulation, self.spec
+        self.starts += 1
+        process = Process(simulation.scheduler, f"{spec.name}/{self.starts}", spec.host, spec.zone)
+        process.loop.network = simulation.network
+        self.process = process
+        started_at = simulation.scheduler.now if needs_warmup else 0
+        started_ms = (UNIX_TIME_AT_ZERO + started_at) // MICROSECONDS_PER_MILLISECOND if needs_warmup else 0
+        self.started_ms = started_ms
+        agents = self.registry.agents
+
+        def knows_start(balancer: str) -> bool:
+            """Whether a balancer's agent, or all for "", has the entry of this start."""
+            entries = [a.entries.get(spec.name) for a in agents if not balancer or a.name == balancer]
+            return all(entry is not None and entry["started_ms"] == started_ms for entry in entries)
+
+        rng = simulation.rng_for(f"{spec.name} {self.starts}")
+        self.upstream = Upstream(spec, process.loop, simulation.recorder, rng, started_at, knows_start)
+        simulation.invariants.upstream_places[spec.name] = (spec.cell, spec.zone)
+        if self.sidecar is not None:
+            rotation = ConnectionRotation([self.sidecar.address])
+            prefix = f"{spec.name}.{self.starts}-"
+            self.clients = Clients(process.loop, simulation.recorder, rng, rotation, prefix)
+            self.upstream.call_next_tier = self.call_next_tier
+            if not self.sidecar.alive:
+                self.sidecar.start()
+        simulation.spawn(process, self.upstream.open())
+
+    def call_next_tier(self, _trace_id: str, class_name: str, on_finished: Callable[[bool], None]) -> None:
+        """Make the calls of the next tier that a request needs, one after the other."""
+        clients, spec = self.clients, self.simulation.spec
+        if clients is None:
+            raise RuntimeError(f"{self.spec.name} has no balancer to call")
+        deadline = spec.limit * 2 // 3
+        calls_left = int(spec.calls) + (self.upstream.rng.random() < spec.calls % 1)
+
+        def call_once() -> None:
+            """Make one call."""
+            nonlocal calls_left
+            calls_left -= 1
+            trace_id = clients.next_trace_id()
+            clients.send(ClientRequest(trace_id, class_name, deadline, deadline, on_finished=call_finished))
+
+        def call_finished(status: int) -> None:
+            """Make the next call, or report the result."""
+            if status == OK and calls_left > 0:
+                call_once()
+            else:
+                on_finished(status == OK)
+
+        call_once()
+
+    def kill(self) -> None:
+        """Kill its process, and its sidecar with it."""
+        self.process.signal(signal.SIGKILL)
+        if self.sidecar is not None and self.sidecar.alive:
+            self.sidecar.kill()
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -17,9 +17,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.membership.failure_detector import SwimConfig  # noqa: E402
-from dahliabend.simulation.cluster.model import Model  # noqa: E402
+from dahliabend.simulation.cluster.model import ClusterModel  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S  # noqa: E402
-from dahliabend.simulation.cluster.town import Town  # noqa: E402
+from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster  # noqa: E402
 
 WAYS = {
     "as it is": {},
@@ -35,22 +35,22 @@
 
 def detect(task) -> dict:
     way, count, seed = task
-    model = Model(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), warm=True)
+    model = ClusterModel(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), starts_warm=True)
     for number in range(count):
-        model.start(number)
-    model.know_all()
-    town = model.town
-    town.bytes = 0
-    town.run(CALM)
-    rate = town.bytes / (CALM / S) / count
-    at, lost = town.now, town.chance.randrange(count)
-    model.end(lost)
-    while town.now < at + LONGEST:
-        town.run(S)
-        told = {c.who: c.at for c in model.claims if c.change == "died" and c.about == lost}
+        model.start_instance(number)
+    model.assume_full_membership()
+    cluster = model.cluster
+    cluster.bytes = 0
+    cluster.run(CALM)
+    rate = cluster.bytes / (CALM / S) / count
+    at, lost = cluster.now, cluster.rng.randrange(count)
+    model.stop_instance(lost)
+    while cluster.now < at + LONGEST:
+        cluster.run(S)
+        told = {c.observer: c.at for c in model.membership_changes if c.kind == "died" and c.subject == lost}
         if len(told) == count - 1:
             break
-    false = sum(c.change == "died" and c.about != lost for c in model.claims)
+    false = sum(c.kind == "died" and c.subject != lost for c in model.membership_changes)
     times = sorted(told.values())
     return {"way": way, "count": count, "seed": seed, "rate": rate, "false": false, "known": len(told),
             "first": (times[0] - at) / S if times else None, "full": (times[-1] - at) / S if times else None}  # fmt: skip
@@ -58,14 +58,14 @@
 
 def falsely(task) -> dict:
     way, count, seed, loss, stops, seconds = task
-    town = Town(count, seed, loss, SwimConfig(sync_interval=10, **WAYS[way]))
+    cluster = SimulatedCluster(count, seed, loss, SwimConfig(sync_interval=10, **WAYS[way]))
     for _ in range(seconds // 20):
         if stops:
-            town.pause("b2", 3 * S)
-        town.run(20 * S)
-    deaths = sum(e.kind == "died" for m in town.machines.values() for e in m.events)
+            cluster.pause("b2", 3 * S)
+        cluster.run(20 * S)
+    deaths = sum(e.kind == "died" for m in cluster.machines.values() for e in m.events)
     return {"way": way, "count": count, "seed": seed, "loss": loss, "stops": stops, "deaths": deaths,
-            "hours": count * seconds / 3600, "rate": town.bytes / (town.now / S) / count}  # fmt: skip
+            "hours": count * seconds / 3600, "rate": cluster.bytes / (cluster.now / S) / count}  # fmt: skip
 
 
 def large(out: Path, jobs: int) -> None:
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -28,18 +28,18 @@
         request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1
     )
     made.ceiling = 1e9  # the crowd is not what is looked at
-    chance, now, out = Random(1), 100 * S, deque()
+    rng, now, out = Random(1), 100 * S, deque()
     tracemalloc.start()
     for number in range(1, KEYS + 1):
         now += MS
-        key = chance.randrange(1, 21) if number % 10 == 0 else 1_000 + number
+        key = rng.randrange(1, 21) if number % 10 == 0 else 1_000 + number
         request = made.admit(now, number, 0, 0, now + 5 * S, key=key)
         if not request.is_finished:
             out.append(request)
         while len(out) > OUT:
             request = out.popleft()
             if request.out:
-                outcome = chance.choice(UNSURE) if chance.random() < 1 / 3 else Outcome.SUCCEEDED
+                outcome = rng.choice(UNSURE) if rng.random() < 1 / 3 else Outcome.SUCCEEDED
                 request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
             elif not request.is_finished:
                 request.client_disconnected(now)
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -18,11 +18,11 @@
 
 from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet  # noqa: E402
-from dahliabend.simulation.cluster.work import Work  # noqa: E402
+from dahliabend.simulation.cluster.workload_model import WorkloadModel  # noqa: E402
 
 
-def cut(made, chance):
-    some = [made.places[name] for name in plays.names(chance.sample(range(POOL), POOL // 3))]
+def cut(made, rng):
+    some = [made.upstreams_by_name[name] for name in plays.upstream_names(rng.sample(range(POOL), POOL // 3))]
     for node in some:
         node.deaf_to = set(range(0, MANY, 5))
     made.run(20 * S)
@@ -48,28 +48,28 @@
     scenario, subsets, way, seed = task
     signals, liars, probing = WAYS[way]
     terms = plays.WAYS["subsets"][0] if subsets else None
-    made = Work(
+    made = WorkloadModel(
         Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
         POOL,
         RATE,
         terms,
         zones=ZONES,
-        signals=signals,
-        liars=liars,
-        probing=probing,
+        has_gossip=signals,
+        lies=liars,
+        check_period=probing,
     )
-    made.begin()
+    made.start()
     made.run(BEFORE * S)
-    made.forget()
+    made.reset_metrics()
     begin = made.now
     SCENARIOS[scenario](made, Random(f"{scenario} {seed}"))
     made.run(AFTER * S)
     seconds = (made.now - begin) / S
     made.finish()
-    figures, counts = made.figures, made.figures.counts
-    return {"scenario": scenario, "subsets": subsets, "way": way, "seed": seed, "share": 100 * figures.share, "p99": float(np.percentile(figures.took, 99)) / 1000,
+    metrics, counts = made.metrics, made.metrics.counts
+    return {"scenario": scenario, "subsets": subsets, "way": way, "seed": seed, "share": 100 * metrics.served_share, "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
             "probes": 1000 * counts["probes"] / counts["asked"], "fallen": counts["fallen"], "believed": counts["believed"],
-            "bytes": counts["signal bytes"] / MANY / seconds, "broken": figures.broken[:5]}  # fmt: skip
+            "bytes": counts["signal bytes"] / MANY / seconds, "broken": metrics.violations[:5]}  # fmt: skip
 
 
 def page(rows: list[dict]) -> str:
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -13,85 +13,85 @@
 
 from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
-from dahliabend.simulation.cluster.subsets import Subsets  # noqa: E402
+from dahliabend.simulation.cluster.subset_model import SubsetModel  # noqa: E402
 from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
 
 CALM, AFTER, LAST = 40, 60, 30  # seconds
 
 
 def play(seed: int, act, many=60, pool=40):
-    made = Subsets(Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings())
+    made = SubsetModel(Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings())
     for number in range(many):
-        made.start(number)
-    made.know_all()
+        made.start_instance(number)
+    made.assume_full_membership()
     made.run(CALM * S)
     begin = made.now
     act(made, Random(seed))
     end = made.now
     made.run(AFTER * S)
     made.run(LAST * S)
-    worst = made.days.worst
+    worst = made.history.worst
     return (
         worst(begin - 20 * S, begin),
         worst(begin, end + AFTER * S // 2),
         worst(made.now - LAST * S),
-        len(made.using[0]),
+        len(made.weights[0]),
     )
 
 
 def step(made, what, whom=(), span=0, wait=0, **more):
-    made.act(Step(what, whom=list(whom), span=Duration(span * S), **more))
+    made.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
     made.run(wait * S)
 
 
-def herd(made, chance):
-    third = chance.sample(range(60), 20)
+def herd(made, rng):
+    third = rng.sample(range(60), 20)
     step(made, "kill", third, wait=45)
     step(made, "start", third, wait=15)
 
 
-def rolling(made, chance):
+def rolling(made, rng):
     for number in range(60):
         step(made, "restart", [number], wait=1)
         if number % 3 == 0:
-            made.replace(1)
+            made.replace_upstreams(1)
 
 
-def replaced(made, chance):
+def replaced(made, rng):
     for _ in range(7):
-        made.replace(3 + chance.randrange(2))
+        made.replace_upstreams(3 + rng.randrange(2))
         made.run(S)
 
 
-def split(made, chance):
+def split(made, rng):
     parts = [list(range(150)), list(range(150, 200))]
     step(made, "split", parts=parts, span=90, wait=95)
 
 
-def short_split(made, chance):
+def short_split(made, rng):
     step(made, "split", parts=[list(range(45)), list(range(45, 60))], span=40, wait=45)
 
 
-def paused(made, chance):
-    step(made, "stop", [chance.randrange(60)], span=60, wait=10)
-    made.replace(10)
+def paused(made, rng):
+    step(made, "stop", [rng.randrange(60)], span=60, wait=10)
+    made.replace_upstreams(10)
     made.run(55 * S)
 
 
-def flaps(made, chance):
+def flaps(made, rng):
     for _ in range(15):
         step(made, "kill", [7], span=2, wait=4)
 
 
-def flapping_pool(made, chance):
+def flapping_pool(made, rng):
     for _ in range(20):
-        gone = made.pool.pop(chance.randrange(len(made.pool)))
+        gone = made.pool.pop(rng.randrange(len(made.pool)))
         made.run(S)
         made.pool.append(gone)
         made.run(2 * S)
 
 
-def lost(made, chance):
+def lost(made, rng):
     step(made, "lose", size=0.3, span=60, wait=65)
 
 
