--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -19,7 +19,7 @@
 
 from dahliabend.config.operator_file.units import Duration  # noqa: E402
 from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
-from dahliabend.simulation.cluster.work import Work, names  # noqa: E402
+from dahliabend.simulation.cluster.workload_model import WorkloadModel, upstream_names  # noqa: E402
 from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
 
 MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
@@ -35,17 +35,17 @@
 
 
 def act(made, what, whom=(), span=0, wait=0, **more):
-    made.act(Step(what, whom=list(whom), span=Duration(span * S), **more))
+    made.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
     made.run(wait * S)
 
 
-def calm(made, chance):
+def calm(made, rng):
     made.run(20 * S)
 
 
-def bad(made, chance):
+def bad(made, rng):
     """Four fail eight in ten at once, four work at a third of their pace; for 20 s."""
-    some = [made.places[name] for name in names(chance.sample(range(POOL), 8))]
+    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), 8))]
     for node in some[:4]:
         node.failing = 0.8
     for node in some[4:]:
@@ -55,14 +55,14 @@
         node.failing, node.slower = 0.0, 1.0
 
 
-def herd(made, chance):
-    third = chance.sample(range(MANY), MANY // 3)
+def herd(made, rng):
+    third = rng.sample(range(MANY), MANY // 3)
     act(made, "kill", third, wait=12)
     act(made, "start", third)
 
 
-def rolling(made, chance):
-    old = chance.sample(range(POOL), POOL // 2)
+def rolling(made, rng):
+    old = rng.sample(range(POOL), POOL // 2)
     for number in range(MANY):
         act(made, "restart", [number])
         if old and number % 4 != 3:
@@ -71,47 +71,47 @@
 
 
 def replace(made, number):
-    made.drain(f"u{number}")
-    made.bring_up(f"u{number + POOL if number < POOL else number - POOL}")
+    made.drain_upstream(f"u{number}")
+    made.start_upstream(f"u{number + POOL if number < POOL else number - POOL}")
 
 
-def zone(made, chance):
+def zone(made, rng):
     """One of three zones is lost, machines and all, and returns cold."""
-    lost = chance.randrange(ZONES)
-    there = [node for node in made.places.values() if int(node.name[1:]) % ZONES == lost]
+    lost = rng.randrange(ZONES)
+    there = [node for node in made.upstreams_by_name.values() if int(node.name[1:]) % ZONES == lost]
     for node in there:
-        made.take_down(node, silent=True)
+        made.stop_upstream(node, is_silent=True)
     balancers = list(range(lost, MANY, ZONES))
     act(made, "kill", balancers, wait=12)
     for node in there:
-        made.bring_up(node.name)
+        made.start_upstream(node.name)
     act(made, "start", balancers)
 
 
-def split(made, chance):
+def split(made, rng):
     """Membership in two parts for 25 s; both see all upstreams, of which a tenth is replaced meanwhile."""
     everyone = list(range(MANY))
-    chance.shuffle(everyone)
+    rng.shuffle(everyone)
     act(made, "split", parts=[everyone[:30], everyone[30:]], span=25)
-    for number in chance.sample(range(POOL), 6):
+    for number in rng.sample(range(POOL), 6):
         made.run(4 * S)
         replace(made, number)
     made.run(2 * S)
 
 
-def join(made, chance):
+def join(made, rng):
     """Six in ten replaced within 7 s; some of the others are bad."""
-    order = chance.sample(range(POOL), POOL)
-    for node in (made.places[name] for name in names(order[-3:])):
+    order = rng.sample(range(POOL), POOL)
+    for node in (made.upstreams_by_name[name] for name in upstream_names(order[-3:])):
         node.failing = 0.6
     for number in order[: POOL * 6 // 10]:
         replace(made, number)
         made.run(7 * S * 10 // (POOL * 6))
 
 
-def half(made, chance):
+def half(made, rng):
     """Half of the pool hangs for 12 s: takes all and answers nothing."""
-    some = [made.places[name] for name in names(chance.sample(range(POOL), POOL // 2))]
+    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), POOL // 2))]
     for node in some:
         node.hung = True
     made.run(12 * S)
@@ -119,9 +119,9 @@
         node.hung = False
 
 
-def most(made, chance):
+def most(made, rng):
     """Seven in ten hang for 12 s, with few callers: subsets widen."""
-    some = [made.places[name] for name in names(chance.sample(range(POOL), POOL * 7 // 10))]
+    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), POOL * 7 // 10))]
     for node in some:
         node.hung = True
     made.run(12 * S)
@@ -129,21 +129,21 @@
         node.hung = False
 
 
-def flap(made, chance):
+def flap(made, rng):
     """One upstream comes and goes, 1 s out of 3, for a minute."""
-    name = f"u{chance.randrange(POOL)}"
+    name = f"u{rng.randrange(POOL)}"
     for _ in range(20):
-        made.take_down(made.places[name])
+        made.stop_upstream(made.upstreams_by_name[name])
         made.run(S)
-        made.bring_up(name)
+        made.start_upstream(name)
         made.run(2 * S)
 
 
-def uneven(made, chance):
+def uneven(made, rng):
     """A quarter of all callers come to one balancer, for 40 s, with 75% of what all bear in all."""
-    made.heavy = 1 / 4
+    made.skewed_share = 1 / 4
     made.run(40 * S)
-    made.heavy = 0.0
+    made.skewed_share = 0.0
 
 
 SCENARIOS = {
@@ -164,25 +164,25 @@
 
 def play(task) -> dict:
     scenario, way, seed = task
-    made = Work(
+    made = WorkloadModel(
         Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
         POOL,
         REJECTED.get(scenario, RATE),
         WAYS[way][0],
         zones=ZONES,
-        demand=WAYS[way][1],
+        announces_demand=WAYS[way][1],
     )
-    made.begin()
+    made.start()
     made.run(BEFORE * S)
-    made.forget()
+    made.reset_metrics()
     SCENARIOS[scenario](made, Random(f"{scenario} {seed}"))
     made.run(AFTER * S)
     made.finish()
-    figures, counts = made.figures, made.figures.counts
+    metrics, counts = made.metrics, made.metrics.counts
     asked = counts["asked"]
-    return {"scenario": scenario, "way": way, "seed": seed, "share": figures.share, "p99": float(np.percentile(figures.took, 99)) / 1000,
-            "links": float(np.mean(figures.links)), "most links": figures.most_links, "shakes": 1000 * counts["shakes"] / asked,
-            "probes": 1000 * counts["probes"] / asked, "fallen": counts["fallen"], "moved": counts["moved"], "broken": figures.broken[:5]}  # fmt: skip
+    return {"scenario": scenario, "way": way, "seed": seed, "share": metrics.served_share, "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
+            "links": float(np.mean(metrics.mean_connections)), "most links": metrics.max_connections, "shakes": 1000 * counts["shakes"] / asked,
+            "probes": 1000 * counts["probes"] / asked, "fallen": counts["fallen"], "moved": counts["moved"], "broken": metrics.violations[:5]}  # fmt: skip
 
 
 def interval(values: np.ndarray) -> tuple[float, float, float]:
--- a/tests/health_gossip/test_health_gossip.py
+++ b/tests/health_gossip/test_health_gossip.py
@@ -209,10 +209,10 @@
     from dahliabend.model import EndpointState
     from dahliabend.policy.balancer import FLOOR, WINDOW, Balancer
     from dahliabend.simulation.cluster.script import Fleet
-    from dahliabend.simulation.cluster.work import Work
+    from dahliabend.simulation.cluster.workload_model import WorkloadModel
 
     port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
-    made = Balancer(Work(Fleet(instances=1), 1).settings(), port, 1)
+    made = Balancer(WorkloadModel(Fleet(instances=1), 1).settings(), port, 1)
     made.update_endpoints(S, [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)], True)
     made.add_peer_report(1, FLOOR, FLOOR)
     made.add_peer_report(7, FLOOR, FLOOR)  # not listed any more
--- a/tests/membership/simulated_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -1,5 +1,5 @@
-"""The town that these tests play in."""
+"""The cluster that these tests simulate."""
 
-from dahliabend.simulation.cluster.town import S, Town
+from dahliabend.simulation.cluster.simulated_cluster import S, SimulatedCluster
 
-__all__ = ["S", "Town"]
+__all__ = ["S", "SimulatedCluster"]
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -25,13 +25,13 @@
 from helpers import free_addresses  # noqa: E402
 
 from dahliabend.routing_rules.loaded_file import load_file  # noqa: E402
-from dahliabend.simulation.peers.clients import Ask, Clients, Front  # noqa: E402
+from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation  # noqa: E402
 from dahliabend.simulation.peers.discovery import Agent, Registry  # noqa: E402
 from dahliabend.simulation.peers.operators import call  # noqa: E402
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec  # noqa: E402
 
 S, RATE, LATE = 1_000_000, 8, 50_000
-TROUBLES = ("hung", "failing", "garbled", "slower", "reset")
+FAULT_KINDS = ("hung", "failing", "garbled", "slower", "reset")
 
 
 def place(text: str) -> tuple[str, int]:
@@ -43,16 +43,16 @@
     """One file, its peers and what they saw."""
 
     def __init__(self, seed: int) -> None:
-        self.seed, self.chance, self.seen = seed, Random(seed), []
+        self.seed, self.rng, self.seen = seed, Random(seed), []
         self.upstreams: list[Upstream] = []
 
-    def witness(self, *event) -> None:
+    def recorder(self, *event) -> None:
         self.seen.append((asyncio.get_running_loop().time(), *event))
 
     async def upstream(self, name: str, address: str) -> dict:
         host, port = place(address)
-        spec = UpstreamSpec(name, host, port, "a", 0, work=4_000, rest=15 * S)
-        made = Upstream(spec, asyncio.get_running_loop(), self.witness, Random(name), 0, lambda: False)
+        spec = UpstreamSpec(name, host, port, "a", 0, mean_work=4_000, idle_timeout=15 * S)
+        made = Upstream(spec, asyncio.get_running_loop(), self.recorder, Random(name), 0, lambda: False)
         await made.open()
         self.upstreams.append(made)
         return {"id": name, "addr": address, "zone": "a", "cell": 0, "state": "up", "started_ms": 0}
@@ -79,7 +79,7 @@
                 registry = Registry()
                 for row in rows:
                     registry.put(row)
-                agent = Agent(registry, asyncio.get_running_loop(), self.witness, self.chance, 20_000)
+                agent = Agent(registry, asyncio.get_running_loop(), self.recorder, self.rng, 20_000)
                 await agent.open(*place(pool.discovery))
             else:
                 (folder / pool.file).write_bytes(orjson.dumps({"servers": rows}))
@@ -97,15 +97,15 @@
                 if (await call(loop, listen, "GET", "/-/ready"))[0] == 200:
                     break
                 await asyncio.sleep(0.02)
-            clients = Clients(loop, self.witness, self.chance, Front([listen]), f"f{self.seed}-")
+            clients = Clients(loop, self.recorder, self.rng, ConnectionRotation([listen]), f"f{self.seed}-")
             until, number = loop.time() + seconds, 0
             while loop.time() < until:
                 self.ask(clients, number)
                 number += 1
                 if number % (10 * RATE) == 0:
                     self.trouble()
-                await asyncio.sleep(self.chance.expovariate(RATE))
-            while clients.out:
+                await asyncio.sleep(self.rng.expovariate(RATE))
+            while clients.open_requests:
                 await asyncio.sleep(0.05)
         finally:
             process.terminate()
@@ -117,13 +117,21 @@
         limit = min(kind.hard_limit, route.total_time or kind.hard_limit)
         method = route.methods[0] if route.methods else "GET"
         headers = tuple(route.headers.items())
-        ask = Ask(clients.name(), kind.effect, limit, limit, path=route.path, method=method, headers=headers)
+        ask = ClientRequest(
+            clients.next_trace_id(),
+            kind.effect,
+            limit,
+            limit,
+            path=route.path,
+            method=method,
+            headers=headers,
+        )
         if ask.method == "POST":
             ask.body = b"x" * 50
-        clients.ask(ask)
+        clients.send(ask)
 
     def trouble(self) -> None:
-        upstream, what = self.chance.choice(self.upstreams), self.chance.choice(TROUBLES)
+        upstream, what = self.rng.choice(self.upstreams), self.rng.choice(FAULT_KINDS)
         if what == "reset":
             return upstream.reset_all()
         before = getattr(upstream, what)
--- a/tests/routing_rules/play.py
+++ b/tests/routing_rules/play.py
@@ -16,28 +16,28 @@
 
 from corpus import make  # noqa: E402
 
-from dahliabend.simulation.services import TROUBLES, ServiceWorld  # noqa: E402
+from dahliabend.simulation.operator_file_simulation import FAULT_KINDS, OperatorFileSimulation  # noqa: E402
 
 S = 1_000_000
 RATE = 8.0  # transactions a second, all routes in turn
 
 
 def play(seed: int, span: int) -> tuple[int, dict, list[str], int]:
-    world, chance = ServiceWorld(make(seed).files, seed), Random(seed)
+    world, rng = OperatorFileSimulation(make(seed).files, seed), Random(seed)
 
-    def act(world: ServiceWorld) -> None:
-        world.load(world.plan().file, RATE, span)
+    def act(world: OperatorFileSimulation) -> None:
+        world.load(world.load_file().file, RATE, span)
         for at in range(0, span, 10 * S):
-            name = chance.choice(sorted(world.upstreams))
-            wait = at + chance.randrange(5 * S)
-            world.later(wait, world.trouble, name, chance.choice(TROUBLES), 3 * S)
+            name = rng.choice(sorted(world.upstreams))
+            wait = at + rng.randrange(5 * S)
+            world.call_later(wait, world.inject_fault, name, rng.choice(FAULT_KINDS), 3 * S)
 
-    world.play(act, span)
+    world.run(act, span)
     return (
         seed,
-        world.rules.counts,
-        [str(violation) for violation in world.rules.violations],
-        world.kernel.steps,
+        world.invariants.counts,
+        [str(violation) for violation in world.invariants.violations],
+        world.scheduler.steps,
     )
 
 
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -12,10 +12,10 @@
 from helpers import free_addresses
 
 from dahliabend.routing_rules.weighted_split import WeightedSplit
-from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.operator_file_simulation import FAULT_KINDS, OperatorFileSimulation
+from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.operators import call
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
-from dahliabend.simulation.services import TROUBLES, ServiceWorld
 
 MS, S = 1_000, 1_000_000
 TOP = """
@@ -47,26 +47,27 @@
 
 
 def world(*parts, seed=1):
-    return ServiceWorld({"file.toml": TOP + "\n".join(parts)}, seed)
+    return OperatorFileSimulation({"file.toml": TOP + "\n".join(parts)}, seed)
 
 
 def went(made, kind="effect"):
     """How many ran in each pool."""
-    return Counter(line[3].rpartition("-")[0] for line in made.witness.lines if line[1] == kind)
+    return Counter(line[3].rpartition("-")[0] for line in made.recorder.events if line[1] == kind)
 
 
 def loaded(made, rate, span, act=lambda world: None):
     def begin(world):
-        world.load(world.plan().file, rate, span)
+        world.load(world.load_file().file, rate, span)
         act(world)
 
-    made.play(begin, span)
-    assert not made.rules.violations, [str(violation) for violation in made.rules.violations]
+    made.run(begin, span)
+    assert not made.invariants.violations, [str(violation) for violation in made.invariants.violations]
     return made
 
 
 def part(made, name):
-    asked, within, _ = made.rules.tally[name]
+    tally = made.invariants.tally[name]
+    asked, within = tally.asked, tally.in_time
     return within / asked
 
 
@@ -74,18 +75,18 @@
     """20,000 transactions to split; then, beside another route, a canary that fails nine of ten."""
 
     def fails(made):
-        for name in made.by_pool["next"]:
-            made.later(20 * S, made.trouble, name, "fail", 60 * S)
+        for name in made.upstreams_by_pool["next"]:
+            made.call_later(20 * S, made.inject_fault, name, "fail", 60 * S)
 
     parts = pool("main", 4), pool("next", 2, net=2), route("split", "pools = { main = 90, next = 10 }")
     made = loaded(world(*parts), 200, 100 * S)
-    split = Counter(line[4].rpartition("-")[0] for line in made.witness.lines if line[1] == "hop.head")
-    assert made.rules.counts["asked"] == 20_000 and abs(split["next"] / 20_000 - 0.10) <= 0.01
+    split = Counter(line[4].rpartition("-")[0] for line in made.recorder.events if line[1] == "hop.head")
+    assert made.invariants.counts["asked"] == 20_000 and abs(split["next"] / 20_000 - 0.10) <= 0.01
     parts += (route("own", 'path = "/own"', 'pool = "main"'),)
     calm = part(loaded(world(*parts), 100, 20 * S), "own")
     made = loaded(world(*parts), 100, 60 * S, fails)
     assert abs(part(made, "own") - calm) <= 0.01
-    assert made.rules.counts["refused"] > 0  # by the held percentages of its own pool
+    assert made.invariants.counts["refused"] > 0  # by the held percentages of its own pool
 
 
 def test_one_customer_sees_one_version():
@@ -95,16 +96,18 @@
     )  # fmt: skip
 
     def begin(world):
-        file = world.plan().file
+        file = world.load_file().file
         for number in range(200):
-            ask = world.ask(file, 0, (("X-Customer", f"c{number % 10}"),))
-            ask.target = b"?c%d" % (number % 10)
-            world.kernel.at(world.kernel.now + number * 20_000, world.client, world.clients.ask, ask)
-
-    made.play(begin, 5 * S)
-    assert not made.rules.violations and len(went(made)) == 2
+            ask = world.make_request(file, 0, (("X-Customer", f"c{number % 10}"),))
+            ask.query_string = b"?c%d" % (number % 10)
+            world.scheduler.call_at(
+                world.scheduler.now + number * 20_000, world.client_process, world.clients.send, ask
+            )
+
+    made.run(begin, 5 * S)
+    assert not made.invariants.violations and len(went(made)) == 2
     turns = {}
-    for line in made.witness.lines:
+    for line in made.recorder.events:
         if line[1] == "effect":
             customer = (int(line[2][1:]) - 1) % 10
             turns.setdefault(customer, set()).add(line[3].rpartition("-")[0])
@@ -129,11 +132,11 @@
 
     def begin(world):
         for number in range(len(names)):
-            world.rules.asked(f"t{number}", "split", 0, S)
-        world.start(world.client, world.client.loop.create_connection(Ahead, *world.place))
+            world.invariants.clients.request_sent(f"t{number}", "split", 0, S)
+        world.spawn(world.client_process, world.client_process.loop.create_connection(Ahead, *world.address))
 
-    made.play(begin, 5 * S)
-    ran = {line[2]: line[3].rpartition("-")[0] for line in made.witness.lines if line[1] == "effect"}
+    made.run(begin, 5 * S)
+    ran = {line[2]: line[3].rpartition("-")[0] for line in made.recorder.events if line[1] == "effect"}
     assert (
         ran == {f"t{n}": split.pool_for_key(name) for n, name in enumerate(names)}
         and len(set(ran.values())) == 2
@@ -147,16 +150,16 @@
     )  # fmt: skip
 
     def die(made):
-        for name in made.by_pool["main"]:
-            made.later(5 * S, made.kill, name)
-            made.later(15 * S, made.again, name)
+        for name in made.upstreams_by_pool["main"]:
+            made.call_later(5 * S, made.kill, name)
+            made.call_later(15 * S, made.restart, name)
 
     loaded(made, 30, 50 * S, die)
-    runs = [(line[0], line[3].rpartition("-")[0]) for line in made.witness.lines if line[1] == "effect"]
+    runs = [(line[0], line[3].rpartition("-")[0]) for line in made.recorder.events if line[1] == "effect"]
     assert {pool for at, pool in runs if at < 6 * S} == {"main"}
     assert "spare" in {pool for at, pool in runs if 8 * S < at < 16 * S}
     assert {pool for at, pool in runs if at > 45 * S} == {"main"}
-    assert made.rules.counts["served"] > 0.9 * made.rules.counts["asked"]
+    assert made.invariants.counts["served"] > 0.9 * made.invariants.counts["asked"]
 
 
 def test_a_mirror_gets_copies_of_what_may_run_again_and_its_answers_go_nowhere():
@@ -167,29 +170,30 @@
     )  # fmt: skip
 
     def hang(made):
-        for name in made.by_pool["dark"]:
-            made.later(5 * S, made.trouble, name, "hang", 10 * S)
+        for name in made.upstreams_by_pool["dark"]:
+            made.call_later(5 * S, made.inject_fault, name, "hang", 10 * S)
 
     loaded(made, 40, 20 * S, hang)
     runs = went(made)
-    assert made.rules.counts["served"] == 800 == runs["main"]
+    assert made.invariants.counts["served"] == 800 == runs["main"]
     assert 60 < runs["dark"] < 250  # of 400 queries half, and none while it hung
 
 
 def test_a_limit_turns_away_at_once_and_says_when_to_come_back():
     made = world(pool("main"), route("all", 'pool = "main"', 'rate = "10/s"', "burst = 5"))
     loaded(made, 50, 10 * S)
-    assert 95 <= made.rules.counts["served"] <= 115
-    assert made.rules.counts["refused"] == 500 - made.rules.counts["served"]
+    assert 95 <= made.invariants.counts["served"] <= 115
+    assert made.invariants.counts["refused"] == 500 - made.invariants.counts["served"]
     held = world(pool("main"), route("all", 'pool = "main"', "concurrency = 1"))
 
     def hang(made):
-        for name in made.by_pool["main"]:
-            made.later(1 * S, made.trouble, name, "hang", 3 * S)
+        for name in made.upstreams_by_pool["main"]:
+            made.call_later(1 * S, made.inject_fault, name, "hang", 3 * S)
 
     loaded(held, 20, 8 * S, hang)
     assert (
-        held.rules.counts["refused"] > 20 and held.program.dispatcher.routes.choices[0].limit.in_flight == 0
+        held.invariants.counts["refused"] > 20
+        and held.program.dispatcher.routes.choices[0].limit.in_flight == 0
     )
 
 
@@ -202,15 +206,15 @@
 
     def hang(made):
         for number in range(3):
-            made.later((1 + 3 * number) * S, made.trouble, f"main-{number}", "hang", S)
+            made.call_later((1 + 3 * number) * S, made.inject_fault, f"main-{number}", "hang", S)
 
     loaded(made, 40, 10 * S, hang)
-    hops = Counter(line[2] for line in made.witness.lines if line[1] == "hop.head")
-    named = {line[2]: line[3] for line in made.witness.lines if line[1] == "asked"}
+    hops = Counter(line[2] for line in made.recorder.events if line[1] == "hop.head")
+    named = {line[2]: line[3] for line in made.recorder.events if line[1] == "asked"}
     most = {name: max(hops[trace] for trace in hops if named[trace] == name) for name in ("quick", "once")}
     assert most == {"quick": 2, "once": 1}
-    ends = {line[2]: line[0] for line in made.witness.lines if line[1] == "answer"}
-    begins = {line[2]: line[0] for line in made.witness.lines if line[1] == "hop.head"}
+    ends = {line[2]: line[0] for line in made.recorder.events if line[1] == "answer"}
+    begins = {line[2]: line[0] for line in made.recorder.events if line[1] == "hop.head"}
     slow = [t for t in ends if named[t] == "quick" and ends[t] - begins[t] > 200 * MS]
     assert not slow and part(made, "quick") > 0.98
 
@@ -223,12 +227,12 @@
 
     def slow(made):
         for number in range(3):
-            made.later((1 + 3 * number) * S, made.trouble, f"main-{number}", "hang", S)
+            made.call_later((1 + 3 * number) * S, made.inject_fault, f"main-{number}", "hang", S)
 
     loaded(made, 40, 10 * S, slow)
-    named = {line[2]: line[3] for line in made.witness.lines if line[1] == "asked"}
-    begins, ends, hops = {}, {}, Counter(line[2] for line in made.witness.lines if line[1] == "hop.head")
-    for line in made.witness.lines:
+    named = {line[2]: line[3] for line in made.recorder.events if line[1] == "asked"}
+    begins, ends, hops = {}, {}, Counter(line[2] for line in made.recorder.events if line[1] == "hop.head")
+    for line in made.recorder.events:
         if line[1] == "hop.head":
             begins.setdefault(line[2], line[0])
         if line[1] == "answer":
@@ -241,13 +245,13 @@
     first = pool("main"), pool("old", net=2), route("all", "pools = { main = 1, old = 1 }")
     then = TOP + pool("main") + pool("new", net=3) + route("all", "pools = { main = 1, new = 3 }")
     made = world(*first)
-    loaded(made, 100, 20 * S, lambda made: made.later(10 * S, made.reload, {"file.toml": then}))
-    runs = [(line[0], line[3].rpartition("-")[0]) for line in made.witness.lines if line[1] == "effect"]
+    loaded(made, 100, 20 * S, lambda made: made.call_later(10 * S, made.reload, {"file.toml": then}))
+    runs = [(line[0], line[3].rpartition("-")[0]) for line in made.recorder.events if line[1] == "effect"]
     zero = 11 * S
     before, after = (Counter(p for at, p in runs if (at < zero) is early) for early in (True, False))
     assert before["main"] > 400 and before["old"] > 400 and not before["new"]
     assert after["old"] <= 3 and abs(after["new"] / (after["new"] + after["main"]) - 0.75) < 0.02
-    assert made.rules.counts["served"] == 2_000 and set(made.program.dispatcher.pools_by_name) == {
+    assert made.invariants.counts["served"] == 2_000 and set(made.program.dispatcher.pools_by_name) == {
         "main",
         "new",
     }
@@ -262,60 +266,60 @@
     made = world(pool("main"), route("all", 'pool = "main"'))
     if text == TOP:
         text += pool("main") + route("all", 'pool = "main"', kind="submits")
-    loaded(made, 50, 10 * S, lambda made: made.later(3 * S, made.reload, {"file.toml": text}))
-    assert made.rules.counts["served"] == 500
+    loaded(made, 50, 10 * S, lambda made: made.call_later(3 * S, made.reload, {"file.toml": text}))
+    assert made.invariants.counts["served"] == 500
     assert made.program.metrics.configs_rejected == 1 and made.program.metrics.configs_accepted == 0
 
 
 def test_an_upstream_in_two_pools_is_excluded_once_for_both():
     twin = pool("one") + pool("one").replace("[pools.one]", "[pools.two]")
     made = world(twin, route("a", 'path = "/a"', 'pool = "one"'), route("b", 'path = "/b"', 'pool = "two"'))
-    loaded(made, 50, 20 * S, lambda made: made.later(5 * S, lambda: made.program.exclude("one-0", True)))
-    late = {line[4] for line in made.witness.lines if line[1] == "hop.head" and line[0] > 6 * S}
+    loaded(made, 50, 20 * S, lambda made: made.call_later(5 * S, lambda: made.program.exclude("one-0", True)))
+    late = {line[4] for line in made.recorder.events if line[1] == "hop.head" and line[0] > 6 * S}
     assert late == {"one-1", "one-2"}
 
 
 def test_a_members_file_is_watched_and_half_of_one_takes_nothing_out():
     made = world('[pools.filed]\nfile = "members.json"\n', route("all", 'pool = "filed"'))
     path = "/etc/dahliabend/members.json"
-    whole = json.loads(made.machines.files[path])
+    whole = json.loads(made.host.files[path])
 
     def write(text):
-        made.machines.files[path] = text
+        made.host.files[path] = text
 
     def act(made):
-        made.later(4 * S, write, b'{"servers": [')
-        made.later(8 * S, write, json.dumps({"servers": whole["servers"][:1]}).encode())
+        made.call_later(4 * S, write, b'{"servers": [')
+        made.call_later(8 * S, write, json.dumps({"servers": whole["servers"][:1]}).encode())
 
     loaded(made, 50, 15 * S, act)
-    used = [(line[0], line[4]) for line in made.witness.lines if line[1] == "hop.head"]
+    used = [(line[0], line[4]) for line in made.recorder.events if line[1] == "hop.head"]
     assert len({name for at, name in used if 5 * S < at < 8 * S}) == 3
-    assert len({name for at, name in used if at > 11 * S}) == 1 and made.rules.counts["served"] == 750
+    assert len({name for at, name in used if at > 11 * S}) == 1 and made.invariants.counts["served"] == 750
 
 
 @pytest.mark.parametrize("seed", [0, 4, 10, 22, 36, 58])
 def test_sound_files_are_served_through_troubles_without_a_broken_rule(seed):
     """Some of the corpus, for half a minute each; tests/routing_rules/play.py plays all for five."""
     drawn = Random(seed)
-    made = ServiceWorld(make(seed).files, seed)
+    made = OperatorFileSimulation(make(seed).files, seed)
 
     def troubles(made):
         for second in range(0, 30, 5):
             name = drawn.choice(sorted(made.upstreams))
-            made.later(second * S, made.trouble, name, drawn.choice(TROUBLES), 3 * S)
+            made.call_later(second * S, made.inject_fault, name, drawn.choice(FAULT_KINDS), 3 * S)
 
     loaded(made, 20, 30 * S, troubles)
-    assert made.rules.counts["served"] > 300
+    assert made.invariants.counts["served"] > 300
 
 
 async def serve(folder):
     """A file with two pools on real sockets, asked, reloaded and ended."""
-    loop, seen, chance = asyncio.get_running_loop(), [], Random(5)
+    loop, seen, rng = asyncio.get_running_loop(), [], Random(5)
     listen, *rest = free_addresses(5)
     for number, text in enumerate(rest):
         host, port = text.split(":")
-        spec = UpstreamSpec(f"s-{number}", host, int(port), "a", number, work=2_000)
-        await Upstream(spec, loop, lambda *event: seen.append(event), chance, 0, lambda: False).open()
+        spec = UpstreamSpec(f"s-{number}", host, int(port), "a", number, mean_work=2_000)
+        await Upstream(spec, loop, lambda *event: seen.append(event), rng, 0, lambda: False).open()
     rows = [f'{{ id = "s-{n}", address = "{address}" }}' for n, address in enumerate(rest)]
     pools = (
         f"[pools.main]\nmembers = [{rows[0]}, {rows[1]}]\n[pools.next]\nmembers = [{rows[2]}, {rows[3]}]\n"
@@ -332,11 +336,13 @@
         while (await call(loop, place, "GET", "/-/ready"))[0] != 200:
             await asyncio.sleep(0.05)
         for turn in range(2):
-            clients = Clients(loop, lambda *event: seen.append(event), chance, Front([place]), f"c{turn}-")
+            clients = Clients(
+                loop, lambda *event: seen.append(event), rng, ConnectionRotation([place]), f"c{turn}-"
+            )
             for _ in range(40):
-                clients.ask(Ask(clients.name(), "query", S, S))
+                clients.send(ClientRequest(clients.next_trace_id(), "query", S, S))
                 await asyncio.sleep(0.004)
-            while clients.out:
+            while clients.open_requests:
                 await asyncio.sleep(0.01)
             path.write_text(text.replace('pool = "main"', 'pool = "next"'))
             process.send_signal(1)
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -6,9 +6,9 @@
 from dahliabend.membership.codec import MemberStatus
 from dahliabend.membership.failure_detector import SwimConfig
 from dahliabend.simulation.cluster import script
-from dahliabend.simulation.cluster.ground_truth import Truth
-from dahliabend.simulation.cluster.invariants import Claim, Outcome, judge
-from dahliabend.simulation.cluster.model import Model, play
+from dahliabend.simulation.cluster.ground_truth import GroundTruth
+from dahliabend.simulation.cluster.invariants import MembershipChange, Outcome, check_membership_changes
+from dahliabend.simulation.cluster.model import ClusterModel, run_script
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 
 AGREE = Step(until="agree")
@@ -20,12 +20,13 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_drawn_troubles_bury_nobody_who_is_there_and_all_agree_after_them(seed):
-    assert play(script.draw(seed, (5, 8, 16)[seed % 3])).violations == []
+    assert run_script(script.draw(seed, (5, 8, 16)[seed % 3])).violations == []
 
 
 def test_the_same_seed_plays_the_same():
-    one, other = (play(script.draw(7)) for _ in range(2))
-    assert one.lines == other.lines and one.counts == other.counts
+    one, other = (run_script(script.draw(7)) for _ in range(2))
+    assert one.lines == other.lines
+    assert one.counts == other.counts
 
 
 THREE = [0, 1, 2], [3, 4, 5], [6, 7, 8]
@@ -76,7 +77,7 @@
 
 @pytest.mark.parametrize("name", HARD)
 def test_hard_cases(name):
-    assert play(HARD[name]).violations == []
+    assert run_script(HARD[name]).violations == []
 
 
 def test_seeds_that_are_all_dead_don_t_matter_to_those_that_know_others():
@@ -85,17 +86,23 @@
         steps=[AGREE, Step("kill", whom=[0, 1], until="out"), Step("lose", size=0.2), Step(wait=s(30)),
                Step("start", whom=[0], wait=s(10)), Step("start", whom=[5]), Step("mend"), AGREE],
     )  # fmt: skip
-    assert play(fleet).violations == []
+    assert run_script(fleet).violations == []
 
 
 def test_checks_find_a_false_death_a_late_one_and_views_that_differ():
-    truth = Truth(3)
+    ground_truth = GroundTruth(3)
     for number in range(3):
-        truth.start(0, number)
-    truth.end(100 * S, 2)
-    joined = [Claim(S, a, "joined", b) for a in range(3) for b in range(3) if a != b]
+        ground_truth.start(0, number)
+    ground_truth.end(100 * S, 2)
+    format_address = [MembershipChange(S, a, "joined", b) for a in range(3) for b in range(3) if a != b]
     outcome = Outcome()
-    judge(truth, [*joined, Claim(50 * S, 0, "died", 1)], SwimConfig(), 400 * S, outcome)
+    check_membership_changes(
+        ground_truth,
+        [*format_address, MembershipChange(50 * S, 0, "died", 1)],
+        SwimConfig(),
+        400 * S,
+        outcome,
+    )
     assert sorted(text.split(": ")[1] for text in outcome.violations) == [
         "false death",
         "seen late",
@@ -105,7 +112,7 @@
         instances=3,
         steps=[AGREE, Step("split", parts=[[0], [1, 2]], wait=s(60)), Step(until="agree", within=s(1))],
     )
-    assert "agree" in play(fleet).violations[0]
+    assert "agree" in run_script(fleet).violations[0]
 
 
 def test_without_what_it_is_for_the_seeds_find_it():
@@ -114,16 +121,16 @@
     def deaths(patch):
         found = 0
         for seed in range(12):
-            model = Model(script.draw(seed))
-            begin = model.town.begin
+            model = ClusterModel(script.draw(seed))
+            begin = model.cluster.start_instance
 
             def started(*given, begin=begin, **more):
                 made = begin(*given, **more)
                 patch(made)
                 return made
 
-            model.town.begin = started
-            found += any("false death" in text for text in model.play().violations)
+            model.cluster.start_instance = started
+            found += any("false death" in text for text in model.run_script().violations)
         return found
 
     def hearsay(machine):
@@ -138,7 +145,8 @@
 
         machine.apply_update = bury_by_hearsay
 
-    assert deaths(lambda _: None) == 0 and deaths(hearsay) > 0
+    assert deaths(lambda _: None) == 0
+    assert deaths(hearsay) > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/cluster/test_duty_search.py
+++ b/tests/simulation/cluster/test_lease_search.py
@@ -1,9 +1,9 @@
-"""All interleavings of three instances and one duty; two planted defects are found."""
+"""All interleavings of three instances and one duty; two planted defects are result."""
 
 import pytest
 
 from dahliabend.leases.election import MS, DueTask, LeaseElection
-from dahliabend.simulation.cluster.duty_search import search
+from dahliabend.simulation.cluster.lease_search import search
 
 
 @pytest.mark.parametrize(
@@ -17,8 +17,10 @@
     ],
 )
 def test_no_interleaving_has_two_under_one_number_or_three_in_a_period(depth, losses, stops, cuts, least):
-    found = search(depth, losses, stops, cuts)
-    assert found.broken == "" and found.depth == depth and found.states >= least
+    result = search(depth, losses, stops, cuts)
+    assert result.violation == ""
+    assert result.depth == depth
+    assert result.states >= least
 
 
 class Deaf(LeaseElection):
@@ -52,7 +54,8 @@
         return [*made, *(DueTask(task, self.leases[task].fencing_token) for task in claimed)]
 
 
-@pytest.mark.parametrize(("defect", "says"), [(Deaf, "a number went back"), (Hasty, "three times")])
-def test_planted_defects_are_found_with_a_trace(defect, says):
-    found = search(18, stops=1, make=defect)
-    assert found.broken.startswith(says) and 0 < len(found.trace) <= 18
+@pytest.mark.parametrize(("defect", "expected"), [(Deaf, "a number went back"), (Hasty, "three times")])
+def test_planted_defects_are_found_with_a_trace(defect, expected):
+    result = search(18, stops=1, make=defect)
+    assert result.violation.startswith(expected)
+    assert 0 < len(result.trace) <= 18
--- a/tests/simulation/cluster/test_search.py
+++ b/tests/simulation/cluster/test_membership_search.py
@@ -4,7 +4,12 @@
 
 from dahliabend.membership.codec import MemberStatus
 from dahliabend.membership.failure_detector import MembershipProtocol, SwimConfig
-from dahliabend.simulation.cluster.search import agreed, begin, search, sound
+from dahliabend.simulation.cluster.membership_search import (
+    find_unsafe_change,
+    find_unsettled,
+    initial_state,
+    search,
+)
 
 QUICK = SwimConfig(indirect_probes=1, sync_interval=5, suspicion_multiplier=1.0, max_suspicion_factor=1.0)
 DEPTH = 6
@@ -16,7 +21,8 @@
     def apply_update(self, now, update):
         member = self.members.get(update.name)
         if member is not None and update.status is MemberStatus.DEAD:
-            return self.declare_dead(now, member)
+            self.declare_dead(now, member)
+            return
         super().apply_update(now, update)
 
 
@@ -37,27 +43,33 @@
     def apply_update(self, now, update):
         member = self.members.get(update.name)
         if member is not None and update.incarnation < member.update.incarnation:
-            return self.store_update(now, update, "")
+            self.store_update(now, update, "")
+            return
         super().apply_update(now, update)
 
 
 @pytest.mark.parametrize("suspected", [False, True])
 def test_no_order_of_events_breaks_an_invariant(suspected):
-    found = search(begin(QUICK, suspected=suspected), DEPTH, sound, rests=40)
-    assert not found.violation and found.deepest == DEPTH and found.states > 500
-    assert all(found.moves[kind] for kind in ("comes", "lost", "wakes", "stopped"))
+    result = search(initial_state(QUICK, is_suspected=suspected), DEPTH, find_unsafe_change, settle_every=40)
+    assert not result.violation
+    assert result.deepest == DEPTH
+    assert result.states > 500
+    assert all(result.moves[kind] for kind in ("comes", "lost", "wakes", "stopped"))
 
 
 @pytest.mark.parametrize(
-    ("defect", "says"),
+    ("defect", "expected"),
     [(Hearsay, "which it had not suspected"), (Unmoved, "as it woke"), (Backwards, "went back")],
 )
-def test_each_planted_defect_is_found_with_a_shortest_trace(defect, says):
-    found = search(begin(QUICK, make=defect, suspected=True, losses=0), 12, sound)
-    assert says in found.violation and 0 < len(found.trace) <= 12
-    sound_one = search(begin(QUICK, suspected=True), min(DEPTH, len(found.trace)), sound)
-    assert not sound_one.violation
+def test_each_planted_defect_is_found_with_a_shortest_trace(defect, expected):
+    result = search(initial_state(QUICK, make=defect, is_suspected=True, losses=0), 12, find_unsafe_change)
+    assert expected in result.violation
+    assert 0 < len(result.trace) <= 12
+    correct = search(
+        initial_state(QUICK, is_suspected=True), min(DEPTH, len(result.trace)), find_unsafe_change
+    )
+    assert not correct.violation
 
 
 def test_a_fleet_left_alone_comes_to_rest():
-    assert agreed(begin(QUICK, suspected=True)) == ""
+    assert find_unsettled(initial_state(QUICK, is_suspected=True)) == ""
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -417,16 +417,17 @@
 }
 
 
-def caught(name: str, seeds: range) -> sweep.Seen | None:
+def caught(name: str, seeds: range) -> sweep.SeedResult | None:
     """The first of these seeds at which a check names that defect."""
     defect = DEFECTS[name]
     with defect.plant():
         return next(
-            sweep.first(lambda seen: bool(set(defect.rules) & set(seen.rules)), seeds, defect.kinds), None
+            sweep.matching_runs(lambda seen: bool(set(defect.rules) & set(seen.rules)), seeds, defect.kinds),
+            None,
         )
 
 
-def need(name: str, count: int) -> tuple[str, sweep.Seen | None]:
+def need(name: str, count: int) -> tuple[str, sweep.SeedResult | None]:
     return name, caught(name, range(count))
 
 
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -20,7 +20,9 @@
     path.write_text(out)
     status, out, _ = run("emulate", "replay", str(path), "--about", "c1")
     lines = out.splitlines()
-    assert status == 0 and "c1: " in lines[0] + lines[1] + lines[2] and lines[-1].startswith("digest ")
+    assert status == 0
+    assert "c1: " in lines[0] + lines[1] + lines[2]
+    assert lines[-1].startswith("digest ")
     assert run("emulate", "replay", str(path), "--quiet")[1].splitlines()[-1] == lines[-1]
 
 
@@ -28,7 +30,9 @@
     path = tmp_path / "bad.toml"
     path.write_text('[[faults]]\nwhat = "kill"\nwhom = 5\nat = "1s"\n')
     status, out, err = run("emulate", "replay", str(path))
-    assert status == 2 and not out and "bad.toml: $.faults[0].whom: there is no balancer 5" in err
+    assert status == 2
+    assert not out
+    assert "bad.toml: $.faults[0].whom: there is no balancer 5" in err
     assert run("emulate", "sweep", "--seeds", "x")[0] == 2
     assert run("emulate", "sweep", "--fault", "tea", "--seeds", "1")[0] == 2
 
@@ -37,15 +41,22 @@
     status, out, _ = run(
         "emulate", "sweep", "--seeds", "3..6", "--jobs", "2", "--fault", "hang", COLUMNS="200"
     )
-    assert status == 0 and "hang" in out and "0 runs broke a rule" in out and "4 runs" in out
+    assert status == 0
+    assert "hang" in out
+    assert "0 runs broke a rule" in out
+    assert "4 runs" in out
 
 
 def test_what_a_program_reads_and_what_a_shell_completes(tmp_path):
     status, out, _ = run("emulate", "replay", "3", "--json")
-    assert status == 0 and json.loads(out)["violations"] == [] and json.loads(out)["counts"]["asked"] >= 100
+    assert status == 0
+    assert json.loads(out)["violations"] == []
+    assert json.loads(out)["counts"]["asked"] >= 100
     status, out, _ = run("emulate", "sweep", "--seeds", "2", "--jobs", "1", "--json")
-    assert status == 0 and json.loads(out)["runs"] == 2
-    assert "_DAHLIABEND_COMPLETE" in run("completion", "bash")[1] and run("completion", "csh")[0] == 2
+    assert status == 0
+    assert json.loads(out)["runs"] == 2
+    assert "_DAHLIABEND_COMPLETE" in run("completion", "bash")[1]
+    assert run("completion", "csh")[0] == 2
     assert run("events")[1].startswith("# Events")
 
 
@@ -63,4 +74,5 @@
         [sys.executable, "-c", code], capture_output=True, text=True,
         env={name: value for name, value in os.environ.items() if name != "PROXY_CONFIG"},
     )  # fmt: skip
-    assert done.stdout.strip() == "[]" and "PROXY_CONFIG" in done.stderr
+    assert done.stdout.strip() == "[]"
+    assert "PROXY_CONFIG" in done.stderr
--- a/tests/simulation/test_loopback.py
+++ b/tests/simulation/test_loopback.py
@@ -9,7 +9,7 @@
 
 from helpers import CONF, free_addresses
 
-from dahliabend.simulation.peers.clients import Ask, Clients, Front
+from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.simulation.peers.operators import call
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
@@ -25,22 +25,24 @@
 
 async def play(path):
     """What peers saw of some requests, one upstream reset in the middle of them."""
-    loop, seen, chance = asyncio.get_running_loop(), [], Random(5)
+    loop, seen, rng = asyncio.get_running_loop(), [], Random(5)
 
-    def witness(*event):
+    def recorder(*event):
         seen.append(event)
 
     listen, listing, *upstreams = free_addresses(5)
     registry, servers = Registry(), []
     for number, address in enumerate(upstreams):
-        spec = UpstreamSpec(f"s-{number}", *place(address), "a", number, work=3_000, may_probe=True)
-        server = Upstream(spec, loop, witness, chance, 0, lambda: False)
+        spec = UpstreamSpec(
+            f"s-{number}", *place(address), "a", number, mean_work=3_000, answers_health_checks=True
+        )
+        server = Upstream(spec, loop, recorder, rng, 0, lambda: False)
         await server.open()
         servers.append(server)
         registry.put(
             {"id": spec.name, "addr": address, "zone": "a", "cell": number, "state": "up", "started_ms": 0}
         )
-    agent = Agent(registry, loop, witness, chance, 1_000)
+    agent = Agent(registry, loop, recorder, rng, 1_000)
     await agent.open(*place(listing))
     path.write_text(json.dumps({"listen": listen, "discovery": listing, "settings": CONF}))
     process = await asyncio.create_subprocess_exec(
@@ -50,14 +52,18 @@
     try:
         while (await call(loop, place(listen), "GET", "/-/ready"))[0] != 200:
             await asyncio.sleep(0.02)
-        clients = Clients(loop, witness, chance, Front([place(listen)]), "c")
+        clients = Clients(loop, recorder, rng, ConnectionRotation([place(listen)]), "c")
         for number in range(REQUESTS):
             name = "submit" if number % 3 else "query"
-            clients.ask(Ask(clients.name(), name, 2 * S, 2 * S, body=b"x" * 100 if number % 3 else b""))
+            clients.send(
+                ClientRequest(
+                    clients.next_trace_id(), name, 2 * S, 2 * S, body=b"x" * 100 if number % 3 else b""
+                )
+            )
             if number == REQUESTS // 2:
                 servers[0].reset_all()
             await asyncio.sleep(0.005)
-        while clients.out:
+        while clients.open_requests:
             await asyncio.sleep(0.01)
     finally:
         process.terminate()
@@ -71,7 +77,9 @@
     effects = Counter(event[1] for event in seen if event[0] == "effect")
     made = {(event[1], event[2]) for event in seen if event[0] == "made"}
     submits = {event[1] for event in seen if event[0] == "asked" and event[2] == "submit"}
-    assert len(answers) == REQUESTS and set(answers.values()) == {1}
+    assert len(answers) == REQUESTS
+    assert set(answers.values()) == {1}
     assert all(effects[trace] <= 1 for trace in submits)
     served = [event for event in seen if event[0] == "answer" and event[2] == 200]
-    assert len(served) > REQUESTS // 2 and all((event[1], event[3]) in made for event in served)
+    assert len(served) > REQUESTS // 2
+    assert all((event[1], event[3]) in made for event in served)
--- a/tests/simulation/test_script.py
+++ b/tests/simulation/test_scenario.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from dahliabend.simulation.script import GROUP_OF, S, Scenario, decode, draw, encode, read
+from dahliabend.simulation.scenario import GROUP_OF, S, Scenario, decode, encode, read
+from dahliabend.simulation.scenario_generator import draw
 
 
 @pytest.mark.parametrize(
@@ -50,7 +51,9 @@
         'seed = 4\n[world]\nupstreams = 3\n[[faults]]\nwhat = "hang"\non = "begun"\nafter = "1us"\n'
     )
     made = read(str(path))
-    assert decode(encode(made)) == made and made.faults[0].after == 1 and made.length == 5 * S
+    assert decode(encode(made)) == made
+    assert made.faults[0].after == 1
+    assert made.length == 5 * S
 
 
 def test_what_is_drawn_can_be_and_a_seed_draws_the_same_each_time():
@@ -58,7 +61,9 @@
     for seed in range(400):
         made = draw(seed)
         assert decode(encode(made)) == made == draw(seed)
-        assert made.world.balancers >= 2 and made.load.requests >= 100 and made.length >= 5 * S
+        assert made.world.balancers >= 2
+        assert made.load.requests >= 100
+        assert made.length >= 5 * S
         assert made.faults
         seen |= {fault.what for fault in made.faults}
     assert seen == set(GROUP_OF)
