--- a/tests/process_tests/test_runner.py
+++ b/tests/process_tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Real processes with faults between them: the same script as on the model, and the same verdict."""
+"""Real processes with faults between them: the same scripts as in the simulation, and the same results."""
 
 import asyncio
 from pathlib import Path
@@ -14,7 +14,7 @@
     return {change.subject for change in membership_changes if change.kind == change}
 
 
-def test_what_membership_bears_between_real_processes_is_what_the_model_bears():
+def test_membership_between_real_processes_behaves_as_simulated():
     fleet = script.read(str(SCRIPT))
     model, runner = ClusterModel(fleet), ProcessTestRunner(fleet, traffic=20)
     assert model.run_script().violations == []
@@ -38,21 +38,21 @@
     assert max(served.values()) <= 1.15 * mean + 4 * mean**0.5
 
 
-def test_what_several_say_of_an_upstream_is_believed_between_real_processes():
+def test_health_reports_of_several_are_used_between_real_processes():
     runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "signals.toml")), traffic=120, upstreams=24)
     assert asyncio.run(runner.run_script()).violations == []
     assert runner.outcome.counts["believed"] >= 1
     assert runner.outcome.counts["tx 200"] > 100
 
 
-def test_each_upstream_is_probed_about_once_a_period_whoever_is_away():
+def test_each_upstream_is_checked_about_once_a_period_whoever_is_down():
     runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "turns.toml")), traffic=10, upstreams=8)
     assert asyncio.run(runner.run_script()).violations == []
     counts = runner.outcome.counts
     assert 0.5 * counts["probe periods"] <= counts["probes"] <= 1.5 * counts["probe periods"]
 
 
-def test_a_limit_of_the_whole_fleet_holds_between_real_processes():
+def test_a_shared_rate_limit_holds_between_real_processes():
     runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "limits.toml")), traffic=200, upstreams=8)
     assert asyncio.run(runner.run_script()).violations == []
     counts = runner.outcome.counts
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""Scripts of fleets on the modelled network: seeds, hard cases by name, what checks find, bad files."""
+"""Scripts on the simulated network: seeds, hard cases by name, what the invariants find, invalid files."""
 
 import pytest
 
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_drawn_troubles_bury_nobody_who_is_there_and_all_agree_after_them(seed):
+def test_drawn_faults_cause_no_false_death_and_all_agree_afterwards(seed):
     assert run_script(script.draw(seed, (5, 8, 16)[seed % 3])).violations == []
 
 
-def test_the_same_seed_plays_the_same():
+def test_the_same_seed_gives_the_same_run():
     one, other = (run_script(script.draw(7)) for _ in range(2))
     assert one.lines == other.lines
     assert one.counts == other.counts
@@ -80,7 +80,7 @@
     assert run_script(HARD[name]).violations == []
 
 
-def test_seeds_that_are_all_dead_don_t_matter_to_those_that_know_others():
+def test_dead_seeds_do_not_matter_to_members_that_know_others():
     fleet = Fleet(
         instances=6, late=[5], seeds=[0, 1],
         steps=[AGREE, Step("kill", whom=[0, 1], until="out"), Step("lose", size=0.2), Step(wait=s(30)),
@@ -89,7 +89,7 @@
     assert run_script(fleet).violations == []
 
 
-def test_checks_find_a_false_death_a_late_one_and_views_that_differ():
+def test_invariants_find_a_false_death_a_late_detection_and_differing_views():
     ground_truth = GroundTruth(3)
     for number in range(3):
         ground_truth.start(0, number)
@@ -115,8 +115,8 @@
     assert "agree" in run_script(fleet).violations[0]
 
 
-def test_without_what_it_is_for_the_seeds_find_it():
-    """Taken away: deaths by hearsay buried, and one that wakes trusting what it knew."""
+def test_seeds_find_deaths_declared_by_hearsay():
+    """The defect: a member declares dead whom another declared dead."""
 
     def deaths(patch):
         found = 0
@@ -162,7 +162,7 @@
         ('{"stepps": []}', "stepps"),
     ],
 )
-def test_a_faulty_file_is_told_by_its_path(text, path):
+def test_an_invalid_file_is_reported_by_its_path(text, path):
     with pytest.raises(ValueError, match=path.replace("$", r"\$").replace("[", r"\[")):
         script.decode(text.encode())
 
--- a/tests/simulation/cluster/test_lease_search.py
+++ b/tests/simulation/cluster/test_lease_search.py
@@ -16,15 +16,17 @@
         (18, 1, 0, 1, 1_500),
     ],
 )
-def test_no_interleaving_has_two_under_one_number_or_three_in_a_period(depth, losses, stops, cuts, least):
+def test_no_interleaving_has_two_holders_of_one_token_or_three_runs_in_a_period(
+    depth, losses, stops, cuts, least
+):
     result = search(depth, losses, stops, cuts)
     assert result.violation == ""
     assert result.depth == depth
     assert result.states >= least
 
 
-class Deaf(LeaseElection):
-    """Takes the newest word for the truest."""
+class NewestWins(LeaseElection):
+    """Takes the newest announcement for the right one."""
 
     def apply_announcement(self, now, done):
         known = self.leases[done.task]
@@ -41,8 +43,8 @@
         return True
 
 
-class Hasty(LeaseElection):
-    """Works in the moment in which it claims."""
+class RunsAtClaim(LeaseElection):
+    """Runs the task in the moment in which it claims the lease."""
 
     def tick(self, now):
         made = super().tick(now)
@@ -54,7 +56,9 @@
         return [*made, *(DueTask(task, self.leases[task].fencing_token) for task in claimed)]
 
 
-@pytest.mark.parametrize(("defect", "expected"), [(Deaf, "a number went back"), (Hasty, "three times")])
+@pytest.mark.parametrize(
+    ("defect", "expected"), [(NewestWins, "a number went back"), (RunsAtClaim, "three times")]
+)
 def test_planted_defects_are_found_with_a_trace(defect, expected):
     result = search(18, stops=1, make=defect)
     assert result.violation.startswith(expected)
--- a/tests/simulation/cluster/test_membership_search.py
+++ b/tests/simulation/cluster/test_membership_search.py
@@ -16,7 +16,7 @@
 
 
 class Hearsay(MembershipProtocol):
-    """Buries whom another has buried."""
+    """Declares dead whom another has declared dead."""
 
     def apply_update(self, now, update):
         member = self.members.get(update.name)
@@ -26,8 +26,8 @@
         super().apply_update(now, update)
 
 
-class Unmoved(MembershipProtocol):
-    """Goes on after a pause as if nothing had been, and buries without another look."""
+class IgnoresPauses(MembershipProtocol):
+    """Goes on after a pause as if nothing had been, and declares dead without another look."""
 
     def recover_from_pause(self, now): ...
 
@@ -37,7 +37,7 @@
         super().timer_fired(now)
 
 
-class Backwards(MembershipProtocol):
+class AcceptsOldUpdates(MembershipProtocol):
     """Takes over what is older than what it knows."""
 
     def apply_update(self, now, update):
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("suspected", [False, True])
-def test_no_order_of_events_breaks_an_invariant(suspected):
+def test_no_order_of_events_violates_an_invariant(suspected):
     result = search(initial_state(QUICK, is_suspected=suspected), DEPTH, find_unsafe_change, settle_every=40)
     assert not result.violation
     assert result.deepest == DEPTH
@@ -59,7 +59,11 @@
 
 @pytest.mark.parametrize(
     ("defect", "expected"),
-    [(Hearsay, "which it had not suspected"), (Unmoved, "as it woke"), (Backwards, "went back")],
+    [
+        (Hearsay, "which it had not suspected"),
+        (IgnoresPauses, "as it woke"),
+        (AcceptsOldUpdates, "went back"),
+    ],
 )
 def test_each_planted_defect_is_found_with_a_shortest_trace(defect, expected):
     result = search(initial_state(QUICK, make=defect, is_suspected=True, losses=0), 12, find_unsafe_change)
@@ -71,5 +75,5 @@
     assert not correct.violation
 
 
-def test_a_fleet_left_alone_comes_to_rest():
+def test_a_cluster_left_alone_settles():
     assert find_unsettled(initial_state(QUICK, is_suspected=True)) == ""
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -26,7 +26,7 @@
     assert run("emulate", "replay", str(path), "--quiet")[1].splitlines()[-1] == lines[-1]
 
 
-def test_a_file_that_cannot_be_is_one_plain_line_and_status_2(tmp_path):
+def test_an_invalid_file_is_reported_in_one_line_with_status_2(tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text('[[faults]]\nwhat = "kill"\nwhom = 5\nat = "1s"\n')
     status, out, err = run("emulate", "replay", str(path))
@@ -37,7 +37,7 @@
     assert run("emulate", "sweep", "--fault", "tea", "--seeds", "1")[0] == 2
 
 
-def test_a_sweep_says_by_fault_what_was_broken():
+def test_a_sweep_reports_violations_by_fault():
     status, out, _ = run(
         "emulate", "sweep", "--seeds", "3..6", "--jobs", "2", "--fault", "hang", COLUMNS="200"
     )
@@ -47,7 +47,7 @@
     assert "4 runs" in out
 
 
-def test_what_a_program_reads_and_what_a_shell_completes(tmp_path):
+def test_json_output_and_shell_completion(tmp_path):
     status, out, _ = run("emulate", "replay", "3", "--json")
     assert status == 0
     assert json.loads(out)["violations"] == []
--- a/tests/simulation/test_loopback.py
+++ b/tests/simulation/test_loopback.py
@@ -71,7 +71,7 @@
     return seen
 
 
-def test_peers_play_on_loopback_sockets_what_they_play_in_the_emulator(tmp_path):
+def test_peers_behave_on_loopback_sockets_as_in_the_simulation(tmp_path):
     seen = asyncio.run(asyncio.wait_for(play(tmp_path / "config.json"), 20))
     answers = Counter(event[1] for event in seen if event[0] == "answer")
     effects = Counter(event[1] for event in seen if event[0] == "effect")
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    ("text", "why"),
     [
         ('{"length": "2"}', "no span of time"),
         ('{"length": 2000}', "no unit"),
@@ -30,42 +30,42 @@
         ('{"length": ', "truncated"),
     ],
 )
-def test_what_cannot_be_is_refused_by_path(text, why):
-    with pytest.raises(ValueError, match=".") as refused:
+def test_an_invalid_scenario_is_rejected_by_path(text, why):
+    with pytest.raises(ValueError, match=r".") as refused:
         decode(text.encode())
     assert why in str(refused.value)
 
 
-def test_a_file_says_its_name_in_the_fault(tmp_path):
+def test_an_error_names_its_file(tmp_path):
     path = tmp_path / "wrong.toml"
     path.write_text('length = "5 hours"\n')
-    with pytest.raises(ValueError, match="wrong.toml.*no span"):
+    with pytest.raises(ValueError, match=r"wrong\.toml.*no span"):
         read(str(path))
-    with pytest.raises(ValueError, match="none.toml: No such file"):
+    with pytest.raises(ValueError, match=r"none\.toml: No such file"):
         read(str(tmp_path / "none.toml"))
 
 
-def test_toml_and_json_say_the_same(tmp_path):
+def test_toml_and_json_are_equivalent(tmp_path):
     path = tmp_path / "one.toml"
     path.write_text(
         'seed = 4\n[world]\nupstreams = 3\n[[faults]]\nwhat = "hang"\non = "begun"\nafter = "1us"\n'
     )
-    made = read(str(path))
-    assert decode(encode(made)) == made
-    assert made.faults[0].after == 1
-    assert made.length == 5 * S
+    scenario = read(str(path))
+    assert decode(encode(scenario)) == scenario
+    assert scenario.faults[0].after == 1
+    assert scenario.length == 5 * S
 
 
-def test_what_is_drawn_can_be_and_a_seed_draws_the_same_each_time():
+def test_a_drawn_scenario_is_valid_and_the_same_each_time():
     seen = set()
     for seed in range(400):
-        made = draw(seed)
-        assert decode(encode(made)) == made == draw(seed)
-        assert made.world.balancers >= 2
-        assert made.load.requests >= 100
-        assert made.length >= 5 * S
-        assert made.faults
-        seen |= {fault.what for fault in made.faults}
+        scenario = draw(seed)
+        assert decode(encode(scenario)) == scenario == draw(seed)
+        assert scenario.world.balancers >= 2
+        assert scenario.load.requests >= 100
+        assert scenario.length >= 5 * S
+        assert scenario.faults
+        seen |= {fault.what for fault in scenario.faults}
     assert seen == set(GROUP_OF)
 
 
@@ -74,5 +74,5 @@
     assert kinds == {"hang", "kill"}
 
 
-def test_an_empty_file_is_a_whole_world():
+def test_an_empty_file_is_a_complete_scenario():
     assert decode(b"{}") == Scenario()
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -24,7 +24,7 @@
 NEAR = 40  # seeds from a defect's own on in which it has to be found
 
 
-def test_a_fixed_set_of_seeds_breaks_no_rule():
+def test_a_fixed_set_of_seeds_violates_no_invariant():
     summary = sweep(range(120), min(4, os.cpu_count() or 1))
     assert summary.runs == 120
     assert summary.counts["asked"] >= 12_000
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
-def test_a_violation_once_found_stays_away(path):
+def test_a_fixed_violation_does_not_return(path):
     result = run_scenario(read(str(path)))
     assert not result.violations, [str(violation) for violation in result.violations]
 
 
 @pytest.mark.parametrize("script", SHOWN)
-def test_a_kept_script_breaks_its_rule_again_once_the_mend_is_taken_out(script):
+def test_a_regression_script_violates_its_rule_again_without_the_fix(script):
     kept = read(str(HERE / "regressions" / f"{script}.json"))
     with DEFECTS[SHOWN[script]].plant():
         assert kept.breaks in run_scenario(kept).rules
@@ -48,14 +48,14 @@
     return caught(name, range(DEFECTS[name].seed, DEFECTS[name].seed + NEAR))
 
 
-def test_each_planted_defect_is_named_by_a_check():
+def test_each_planted_defect_is_found():
     with ProcessPoolExecutor(min(4, os.cpu_count() or 1)) as pool:
         found = dict(zip(DEFECTS, pool.map(_find, DEFECTS), strict=True))
     assert len(found) >= 15
     assert not [name for name, seen in found.items() if seen is None]
 
 
-def test_a_defect_is_gone_once_it_is_taken_out():
+def test_a_defect_is_gone_once_it_is_removed():
     with DEFECTS["answer twice"].plant():
         assert run_seed(draw(0)).rules
     assert not run_seed(draw(0)).rules
@@ -89,7 +89,7 @@
     assert sum("whole answer" in line for line in lines) >= 50
 
 
-def test_the_machine_is_itself_again_after_a_run():
+def test_the_host_functions_are_restored_after_a_run():
     before = {
         name: getattr(host_info, name) for name in ("monotonic_ns", "stream_socket", "runtime_directory")
     }
@@ -135,7 +135,7 @@
     assert not result.violations
 
 
-@pytest.mark.parametrize("name, status", [("query", {200}), ("submit", {502}), ("mark", {200, 502, 503})])
+@pytest.mark.parametrize(("name", "status"), [("query", {200}), ("submit", {502}), ("mark", {200, 502, 503})])
 @pytest.mark.parametrize("on", ["hop.whole", "begun", "made"])
 def test_a_reset_between_a_requests_last_byte_and_its_answers_first(on, name, status):
     fault = Fault("reset-hop", on=on, name=name, nth=5)
@@ -171,7 +171,7 @@
     assert result.counts["served"] > 250
 
 
-def test_an_upgrade_with_one_excluded_and_another_cold():
+def test_an_upgrade_with_one_excluded_and_another_warming_up():
     result = run_scenario(
         scenario(
             Fault("exclude", at=Duration(300 * MS), span=Duration(3_500 * MS), size=0.02),
@@ -222,7 +222,7 @@
     assert result.counts["served"] > 50
 
 
-def test_what_a_balancer_holds_does_not_grow_with_time():
+def test_a_balancers_memory_does_not_grow_with_time():
     """A minute with a fault every second, weighed every ten; the first two tenths fill its tables."""
     kinds = ("drain", "reset", "fail", "end-watch", "reset", "limit", "slow", "flap", "garble", "wrong")
     faults = [
