--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -31,7 +31,7 @@
     (ast.And, ast.Or), (ast.Add, ast.Sub), (ast.Mult, ast.FloorDiv),
 )  # fmt: skip
 SWAPS = {a: b for pair in _PAIRS for a, b in (pair, pair[::-1])}
-PLAY = """
+SCRIPT = """
 import sys
 from dahliabend.simulation.scenario_generator import draw
 from dahliabend.simulation.sweep import run_seed
@@ -81,19 +81,19 @@
     return made, line, f"{before}  ->  {ast.unparse(node)[:80]}"
 
 
-def play(root: Path, seeds: int, name: str, text: str | None, limit: float | None) -> tuple[str, float]:
+def run_mutant(root: Path, seeds: int, name: str, text: str | None, limit: float | None) -> tuple[str, float]:
     """How it was noticed, "" if it was not, and the seconds that took."""
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         shutil.copytree(
-            root / "dahliabend", Path(folder) / "dahliabend", ignore=shutil.ignore_patterns("*.pyc")
+            root / "dahliabend", Path(directory) / "dahliabend", ignore=shutil.ignore_patterns("*.pyc")
         )
         if text is not None:
-            (Path(folder) / "dahliabend" / name).write_text(text)
+            (Path(directory) / "dahliabend" / name).write_text(text)
         began = time.monotonic()
         try:
             done = subprocess.run(
-                [sys.executable, "-c", PLAY, str(seeds)],
-                cwd=folder,
+                [sys.executable, "-c", SCRIPT, str(seeds)],
+                cwd=directory,
                 capture_output=True,
                 text=True,
                 timeout=limit,
@@ -105,6 +105,7 @@
 
 
 def interval(hits: int, count: int) -> tuple[float, float]:
+    """Wilson's 95% interval of a share."""
     share, z = hits / count, 1.96
     middle = (share + z * z / (2 * count)) / (1 + z * z / count)
     half = z * sqrt(share * (1 - share) / count + z * z / (4 * count * count)) / (1 + z * z / count)
@@ -112,6 +113,7 @@
 
 
 def main() -> int:
+    """The command line; the exit status."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--count", type=int, default=100)
     parser.add_argument("--seeds", type=int, default=100)
@@ -123,19 +125,20 @@
     trees = {name: ast.parse((given.root / "dahliabend" / name).read_text()) for name in files(given.root)}
     every = [(name, site) for name in trees for site in sites(trees[name])]
     chosen = Random(given.draw).sample(every, min(given.count, len(every)))
-    how, took = play(given.root, given.seeds, "", None, None)
+    how, took = run_mutant(given.root, given.seeds, "", None, None)
     if how:
         print(f"the unchanged tree is not clean: {how}", file=sys.stderr)
         return 2
 
-    def one(pick: tuple) -> dict:
+    def run_one(pick: tuple[str, tuple[int, int]]) -> dict:
+        """Run one mutant."""
         name, site = pick
         made, line, what = change(trees[name], site)
-        noticed, seconds = play(given.root, given.seeds, name, ast.unparse(made), 10 * took + 10)
+        noticed, seconds = run_mutant(given.root, given.seeds, name, ast.unparse(made), 10 * took + 10)
         return {"file": name, "line": line, "what": what, "noticed": noticed, "seconds": round(seconds, 1)}
 
     with ThreadPoolExecutor(given.jobs) as pool:
-        rows = list(pool.map(one, chosen))
+        rows = list(pool.map(run_one, chosen))
     hits = sum(bool(row["noticed"]) for row in rows)
     low, high = interval(hits, len(rows))
     share = f"{hits / len(rows):.0%} ({low:.0%} to {high:.0%})"
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -17,46 +17,55 @@
 from collections.abc import Callable
 from pathlib import Path
 
-CONNECTIONS, WARM = 2, 200
+CONNECTIONS = 2
+WARMUP_REQUESTS = 200
 
 
-class Answering(asyncio.Protocol):
+class UpstreamServer(asyncio.Protocol):
     """An upstream that answers at once."""
 
-    def connection_made(self, transport):
-        self.transport, self.got = transport, b""
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """As asyncio."""
+        self.transport = transport
+        self.received = b""
 
-    def data_received(self, data):
-        self.got += data
-        while b"\r\n\r\n" in self.got:
-            _, _, self.got = self.got.partition(b"\r\n\r\n")
+    def data_received(self, data: bytes) -> None:
+        """As asyncio."""
+        self.received += data
+        while b"\r\n\r\n" in self.received:
+            _, _, self.received = self.received.partition(b"\r\n\r\n")
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 
 
-class Listing(asyncio.Protocol):
-    """A list of one upstream, and its beat."""
+class DiscoveryServer(asyncio.Protocol):
+    """Serves a watch of the endpoint list, with keepalives."""
 
-    def __init__(self, servers):
+    def __init__(self, servers: list[dict]) -> None:
         self.servers = servers
 
-    def connection_made(self, transport):
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """As asyncio."""
         self.transport = transport
 
-    def data_received(self, data):
+    def data_received(self, _data: bytes) -> None:
+        """As asyncio."""
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.line(json.dumps({"version": 1, "full": True, "servers": self.servers}).encode() + b"\n")
-        self.beat()
+        self.write_line(json.dumps({"version": 1, "full": True, "servers": self.servers}).encode() + b"\n")
+        self.send_keepalive()
 
-    def line(self, text):
+    def write_line(self, text: bytes) -> None:
+        """Write one line as a chunk."""
         self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
-    def beat(self):
+    def send_keepalive(self) -> None:
+        """Write an empty line, each second."""
         if not self.transport.is_closing():
-            self.line(b"\n")
-            asyncio.get_running_loop().call_later(1, self.beat)
+            self.write_line(b"\n")
+            asyncio.get_running_loop().call_later(1, self.send_keepalive)
 
 
-async def ask(address, count, name):
+async def send_requests(address: tuple[str, int], count: int, name: bytes) -> None:
+    """Send requests one after the other on one connection."""
     reader, writer = await asyncio.open_connection(*address)
     for n in range(count):
         writer.write(
@@ -68,13 +77,13 @@
     writer.close()
 
 
-async def play(tree: Path, count: int, command: Callable[[dict], list[str]] | None = None) -> float:
-    """CPU microseconds a transaction. `command`: from the configuration to the program's arguments."""
+async def measure(tree: Path, count: int, command: Callable[[dict], list[str]] | None = None) -> float:
+    """CPU microseconds a request; `command`: from the configuration to the program's arguments."""
     loop = asyncio.get_running_loop()
-    upstream = await loop.create_server(Answering, "127.0.0.1", 0)
+    upstream = await loop.create_server(UpstreamServer, "127.0.0.1", 0)
     port = upstream.sockets[0].getsockname()[1]
     row = {"id": "s", "addr": f"127.0.0.1:{port}", "zone": "a", "cell": 0, "state": "up", "started_ms": 0}
-    listing = await loop.create_server(lambda: Listing([row]), "127.0.0.1", 0)
+    listing = await loop.create_server(lambda: DiscoveryServer([row]), "127.0.0.1", 0)
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         free = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
         address = free.sockets[0].getsockname()
@@ -98,13 +107,15 @@
         )  # fmt: skip
         for _ in range(200):
             try:
-                await ask(address[:2], WARM, b"w")
+                await send_requests(address[:2], WARMUP_REQUESTS, b"w")
                 break
             except (OSError, AssertionError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.05)
-        before = cpu(process.pid)
-        await asyncio.gather(*(ask(address[:2], count // CONNECTIONS, b"%d" % n) for n in range(CONNECTIONS)))
-        spent = cpu(process.pid) - before
+        before = cpu_seconds(process.pid)
+        await asyncio.gather(
+            *(send_requests(address[:2], count // CONNECTIONS, b"%d" % n) for n in range(CONNECTIONS))
+        )
+        spent = cpu_seconds(process.pid) - before
         process.terminate()
         await process.wait()
     upstream.close()
@@ -112,12 +123,14 @@
     return spent / (count // CONNECTIONS * CONNECTIONS) * 1e6
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
+    """The CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("before", type=Path)
     parser.add_argument("after", type=Path)
@@ -127,7 +140,7 @@
     ratios = []
     for number in range(given.rounds):
         pair = [given.before, given.after][:: 1 if number % 2 else -1]
-        got = {tree: asyncio.run(play(tree, given.count)) for tree in pair}
+        got = {tree: asyncio.run(measure(tree, given.count)) for tree in pair}
         ratios.append(got[given.after] / got[given.before])
         print(f"{got[given.before]:8.1f} {got[given.after]:8.1f} {ratios[-1]:6.3f}", flush=True)
     print(f"median ratio after/before {statistics.median(ratios):.3f}")
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -19,7 +19,7 @@
 TREE = Path(__file__).parents[1]
 
 
-def look_up(count: int, turns: int = 50_000) -> float:
+def measure_lookup(count: int, repetitions: int = 50_000) -> float:
     """Nanoseconds for one, over paths that hit routes everywhere in the table."""
     routes = [
         RouteSettings(
@@ -33,13 +33,13 @@
     )
     for _ in range(2):  # the first warms up
         began = time.perf_counter()
-        for n in range(turns):
+        for n in range(repetitions):
             table.find("GET", paths[n % len(paths)], {})
         spent = time.perf_counter() - began
-    return spent / turns * 1e9
+    return spent / repetitions * 1e9
 
 
-def file_of(settings: dict, folder: str) -> list[str]:
+def write_operator_file(settings: dict, directory: str) -> list[str]:
     """An operator's file that says the same as the platform's, and a hundred routes that nobody asks for."""
     listed = settings["discovery"]
     text = f"""
@@ -59,25 +59,30 @@
 """
     for number in range(100):
         text += f'[[routes]]\nname = "n{number}"\npath = "/n/{number}"\nclass = "query"\npool = "all"\n'
-    where = Path(folder) / "file.toml"
+    where = Path(directory) / "file.toml"
     where.write_text(text)
     return ["serve", str(where)]
 
 
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--rounds", type=int, default=10)
     parser.add_argument("--count", type=int, default=8_000)
     given = parser.parse_args()
     for count in (10, 1_000, 10_000):
-        print(f"{count:6} routes: {look_up(count):.0f} ns a look-up", flush=True)
+        print(f"{count:6} routes: {measure_lookup(count):.0f} ns a look-up", flush=True)
     ratios = []
     for number in range(given.rounds):
         got = {}
         for how in ("platform", "file")[:: 1 if number % 2 else -1]:
-            with tempfile.TemporaryDirectory() as folder:
-                command = (lambda conf, folder=folder: file_of(conf, folder)) if how == "file" else None
-                got[how] = asyncio.run(path.play(TREE, given.count, command))
+            with tempfile.TemporaryDirectory() as directory:
+                command = (
+                    (lambda conf, directory=directory: write_operator_file(conf, directory))
+                    if how == "file"
+                    else None
+                )
+                got[how] = asyncio.run(path.measure(TREE, given.count, command))
         ratios.append(got["file"] / got["platform"])
         print(f"{got['platform']:8.1f} {got['file']:8.1f} {ratios[-1]:6.3f}", flush=True)
     print(json.dumps({"median ratio file/platform": round(statistics.median(ratios), 3)}))
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -1,39 +1,77 @@
-"""Membership over sizes and bad networks, on the model: `python experiments/fleets.py OUT [--jobs 4] [--small | --large]`.
+"""Membership over sizes and bad networks, simulated: `python experiments/fleets.py OUT [--jobs 4] [--small | --large]`.
 
-Writes OUT/members.json, OUT/members.md and charts. Detection: everybody knows everybody, ten calm periods, then one is killed; the
-time until the first and until the last of the others has it out of its view; bytes a second an instance in the calm before. False
-deaths: nobody ends; datagrams are lost, and in half of the runs one instance is stopped for 3 s of every 20; each death told is
-false. Beside it the same machine without local health awareness, and without others asked. `--large` has false deaths alone, at 500 and
-2,000 instances, an hour or two of one machine, and writes OUT/members-large.md as the cells come.
+Writes OUT/members.json, OUT/members.md and charts. Detection: all instances know each other, ten calm periods, then
+one is killed; the time until the first and until the last of the others has it out of its view; bytes a second an
+instance in the calm before. False deaths: no instance ends; datagrams are lost, and in half of the runs one instance is
+stopped for 3 s of every 20; each reported death is false. Beside it the same protocol without local health awareness,
+and without indirect probes. `--large` has false deaths alone, at 500 and 2,000 instances, which takes an hour or two of
+one machine, and writes OUT/members-large.md as the cells come.
 """
 
 import argparse
 import json
 import sys
+from collections.abc import Iterator
+from itertools import product
 from multiprocessing import Pool
 from pathlib import Path
 from time import time
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.membership.failure_detector import SwimConfig  # noqa: E402
-from dahliabend.simulation.cluster.model import ClusterModel  # noqa: E402
-from dahliabend.simulation.cluster.script import Fleet, S  # noqa: E402
-from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster  # noqa: E402
+from dahliabend.membership.failure_detector import SwimConfig
+from dahliabend.simulation.cluster.model import ClusterModel
+from dahliabend.simulation.cluster.script import Fleet, S
+from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster
 
-WAYS = {
+WAYS: dict[str, dict[str, int]] = {
     "as it is": {},
     "no health awareness": {"max_health_score": 0},
     "nobody else asked": {"indirect_probes": 0},
 }
+DEFAULT_WAY = "as it is"
 SIZES = {5: 100, 50: 100, 500: 100, 2000: 20}  # instances: seeds
+SMALL_SIZES = {5: 5, 50: 2}
+MAX_COMPARED_SIZE = 50  # instances up to which all ways are measured
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
-FALSE = {5: (40, 300), 50: (5, 60)}  # instances: seeds, seconds
-LARGE = {2000: 40, 500: 40}  # instances: seconds, one seed; at 2,000 the machine as it is, and stops, alone
+FALSE_DEATH_RUNS = {5: (40, 300), 50: (5, 60)}  # instances: seeds, seconds
+LARGE_RUNS = {2000: 40, 500: 40}  # instances: seconds, one seed
+MAX_LARGE_COMPARED_SIZE = 500  # beyond, the protocol as it is, stops and two losses alone
+LARGE_LOSSES = (0.1, 0.3)
 CALM, LONGEST = 10 * S, 120 * S
+STOP_PERIOD_SECONDS, STOP_SECONDS = 20, 3
+HOUR_SECONDS = 3600
 
+Row = dict[str, Any]  # of the results, as JSON
 
-def detect(task) -> dict:
+
+class DetectionTask(NamedTuple):
+    """One kill."""
+
+    way: str
+    count: int
+    seed: int
+
+
+class FalseDeathTask(NamedTuple):
+    """One run in which no instance ends."""
+
+    way: str
+    count: int
+    seed: int
+    loss: float
+    has_stops: bool
+    seconds: int
+
+    @property
+    def key(self) -> tuple[int, float, bool, str]:
+        """Its cell of the page's table."""
+        return self.count, self.loss, self.has_stops, self.way
+
+
+def detect(task: DetectionTask) -> Row:
+    """Kill one instance, and measure when the others notice."""
     way, count, seed = task
     model = ClusterModel(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), starts_warm=True)
     for number in range(count):
@@ -43,130 +81,224 @@
     cluster.bytes = 0
     cluster.run(CALM)
     rate = cluster.bytes / (CALM / S) / count
-    at, lost = cluster.now, cluster.rng.randrange(count)
-    model.stop_instance(lost)
-    while cluster.now < at + LONGEST:
+    killed_at, killed = cluster.now, cluster.rng.randrange(count)
+    model.stop_instance(killed)
+    noticed: dict[int, int] = {}
+    while cluster.now < killed_at + LONGEST and len(noticed) < count - 1:
         cluster.run(S)
-        told = {c.observer: c.at for c in model.membership_changes if c.kind == "died" and c.subject == lost}
-        if len(told) == count - 1:
-            break
-    false = sum(c.kind == "died" and c.subject != lost for c in model.membership_changes)
-    times = sorted(told.values())
-    return {"way": way, "count": count, "seed": seed, "rate": rate, "false": false, "known": len(told),
-            "first": (times[0] - at) / S if times else None, "full": (times[-1] - at) / S if times else None}  # fmt: skip
-
-
-def falsely(task) -> dict:
-    way, count, seed, loss, stops, seconds = task
-    cluster = SimulatedCluster(count, seed, loss, SwimConfig(sync_interval=10, **WAYS[way]))
-    for _ in range(seconds // 20):
-        if stops:
-            cluster.pause("b2", 3 * S)
-        cluster.run(20 * S)
-    deaths = sum(e.kind == "died" for m in cluster.machines.values() for e in m.events)
-    return {"way": way, "count": count, "seed": seed, "loss": loss, "stops": stops, "deaths": deaths,
-            "hours": count * seconds / 3600, "rate": cluster.bytes / (cluster.now / S) / count}  # fmt: skip
-
-
-def large(out: Path, jobs: int) -> None:
-    """The longest first; the page is written anew with each cell that is done, and those done are not run again."""
-    kept = out / "members-large.json"
-    rows = json.loads(kept.read_text()) if kept.exists() else []
+        deaths = [change for change in model.membership_changes if change.kind == "died"]
+        noticed = {change.observer: change.at for change in deaths if change.subject == killed}
+    false = sum(change.kind == "died" and change.subject != killed for change in model.membership_changes)
+    times = sorted(noticed.values())
+    return {
+        "way": way,
+        "count": count,
+        "seed": seed,
+        "rate": rate,
+        "false": false,
+        "known": len(noticed),
+        "first": (times[0] - killed_at) / S if times else None,
+        "full": (times[-1] - killed_at) / S if times else None,
+    }
+
+
+def count_false_deaths(task: FalseDeathTask) -> Row:
+    """Run without an end of any instance, and count the reported deaths."""
+    config = SwimConfig(sync_interval=10, **WAYS[task.way])
+    cluster = SimulatedCluster(task.count, task.seed, task.loss, config)
+    for _ in range(task.seconds // STOP_PERIOD_SECONDS):
+        if task.has_stops:
+            cluster.pause("b2", STOP_SECONDS * S)
+        cluster.run(STOP_PERIOD_SECONDS * S)
+    machines = cluster.machines.values()
+    return {
+        "way": task.way,
+        "count": task.count,
+        "seed": task.seed,
+        "loss": task.loss,
+        "stops": task.has_stops,
+        "deaths": sum(event.kind == "died" for machine in machines for event in machine.events),
+        "hours": task.count * task.seconds / HOUR_SECONDS,
+        "rate": cluster.bytes / (cluster.now / S) / task.count,
+    }
+
+
+def large_tasks() -> Iterator[FalseDeathTask]:
+    """The runs of large clusters, the longest first."""
+    for count, seconds in LARGE_RUNS.items():
+        for loss, way, has_stops in product(reversed(LOSSES), WAYS, (False, True)):
+            is_needed = way == DEFAULT_WAY and has_stops and loss in LARGE_LOSSES
+            if count <= MAX_LARGE_COMPARED_SIZE or is_needed:
+                yield FalseDeathTask(way, count, 0, loss, has_stops, seconds)
+
+
+def run_large(out: Path, jobs: int) -> None:
+    """Measure large clusters. Results are kept as they come, and cells that are done are not run again."""
+    results = out / "members-large.json"
+    rows: list[Row] = json.loads(results.read_text()) if results.exists() else []
     done = {(row["count"], row["loss"], row["stops"], row["way"]): row for row in rows}
-    runs = [(way, n, 0, loss, stops, seconds) for n, seconds in LARGE.items() for loss in reversed(LOSSES) for way in WAYS
-            for stops in (False, True) if n <= 500 or way == "as it is" and stops and loss in (0.1, 0.3)]  # fmt: skip
-    runs = [run for run in runs if (run[1], run[3], run[4], run[0]) not in done]
+    tasks = [task for task in large_tasks() if task.key not in done]
     with Pool(jobs) as pool:
-        for row in pool.imap_unordered(falsely, runs):
+        for row in pool.imap_unordered(count_false_deaths, tasks):
             done[row["count"], row["loss"], row["stops"], row["way"]] = row
-            kept.write_text(json.dumps(list(done.values()), indent=1) + "\n")
-            text = ["# False deaths in large fleets", "", "Made by `experiments/fleets.py --large` on the modelled network; period 1 s, one seed a cell. All figures simulated.", "",
-                    "| instances | datagrams lost | one stops 3 s in 20 | way | instance-hours | false deaths | bytes a second an instance |",
-                    "| --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
-            for (count, loss, stops, way), each in sorted(done.items()):
-                text.append(
-                    f"| {count} | {loss:.0%} | {'yes' if stops else 'no'} | {way} | {each['hours']:.1f} | {each['deaths']} | {each['rate']:.0f} |"
-                )
-            (out / "members-large.md").write_text("\n".join(text) + "\n")
-
-
-def share(values: list[float], part: float) -> float:
+            results.write_text(json.dumps(list(done.values()), indent=1) + "\n")
+            (out / "members-large.md").write_text(large_page([row for _, row in sorted(done.items())]))
+
+
+def large_page(rows: list[Row]) -> str:
+    """The results of large clusters as a page."""
+    text = [
+        "# False deaths in large fleets",
+        "",
+        "Made by `experiments/fleets.py --large` on the modelled network; period 1 s, one seed a cell. All figures "
+        "simulated.",
+        "",
+        "| instances | datagrams lost | one stops 3 s in 20 | way | instance-hours | false deaths | bytes a second an "
+        "instance |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    text += [
+        f"| {row['count']} | {row['loss']:.0%} | {yes_or_no(row['stops'])} | {row['way']} | {row['hours']:.1f} | "
+        f"{row['deaths']} | {row['rate']:.0f} |"
+        for row in rows
+    ]
+    return "\n".join(text) + "\n"
+
+
+def yes_or_no(value: bool) -> str:
+    """A flag as text."""
+    return "yes" if value else "no"
+
+
+def percentile(values: list[float], share: float) -> float:
+    """The value that a share of the others is below."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
+    return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
+
 
+def times_of(rows: list[Row], key: str) -> list[float]:
+    """The times of a key, without those that never came."""
+    return [row[key] for row in rows if row[key] is not None]
 
-def page(detected: list[dict], false: list[dict]) -> str:
-    out = ["# Membership, measured", "", "Made by `experiments/fleets.py` on the modelled network; period 1 s. "
-           "All figures simulated; `docs/members.md` says what they mean.", "",
-           "## Time until one killed is out of the views", "",
-           "| instances | seeds | way | first, p50 / p99 (s) | all, p50 / p99 (s) | bytes a second an instance | false |",
-           "| --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
+
+def page(detected: list[Row], false: list[Row]) -> str:
+    """The results as a page."""
+    out = [
+        "# Membership, measured",
+        "",
+        "Made by `experiments/fleets.py` on the modelled network; period 1 s. All figures simulated; "
+        "`docs/members.md` says what they mean.",
+        "",
+        "## Time until one killed is out of the views",
+        "",
+        "| instances | seeds | way | first, p50 / p99 (s) | all, p50 / p99 (s) | bytes a second an instance | false |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for count in sorted({row["count"] for row in detected}):
         for way in WAYS:
             rows = [row for row in detected if row["count"] == count and row["way"] == way]
             if rows:
-                first, full = (
-                    [row[key] for row in rows if row[key] is not None] for key in ("first", "full")
-                )
-                out.append(
-                    f"| {count} | {len(rows)} | {way} | {share(first, 0.5):.1f} / {share(first, 0.99):.1f} | "
-                    f"{share(full, 0.5):.1f} / {share(full, 0.99):.1f} | "
-                    f"{sum(r['rate'] for r in rows) / len(rows):.0f} | {sum(r['false'] for r in rows)} |"
-                )
+                out.append(detection_row(count, way, rows))
     for count in sorted({row["count"] for row in false}):
-        rows = [row for row in false if row["count"] == count]
-        hours = sum(row["hours"] for row in rows) / (len(WAYS) * len(LOSSES) * 2)
-        out += ["", f"## False deaths, {count} instances, {hours:.1f} instance-hours a cell", "",
-                "| datagrams lost | one stops 3 s in 20 | " + " | ".join(WAYS) + " | bytes a second, as it is |",
-                "| --- | --- |" + " --- |" * (len(WAYS) + 1)]  # fmt: skip
-        for loss in LOSSES:
-            for stops in (False, True):
-                cell = [r for r in rows if r["loss"] == loss and r["stops"] == stops]
-                told = [str(sum(r["deaths"] for r in cell if r["way"] == way)) for way in WAYS]
-                own = [r["rate"] for r in cell if r["way"] == "as it is"]
-                out.append(f"| {loss:.0%} | {'yes' if stops else 'no'} | {' | '.join(told)} | "
-                           f"{sum(own) / max(1, len(own)):.0f} |")  # fmt: skip
+        out += false_death_table(count, [row for row in false if row["count"] == count])
     return "\n".join(out) + "\n"
 
 
-def charts(folder: Path, detected: list[dict], false: list[dict]) -> None:
+def detection_row(count: int, way: str, rows: list[Row]) -> str:
+    """One row of the table of detections."""
+    first, full = times_of(rows, "first"), times_of(rows, "full")
+    return (
+        f"| {count} | {len(rows)} | {way} | {percentile(first, 0.5):.1f} / {percentile(first, 0.99):.1f} | "
+        f"{percentile(full, 0.5):.1f} / {percentile(full, 0.99):.1f} | "
+        f"{sum(row['rate'] for row in rows) / len(rows):.0f} | {sum(row['false'] for row in rows)} |"
+    )
+
+
+def false_death_table(count: int, rows: list[Row]) -> list[str]:
+    """The table of false deaths in clusters of one size."""
+    hours = sum(row["hours"] for row in rows) / (len(WAYS) * len(LOSSES) * 2)
+    out = [
+        "",
+        f"## False deaths, {count} instances, {hours:.1f} instance-hours a cell",
+        "",
+        "| datagrams lost | one stops 3 s in 20 | " + " | ".join(WAYS) + " | bytes a second, as it is |",
+        "| --- | --- |" + " --- |" * (len(WAYS) + 1),
+    ]
+    for loss, has_stops in product(LOSSES, (False, True)):
+        cell = [row for row in rows if row["loss"] == loss and row["stops"] == has_stops]
+        deaths = [str(sum(row["deaths"] for row in cell if row["way"] == way)) for way in WAYS]
+        rates = [row["rate"] for row in cell if row["way"] == DEFAULT_WAY]
+        rate = sum(rates) / max(1, len(rates))
+        out.append(f"| {loss:.0%} | {yes_or_no(has_stops)} | {' | '.join(deaths)} | {rate:.0f} |")
+    return out
+
+
+def write_charts(directory: Path, detected: list[Row], false: list[Row]) -> None:
+    """Draw the results."""
     import matplotlib
 
     matplotlib.use("svg")
     matplotlib.rcParams["svg.hashsalt"] = "dahliabend"
-    from matplotlib import pyplot as plt
-
-    def done(name: str, x: str, y: str, log=True) -> None:
-        plt.xlabel(x)
-        plt.ylabel(y)
-        if log:
-            plt.xscale("log")
-        plt.ylim(bottom=0)
-        plt.legend()
-        plt.savefig(folder / name, metadata={"Date": None})
-        plt.close()
+    from matplotlib import pyplot
+
+    def finish(name: str, x_label: str, y_label: str, *, is_logarithmic: bool = True) -> None:
+        """Save the chart."""
+        pyplot.xlabel(x_label)
+        pyplot.ylabel(y_label)
+        if is_logarithmic:
+            pyplot.xscale("log")
+        pyplot.ylim(bottom=0)
+        pyplot.legend()
+        pyplot.savefig(directory / name, metadata={"Date": None})
+        pyplot.close()
 
     sizes = sorted({row["count"] for row in detected})
+    default = [row for row in detected if row["way"] == DEFAULT_WAY]
+    by_size = [[row for row in default if row["count"] == size] for size in sizes]
     for key, label in (("first", "the first knows"), ("full", "all know")):
-        rows = [
-            [r[key] for r in detected if r["count"] == n and r["way"] == "as it is" and r[key]] for n in sizes
-        ]
-        plt.plot(sizes, [share(each, 0.5) for each in rows], marker="o", label=f"{label}, p50")
-        plt.plot(
-            sizes, [share(each, 0.99) for each in rows], marker="x", linestyle=":", label=f"{label}, p99"
-        )
-    done("members-detection.svg", "instances", "seconds after the kill")
-    rates = [[r["rate"] for r in detected if r["count"] == n and r["way"] == "as it is"] for n in sizes]
-    plt.plot(sizes, [sum(each) / len(each) for each in rates], marker="o", label="calm")
-    done("members-bytes.svg", "instances", "bytes a second an instance")
+        times = [[row[key] for row in rows if row[key]] for rows in by_size]
+        pyplot.plot(sizes, [percentile(each, 0.5) for each in times], marker="o", label=f"{label}, p50")
+        late = [percentile(each, 0.99) for each in times]
+        pyplot.plot(sizes, late, marker="x", linestyle=":", label=f"{label}, p99")
+    finish("members-detection.svg", "instances", "seconds after the kill")
+    rates = [sum(row["rate"] for row in rows) / len(rows) for rows in by_size]
+    pyplot.plot(sizes, rates, marker="o", label="calm")
+    finish("members-bytes.svg", "instances", "bytes a second an instance")
     for way in WAYS:
-        cells = [[r for r in false if r["way"] == way and r["loss"] == loss] for loss in LOSSES]
+        cells = [[row for row in false if row["way"] == way and row["loss"] == loss] for loss in LOSSES]
         per_hour = [sum(r["deaths"] for r in cell) / sum(r["hours"] for r in cell) for cell in cells]
-        plt.plot([100 * loss for loss in LOSSES], per_hour, marker="o", label=way)
-    done("members-false.svg", "datagrams lost, %", "false deaths an instance-hour", log=False)
+        pyplot.plot([100 * loss for loss in LOSSES], per_hour, marker="o", label=way)
+    finish("members-false.svg", "datagrams lost, %", "false deaths an instance-hour", is_logarithmic=False)
+
+
+def run_default(out: Path, jobs: int, *, is_small: bool) -> None:
+    """Measure detections and false deaths of small and medium clusters."""
+    detections = [
+        DetectionTask(way, count, seed)
+        for count, seeds in (SMALL_SIZES if is_small else SIZES).items()
+        for way in WAYS
+        for seed in range(seeds)
+        if count <= MAX_COMPARED_SIZE or way == DEFAULT_WAY
+    ]
+    runs = [
+        FalseDeathTask(way, count, seed, loss, has_stops, seconds)
+        for count, (seeds, seconds) in FALSE_DEATH_RUNS.items()
+        for way in WAYS
+        for loss in LOSSES
+        for has_stops in (False, True)
+        for seed in range(1 if is_small else seeds)
+    ]
+    with Pool(jobs) as pool:
+        detected = list(pool.imap_unordered(detect, reversed(detections)))
+        false = list(pool.imap_unordered(count_false_deaths, runs))
+    detected.sort(key=lambda row: (row["count"], row["way"], row["seed"]))
+    (out / "members.json").write_text(json.dumps({"detected": detected, "false": false}) + "\n")
+    (out / "members.md").write_text(page(detected, false))
+    write_charts(out, detected, false)
 
 
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--jobs", type=int, default=4)
@@ -175,22 +307,10 @@
     given = parser.parse_args()
     given.out.mkdir(parents=True, exist_ok=True)
     if given.large:
-        return large(given.out, given.jobs)
-    sizes = {5: 5, 50: 2} if given.small else SIZES
-    detections = [(way, n, seed) for n, seeds in sizes.items() for way in WAYS for seed in range(seeds)
-                  if n <= 50 or way == "as it is"]  # fmt: skip
-    runs = [(way, n, seed, loss, stops, seconds) for n, (seeds, seconds) in FALSE.items() for way in WAYS
-            for loss in LOSSES for stops in (False, True) for seed in range(1 if given.small else seeds)]  # fmt: skip
-    began, detected, false = time(), [], []
-    with Pool(given.jobs) as pool:
-        for row in pool.imap_unordered(detect, reversed(detections)):
-            detected.append(row)
-        for row in pool.imap_unordered(falsely, runs):
-            false.append(row)
-    detected.sort(key=lambda r: (r["count"], r["way"], r["seed"]))
-    (given.out / "members.json").write_text(json.dumps({"detected": detected, "false": false}) + "\n")
-    (given.out / "members.md").write_text(page(detected, false))
-    charts(given.out, detected, false)
+        run_large(given.out, given.jobs)
+        return
+    began = time()
+    run_default(given.out, given.jobs, is_small=given.small)
     print(f"{time() - began:.0f} s")
 
 
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -1,7 +1,7 @@
-"""Memory of a balancer over a million keys in order: `python experiments/keys.py`.
+"""Memory of a balancer over a million ordering keys: `python experiments/keys.py`.
 
-200 transactions are out at a time, each of a key of its own or of one of 20 popular ones; a third end in a time-out, reset
-or cancel. Prints what is traced after each 100,000, in KiB, and how many lines and rests are kept then.
+200 requests are in flight at a time, each with a key of its own or one of 20 popular ones; a third end in a time-in_flight,
+reset or cancel. Prints what is traced after each 100,000, in KiB, and how many key queues and rests there are then.
 """
 
 import sys
@@ -11,44 +11,58 @@
 from pathlib import Path
 from random import Random
 
-root = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(root), str(root / "tests")]
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from helpers import FREE, MARKED, MS, S, balancer  # noqa: E402
+from helpers import FREE, MARKED, MS, S, balancer
 
-from dahliabend.model import Outcome  # noqa: E402
-from dahliabend.policy.key_order import REST  # noqa: E402
+from dahliabend.model import Outcome
+from dahliabend.policy.balancer import RequestState
+from dahliabend.policy.key_order import REST
 
-KEYS, OUT = 1_000_000, 200
-UNSURE = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
+KEYS = 1_000_000
+MAX_IN_FLIGHT = 200
+POPULAR_KEYS = 20
+POPULAR_INTERVAL = 10  # every so many requests one has a popular key
+FIRST_UNIQUE_KEY = 1_000
+FAILURE_SHARE = 1 / 3
+REPORT_INTERVAL = 100_000
+FAILURES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 def main() -> None:
-    made, port = balancer(
+    """The command line."""
+    policy, port = balancer(
         request_classes=(replace(MARKED, is_ordered=True), FREE), key_rest=100 * MS, max_attempts=1
     )
-    made.ceiling = 1e9  # the crowd is not what is looked at
-    rng, now, out = Random(1), 100 * S, deque()
+    policy.ceiling = 1e9  # no limit of concurrency
+    rng = Random(1)
+    now = 100 * S
+    in_flight: deque[RequestState] = deque()
     tracemalloc.start()
     for number in range(1, KEYS + 1):
         now += MS
-        key = rng.randrange(1, 21) if number % 10 == 0 else 1_000 + number
-        request = made.admit(now, number, 0, 0, now + 5 * S, key=key)
+        key = (
+            rng.randrange(1, POPULAR_KEYS + 1)
+            if number % POPULAR_INTERVAL == 0
+            else FIRST_UNIQUE_KEY + number
+        )
+        request = policy.admit(now, number, 0, 0, now + 5 * S, key=key)
         if not request.is_finished:
-            out.append(request)
-        while len(out) > OUT:
-            request = out.popleft()
+            in_flight.append(request)
+        while len(in_flight) > MAX_IN_FLIGHT:
+            request = in_flight.popleft()
             if request.out:
-                outcome = rng.choice(UNSURE) if rng.random() < 1 / 3 else Outcome.SUCCEEDED
+                outcome = rng.choice(FAILURES) if rng.random() < FAILURE_SHARE else Outcome.SUCCEEDED
                 request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
             elif not request.is_finished:
                 request.client_disconnected(now)
-        made.timer_fired(now, REST)
+        policy.timer_fired(now, REST)
         port.clear()
-        if number % 100_000 == 0:
-            kept = tracemalloc.get_traced_memory()[0] // 1024
+        if number % REPORT_INTERVAL == 0:
+            traced = tracemalloc.get_traced_memory()[0] // 1024
             print(
-                f"{number:9,} keys: {kept:6,} KiB, {len(made.lines.lines)} lines, {len(made.lines.rests)} rests"
+                f"{number:9,} keys: {traced:6,} KiB, {len(policy.lines.lines)} lines, {len(policy.lines.rests)} rests"
             )
 
 
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -1,116 +1,149 @@
-"""Signals beside none, with liars: `python experiments/signals.py OUT [--seeds 40] [--jobs 4] [--scenarios ...]`.
+"""Health gossip beside none, with liars: `python experiments/signals.py OUT [--seeds 40] [--jobs 4] [--scenarios ...]`.
 
-Writes OUT/signals.json and OUT/signals.md. Scenarios, sizes, figures and intervals as in `subset_work.py`; with subsets and without. Besides the plays there:
-`cut`: eight balancers lose touch with a third of the upstreams, which serve the others as usual. Liars tell all as dead, all as well, or their first report for ever.
+Writes OUT/signals.json and OUT/signals.md. Scenarios, sizes, measurements and intervals as in `subset_work.py`, with
+subsets and without. Besides the scenarios there, `cut`: eight balancers lose contact with a third of the upstreams,
+which serve the others as usual. Liars report all as dead, all as well, or their first report for ever.
 """
 
 import argparse
 import sys
 from pathlib import Path
 from random import Random
+from typing import NamedTuple
 
 import numpy as np
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-import subset_work as plays  # noqa: E402
-from subset_work import AFTER, BEFORE, MANY, POOL, RATE, ZONES, S, interval  # noqa: E402
+import subset_work as workload
+from subset_work import BALANCERS, UPSTREAMS, Row, S, Scenario
 
-from dahliabend.config.operator_file.units import Duration  # noqa: E402
-from dahliabend.simulation.cluster.script import Fleet  # noqa: E402
-from dahliabend.simulation.cluster.workload_model import WorkloadModel  # noqa: E402
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.workload_model import (
+    WorkloadModel,
+    upstream_names,
+)
 
 
-def cut(made, rng):
-    some = [made.upstreams_by_name[name] for name in plays.upstream_names(rng.sample(range(POOL), POOL // 3))]
-    for node in some:
-        node.deaf_to = set(range(0, MANY, 5))
-    made.run(20 * S)
-    for node in some:
-        node.deaf_to = set()
+class Way(NamedTuple):
+    """What balancers report to each other."""
 
+    has_gossip: bool
+    lies: dict[int, str]  # by balancer, see `LyingGossip`
+    check_period: int  # of leased health checks; 0: none
 
-SCENARIOS = {
-    "calm": plays.calm,
-    "bad": plays.bad,
-    "half": plays.half,
-    "zone": plays.zone,
-    "join": plays.join,
-    "herd": plays.herd,
-    "split": plays.split,
+
+def cut(model: WorkloadModel, rng: Random) -> None:
+    """Eight balancers lose contact with a third of the upstreams, for 20 s."""
+    names = upstream_names(rng.sample(range(UPSTREAMS), UPSTREAMS // 3))
+    upstreams = [model.upstreams_by_name[name] for name in names]
+    for upstream in upstreams:
+        upstream.deaf_to = set(range(0, BALANCERS, 5))
+    model.run(20 * S)
+    for upstream in upstreams:
+        upstream.deaf_to = set()
+
+
+SCENARIOS: dict[str, Scenario] = {
+    "calm": workload.calm,
+    "bad": workload.bad,
+    "half": workload.half,
+    "zone": workload.zone,
+    "join": workload.join,
+    "herd": workload.herd,
+    "split": workload.split,
     "cut": cut,
 }
-WAYS = {"none": (False, {}, 0), "signals": (True, {}, 0), "signals, probing in 4 s": (True, {}, 4 * S), "1 liar, dead": (True, {1: "dead"}, 0),
-        "2 liars, dead": (True, {1: "dead", 2: "dead"}, 0), "2 liars, well and old": (True, {1: "well", 2: "old"}, 0)}  # fmt: skip
-
-
-def play(task) -> dict:
-    scenario, subsets, way, seed = task
-    signals, liars, probing = WAYS[way]
-    terms = plays.WAYS["subsets"][0] if subsets else None
-    made = WorkloadModel(
-        Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
-        POOL,
-        RATE,
-        terms,
-        zones=ZONES,
-        has_gossip=signals,
-        lies=liars,
-        check_period=probing,
+WAYS = {
+    "none": Way(False, {}, 0),
+    "signals": Way(True, {}, 0),
+    "signals, probing in 4 s": Way(True, {}, 4 * S),
+    "1 liar, dead": Way(True, {1: "dead"}, 0),
+    "2 liars, dead": Way(True, {1: "dead", 2: "dead"}, 0),
+    "2 liars, well and old": Way(True, {1: "well", 2: "old"}, 0),
+}
+BASE = "none"
+
+
+def run_one(task: tuple[str, bool, str, int]) -> Row:
+    """Run a scenario in one way with one seed, with subsets or without."""
+    scenario, has_subsets, way, seed = task
+    model = WorkloadModel(
+        Fleet(seed=seed, instances=BALANCERS, delay=workload.MESSAGE_DELAY),
+        UPSTREAMS,
+        workload.RATE,
+        workload.WAYS["subsets"].subset if has_subsets else None,
+        zones=workload.ZONES,
+        has_gossip=WAYS[way].has_gossip,
+        lies=WAYS[way].lies,
+        check_period=WAYS[way].check_period,
     )
-    made.start()
-    made.run(BEFORE * S)
-    made.reset_metrics()
-    begin = made.now
-    SCENARIOS[scenario](made, Random(f"{scenario} {seed}"))
-    made.run(AFTER * S)
-    seconds = (made.now - begin) / S
-    made.finish()
-    metrics, counts = made.metrics, made.metrics.counts
-    return {"scenario": scenario, "subsets": subsets, "way": way, "seed": seed, "share": 100 * metrics.served_share, "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
-            "probes": 1000 * counts["probes"] / counts["asked"], "fallen": counts["fallen"], "believed": counts["believed"],
-            "bytes": counts["signal bytes"] / MANY / seconds, "broken": metrics.violations[:5]}  # fmt: skip
-
-
-def page(rows: list[dict]) -> str:
-    out = ["# Signals at work", "", "Made by `experiments/signals.py`, simulated: 40 balancers, 60 upstreams. In brackets the difference to `none` on the same seeds, with its 95% interval. "
-           "`probes`: a thousand transactions; `believed`: told to decisions, a run; `bytes`: a second an instance.", "",
-           "| what | subsets | way | seeds | share served in time, % | p99 of these, ms | probes | fallen | believed | bytes |",
-           "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
+    model.start()
+    model.run(workload.WARMUP_SECONDS * S)
+    model.reset_metrics()
+    begin = model.now
+    SCENARIOS[scenario](model, Random(f"{scenario} {seed}"))
+    model.run(workload.SETTLE_SECONDS * S)
+    seconds = (model.now - begin) / S
+    model.finish()
+    metrics, counts = model.metrics, model.counts
+    return {
+        "scenario": scenario,
+        "subsets": has_subsets,
+        "way": way,
+        "seed": seed,
+        "share": 100 * metrics.served_share,
+        "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
+        "probes": 1000 * counts["probes"] / counts["asked"],
+        "fallen": counts["fallen"],
+        "believed": counts["believed"],
+        "bytes": counts["signal bytes"] / BALANCERS / seconds,
+        "broken": metrics.violations[:5],
+    }
+
+
+def page(rows: list[Row]) -> str:
+    """The results as a page."""
+    out = [
+        "# Signals at work",
+        "",
+        "Made by `experiments/signals.py`, simulated: 40 balancers, 60 upstreams. In brackets the difference to `none` "
+        "on the same seeds, with its 95% interval. `probes`: a thousand transactions; `believed`: told to decisions, a "
+        "run; `bytes`: a second an instance.",
+        "",
+        "| what | subsets | way | seeds | share served in time, % | p99 of these, ms | probes | fallen | believed "
+        "| bytes |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
     for scenario in SCENARIOS:
-        for subsets in (False, True):
-            first = {
-                r["seed"]: r
-                for r in rows
-                if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, "none")
-            }
+        for has_subsets in (False, True):
+            first = workload.select(rows, scenario=scenario, subsets=has_subsets, way=BASE)
             for way in WAYS:
-                some = {
-                    r["seed"]: r
-                    for r in rows
-                    if (r["scenario"], r["subsets"], r["way"]) == (scenario, subsets, way)
-                }
-                if not some:
-                    continue
-                cells = []
-                for key, digits in (("share", 2), ("p99", 0)):
-                    beside = ""
-                    if way != "none":
-                        middle, low, high = interval(
-                            np.array(
-                                [some[s][key] - first[s][key] for s in sorted(some.keys() & first.keys())]
-                            )
-                        )
-                        beside = f" ({middle:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
-                    cells.append(f"{np.mean([r[key] for r in some.values()]):.{digits}f}{beside}")
-                means = [np.mean([r[key] for r in some.values()]) for key in ("probes", "believed", "bytes")]
-                out.append(f"| {scenario} | {'yes' if subsets else 'no'} | {way} | {len(some)} | {cells[0]} | {cells[1]} | {means[0]:.1f} | "
-                           f"{sum(r['fallen'] for r in some.values())} | {means[1]:.0f} | {means[2]:.0f} |")  # fmt: skip
+                some = workload.select(rows, scenario=scenario, subsets=has_subsets, way=way)
+                if some:
+                    out.append(table_row(scenario, has_subsets, way, some, first))
     broken = sum(bool(row["broken"]) for row in rows)
     return "\n".join([*out, "", f"Rules checked: {len(rows)} runs, {broken} broke one."]) + "\n"
 
 
+def table_row(scenario: str, has_subsets: bool, way: str, rows: dict[int, Row], first: dict[int, Row]) -> str:
+    """One row of the page's table; `first`: the rows of the base."""
+    both = sorted(rows.keys() & first.keys())
+    cells = []
+    for key, digits in (("share", 2), ("p99", 0)):
+        differences = [rows[seed][key] - first[seed][key] for seed in both]
+        beside = workload.format_difference(differences, digits) if way != BASE else ""
+        cells.append(f"{workload.mean_of(rows, key):.{digits}f}{beside}")
+    probes, believed, size = (workload.mean_of(rows, key) for key in ("probes", "believed", "bytes"))
+    fallen = sum(row["fallen"] for row in rows.values())
+    return (
+        f"| {scenario} | {'yes' if has_subsets else 'no'} | {way} | {len(rows)} | {cells[0]} | {cells[1]} | "
+        f"{probes:.1f} | {fallen} | {believed:.0f} | {size:.0f} |"
+    )
+
+
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--seeds", type=int, default=40)
@@ -120,13 +153,13 @@
     given = parser.parse_args()
     given.out.mkdir(parents=True, exist_ok=True)
     tasks = [
-        (scenario, subsets, way, seed)
+        (scenario, has_subsets, way, seed)
         for seed in range(given.seeds)
         for scenario in given.scenarios
-        for subsets in (False, True)
+        for has_subsets in (False, True)
         for way in given.ways
     ]
-    plays.play_all(play, tasks, given.jobs, given.out / "signals", page)
+    workload.run_all(run_one, tasks, given.jobs, given.out / "signals", page)
 
 
 if __name__ == "__main__":
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -1,124 +1,184 @@
-"""Subsets of a whole fleet while troubles befall it: `python experiments/subset_days.py OUT [--seeds 5]`.
+"""Subsets of a whole cluster while faults are injected: `python experiments/subset_days.py OUT [--seeds 5]`.
 
-Writes OUT/subset-days.md. 60 balancers and 40 upstreams (200 and 100 for the split 150/50), period 1 s, degree 12, least 12, `hold` 60 s. Each
-second what all use is summed: the most loaded upstream over the mean, the least subset, pairs moved. Before, during (until 30 s after
-its end), and the last 30 s.
+Writes OUT/subset-days.md. 60 balancers and 40 upstreams (200 and 100 for the split 150/50), period 1 s, degree 12,
+minimum 12, `hold` 60 s. Each second the load of all subsets is summed: the most loaded upstream over the mean, the
+smallest subset, pairs moved. Before, during (until 30 s after the end), and in the last 30 s.
 """
 
 import sys
+from collections.abc import Callable, Iterable
 from pathlib import Path
 from random import Random
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.config.operator_file.units import Duration  # noqa: E402
-from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
-from dahliabend.simulation.cluster.subset_model import SubsetModel  # noqa: E402
-from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
-
-CALM, AFTER, LAST = 40, 60, 30  # seconds
-
-
-def play(seed: int, act, many=60, pool=40):
-    made = SubsetModel(Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings())
-    for number in range(many):
-        made.start_instance(number)
-    made.assume_full_membership()
-    made.run(CALM * S)
-    begin = made.now
-    act(made, Random(seed))
-    end = made.now
-    made.run(AFTER * S)
-    made.run(LAST * S)
-    worst = made.history.worst
-    return (
-        worst(begin - 20 * S, begin),
-        worst(begin, end + AFTER * S // 2),
-        worst(made.now - LAST * S),
-        len(made.weights[0]),
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.cluster.script import Fleet, S, Step, What
+from dahliabend.simulation.cluster.subset_model import SubsetModel, WorstSample
+from dahliabend.subsetting.controller import SubsetSettings
+
+WARMUP_SECONDS, SETTLE_SECONDS, LAST_SECONDS, BEFORE_SECONDS = 40, 60, 30, 20
+BALANCERS, UPSTREAMS = 60, 40
+LARGE_BALANCERS, LARGE_UPSTREAMS = 200, 100  # one seed only
+DEFAULT_SEEDS = 5
+MESSAGE_DELAY = Duration(2_000)
+
+Action = Callable[[SubsetModel, Random], None]
+
+
+class Scenario(NamedTuple):
+    """What happens, and in which cluster."""
+
+    act: Action
+    balancers: int = BALANCERS
+    upstreams: int = UPSTREAMS
+
+
+class Measurement(NamedTuple):
+    """The worst seconds of one run."""
+
+    before: WorstSample
+    during: WorstSample
+    after: WorstSample
+    subset_size: int  # of one balancer, at the end
+
+
+def measure(seed: int, scenario: Scenario) -> Measurement:
+    """Run a scenario with one seed."""
+    fleet = Fleet(seed=seed, instances=scenario.balancers, delay=MESSAGE_DELAY)
+    model = SubsetModel(fleet, scenario.upstreams, SubsetSettings())
+    for number in range(scenario.balancers):
+        model.start_instance(number)
+    model.assume_full_membership()
+    model.run(WARMUP_SECONDS * S)
+    begin = model.now
+    scenario.act(model, Random(seed))
+    end = model.now
+    model.run(SETTLE_SECONDS * S)
+    model.run(LAST_SECONDS * S)
+    worst = model.history.worst
+    return Measurement(
+        worst(begin - BEFORE_SECONDS * S, begin),
+        worst(begin, end + SETTLE_SECONDS * S // 2),
+        worst(model.now - LAST_SECONDS * S),
+        len(model.weights[0]),
     )
 
 
-def step(made, what, whom=(), span=0, wait=0, **more):
-    made.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
-    made.run(wait * S)
+def apply_step(
+    model: SubsetModel, what: What, whom: Iterable[int] = (), span: int = 0, wait: int = 0, **more: Any
+) -> None:
+    """Apply a fault of the cluster, for `span` seconds, and let `wait` seconds pass."""
+    model.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
+    model.run(wait * S)
 
 
-def herd(made, rng):
+def herd(model: SubsetModel, rng: Random) -> None:
+    """A third of the balancers dies at once and returns."""
     third = rng.sample(range(60), 20)
-    step(made, "kill", third, wait=45)
-    step(made, "start", third, wait=15)
+    apply_step(model, "kill", third, wait=45)
+    apply_step(model, "start", third, wait=15)
 
 
-def rolling(made, rng):
+def rolling(model: SubsetModel, _rng: Random) -> None:
+    """All balancers restart in turn, and half of the upstreams is replaced."""
     for number in range(60):
-        step(made, "restart", [number], wait=1)
+        apply_step(model, "restart", [number], wait=1)
         if number % 3 == 0:
-            made.replace_upstreams(1)
+            model.replace_upstreams(1)
 
 
-def replaced(made, rng):
+def replaced(model: SubsetModel, rng: Random) -> None:
+    """Six in ten upstreams are replaced in 7 s."""
     for _ in range(7):
-        made.replace_upstreams(3 + rng.randrange(2))
-        made.run(S)
+        model.replace_upstreams(3 + rng.randrange(2))
+        model.run(S)
 
 
-def split(made, rng):
-    parts = [list(range(150)), list(range(150, 200))]
-    step(made, "split", parts=parts, span=90, wait=95)
+def split(model: SubsetModel, _rng: Random) -> None:
+    """Membership in parts of 150 and 50 for 90 s."""
+    apply_step(model, "split", parts=[list(range(150)), list(range(150, 200))], span=90, wait=95)
 
 
-def short_split(made, rng):
-    step(made, "split", parts=[list(range(45)), list(range(45, 60))], span=40, wait=45)
+def short_split(model: SubsetModel, _rng: Random) -> None:
+    """Membership in parts of 45 and 15 for 40 s."""
+    apply_step(model, "split", parts=[list(range(45)), list(range(45, 60))], span=40, wait=45)
 
 
-def paused(made, rng):
-    step(made, "stop", [rng.randrange(60)], span=60, wait=10)
-    made.replace_upstreams(10)
-    made.run(55 * S)
+def paused(model: SubsetModel, rng: Random) -> None:
+    """One balancer is stopped for a minute; a quarter of the upstreams is replaced meanwhile."""
+    apply_step(model, "stop", [rng.randrange(60)], span=60, wait=10)
+    model.replace_upstreams(10)
+    model.run(55 * S)
 
 
-def flaps(made, rng):
+def flaps(model: SubsetModel, _rng: Random) -> None:
+    """One balancer comes and goes, 2 s down in 4."""
     for _ in range(15):
-        step(made, "kill", [7], span=2, wait=4)
+        apply_step(model, "kill", [7], span=2, wait=4)
 
 
-def flapping_pool(made, rng):
+def flapping_upstreams(model: SubsetModel, rng: Random) -> None:
+    """Upstreams leave the list for a second, one after the other."""
     for _ in range(20):
-        gone = made.pool.pop(rng.randrange(len(made.pool)))
-        made.run(S)
-        made.pool.append(gone)
-        made.run(2 * S)
+        removed = model.pool.pop(rng.randrange(len(model.pool)))
+        model.run(S)
+        model.pool.append(removed)
+        model.run(2 * S)
 
 
-def lost(made, rng):
-    step(made, "lose", size=0.3, span=60, wait=65)
+def lost(model: SubsetModel, _rng: Random) -> None:
+    """Three in ten datagrams are lost for a minute."""
+    apply_step(model, "lose", size=0.3, span=60, wait=65)
 
 
 SCENARIOS = {
-    "a third dies at once and returns": (herd, 60, 40), "all restarted in turn, half of the pool replaced": (rolling, 60, 40),
-    "six in ten upstreams replaced in 7 s": (replaced, 60, 40), "parts of 150 and 50, 90 s": (split, 200, 100),
-    "parts of 45 and 15, 40 s": (short_split, 60, 40), "one stopped for a minute, a quarter replaced meanwhile": (paused, 60, 40),
-    "one flaps, 2 s down in 4": (flaps, 60, 40), "upstreams flap, one out in turn": (flapping_pool, 60, 40),
-    "three in ten datagrams lost": (lost, 60, 40),
-}  # fmt: skip
+    "a third dies at once and returns": Scenario(herd),
+    "all restarted in turn, half of the pool replaced": Scenario(rolling),
+    "six in ten upstreams replaced in 7 s": Scenario(replaced),
+    "parts of 150 and 50, 90 s": Scenario(split, LARGE_BALANCERS, LARGE_UPSTREAMS),
+    "parts of 45 and 15, 40 s": Scenario(short_split),
+    "one stopped for a minute, a quarter replaced meanwhile": Scenario(paused),
+    "one flaps, 2 s down in 4": Scenario(flaps),
+    "upstreams flap, one out in turn": Scenario(flapping_upstreams),
+    "three in ten datagrams lost": Scenario(lost),
+}
+
+
+def table_row(name: str, scenario: Scenario, seeds: int) -> str:
+    """Run a scenario with its seeds; the worst of these as a row of the page's table."""
+    seed_count = 1 if scenario.balancers == LARGE_BALANCERS else seeds
+    found = [measure(seed, scenario) for seed in range(seed_count)]
+    phases = [
+        [each.before for each in found],
+        [each.during for each in found],
+        [each.after for each in found],
+    ]
+    imbalance = ", ".join(f"{max(sample.imbalance for sample in phase):.2f}" for phase in phases)
+    smallest = ", ".join(str(min(sample.min_subset for sample in phase)) for phase in phases)
+    moved = max(each.during.moved / each.subset_size for each in found)
+    return f"| {name} | {len(found)} | {imbalance} | {smallest} | {moved:.0f} |"
 
 
 def main() -> None:
-    folder, seeds = Path(sys.argv[1]), int(sys.argv[3]) if "--seeds" in sys.argv else 5
-    out = ["# Subsets over a fleet's days", "", "Made by `experiments/subset_days.py`, simulated; worst of its seeds. `moved`: pairs, over the fleet, in fair shares of one "
-           "balancer.", "", "| what | seeds | uneven before, during, after | least subset before, during, after | moved during |", "| --- | --- | --- | --- | --- |"]  # fmt: skip
-    for name, (act, many, pool) in SCENARIOS.items():
-        rows = [play(seed, act, many, pool) for seed in range(seeds if many < 100 else 1)]
-        uneven = [max(row[at][0] for row in rows) for at in range(3)]
-        least = [min(row[at][1] for row in rows) for at in range(3)]
-        moved = max(row[1][2] / row[3] for row in rows)
-        out.append(
-            f"| {name} | {len(rows)} | {', '.join(f'{u:.2f}' for u in uneven)} | {', '.join(map(str, least))} | {moved:.0f} |"
-        )
+    """The command line."""
+    directory = Path(sys.argv[1])
+    seeds = int(sys.argv[3]) if "--seeds" in sys.argv else DEFAULT_SEEDS
+    out = [
+        "# Subsets over a fleet's days",
+        "",
+        "Made by `experiments/subset_days.py`, simulated; worst of its seeds. `moved`: pairs, over the fleet, in fair "
+        "shares of one balancer.",
+        "",
+        "| what | seeds | uneven before, during, after | least subset before, during, after | moved during |",
+        "| --- | --- | --- | --- | --- |",
+    ]
+    for name, scenario in SCENARIOS.items():
+        out.append(table_row(name, scenario, seeds))
         print(out[-1], flush=True)
-    folder.mkdir(parents=True, exist_ok=True)
-    (folder / "subset-days.md").write_text("\n".join(out) + "\n")
+    directory.mkdir(parents=True, exist_ok=True)
+    (directory / "subset-days.md").write_text("\n".join(out) + "\n")
 
 
 if __name__ == "__main__":
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -1,152 +1,191 @@
-"""Subsets beside none, with transactions: `python experiments/subset_work.py OUT [--seeds 200] [--jobs 4] [--way NAME=...]`.
+"""Subsets beside none, under load: `python experiments/subset_work.py OUT [--seeds 200] [--jobs 4] [--way NAME=...]`.
 
-Writes OUT/subset-work.json and OUT/subset-work.md. 40 balancers, 60 upstreams of two cores, open arrivals at 55% of what these bear, the real
-decisions, membership and keepers on the modelled network. One seed is played by each way with the same arrivals; the differences are paired, with
-95% intervals by bootstrap over the seeds. Figures count from the trouble's begin until 25 s after its end.
+Writes OUT/subset-work.json and OUT/subset-work.md. 40 balancers, 60 upstreams of two cores, open arrivals at 55% of
+what these bear, the real policy, membership and subset controllers on the simulated network. Each seed is run in each
+way with the same arrivals; the differences are paired, with 95% intervals by bootstrap over the seeds. Measurements
+count from the begin of the fault until 25 s after its end.
 """
 
 import argparse
 import json
 import sys
+from collections.abc import Callable, Iterable, Sequence
 from multiprocessing import Pool
 from pathlib import Path
 from random import Random
 from time import time
+from typing import Any, NamedTuple
 
 import numpy as np
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from dahliabend.config.operator_file.units import Duration  # noqa: E402
-from dahliabend.simulation.cluster.script import Fleet, S, Step  # noqa: E402
-from dahliabend.simulation.cluster.workload_model import WorkloadModel, upstream_names  # noqa: E402
-from dahliabend.subsetting.controller import SubsetSettings  # noqa: E402
+from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.cluster.script import Fleet, S, Step, What
+from dahliabend.simulation.cluster.workload_model import (
+    WorkloadModel,
+    upstream_names,
+)
+from dahliabend.subsetting.controller import SubsetSettings
 
-MANY, POOL, RATE, ZONES = 40, 60, 330.0, 3
-REJECTED = {"uneven": 450.0, "most": 120.0}  # another rate
-BEFORE, AFTER = 20, 25  # seconds
-EACH = 24  # runs between two writings
-DRAWS = 2_000  # of a bootstrap
-WAYS = {
-    "none": (None, False),
-    "subsets": (SubsetSettings(balancers=MANY), False),
-    "with demand": (SubsetSettings(balancers=MANY), True),
-}
+BALANCERS, UPSTREAMS, ZONES = 40, 60, 3
+RATE = 330.0  # requests a second
+RATES = {"uneven": 450.0, "most": 120.0}  # of scenarios with another one
+WARMUP_SECONDS, SETTLE_SECONDS = 20, 25
+RUNS_PER_WRITE = 24
+REPLACE_CYCLE = 4  # restarts, of which all but one replace an upstream
+BOOTSTRAP_DRAWS = 2_000
+CONFIDENCE = (2.5, 97.5)  # percentiles
+MESSAGE_DELAY = Duration(2_000)
 
+Row = dict[str, Any]  # of the results, as JSON
+Scenario = Callable[[WorkloadModel, Random], None]
 
-def act(made, what, whom=(), span=0, wait=0, **more):
-    made.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
-    made.run(wait * S)
 
+class Way(NamedTuple):
+    """How balancers choose their upstreams."""
 
-def calm(made, rng):
-    made.run(20 * S)
+    subset: SubsetSettings | None
+    announces_demand: bool
 
 
-def bad(made, rng):
-    """Four fail eight in ten at once, four work at a third of their pace; for 20 s."""
-    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), 8))]
-    for node in some[:4]:
-        node.failing = 0.8
-    for node in some[4:]:
-        node.slower = 3.0
-    made.run(20 * S)
-    for node in some:
-        node.failing, node.slower = 0.0, 1.0
+class Interval(NamedTuple):
+    """A mean, and where 95% of the means of drawn samples lie."""
 
+    mean: float
+    low: float
+    high: float
 
-def herd(made, rng):
-    third = rng.sample(range(MANY), MANY // 3)
-    act(made, "kill", third, wait=12)
-    act(made, "start", third)
 
+WAYS = {
+    "none": Way(None, False),
+    "subsets": Way(SubsetSettings(balancers=BALANCERS), False),
+    "with demand": Way(SubsetSettings(balancers=BALANCERS), True),
+}
 
-def rolling(made, rng):
-    old = rng.sample(range(POOL), POOL // 2)
-    for number in range(MANY):
-        act(made, "restart", [number])
-        if old and number % 4 != 3:
-            replace(made, old.pop())
-        made.run(S // 2)
 
+def apply_step(
+    model: WorkloadModel, what: What, whom: Iterable[int] = (), span: int = 0, wait: int = 0, **more: Any
+) -> None:
+    """Apply a fault of the cluster, for `span` seconds, and let `wait` seconds pass."""
+    model.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
+    model.run(wait * S)
 
-def replace(made, number):
-    made.drain_upstream(f"u{number}")
-    made.start_upstream(f"u{number + POOL if number < POOL else number - POOL}")
 
+def replace(model: WorkloadModel, number: int) -> None:
+    """Replace an upstream by another one."""
+    model.drain_upstream(f"u{number}")
+    model.start_upstream(f"u{number + UPSTREAMS if number < UPSTREAMS else number - UPSTREAMS}")
 
-def zone(made, rng):
+
+def calm(model: WorkloadModel, _rng: Random) -> None:
+    """No fault for 20 s."""
+    model.run(20 * S)
+
+
+def bad(model: WorkloadModel, rng: Random) -> None:
+    """Four fail eight in ten at once, four work at a third of their pace; for 20 s."""
+    names = upstream_names(rng.sample(range(UPSTREAMS), 8))
+    upstreams = [model.upstreams_by_name[name] for name in names]
+    for upstream in upstreams[:4]:
+        upstream.failing = 0.8
+    for upstream in upstreams[4:]:
+        upstream.slower = 3.0
+    model.run(20 * S)
+    for upstream in upstreams:
+        upstream.failing = 0.0
+        upstream.slower = 1.0
+
+
+def herd(model: WorkloadModel, rng: Random) -> None:
+    """A third of the balancers dies at once, and returns."""
+    third = rng.sample(range(BALANCERS), BALANCERS // 3)
+    apply_step(model, "kill", third, wait=12)
+    apply_step(model, "start", third)
+
+
+def rolling(model: WorkloadModel, rng: Random) -> None:
+    """All balancers restart in turn, and half of the upstreams is replaced."""
+    old = rng.sample(range(UPSTREAMS), UPSTREAMS // 2)
+    for number in range(BALANCERS):
+        apply_step(model, "restart", [number])
+        if old and number % REPLACE_CYCLE != REPLACE_CYCLE - 1:
+            replace(model, old.pop())
+        model.run(S // 2)
+
+
+def zone(model: WorkloadModel, rng: Random) -> None:
     """One of three zones is lost, machines and all, and returns cold."""
     lost = rng.randrange(ZONES)
-    there = [node for node in made.upstreams_by_name.values() if int(node.name[1:]) % ZONES == lost]
-    for node in there:
-        made.stop_upstream(node, is_silent=True)
-    balancers = list(range(lost, MANY, ZONES))
-    act(made, "kill", balancers, wait=12)
-    for node in there:
-        made.start_upstream(node.name)
-    act(made, "start", balancers)
+    upstreams = [each for each in model.upstreams_by_name.values() if int(each.name[1:]) % ZONES == lost]
+    for upstream in upstreams:
+        model.stop_upstream(upstream, is_silent=True)
+    balancers = list(range(lost, BALANCERS, ZONES))
+    apply_step(model, "kill", balancers, wait=12)
+    for upstream in upstreams:
+        model.start_upstream(upstream.name)
+    apply_step(model, "start", balancers)
 
 
-def split(made, rng):
+def split(model: WorkloadModel, rng: Random) -> None:
     """Membership in two parts for 25 s; both see all upstreams, of which a tenth is replaced meanwhile."""
-    everyone = list(range(MANY))
+    everyone = list(range(BALANCERS))
     rng.shuffle(everyone)
-    act(made, "split", parts=[everyone[:30], everyone[30:]], span=25)
-    for number in rng.sample(range(POOL), 6):
-        made.run(4 * S)
-        replace(made, number)
-    made.run(2 * S)
-
-
-def join(made, rng):
-    """Six in ten replaced within 7 s; some of the others are bad."""
-    order = rng.sample(range(POOL), POOL)
-    for node in (made.upstreams_by_name[name] for name in upstream_names(order[-3:])):
-        node.failing = 0.6
-    for number in order[: POOL * 6 // 10]:
-        replace(made, number)
-        made.run(7 * S * 10 // (POOL * 6))
-
-
-def half(made, rng):
-    """Half of the pool hangs for 12 s: takes all and answers nothing."""
-    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), POOL // 2))]
-    for node in some:
-        node.hung = True
-    made.run(12 * S)
-    for node in some:
-        node.hung = False
-
-
-def most(made, rng):
-    """Seven in ten hang for 12 s, with few callers: subsets widen."""
-    some = [made.upstreams_by_name[name] for name in upstream_names(rng.sample(range(POOL), POOL * 7 // 10))]
-    for node in some:
-        node.hung = True
-    made.run(12 * S)
-    for node in some:
-        node.hung = False
-
-
-def flap(made, rng):
+    apply_step(model, "split", parts=[everyone[:30], everyone[30:]], span=25)
+    for number in rng.sample(range(UPSTREAMS), 6):
+        model.run(4 * S)
+        replace(model, number)
+    model.run(2 * S)
+
+
+def join(model: WorkloadModel, rng: Random) -> None:
+    """Six in ten replaced within 7 s; some of the others fail."""
+    order = rng.sample(range(UPSTREAMS), UPSTREAMS)
+    for name in upstream_names(order[-3:]):
+        model.upstreams_by_name[name].failing = 0.6
+    for number in order[: UPSTREAMS * 6 // 10]:
+        replace(model, number)
+        model.run(7 * S * 10 // (UPSTREAMS * 6))
+
+
+def half(model: WorkloadModel, rng: Random) -> None:
+    """Half of the upstreams hangs for 12 s: takes all and answers nothing."""
+    hang(model, rng.sample(range(UPSTREAMS), UPSTREAMS // 2))
+
+
+def most(model: WorkloadModel, rng: Random) -> None:
+    """Seven in ten hang for 12 s, at a low rate: subsets widen."""
+    hang(model, rng.sample(range(UPSTREAMS), UPSTREAMS * 7 // 10))
+
+
+def hang(model: WorkloadModel, numbers: Sequence[int]) -> None:
+    """Have upstreams hang for 12 s."""
+    upstreams = [model.upstreams_by_name[name] for name in upstream_names(numbers)]
+    for upstream in upstreams:
+        upstream.hung = True
+    model.run(12 * S)
+    for upstream in upstreams:
+        upstream.hung = False
+
+
+def flap(model: WorkloadModel, rng: Random) -> None:
     """One upstream comes and goes, 1 s out of 3, for a minute."""
-    name = f"u{rng.randrange(POOL)}"
+    name = f"u{rng.randrange(UPSTREAMS)}"
     for _ in range(20):
-        made.stop_upstream(made.upstreams_by_name[name])
-        made.run(S)
-        made.start_upstream(name)
-        made.run(2 * S)
+        model.stop_upstream(model.upstreams_by_name[name])
+        model.run(S)
+        model.start_upstream(name)
+        model.run(2 * S)
 
 
-def uneven(made, rng):
-    """A quarter of all callers come to one balancer, for 40 s, with 75% of what all bear in all."""
-    made.skewed_share = 1 / 4
-    made.run(40 * S)
-    made.skewed_share = 0.0
+def uneven(model: WorkloadModel, _rng: Random) -> None:
+    """A quarter of all requests goes to one balancer, for 40 s, with 75% of what all bear in all."""
+    model.skewed_share = 1 / 4
+    model.run(40 * S)
+    model.skewed_share = 0.0
 
 
-SCENARIOS = {
+SCENARIOS: dict[str, Scenario] = {
     "half": half,
     "most": most,
     "flap": flap,
@@ -159,90 +198,129 @@
     "split": split,
     "join": join,
 }
-FIGURES = ("share", "p99", "links", "most links", "shakes", "probes", "fallen", "moved")
 
 
-def play(task) -> dict:
+def run_one(task: tuple[str, str, int]) -> Row:
+    """Run a scenario in one way with one seed."""
     scenario, way, seed = task
-    made = WorkloadModel(
-        Fleet(seed=seed, instances=MANY, delay=Duration(2_000)),
-        POOL,
-        REJECTED.get(scenario, RATE),
-        WAYS[way][0],
+    model = WorkloadModel(
+        Fleet(seed=seed, instances=BALANCERS, delay=MESSAGE_DELAY),
+        UPSTREAMS,
+        RATES.get(scenario, RATE),
+        WAYS[way].subset,
         zones=ZONES,
-        announces_demand=WAYS[way][1],
+        announces_demand=WAYS[way].announces_demand,
     )
-    made.start()
-    made.run(BEFORE * S)
-    made.reset_metrics()
-    SCENARIOS[scenario](made, Random(f"{scenario} {seed}"))
-    made.run(AFTER * S)
-    made.finish()
-    metrics, counts = made.metrics, made.metrics.counts
+    model.start()
+    model.run(WARMUP_SECONDS * S)
+    model.reset_metrics()
+    SCENARIOS[scenario](model, Random(f"{scenario} {seed}"))
+    model.run(SETTLE_SECONDS * S)
+    model.finish()
+    metrics, counts = model.metrics, model.counts
     asked = counts["asked"]
-    return {"scenario": scenario, "way": way, "seed": seed, "share": metrics.served_share, "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
-            "links": float(np.mean(metrics.mean_connections)), "most links": metrics.max_connections, "shakes": 1000 * counts["shakes"] / asked,
-            "probes": 1000 * counts["probes"] / asked, "fallen": counts["fallen"], "moved": counts["moved"], "broken": metrics.violations[:5]}  # fmt: skip
+    return {
+        "scenario": scenario,
+        "way": way,
+        "seed": seed,
+        "share": metrics.served_share,
+        "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
+        "links": float(np.mean(metrics.mean_connections)),
+        "most links": metrics.max_connections,
+        "shakes": 1000 * counts["shakes"] / asked,
+        "probes": 1000 * counts["probes"] / asked,
+        "fallen": counts["fallen"],
+        "moved": counts["moved"],
+        "broken": metrics.violations[:5],
+    }
+
+
+def bootstrap(values: np.ndarray) -> Interval:
+    """The mean of paired differences, with its interval."""
+    drawn = np.random.default_rng(1).choice(values, (BOOTSTRAP_DRAWS, len(values))).mean(axis=1)
+    low, high = (float(each) for each in np.percentile(drawn, CONFIDENCE))
+    return Interval(float(values.mean()), low, high)
+
+
+def format_difference(values: Sequence[float], digits: int) -> str:
+    """Paired differences as text."""
+    mean, low, high = bootstrap(np.array(values))
+    return f" ({mean:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
+
+
+def page(rows: list[Row], base: str) -> str:
+    """The results as a page, with differences to the way `base`."""
+    out = [
+        "# Subsets at work",
+        "",
+        "Made by `experiments/subset_work.py`, simulated: the real decisions on modelled upstreams. Means over the "
+        f"seeds; in brackets the difference to `{base}`, paired by seed, with its 95% interval. `links`: connections "
+        "of an upstream in the mean of the seconds; `most`: of the one that had most, in its worst second; `shakes`, "
+        "`probes`: connections opened and probes a thousand transactions; `fallen`: cold upstreams pushed over, in "
+        "all runs; `moved`: pairs.",
+        "",
+        "| what | way | seeds | share served in time, % | p99 of these, ms | links | most | shakes | probes | fallen "
+        "| moved |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    ways = list(dict.fromkeys(row["way"] for row in rows))
+    for scenario in SCENARIOS:
+        by_way = {way: select(rows, scenario=scenario, way=way) for way in ways}
+        out += [table_row(scenario, way, by_way, base) for way in ways if by_way[way]]
+    broken = sum(bool(row["broken"]) for row in rows)
+    note = "Rules checked (one answer each, what may not repeat runs once)"
+    return "\n".join([*out, "", f"{note}: {len(rows)} runs, {broken} broke one."]) + "\n"
 
 
-def interval(values: np.ndarray) -> tuple[float, float, float]:
-    """The mean, and where 95% of the means of drawn samples lie."""
-    drawn = np.random.default_rng(1).choice(values, (DRAWS, len(values))).mean(axis=1)
-    return float(values.mean()), *(float(each) for each in np.percentile(drawn, (2.5, 97.5)))
+def select(rows: list[Row], **wanted: object) -> dict[int, Row]:
+    """The rows with these values, by seed."""
+    return {row["seed"]: row for row in rows if all(row[key] == value for key, value in wanted.items())}
 
 
-def page(rows: list[dict], base: str) -> str:
-    out = ["# Subsets at work", "", "Made by `experiments/subset_work.py`, simulated: the real decisions on modelled upstreams. Means over the seeds; in brackets the difference "
-           f"to `{base}`, paired by seed, with its 95% interval. `links`: connections of an upstream in the mean of the seconds; `most`: of the one that had most, in its worst second; "
-           "`shakes`, `probes`: connections opened and probes a thousand transactions; `fallen`: cold upstreams pushed over, in all runs; `moved`: pairs.", "",
-           "| what | way | seeds | share served in time, % | p99 of these, ms | links | most | shakes | probes | fallen | moved |",
-           "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"]  # fmt: skip
-    ways = list(dict.fromkeys(row["way"] for row in rows))
-    for scenario in SCENARIOS:
-        first = {row["seed"]: row for row in rows if row["scenario"] == scenario and row["way"] == base}
-        for way in ways:
-            some = {row["seed"]: row for row in rows if row["scenario"] == scenario and row["way"] == way}
-            if not some:
-                continue
-
-            def mean(key, some=some):
-                return np.mean([row[key] for row in some.values()])
-
-            def beside(key, scale, digits, some=some, way=way, first=first):
-                if way == base:
-                    return ""
-                both = sorted(some.keys() & first.keys())
-                middle, low, high = interval(
-                    scale * np.array([some[seed][key] - first[seed][key] for seed in both])
-                )
-                return f" ({middle:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
-
-            out.append(
-                f"| {scenario} | {way} | {len(some)} | {100 * mean('share'):.2f}{beside('share', 100, 2)} | {mean('p99'):.0f}{beside('p99', 1, 0)} | "
-                f"{mean('links'):.1f} | {mean('most links'):.0f} | {mean('shakes'):.0f} | {mean('probes'):.1f} | "
-                f"{sum(row['fallen'] for row in some.values())} | {mean('moved'):.0f} |"
-            )
-    broken = [row for row in rows if row["broken"]]
-    out += [
-        "",
-        f"Rules checked (one answer each, what may not repeat runs once): {len(rows)} runs, {len(broken)} broke one.",
-    ]
-    return "\n".join(out) + "\n"
+def mean_of(rows: dict[int, Row], key: str) -> float:
+    """The mean of a value over the seeds."""
+    return float(np.mean([row[key] for row in rows.values()]))
+
+
+def table_row(scenario: str, way: str, by_way: dict[str, dict[int, Row]], base: str) -> str:
+    """One row of the page's table."""
+    rows, first = by_way[way], by_way[base]
+    both = sorted(rows.keys() & first.keys())
+
+    def beside(key: str, scale: float, digits: int) -> str:
+        """The difference to the base, "" for the base itself."""
+        if way == base:
+            return ""
+        return format_difference([scale * (rows[seed][key] - first[seed][key]) for seed in both], digits)
+
+    return (
+        f"| {scenario} | {way} | {len(rows)} | {100 * mean_of(rows, 'share'):.2f}{beside('share', 100, 2)} | "
+        f"{mean_of(rows, 'p99'):.0f}{beside('p99', 1, 0)} | {mean_of(rows, 'links'):.1f} | "
+        f"{mean_of(rows, 'most links'):.0f} | {mean_of(rows, 'shakes'):.0f} | {mean_of(rows, 'probes'):.1f} | "
+        f"{sum(row['fallen'] for row in rows.values())} | {mean_of(rows, 'moved'):.0f} |"
+    )
 
 
-def play_all(play, tasks: list, jobs: int, out: Path, text) -> None:
-    """All of it over processes, written as it goes: cut short, it has said what it found so far."""
+def run_all(
+    run: Callable[[Any], Row],
+    tasks: Sequence[Any],
+    jobs: int,
+    out: Path,
+    make_page: Callable[[list[Row]], str],
+) -> None:
+    """Run all tasks over processes, and write the results as they come."""
     began, rows = time(), []
     with Pool(jobs) as pool:
-        for row in pool.imap_unordered(play, tasks):
+        for row in pool.imap_unordered(run, tasks):
             rows.append(row)
-            if len(rows) % EACH == 0 or len(rows) == len(tasks):
-                out.with_suffix(".md").write_text(text(rows))
+            if len(rows) % RUNS_PER_WRITE == 0 or len(rows) == len(tasks):
+                out.with_suffix(".md").write_text(make_page(rows))
                 out.with_suffix(".json").write_text(json.dumps(rows) + "\n")
     print(f"{time() - began:.0f} s")
 
 
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--seeds", type=int, default=200)
@@ -258,11 +336,12 @@
         for way in given.ways
     ]
 
-    def text(rows: list[dict]) -> str:
+    def make_page(rows: list[Row]) -> str:
+        """The page of the rows, in the order of the ways."""
         rows.sort(key=lambda row: (row["scenario"], given.ways.index(row["way"]), row["seed"]))
         return page(rows, given.ways[0])
 
-    play_all(play, tasks, given.jobs, given.out / "subset-work", text)
+    run_all(run_one, tasks, given.jobs, given.out / "subset-work", make_page)
 
 
 if __name__ == "__main__":
