--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -67,7 +67,8 @@
         "from dahliabend.__main__ import main\n"
         "main()\n"
         "tops = ('click', 'rich', 'structlog', 'tree_sitter')\n"
-        "own = tuple('dahliabend.' + name for name in ('cli', 'simulation', 'config.operator_file', 'routing_rules'))\n"
+        "names = ('cli', 'simulation', 'config.operator_file', 'routing_rules')\n"
+        "own = tuple('dahliabend.' + name for name in names)\n"
         "print(sorted(m for m in sys.modules if m.split('.')[0] in tops or m.startswith(own)))"
     )
     done = subprocess.run(
