--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -123,17 +123,19 @@
     def run(self, span: int) -> "SimulatedCluster":
         """Let so many microseconds pass."""
         end = self.now + span
+        timers, in_transit = self.timers, self.in_transit
         while True:
-            next_timer = self.timers[0].due if self.timers else end
-            at = min(next_timer, self.in_transit[0].arrives_at if self.in_transit else end)
-            if at >= end:
+            next_timer = timers[0].due if timers else end
+            next_arrival = in_transit[0].arrives_at if in_transit else end
+            if next_timer >= end and next_arrival >= end:
                 self.now = end
                 return self
-            self.now = max(self.now, at)
-            if self.in_transit and self.in_transit[0].arrives_at == at:
-                self._deliver(heappop(self.in_transit))
+            if next_arrival <= next_timer:
+                self.now = max(self.now, next_arrival)
+                self._deliver(heappop(in_transit))
             else:
-                self._fire(heappop(self.timers))
+                self.now = max(self.now, next_timer)
+                self._fire(heappop(timers))
 
     def _deliver(self, datagram: Datagram) -> None:
         target = datagram.target
