--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -121,8 +121,9 @@
 
     def respond(self, ref, how, status, headers, body):
         if how == "committed":
-            return real(self, ref, how, status, headers, body)
-        self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
+            real(self, ref, how, status, headers, body)
+        else:
+            self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
 
     return instead(Router, "respond", respond)
 
