--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.protocol import MembershipProtocol
-from dahliabend.model import DeduplicationScope, Effect, EndpointState, Outcome, RequestClass
+from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.retries import RequestState
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
@@ -45,18 +45,6 @@
 ResultCallback = Callable[[int, Outcome], None]
 
 
-class EndpointRow(NamedTuple):
-    """An upstream as `Balancer.update_endpoints` takes it."""
-
-    upstream: int
-    state: EndpointState
-    started_at: int
-    weight: float
-    cell: int
-    zone: int
-    name: bytes
-
-
 @dataclass(slots=True)
 class AttemptRecord:
     """One attempt of a request."""
@@ -401,7 +389,7 @@
                 weight = self.weights.get(name)
                 if weight is not None:
                     rows.append(row._replace(weight=weight))
-                elif row.state is not EndpointState.READY and row.upstream in known:
+                elif row.state is not EndpointState.READY and row.endpoint in known:
                     rows.append(row)
         self.balancer.update_endpoints(self.model.now, rows, full=True)
         for index in [
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -4,6 +4,7 @@
 the ground truth and what the instances reported.
 """
 
+from collections.abc import Mapping
 from random import Random
 from typing import Any
 
@@ -142,7 +143,7 @@
             machine.assume_members(self.now, updates, encoded)
         self.cluster.in_transit.clear()
 
-    def start_instance(self, number: int, state: dict[str, Any] | None = None) -> None:
+    def start_instance(self, number: int, state: Mapping[str, Any] | None = None) -> None:
         """Start an instance of the next generation, from a snapshot if one is given."""
         self.generations[number] += 1
         self.ground_truth.start(self.now, number)
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -4,7 +4,7 @@
 can be paused or stopped.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from heapq import heappop, heappush
 from random import Random
 from typing import Any, NamedTuple
@@ -80,7 +80,7 @@
         name: str,
         generation: int,
         seeds: list[str],
-        state: dict[str, Any] | None = None,
+        state: Mapping[str, Any] | None = None,
         zone: str = "",
     ) -> MembershipProtocol:
         """Start an instance, from a predecessor's snapshot if one is given."""
