--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -81,13 +81,6 @@
         """Whether a request has no response yet, or one that is not sent whole."""
         return self.state is SERVING or self.state is FLUSHING
 
-    @property
-    def is_final_response_sent(self) -> bool:
-        """Whether the response that ends the connection has been written: nothing more is read."""
-        if self.state is FLUSHING:
-            return not self.keep_alive
-        return self.state is LINGERING
-
     # What the parser reports.
 
     def request_received(self, request: ReceivedRequest) -> None:
@@ -107,8 +100,8 @@
     # Requests.
 
     def bytes_received(self, view: memoryview) -> None:
-        """Reads requests, and serves the next."""
-        if self.is_final_response_sent:
+        """Reads requests, and serves the next; behind the final response nothing is read any more."""
+        if self.state is LINGERING or (self.state is FLUSHING and not self.keep_alive):
             return
         self.parser.feed(view)
         self.serve_next()
@@ -129,7 +122,8 @@
             if self.state is WAITING:
                 self._answer_error()
                 return
-        self._await_rest_of_request()
+        if self.parser.received_at:
+            self._await_rest_of_request()
 
     def _fail_upload(self) -> None:
         """A fault in a body that is passed on already: it has no end, so that it is never executed."""
@@ -148,8 +142,6 @@
 
     def _await_rest_of_request(self) -> None:
         """Limits the time of a request that has come in part: else it would hold its descriptor for ever."""
-        if not self.parser.received_at:
-            return
         if self._is_serving and self.upload is None:
             return
         if self.stall_timer is None or not self.stall_timer.is_pending:
@@ -158,8 +150,12 @@
     def start_request(self, request: ReceivedRequest) -> None:
         """Answers a request, or hands it to the dispatcher."""
         self.keep_alive = request.keep_alive
-        body = self._body_to_send(request.body)
-        target = request.origin_target()
+        body = request.body
+        if isinstance(body, StreamingBody):
+            body = self._take_streaming_body(body)
+        target = request.target
+        if target[:1] != b"/":
+            target = request.origin_target()
         if request.method not in self.dispatcher.methods:
             self.send_response(405, ALLOWED_METHODS, wire.REASONS[405] + b"\n")
             return
@@ -191,10 +187,8 @@
             key=request.fields.get(wire.ORDERING_KEY, b""),
         )
 
-    def _body_to_send(self, body: bytes | StreamingBody) -> bytes:
-        """The body as far as it is buffered; the rest of a streaming one is the upload."""
-        if not isinstance(body, StreamingBody):
-            return body
+    def _take_streaming_body(self, body: StreamingBody) -> bytes:
+        """The body if it has come whole meanwhile; else it is the upload, and nothing goes ahead of it."""
         if body.is_complete:  # while others were served: it is like any other
             self.upload = None
             return b"".join(body.parts)
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -137,13 +137,17 @@
     def on_url(self, part: bytes) -> None:
         """A part of the target."""
         self.target += part
-        self._add_head_bytes(len(part))
+        self.size += len(part)
+        if self.size > wire.MAX_HEAD_BYTES:
+            self.fail(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header, or a trailer, which is no part of the head."""
         if self.head_complete_at:
             return
-        self._add_head_bytes(len(name) + len(value) + wire.FIELD_OVERHEAD_BYTES)
+        self.size += len(name) + len(value) + wire.FIELD_OVERHEAD_BYTES
+        if self.size > wire.MAX_HEAD_BYTES:
+            self.fail(431)
         if self.error_status:
             return
         self.headers.append((name, value))
@@ -156,11 +160,6 @@
             self.fail(400)  # which of the two is meant?
         self.fields[lower_name] = value
 
-    def _add_head_bytes(self, count: int) -> None:
-        self.size += count
-        if self.size > wire.MAX_HEAD_BYTES:
-            self.fail(431)
-
     def on_headers_complete(self) -> None:
         """The head is complete."""
         self.size = 0
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -149,7 +149,13 @@
         """Hands pending pieces to the system, as far as it takes them."""
         ring = self.send_buffer
         while not self.write_paused and not self.closed and self.transport is not None:
-            self._fill_send_buffer()
+            while self.pending and ring.count < ring.size:
+                moved = ring.write_from(self.pending[0], self.pending_offset)
+                self.pending_offset += moved
+                self.pending_bytes -= moved
+                if self.pending_offset == len(self.pending[0]):
+                    self.pending.popleft()
+                    self.pending_offset = 0
             if not ring.count:
                 self.output_flushed()
                 return
@@ -163,17 +169,6 @@
                 return
             ring.consume(len(view))
 
-    def _fill_send_buffer(self) -> None:
-        """Moves pending pieces into the send buffer, as far as there is space."""
-        ring = self.send_buffer
-        while self.pending and ring.count < ring.size:
-            moved = ring.write_from(self.pending[0], self.pending_offset)
-            self.pending_offset += moved
-            self.pending_bytes -= moved
-            if self.pending_offset == len(self.pending[0]):
-                self.pending.popleft()
-                self.pending_offset = 0
-
     def pause_writing(self) -> None:
         """The transport could not write all at once."""
         self.write_paused = True
