--- /dev/null
+++ b/tests/fake_endpoint.py
@@ -0,0 +1,49 @@
+"""An endpoint without sockets, and requests on it that record what comes of them."""
+
+from types import SimpleNamespace
+
+from fake_transport import FakeTransport
+from helpers import MS, Notes, S
+
+from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.proxy.endpoint_table import EndpointTable, UpstreamRequest
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.timers import TimerQueue, clock
+
+AFTER_REUSE_DELAY = 75 * MS  # longer than a second answer is waited for
+
+
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+
+def endpoint_table(loop=None, limit=100):
+    timers = TimerQueue(
+        loop or SimpleNamespace(call_later=lambda *_: None, call_soon=lambda call, *a: call(*a))
+    )
+    return EndpointTable(timers, DescriptorBudget(limit), 75 * MS, 4 * S, Notes().append)
+
+
+class RecordingRequest(UpstreamRequest):
+    def on_finished(self, outcome, took, answer):
+        self.outcome = outcome
+
+
+class RecordingBodyRequest(RecordingRequest):
+    def on_finished(self, outcome, took, answer):
+        self.outcome, self.body = outcome, answer and answer[1]
+
+
+def send_request(takes=1 << 30, length=9, kind=RecordingRequest):
+    """A request out on a connection that takes so many bytes: the request and the connection."""
+    upstream = endpoint_table().get_or_create("s-1")
+    upstream.enabled = True
+    connection = UpstreamConnection(upstream.table.descriptors, upstream)
+    upstream.connections.add(connection)
+    FakeTransport(connection, takes)
+    upstream.return_connection(connection)
+    upstream.table.descriptors.mark_idle(
+        connection.handle, clock() - upstream.table.reuse_delay
+    )  # no second answer came
+    request = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
+    request.start()
+    return request, connection
--- /dev/null
+++ b/tests/http/test_client_connection.py
@@ -0,0 +1,109 @@
+"""Connections of clients: time limits, pipelining and ends."""
+
+import gc
+from types import SimpleNamespace
+from weakref import ref
+
+from fake_endpoint import (
+    endpoint_table,
+    send_request,
+)
+from fake_transport import DISPATCHER, FakeTransport, feed
+from helpers import MS, S
+from http_messages import SIZED
+
+from dahliabend.http.client_connection import ClientConnection
+from dahliabend.http.request_parser import BODY_PAUSE_TIMEOUT
+from dahliabend.http.serving_state import ServingState
+from dahliabend.proxy.router import Request, Router
+from dahliabend.transport.connection import BUFFER_SIZE, Connection
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.handles import HandleTable
+from dahliabend.transport.timers import clock
+
+
+def test_a_client_that_pipelines_without_reading_is_held_back():
+    client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S)
+    FakeTransport(client, 0)
+    raw = b"GET /-/ready HTTP/1.1\r\n\r\n"
+    feed(client, raw)
+    feed(client, raw * (BUFFER_SIZE // len(raw)))
+    feed(client, raw * 9)
+    assert client.input_blocked and len(client.queue) <= BUFFER_SIZE // len(raw)
+
+
+def test_silent_and_trickling_clients_time_out_counted_from_connecting():
+    for sent, status in ((b"", b""), (b"GET /-/re", b"HTTP/1.1 408")):
+        client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, 9 * S)
+        pipe, came = FakeTransport(client), clock()
+        for byte in sent:
+            feed(client, bytes([byte]))
+        when, _, call, _ = client.stall_timer
+        assert when <= came + 3 * S - 250 * MS  # the end has to reach them in time
+        call()
+        assert pipe.written[:12] == status and (status or pipe.ended)
+
+
+def test_an_accepted_connection_not_yet_up_is_not_closed_as_idle():
+    client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S)
+    client.close_if_idle(clock() - S // 2)
+    assert not client.closed
+
+
+def test_a_slow_head_and_a_steady_body_do_not_time_out_but_silence_does():
+    client, came = (
+        ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, 9 * S),
+        clock(),
+    )
+    FakeTransport(client)
+    feed(client, SIZED % (b"t", 60_000))
+    client.parser.head_complete_at = client.parser.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
+    client.request_timed_out()
+    assert not client.parser.error_status and client.stall_timer[0] >= came + BODY_PAUSE_TIMEOUT // 2 - MS
+    client.parser.head_complete_at = client.parser.last_body_byte_at = came - 2 * BODY_PAUSE_TIMEOUT
+    client.request_timed_out()
+    assert client.parser.error_status == 408 or client.transport.written.startswith(b"HTTP/1.1 408")
+
+
+def test_a_request_pipelined_behind_a_streamed_response_is_not_lost_on_shutdown():
+    dispatcher = SimpleNamespace(closing=lambda: True, ready=lambda: True)
+    for behind, kept in ((1, True), (0, False)):
+        client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, dispatcher, S)
+        FakeTransport(client)
+        client.state, client.keep_alive = ServingState.SERVING, True
+        client.queue.extend([()] * behind)
+        client.start_response(b"", 9, SimpleNamespace(reading_suspended=False))
+        assert client.keep_alive is kept and (b"Connection: close" in client.transport.written) is not kept
+
+
+def test_closed_connections_and_finished_requests_leave_no_reference_cycles():
+    gc.disable()
+    try:
+        for make in (
+            lambda: ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S),
+            lambda: send_request()[1],
+        ):
+            made = make()
+            FakeTransport(made)
+            made.connection_lost(None)
+            gone = ref(made)
+            del made
+            assert gone() is None
+        request = Request(None, 0, b"", b"", b"", b"")
+        request.state, request.attempts = (
+            SimpleNamespace(is_finished=True),
+            [SimpleNamespace(request=request)],
+        )
+        request.client = made = Connection(DescriptorBudget(100))
+        made.release()
+        policy = request.policy = SimpleNamespace(open_requests=1)
+        router = SimpleNamespace(
+            requests=HandleTable(4), trace_ids=set(), policies=[policy, SimpleNamespace(open_requests=0)]
+        )
+        Router.forget_if_finished(router, request)
+        assert len(router.policies) == 1  # nor does a set of decisions that has been followed stay
+        gone = ref(made)
+        del request, made
+        assert gone() is None  # nothing holds its transaction any more
+    finally:
+        gc.enable()
--- /dev/null
+++ b/tests/http/test_long_messages.py
@@ -0,0 +1,100 @@
+"""Bodies and responses too long to be buffered, in every framing, over sockets."""
+
+import os
+
+import pytest
+from helpers import PATIENCE, Caller, Upstream, answer, call, program, until
+from http_messages import CHUNKED, LONG, SIZED, chunked
+
+
+def test_a_long_body_passes_unchanged_with_a_length_or_in_chunks_and_the_connection_stays_open():
+    upstream = Upstream(lambda conn, request: conn.sendall(answer(b"%d" % len(request[2]))) is None)
+    with program(upstream) as (address, process, _):
+        client = Caller(address)
+        for raw, body in (
+            (SIZED % (b"t1", len(LONG)) + LONG, LONG), (CHUNKED % b"t2" + chunked(LONG), LONG),
+            (CHUNKED % b"t3" + chunked(b"short", 2), b"short"),
+        ):  # fmt: skip
+            client.sock.sendall(raw)
+            assert client.read()[::2] == (200, b"%d" % len(body))
+            assert upstream.came.get(timeout=PATIENCE)[2] == body
+        assert client.ask()[0] == 200 and call(process.admin, "/api/telemetry")[1]["relayed"] == 4
+
+
+def sends(raw):
+    return lambda conn, request: conn.sendall(raw) is None
+
+
+def ends(raw):
+    return lambda conn, request: conn.sendall(raw) is not None
+
+
+@pytest.mark.parametrize(
+    "play",
+    [
+        sends(answer(LONG)), sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)),
+        ends(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG),
+    ],
+)  # fmt: skip
+def test_a_long_response_passes_unchanged_in_every_framing(play):
+    with program(Upstream(play)) as (address, _, _):
+        client = Caller(address)
+        for trace in ("t1", "t2"):
+            assert client.ask(trace=trace)[::2] == (200, LONG)
+
+
+def cuts(conn, request):
+    conn.sendall(answer(LONG)[:100_000])
+
+
+def cuts_chunks(conn, request):
+    conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)[:200_000])
+
+
+@pytest.mark.parametrize("play", [cuts, cuts_chunks])
+def test_a_connection_lost_within_a_long_response_is_seen_by_the_client_and_not_retried(play):
+    upstream = Upstream(play)
+    with program(upstream) as (address, process, _):
+        client = Caller(address)
+        client.send()
+        assert client.read() is None and upstream.came.qsize() == 1  # ended short
+        shown = call(process.admin, "/api/telemetry")[1]["operations"]["query"]
+        assert (shown["fulfilled"], shown["faulted"]) == (0, 1)
+
+
+def test_a_partly_consumed_body_is_rejected_when_its_attempt_fails():
+    upstream = Upstream()
+    upstream.serve = lambda conn: (conn.recv(1000), upstream.ended.put(True))  # ends in the middle
+    with program(upstream) as (address, _, _):
+        client = Caller(address)
+        client.sock.sendall(SIZED % (b"t", len(LONG)) + LONG[:300_000])
+        assert client.read()[0] == 503 and client.read() is None
+
+
+def test_many_long_messages_at_once_with_slow_readers_stay_within_memory():
+    body = LONG * 8  # 16 MiB
+    with program(Upstream(sends(answer(body)))) as (address, process, _):
+        clients = [Caller(address) for _ in range(40)]
+        for n, client in enumerate(clients):
+            client.send("submit", "POST", b"x" * 200_000, trace=f"t{n}")
+        until(lambda: call(process.admin, "/api/telemetry")[1]["relayed"] >= 40)
+        assert clients[0].read()[2] == body  # while nobody else reads
+        with open(f"/proc/{process.pid}/statm") as file:
+            assert int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") < 80 << 20
+
+
+def test_a_response_to_http_1_0_ends_with_its_connection_and_a_cut_one_with_a_reset():
+    for play, is_whole in (
+        (ends(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG), True),
+        (cuts_chunks, False),
+    ):
+        with program(Upstream(play)) as (address, _, _):
+            client = Caller(address)
+            client.sock.sendall(
+                b"GET http://api/query HTTP/1.0\r\nX-Trace-Id: o\r\nX-Expires-In-Ms: 2000\r\n\r\n"
+            )
+            if is_whole:
+                assert client.file.read().endswith(LONG)
+            else:
+                with pytest.raises(ConnectionResetError):
+                    client.file.read()
--- /dev/null
+++ b/tests/http/test_upstream_connection.py
@@ -0,0 +1,92 @@
+"""Connections to upstreams: what is a response, and what ends the connection."""
+
+import socket
+from contextlib import closing
+
+from fake_endpoint import AFTER_REUSE_DELAY, RESPONSE, RecordingBodyRequest, send_request
+from fake_transport import feed
+
+from dahliabend.model import Outcome
+from dahliabend.transport.connection import BUFFER_SIZE
+from dahliabend.transport.timers import clock
+
+
+def test_a_lost_connection_reports_whether_the_request_was_written():
+    for length, takes, outcome in (
+        (9, 99, Outcome.RESET),
+        (9, 8, Outcome.UNREACHABLE),
+        (3 * BUFFER_SIZE, 2 * BUFFER_SIZE, Outcome.UNREACHABLE),
+        (3 * BUFFER_SIZE, 9 * BUFFER_SIZE, Outcome.RESET),
+    ):
+        request, connection = send_request(takes, length)
+        connection.connection_lost(None)
+        assert request.outcome is outcome
+
+
+def test_a_timeout_closes_the_connection_before_it_is_reported():
+    for takes, outcome in ((99, Outcome.TIMED_OUT), (8, Outcome.UNREACHABLE)):
+        request, connection = send_request(takes)
+        request.timed_out()
+        assert connection.closed and connection.transport.ended and request.outcome is outcome
+
+
+def test_a_second_or_unrequested_response_closes_the_connection():
+    for raw, kept in (
+        (RESPONSE, True),
+        (RESPONSE + RESPONSE, False),
+        (RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"), False),
+    ):
+        request, connection = send_request()
+        feed(connection, raw)
+        assert request.outcome is Outcome.SUCCEEDED and connection.closed is not kept
+    request, connection = send_request()
+    feed(connection, b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE)
+    assert request.outcome is Outcome.SUCCEEDED and not connection.closed
+    feed(connection, b"H")
+    assert connection.closed and request.endpoint.take_idle_connection(clock() + AFTER_REUSE_DELAY)[0] is None
+
+
+def test_bytes_behind_a_response_are_no_part_of_it_and_close_the_connection():
+    early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+    for raw, kept in (
+        (RESPONSE + RESPONSE, False),
+        (RESPONSE + RESPONSE[:20], False),
+        (RESPONSE + b"\x00 noise", False),
+        (early * 2 + RESPONSE, True),
+    ):
+        request, connection = send_request(kind=RecordingBodyRequest)
+        feed(connection, raw)
+        assert (request.outcome, request.body) == (Outcome.SUCCEEDED, b"ok") and connection.closed is not kept
+
+
+def test_unrequested_bytes_are_never_taken_for_the_next_response():
+    for late in (b"H", None):  # they come, or the connection ends, before the loop reads either
+        request, connection = send_request()
+        feed(connection, RESPONSE)
+        near, far = socket.socketpair()
+        with closing(near), closing(far):
+            near.setblocking(False)
+            connection.sock = near
+            far.send(late) if late else far.close()
+            assert (
+                request.endpoint.take_idle_connection(clock() + AFTER_REUSE_DELAY)[0] is None
+                and connection.closed
+            )
+
+
+def test_an_unreadable_response_fails_its_request_at_once():
+    head = b"HTTP/1.1 200 OK\r\n"
+    for raw in (
+        head + b"Content-Length: 3000000000\r\n\r\n",
+        head + b"X: " + b"x" * 3 * 8192,
+        head + b"\r\nbody",
+        head + b"Transfer-Encoding: gzip\r\n\r\n",
+        RESPONSE.replace(b"2", b"2\r\nContent-Length: 2"),
+        b"\x00" * 9,
+        head + b"Transfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n",
+        RESPONSE.replace(b"2\r", b"-2\r"),
+        head + b"Transfer-Encoding: chunked\r\n\r\n2;" + b"x" * 3 * 8192,
+    ):
+        request, connection = send_request()
+        feed(connection, raw)
+        assert request.outcome is Outcome.RESET and connection.closed  # it may have run
--- /dev/null
+++ b/tests/transport/test_connection.py
@@ -0,0 +1,16 @@
+"""Writing with backpressure."""
+
+from fake_transport import FakeTransport
+
+from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.transport.descriptor_budget import DescriptorBudget
+
+
+def test_a_blocked_write_resumes_where_it_stopped():
+    connection = UpstreamConnection(DescriptorBudget(100), None)
+    pipe = FakeTransport(connection, 100)
+    data = bytes(range(256)) * 100
+    connection.write(data)
+    while not connection.is_flushed:
+        connection.resume_writing()
+    assert pipe.written == data
