--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,10 +12,8 @@
 from tempfile import NamedTemporaryFile
 from threading import Thread
 
-import fake_port
-
-MS, S = fake_port.MS, fake_port.S  # these two lines: for tests that import them from here still
-Notes, balancer = fake_port.RecordingPort, fake_port.make_balancer
+MS = 1_000  # microseconds in a millisecond
+S = 1_000_000  # microseconds in a second
 
 # The program on sockets, and stand-ins for what it speaks to. All waits end: at an event, or at PATIENCE.
 
