--- a/tests/server/test_server_forwarding.py
+++ b/tests/server/test_server_forwarding.py
@@ -1,5 +1,6 @@
 """Requests and responses through a running process, over sockets."""
 
+import signal
 import socket
 import time
 from contextlib import ExitStack
@@ -203,14 +204,17 @@
 def test_no_request_is_lost_when_descriptors_are_scarce():
     proceed = Event()
     upstream = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
-    with program(upstream, limits={"sockets": 64}, conf={"balancers": 1}) as (address, _, _):
+    with program(upstream, limits={"sockets": 64}, conf={"balancers": 1}) as (address, process, _):
         idle_clients = [Caller(address) for _ in range(20)]
         proceed.set()
         assert [client.ask(trace="k")[0] for client in idle_clients] == [200] * 20
         proceed.clear()
+        # All have sent before the first is accepted: one that sends nothing for a while may be evicted.
+        process.send_signal(signal.SIGSTOP)
         clients = [Caller(address) for _ in range(150)]
         for n, client in enumerate(clients):
-            client.send(trace=f"t{n}", expires="3000")  # the kept ones make room for these
+            client.send(trace=f"t{n}", expires="3000")  # the idle ones make room for these
+        process.send_signal(signal.SIGCONT)
         upstream.came.get(timeout=PATIENCE)
         proceed.set()
         statuses = [(client.read() or (0,))[0] for client in clients]
