--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -1,14 +1,9 @@
 """The checker's messages for operators' files with one planted fault of each kind, against golden text."""
 
-import sys
-from pathlib import Path
+from corpus import FAULTS, make
+from golden_files import read_golden, write_golden
 
-sys.path.insert(0, str(Path(__file__).parents[1] / "settings"))
-
-from corpus import FAULTS, make  # noqa: E402
-from golden_files import read_golden, write_golden  # noqa: E402
-
-from dahliabend.routing_rules import loaded_file  # noqa: E402
+from dahliabend.routing_rules import loaded_file
 
 GOLDEN = "checker_corpus_messages.txt"
 
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -204,7 +204,8 @@
 def test_the_golden_leases_change_hands() -> None:
     worked = json.loads(read_golden(LEASES_GOLDEN))["worked"]
     holders = {task: {name for _, name, each, *_ in worked if each == task} for _, _, task, *_ in worked}
-    assert len(holders) == 4 and {"b1", "b2", "b3", "b4"} == set.union(*holders.values())
+    assert len(holders) == 4
+    assert {"b1", "b2", "b3", "b4"} == set.union(*holders.values())
     assert any(len(names) > 1 for names in holders.values())
 
 
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -93,7 +93,8 @@
     written, log, _ = handed_on(tmp_path)
     assert written == read_golden(HANDED_ON_GOLDEN)
     assert ["list", {"version": 12, "full": True, "entries": 3}] in log
-    assert ["followed", {"kept": 3, "upstreams": 3}] in log and ["handed_over", {"to": 99}] in log
+    assert ["followed", {"kept": 3, "upstreams": 3}] in log
+    assert ["handed_over", {"to": 99}] in log
     assert "handover.unread" not in {event for event, _ in log}
     assert not (tmp_path / STATE).exists()
 
@@ -141,7 +142,8 @@
         "for-2-4711": '{"version":1,"epoch":5,"list":{"version":1}}',
     }
     assert files[f"alive-1-{own}"].stat().st_mode & 0o777 == 0o600
-    assert log == [["handed_over", {"to": 4711}]] and VERSION == 1
+    assert log == [["handed_over", {"to": 4711}]]
+    assert VERSION == 1
     mine.set_excluded("s-1", False)
     assert mine.exclusions() == {"s-1/../bälter"}
 
@@ -199,7 +201,8 @@
     log = LogLines()
     with wall_clock(KEPT_AT + 500_000):
         successor = member(folder, log)
-        assert successor.stored is not None and successor.stored.handed
+        assert successor.stored is not None
+        assert successor.stored.handed
         machine = successor.failure_detector
         machine.restore(7_000_000, msgspec.structs.asdict(successor.stored))
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
@@ -227,7 +230,8 @@
     copy(KEPT, tmp_path)
     with wall_clock(KEPT_AT + later):
         successor = member(tmp_path, LogLines())
-    assert successor.stored is not None and successor.stored.handed is goes_on
+    assert successor.stored is not None
+    assert successor.stored.handed is goes_on
     assert successor.failure_detector.generation == KEPT_AT + max(
         later, 1_000_001
     )  # newer than the life that was kept
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -37,7 +37,8 @@
 def without_time(line: str) -> str:
     """The line with its time replaced, which has to be in ISO 8601 and in UTC."""
     at = json.loads(line)["at"]
-    assert at.endswith(("Z", "+00:00")) and at[10] == "T"
+    assert at.endswith(("Z", "+00:00"))
+    assert at[10] == "T"
     return line.replace(at, TIME)
 
 
--- a/tests/pins/test_membership_datagrams.py
+++ b/tests/pins/test_membership_datagrams.py
@@ -101,7 +101,8 @@
 def test_a_datagram_of_the_version_before_is_opened_and_read(name: str) -> None:
     golden = json.loads(read_golden(KINDS_GOLDEN))[name]
     data = DatagramAuthenticator([NEW_KEY, OLD_KEY]).verify(bytes.fromhex(golden["sealed"]))
-    assert data is not None and data.hex() == golden["datagram"]
+    assert data is not None
+    assert data.hex() == golden["datagram"]
     body, updates = messages()[name]
     assert codec.decode_packet(data) == Packet(
         version=1,
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -263,7 +263,7 @@
 def test_messages_of_the_simulator_name_keys_without_the_settings_table() -> None:
     tree = json.loads(read_golden(INPUT))["settings"]
     tree["caps"]["most-hops"] = 0
-    with pytest.raises(ValueError, match="^caps.most-hops: 0 is not between 1 and 65536$"):
+    with pytest.raises(ValueError, match=r"^caps.most-hops: 0 is not between 1 and 65536$"):
         read_policy_settings(json.dumps(tree).encode())
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -27,13 +27,17 @@
 
 def test_one_that_fails_as_known_is_printed_and_passed_over(tmp_path):
     status, out = run(tmp_path, BAD)
-    assert status == 0 and "1 xfailed" in out and "test_bad: a race (38)" in out
+    assert status == 0
+    assert "1 xfailed" in out
+    assert "test_bad: a race (38)" in out
 
 
 @pytest.mark.parametrize("known", [None, "", "\n\n"])
 def test_without_any_a_failure_fails_the_run(tmp_path, known):
     status, out = run(tmp_path, known)
-    assert status == 1 and "1 failed, 2 passed" in out and "known to fail" not in out
+    assert status == 1
+    assert "1 failed, 2 passed" in out
+    assert "known to fail" not in out
 
 
 @pytest.mark.parametrize(
@@ -52,7 +56,8 @@
 )
 def test_what_is_not_exactly_a_known_failure_fails_the_run(tmp_path, known, why):
     status, out = run(tmp_path, known)
-    assert status != 0 and why in out
+    assert status != 0
+    assert why in out
 
 
 def test_one_asked_for_by_name_does_not_miss_the_others(tmp_path):
