--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -171,7 +171,7 @@
         degree=settings.degree,
         by_zone=settings.zones,
         balancers=balancers,
-        doubt_hold=settings.hold,
+        hold_time=settings.hold,
     )
     controller = SubsetController(_own_participant(index, cluster, instance_name), controller_settings)
     if index is not None:  # all know how many balancers there are, and each its own place among them
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -157,7 +157,7 @@
             self._target_stale = True
 
     def _refresh_target(self, now: int) -> None:
-        if self.view.trust_after(now, self.settings.doubt_hold):
+        if self.view.trust_after(now, self.settings.hold_time):
             self._target_stale = True
         if self.flap_damping.suppressed:
             self._apply_flap_damping(now)
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -20,7 +20,7 @@
         by_zone: Whether upstreams of the own zone come first.
         source: What gives the view, `members` or `index`.
         balancers: Number of balancers while there is no view.
-        doubt_hold: How long a doubtful view does not narrow the subset.
+        hold_time: How long a doubtful view does not narrow the subset.
         step_interval: Time between two steps.
         settle_time: How long new upstreams are in use before old ones are dropped.
         move_fraction: Fraction of the subset that may be added, and dropped, in a step.
@@ -33,7 +33,7 @@
     by_zone: bool = False
     source: SubsetSource = "members"
     balancers: int = 1
-    doubt_hold: int = 60_000_000
+    hold_time: int = 60_000_000
     step_interval: int = 1_000_000
     settle_time: int = 2_000_000
     move_fraction: float = 1 / 8
