--- a/dahliabend/membership/anti_entropy.py
+++ b/dahliabend/membership/anti_entropy.py
@@ -98,7 +98,7 @@
             return
         suspected = [member.encoded_update for member in self._table.suspected_members()]
         for name in self._sample(self._table.present, max(1, self._config.indirect_probes)):
-            request = Sync(True, self._table.cluster_size)
+            request = self._sync_message(reply_requested=True)
             updates = [encode_update(self._local.update), *suspected]
             self._disseminator.send(self._table.members[name].address, request, updates)
 
@@ -110,7 +110,7 @@
             request: Its request.
             asked: Names of the members that its datagram was about; they go first.
         """
-        reply = Sync(False, self._table.cluster_size)
+        reply = self._sync_message(reply_requested=False)
         knows_enough = request.member_count >= SUFFICIENT_TABLE_RATIO * self._table.cluster_size
         if asked and knows_enough:
             self._disseminator.send(address, reply, self._own_and(asked))
@@ -132,10 +132,13 @@
 
     def send_updates(self, address: str, updates: Sequence[bytes]) -> None:
         """Send these encoded updates and no others."""
-        self._disseminator.send(address, Sync(False, self._table.cluster_size), updates)
+        self._disseminator.send(address, self._sync_message(reply_requested=False), updates)
+
+    def _sync_message(self, *, reply_requested: bool) -> Sync:
+        return Sync(reply_requested, self._table.cluster_size)
 
     def _request(self, address: str) -> None:
-        self._disseminator.send(address, Sync(True, self._table.cluster_size), self._encode_table())
+        self._disseminator.send(address, self._sync_message(reply_requested=True), self._encode_table())
 
     def _sync_with_present_member(self) -> None:
         names = self._sample(self._table.present, 1)
--- a/dahliabend/membership/authentication.py
+++ b/dahliabend/membership/authentication.py
@@ -40,7 +40,8 @@
         """
         if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return None
-        payload, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
+        payload = data[:-TAG_BYTES]
+        tag = data[-TAG_BYTES:]
         for context in self._contexts:
             if constant_time.bytes_eq(_tag(context, payload), tag):
                 return payload
--- a/dahliabend/membership/codec.py
+++ b/dahliabend/membership/codec.py
@@ -1,6 +1,7 @@
 """Datagrams as bytes: msgpack with a version and a sequence number, at most `MAX_DATAGRAM_BYTES` each."""
 
 from collections.abc import Sequence
+from enum import StrEnum
 
 import msgspec
 
@@ -22,13 +23,16 @@
 FIXINT_LIMIT = 0x80
 VERSION_PREFIX_BYTES = 2  # array header and version
 
-# Why a datagram is dropped; operators see these words beside a count.
-REASON_OVERSIZED = "oversized"
-REASON_UNREADABLE = "unreadable"
-REASON_NEWER_VERSION = "newer"
-REASON_NOT_AUTHENTICATED = "foreign"
-REASON_STALE_GENERATION = "former"
-REASON_REPLAYED = "replayed"
+
+class DropReason(StrEnum):
+    """Why a datagram is dropped; operators see the word beside a count."""
+
+    OVERSIZED = "oversized"
+    UNREADABLE = "unreadable"
+    NEWER_VERSION = "newer"
+    NOT_AUTHENTICATED = "foreign"
+    STALE_GENERATION = "former"
+    REPLAYED = "replayed"
 
 
 class _EncodedPacket(msgspec.Struct, array_like=True):
@@ -89,7 +93,7 @@
         DatagramError: It is oversized, unreadable, or of a newer version.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise DatagramError(REASON_OVERSIZED)
+        raise DatagramError(DropReason.OVERSIZED)
     try:
         packet = _decode(data)
     except (ValueError, RecursionError):  # msgspec's errors are ValueErrors
@@ -97,19 +101,20 @@
     if packet.version != PROTOCOL_VERSION:
         raise _version_error(packet.version)
     if not 0 < len(packet.sender) <= MAX_TEXT_LENGTH or not all(map(_is_valid, packet.updates)):
-        raise DatagramError(REASON_UNREADABLE)
+        raise DatagramError(DropReason.UNREADABLE)
     return packet
 
 
 def _version_error(version: int) -> DatagramError:
-    return DatagramError(REASON_NEWER_VERSION if version > PROTOCOL_VERSION else REASON_UNREADABLE)
+    return DatagramError(DropReason.NEWER_VERSION if version > PROTOCOL_VERSION else DropReason.UNREADABLE)
 
 
 def _read_version(data: bytes) -> int:
     """Return the version of a datagram of another format; 0 if there is none."""
     if len(data) < VERSION_PREFIX_BYTES:
         return 0
-    header, version = data[0], data[1]
+    header = data[0]
+    version = data[1]
     return version if FIXARRAY_MIN <= header <= FIXARRAY_MAX and version < FIXINT_LIMIT else 0
 
 
--- a/dahliabend/membership/failure_detector.py
+++ b/dahliabend/membership/failure_detector.py
@@ -165,7 +165,7 @@
             return probe.name
         relayed = self._relayed.pop(ack.probe_number, None)
         if relayed is not None:
-            self._disseminator.send_piggybacked(relayed.requester, Ack(relayed.probe_number, False))
+            self._disseminator.send_piggybacked(relayed.requester, Ack(relayed.probe_number, direct=False))
         return None
 
     def receive_nack(self, nack: Nack) -> None:
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -12,6 +12,7 @@
 
 from msgspec.structs import replace
 
+from dahliabend.membership.codec import DropReason
 from dahliabend.membership.dissemination import Datagram
 from dahliabend.membership.events import Event, EventKind
 from dahliabend.membership.local_member import LocalMember
@@ -19,13 +20,7 @@
 from dahliabend.membership.message_handler import MessageHandler
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Message, Update, UserMessage
 from dahliabend.membership.parts import Parts
-from dahliabend.membership.snapshot import (
-    GENERATION_KEY,
-    INCARNATION_KEY,
-    MEMBERS_KEY,
-    SEQUENCE_NUMBER_KEY,
-    Snapshot,
-)
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.membership.view import Exclusion, MembershipView
 
@@ -210,31 +205,31 @@
         """Send a message with these encoded updates."""
         self._parts.disseminator.send(address, message, updates)
 
-    def record_dropped(self, reason: str) -> None:
+    def record_dropped(self, reason: DropReason) -> None:
         """Count a datagram that the owner has dropped."""
         self._parts.receiver.dropped[reason] += 1
 
-    def snapshot(self) -> Snapshot:
+    def snapshot(self) -> MembershipSnapshot:
         """Return what a successor process in the same place needs, so that nobody sees a change."""
-        return {
-            GENERATION_KEY: self.generation,
-            INCARNATION_KEY: self._parts.local.incarnation,
-            SEQUENCE_NUMBER_KEY: self.sequence_number,
-            MEMBERS_KEY: [member.update for member in self.members.values()],
-        }
-
-    def restore(self, now: int, state: Snapshot) -> None:
+        return MembershipSnapshot(
+            generation=self.generation,
+            incarnation=self._parts.local.incarnation,
+            sequence_number=self.sequence_number,
+            members=[member.update for member in self.members.values()],
+        )
+
+    def restore(self, now: int, state: MembershipSnapshot) -> None:
         """Go on as a predecessor of the same name and place; before `start`.
 
         What it knew of others is asked about before it counts.
 
         Args:
             now: The time.
-            state: Its `Snapshot`; other keys are ignored.
+            state: What the predecessor left.
         """
-        self._parts.local.change(generation=state[GENERATION_KEY], incarnation=state[INCARNATION_KEY] + 1)
-        self._parts.disseminator.sequence_number = state[SEQUENCE_NUMBER_KEY]
-        for update in state[MEMBERS_KEY]:
+        self._parts.local.change(generation=state.generation, incarnation=state.incarnation + 1)
+        self._parts.disseminator.sequence_number = state.sequence_number
+        for update in state.members:
             if update.name != self.name and update.status in PRESENT_STATUSES:
                 self.store_update(now, replace(update, status=MemberStatus.ALIVE), None)
         self._parts.disseminator.clear_unsent()
--- a/dahliabend/membership/receiver.py
+++ b/dahliabend/membership/receiver.py
@@ -5,7 +5,7 @@
 
 from dahliabend.errors import DatagramError
 from dahliabend.membership.anti_entropy import AntiEntropy
-from dahliabend.membership.codec import REASON_REPLAYED, REASON_STALE_GENERATION, decode_packet
+from dahliabend.membership.codec import DropReason, decode_packet
 from dahliabend.membership.local_member import LocalMember
 from dahliabend.membership.member_table import MemberTable
 from dahliabend.membership.messages import MemberStatus, Packet, Update
@@ -79,9 +79,9 @@
         origin = f"{packet.sender} {source}"  # a process elsewhere that uses the same name is another sender
         if self.replay_filter.is_stale_generation(origin, packet.generation):
             self._correct(packet.sender, source)
-            raise DatagramError(REASON_STALE_GENERATION)
+            raise DatagramError(DropReason.STALE_GENERATION)
         if not self.replay_filter.accept(origin, packet.generation, packet.sequence_number):
-            raise DatagramError(REASON_REPLAYED)
+            raise DatagramError(DropReason.REPLAYED)
 
     def _correct(self, name: str, source: str) -> None:
         """Tell a sender of an earlier generation which one is known: its clock may have been set back."""
--- a/dahliabend/membership/snapshot.py
+++ b/dahliabend/membership/snapshot.py
@@ -1,12 +1,23 @@
-"""State that one process hands over to its successor, as it stands in a file."""
+"""State that one process hands over to its successor."""
 
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass
 
-Snapshot = Mapping[str, Any]
+from dahliabend.membership.messages import Update
 
-# The keys of the file, by what they hold.
-GENERATION_KEY = "life"
-INCARNATION_KEY = "incarnation"
-SEQUENCE_NUMBER_KEY = "serial"
-MEMBERS_KEY = "members"
+
+@dataclass(frozen=True, slots=True)
+class MembershipSnapshot:
+    """What a successor process in the same place needs, so that nobody sees a change.
+
+    Attributes:
+        generation: Generation of the member.
+        incarnation: Its last incarnation number.
+        sequence_number: Number of its last datagram.
+        members: The newest update of each other member, departed ones included.
+    """
+
+    generation: int
+    incarnation: int
+    sequence_number: int
+    members: Sequence[Update]
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -3,15 +3,14 @@
 import asyncio
 import contextlib
 from collections.abc import Callable, Iterable
-from typing import Any
 
 from dahliabend.config.address import parse_address
 from dahliabend.membership.authentication import DatagramAuthenticator
-from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, REASON_NOT_AUTHENTICATED, REASON_OVERSIZED
+from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, DropReason
 from dahliabend.membership.events import Event
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.transport import host_info
-from dahliabend.transport.timers import TimerQueue, clock
+from dahliabend.transport.timers import Timer, TimerQueue, clock
 
 MAX_CACHED_ADDRESSES = 20_000
 
@@ -58,7 +57,7 @@
         self._timers = timers
         self._on_event = on_event
         self._transport: asyncio.DatagramTransport | None = None
-        self._timer: list[Any] | None = None
+        self._timer: Timer | None = None
         self._timer_due = 0
         self._addresses: dict[str, Address | None] = {}  # None: not an address
 
@@ -110,7 +109,8 @@
         payload = self.authenticator.verify(data)
         if payload is None:
             is_oversized = len(data) > MAX_DATAGRAM_BYTES
-            self.membership.record_dropped(REASON_OVERSIZED if is_oversized else REASON_NOT_AUTHENTICATED)
+            reason = DropReason.OVERSIZED if is_oversized else DropReason.NOT_AUTHENTICATED
+            self.membership.record_dropped(reason)
             return
         self.membership.receive_datagram(clock(), payload, f"{source[0]}:{source[1]}")
         self.flush()
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -89,7 +89,8 @@
         listed = self._members
         if listed is None or listed.version != self._table.version:
             members = self._list_members()
-            listed = self._members = _Members(self._table.version, members, checksum(members))
+            listed = _Members(self._table.version, members, checksum(members))
+            self._members = listed
         return listed
 
     def _list_members(self) -> tuple[MemberView, ...]:
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -87,7 +87,7 @@
         self._file = self._membership_file()
         self.stored = self._file.read() if self._file is not None else None
         if self.stored is not None:  # a clock that was set back must not make it older than it was
-            generation = max(generation, self.stored.life + 1)
+            generation = max(generation, self.stored.generation + 1)
         self.failure_detector = self._membership_protocol(generation, random)
         self.transport = UdpTransport(
             self.failure_detector, self._authenticator(settings), timers, self._log_event
@@ -147,7 +147,7 @@
         """
         resumed = self.stored is not None and self.stored.handed
         if self.stored is not None and resumed:
-            self.failure_detector.restore(clock(), msgspec.structs.asdict(self.stored))
+            self.failure_detector.restore(clock(), self.stored.snapshot)
         await self.transport.open(parse_address(self.settings.address), self.seeds())
         self.log(
             "members.open",
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -1,12 +1,11 @@
 """The file in which a member keeps whom it knows, for the next process in its place."""
 
 import os
-from collections.abc import Mapping
-from typing import Any
 
 import msgspec
 
 from dahliabend.membership.messages import Update
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
@@ -15,16 +14,18 @@
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place. The names of the fields stand in the file.
+    """What a process leaves for the next one in its place.
+
+    In the file a field has its `name`, if one is given here, else its own.
 
     Attributes:
         name: The member's name.
         place: Its address, as the others send to it.
         handed: Whether the next process goes on as this one; else it only knows whom to ask.
         at: When it was written, in Unix microseconds.
-        life: The member's generation.
+        generation: The member's.
         incarnation: Its last incarnation number.
-        serial: Its last sequence number.
+        sequence_number: Its last one.
         members: The last update of each other member.
     """
 
@@ -32,11 +33,16 @@
     place: str
     handed: bool
     at: int
-    life: int
+    generation: int = msgspec.field(name="life")
     incarnation: int
-    serial: int
+    sequence_number: int = msgspec.field(name="serial")
     members: list[Update]
 
+    @property
+    def snapshot(self) -> MembershipSnapshot:
+        """What the next process goes on from."""
+        return MembershipSnapshot(self.generation, self.incarnation, self.sequence_number, self.members)
+
 
 class MembershipFile:
     """One member's file."""
@@ -76,14 +82,23 @@
         stored.handed = stored.handed and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
-    def write(self, state: Mapping[str, Any], *, handed: bool) -> None:
+    def write(self, state: MembershipSnapshot, *, handed: bool) -> None:
         """Replace the file.
 
         Args:
-            state: The member's state, by the last four fields of `StoredMembership`.
+            state: The member's state.
             handed: Whether the next process is to go on as this one.
         """
-        stored = StoredMembership(self.name, self.address, handed, _unix_microseconds(), **state)
+        stored = StoredMembership(
+            name=self.name,
+            place=self.address,
+            handed=handed,
+            at=_unix_microseconds(),
+            generation=state.generation,
+            incarnation=state.incarnation,
+            sequence_number=state.sequence_number,
+            members=list(state.members),
+        )
         directory, file_name = os.path.split(self.path)
         try:
             host_info.runtime_directory(directory).write(file_name, msgspec.json.encode(stored))
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -4,14 +4,13 @@
 the ground truth and what the instances reported.
 """
 
-from collections.abc import Mapping
 from random import Random
-from typing import Any
 
 from dahliabend.membership import codec
 from dahliabend.membership.codec import encode_update
 from dahliabend.membership.messages import Ping
 from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.ground_truth import GroundTruth, Link
 from dahliabend.simulation.cluster.invariants import (
@@ -143,7 +142,7 @@
             machine.assume_members(self.now, updates, encoded)
         self.cluster.in_transit.clear()
 
-    def start_instance(self, number: int, state: Mapping[str, Any] | None = None) -> None:
+    def start_instance(self, number: int, state: MembershipSnapshot | None = None) -> None:
         """Start an instance of the next generation, from a snapshot if one is given."""
         self.generations[number] += 1
         self.ground_truth.start(self.now, number)
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -4,12 +4,13 @@
 can be paused or stopped.
 """
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
 from random import Random
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 
 S = 1_000_000  # microseconds in a second
@@ -80,7 +81,7 @@
         name: str,
         generation: int,
         seeds: list[str],
-        state: Mapping[str, Any] | None = None,
+        state: MembershipSnapshot | None = None,
         zone: str = "",
     ) -> MembershipProtocol:
         """Start an instance, from a predecessor's snapshot if one is given."""
--- a/dahliabend/simulation/cluster/subset_model.py
+++ b/dahliabend/simulation/cluster/subset_model.py
@@ -4,12 +4,12 @@
 demand is given, and load is the sum of what the subsets' weights send to each upstream.
 """
 
-from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import numpy as np
 
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.model import ClusterModel
 from dahliabend.simulation.cluster.script import Fleet, S
@@ -77,7 +77,7 @@
         self.pool = self.pool[count:] + new
         self.upstreams_created += count
 
-    def start_instance(self, number: int, state: Mapping[str, Any] | None = None) -> None:
+    def start_instance(self, number: int, state: MembershipSnapshot | None = None) -> None:
         """Start an instance with an empty subset."""
         super().start_instance(number, state)
         self.controllers[number] = SubsetController(Participant(f"b{number}"), self.subset)
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from random import Random
@@ -17,6 +17,7 @@
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL
 from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.model import EndpointRow, EndpointState, Settings
 from dahliabend.simulation.cluster.balancer_instance import (
@@ -216,7 +217,7 @@
         self.call_at(self.clock, self.request_arrived)
         self.call_at(self.clock, self.take_sample)
 
-    def start_instance(self, number: int, state: Mapping[str, Any] | None = None) -> None:
+    def start_instance(self, number: int, state: MembershipSnapshot | None = None) -> None:
         """Start a balancer."""
         super().start_instance(number, state)
         if self.announces_demand:
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -204,7 +204,7 @@
         assert successor.stored is not None
         assert successor.stored.handed
         machine = successor.failure_detector
-        machine.restore(7_000_000, msgspec.structs.asdict(successor.stored))
+        machine.restore(7_000_000, successor.stored.snapshot)
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
             "seeds": successor.seeds(), "life": machine.generation,
