--- a/dahliabend/leases/candidate_order.py
+++ b/dahliabend/leases/candidate_order.py
@@ -2,26 +2,39 @@
 
 from collections.abc import Iterable
 from hashlib import blake2b
+from typing import NamedTuple
 
 HASH_BYTES = 8
 
 
-def rank_candidates(task: str, members: Iterable[tuple[str, str]], zone: str = "") -> list[str]:
+class Candidate(NamedTuple):
+    """A member that may hold a lease.
+
+    Attributes:
+        name: Its name.
+        zone: Zone that it runs in; empty if it has none.
+    """
+
+    name: str
+    zone: str
+
+
+def rank_candidates(task: str, members: Iterable[Candidate], zone: str = "") -> list[str]:
     """Return the names of the members in their order for a task; the same wherever the view is the same.
 
     Args:
         task: Name of the leased task.
-        members: Name and zone of each member.
+        members: All members.
         zone: Zone of the task; its members come first.
 
-    >>> rank_candidates("probe u1", [("b0", "a"), ("b1", "b"), ("b2", "b")], "a")[0]
+    >>> members = [Candidate("b0", "a"), Candidate("b1", "b"), Candidate("b2", "b")]
+    >>> rank_candidates("probe u1", members, "a")[0]
     'b0'
     """
 
-    def rank(member: tuple[str, str]) -> tuple[bool, bytes]:
+    def rank(member: Candidate) -> tuple[bool, bytes]:
         """Return the sort key of a member; the highest comes first."""
-        name, member_zone = member
-        digest = blake2b(f"{task}\0{name}".encode(), digest_size=HASH_BYTES).digest()
-        return member_zone == zone, digest
+        digest = blake2b(f"{task}\0{member.name}".encode(), digest_size=HASH_BYTES).digest()
+        return member.zone == zone, digest
 
-    return [name for name, _ in sorted(members, key=rank, reverse=True)]
+    return [member.name for member in sorted(members, key=rank, reverse=True)]
--- a/dahliabend/leases/election.py
+++ b/dahliabend/leases/election.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from dahliabend.leases.candidate_order import rank_candidates
+from dahliabend.leases.candidate_order import Candidate, rank_candidates
 from dahliabend.leases.fencing import next_fencing_token
 from dahliabend.leases.lease import MICROSECONDS_PER_MS, DueTask, Lease, LeaseAnnouncement
 
@@ -36,7 +36,7 @@
         period: Time in which each task is done once.
         task_zones: Zone of each task.
         leases: Lease of each task.
-        members: Name and zone of each member, sorted.
+        members: All members, sorted.
         ranks: This instance's place among the candidates of a task, as far as computed.
         view_settled: Whether the members are known and this instance has heard from them.
         last_tick_at: Time of the last tick; 0 before the first.
@@ -49,7 +49,7 @@
         self.period = period
         self.task_zones: dict[str, str] = {}
         self.leases: dict[str, Lease] = {}
-        self.members: tuple[tuple[str, str], ...] = ()
+        self.members: tuple[Candidate, ...] = ()
         self.ranks: dict[str, int] = {}
         self.view_settled = False
         self.last_tick_at = 0
@@ -60,12 +60,12 @@
 
     # Input.
 
-    def update_members(self, now: int, members: Iterable[tuple[str, str]], settled: bool) -> None:
+    def update_members(self, now: int, members: Iterable[Candidate], settled: bool) -> None:
         """Take the last settled view of the fleet.
 
         Args:
             now: Microseconds.
-            members: Name and zone of each member.
+            members: All members.
             settled: Whether the view holds; not before this instance has heard from anybody since it started
                 or paused.
         """
--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -7,6 +7,7 @@
 from functools import partial
 from typing import NamedTuple
 
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.lease import DueTask, LeaseAnnouncement
 from dahliabend.model import Outcome
@@ -69,13 +70,13 @@
         return True
 
     def tick(
-        self, now: int, members: Iterable[tuple[str, str]], settled: bool, task_zones: Mapping[str, str]
+        self, now: int, members: Iterable[Candidate], settled: bool, task_zones: Mapping[str, str]
     ) -> None:
         """Start the checks that are due here and deliver the results that have come.
 
         Args:
             now: Microseconds.
-            members: Name and zone of each member.
+            members: All members.
             settled: Whether the view holds, as for `LeaseElection.update_members`.
             task_zones: All tasks, with the zone of each.
         """
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -12,6 +12,7 @@
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.health_gossip.reports import UpstreamCounts
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.membership.messages import MemberStatus
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
@@ -180,7 +181,7 @@
         if self.health_checks is None:
             return
         members = settled.members if settled is not None else ()
-        present = [(member.name, member.zone) for member in members if member.state != "unreached"]
+        present = [Candidate(member.name, member.zone) for member in members if member.state != "unreached"]
         pools = [(pool, router) for pool, router in self.pools() if router.health_check_delegate is not None]
         is_member = now >= self.protocol.unsettled_until and self.protocol.exclusion != "dead"
         self.health_checks.tick(present, bool(present) and is_member, pools)
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.endpoint import Endpoint
@@ -52,9 +53,7 @@
             clock(), task, lambda _, outcome: policy.health_check_finished(index, outcome)
         )
 
-    def tick(
-        self, members: Iterable[tuple[str, str]], settled: bool, pools: Sequence[tuple[str, Router]]
-    ) -> None:
+    def tick(self, members: Iterable[Candidate], settled: bool, pools: Sequence[tuple[str, Router]]) -> None:
         """Run the checks that are due here.
 
         Args:
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
@@ -348,10 +349,11 @@
         if self.leased_checks is not None:
             now = self.model.now
             settled = machine.last_stable_view(now)
-            rows = [(m.name, m.zone) for m in settled.members if m.state != "unreached"] if settled else []
+            members = settled.members if settled else ()
+            candidates = [Candidate(m.name, m.zone) for m in members if m.state != "unreached"]
             tasks = {name: "" for name, row in self.rows.items() if row.state is EndpointState.READY}
-            is_settled = bool(rows) and now >= machine.unsettled_until
-            self.leased_checks.tick(now, rows, is_settled, tasks)
+            is_settled = bool(candidates) and now >= machine.unsettled_until
+            self.leased_checks.tick(now, candidates, is_settled, tasks)
 
     def _step_subset(self) -> bool:
         """Step the subset controller; whether the subset has changed."""
--- a/dahliabend/simulation/cluster/lease_search.py
+++ b/dahliabend/simulation/cluster/lease_search.py
@@ -12,6 +12,7 @@
 from itertools import product
 from typing import NamedTuple
 
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.lease import Lease, LeaseAnnouncement
 
@@ -21,7 +22,7 @@
 MICROSECONDS_PER_MILLISECOND = 1_000
 TASK = "d"
 NAMES = ("b0", "b1", "b2")
-MEMBERS = tuple((name, "") for name in NAMES)
+MEMBERS = tuple(Candidate(name, zone="") for name in NAMES)
 MIN_RUN_DISTANCE = 2  # ticks between two runs, without a cut, a loss or a stop
 STOP_LENGTHS = (6, 14)  # ticks
 CUT_LINKS = ((0, 1), (1, 2), (2, 0))
--- a/tests/leases/lease_cluster.py
+++ b/tests/leases/lease_cluster.py
@@ -3,6 +3,7 @@
 from random import Random
 from typing import NamedTuple
 
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.lease import LeaseAnnouncement
 
@@ -82,7 +83,9 @@
         )
 
     def tick(self, name: str, instance: LeaseElection) -> None:
-        instance.update_members(self.now, [(other, "") for other in self.views[name]], settled=True)
+        instance.update_members(
+            self.now, [Candidate(other, zone="") for other in self.views[name]], settled=True
+        )
         for due in instance.tick(self.now):
             self.runs.append(Run(self.now, name, due.task, due.fencing_token))
             instance.complete(self.now, due, 1)
--- a/tests/leases/test_election.py
+++ b/tests/leases/test_election.py
@@ -3,7 +3,7 @@
 import pytest
 from lease_cluster import PERIOD, SECOND, TASKS, TICK, LeaseCluster
 
-from dahliabend.leases.candidate_order import rank_candidates
+from dahliabend.leases.candidate_order import Candidate, rank_candidates
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.fencing import TOKEN_SUFFIX_BITS
 from dahliabend.leases.lease import LeaseAnnouncement
@@ -13,7 +13,7 @@
     cluster = LeaseCluster(4).run(60 * SECOND)
     cluster.check(20 * SECOND)
     for task in TASKS:
-        first = rank_candidates(task, [(name, "") for name in cluster.names])[0]
+        first = rank_candidates(task, [Candidate(name, zone="") for name in cluster.names])[0]
         assert cluster.workers(task, 20 * SECOND + 1) == {first}
         assert 8 <= len(cluster.run_times(task, 20 * SECOND)) <= 11
 
@@ -56,7 +56,7 @@
     cluster = LeaseCluster(5).run(20 * SECOND)
     start = cluster.now
     task = "probe u3"
-    for name in rank_candidates(task, [(name, "") for name in cluster.names])[:2]:
+    for name in rank_candidates(task, [Candidate(name, zone="") for name in cluster.names])[:2]:
         del cluster.instances[name]
     cluster.run(20 * SECOND)
     cluster.check(start)
@@ -134,7 +134,7 @@
 
 
 def test_candidates_of_the_tasks_zone_come_first():
-    members = [(f"b{n}", "ab"[n % 2]) for n in range(8)]
+    members = [Candidate(f"b{n}", "ab"[n % 2]) for n in range(8)]
     assert all(dict(members)[rank_candidates(f"d{n}", members, "b")[0]] == "b" for n in range(20))
 
 
--- a/tests/leases/test_leased_health_checks.py
+++ b/tests/leases/test_leased_health_checks.py
@@ -2,13 +2,14 @@
 
 import pytest
 
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.lease import LeaseAnnouncement
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks, ResultCallback
 from dahliabend.model import Outcome
 
 SECOND = 1_000_000
 PERIOD = 4 * SECOND
-MEMBERS = [("b0", ""), ("b1", ""), ("me", "")]
+MEMBERS = [Candidate(name, zone="") for name in ("b0", "b1", "me")]
 
 
 class Instance:
@@ -50,7 +51,7 @@
 
 def test_check_is_not_shared_without_other_members_or_for_an_unknown_task(instance):
     assert not instance.request(SECOND, "other")
-    instance.checks.tick(2 * SECOND, [("me", "")], settled=True, task_zones={"d": ""})
+    instance.checks.tick(2 * SECOND, [Candidate("me", zone="")], settled=True, task_zones={"d": ""})
     assert not instance.request(2 * SECOND)
 
 
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -16,6 +16,7 @@
 
 from dahliabend.config import platform as config
 from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
+from dahliabend.leases.candidate_order import Candidate
 from dahliabend.membership.messages import MemberStatus, Update
 from dahliabend.model import Outcome
 from dahliabend.server.metrics import Metrics
@@ -173,7 +174,9 @@
             )
     for _ in range(20):
         exchange.record_outcome("plain", "u-0", Outcome.FAILED)
-    exchange.health_checks.tick([("b1", ""), ("b2", "")], True, program.pools.active_routers())
+    exchange.health_checks.tick(
+        [Candidate("b1", zone=""), Candidate("b2", zone="")], True, program.pools.active_routers()
+    )
     exchange.tick()
 
 
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -13,7 +13,7 @@
 
 from dahliabend.health_gossip.gossip import HealthGossip
 from dahliabend.health_gossip.reports import HealthReport, QuotaAnnouncement, UpstreamCounts
-from dahliabend.leases.candidate_order import rank_candidates
+from dahliabend.leases.candidate_order import Candidate, rank_candidates
 from dahliabend.leases.election import LeaseElection
 from dahliabend.leases.lease import LeaseAnnouncement
 from dahliabend.model import Outcome
@@ -163,7 +163,7 @@
 def produce_leases() -> str:
     """Three members do four tasks; one stops, another joins. Who works when, under which number."""
     zones = {f"probe records s-{number}": "ab"[number % 2] for number in range(4)}
-    members = [("b1", "a"), ("b2", "b"), ("b3", "b")]
+    members = [Candidate("b1", "a"), Candidate("b2", "b"), Candidate("b3", "b")]
     instances = {name: LeaseElection(name, 4 * SECOND) for name, _ in members}
     wire: list[LeaseAnnouncement] = []
     worked, told_last = [], {}
@@ -172,10 +172,10 @@
         if beat == 25:  # b2 stops without a word; the others know after three seconds
             del instances["b2"]
         if beat == 31:
-            members.remove(("b2", "b"))
+            members.remove(Candidate("b2", "b"))
         if beat == 44:
             instances["b4"] = LeaseElection("b4", 4 * SECOND)
-            members.append(("b4", "b"))
+            members.append(Candidate("b4", "b"))
         told, wire = wire, []
         for name, instance in instances.items():
             instance.update_members(now, members, True)
@@ -189,7 +189,7 @@
     names = [f"b{number}" for number in range(8)]
     orders = {
         f"{task}, zone {zone!r}": rank_candidates(
-            task, [(name, "ab"[n % 2]) for n, name in enumerate(names)], zone
+            task, [Candidate(name, "ab"[n % 2]) for n, name in enumerate(names)], zone
         )
         for task in (*zones, "probe archive bälter")
         for zone in ("", "a")
