--- a/dahliabend/health_gossip/aggregation.py
+++ b/dahliabend/health_gossip/aggregation.py
@@ -10,8 +10,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from dahliabend.health_gossip.local_observations import OutcomeCounts
 from dahliabend.health_gossip.report_table import ReceivedReport
 
+NO_OUTCOMES = OutcomeCounts(attempts=0, failures=0)
+
 
 @dataclass(frozen=True, slots=True)
 class QuorumSettings:
@@ -64,7 +67,7 @@
     pool: str,
     upstreams: set[str],
     reports: Mapping[str, ReceivedReport],
-    own_counts: Mapping[str, tuple[int, int]],
+    own_counts: Mapping[str, OutcomeCounts],
 ) -> list[SuspectedUpstream]:
     """Return the upstreams of a pool that others find failing, the surest first.
 
@@ -82,7 +85,7 @@
     quorum = max(settings.min_origins, round(reporting * settings.min_origin_fraction))
     suspected = []
     for upstream, tally in _tally(settings, pool, upstreams, reports.values()).items():
-        own_attempts, own_failures = own_counts.get(upstream, (0, 0))
+        own_attempts, own_failures = own_counts.get(upstream, NO_OUTCOMES)
         agreed = tally.failing_origins >= quorum
         not_outvoted = tally.failures >= settings.failure_threshold * tally.attempts
         serves_here = 2 * own_failures < own_attempts
@@ -106,7 +109,8 @@
                 continue
             tally = tallies.get(upstream)
             if tally is None:
-                tally = tallies[upstream] = _Tally()
+                tally = _Tally()
+                tallies[upstream] = tally
             attempts = row.attempts
             failures = row.failures
             weight = min(attempts, settings.max_attempts_per_origin)
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -100,7 +100,8 @@
         """Count the end of an own attempt."""
         observations = self.observations.get(pool)
         if observations is None:
-            observations = self.observations[pool] = LocalObservations(REPORT_WINDOW)
+            observations = LocalObservations(REPORT_WINDOW)
+            self.observations[pool] = observations
         observations.record_outcome(now, upstream, outcome)
 
     def receive(self, now: int, data: bytes) -> None:
@@ -162,7 +163,7 @@
 
     def counts(self, now: int) -> list[UpstreamCounts]:
         """Return what there is to report of upstreams: first those with most failures, then most attempts."""
-        doubted = {
+        reported_failing = {
             key
             for received in self.report_table.origins.values()
             for key, row in received.counts.items()
@@ -172,7 +173,7 @@
             UpstreamCounts(pool, upstream, min(attempts, MAX_COUNT), min(failures, MAX_COUNT))
             for pool, observations in self.observations.items()
             for upstream, (attempts, failures) in observations.counts(now).items()
-            if failures or (pool, upstream) in doubted
+            if failures or UpstreamKey(pool, upstream) in reported_failing
         ]
         rows.sort(key=lambda row: (-row.failures, -row.attempts, row.upstream))
         return rows
@@ -229,7 +230,7 @@
         reports = self.report_table.fresh(now, members - {self.own_name})
         reported = []
         for suspected in aggregate(self._settings, pool, upstreams, reports, own_counts):
-            key = pool, suspected.upstream
+            key = UpstreamKey(pool, suspected.upstream)
             if now - self.last_reported.get(key, -REPORT_WINDOW) >= REPORT_WINDOW:
                 self.last_reported[key] = now
                 on_suspected(suspected.upstream, suspected.attempts, suspected.failures)
--- a/dahliabend/health_gossip/report_table.py
+++ b/dahliabend/health_gossip/report_table.py
@@ -5,13 +5,19 @@
 """
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
 
 MICROSECONDS_PER_MS = 1_000
 DEFAULT_CAPACITY = 10_000  # origins
 
-UpstreamKey = tuple[str, str]  # names of pool and upstream
+
+class UpstreamKey(NamedTuple):
+    """An upstream of a pool, by their names."""
+
+    pool: str
+    upstream: str
 
 
 @dataclass(slots=True)
@@ -67,7 +73,7 @@
         is_full = received is None and len(self.origins) >= self.capacity
         if age >= self.lifetime or is_full:
             return False
-        counts = {(row.pool, row.upstream): row for row in report.counts}
+        counts = {UpstreamKey(row.pool, row.upstream): row for row in report.counts}
         self.origins[report.origin] = ReceivedReport(report, now - age, counts=counts)
         return True
 
