--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -72,8 +72,8 @@
     """The owner of an upstream's connections."""
 
     @property
-    def table(self) -> TimerOwner:
-        """What all pools share."""
+    def resources(self) -> TimerOwner:
+        """What the connections of a pool share."""
 
     def return_connection(self, connection: "UpstreamConnection") -> None:
         """A connection is free for the next request."""
@@ -156,7 +156,7 @@
 
     def continue_reading(self) -> None:
         """Reads on, on the loop's next turn: never within a call that writes."""
-        self.pool.table.timers.loop.call_soon(super().continue_reading)
+        self.pool.resources.timers.loop.call_soon(super().continue_reading)
 
     def upload_finished(self, terminator: bytes) -> None:
         """The whole body has been written, but for these bytes."""
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -1,17 +1,15 @@
 """One attempt of a client's request: it is sent to one endpoint, once."""
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from dahliabend.model import Effect, Outcome
 from dahliabend.policy.retries import RequestState
+from dahliabend.proxy.base_dispatcher import RequestMetrics
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.request import Request
 from dahliabend.proxy.upstream_request import Phase, UpstreamRequest, UpstreamResponse
 from dahliabend.transport.timers import Timer, clock
 
-if TYPE_CHECKING:
-    from dahliabend.proxy.router import Router
-
 NO_DEADLINE = 1 << 50  # microseconds
 STALL_TIMEOUT = 20_000_000  # microseconds; peers may take seconds to read or write, but not that long
 UNSIZED_RESPONSE_BUFFERING = 500_000  # microseconds that a response of unknown length is buffered
@@ -31,22 +29,40 @@
     return first.sent_at + state.request_class.deduplication_window
 
 
+class AttemptOwner(Protocol):
+    """The router that attempts are reported to."""
+
+    metrics: RequestMetrics
+
+    def attempt_finished(
+        self, attempt: "Attempt", outcome: Outcome, duration: int, response: UpstreamResponse | None
+    ) -> None:
+        """Handle the end of an attempt.
+
+        Args:
+            attempt: The attempt.
+            outcome: How it has ended.
+            duration: How long it took (us).
+            response: What the upstream has answered, if that has been received completely.
+        """
+
+
 class Attempt(UpstreamRequest):
     """One attempt of a request.
 
     Attributes:
-        router: The router that it is reported to.
+        owner: The router that it is reported to.
         request: The request that it belongs to.
         index: Its index among the attempts of its request.
         first_byte_at: When a streamed response has begun (us); None if none is streamed.
         last_progress: When bytes of the request or of a streamed response moved last (us).
     """
 
-    def __init__(self, router: "Router", request: Request, endpoint: Endpoint, timeout: int) -> None:
+    def __init__(self, owner: AttemptOwner, request: Request, endpoint: Endpoint, timeout: int) -> None:
         self.upload = request.upload
         super().__init__(endpoint, request.head, request.body, timeout)
         self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
-        self.router = router
+        self.owner = owner
         self.request = request
         self.index = len(request.attempts)
         self.first_byte_at: int | None = None
@@ -87,7 +103,7 @@
             return
         client_deadline = self.started_at + self.request.client_timeout
         if self.expires_at > client_deadline:
-            self.endpoint.table.timers.cancel(self.timeout_timer)
+            self.endpoint.resources.timers.cancel(self.timeout_timer)
             self.check_progress_at(client_deadline)
 
     # Events of its connection.
@@ -95,9 +111,9 @@
     def request_written(self) -> None:
         """Count it, and schedule the hedge. The time of a streamed body counts from here."""
         request = self.request
-        timers = self.endpoint.table.timers
+        timers = self.endpoint.resources.timers
         self.last_progress = clock()
-        self.router.metrics.count_attempt(request.class_name)
+        self.owner.metrics.count_attempt(request.class_name)
         hedge_delay = request.policy.request_classes[request.class_index].hedge_delay
         if hedge_delay and self.index == 0 and request.upload is None:
             self.hedge_timer = timers.schedule(self.started_at + hedge_delay, self.hedge_timer_fired)
@@ -115,7 +131,7 @@
         connection = self.connection
         assert connection is not None, "an event of the connection"
         stream_at = clock() + UNSIZED_RESPONSE_BUFFERING
-        self.buffering_timer = self.endpoint.table.timers.schedule(stream_at, connection.start_streaming)
+        self.buffering_timer = self.endpoint.resources.timers.schedule(stream_at, connection.start_streaming)
 
     def response_started(self, headers: bytes, length: int | None) -> None:
         """Begin to stream the response, unless a hedged attempt has been quicker."""
@@ -131,7 +147,7 @@
         request.mark_answered(responding=self)
         request.state.response_started(now, self.index)
         request.client.start_response(headers, length, connection)
-        self.endpoint.table.timers.cancel(self.timeout_timer)
+        self.endpoint.resources.timers.cancel(self.timeout_timer)
         self.timed_out()
 
     def response_part(self, part: bytes) -> None:
@@ -178,16 +194,16 @@
 
     def check_progress_at(self, when: int) -> None:
         """Call `timed_out` at that time."""
-        self.timeout_timer = self.endpoint.table.timers.schedule(when, self.timed_out)
+        self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.timed_out)
 
     # Its end.
 
     def mark_finished(self) -> None:
         """Enter the last phase and release all timers."""
         super().mark_finished()
-        self.endpoint.table.timers.cancel(self.buffering_timer)
-        self.endpoint.table.timers.cancel(self.hedge_timer)
+        self.endpoint.resources.timers.cancel(self.buffering_timer)
+        self.endpoint.resources.timers.cancel(self.hedge_timer)
 
     def on_finished(self, outcome: Outcome, duration: int, response: UpstreamResponse | None) -> None:
         """Report the outcome to the router."""
-        self.router.attempt_finished(self, outcome, duration, response)
+        self.owner.attempt_finished(self, outcome, duration, response)
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -1,16 +1,14 @@
 """One endpoint of a pool: an upstream's address and state, and the connections to it."""
 
 from bisect import bisect_right
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.transport.timers import clock
 
-if TYPE_CHECKING:
-    from dahliabend.proxy.endpoint_table import EndpointTable
-
 
 class IdleConnection(NamedTuple):
     """A connection taken for the next request, if there was one, and how long it had been idle (us)."""
@@ -26,8 +24,8 @@
     them again.
 
     Attributes:
-        table: The table that it stands in.
-        index: Its number there.
+        resources: What it shares with the other endpoints of its pool.
+        index: Its number in the pool.
         name: Its id in the endpoint list.
         address: Host and port.
         state: What the endpoint list says of it.
@@ -41,8 +39,8 @@
         idle_connections: Those that are idle, by when they became so.
     """
 
-    def __init__(self, table: "EndpointTable", index: int, name: str) -> None:
-        self.table = table
+    def __init__(self, resources: EndpointResources, index: int, name: str) -> None:
+        self.resources = resources
         self.index = index
         self.name = name
         self.address = ("", 0)
@@ -72,23 +70,23 @@
 
     def take_idle_connection(self, now: int) -> IdleConnection:
         """Take an idle connection that is surely still open at the other end, if there is one."""
-        idle_since = self.table.descriptors.idle
+        idle_since = self.resources.descriptors.idle
         # A surplus response may come some milliseconds late and would be taken for the next request's. Where
         # requests are frequent, many connections became idle after that time: they are not looked at singly.
         position = bisect_right(
             self.idle_connections,
-            now - self.table.reuse_delay,
+            now - self.resources.reuse_delay,
             key=lambda connection: idle_since.get(connection.handle, 0),
         )
         while position:
             position -= 1
             connection = self.idle_connections[position]
             idle_time = now - idle_since.get(connection.handle, 0)
-            if idle_time < self.table.reuse_delay and not connection.closed:
+            if idle_time < self.resources.reuse_delay and not connection.closed:
                 continue  # a connection just closed has no time, and may have misled the search
             del self.idle_connections[position]
             if self._is_reusable(connection, idle_time):
-                self.table.descriptors.mark_busy(connection.handle)
+                self.resources.descriptors.mark_busy(connection.handle)
                 return IdleConnection(connection, idle_time)
             connection.abort()
         return IdleConnection(None, 0)
@@ -97,7 +95,7 @@
         # Unread bytes would be taken for the start of the next response.
         return (
             not connection.closed
-            and idle_time < self.table.idle_timeout
+            and idle_time < self.resources.idle_timeout
             and connection.unread_input() is None
         )
 
@@ -107,7 +105,7 @@
             connection.abort()
         elif not connection.closed:
             self.idle_connections.append(connection)
-            self.table.descriptors.mark_idle(connection.handle, clock())
+            self.resources.descriptors.mark_idle(connection.handle, clock())
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has been closed."""
@@ -117,7 +115,7 @@
 
     def close_idle(self, since: int) -> None:
         """Close the connections that have been idle since `since` or longer."""
-        idle_since = self.table.descriptors.idle
+        idle_since = self.resources.descriptors.idle
         while self.idle_connections and idle_since.get(self.idle_connections[0].handle, 0) <= since:
             self.idle_connections.pop(0).abort()
 
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -1,14 +1,11 @@
-"""The endpoints of one pool, and what their connections share."""
-
-from collections.abc import Callable
+"""The endpoints of one pool, by id and by index."""
 
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.proxy.endpoint import Endpoint
-from dahliabend.transport.descriptor_budget import DescriptorBudget
-from dahliabend.transport.timers import TimerQueue, clock
+from dahliabend.proxy.endpoint_resources import EndpointResources
+from dahliabend.transport.timers import clock
 
 MAX_REMEMBERED_IDS = 4096  # an operator may exclude an endpoint that is not listed now
-REUSE_DELAY_DIVISOR = 8  # of the connect timeout
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
 
@@ -19,39 +16,19 @@
     inherits nothing.
 
     Attributes:
-        timers: Timers of the process.
-        descriptors: The budget of descriptors that connections are counted against.
-        connect_timeout: How long a connection may take to open (us).
-        idle_timeout: How long an idle connection is used again (us), beginning with `reuse_delay`.
-        log: Writes a line to the log at level debug.
+        resources: What the endpoints share.
         endpoints: The endpoints by index.
         indices: Their indices by id.
         known_ids: Ids that have been listed, the latest last, as keys.
     """
 
-    def __init__(
-        self,
-        timers: TimerQueue,
-        descriptors: DescriptorBudget,
-        connect_timeout: int,
-        idle_timeout: int,
-        log: Callable[..., None],
-    ) -> None:
-        self.timers = timers
-        self.descriptors = descriptors
-        self.connect_timeout = connect_timeout
-        self.idle_timeout = idle_timeout
-        self.log = log
+    def __init__(self, resources: EndpointResources) -> None:
+        self.resources = resources
         self.endpoints: dict[int, Endpoint] = {}
         self.indices: dict[str, int] = {}
         self.known_ids: dict[str, None] = {}
         self.next_index = 0
 
-    @property
-    def reuse_delay(self) -> int:
-        """How long after a response its connection isn't used again (us): a surplus one may still come."""
-        return self.connect_timeout // REUSE_DELAY_DIVISOR
-
     def get_or_create(self, name: str) -> Endpoint:
         """Return the endpoint with that id; a new one if there is none."""
         index = self.indices.get(name)
@@ -59,7 +36,7 @@
             index = self.next_index
             self.next_index += 1
             self.indices[name] = index
-            self.endpoints[index] = Endpoint(self, index, name)
+            self.endpoints[index] = Endpoint(self.resources, index, name)
             self.remember_id(name)
         return self.endpoints[index]
 
@@ -81,8 +58,9 @@
 
         A request written to such a connection would be lost.
         """
-        for connection in self.descriptors.idle_since(clock() - self.idle_timeout):
+        idle_timeout = self.resources.idle_timeout
+        for connection in self.resources.descriptors.idle_since(clock() - idle_timeout):
             if isinstance(connection, UpstreamConnection):
                 connection.abort()
-        next_sweep = clock() + self.idle_timeout // SWEEPS_PER_IDLE_TIMEOUT
-        self.timers.schedule(next_sweep, self.close_expired_connections)
+        next_sweep = clock() + idle_timeout // SWEEPS_PER_IDLE_TIMEOUT
+        self.resources.timers.schedule(next_sweep, self.close_expired_connections)
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -40,7 +40,7 @@
         load = {}
         if response is not None:
             load = load_reports.parse(response.body or response.load_report, self.report_fields)
-        self.endpoint.table.log(
+        self.endpoint.resources.log(
             "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=duration // 1000, load=load
         )
         self.on_result(self.endpoint.index, outcome)
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -1,17 +1,15 @@
 """One request of a client, from its admission until the last of its attempts has ended."""
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple, Protocol
 
 from dahliabend.http.dispatch import Client
 from dahliabend.http.streaming import StreamingBody
+from dahliabend.model import Outcome
 from dahliabend.policy.retries import RequestState
+from dahliabend.proxy.policy_port import PolicyPort
 from dahliabend.transport.timers import clock
 
-if TYPE_CHECKING:
-    from dahliabend.proxy.attempt import Attempt
-    from dahliabend.proxy.policy_port import PolicyPort
-
 MARGIN_DIVISOR = 8  # the margin for the way back to the client is at most this part of its timeout
 
 
@@ -55,6 +53,16 @@
     duration_ms: int
 
 
+class RequestAttempt(Protocol):
+    """What a request needs of its attempts."""
+
+    def cancel_unsent(self) -> None:
+        """Give it up unless it has been written completely."""
+
+    def give_up(self, outcome: Outcome) -> None:
+        """Stop waiting for it."""
+
+
 class Request:
     """A request that has been admitted: its client, its state in the policy, and its attempts.
 
@@ -118,7 +126,7 @@
         # Set during the admission; no event of an attempt needs them earlier.
         self.state: RequestState = None  # type: ignore[assignment] # see above
         self.policy: PolicyPort = None  # type: ignore[assignment] # see above
-        self.attempts: list[Attempt] = []
+        self.attempts: list[RequestAttempt] = []
         self.attempt_records: list[AttemptRecord] = []
         self.answered = False
         self.on_rejected: Callable[[int], None] | None = None
@@ -135,7 +143,7 @@
         """Handle that a part of the streamed body is gone: no further attempt could send it."""
         self.state.body_consumed()
 
-    def mark_answered(self, responding: "Attempt | None" = None) -> None:
+    def mark_answered(self, responding: RequestAttempt | None = None) -> None:
         """Note that it has its response, or that its client has gone; attempts not sent yet are cancelled.
 
         Args:
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from enum import IntEnum
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.http.upstream_connection import UpstreamConnection
@@ -11,9 +11,6 @@
 from dahliabend.transport.connection import dial
 from dahliabend.transport.timers import Timer, clock
 
-if TYPE_CHECKING:
-    from dahliabend.proxy.endpoint_table import EndpointTable
-
 _STATUS_OK = 200
 _REJECTING_STATUSES = (503, 504)  # with these an upstream may say that it has not executed the request
 
@@ -101,45 +98,50 @@
 
     def start(self) -> None:
         """Send it on an idle connection, or open a connection for it."""
-        table = self.endpoint.table
-        self.timeout_timer = table.timers.schedule(self.expires_at, self.timed_out)
+        resources = self.endpoint.resources
+        self.timeout_timer = resources.timers.schedule(self.expires_at, self.timed_out)
         connection, self.connection_idle_time = self.endpoint.take_idle_connection(self.started_at)
         if connection is not None:
             self.send_on_connection(connection)
-        elif table.descriptors.is_full(self.started_at):
+        elif resources.descriptors.is_full(self.started_at):
             self.finish_soon(Outcome.NOT_SENT)  # no descriptor left: the upstream is not to blame
         else:
             self.begin_connecting()
 
     def begin_connecting(self) -> None:
         """Enter CONNECTING: open a connection in a task of its own."""
-        table = self.endpoint.table
+        resources = self.endpoint.resources
         # The connection takes its descriptor here. If it did so only when the task runs, on the loop's next
         # turn, all requests started in one turn would find the same descriptor free and exceed the budget.
-        connection = UpstreamConnection(table.descriptors, self.endpoint)
+        connection = UpstreamConnection(resources.descriptors, self.endpoint)
         self.phase = Phase.CONNECTING
-        self.connect_task = table.timers.loop.create_task(self.connect(table, connection))
+        self.connect_task = resources.timers.loop.create_task(self.connect(connection))
         self.connect_task.add_done_callback(lambda _: connection.dial_cancelled())
 
-    async def connect(self, table: "EndpointTable", connection: UpstreamConnection) -> None:
+    async def connect(self, connection: UpstreamConnection) -> None:
         """Open `connection` within the connect timeout and the deadline, then send on it."""
-        assert self.connect_task is not None, "it is this task"
-        connect_deadline = min(self.send_deadline, self.started_at + table.connect_timeout)
-        limit = table.timers.schedule(connect_deadline, self.connect_task.cancel)
+        resources = self.endpoint.resources
+        connect_deadline = min(self.send_deadline, self.started_at + resources.connect_timeout)
+        limit = resources.timers.schedule(connect_deadline, self.stop_connecting)
         try:
-            await dial(table.timers.loop, self.endpoint.address, connection)
+            await dial(resources.timers.loop, self.endpoint.address, connection)
         except (OSError, asyncio.CancelledError) as error:
             self.failure_reason = f"connect: {error or 'no answer'}"
             # Where its own deadline came before the connect timeout, the upstream is not to blame.
-            out_of_time = self.send_deadline <= min(clock(), self.started_at + table.connect_timeout)
+            out_of_time = self.send_deadline <= min(clock(), self.started_at + resources.connect_timeout)
             self.finish(Outcome.NOT_SENT if out_of_time else Outcome.UNREACHABLE)
             return
         finally:
-            table.timers.cancel(limit)
+            resources.timers.cancel(limit)
             self.connect_task = None
         self.endpoint.connections.add(connection)
         self.send_on_connection(connection)
 
+    def stop_connecting(self) -> None:
+        """Cancel the opening of a connection, if one is being opened."""
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+
     def send_on_connection(self, connection: UpstreamConnection) -> None:
         """Hand it to a connection, unless it must not be sent any more; then the connection becomes idle.
 
@@ -217,8 +219,7 @@
         if self.is_finished:
             return
         written = self.connection is not None and self.connection.cancel_request()
-        if self.connect_task is not None:
-            self.connect_task.cancel()
+        self.stop_connecting()
         self.finish_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
 
     def finish_soon(self, outcome: Outcome) -> None:
@@ -229,7 +230,7 @@
         if not self.is_finished:
             self.mark_finished()
             duration = clock() - self.started_at
-            self.endpoint.table.timers.loop.call_soon(self.on_finished, outcome, duration, None)
+            self.endpoint.resources.timers.loop.call_soon(self.on_finished, outcome, duration, None)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
         """Finish now."""
@@ -241,4 +242,4 @@
         """Enter the last phase and release what belongs to it."""
         self.phase = Phase.FINISHED
         self.connection = None
-        self.endpoint.table.timers.cancel(self.timeout_timer)
+        self.endpoint.resources.timers.cancel(self.timeout_timer)
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -8,6 +8,7 @@
 from dahliabend.config.server_settings import ServerSettings
 from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.discovery.watch import DiscoveryClient
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.handover_state import capture_state, restore_state
@@ -48,9 +49,10 @@
         self._named_keys = settings.named_keys
         self._policy_inputs = settings.policy_inputs
         self.max_request_time = max(settings.class_deadlines)
-        table = EndpointTable(
+        endpoint_resources = EndpointResources(
             self.timers, self.descriptors, settings.connect_timeout, settings.idle_reuse_time, log.debug
         )
+        table = EndpointTable(endpoint_resources)
         self.router = Router(settings, self.timers, table, self.metrics, log)
         self.endpoint_list = EndpointList(self.router, log)
         self.discovery = DiscoveryClient(
@@ -170,8 +172,8 @@
         self.max_request_time = max(self.max_request_time, *settings.class_deadlines)
         self._policy_inputs = settings.policy_inputs
         table = self.router.table
-        table.connect_timeout = settings.connect_timeout
-        table.idle_timeout = settings.idle_reuse_time
+        table.resources.connect_timeout = settings.connect_timeout
+        table.resources.idle_timeout = settings.idle_reuse_time
         in_flight = len(self.router.requests)
         restored = self.router.apply_settings(settings)
         self.log("switched", held=in_flight, kept=restored, afresh=len(table.endpoints) - restored)
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -13,6 +13,7 @@
 from dahliabend.discovery.endpoint_list import EndpointList, EndpointListObserver
 from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.proxy.dispatcher import Dispatcher
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.pool import Pool
 from dahliabend.proxy.router import Router
@@ -168,13 +169,14 @@
     def _open(self, name: str, settings: ServerSettings) -> RunningPool:
         resources = self.resources
         log = bind_pool(resources.log, name)
-        table = EndpointTable(
+        endpoint_resources = EndpointResources(
             resources.timers,
             resources.descriptors,
             settings.connect_timeout,
             settings.idle_reuse_time,
             log.debug,
         )
+        table = EndpointTable(endpoint_resources)
         router = Router(settings, resources.timers, table, resources.metrics, log)
         table.close_expired_connections()
         gossip = self.cluster.gossip if self.cluster is not None else None
@@ -236,7 +238,7 @@
             EndpointList(running.observer, resources.log),
             resources.timers,
             resources.descriptors,
-            router.table.connect_timeout,
+            router.table.resources.connect_timeout,
             router.balancer.random,
             resources.log,
         )
@@ -259,6 +261,6 @@
 
 
 def _change_router(router: Router, settings: ServerSettings) -> None:
-    router.table.connect_timeout = settings.connect_timeout
-    router.table.idle_timeout = settings.idle_reuse_time
+    router.table.resources.connect_timeout = settings.connect_timeout
+    router.table.resources.idle_timeout = settings.idle_reuse_time
     router.apply_settings(settings)
--- a/tests/fake_endpoint.py
+++ b/tests/fake_endpoint.py
@@ -7,6 +7,7 @@
 from helpers import MS, S
 
 from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.upstream_request import UpstreamRequest
 from dahliabend.transport.descriptor_budget import DescriptorBudget
@@ -22,7 +23,8 @@
     timers = TimerQueue(
         loop or SimpleNamespace(call_later=lambda *_: None, call_soon=lambda call, *a: call(*a))
     )
-    return EndpointTable(timers, DescriptorBudget(limit), 75 * MS, 4 * S, RecordingPort().append)
+    resources = EndpointResources(timers, DescriptorBudget(limit), 75 * MS, 4 * S, RecordingPort().append)
+    return EndpointTable(resources)
 
 
 class RecordingRequest(UpstreamRequest):
@@ -39,12 +41,12 @@
     """A request out on a connection that takes so many bytes: the request and the connection."""
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enabled = True
-    connection = UpstreamConnection(upstream.table.descriptors, upstream)
+    connection = UpstreamConnection(upstream.resources.descriptors, upstream)
     upstream.connections.add(connection)
     FakeTransport(connection, takes)
     upstream.return_connection(connection)
-    upstream.table.descriptors.mark_idle(
-        connection.handle, clock() - upstream.table.reuse_delay
+    upstream.resources.descriptors.mark_idle(
+        connection.handle, clock() - upstream.resources.reuse_delay
     )  # no second answer came
     request = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     request.start()
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -24,7 +24,7 @@
 
 
 def test_a_client_that_pipelines_without_reading_is_held_back():
-    client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S)
+    client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S)
     FakeTransport(client, 0)
     raw = b"GET /-/ready HTTP/1.1\r\n\r\n"
     feed(client, raw)
@@ -36,7 +36,7 @@
 
 def test_silent_and_trickling_clients_time_out_counted_from_connecting():
     for sent, status in ((b"", b""), (b"GET /-/re", b"HTTP/1.1 408")):
-        client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, 9 * S)
+        client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, 9 * S)
         pipe, came = FakeTransport(client), clock()
         for byte in sent:
             feed(client, bytes([byte]))
@@ -48,14 +48,14 @@
 
 
 def test_an_accepted_connection_not_yet_up_is_not_closed_as_idle():
-    client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S)
+    client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S)
     client.close_if_idle(clock() - S // 2)
     assert not client.closed
 
 
 def test_a_slow_head_and_a_steady_body_do_not_time_out_but_silence_does():
     client, came = (
-        ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, 9 * S),
+        ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, 9 * S),
         clock(),
     )
     FakeTransport(client)
@@ -72,7 +72,7 @@
 def test_a_request_pipelined_behind_a_streamed_response_is_not_lost_on_shutdown():
     dispatcher = SimpleNamespace(closing=lambda: True, ready=lambda: True)
     for behind, kept in ((1, True), (0, False)):
-        client = ClientConnection(DescriptorBudget(100), endpoint_table().timers, dispatcher, S)
+        client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, dispatcher, S)
         FakeTransport(client)
         client.state, client.keep_alive = ServingState.SERVING, True
         client.queue.extend([()] * behind)
@@ -85,7 +85,7 @@
     gc.disable()
     try:
         for make in (
-            lambda: ClientConnection(DescriptorBudget(100), endpoint_table().timers, DISPATCHER, S),
+            lambda: ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S),
             lambda: send_request()[1],
         ):
             made = make()
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -14,6 +14,7 @@
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.router import Router
 from dahliabend.server.metrics import Metrics
@@ -132,9 +133,10 @@
     ) -> None:
         self.clock, self.loop = fake_clock, FakeLoop()
         self.deadlines, self.descriptors = TimerQueue(self.loop), DescriptorBudget(200)
-        table = EndpointTable(
+        resources = EndpointResources(
             self.deadlines, self.descriptors, node.connect_timeout, node.idle_reuse_time, ignore
         )
+        table = EndpointTable(resources)
         self.metrics = Metrics()
         self.router = Router(node, self.deadlines, table, self.metrics, ignore)
         self.router.discovery = SimpleNamespace(attempted=True, poll=ignore)
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -21,7 +21,7 @@
     feed(connection, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     request.endpoint.close_idle(clock())
     connection.connection_lost(None)
-    table = request.endpoint.table.descriptors
+    table = request.endpoint.resources.descriptors
     new = UpstreamConnection(table, request.endpoint)
     table.release(old)
     assert table.connections.get(new.handle) is new
@@ -32,7 +32,7 @@
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enabled = True
     for age, used in ((3 * S, True), (5 * S, False)):
-        connection = UpstreamConnection(upstream.table.descriptors, upstream)
+        connection = UpstreamConnection(upstream.resources.descriptors, upstream)
         upstream.connections.add(connection)
         upstream.return_connection(connection)
         assert (upstream.take_idle_connection(clock() + age)[0] is connection) == used
@@ -41,10 +41,10 @@
 def test_only_connections_idle_for_longer_are_closed():
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enabled = True
-    old, new = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
+    old, new = (UpstreamConnection(upstream.resources.descriptors, upstream) for _ in range(2))
     for connection in (old, new):
         upstream.return_connection(connection)
-    upstream.table.descriptors.idle[old.handle] -= S
+    upstream.resources.descriptors.idle[old.handle] -= S
     upstream.close_idle(clock() - S // 2)
     assert old.closed
     assert not new.closed
@@ -55,11 +55,11 @@
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enable()
     upstream.set_address(("127.0.0.1", 1))
-    connection, busy = (UpstreamConnection(upstream.table.descriptors, upstream) for _ in range(2))
+    connection, busy = (UpstreamConnection(upstream.resources.descriptors, upstream) for _ in range(2))
     upstream.connections |= {connection, busy}
     upstream.return_connection(connection)
-    upstream.table.descriptors.mark_idle(
-        connection.handle, clock() - upstream.table.reuse_delay
+    upstream.resources.descriptors.mark_idle(
+        connection.handle, clock() - upstream.resources.reuse_delay
     )  # no second answer came
     upstream.set_address(("127.0.0.1", 2))
     assert connection.closed
@@ -87,7 +87,7 @@
     row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(dispatcher, [row], True)
     upstream = table.get_or_create("s-1")
-    busy, idle = (UpstreamConnection(table.descriptors, upstream) for _ in range(2))
+    busy, idle = (UpstreamConnection(table.resources.descriptors, upstream) for _ in range(2))
     upstream.return_connection(idle)
     Router.endpoints_changed(dispatcher, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
     upstream.return_connection(busy)  # its answer came later
@@ -108,7 +108,7 @@
 def test_without_a_descriptor_a_request_is_not_sent_and_the_endpoint_is_not_blamed():
     upstream = endpoint_table(limit=26).get_or_create("s-1")
     for _ in range(10):
-        Connection(upstream.table.descriptors)
+        Connection(upstream.resources.descriptors)
     request = RecordingRequest(upstream, b"x", b"", S)
     request.start()
     assert request.outcome is Outcome.NOT_SENT
@@ -127,7 +127,7 @@
     dispatcher = SimpleNamespace(
         table=table, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
-    policy.router, policy.endpoints_changed = (
+    policy.owner, policy.endpoints_changed = (
         dispatcher,
         lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full),
     )
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -25,7 +25,7 @@
 from dahliabend.policy.selection import EndpointSelection
 from dahliabend.proxy import attempt
 from dahliabend.proxy.attempt import Attempt
-from dahliabend.proxy.endpoint_table import EndpointTable
+from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.proxy.router import Router
 from dahliabend.proxy.upstream_request import Phase, UpstreamRequest
 from dahliabend.server.hot_restart import HotRestart
@@ -110,8 +110,8 @@
 def keep_a_deadline():
     def mark_finished(self):
         self.phase, self.connection = Phase.FINISHED, None
-        self.endpoint.table.timers.cancel(self.timeout_timer)
-        self.endpoint.table.timers.schedule(clock() + 3600 * S, int)
+        self.endpoint.resources.timers.cancel(self.timeout_timer)
+        self.endpoint.resources.timers.schedule(clock() + 3600 * S, int)
 
     return instead(UpstreamRequest, "mark_finished", mark_finished)
 
@@ -231,13 +231,14 @@
 def dial_for_ever():
     real = UpstreamRequest.connect
 
-    async def connect(self, table, link):
-        before, table.connect_timeout = table.connect_timeout, 3600 * S
+    async def connect(self, link):
+        resources = self.endpoint.resources
+        before, resources.connect_timeout = resources.connect_timeout, 3600 * S
         self.expires_at = self.send_deadline = self.expires_at + 3600 * S
         try:
-            await real(self, table, link)
+            await real(self, link)
         finally:
-            table.connect_timeout = before
+            resources.connect_timeout = before
 
     return instead(UpstreamRequest, "connect", connect)
 
@@ -258,7 +259,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.router.respond(self.request.number, "abandoned", 502, b"", b"early\n")
+            self.owner.respond(self.request.number, "abandoned", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
@@ -276,7 +277,7 @@
 
 
 def use_connections_again_at_once():
-    return instead(EndpointTable, "reuse_delay", property(lambda self: 0))
+    return instead(EndpointResources, "reuse_delay", property(lambda self: 0))
 
 
 @contextmanager
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -16,7 +16,7 @@
     budget, near, far = DescriptorBudget(26), *socket.socketpair()
     with closing(near), closing(far):
         near.setblocking(False)
-        timers = endpoint_table().timers
+        timers = endpoint_table().resources.timers
         unread, idle, fresh = (ClientConnection(budget, timers, DISPATCHER, S) for _ in range(3))
         unread.sock = near
         far.send(b"G")
