--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -5,7 +5,9 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
+
+from msgspec import Struct, field
 
 
 class Effect(IntEnum):
@@ -54,34 +56,61 @@
     EXCLUDED = 3  # by an operator, whatever the list says
 
 
-class StoredFields(tuple[str, ...]):
-    """Names of a record's fields that are handed over to the decisions that follow, in the stored order."""
+class TimerToken(IntEnum):
+    """What a timer of `Port.set_timer` is for; drivers pass it back as a number."""
+
+    TICK = 0
+    POLL = 1  # ask for the list of endpoints again
+    KEY_REST = 2  # the end of a key's rest
+
+
+# What one balancer hands over. Records are stored as lists of fields in this order, numbers as they are.
+
+
+class StoredLimit(Struct, array_like=True, forbid_unknown_fields=True):
+    """The concurrency limit, as `policy.concurrency` has it. Times are microseconds."""
 
-    __slots__ = ()
+    limit: int | float
+    mean_in_flight: int | float
+    sustained_in_flight: int | float
+    latency_ratio: int | float
+    min_latency_ratio: int | float
+    mean_latency: int | float
+    ticks: int
+    is_overloaded: bool
 
-    def read(self, record: object) -> list[Any]:
-        """Returns the values of these fields."""
-        return [getattr(record, name) for name in self]
 
-    def write(self, record: object, values: list[Any]) -> None:
-        """Sets these fields to values that `read` returned."""
-        for name, value in zip(self, values, strict=True):
-            setattr(record, name, value)
+class StoredEndpoint(Struct, array_like=True, forbid_unknown_fields=True):
+    """One endpoint, as `policy.records` has it. Times are microseconds."""
 
+    started_at: int
+    relative_latency: int | float
+    silent_since: int
+    answered_at: int
+    position: int | float
+    is_ejected: bool
+    ejected_since: int
+    consecutive_failures: int
+    slow_start_budget: int | float
+    budget_filled_at: int
 
-STORED_LIMIT = StoredFields(
-    (
-        "limit", "mean_in_flight", "sustained_in_flight", "latency_ratio", "least_latency_ratio",
-        "mean_latency", "ticks", "is_overloaded",
-    )
-)  # fmt: skip
-STORED_ENDPOINT = StoredFields(
-    (
-        "started_at", "relative_latency", "silent_since", "answered_at", "position", "is_ejected",
-        "ejected_since", "consecutive_failures", "slow_start_budget", "budget_filled_at",
-    )
-)  # fmt: skip
-Snapshot = dict[str, Any]  # what one balancer hands over, by the keys of its stored form
+
+class Snapshot(Struct):
+    """What one balancer hands over; the stored keys are older than the names here.
+
+    Attributes:
+        shape: Settings that the limit depends on: it fits only where they are the same.
+        mean_latencies: By request class (us).
+        fatal_idle_time: How long connections had been idle that swallowed a request (us).
+        endpoints: By index.
+        limit: The concurrency limit.
+    """
+
+    shape: list[int]
+    mean_latencies: list[int | float] = field(name="usual")
+    fatal_idle_time: int | float = field(name="gap")
+    endpoints: dict[int, StoredEndpoint] = field(name="upstreams")
+    limit: StoredLimit = field(name="crowd")
 
 
 class EndpointRow(NamedTuple):
@@ -142,6 +171,11 @@
     only_draining_binds: bool = False  # one gone without draining may still be sent to
     retry_budget_ratio: float = 0.1  # of first attempts: retries that may have executed
 
+    @property
+    def is_entry_tier(self) -> bool:
+        """Whether clients come here; behind, requests are calls of other services."""
+        return self.tier == 0
+
 
 class Port(Protocol):
     """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
@@ -251,7 +285,7 @@
         """Reports that a timer of `Port.set_timer` has come."""
 
     def snapshot(self, ends: bool) -> Snapshot:
-        """Returns what is known, in plain values; `ends`: this balancer admits nothing more."""
+        """Returns what is known; `ends`: this balancer admits nothing more."""
 
     def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
         """Goes on from a snapshot, by pairs of own and former classes. Returns how many endpoints fit."""
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -1,254 +1,320 @@
-"""Every decision of one balancer instance: a driver feeds it events, and it acts through a `Port`."""
+"""Every decision of one balancer instance: a driver feeds it events, and it acts through a `Port`.
+
+Here stands the way of a request through the parts, and no rule; docs/decisions.md lists the rules.
+"""
 
 from random import Random
 
-from dahliabend.model import STORED_ENDPOINT, STORED_LIMIT, EndpointRow, Outcome, Port, Settings, Snapshot
-from dahliabend.policy.concurrency import EQUAL_SHARE, ConcurrencyLimit
-from dahliabend.policy.key_order import REST_TIMER, KeyQueues
+from dahliabend.model import EndpointRow, Outcome, Port, Settings, Snapshot, TimerToken
+from dahliabend.policy.admission import Admission
+from dahliabend.policy.concurrency import ConcurrencyLimit
+from dahliabend.policy.deadlines import Deadlines, time_left
+from dahliabend.policy.key_order import KeyQueues
 from dahliabend.policy.outliers import OutlierDetector
-from dahliabend.policy.retries import BUDGET_LIMIT, Attempt, RequestState
-from dahliabend.policy.selection import Endpoint, EndpointSelection
-from dahliabend.policy.throttling import EASING, RECENT, STEP, WINDOW_TICKS, Throttling, updated_mean
+from dahliabend.policy.records import Attempt, Endpoint, RequestState
+from dahliabend.policy.retries import Retries, cancellable_attempts, is_retryable_by_client, may_attempt
+from dahliabend.policy.sampling import Sampling
+from dahliabend.policy.selection import EndpointSelection
+from dahliabend.policy.slow_start import SlowStart
+from dahliabend.policy.throttling import WINDOW_TICKS, Throttling
 
-TICK_OBJECTIVES, RETRY_AFTER_OBJECTIVES = 1 / 4, 1 / 4  # of the shortest latency objective; of the class's
-LATE = 3 / 4  # of the latency objective: in an overload, a slower attempt counts as failed
-LATENCY_RATIO_CAP = 10  # the most that one attempt tells of its endpoint's relative latency
-TICK_TIMER, POLL_TIMER = 0, 1  # tokens of timers
+TICKS_PER_LATENCY_OBJECTIVE = 4  # of the class with the shortest one
+MIN_TICK = 1000  # microseconds
+POLL_BACKOFFS_PER_DEADLINE = 8  # an endpoint poll that failed is repeated after such a part at the most
+_TELLS_NOTHING = (Outcome.CANCELLED, Outcome.NOT_SENT)  # of the endpoint
 
 
 class Balancer:
-    """The events, and the way of a request through the parts, whose public fields drivers may read."""
+    """The events (`model.Decisions`), passed to the parts, whose public fields drivers may read."""
 
     def __init__(self, settings: Settings, port: Port, seed: int) -> None:
-        self.settings, self.port, self.random = settings, port, Random(seed).random
-        self.request_classes = kinds = settings.request_classes
-        self.usual, self.retry_budget = [0.0] * len(kinds), 1.0  # mean latencies of successes, by class
-        self.tick = max(1000, round(min(kind.latency_objective for kind in kinds) * TICK_OBJECTIVES))
-        self.throttling = Throttling(len(kinds), self.tick * WINDOW_TICKS)
+        self.settings = settings
+        self.port = port
+        self.random = Random(seed).random
+        self.request_classes = settings.request_classes
+        objective = min(each.latency_objective for each in self.request_classes)
+        self.tick = max(MIN_TICK, round(objective / TICKS_PER_LATENCY_OBJECTIVE))
+        self.throttling = Throttling(len(self.request_classes), self.tick * WINDOW_TICKS)
         self.concurrency = ConcurrencyLimit(settings, self.throttling)
-        self.selection = EndpointSelection(settings, self.random, self.concurrency)
-        self.outliers = OutlierDetector(settings, port, self.tick, self.selection)
+        self.sampling = Sampling(settings, self.throttling, self.concurrency)
+        self.slow_start = SlowStart(settings, self.throttling.window)
         self.key_queues = KeyQueues(settings.key_rest, port)
+        self.retries = Retries(settings)
+        self.deadlines = Deadlines(settings, self.tick, self.retries, self.throttling)
+        self.selection = EndpointSelection(
+            settings, self.random, self.throttling, self.concurrency, self.slow_start
+        )
+        self.outliers = OutlierDetector(settings, port, self.random, self.selection, self.deadlines)
+        self.admission = Admission(settings, self.random, self.selection, self.deadlines)
         self.shape = [settings.instance_count, settings.tier, self.throttling.window]
-        bias = settings.overall_weight / ((settings.overall_weight + settings.worst_class_weight) or 1.0)
-        top = max(kind.priority_weight for kind in kinds) or 1.0
-        self.priorities = [1 - bias * (1 - kind.priority_weight / top) for kind in kinds]  # by class
-        self.is_entry_tier = settings.tier == 0  # calls of the tiers behind are work already paid for
-        self.most_retry_after = settings.max_retry_after * settings.sends_retry_after
-        self.is_started, self.poll_backoff = False, settings.poll_deadline // 8 * settings.polls_endpoints
+        self.is_started = False
+        backoff = settings.poll_deadline // POLL_BACKOFFS_PER_DEADLINE
+        self.poll_backoff = backoff if settings.polls_endpoints else 0  # microseconds
+
+    # Endpoints.
 
     def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
+        """Takes over a list of endpoints, or (not `full`) changes of it."""
         if not self.is_started:
-            self.is_started, self.throttling.tier.opened_at = True, now
-            self.port.set_timer(now + self.tick, TICK_TIMER)
+            self.is_started = True
+            self.throttling.open(now)
+            self.port.set_timer(now + self.tick, TimerToken.TICK)
             if self.poll_backoff:
                 self.port.poll_endpoints()
-        self.selection.update(now, rows, full)
+        self.selection.update(now, rows, full=full)
 
     def endpoint_poll_failed(self, now: int) -> None:
-        if self.poll_backoff:  # at random: a registry that failed under load is not stormed
-            self.port.set_timer(now + round(self.poll_backoff * (1 + self.random()) / 2), POLL_TIMER)
+        """Reports that the list was asked for in vain: it is asked for again after a while, at random.
+
+        A registry that failed under load would be stormed by all balancers at once.
+        """
+        if self.poll_backoff:
+            wait = round(self.poll_backoff * (1 + self.random()) / 2)
+            self.port.set_timer(now + wait, TimerToken.POLL)
 
     def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
-        if endpoint := self.selection.endpoints.get(index):
+        """Reports how a health check of an endpoint ended."""
+        endpoint = self.selection.endpoints.get(index)
+        if endpoint is not None:
             self.outliers.health_check_finished(endpoint, now, outcome)
 
     def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        if endpoint := self.selection.endpoints.get(index):
+        """Counts attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+        endpoint = self.selection.endpoints.get(index)
+        if endpoint is not None:
             endpoint.entries[-1].add(failed, sampled)
 
+    # Timers.
+
     def timer_fired(self, now: int, token: int) -> None:
-        if token:
-            return self.key_queues.timer_fired(now) if token == REST_TIMER else self.port.poll_endpoints()
-        self.port.set_timer(now + self.tick, TICK_TIMER)
-        for request in [request for queue in self.key_queues.queues.values() for request in queue.waiting]:
-            if request.deadline - now <= request.balancer._least_time(request):
-                request.balancer.give_up(request)  # unsent at its deadline, it would have no answer in time
-                request.balancer.key_queues.leave(request, now)
+        """Reports that a timer of `Port.set_timer` has come."""
+        if token == TimerToken.TICK:
+            self._tick(now)
+        elif token == TimerToken.KEY_REST:
+            self.key_queues.timer_fired(now)
+        else:
+            self.port.poll_endpoints()
+
+    def _tick(self, now: int) -> None:
+        self.port.set_timer(now + self.tick, TimerToken.TICK)
+        for request in self.key_queues.waiting_requests():
+            request.balancer.give_up_if_late(request, now)
         for endpoint in self.selection.ready:
             if endpoint.is_ejected:
                 self.outliers.recover(endpoint, now)
-            elif self.outliers.eject_if_hung(endpoint, now):
-                for request, attempt in tuple(endpoint.in_flight.items()):
-                    is_late = now - attempt.sent_at >= request.early_timeout()
-                    if is_late and not request.is_answered and request.is_retryable():
-                        self.cancel(request)
-        self.concurrency.tick(now, len(self.selection.ready) / self.selection.instance_count)
+                continue
+            self.outliers.eject_if_hung(endpoint, now)
+            if endpoint.is_ejected:
+                self._cancel_late_attempts(endpoint, now)
+        self.concurrency.tick(now, self.selection.endpoints_each())
         if self.concurrency.ticks % WINDOW_TICKS == 0:
             self.close_windows(now)
 
     def close_windows(self, now: int) -> None:
+        """Closes the windows of samples at a time (us): what is held for the next ones follows from them."""
         self.throttling.close_windows(now)
         self.selection.remove_unlisted(now)
         for endpoint in self.selection.ready:
             self.outliers.close_window(endpoint, now)
-        self.selection.close_window(now)
-        self.throttling.set_validity(self.selection.send_rate)
-
-    def snapshot(self, ends: bool) -> Snapshot:  # `ends`: this balancer admits nothing more
-        endpoints, gap = {}, self.outliers.fatal_idle_time
-        for index, endpoint in self.selection.endpoints.items():
-            endpoint.slow_start_budget /= 1 if ends else 2  # a cold endpoint has one budget
-            endpoints[index] = STORED_ENDPOINT.read(endpoint)
-            endpoint.slow_start_budget = float("-inf") if ends else endpoint.slow_start_budget
-        limit = STORED_LIMIT.read(self.concurrency)
-        return {"shape": self.shape, "usual": self.usual, "gap": gap, "upstreams": endpoints, "crowd": limit}
+        has_warm_endpoint = self.selection.has_warm_endpoint(now)
+        self.slow_start.close_window(self.admission.take_new_requests(), has_warm_endpoint=has_warm_endpoint)
+        self.selection.resize_subset()
+        self.throttling.set_validity(self.slow_start.send_rate)
+
+    # What is handed over.
+
+    def snapshot(self, ends: bool) -> Snapshot:
+        """Returns what is known; `ends`: this balancer admits nothing more."""
+        return Snapshot(
+            shape=self.shape,
+            mean_latencies=self.deadlines.mean_latencies,
+            fatal_idle_time=self.outliers.fatal_idle_time,
+            endpoints={
+                index: endpoint.snapshot(self.slow_start.hand_over_budget(endpoint, ends=ends))
+                for index, endpoint in self.selection.endpoints.items()
+            },
+            limit=self.concurrency.snapshot(),
+        )
 
     def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
+        """Goes on from a snapshot, by pairs of own and former classes. Returns how many endpoints fit."""
         for index, former in same_classes:
-            self.usual[index] = known["usual"][former]
-        self.outliers.fatal_idle_time, restored = known["gap"], 0
-        if known["shape"] == self.shape:  # the limit would grow anew from its start
-            STORED_LIMIT.write(self.concurrency, known["crowd"])
-        for index, values in known["upstreams"].items():
+            self.deadlines.mean_latencies[index] = known.mean_latencies[former]
+        self.outliers.fatal_idle_time = known.fatal_idle_time
+        if known.shape == self.shape:  # the limit would grow anew from its start
+            self.concurrency.restore(known.limit)
+        restored = 0
+        for index, stored in known.endpoints.items():
             endpoint = self.selection.endpoints.get(index)
-            if endpoint is not None and endpoint.started_at == values[0]:  # the same process still
-                STORED_ENDPOINT.write(endpoint, values)
+            if endpoint is not None and endpoint.started_at == stored.started_at:  # the same process still
+                endpoint.restore(stored)
                 restored += 1
         self.selection.select()
         return restored
 
+    # The way of a request.
+
     def admit(
         self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
-        key = key if self.request_classes[class_index].is_ordered else 0
-        request = RequestState(self, ref, class_index, key)
-        request.body_pending = body_pending
-        request.deadline = deadline if body_pending else self.useful_deadline(request, now, deadline)
-        self.selection.new_requests += not repeat
-        if self.is_entry_tier:
-            if tenant < len(self.concurrency.quotas) and not self.concurrency.is_within_quota(tenant, now):
-                request.priority *= self.settings.over_quota_weight  # else its burst costs all the others
-            if not self.concurrency.admits(request.priority):
-                self.give_up(request)
-                return request
-        ahead = self.key_queues.ahead(key)  # 0 where it has no key
-        wait = round(ahead * self.usual[class_index])
-        if ahead and (body_pending or request.deadline - now <= wait + self._least_time(request)):
-            self.give_up(request, wait)  # its queue would grow beyond what can still be served in time
-        elif not key or self.key_queues.join(request):
+        """Sends a request, queues it behind others of its key, or rejects it (`model.Decisions`)."""
+        request_class = self.request_classes[class_index]
+        key = key if request_class.is_ordered else 0
+        priority = self.admission.priorities[class_index]
+        request = RequestState(self, ref, class_index, key, priority, body_pending=body_pending)
+        request.deadline = deadline
+        if not body_pending:  # else once its body is there
+            request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
+        if not self.admission.admits(request, tenant, now, is_repeat=repeat):
+            self.give_up(request)
+        elif key:
+            self._queue(request, now)
+        else:
             self.send(request, now)
-            self.key_queues.leave(request, now)
         return request
 
-    def _least_time(self, request: RequestState) -> int:  # that has to be left at its turn
-        return max(self.tick, round(self.usual[request.class_index]))
-
-    def useful_deadline(self, request: RequestState, now: int, deadline: int) -> int:
-        late_is_useless = self.is_entry_tier and not request.request_class.late_weight  # then no work for it
-        return min(deadline, now + request.request_class.latency_objective) if late_is_useless else deadline
+    def _queue(self, request: RequestState, now: int) -> None:
+        ahead = self.key_queues.ahead(request.key)
+        wait = self.deadlines.queue_wait(request.class_index, ahead)
+        if ahead and not self.admission.may_queue(request, now, wait):
+            self.give_up(request, wait)
+        elif self.key_queues.join(request):
+            self.send(request, now)
+            self.key_queues.leave(request, now)
 
     def send(self, request: RequestState, now: int) -> None:
-        is_over, index = now >= request.deadline, request.class_index
-        if is_over or len(request.attempts) >= request.max_attempts or not request.may_be_sent(now):
-            return self.give_up(request)
-        is_full = self.concurrency.in_flight >= EQUAL_SHARE * self.concurrency.limit
-        reduction = self.throttling.classes[index].valid_reduction(now) if is_full else 0.0
-        if reduction and self.throttling.class_outliers[index] and self.random() < reduction:
-            return self.give_up(request)  # it would hold places until it fails too
-        endpoint = self.outliers.trial(request, now, self.usual[index]) or self.selection.choose(request, now)
-        if endpoint and not request.attempts:
-            endpoint = self._throttled(request, endpoint, now)
-        if not endpoint:
-            return self.give_up(request)
-        if not request.attempts:
-            self.retry_budget = min(BUDGET_LIMIT, self.retry_budget + self.settings.retry_budget_ratio)
-        return self.dispatch(request, endpoint, now)
-
-    def _throttled(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
-        governing = self.throttling.governing(endpoint.entries, request.class_index, now)
-        if governing is not self.throttling.tier:
-            if self.random() >= governing.valid_reduction(now):
-                return endpoint
-            if clean := self.selection.choose(request, now, unthrottled=True):
-                return clean  # where all hold reductions none is in trouble alone: the tier's governs
-        reduction = self.throttling.tier.valid_reduction(now) if self.is_entry_tier else 0.0
-        excess = 1 + self.concurrency.mean_priority - request.priority
-        return None if reduction and self.random() < reduction * excess else endpoint
-
-    def attempt_timeout(self, request: RequestState, now: int) -> int:
-        left = request.deadline - now
-        is_calm = self.usual[request.class_index] and not self.throttling.tier.reduction
-        may_retry = is_calm and self.retry_budget >= 1 and request.is_retryable()
-        timeout = request.early_timeout() if may_retry else left
-        return max(1, min(left, request.request_class.attempt_timeout or left, timeout))
-
-    def dispatch(self, request: RequestState, endpoint: Endpoint, now: int) -> None:
-        endpoint.slow_start_budget -= 1
+        """Sends the next attempt of a request, or gives it up."""
+        is_first = not request.attempts
+        if time_left(request, now) <= 0 or not may_attempt(request, now):
+            self.give_up(request)
+            return
+        if self.outliers.must_reject_class(request, now):
+            self.give_up(request)
+            return
+        endpoint = self.outliers.trial(request, now) if self.outliers.awaiting_trial else None
+        endpoint = endpoint or self.selection.choose(request, now)
+        if endpoint is not None and is_first:
+            endpoint = self.admission.place_under_reductions(request, endpoint, now)
+        if endpoint is None:
+            self.give_up(request)
+            return
+        if is_first:
+            self.retries.earn()
+        self._dispatch(request, endpoint, now)
+
+    def _dispatch(self, request: RequestState, endpoint: Endpoint, now: int) -> None:
+        self.slow_start.spend(endpoint)
         attempt = Attempt(endpoint, now)
         if self.outliers.must_close_idle(attempt, now):
-            self.port.close_idle_connections(endpoint.index, round(self.outliers.fatal_idle_time / 2))
-            attempt.idle = 0  # tells nothing of idle connections any more
+            self.outliers.close_idle_connections(attempt)
         if not request.body_pending:  # nothing runs there before the last byte
-            self.count_in(request, attempt)
-        self.selection.sent += 1
-        request.in_flight += 1
-        request.attempts.append(attempt)
-        self.port.send(request.ref, endpoint.index, self.attempt_timeout(request, now))
-
-    def count_in(self, request: RequestState, attempt: Attempt) -> None:
-        endpoint = attempt.endpoint
-        endpoint.silent_since = endpoint.silent_since if endpoint.in_flight else attempt.sent_at
-        endpoint.in_flight[request] = attempt
-        self.concurrency.in_flight += not endpoint.is_ejected
-
-    def count_out(self, request: RequestState, endpoint: Endpoint) -> None:
-        if endpoint.in_flight.pop(request, None) is not None and not endpoint.is_ejected:
-            self.concurrency.in_flight -= 1
-
-    def retry(self, request: RequestState, now: int, outcome: Outcome) -> None:
-        costs = not outcome.proves_not_executed  # retries multiply across tiers
-        if outcome is Outcome.NOT_SENT or (costs and self.retry_budget < 1):
-            return self.give_up(request)
-        self.retry_budget -= costs
-        return self.send(request, now)
+            self.outliers.attempt_began(attempt)
+            self.concurrency.attempt_began(request, attempt)
+        request.attempt_sent(attempt)
+        self.port.send(request.ref, endpoint.index, self.deadlines.attempt_timeout(request, now))
+
+    def body_received(self, request: RequestState, now: int, deadline: int) -> int:
+        """The attempt in flight has the last byte of the body. Returns its time-out (us)."""
+        request.deadline = self.deadlines.useful_deadline(request.request_class, now, deadline)
+        self.outliers.attempt_began(request.attempts[-1])
+        self.concurrency.attempt_began(request, request.attempts[-1])
+        return self.deadlines.attempt_timeout(request, now)
+
+    def response_started(self, request: RequestState, attempt: Attempt) -> None:
+        """The answer of an attempt streams to the client: nothing works on it any more."""
+        self.concurrency.attempt_ended(request, attempt.endpoint)
+
+    def hedge_timer_fired(self, request: RequestState, now: int) -> None:
+        """The attempt in flight is slow."""
+        endpoint = self.selection.choose(request, now) if self.retries.may_hedge(request, now) else None
+        if endpoint is not None and all(attempt.endpoint is not endpoint for attempt in request.attempts):
+            self.retries.pay_for_hedge()
+            request.mark_hedged()
+            self._dispatch(request, endpoint, now)
+
+    # Its end.
+
+    def attempt_ended(
+        self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, took: int
+    ) -> None:
+        """An attempt has ended: learns from it, and goes on with the request."""
+        if attempt.idle:
+            mean_latency = self.deadlines.mean_latencies[request.class_index]
+            self.outliers.learn_idle(attempt, now, outcome, took, mean_latency)
+        if request.key and self.key_queues.needs_rest(outcome):
+            self.key_queues.rest(request, now)
+        self._learn(request, attempt.endpoint, now, outcome, took)
+        if not request.is_answered and not request.in_flight:
+            self._retry(request, now, outcome)
+        elif request.is_answered and request.in_flight:
+            self.cancel(request)
+        if request.key:
+            self.key_queues.leave(request, now)
+
+    def _learn(
+        self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, took: int
+    ) -> None:
+        """What the end of an attempt tells the parts, in the order in which it happens."""
+        index = request.class_index
+        mean_latency = self.deadlines.mean_latencies[index]  # without this one
+        is_failed = outcome is not Outcome.SUCCEEDED
+        self.concurrency.attempt_ended(request, endpoint)
+        self.outliers.attempt_ended(endpoint, now, outcome)
+        if outcome in _TELLS_NOTHING:
+            return
+        self.selection.learn_latency(endpoint, outcome, took, mean_latency)
+        if not is_failed:
+            self.deadlines.learn_latency(index, took)
+            self.concurrency.learn_success(took)
+        self.throttling.add_class_sample(index, outcome)
+        is_class_outlier = self.throttling.class_outliers[index]
+        if endpoint.is_ejected and not (is_failed and is_class_outlier):
+            self.outliers.learn_trial(endpoint, now, took, is_failed=is_failed)
+        if is_class_outlier:  # no endpoint's fault, and no overload
+            return
+        self.sampling.learn(request, endpoint, now, outcome, took)
+        if is_failed:
+            self.outliers.eject_early(endpoint, now, outcome, took, mean_latency)
+
+    def _retry(self, request: RequestState, now: int, outcome: Outcome) -> None:
+        if not self.retries.may_retry(outcome):
+            self.give_up(request)
+            return
+        self.retries.pay_for_retry(outcome)
+        self.send(request, now)
 
     def give_up(self, request: RequestState, wait: int = 0) -> None:
-        request.is_answered = True
+        """Rejects a request, or fails it if it may have executed and must not be sent again.
+
+        Takes what it would have had to wait for its turn (us).
+        """
+        request.give_up()
+        self.cancel(request)
+        if is_retryable_by_client(request):
+            retry_after = self.deadlines.retry_after(request.request_class, wait)
+            self.port.reject(request.ref, retry_after)
+        else:
+            self.port.fail(request.ref)
+
+    def give_up_if_late(self, request: RequestState, now: int) -> None:
+        """Gives up a request that waits for its turn, if too little time is left for it."""
+        if not self.deadlines.can_wait(request, now):
+            self.give_up(request)
+            self.key_queues.leave(request, now)
+
+    def client_disconnected(self, request: RequestState, now: int) -> None:
+        """Nobody waits for the answer any more."""
         self.cancel(request)
-        if not request.is_retryable_by_client():
-            return self.port.fail(request.ref)
-        after = max(wait, round(request.request_class.latency_objective * RETRY_AFTER_OBJECTIVES))
-        return self.port.reject(request.ref, min(self.most_retry_after, after))
+        self.key_queues.leave(request, now)
 
     def cancel(self, request: RequestState) -> None:
-        if self.settings.can_cancel and request.in_flight and not request.is_streaming:
-            for number in range(len(request.attempts) - 1 - request.hedges, len(request.attempts)):
+        """Cancels the attempts of a request that are in flight, where the driver can."""
+        if self.settings.can_cancel:
+            for number in cancellable_attempts(request):
                 self.port.cancel(request.ref, number)
 
-    def learn(self, now: int, request: RequestState, endpoint: Endpoint, outcome: Outcome, took: int) -> None:
-        self.count_out(request, endpoint)
-        endpoint.last_ended_at, index = now, request.class_index
-        if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            return
-        if outcome in (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED):
-            endpoint.silent_since = endpoint.answered_at = self.outliers.last_answer_at = now
-        failed, is_timed = outcome is not Outcome.SUCCEEDED, outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT)
-        usual, objective = self.usual[index], request.request_class.latency_objective
-        if usual and is_timed:
-            ratio = min(took / usual, LATENCY_RATIO_CAP)
-            endpoint.relative_latency = updated_mean(endpoint.relative_latency, ratio, RECENT)
-        if not failed:
-            self.usual[index] = updated_mean(usual, took)
-            self.concurrency.mean_latency = updated_mean(self.concurrency.mean_latency, took)
-            self.concurrency.succeeded += 1
-            endpoint.consecutive_failures = 0
-        self.throttling.classes[index].add(failed and not outcome.proves_not_executed)
-        is_class_outlier = self.throttling.class_outliers[index]  # no endpoint's fault, and no overload
-        if endpoint.is_ejected and now - took > endpoint.ejected_since and not (failed and is_class_outlier):
-            self.outliers.trial_finished(endpoint, now, failed)  # sent before, it would say nothing new
-        if is_class_outlier:
-            return
-        if is_timed and endpoint.silent_since > now - took:  # one silent endpoint is hardly an overload
-            self.concurrency.add_latency(took / objective, endpoint.relative_latency)
-        late, overloaded = took > LATE * objective, self.concurrency.is_overloaded
-        failed = failed or (overloaded and late)
-        for entry in (endpoint.entries[index], endpoint.entries[-1]):
-            entry.add(failed)
-        if (cost := self.settings.cross_zone_cost) and endpoint.zone == self.settings.zone:
-            self.throttling.same_zone.add((failed or late) - cost * EASING)
-        if request.attempts[0].endpoint is endpoint:  # one that finds five full in a row would count as five
-            self.throttling.tier.add(failed and (overloaded or outcome.proves_not_executed))
-        if outcome is Outcome.UNREACHABLE or (outcome is Outcome.FAILED and took < usual * STEP):
-            self.outliers.eject_early(endpoint, now, outcome is Outcome.UNREACHABLE)
+    def _cancel_late_attempts(self, endpoint: Endpoint, now: int) -> None:
+        for request, attempt in tuple(endpoint.in_flight.items()):
+            if self.deadlines.is_early_timeout_over(request, attempt, now):
+                self.cancel(request)
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -1,66 +1,185 @@
-"""The adaptive concurrency limit and the quotas of tenants: beyond them low priorities are rejected first."""
+"""The adaptive concurrency limit: attempts in flight, by the latency of those that ended."""
 
-from dahliabend.model import Settings
-from dahliabend.policy.throttling import TIER_FLOOR, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling, updated_mean
+from dahliabend.model import Settings, StoredLimit
+from dahliabend.policy.moving_average import ewma
+from dahliabend.policy.records import Attempt, Endpoint, RequestState
+from dahliabend.policy.throttling import TIER_FLOOR, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
 
-INITIAL_LIMIT, MINIMUM_LIMIT = 5, 4  # attempts in flight an endpoint, all balancers together
-LATENCY_TARGET = 1 / 3  # latency by objective: a higher mean is an overload; kept between the next two,
-LEAST_TARGET, MOST_TARGET = 4 / 3, 3  # of the least such mean seen
-INITIAL_GROWTH, GROWTH, DECREASE = 3 / 2, 5 / 4, 1 / 2  # the most that an adjustment may change
-FORGETTING = 1 / 1024  # by which the least latency ratio seen creeps up at each adjustment
-SLOW_ENDPOINT = 3 / 2  # of the usual latency: the most by which a slow endpoint's attempts tell less
-EQUAL_SHARE = 3 / 5  # of the limit, whatever the priority; above it the more valuable go first
+INITIAL_LIMIT = 5  # attempts in flight an endpoint, all balancers together
+MIN_LIMIT = 4  # attempts in flight an endpoint, all balancers together
+LATENCY_TARGET = 1 / 3  # mean latency by objective: a higher one is an overload; kept between the next two
+MIN_TARGET = 4 / 3  # of the lowest mean latency by objective seen
+MAX_TARGET = 3  # of the lowest mean latency by objective seen
+INITIAL_GROWTH = 3 / 2  # the most by which an adjustment raises the limit, in the first validity
+GROWTH = 5 / 4  # the most by which an adjustment raises the limit, afterwards
+DECREASE = 1 / 2  # the most by which an adjustment lowers the limit
+FORGETTING = 1 / 1024  # by which the lowest latency ratio seen creeps up at each adjustment
+SLOW_ENDPOINT = 3 / 2  # relative latency: the most by which a slow endpoint's attempts tell less
+EQUAL_SHARE = 3 / 5  # of the limit, whatever the priority; above it higher priorities go first
 
 
 class ConcurrencyLimit:
-    """Attempts in flight, but for those at ejected endpoints, and how many may be."""
+    """Attempts in flight, but for those at ejected endpoints, and how many may be.
+
+    Attributes:
+        in_flight: Attempts of this balancer at endpoints that are not ejected.
+        in_flight_elsewhere: Those of a process beside this one; the driver sets it.
+        limit: How many may be in flight.
+        mean_in_flight: Mean of both together, at admissions.
+        sustained_in_flight: Mean of both together, at adjustments without an overload.
+        latency_ratio: Mean latency by latency objective.
+        min_latency_ratio: The lowest such mean seen, slowly forgotten.
+        mean_latency: Mean latency of successes, of all classes (us).
+        mean_priority: Mean priority of requests that ask for admission.
+        ticks: Since the start.
+        adjusted_at: When the limit was adjusted last (us).
+        succeeded: Successes since then.
+        has_rejected: Whether the limit was reached since then.
+        is_overloaded: Whether the last adjustment lowered the limit.
+    """
 
     def __init__(self, settings: Settings, throttling: Throttling) -> None:
-        self.throttling, self.others_share = throttling, 1 - 1 / settings.instance_count
-        self.in_flight = self.in_flight_elsewhere = 0  # the latter: of a process beside this one
-        self.limit = self.mean_in_flight = self.sustained_in_flight = 0.0  # sustained: without overload
-        self.latency_ratio = self.least_latency_ratio = self.mean_latency = self.mean_priority = 0.0
-        self.ticks = self.adjusted_at = self.succeeded = 0  # succeeded, has_rejected: since it was adjusted
-        self.is_overloaded = self.has_rejected = False
-        self.quotas = [(q or 1e12) / settings.instance_count / 1e6 for q in settings.tenant_quotas]
-        self.tokens = [(quota * throttling.window, 0) for quota in self.quotas]  # left, and when
-
-    def is_within_quota(self, tenant: int, now: int) -> bool:
-        quota, (tokens, then) = self.quotas[tenant], self.tokens[tenant]
-        tokens = min(max(1.0, quota * self.throttling.window), tokens + quota * (now - then))
-        self.tokens[tenant] = (tokens - (tokens >= 1), now)
-        return tokens >= 1
-
-    def admits(self, priority: float) -> bool:  # crowded endpoints choke before they refuse
-        self.mean_priority = updated_mean(self.mean_priority, priority)
+        self.throttling = throttling
+        self.others_share = 1 - 1 / settings.instance_count
+        self.in_flight = 0
+        self.in_flight_elsewhere = 0
+        self.limit = 0.0
+        self.mean_in_flight = 0.0
+        self.sustained_in_flight = 0.0
+        self.latency_ratio = 0.0
+        self.min_latency_ratio = 0.0
+        self.mean_latency = 0.0
+        self.mean_priority = 0.0
+        self.ticks = 0
+        self.adjusted_at = 0
+        self.succeeded = 0
+        self.has_rejected = False
+        self.is_overloaded = False
+
+    # The rules.
+
+    def admits(self, priority: float) -> bool:
+        """Returns whether one more request of a priority (0 to 1) may come in.
+
+        Endpoints beyond their capacity slow down all requests before they reject any.
+        """
+        self.mean_priority = ewma(self.mean_priority, priority)
         limit = self.limit * (EQUAL_SHARE + (1 - EQUAL_SHARE) * priority)
         in_flight = self.in_flight + self.in_flight_elsewhere
-        self.mean_in_flight = updated_mean(self.mean_in_flight, in_flight)
-        limit += (limit * self.others_share) ** 0.5 if self.mean_in_flight < limit else 0.0  # for chance
+        self.mean_in_flight = ewma(self.mean_in_flight, in_flight)
+        # One of many balancers exceeds its part by chance while the others are below theirs.
+        limit += (limit * self.others_share) ** 0.5 if self.mean_in_flight < limit else 0.0
         self.has_rejected = self.has_rejected or in_flight >= limit
         return in_flight < limit
 
-    def add_latency(self, ratio: float, relative_latency: float) -> None:  # by objective; of a slow one less
-        ratio = min(1.0, ratio) / max(1.0, min(relative_latency, SLOW_ENDPOINT))
-        self.latency_ratio = updated_mean(self.latency_ratio, ratio)
+    def is_nearly_full(self) -> bool:
+        """Returns whether the share open to all priorities is in flight."""
+        return self.in_flight >= EQUAL_SHARE * self.limit
 
-    def tick(self, now: int, endpoints_each: float) -> None:
-        self.ticks, elapsed = self.ticks + 1, now - self.adjusted_at
+    def is_due(self, now: int) -> bool:
+        """Returns whether the limit is to be adjusted at a time (us).
+
+        A change shows only after a latency or two; adjusted sooner, the limit would swing.
+        """
+        elapsed = now - self.adjusted_at
         enough = self.throttling.tier_floor(elapsed) if self.adjusted_at else TIER_FLOOR
-        if self.succeeded >= enough and elapsed >= max(self.throttling.window // 2, 2 * self.mean_latency):
-            self.adjust(now, endpoints_each)  # a change shows only after a latency or two
+        pause = max(self.throttling.window // 2, 2 * self.mean_latency)
+        return self.succeeded >= enough and elapsed >= pause
+
+    def latency_target(self) -> float:
+        """Returns the latency by objective above which there is an overload.
+
+        Bound to the lowest one seen: fast endpoints are overloaded long before they miss the objective, and
+        slow ones are not merely for being slow.
+        """
+        lowest = self.min_latency_ratio
+        return max(min(LATENCY_TARGET, MAX_TARGET * lowest), MIN_TARGET * lowest)
 
     def adjust(self, now: int, endpoints_each: float) -> None:
-        crept = self.least_latency_ratio * (1 + FORGETTING)
-        self.least_latency_ratio = least = min(self.latency_ratio, crept) if crept else self.latency_ratio
-        change = max(min(LATENCY_TARGET, MOST_TARGET * least), LEAST_TARGET * least) / self.latency_ratio
+        """Lowers the limit in an overload; raises it where it was reached without one.
+
+        Takes the time (us) and the number of ready endpoints for each balancer, which bounds the limit below.
+        """
+        crept = self.min_latency_ratio * (1 + FORGETTING)
+        self.min_latency_ratio = min(self.latency_ratio, crept) if crept else self.latency_ratio
+        change = self.latency_target() / self.latency_ratio
         self.is_overloaded = change < 1
         if self.is_overloaded:
             self.limit = max(DECREASE, change) * min(self.limit, max(self.in_flight, self.mean_in_flight))
         else:
             all_in_flight = self.in_flight + self.in_flight_elsewhere
-            self.sustained_in_flight = updated_mean(self.sustained_in_flight, all_in_flight)
+            self.sustained_in_flight = ewma(self.sustained_in_flight, all_in_flight)
             is_new = self.ticks <= WINDOW_TICKS * VALIDITY_WINDOWS
             self.limit *= min(INITIAL_GROWTH if is_new else GROWTH, change) if self.has_rejected else 1.0
-        self.limit = max(self.limit, MINIMUM_LIMIT * endpoints_each, self.sustained_in_flight / 2)
-        self.succeeded, self.has_rejected, self.adjusted_at = 0, False, now
+        self.limit = max(self.limit, MIN_LIMIT * endpoints_each, self.sustained_in_flight / 2)
+        self.succeeded = 0
+        self.has_rejected = False
+        self.adjusted_at = now
+
+    # What happens.
+
+    def start(self, endpoints_each: float) -> None:
+        """Sets the first limit, by the number of ready endpoints for each balancer.
+
+        Where that is below 1 its root allows for chance.
+        """
+        self.limit = self.limit or INITIAL_LIMIT * max(endpoints_each, endpoints_each**0.5)
+
+    def tick(self, now: int, endpoints_each: float) -> None:
+        """Adjusts the limit if it is due at a time (us)."""
+        self.ticks += 1
+        if self.is_due(now):
+            self.adjust(now, endpoints_each)
+
+    def attempt_began(self, request: RequestState, attempt: Attempt) -> None:
+        """Counts an attempt in."""
+        endpoint = attempt.endpoint
+        endpoint.in_flight[request] = attempt
+        self.in_flight += not endpoint.is_ejected
+
+    def attempt_ended(self, request: RequestState, endpoint: Endpoint) -> None:
+        """Counts an attempt out; the second time changes nothing."""
+        if endpoint.in_flight.pop(request, None) is not None and not endpoint.is_ejected:
+            self.in_flight -= 1
+
+    def endpoint_ejected(self, endpoint: Endpoint) -> None:
+        """Leaves out an endpoint's attempts: they are no sign of an overload elsewhere."""
+        self.in_flight -= len(endpoint.in_flight)
+
+    def endpoint_restored(self, endpoint: Endpoint) -> None:
+        """Counts an endpoint's attempts again."""
+        self.in_flight += len(endpoint.in_flight)
+
+    def learn_success(self, took: int) -> None:
+        """Learns from a success that took so long (us)."""
+        self.mean_latency = ewma(self.mean_latency, took)
+        self.succeeded += 1
+
+    def learn_latency(self, ratio: float, relative_latency: float) -> None:
+        """Learns from an attempt's latency by objective, the less the slower its endpoint is at any time."""
+        ratio = min(1.0, ratio) / max(1.0, min(relative_latency, SLOW_ENDPOINT))
+        self.latency_ratio = ewma(self.latency_ratio, ratio)
+
+    def snapshot(self) -> StoredLimit:
+        """Returns what is handed over to the decisions that follow."""
+        return StoredLimit(
+            limit=self.limit,
+            mean_in_flight=self.mean_in_flight,
+            sustained_in_flight=self.sustained_in_flight,
+            latency_ratio=self.latency_ratio,
+            min_latency_ratio=self.min_latency_ratio,
+            mean_latency=self.mean_latency,
+            ticks=self.ticks,
+            is_overloaded=self.is_overloaded,
+        )
+
+    def restore(self, stored: StoredLimit) -> None:
+        """Goes on from what was handed over."""
+        self.limit = stored.limit
+        self.mean_in_flight = stored.mean_in_flight
+        self.sustained_in_flight = stored.sustained_in_flight
+        self.latency_ratio = stored.latency_ratio
+        self.min_latency_ratio = stored.min_latency_ratio
+        self.mean_latency = stored.mean_latency
+        self.ticks = stored.ticks
+        self.is_overloaded = stored.is_overloaded
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -2,37 +2,46 @@
 
 from heapq import heappop, heappush
 
-from dahliabend.model import Port
-from dahliabend.policy.retries import RequestState
+from dahliabend.model import Outcome, Port, TimerToken
+from dahliabend.policy.records import RequestState
 
-REST_TIMER = 2  # the token of the timer at the end of a key's rest
+_MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # at the endpoint, after such an end
 
 
 class KeyQueue:
-    """Of one key: whose turn it is, until when the key rests (0: not), and who waits, as admitted."""
+    """Of one key: whose turn it is, until when the key rests (us; 0: not), and who waits, as admitted."""
 
     def __init__(self) -> None:
         self.current: RequestState | None = None
-        self.rests_until, self.waiting = 0, dict[RequestState, None]()
+        self.rests_until = 0
+        self.waiting: dict[RequestState, None] = {}
 
 
 class KeyQueues:
     """The queues of all keys of one balancer. Nothing is kept of a key once its queue and rest are over."""
 
     def __init__(self, rest_time: int, port: Port) -> None:
-        self.rest_time, self.port = rest_time, port
+        self.rest_time = rest_time  # microseconds
+        self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
         self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
 
-    def take_over(self, before: "KeyQueues") -> None:  # for decisions that follow in this process
-        self.queues, self.rests = before.queues, before.rests
+    def take_over(self, before: "KeyQueues") -> None:
+        """Goes on with the queues of the decisions before, in the same process.
+
+        Else a request could run beside another of its key that was admitted under other settings.
+        """
+        self.queues = before.queues
+        self.rests = before.rests
         for until, _ in self.rests:
-            self.port.set_timer(until, REST_TIMER)
+            self.port.set_timer(until, TimerToken.KEY_REST)
 
-    def ahead(self, key: int | bytes) -> int:  # turns that come first, a rest among them
+    def ahead(self, key: int | bytes) -> int:
+        """Returns how many turns of a key come before one that joins now; a rest counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
-    def join(self, request: RequestState) -> bool:  # behind all of its key; is it its turn?
+    def join(self, request: RequestState) -> bool:
+        """Queues a request behind all of its key. Returns whether it is its turn at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
         if queue.current or queue.rests_until:
             queue.waiting[request] = None
@@ -40,10 +49,20 @@
         queue.current = request
         return True
 
-    def rest(self, request: RequestState, now: int) -> None:  # the next could overtake its attempt
+    def waiting_requests(self) -> list[RequestState]:
+        """Returns the requests that wait for their turn, by key in the order in which they were admitted."""
+        return [request for queue in self.queues.values() for request in queue.waiting]
+
+    def needs_rest(self, outcome: Outcome) -> bool:
+        """Returns whether a key rests after such an end: the next could overtake an attempt that goes on."""
+        return outcome in _MAY_STILL_RUN
+
+    def rest(self, request: RequestState, now: int) -> None:
+        """Lets the key of a request rest from a time (us) on."""
         self.queues[request.key].rests_until = now + self.rest_time
 
-    def leave(self, request: RequestState, now: int) -> None:  # if it is finished, whether its turn had come
+    def leave(self, request: RequestState, now: int) -> None:
+        """Takes a request out if it is finished, whether its turn had come or not."""
         queue = self.queues.get(request.key) if request.is_finished else None
         if queue and queue.current is request:
             queue.current = None
@@ -51,21 +70,23 @@
         elif queue:
             queue.waiting.pop(request, None)
 
+    def timer_fired(self, now: int) -> None:
+        """Ends the rests that are over at a time (us)."""
+        while self.rests and self.rests[0][0] <= now:
+            key = heappop(self.rests)[1]
+            self._advance(key, self.queues[key], now)
+
     def _advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
         if now < queue.rests_until:
             heappush(self.rests, (queue.rests_until, key))
-            self.port.set_timer(queue.rests_until, REST_TIMER)
+            self.port.set_timer(queue.rests_until, TimerToken.KEY_REST)
             return
         queue.rests_until = 0
         while queue.waiting and not queue.current:
-            queue.current = request = next(iter(queue.waiting))
+            request = next(iter(queue.waiting))
+            queue.current = request
             del queue.waiting[request]
             request.balancer.send(request, now)
             queue.current = None if request.is_finished else request  # given up unsent
         if not queue.current:
             del self.queues[key]  # else a key seen once would be kept for ever
-
-    def timer_fired(self, now: int) -> None:
-        while self.rests and self.rests[0][0] <= now:
-            key = heappop(self.rests)[1]
-            self._advance(key, self.queues[key], now)
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -1,104 +1,287 @@
-"""Ejection of endpoints that fail while others do not, their recovery, and connections that died idle."""
+"""Endpoints and classes at fault: ejection, recovery by health checks and trials, dead idle connections."""
+
+from collections.abc import Callable
 
 from dahliabend.model import Effect, EndpointState, Outcome, Port, Settings
-from dahliabend.policy.retries import Attempt, RequestState
-from dahliabend.policy.selection import Endpoint, EndpointSelection
-from dahliabend.policy.throttling import FLOOR, LINGER, OUTLIER_REDUCTION, RECENT, STEP, updated_mean
+from dahliabend.policy.concurrency import ConcurrencyLimit
+from dahliabend.policy.deadlines import Deadlines
+from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
+from dahliabend.policy.records import Attempt, Endpoint, RequestState
+from dahliabend.policy.selection import EndpointSelection
+from dahliabend.policy.throttling import FLOOR, LINGER, OUTLIER_REDUCTION, STEP, Throttling
 
-SILENCE_LATENCIES = 4  # mean latencies with attempts out and no answer: the endpoint is ejected
-CHECK_DOUBLINGS, TRIAL_DOUBLINGS = 5, 6  # of the wait before a health check, or a trial, at the most
-RESET_SAMPLES = round(OUTLIER_REDUCTION / STEP)  # a quick reset proves what a time-out only suggests
+SILENCE_LATENCIES = 4  # mean latencies with attempts in flight and no answer: the endpoint is ejected
+MAX_CHECK_DOUBLINGS = 5  # of the wait before a health check
+MAX_TRIAL_DOUBLINGS = 6  # of the wait before a trial request
+QUICK_FAILURE = STEP  # of the mean latency: a failure within it comes from a fault, not from load
+RESET_LOSSES = round(OUTLIER_REDUCTION / STEP)  # a quick reset proves what a time-out only suggests
+MIN_IDLE_PART = 1 / 2  # of the fatal idle time, from which connections are counted, and closed
+_ANSWERED = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint itself said so
 
 
 class OutlierDetector:
-    """Ejects endpoints, brings them back by health checks and trials, and finds dead idle connections."""
+    """Ejects endpoints, brings them back by health checks and trials, and finds dead idle connections.
+
+    Attributes:
+        last_answer_at: When any endpoint answered last (us).
+        awaiting_trial: Endpoints ejected for long enough to be tried, in order.
+        fatal_idle_time: Mean of how long connections had been idle that swallowed a request (us).
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        port: Port,
+        random: Callable[[], float],
+        selection: EndpointSelection,
+        deadlines: Deadlines,
+    ) -> None:
+        self.settings = settings
+        self.port = port
+        self.random = random
+        self.tick = deadlines.tick
+        self.deadlines = deadlines
+        self.selection = selection
+        self.concurrency: ConcurrencyLimit = selection.concurrency
+        self.throttling: Throttling = selection.throttling
+        self.can_try = any(each.effect is Effect.IDEMPOTENT for each in settings.request_classes)
+        self.last_answer_at = 0
+        self.awaiting_trial: dict[Endpoint, None] = {}
+        self.fatal_idle_time = 0.0
+
+    # Classes.
+
+    def must_reject_class(self, request: RequestState, now: int) -> bool:
+        """Returns whether a request is rejected at a time (us) because its class fails at every endpoint.
+
+        By the class's reduction, and only where the limit is nearly reached: it would hold places that
+        others need until it fails too.
+        """
+        if not self.throttling.class_outliers[request.class_index] or not self.concurrency.is_nearly_full():
+            return False
+        reduction = self.throttling.classes[request.class_index].valid_reduction(now)
+        return reduction > 0 and self.random() < reduction
 
-    def __init__(self, settings: Settings, port: Port, tick: int, selection: EndpointSelection) -> None:
-        self.settings, self.port, self.tick, self.last_answer_at = settings, port, tick, 0  # of any endpoint
-        self.selection, self.throttling = selection, selection.throttling
-        self.can_try = any(kind.effect is Effect.IDEMPOTENT for kind in settings.request_classes)
-        self.awaiting_trial = dict[Endpoint, None]()  # ejected for long enough
-        self.fatal_idle_time = 0.0  # how long connections were idle that swallowed a request, in the mean
+    # Ejection.
 
     def eject(self, endpoint: Endpoint, now: int) -> None:
+        """Takes an endpoint out of the rotation at a time (us)."""
         if not endpoint.is_ejected:
-            endpoint.is_ejected, endpoint.ejected_since = True, now
+            endpoint.is_ejected = True
+            endpoint.ejected_since = now
             endpoint.consecutive_failures += 1
-            self.selection.concurrency.in_flight -= len(endpoint.in_flight)  # no sign of overload elsewhere
+            self.concurrency.endpoint_ejected(endpoint)
             self.selection.select()
 
     def restore(self, endpoint: Endpoint, now: int) -> None:
-        endpoint.is_ejected, endpoint.silent_since, endpoint.entries[-1].reduction = False, now, 0.0
-        self.selection.concurrency.in_flight += len(endpoint.in_flight)
+        """Takes an endpoint back into the rotation at a time (us), without the reduction that it held."""
+        endpoint.is_ejected = False
+        endpoint.silent_since = now
+        endpoint.entries[-1].end_reduction()
+        self.concurrency.endpoint_restored(endpoint)
         self.selection.select()
 
-    def trial_finished(self, endpoint: Endpoint, now: int, failed: bool) -> None:
-        endpoint.ejected_since = now
-        endpoint.consecutive_failures += failed
-        if not failed:
-            self.restore(endpoint, now)
+    def is_failing(self, endpoint: Endpoint) -> bool:
+        """Returns whether an endpoint's reduction makes it an outlier: the tier holds less than half of it.
+
+        Where the tier fails as a whole, ejecting endpoints would leave the rest the load of all.
+        """
+        reduction = endpoint.entries[-1].reduction
+        return reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2
+
+    def is_failing_quickly(self, endpoint: Endpoint) -> bool:
+        """Returns whether an endpoint that fails quickly is an outlier before its window ends.
 
-    def eject_early(self, endpoint: Endpoint, now: int, is_unreachable: bool) -> None:  # or quick to fail
-        own, is_tier_well = endpoint.entries[-1], self.throttling.tier.reduction < OUTLIER_REDUCTION / 2
+        Quick failures free its places, and so draw the load of all. One that was ejected and has not
+        succeeded since is one at once.
+        """
+        if self.throttling.tier.reduction >= OUTLIER_REDUCTION / 2:
+            return False
+        own = endpoint.entries[-1]
         is_failing = own.sampled >= FLOOR and own.failed >= OUTLIER_REDUCTION * own.sampled
-        is_silent = now - endpoint.answered_at >= self.throttling.validity  # else full, and it answers
-        if is_silent if is_unreachable else is_tier_well and (endpoint.consecutive_failures or is_failing):
+        return endpoint.consecutive_failures > 0 or is_failing
+
+    def is_gone(self, endpoint: Endpoint, now: int) -> bool:
+        """Returns whether an unreachable endpoint has not answered for a validity before a time (us).
+
+        One that has answered lately is full, not gone.
+        """
+        return now - endpoint.answered_at >= self.throttling.validity
+
+    def is_hung(self, endpoint: Endpoint, now: int) -> bool:
+        """Returns whether an endpoint is silent at a time (us) while others answer.
+
+        Its attempts would only end by their time-outs. Attempts of classes that fail everywhere don't count.
+        """
+        if self.last_answer_at <= endpoint.silent_since:
+            return False
+        allowed = SILENCE_LATENCIES * self.concurrency.mean_latency + self.tick
+        if now - endpoint.silent_since <= allowed:
+            return False
+        class_outliers = self.throttling.class_outliers
+        return not all(class_outliers[request.class_index] for request in endpoint.in_flight)
+
+    def eject_if_hung(self, endpoint: Endpoint, now: int) -> None:
+        """Ejects an endpoint if it is hung at a time (us)."""
+        if self.is_hung(endpoint, now):
+            self.eject(endpoint, now)
+
+    def eject_early(self, endpoint: Endpoint, now: int, outcome: Outcome, took: int, mean: float) -> None:
+        """Ejects an endpoint before its window ends, by the end of an attempt.
+
+        Takes how long it took and the class's mean latency (us).
+        """
+        if outcome is Outcome.UNREACHABLE:
+            is_outlier = self.is_gone(endpoint, now)
+        elif outcome is Outcome.FAILED and took < mean * QUICK_FAILURE:
+            is_outlier = self.is_failing_quickly(endpoint)
+        else:
+            is_outlier = False
+        if is_outlier:
             self.eject(endpoint, now)
 
     def close_window(self, endpoint: Endpoint, now: int) -> None:
+        """Closes the windows of an endpoint's entries at a time (us), and ejects it if it is failing."""
         for entry in endpoint.entries:
             entry.close_window(now, FLOOR, self.throttling.validity, self.throttling.span)
-        reduction = endpoint.entries[-1].reduction
-        if reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2:
+        if self.is_failing(endpoint):
             self.eject(endpoint, now)
 
-    def eject_if_hung(self, endpoint: Endpoint, now: int) -> bool:  # silent while others answer
-        allowed = SILENCE_LATENCIES * self.selection.concurrency.mean_latency + self.tick
-        is_hung = self.last_answer_at > endpoint.silent_since and now - endpoint.silent_since > allowed
-        if is_hung and not all(self.throttling.class_outliers[r.class_index] for r in endpoint.in_flight):
-            self.eject(endpoint, now)
-        return endpoint.is_ejected
+    # Recovery.
+
+    def check_wait(self, endpoint: Endpoint) -> int:
+        """Returns how long an ejected endpoint is left alone before a health check (us).
+
+        Doubled by each failure: checks are load too.
+        """
+        return self.tick << min(endpoint.consecutive_failures, MAX_CHECK_DOUBLINGS)
+
+    def trial_wait(self, endpoint: Endpoint) -> int:
+        """Returns how long an ejected endpoint is left alone before a trial request (us).
+
+        Doubled by each failure: trials are clients' requests.
+        """
+        doublings = min(endpoint.consecutive_failures, MAX_TRIAL_DOUBLINGS)
+        return max(self.throttling.validity, self.throttling.span << doublings)
 
     def recover(self, endpoint: Endpoint, now: int) -> None:
-        waited, failures = now - endpoint.ejected_since, endpoint.consecutive_failures
-        wait = max(self.throttling.validity, self.throttling.span << min(failures, TRIAL_DOUBLINGS))
+        """Goes on with the recovery of an ejected endpoint at a time (us)."""
+        waited = now - endpoint.ejected_since
         if self.settings.can_health_check:
-            wait = self.tick << min(failures, CHECK_DOUBLINGS)
-            if waited >= wait and not endpoint.health_check_under_way:
+            if waited >= self.check_wait(endpoint) and not endpoint.health_check_under_way:
                 endpoint.health_check_under_way = True
                 self.port.check_health(endpoint.index)
-        elif waited >= LINGER * wait:
+            return
+        wait = self.trial_wait(endpoint)
+        if waited >= LINGER * wait:
             self.restore(endpoint, now)  # nothing came by that may run again
         elif waited >= wait:
             self.awaiting_trial[endpoint] = None
 
+    def needs_trial(self, endpoint: Endpoint) -> bool:
+        """Returns whether a health check that succeeds is not enough to restore an endpoint.
+
+        Ejected again after it was back, it answers checks and fails requests: one request tries it first. If
+        none has come by at its next check, it is back.
+        """
+        is_untried = self.can_try and endpoint not in self.awaiting_trial
+        return is_untried and endpoint.consecutive_failures > 1
+
     def health_check_finished(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
+        """Goes on after a health check ended so at a time (us)."""
         endpoint.health_check_under_way = False
-        is_untried = self.can_try and endpoint not in self.awaiting_trial
-        if endpoint.is_ejected and outcome is not Outcome.SUCCEEDED:
-            self.trial_finished(endpoint, now, failed=True)  # it waits longer: checks are load too
-        elif endpoint.is_ejected and is_untried and endpoint.consecutive_failures > 1:
-            self.awaiting_trial[endpoint] = None  # found so again: back as it is if nothing tries it
-        elif endpoint.is_ejected:
+        if not endpoint.is_ejected:
+            return
+        if outcome is not Outcome.SUCCEEDED:
+            self.trial_finished(endpoint, now, is_failed=True)
+        elif self.needs_trial(endpoint):
+            self.awaiting_trial[endpoint] = None
+        else:
             self.restore(endpoint, now)
 
-    def trial(self, request: RequestState, now: int, usual: float) -> Endpoint | None:
-        can_try = usual and not request.attempts and request.request_class.effect is Effect.IDEMPOTENT
-        if not can_try or not self.awaiting_trial:
+    def trial(self, request: RequestState, now: int) -> Endpoint | None:
+        """Returns the ejected endpoint that a request tries at a time (us), None if there is none.
+
+        Only an idempotent request's first attempt: it can go elsewhere if the trial fails. Its class has a
+        mean latency, so that it is timed out early.
+        """
+        if not self.awaiting_trial or request.attempts:
+            return None
+        is_known = self.deadlines.mean_latencies[request.class_index] > 0
+        if not is_known or request.request_class.effect is not Effect.IDEMPOTENT:
             return None
         endpoint = self.awaiting_trial.popitem()[0]
-        is_free = endpoint.is_ejected and endpoint.state is EndpointState.READY and not endpoint.in_flight
-        return endpoint if is_free and self.selection.warm_share(endpoint, now) else None
+        if not endpoint.is_ejected or endpoint.state is not EndpointState.READY or endpoint.in_flight:
+            return None
+        max_ready = self.selection.max_ready
+        return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
+
+    def learn_trial(self, endpoint: Endpoint, now: int, took: int, *, is_failed: bool) -> None:
+        """Takes an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
+
+        One sent before says nothing new.
+        """
+        if now - took > endpoint.ejected_since:
+            self.trial_finished(endpoint, now, is_failed=is_failed)
 
-    def add_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, usual: float) -> None:
+    def trial_finished(self, endpoint: Endpoint, now: int, *, is_failed: bool) -> None:
+        """Restores an endpoint after a trial at a time (us), or makes it wait for longer."""
+        endpoint.ejected_since = now
+        if is_failed:
+            endpoint.consecutive_failures += 1
+        else:
+            self.restore(endpoint, now)
+
+    # Attempts.
+
+    def attempt_began(self, attempt: Attempt) -> None:
+        """An attempt is about to be in flight: with no other there, the endpoint's silence begins."""
+        if not attempt.endpoint.in_flight:
+            attempt.endpoint.silent_since = attempt.sent_at
+
+    def attempt_ended(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
+        """An attempt has ended so at a time (us)."""
+        endpoint.last_ended_at = now
+        if outcome in _ANSWERED:
+            endpoint.silent_since = now
+            endpoint.answered_at = now
+            self.last_answer_at = now
+        if outcome is Outcome.SUCCEEDED:
+            endpoint.consecutive_failures = 0
+
+    # Idle connections.
+
+    def idle_losses(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> int:
+        """Returns as how many losses on an idle connection an attempt's end counts.
+
+        Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
+        connection swallows the request.
+        """
+        if outcome is Outcome.RESET and took < mean * QUICK_FAILURE:
+            return RESET_LOSSES
         is_unheard = now - attempt.endpoint.silent_since >= took
-        is_lost = is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED)
-        lost = RESET_SAMPLES if outcome is Outcome.RESET and took < usual * STEP else int(is_lost)
+        return int(is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
+
+    def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> None:
+        """Learns from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
+        lost = self.idle_losses(attempt, now, outcome, took, mean)
         if lost:
-            self.fatal_idle_time = updated_mean(self.fatal_idle_time, attempt.idle, RECENT)
-        if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time / 2):
-            self.throttling.idle_connections.add(lost, lost or 1)
+            self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_OF_FEW)
+        if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART):
+            self.throttling.add_idle_sample(lost)
+
+    def must_close_idle(self, attempt: Attempt, now: int) -> bool:
+        """Returns whether stale idle connections are closed before an attempt is sent at a time (us).
+
+        It may be sent on one of them, and be lost.
+        """
+        entry = self.throttling.idle_connections
+        if entry.reduction < OUTLIER_REDUCTION or entry.valid_reduction(now) < OUTLIER_REDUCTION:
+            return False
+        return bool(attempt.endpoint.in_flight) or attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART
 
-    def must_close_idle(self, attempt: Attempt, now: int) -> bool:  # those idle for half the fatal time
-        is_stale = attempt.endpoint.in_flight or attempt.idle >= self.fatal_idle_time / 2
-        return bool(is_stale) and self.throttling.idle_connections.valid_reduction(now) >= OUTLIER_REDUCTION
+    def close_idle_connections(self, attempt: Attempt) -> None:
+        """Closes the connections to an attempt's endpoint that have been idle for too long."""
+        max_idle = round(self.fatal_idle_time * MIN_IDLE_PART)
+        self.port.close_idle_connections(attempt.endpoint.index, max_idle)
+        attempt.idle = 0  # tells nothing of idle connections any more
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -1,141 +1,261 @@
-"""Which endpoint gets an attempt: own zone first, a rendezvous subset, weighted round robin, slow start."""
+"""Which endpoint gets an attempt: own zone first, a subset by rank, weighted round robin."""
 
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from dahliabend.model import Effect, EndpointRow, EndpointState, Settings
-from dahliabend.policy.concurrency import INITIAL_LIMIT, ConcurrencyLimit
-from dahliabend.policy.retries import Attempt, RequestState
-from dahliabend.policy.throttling import FLOOR, ThrottleEntry
+from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, Settings
+from dahliabend.policy.concurrency import ConcurrencyLimit
+from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
+from dahliabend.policy.records import Attempt, Endpoint, RequestState
+from dahliabend.policy.slow_start import SlowStart
+from dahliabend.policy.throttling import FLOOR, Throttling
 
-LEAST_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
+MIN_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
+MIN_SUBSET_CHANGE = 4  # a subset keeps its size until it would change by more than one such part of it
+MAX_LATENCY_RATIO = 10  # the most that one attempt tells of its endpoint's relative latency
+NO_LOAD_LIMIT = float("inf")
+RANK_BYTES = 8
 
 
-class Endpoint:
-    """The one record of an endpoint."""
+def is_deduplicated_at(request: RequestState, endpoint: Endpoint, first: Attempt) -> bool:
+    """Returns whether an endpoint drops repeats of an attempt that may have executed.
 
-    def __init__(self, index: int, rank: bytes, class_count: int) -> None:
-        self.index, self.rank, self.state = index, rank, EndpointState.REMOVED
-        self.entries = [ThrottleEntry() for _ in range(class_count + 1)]  # by class; the last is of all
-        self.started_at, self.is_ejected, self.in_flight = -1, False, dict[RequestState, Attempt]()
-        self.weight, self.cell, self.zone, self.is_listed = 1.0, 0, 0, False
+    Sent outside the scope, a repeat takes effect a second time.
+    """
+    scope = request.request_class.deduplication_scope
+    if scope is DeduplicationScope.CELL:
+        return endpoint.cell == first.cell
+    return scope is DeduplicationScope.ALL or endpoint.zone == first.zone
 
-    def start(self, started_at: int, now: int, position: float) -> None:  # 0: the list does not tell when
-        self.started_at, self.relative_latency = started_at, 1.0  # a mean, by the usual latency of each class
-        self.entries = [ThrottleEntry() for _ in self.entries]
-        self.position = self.slow_start_budget = position  # in the round robin
-        self.silent_since = self.budget_filled_at = self.last_ended_at = now  # silent with attempts out
-        self.is_ejected = self.health_check_under_way = False
-        self.ejected_since = self.answered_at = self.consecutive_failures = 0  # failures: also of checks
+
+def permitted_endpoints(request: RequestState, endpoints: list[Endpoint]) -> list[Endpoint]:
+    """Returns those to which a request may go: where repeats are dropped, if it may have executed.
+
+    Elsewhere a repeat would take effect a second time.
+    """
+    if request.request_class.effect is not Effect.DEDUPLICATED:
+        return endpoints
+    executed = request.first_possibly_executed()
+    if executed is None:
+        return endpoints
+    return [endpoint for endpoint in endpoints if is_deduplicated_at(request, endpoint, executed)]
+
+
+def load_limit_of(endpoints: list[Endpoint]) -> float:
+    """Returns the mean of attempts in flight by weight: above it an endpoint is skipped.
+
+    Round robin alone would queue requests at an endpoint that has become slow.
+    """
+    weights = 0.0
+    attempts = 0
+    for endpoint in endpoints:
+        weights += endpoint.weight
+        attempts += len(endpoint.in_flight)
+    return attempts / weights if weights else 0.0
 
 
 class EndpointSelection:
-    """The endpoints listed, those ready by rank, and the subsets used: in the own zone, or beyond it."""
+    """The endpoints listed, those ready by rank, and the subsets used: in the own zone, or beyond it.
 
-    def __init__(self, settings: Settings, random: Callable[[], float], limit: ConcurrencyLimit) -> None:
-        self.settings, self.random, self.concurrency = settings, random, limit
-        self.throttling, self.instance_count = limit.throttling, float(settings.instance_count)
-        self.endpoints, self.ready = dict[int, Endpoint](), list[Endpoint]()
-        self.selected, self.cross_zone = list[Endpoint](), list[Endpoint]()
-        self.subset_size, self.most_ready, self.send_rate = 0, 1, 0.0  # most: ever; attempts a microsecond
-        self.sent = self.new_requests = 0  # attempts in this window, and requests that no client repeats
+    Attributes:
+        endpoints: By index; all that a list has named, but for removed ones.
+        ready: Those that get requests as listed, the highest rank first.
+        selected: The subset used first.
+        cross_zone: The subset beyond the border of the own zone, where crossing costs.
+        subset_size: How many endpoints each of both has at the most.
+        max_ready: The most endpoints ever ready.
+        instance_count: Balancers that share the endpoints; drivers set it where it changes.
+    """
 
-    def update(self, now: int, rows: Sequence[EndpointRow], full: bool) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        random: Callable[[], float],
+        throttling: Throttling,
+        concurrency: ConcurrencyLimit,
+        slow_start: SlowStart,
+    ) -> None:
+        self.settings = settings
+        self.random = random
+        self.throttling = throttling
+        self.concurrency = concurrency
+        self.slow_start = slow_start
+        self.instance_count = float(settings.instance_count)
+        self.endpoints: dict[int, Endpoint] = {}
+        self.ready: list[Endpoint] = []
+        self.selected: list[Endpoint] = []
+        self.cross_zone: list[Endpoint] = []
+        self.subset_size = 0
+        self.max_ready = 1
+
+    # The list.
+
+    def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
+        """Takes over a list of endpoints, or (not `full`) changes of it."""
         gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
-        gone |= self.endpoints.keys() - {row[0] for row in rows} if full else set()
-        for index, state, started_at, weight, cell, zone, identity in (r for r in rows if r[0] not in gone):
-            if index not in self.endpoints:
-                rank = blake2b(identity, key=b"%d" % self.settings.instance_index, digest_size=8).digest()
-                self.endpoints[index] = Endpoint(index, rank, len(self.settings.request_classes))
-            endpoint = self.endpoints[index]
-            if started_at != endpoint.started_at:  # nothing known of an earlier process holds
-                self.concurrency.in_flight += len(endpoint.in_flight) if endpoint.is_ejected else 0
-                endpoint.start(started_at, now, self.random())  # else all balancers turn to it at once
-            endpoint.state, endpoint.is_listed, endpoint.cell, endpoint.zone = state, True, cell, zone
-            endpoint.weight = weight if weight > 0 else 1.0
-        for endpoint in (self.endpoints[index] for index in gone & self.endpoints.keys()):
-            endpoint.is_listed = False
-            if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
-                endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
+        if full:
+            gone |= self.endpoints.keys() - {row[0] for row in rows}
+        for row in rows:
+            if row[0] not in gone:
+                self._update_endpoint(now, row)
+        for index in gone & self.endpoints.keys():
+            self._unlist(self.endpoints[index])
         self._rank()
 
+    def _update_endpoint(self, now: int, row: EndpointRow) -> None:
+        index, state, started_at, weight, cell, zone, identity = row
+        if index not in self.endpoints:
+            instance = b"%d" % self.settings.instance_index
+            rank = blake2b(identity, key=instance, digest_size=RANK_BYTES).digest()
+            self.endpoints[index] = Endpoint(index, rank, len(self.settings.request_classes))
+        endpoint = self.endpoints[index]
+        if started_at != endpoint.started_at:  # nothing known of an earlier process holds
+            if endpoint.is_ejected:
+                self.concurrency.endpoint_restored(endpoint)
+            endpoint.start(started_at, now, self.random())  # else all balancers turn to it at once
+        endpoint.state = state
+        endpoint.is_listed = True
+        endpoint.cell = cell
+        endpoint.zone = zone
+        endpoint.weight = weight if weight > 0 else 1.0
+
+    def _unlist(self, endpoint: Endpoint) -> None:
+        endpoint.is_listed = False
+        if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
+            endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
+
+    def remove_unlisted(self, now: int) -> None:
+        """Removes what no list names and has not answered for as long as a start takes.
+
+        Takes the time (us). Kept for longer, an endpoint that is really gone would go on getting requests.
+        """
+        warmup_time = self.settings.warmup_time
+        stale = [each for each in self.ready if not each.is_listed and now - each.answered_at > warmup_time]
+        for endpoint in stale:
+            endpoint.state = EndpointState.REMOVED
+        if stale:
+            self._rank()
+
+    # The subset.
+
     def _rank(self) -> None:  # attempts in flight keep the record of one that is gone until they end
-        self.endpoints = {i: e for i, e in self.endpoints.items() if e.state is not EndpointState.REMOVED}
-        ready = (e for e in self.endpoints.values() if e.state is EndpointState.READY)
+        self.endpoints = {
+            index: endpoint
+            for index, endpoint in self.endpoints.items()
+            if endpoint.state is not EndpointState.REMOVED
+        }
+        ready = (each for each in self.endpoints.values() if each.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda endpoint: endpoint.rank, reverse=True)
-        self.most_ready = max(self.most_ready, len(self.ready))
-        each = len(self.ready) / self.instance_count  # where that is below 1 the root allows for chance
-        self.concurrency.limit = self.concurrency.limit or INITIAL_LIMIT * max(each, each**0.5)
-        fits = self.most_ready >= self.instance_count  # else connections would not suffice for all at once
-        self.subset_size = self.subset_size or max(LEAST_SUBSET, self.most_ready if fits else 0)
+        self.max_ready = max(self.max_ready, len(self.ready))
+        self.concurrency.start(self.endpoints_each())
+        self.subset_size = self.subset_size or self.initial_subset_size()
         self.select()
 
-    def select(self) -> None:  # as many of the highest ranks as this balancer's few attempts tell of
+    def endpoints_each(self) -> float:
+        """Returns how many ready endpoints there are for each balancer."""
+        return len(self.ready) / self.instance_count
+
+    def initial_subset_size(self) -> int:
+        """Returns the first size of the subset: all, unless there are more balancers than endpoints.
+
+        With more, the connections of an endpoint would not suffice for all balancers at once.
+        """
+        return max(MIN_SUBSET, self.max_ready if self.max_ready >= self.instance_count else 0)
+
+    def resize_subset(self) -> None:
+        """Fits the subset to the rate of attempts: all, or as many as reach their floor within a validity.
+
+        Spread over more endpoints, the few attempts of one balancer would tell nothing of any of them.
+        """
+        attempts = self.slow_start.send_rate * self.throttling.span
+        size = self.max_ready if attempts >= self.max_ready else max(MIN_SUBSET, round(attempts / FLOOR))
+        if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE:
+            self.subset_size = size
+            self.select()
+
+    def select(self) -> None:
+        """Selects the highest ranks that are not ejected, on each side of a zone border that costs."""
         size = self.subset_size if self.settings.instance_index >= 0 else None
-        zone, cost = self.settings.zone, self.settings.cross_zone_cost
+        zone = self.settings.zone
+        cost = self.settings.cross_zone_cost
         healthy = [endpoint for endpoint in self.ready if not endpoint.is_ejected]
-        self.selected = [endpoint for endpoint in healthy if not cost or endpoint.zone == zone][:size]
-        self.cross_zone = [endpoint for endpoint in healthy if cost and endpoint.zone != zone][:size]
+        self.selected = [each for each in healthy if not cost or each.zone == zone][:size]
+        self.cross_zone = [each for each in healthy if cost and each.zone != zone][:size]
+
+    # The choice.
 
     def choose(self, request: RequestState, now: int, *, unthrottled: bool = False) -> Endpoint | None:
-        crosses = self.cross_zone and self.random() < self.throttling.same_zone.valid_reduction(now)
-        first, second = (self.cross_zone, self.selected) if crosses else (self.selected, self.cross_zone)
-        tried, kind = [attempt.endpoint for attempt in request.attempts], request.request_class
-        executed = request.first_possibly_executed() if kind.effect is Effect.DEDUPLICATED else None
-        for pool, is_last in (first, False), (second, False), (self.ready, False), (self.ready, True):
-            candidates, load_limit = pool, float("inf")
-            if not is_last:
-                healthy = [endpoint for endpoint in pool if not endpoint.is_ejected]
-                weights, loads = sum([e.weight for e in healthy]), sum([len(e.in_flight) for e in healthy])
-                load_limit = loads / weights if weights else 0.0  # the mean
-                candidates = [endpoint for endpoint in healthy if endpoint not in tried] if tried else healthy
-            if executed:
-                candidates = [e for e in candidates if request.is_deduplicated_at(e, executed)]
-            best, total = None, 0.0
-            for endpoint in candidates:  # smooth weighted round robin, by weight and latency
-                weight = endpoint.weight / endpoint.relative_latency
-                if endpoint.started_at:
-                    weight *= self.warm_share(endpoint, now)
-                is_throttled = unthrottled and not self._is_unthrottled(endpoint, request, now)
-                if not weight or is_throttled or len(endpoint.in_flight) > load_limit * weight:
-                    continue
-                endpoint.position += weight
-                total += weight
-                if best is None or endpoint.position > best.position:
-                    best = endpoint
+        """Returns the endpoint for a request's next attempt at a time (us), None if there is none.
+
+        One that the request has not tried and that is not above the mean load, out of the subsets by
+        preference; then out of all that are ready; then any that is ready, rather than none. `unthrottled`:
+        only one that is known to hold no reduction.
+        """
+        pools = (self.selected, self.cross_zone, self.ready)
+        if self.cross_zone and self.prefers_cross_zone(now):
+            pools = (self.cross_zone, self.selected, self.ready)
+        avoiding_for = request if unthrottled else None
+        for pool in pools:
+            candidates = [endpoint for endpoint in pool if not endpoint.is_ejected]
+            load_limit = load_limit_of(candidates)
+            if request.attempts:
+                tried = [attempt.endpoint for attempt in request.attempts]
+                candidates = [endpoint for endpoint in candidates if endpoint not in tried]
+                candidates = permitted_endpoints(request, candidates)
+            best = self._next_in_rotation(candidates, load_limit, now, avoiding_for)
             if best is not None:
-                best.position -= total
                 return best
-        return None
+        candidates = permitted_endpoints(request, self.ready)
+        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, avoiding_for)
+
+    def prefers_cross_zone(self, now: int) -> bool:
+        """Returns whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
+
+        An overloaded zone would fail while the other has capacity; without a reduction crossing only costs.
+        """
+        return self.random() < self.throttling.same_zone.valid_reduction(now)
 
-    def _is_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:  # known to be so
+    def _next_in_rotation(
+        self, candidates: list[Endpoint], load_limit: float, now: int, avoiding_for: RequestState | None
+    ) -> Endpoint | None:
+        """Smooth weighted round robin, by weight, latency and warm share.
+
+        Skips endpoints above the load limit (attempts in flight by weight), and those that may hold a
+        reduction for the request `avoiding_for`.
+        """
+        warmup_time = self.settings.warmup_time
+        best = None
+        total = 0.0
+        for endpoint in candidates:
+            weight = endpoint.weight / endpoint.relative_latency
+            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # no call for warm ones
+                weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
+            if not weight or len(endpoint.in_flight) > load_limit * weight:
+                continue
+            if avoiding_for is not None and not self.is_known_unthrottled(endpoint, avoiding_for, now):
+                continue
+            endpoint.position += weight
+            total += weight
+            if best is None or endpoint.position > best.position:
+                best = endpoint
+        if best is not None:
+            best.position -= total
+        return best
+
+    def is_known_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
+        """Returns whether an endpoint has been heard of and holds no reduction for a request at a time (us).
+
+        One not heard of yet may be as much at fault as the one that is avoided.
+        """
         governing = self.throttling.governing(endpoint.entries, request.class_index, now)
         return endpoint.entries[-1].valid_until > 0 and not governing.valid_reduction(now)
 
-    def warm_share(self, endpoint: Endpoint, now: int) -> float:  # of its capacity; 0: its budget is spent
-        age, initial = now - endpoint.started_at, self.settings.initial_capacity
-        if not endpoint.started_at or age >= self.settings.warmup_time:
-            return 1.0
-        warm = initial + (1 - initial) * max(0, age) / self.settings.warmup_time
-        rate = self.send_rate / self.most_ready * warm * (self.settings.warmup_multiple / 2)
-        earned, endpoint.budget_filled_at = (now - endpoint.budget_filled_at) * rate, now
-        endpoint.slow_start_budget = min(1.0, endpoint.slow_start_budget + earned)
-        return warm if endpoint.slow_start_budget >= 1 else 0.0
-
-    def remove_unlisted(self, now: int) -> None:  # what has not answered for as long as a start takes
-        stale = [e for e in self.ready if not e.is_listed and now - e.answered_at > self.settings.warmup_time]
-        for endpoint in stale:
-            endpoint.state = EndpointState.REMOVED
-        if stale:
-            self._rank()
+    def has_warm_endpoint(self, now: int) -> bool:
+        """Returns whether any ready endpoint has started long enough before a time (us)."""
+        return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
-    def close_window(self, now: int) -> None:
-        some_warm = any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
-        rate = (self.sent if some_warm else self.new_requests) / self.throttling.window  # else few are sent
-        self.send_rate += (rate - self.send_rate) / 4 if self.send_rate else rate
-        self.sent = self.new_requests = 0
-        attempts = self.send_rate * self.throttling.span  # to each of all, or to the floor of each selected
-        size = self.most_ready if attempts >= self.most_ready else max(LEAST_SUBSET, round(attempts / FLOOR))
-        if abs(size - self.subset_size) > self.subset_size / 4:
-            self.subset_size = size
-            self.select()
+    def learn_latency(self, endpoint: Endpoint, outcome: Outcome, took: int, mean_latency: float) -> None:
+        """Learns an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
+        if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
+            ratio = min(took / mean_latency, MAX_LATENCY_RATIO)
+            endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_OF_FEW)
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from dahliabend.model import Effect, Outcome
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.request import Request
 from dahliabend.proxy.upstream_request import Phase, UpstreamRequest, UpstreamResponse
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -3,8 +3,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from msgspec import convert, to_builtins
+
 from dahliabend.discovery.endpoint_list import EndpointRow
-from dahliabend.model import EndpointState, Outcome
+from dahliabend.model import EndpointState, Outcome, Snapshot
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.endpoint_table import MAX_REMEMBERED_IDS, EndpointTable
@@ -140,7 +142,7 @@
     def snapshot(self) -> dict[str, Any]:
         """Return the state for a successor in another process, with names in place of indices."""
         endpoints = self.table.endpoints
-        state: dict[str, Any] = self.balancer.snapshot(ends=False)
+        state: dict[str, Any] = to_builtins(self.balancer.snapshot(ends=False))
         state["upstreams"] = {endpoints[index].name: known for index, known in state["upstreams"].items()}
         state["epoch"] = self.epoch
         state["profiles"] = {name.decode("latin-1"): index for name, index in self.class_indices.items()}
@@ -157,7 +159,8 @@
         indices = self.table.indices
         upstreams = {indices[name]: known for name, known in state["upstreams"].items() if name in indices}
         classes = {name.encode("latin-1"): index for name, index in state["profiles"].items()}
-        return self.balancer.restore({**state, "upstreams": upstreams}, self.class_index_pairs(classes))
+        known = convert({**state, "upstreams": upstreams}, Snapshot)
+        return self.balancer.restore(known, self.class_index_pairs(classes))
 
     def class_index_pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
         """Return the index now and the index before, for each class that both settings have."""
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -5,7 +5,7 @@
 
 from dahliabend.http.dispatch import Client
 from dahliabend.http.streaming import StreamingBody
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.transport.timers import clock
 
 if TYPE_CHECKING:
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -95,7 +95,7 @@
 
     def listening_fields(self) -> dict[str, object]:
         """Return whether clients of the first tier come here."""
-        return {"entrance": self.router.balancer.is_entry_tier}
+        return {"entrance": self.router.balancer.settings.is_entry_tier}
 
     def close(self) -> None:
         """Stop watching the endpoint list."""
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -16,7 +16,7 @@
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import Balancer
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream
 from dahliabend.subsetting.controller import SubsetController
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -6,7 +6,7 @@
 from dahliabend.errors import SimulatorProtocolError
 from dahliabend.model import EndpointRow, EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.simulator_adapter import actions
 from dahliabend.simulator_adapter.wire_format import (
     ENDPOINT_ENTRY,
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -16,9 +16,8 @@
 
 from fake_port import DEDUPLICATED, IDEMPOTENT, MS, S, make_balancer
 
-from dahliabend.model import Outcome
-from dahliabend.policy.key_order import REST_TIMER
-from dahliabend.policy.retries import RequestState
+from dahliabend.model import Outcome, TimerToken
+from dahliabend.policy.records import RequestState
 
 KEYS = 1_000_000
 MAX_IN_FLIGHT = 200
@@ -59,7 +58,7 @@
                 request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
             elif not request.is_finished:
                 request.client_disconnected(now)
-        policy.timer_fired(now, REST_TIMER)
+        policy.timer_fired(now, TimerToken.KEY_REST)
         port.clear()
         if number % REPORT_INTERVAL == 0:
             traced = tracemalloc.get_traced_memory()[0] // 1024
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -79,8 +79,8 @@
         limit = decisions.concurrency
         values["all"] = [
             limit.limit, limit.mean_in_flight, limit.sustained_in_flight, limit.latency_ratio,
-            limit.least_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
-            decisions.outliers.fatal_idle_time, *decisions.usual,
+            limit.min_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
+            decisions.outliers.fatal_idle_time, *decisions.deadlines.mean_latencies,
         ]  # fmt: skip
         mine.write_state_for((3, 99), program.handover_state)
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -53,7 +53,12 @@
 
 def test_other_settings_keep_what_is_known_of_endpoints_and_start_the_rest_anew():
     old, _ = make_balancer(endpoints=4, request_classes=(IDEMPOTENT, NON_IDEMPOTENT), can_health_check=False)
-    old.usual[:], old.concurrency.limit, old.retry_budget, old.outliers.fatal_idle_time = (
+    (
+        old.deadlines.mean_latencies[:],
+        old.concurrency.limit,
+        old.retries.budget,
+        old.outliers.fatal_idle_time,
+    ) = (
         [7 * MS, 9 * MS],
         99.0,
         5.0,
@@ -72,12 +77,12 @@
         can_health_check=False,
     )
     assert made.restore(old.snapshot(ends=True), [(0, 1), (2, 0)]) == 3
-    assert made.usual == [9 * MS, 0, 7 * MS]
+    assert made.deadlines.mean_latencies == [9 * MS, 0, 7 * MS]
     assert made.outliers.fatal_idle_time == S
     assert made.selection.endpoints[0].relative_latency == 3
     assert made.selection.endpoints[2].relative_latency == 1
     assert made.concurrency.limit != 99
-    assert made.retry_budget == 1
+    assert made.retries.budget == 1
     made.selection.subset_size = 4
     made.selection.select()
     for ref in range(9):
@@ -92,7 +97,7 @@
     old.selection.endpoints[0].slow_start_budget = made.selection.endpoints[0].slow_start_budget = 1.0
     made.restore(old.snapshot(ends=True), [])
     for ref in range(5):
-        assert old.selection.warm_share(old.selection.endpoints[0], T + S) == 0
+        assert old.slow_start.warm_share(old.selection.endpoints[0], T + S, 1) == 0
         admit(made, 0, ref=ref)
     assert len(port.of("send")) == 1
 
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -19,7 +19,7 @@
 
 def test_limit_falls_with_latency_but_not_below_its_minimum():
     made, _ = make_balancer(endpoints=10)
-    made.concurrency.least_latency_ratio, made.concurrency.latency_ratio, made.concurrency.in_flight = (
+    made.concurrency.min_latency_ratio, made.concurrency.latency_ratio, made.concurrency.in_flight = (
         0.2,
         0.8,
         40,
@@ -38,7 +38,7 @@
         (
             made.concurrency.ticks,
             made.concurrency.latency_ratio,
-            made.concurrency.least_latency_ratio,
+            made.concurrency.min_latency_ratio,
             made.concurrency.has_rejected,
         ) = ticks, 0.1, 0.1, True
         made.concurrency.adjust(T, len(made.selection.ready) / made.selection.instance_count)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -4,7 +4,7 @@
 
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.concurrency import INITIAL_LIMIT
-from dahliabend.policy.selection import LEAST_SUBSET
+from dahliabend.policy.selection import MIN_SUBSET
 from dahliabend.policy.throttling import FLOOR, VALIDITY_WINDOWS
 
 T = 100 * S
@@ -48,7 +48,7 @@
 def test_cold_endpoints_get_no_more_than_their_slow_start_budget():
     made, port = make_balancer(endpoints=4, born=0)
     made.update_endpoints(T, [(3, EndpointState.READY, T, 1.0, 1, 1, b"")], full=False)
-    made.selection.send_rate, made.concurrency.limit = 400 / S, 1e9  # a hundred a second and endpoint
+    made.slow_start.send_rate, made.concurrency.limit = 400 / S, 1e9  # a hundred a second and endpoint
     for step in range(4000):
         now = T + step * S // 4000
         admit(made, 0, now=now, ref=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
@@ -59,7 +59,7 @@
 def test_with_all_endpoints_cold_new_requests_set_the_send_rate():
     made, port = make_balancer(endpoints=2, born=T)
     assert admit(made, 0).is_finished  # nothing is known yet
-    made.selection.new_requests = 100
+    made.admission.new_requests = 100
     made.close_windows(T + S)
     admit(made, 0, now=T + S)
     admit(made, 0, now=T + 2 * S)
@@ -95,7 +95,7 @@
     used = []
     for number in (0, 1, 0, -1):
         made, _ = make_balancer(endpoints=40, instance_index=number)
-        made.selection.sent = 15
+        made.slow_start.sent = 15
         made.close_windows(T + S)
         used.append({u.index for u in made.selection.selected})
     size = round(15 * VALIDITY_WINDOWS / FLOOR)  # each reaches its floor within a validity
@@ -103,10 +103,10 @@
     assert used[0] == used[2] != used[1]
     assert len(used[3]) == 40
     made, port = make_balancer(endpoints=40)
-    made.selection.subset_size = LEAST_SUBSET
+    made.selection.subset_size = MIN_SUBSET
     gone = made.selection.ready[0]
     made.outliers.eject(gone, T)
-    assert len(made.selection.selected) == LEAST_SUBSET
+    assert len(made.selection.selected) == MIN_SUBSET
     assert gone not in made.selection.selected
     for ref in range(30):
         admit(made, 2, ref=ref).client_disconnected(T)
@@ -148,14 +148,14 @@
 
 def test_timed_out_attempt_counts_in_its_endpoints_latency():
     made, _ = make_balancer(endpoints=1)
-    made.usual[2] = 10 * MS
+    made.deadlines.mean_latencies[2] = 10 * MS
     admit(made, 2).attempt_finished(T, 0, Outcome.TIMED_OUT, 80 * MS, True)
     assert made.selection.ready[0].relative_latency > 2
 
 
 def test_one_of_very_many_balancers_starts_with_a_small_subset_and_limit():
     made, _ = make_balancer(endpoints=40, instance_count=300)
-    assert len(made.selection.selected) == LEAST_SUBSET
+    assert len(made.selection.selected) == MIN_SUBSET
     assert abs(made.concurrency.limit - INITIAL_LIMIT * (40 / 300) ** 0.5) < 1e-9
     assert make_balancer(endpoints=40, instance_count=20)[0].concurrency.limit == INITIAL_LIMIT * 2
     assert len(make_balancer(endpoints=40, instance_count=40)[0].selection.selected) == 40
--- a/tests/policy/test_key_order.py
+++ b/tests/policy/test_key_order.py
@@ -6,9 +6,8 @@
 import pytest
 from fake_port import DEDUPLICATED, IDEMPOTENT, MS, S, make_balancer
 
-from dahliabend.model import Outcome
-from dahliabend.policy.balancer import TICK_OBJECTIVES
-from dahliabend.policy.key_order import REST_TIMER
+from dahliabend.model import Outcome, TimerToken
+from dahliabend.policy.balancer import TICKS_PER_LATENCY_OBJECTIVE
 
 T = 100 * S
 PAUSE = 100 * MS
@@ -61,11 +60,11 @@
     one.attempt_finished(T + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
     assert sent_refs(port) == ([1] if outcome in UNSURE else [1, 2])
     if outcome in UNSURE:
-        assert port[-1] == ("set_timer", T + MS + PAUSE, REST_TIMER)
-        made.timer_fired(T + PAUSE, REST_TIMER)
+        assert port[-1] == ("set_timer", T + MS + PAUSE, TimerToken.KEY_REST)
+        made.timer_fired(T + PAUSE, TimerToken.KEY_REST)
         admit(made, 3, now=T + PAUSE)
         assert sent_refs(port) == [1]
-        made.timer_fired(T + MS + PAUSE, REST_TIMER)
+        made.timer_fired(T + MS + PAUSE, TimerToken.KEY_REST)
         assert sent_refs(port) == [1, 2]
 
 
@@ -77,7 +76,7 @@
     assert sent_refs(port) == [1, 1]
     one.attempt_finished(T + PAUSE - 1, 1, Outcome.SUCCEEDED, MS, True)
     assert sent_refs(port) == [1, 1]  # nor does its answer end the rest
-    made.timer_fired(T + PAUSE, REST_TIMER)
+    made.timer_fired(T + PAUSE, TimerToken.KEY_REST)
     assert sent_refs(port) == [1, 1, 2]
 
 
@@ -89,7 +88,7 @@
     assert sent_refs(port) == [1]
     assert not one.is_finished
     one.attempt_finished(T + MS, 0, Outcome.CANCELLED, MS, True)
-    made.timer_fired(T + MS + PAUSE, REST_TIMER)
+    made.timer_fired(T + MS + PAUSE, TimerToken.KEY_REST)
     assert sent_refs(port) == [1, 2]
 
 
@@ -102,7 +101,7 @@
     one.attempt_finished(T + 2 * MS, 1, Outcome.SUCCEEDED, MS, True)
     assert sent_refs(port) == [1, 1]
     one.attempt_finished(T + 3 * MS, 0, Outcome.CANCELLED, MS, True)
-    made.timer_fired(T + 3 * MS + PAUSE, REST_TIMER)
+    made.timer_fired(T + 3 * MS + PAUSE, TimerToken.KEY_REST)
     assert sent_refs(port) == [1, 1, 2]
 
 
@@ -119,7 +118,7 @@
     made, port = ordered_balancer()
     admit(made, 1)
     two = admit(made, 2, limit=S)
-    tick = round(IDEMPOTENT.latency_objective * TICK_OBJECTIVES)
+    tick = round(IDEMPOTENT.latency_objective / TICKS_PER_LATENCY_OBJECTIVE)
     for number in range(1, 4):
         made.timer_fired(T + number * tick, 0)
     assert two.is_finished
@@ -129,7 +128,7 @@
 
 def test_queue_is_no_longer_than_can_be_served_and_retry_after_tells_its_length():
     made, port = ordered_balancer(max_retry_after=60 * S)
-    made.usual[0] = S
+    made.deadlines.mean_latencies[0] = S
     queue = [admit(made, ref) for ref in range(20)]
     waiting = [request for request in queue if not request.is_finished]
     assert len(waiting) == 4  # a second each, of five: the last has one left for itself
@@ -157,7 +156,7 @@
             request = out.pop(chance.randrange(50))
             if not request.is_finished:
                 request.attempt_finished(now, 0, chance.choice((Outcome.SUCCEEDED, *UNSURE)), MS, False)
-            made.timer_fired(now, REST_TIMER)
+            made.timer_fired(now, TimerToken.KEY_REST)
         port.clear()
         assert (
             len(made.key_queues.queues) <= 51 + 100 + 1
@@ -165,7 +164,7 @@
     for request in out:
         if not request.is_finished:
             request.attempt_finished(now, 0, Outcome.RESET, MS, False)
-    made.timer_fired(now + PAUSE, REST_TIMER)
+    made.timer_fired(now + PAUSE, TimerToken.KEY_REST)
     assert not made.key_queues.queues
     assert not made.key_queues.rests
 
@@ -177,7 +176,7 @@
     other.attempt_finished(T, 0, Outcome.RESET, MS, False)  # key 5 rests
     after, port2 = ordered_balancer()
     after.key_queues.take_over(made.key_queues)
-    assert ("set_timer", T + PAUSE, REST_TIMER) in port2
+    assert ("set_timer", T + PAUSE, TimerToken.KEY_REST) in port2
     admit(after, 4)
     admit(after, 5, key=5)
     assert not sent_refs(port2)
@@ -185,5 +184,5 @@
     two.attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sent_refs(port) == [1, 3, 2]
     assert sent_refs(port2) == [4]
-    after.timer_fired(T + PAUSE, REST_TIMER)
+    after.timer_fired(T + PAUSE, TimerToken.KEY_REST)
     assert sent_refs(port2) == [4, 5]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -10,7 +10,7 @@
 
 def test_hung_endpoint_is_ejected_its_attempts_cancelled_and_health_checks_restore_it():
     made, port = make_balancer(endpoints=2)
-    made.concurrency.mean_latency = made.usual[0] = 100 * MS
+    made.concurrency.mean_latency = made.deadlines.mean_latencies[0] = 100 * MS
     request = admit(made, 0)
     u = request.attempts[0].endpoint
     made.outliers.last_answer_at = T + S
@@ -29,7 +29,7 @@
         made.timer_fired(T + 3 * S + ticks * made.tick, 0)
         assert len(port.of("check_health")) == checks
     made.health_check_finished(T + 5 * S, u.index, Outcome.SUCCEEDED)
-    made.usual[0] = S
+    made.deadlines.mean_latencies[0] = S
     admit(made, 0, now=T + 5 * S, ref=9).attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, S, True)
     assert not u.is_ejected
     assert u.consecutive_failures == 0
@@ -37,7 +37,7 @@
 
 def test_without_health_checks_one_idempotent_request_tries_an_ejected_endpoint():
     made, port = make_balancer(endpoints=2, can_health_check=False)
-    made.usual[:] = [10 * MS] * 3
+    made.deadlines.mean_latencies[:] = [10 * MS] * 3
     made.outliers.eject(made.selection.endpoints[0], T)
     wait = max(made.throttling.validity, made.throttling.span << 1)
     made.timer_fired(T + wait - 1, 0)
@@ -102,7 +102,7 @@
         (2, S // 2, 0),
     ):  # the last after an answer
         made, port = make_balancer(endpoints=1)
-        made.concurrency.limit, made.usual = 1e9, [S, S, S]
+        made.concurrency.limit, made.deadlines.mean_latencies[:] = 1e9, [S, S, S]
         for n in range(TIER_FLOOR):
             outcome = Outcome.RESET if n < resets else Outcome.FAILED
             admit(made, 2, ref=n).attempt_finished(
@@ -119,7 +119,7 @@
 def test_ejected_cold_endpoint_is_tried_within_its_slow_start_budget():
     for budget, tried in ((0.5, 1), (1.0, 0)):
         made, port = make_balancer(endpoints=2, can_health_check=False)
-        made.usual[0], cold = 10 * MS, made.selection.endpoints[0]
+        made.deadlines.mean_latencies[0], cold = 10 * MS, made.selection.endpoints[0]
         (
             cold.is_ejected,
             cold.started_at,
@@ -133,7 +133,7 @@
 
 def test_quick_failures_eject_before_the_window_ends_and_at_once_after_recovery():
     made, _ = make_balancer()
-    u, made.usual[2] = made.selection.endpoints[0], 100 * MS
+    u, made.deadlines.mean_latencies[2] = made.selection.endpoints[0], 100 * MS
 
     def fails():
         request = admit(made, 2)
@@ -156,7 +156,7 @@
 
 def test_endpoint_ejected_again_is_restored_by_a_trial_and_not_by_a_health_check():
     made, port = make_balancer(endpoints=2)
-    made.usual[:] = [10 * MS] * 3
+    made.deadlines.mean_latencies[:] = [10 * MS] * 3
     u, now = made.selection.endpoints[0], T
     made.outliers.eject(u, now)
     made.health_check_finished(now, 0, Outcome.SUCCEEDED)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -3,6 +3,7 @@
 from fake_port import DEDUPLICATED, MS, S, admit, make_balancer
 
 from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
+from dahliabend.policy.retries import may_attempt
 
 T = 100 * S
 
@@ -21,7 +22,7 @@
 def test_deduplicated_request_is_retried_in_its_scope_and_window():
     made, port = make_balancer()
     request = admit(made, 1)
-    made.retry_budget = 5
+    made.retries.budget = 5
     request.attempt_finished(T + S, 0, Outcome.FAILED, S, False)
     first, second = (note[2] for note in port.of("send"))
     assert first % 2 == second % 2
@@ -29,8 +30,8 @@
     attempt = request.first_possibly_executed()
     assert attempt.sent_at == T
     request.in_flight = 0
-    assert request.may_be_sent(T + DEDUPLICATED.deduplication_window - 1)
-    assert not request.may_be_sent(T + DEDUPLICATED.deduplication_window)
+    assert may_attempt(request, T + DEDUPLICATED.deduplication_window - 1)
+    assert not may_attempt(request, T + DEDUPLICATED.deduplication_window)
 
 
 def test_deduplicated_request_that_may_have_executed_fails_unless_every_endpoint_knows_it():
@@ -44,12 +45,12 @@
 def test_attempt_in_flight_forbids_another():
     for class_index in range(3):
         made, _ = make_balancer()
-        assert not admit(made, class_index).may_be_sent(T)
+        assert not may_attempt(admit(made, class_index), T)
 
 
 def test_retries_after_possible_execution_need_a_budget():
     made, port = make_balancer()
-    made.retry_budget = 0.5
+    made.retries.budget = 0.5
     admit(made, 0).attempt_finished(T, 0, Outcome.FAILED, MS, False)
     assert len(port.of("send")) == 1
     assert port.of("reject")
@@ -76,7 +77,7 @@
 
 def test_failed_attempt_leaves_the_hedge_to_answer():
     made, port = make_balancer()
-    made.retry_budget = 5.0
+    made.retries.budget = 5.0
     request = admit(made, 0)
     request.hedge_timer_fired(100 * S + 300 * MS)
     request.attempt_finished(100 * S + 400 * MS, 0, Outcome.RESET, 400 * MS, False)
@@ -89,7 +90,7 @@
 
 def test_hedge_costs_a_retry_and_needs_another_endpoint():
     made, port = make_balancer()
-    made.retry_budget = 0.5
+    made.retries.budget = 0.5
     request = admit(made, 0)
     request.hedge_timer_fired(100 * S + 300 * MS)
     assert request.in_flight == 1
@@ -106,7 +107,7 @@
 def test_attempt_leaves_time_for_a_retry_where_late_answers_are_worthless():
     quote = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
     made, port = make_balancer(request_classes=(quote,), max_attempts=6)
-    made.usual[0] = 30 * MS
+    made.deadlines.mean_latencies[0] = 30 * MS
     request = made.admit(T, 1, 0, 0, T + 1_500 * MS)
     assert port.of("send")[0][3] == 300 * MS  # half of what it may take at all
     request.attempt_finished(T + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -110,7 +110,7 @@
 
 def test_entries_stay_valid_for_as_long_as_the_floor_takes():
     made, _ = make_balancer()
-    span, made.selection.sent = made.throttling.validity, 1
+    span, made.slow_start.sent = made.throttling.validity, 1
     made.close_windows(T + S)
     assert made.throttling.validity >= TIER_FLOOR * made.throttling.window > span
 
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -19,10 +19,10 @@
 from dahliabend.http.serving_state import ServingState
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
+from dahliabend.policy import balancer, selection
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.key_order import KeyQueues
-from dahliabend.policy.retries import RequestState
-from dahliabend.policy.selection import EndpointSelection
+from dahliabend.policy.slow_start import SlowStart
 from dahliabend.proxy import attempt
 from dahliabend.proxy.attempt import Attempt
 from dahliabend.proxy.endpoint_table import EndpointTable
@@ -72,9 +72,11 @@
 
 
 def resend_what_may_have_run():
-    return instead(
-        RequestState, "may_be_sent", lambda self, now: not self.is_body_consumed and not self.in_flight
-    )
+    def may_attempt(request, now):
+        has_more = len(request.attempts) < request.max_attempts
+        return has_more and not request.is_body_consumed and not request.in_flight
+
+    return instead(balancer, "may_attempt", may_attempt)
 
 
 def use_those_that_drain():
@@ -84,7 +86,7 @@
 
 
 def no_cold_budget():
-    return instead(EndpointSelection, "warm_share", lambda self, endpoint, now: 1.0)
+    return instead(SlowStart, "warm_share", lambda self, endpoint, now, max_ready: 1.0)
 
 
 def keep_a_descriptor():
@@ -195,7 +197,7 @@
 
 
 def roll_back_what_may_have_run():
-    def give_up(self, request):
+    def give_up(self, request, wait=0):
         request.is_answered = True
         self.cancel(request)
         self.port.reject(request.ref, 0)
@@ -204,7 +206,7 @@
 
 
 def leave_the_group():
-    return instead(RequestState, "is_deduplicated_at", lambda self, endpoint, first: True)
+    return instead(selection, "is_deduplicated_at", lambda request, endpoint, first: True)
 
 
 def pass_on_cut_answers():
