--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from dahliabend.model import Effect, Outcome
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.proxy.base_dispatcher import RequestMetrics
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.request import Request
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -6,7 +6,7 @@
 from dahliabend.http.dispatch import Client
 from dahliabend.http.streaming import StreamingBody
 from dahliabend.model import Outcome
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.proxy.policy_port import PolicyPort
 from dahliabend.transport.timers import clock
 
