--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from dahliabend.http import headers as wire
-from dahliabend.http.dispatch import Dispatcher, is_valid_identity
+from dahliabend.http.dispatch import Dispatcher, IncomingRequest, is_valid_identity
 from dahliabend.http.request_parser import BODY_PAUSE_TIMEOUT, ReceivedRequest, RequestParser
 from dahliabend.http.responses import CONNECTION_CLOSE, CONTINUE, Framing, StreamedResponse, response_head
 from dahliabend.http.serving_state import FLUSHING, LINGERING, SERVING, WAITING, ServingState
@@ -21,6 +21,7 @@
 STREAM_TIMEOUT_FACTOR = 4  # of the write timeout: for the rest of a streamed response to be sent
 LINGER_DIVISOR = 4  # of the write timeout: for the client to end its sending behind the final response
 
+MICROSECONDS_PER_MS = 1000
 ALLOWED_METHODS = b"Allow: GET, POST\r\n"  # with 405
 
 
@@ -35,7 +36,7 @@
         state: What it does with requests.
         keep_alive: The connection goes on behind the response.
         request: Handle of the request being served, `NO_HANDLE` if the dispatcher has none of it.
-        profile: Name of the profile that it is of, until its response is sent; empty if of no known one.
+        class_name: Name of that request's class, until its response is sent; empty if of no known one.
         on_request_finished: Called then; set by the dispatcher.
         upload: Its body, if that still comes.
         response: Its response, if that is passed on while it comes.
@@ -55,7 +56,7 @@
         self.state: ServingState = WAITING
         self.keep_alive = False
         self.request = NO_HANDLE
-        self.profile = b""
+        self.class_name = b""
         self.on_request_finished: Callable[[], object] | None = None
         self.upload: StreamingBody | None = None
         self.response: StreamedResponse | None = None
@@ -163,29 +164,30 @@
         if path == wire.READY:
             self._answer_ready()
             return
-        profile = self._classify(request.method, path, request.fields)
-        if profile is None:
+        class_number = self._classify(request.method, path, request.fields)
+        if class_number is None:
             self.send_error(404)
             return
-        trace_id, timeout_ms = self.dispatcher.identify(profile, request.fields)
+        trace_id, timeout_ms = self.dispatcher.identify(class_number, request.fields)
         if not is_valid_identity(trace_id, timeout_ms):
             self.send_error(400)
             return
-        self.request = self.dispatcher.dispatch(
-            self,
-            profile,
-            request.method,
-            target,
-            request.headers,
-            body,
-            client_timeout=int(timeout_ms) * 1000,
+        incoming = IncomingRequest(
+            client=self,
+            method=request.method,
+            target=target,
+            fields=request.fields,
+            headers=request.headers,
+            body=body,
+            upload=self.upload,
+            client_timeout=int(timeout_ms) * MICROSECONDS_PER_MS,
             received_at=request.received_at,
+            trace_id=trace_id,
             tenant=request.fields.get(wire.TENANT, b""),
             is_retry=request.fields.get(wire.RETRY) == b"1",
-            trace_id=trace_id,
-            upload=self.upload,
-            key=request.fields.get(wire.ORDERING_KEY, b""),
+            ordering_key=request.fields.get(wire.ORDERING_KEY, b""),
         )
+        self.request = self.dispatcher.dispatch(incoming, class_number)
 
     def _take_streaming_body(self, body: StreamingBody) -> bytes:
         """The body if it has come whole meanwhile; else it is the upload, and nothing goes ahead of it."""
@@ -202,19 +204,19 @@
             self.send_response(503, b"", b"not ready\n")
 
     def _classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> int | None:
-        """The number of the request's profile, if known; it counts as open from now on."""
+        """The number of the request's class, if known; it counts as open from now on."""
         found = self.dispatcher.classify(method, path, fields)
         if found is None:
             return None
-        self.profile, profile = found
+        self.class_name, class_number = found
         self.dispatcher.request_opened()
-        return profile
+        return class_number
 
     def _request_finished(self) -> None:
         """The request being served counts as open no more."""
-        if not self.profile:
+        if not self.class_name:
             return
-        self.profile = b""
+        self.class_name = b""
         self.dispatcher.request_closed()
         callback, self.on_request_finished = self.on_request_finished, None
         if callback is not None:
@@ -231,8 +233,8 @@
         self.request = NO_HANDLE
         if self.closed:
             return
-        if self.profile:
-            self.dispatcher.count_response(self.profile, status)
+        if self.class_name:
+            self.dispatcher.count_response(self.class_name, status)
         self._discard_upload()
         head = response_head(status, headers, self._connection_line(), len(body))
         self.state = FLUSHING
@@ -282,7 +284,7 @@
             return
         response, self.response = self.response, None
         self.request = NO_HANDLE
-        self.dispatcher.count_response(self.profile, 200)
+        self.dispatcher.count_response(self.class_name, 200)
         self.state = FLUSHING
         due = clock() + STREAM_TIMEOUT_FACTOR * self.write_timeout
         self.stall_timer = self.timers.schedule(due, self.abort)
@@ -294,7 +296,7 @@
             return
         response, self.response = self.response, None
         self.request = NO_HANDLE
-        self.dispatcher.count_response(self.profile, 502)
+        self.dispatcher.count_response(self.class_name, 502)
         if response.framing is Framing.UNTIL_CLOSE:
             self.reset()  # an end in order would be taken for that of the response
         else:
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -1,7 +1,7 @@
 """The interface between clients' connections and whatever serves their requests."""
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from dahliabend.http.streaming import BodySource, StreamingBody
 
@@ -17,12 +17,12 @@
 
     Attributes:
         closed: It has gone: nothing is sent any more.
-        profile: Name of the request's profile.
+        class_name: Name of the request's class.
         on_request_finished: Called once the response is sent or the client has gone.
     """
 
     closed: bool
-    profile: bytes
+    class_name: bytes
     on_request_finished: Callable[[], object] | None
 
     def send_error(self, status: int) -> None:
@@ -56,6 +56,40 @@
         """It stays incomplete, and the client has to see that."""
 
 
+class IncomingRequest(NamedTuple):
+    """A request as it has been read from a client: one object for all who handle it.
+
+    Attributes:
+        client: Who waits for the response.
+        method: The method.
+        target: The target, in origin form.
+        fields: Values of its headers by name in lower case.
+        headers: Header lines that are forwarded.
+        body: The body, unless it is streamed.
+        upload: A body that is still being received; None if `body` is complete.
+        client_timeout: How long the client waits (us).
+        received_at: Clock time (us) of its first byte.
+        trace_id: Its id.
+        tenant: Name of the tenant, as on the wire; empty for none.
+        is_retry: Whether the client says that it has sent the request before.
+        ordering_key: What it concerns, where order is kept; empty for nothing.
+    """
+
+    client: Client
+    method: bytes
+    target: bytes
+    fields: dict[bytes, bytes]
+    headers: bytes
+    body: bytes
+    upload: StreamingBody | None
+    client_timeout: int
+    received_at: int
+    trace_id: bytes
+    tenant: bytes
+    is_retry: bool
+    ordering_key: bytes
+
+
 class Dispatcher(Protocol):
     """Where requests go. It answers each by a method of its `Client`.
 
@@ -66,44 +100,17 @@
     methods: frozenset[bytes]
 
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
-        """Name and number of the profile that a request is of; None if of no known one."""
+        """Name and number of a request's class; None if it is of no known one."""
 
-    def identify(self, profile: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def identify(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """A request's trace id, and how many milliseconds its client waits, as digits."""
 
-    def dispatch(  # noqa: PLR0913 - the parts of a request, all but the first few by keyword
-        self,
-        client: Client,
-        profile: int,
-        method: bytes,
-        target: bytes,
-        headers: bytes,
-        body: bytes,
-        *,
-        client_timeout: int,
-        received_at: int,
-        tenant: bytes,
-        is_retry: bool,
-        trace_id: bytes,
-        upload: StreamingBody | None,
-        key: bytes,
-    ) -> int:
+    def dispatch(self, incoming: IncomingRequest, class_number: int) -> int:
         """Takes a request.
 
         Args:
-            client: Whoever waits for the response.
-            profile: Number of the request's profile.
-            method: The HTTP method.
-            target: The target, in origin form.
-            headers: The header lines to pass on.
-            body: The whole body; empty if that still comes.
-            client_timeout: Microseconds that the client waits.
-            received_at: Clock time of the request's first byte.
-            tenant: Name of the tenant, if any.
-            is_retry: The client has sent it before.
-            trace_id: The request's id.
-            upload: The body, if that still comes.
-            key: Its ordering key, if any.
+            incoming: The request.
+            class_number: What `classify` said of it.
 
         Returns:
             A handle that names the request until it is answered; `NO_HANDLE` if it has been already.
@@ -119,13 +126,13 @@
         """Whether clients are to go elsewhere."""
 
     def request_opened(self) -> None:
-        """A request of a known profile is being served."""
+        """A request of a known class is being served."""
 
     def request_closed(self) -> None:
         """Its response has been sent, or its connection is closed."""
 
     def count_response(self, name: bytes, status: int) -> None:
-        """A request of that profile is answered with that status."""
+        """A request of that class is answered with that status."""
 
 
 def is_valid_identity(trace_id: bytes, timeout_ms: bytes) -> bool:
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -6,7 +6,7 @@
 
 from dahliabend.errors import ProtocolError
 from dahliabend.http import headers as wire
-from dahliabend.http.streaming import StreamingBody
+from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
@@ -25,15 +25,16 @@
     def request_written(self) -> None:
         """The system has taken the whole request; called before any of the others."""
 
-    def unsized_response_started(self) -> None:
-        """The body of a response of unknown length has begun to come."""
+    def unsized_response_started(self, connection: "UpstreamConnection") -> None:
+        """The body of a response of unknown length has begun to come on this connection."""
 
-    def response_started(self, headers: bytes, length: int | None) -> None:
+    def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """A long response is passed on while it comes.
 
         Args:
             headers: The header lines to pass on.
             length: Bytes of its body, if known.
+            source: The connection that it comes from.
         """
 
     def response_part(self, part: bytes) -> None:
@@ -236,7 +237,7 @@
         if self.handler is None:
             return  # cancelled meanwhile
         if not self.size and self.length is None:
-            self.handler.unsized_response_started()
+            self.handler.unsized_response_started(self)
         self.size += len(part)
         if self.size > wire.MAX_BODY_BYTES:
             raise ProtocolError("too long a body")
@@ -254,7 +255,7 @@
             return
         self.is_streaming = True
         headers = wire.end_to_end_headers(self.headers, self.connection_header)
-        self.handler.response_started(headers, self.length)
+        self.handler.response_started(headers, self.length, self)
         parts, self.body = self.body, []
         for part in parts:
             if self.handler is not None:
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -2,6 +2,8 @@
 
 from typing import Protocol
 
+from dahliabend.http.streaming import BodySource
+from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import Effect, Outcome
 from dahliabend.policy.retries import RequestState
 from dahliabend.proxy.base_dispatcher import RequestMetrics
@@ -15,13 +17,13 @@
 UNSIZED_RESPONSE_BUFFERING = 500_000  # microseconds that a response of unknown length is buffered
 
 
-def deduplication_deadline(state: RequestState | None) -> int:
+def deduplication_deadline(state: RequestState) -> int:
     """Return until when (us) a request's newest attempt may be sent beside earlier ones.
 
     Earlier attempts may have been executed. The endpoints' group drops a repeat of them for the deduplication
     window, which goes on while a connection is being opened.
     """
-    if state is None or state.request_class.effect is not Effect.DEDUPLICATED:
+    if state.request_class.effect is not Effect.DEDUPLICATED:
         return NO_DEADLINE
     first = state.first_possibly_executed()
     if first is None or first is state.attempts[-1]:
@@ -59,9 +61,10 @@
     """
 
     def __init__(self, owner: AttemptOwner, request: Request, endpoint: Endpoint, timeout: int) -> None:
-        self.upload = request.upload
-        super().__init__(endpoint, request.head, request.body, timeout)
-        self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
+        self.upload = request.incoming.upload
+        super().__init__(endpoint, request.head, request.incoming.body, timeout)
+        if request.attempts:
+            self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
         self.owner = owner
         self.request = request
         self.index = len(request.attempts)
@@ -92,7 +95,7 @@
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
             self.head,
             max(1, time_left // 1000),
-            self.request.headers,
+            self.request.incoming.headers,
             framing,
         )
 
@@ -115,45 +118,41 @@
         self.last_progress = clock()
         self.owner.metrics.count_attempt(request.class_name)
         hedge_delay = request.policy.request_classes[request.class_index].hedge_delay
-        if hedge_delay and self.index == 0 and request.upload is None:
+        if hedge_delay and self.index == 0 and self.upload is None:
             self.hedge_timer = timers.schedule(self.started_at + hedge_delay, self.hedge_timer_fired)
-        if request.upload is not None and request.state.body_pending:
+        if self.upload is not None and request.state.body_pending:
             # Nothing could be executed until now: what the client took to send counts against nobody.
-            deadline = request.upload.ended_at + request.client_timeout
+            deadline = self.upload.ended_at + request.client_timeout
             timeout = request.state.body_received(self.last_progress, deadline)
             self.started_at = self.last_progress
             self.expires_at = self.last_progress + timeout
             timers.cancel(self.timeout_timer)
             self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
 
-    def unsized_response_started(self) -> None:
+    def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Stream a response of unknown length before long: buffered until its end it may come too late."""
-        connection = self.connection
-        assert connection is not None, "an event of the connection"
         stream_at = clock() + UNSIZED_RESPONSE_BUFFERING
         self.buffering_timer = self.endpoint.resources.timers.schedule(stream_at, connection.start_streaming)
 
-    def response_started(self, headers: bytes, length: int | None) -> None:
+    def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """Begin to stream the response, unless a hedged attempt has been quicker."""
         request = self.request
         if request.answered:
             self.give_up(Outcome.CANCELLED)
             return
-        connection = self.connection
-        assert connection is not None, "an event of the connection"
         now = clock()
         self.first_byte_at = now
         self.last_progress = now
         request.mark_answered(responding=self)
         request.state.response_started(now, self.index)
-        request.client.start_response(headers, length, connection)
+        request.incoming.client.start_response(headers, length, source)
         self.endpoint.resources.timers.cancel(self.timeout_timer)
         self.timed_out()
 
     def response_part(self, part: bytes) -> None:
         """Pass a part of a streamed response on."""
         self.last_progress = clock()
-        self.request.client.send_part(part)
+        self.request.incoming.client.send_part(part)
 
     # Timers.
 
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -6,13 +6,12 @@
 from typing import Any
 
 from dahliabend.config.operator_file.schema import OperatorFile
-from dahliabend.http.dispatch import Client
+from dahliabend.http.dispatch import Client, IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
-from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
 from dahliabend.proxy.pool import Pool
-from dahliabend.proxy.request import IncomingRequest, Request
+from dahliabend.proxy.request import Request
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.route_table import HTTP_METHODS, RouteTable
@@ -68,7 +67,6 @@
         self.next_pool_number = 0
         self.excluded: set[str] = set()
         self.limited = 0
-        self.request_headers: dict[bytes, bytes] = {}  # of the request that is dispatched next
 
     # Pools and routes.
 
@@ -126,30 +124,12 @@
 
         An id is made up, and the route's timeout taken, where the client says nothing.
         """
-        # Kept until `dispatch`: by then the client's connection may be reading the next request.
-        self.request_headers = headers
         trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
         timeout_ms = self.routes.choices[route_number].total_timeout // 1000
         return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
 
-    def dispatch(  # noqa: PLR0913 - the signature that client connections call
-        self,
-        client: Client,
-        route_number: int,
-        method: bytes,
-        target: bytes,
-        headers: bytes,
-        body: bytes,
-        *,
-        client_timeout: int,
-        received_at: int,
-        tenant: bytes,
-        is_retry: bool,
-        trace_id: bytes,
-        upload: StreamingBody | None = None,
-        key: bytes = b"",
-    ) -> int:
-        """Hand a request to its route's pools; for the arguments see `IncomingRequest`.
+    def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
+        """Hand a request to its route's pools.
 
         Returns:
             The request's handle, or `NO_HANDLE` if it has its response already.
@@ -157,20 +137,17 @@
         now = clock()
         route = self.routes.choices[route_number]
         if not route.limit.try_acquire(now):
-            self._reject_by_limit(client, route, now)
+            self._reject_by_limit(incoming.client, route, now)
             return NO_HANDLE
-        client.on_request_finished = route.limit.release
-        split_key = self.request_headers.get(route.split_by, b"") if route.split_by else b""
+        incoming.client.on_request_finished = route.limit.release
+        split_key = incoming.fields.get(route.split_by, b"") if route.split_by else b""
         candidates = route.candidate_pools(split_key, self.ready_fraction)
-        if not self.request_headers.get(TRACE):
-            headers += b"X-Trace-Id: %b\r\n" % trace_id
-        incoming = IncomingRequest(
-            client, method, target, headers, body, client_timeout, received_at, tenant, is_retry, trace_id,
-            upload, key,
-        )  # fmt: skip
-        if route.mirror and upload is None and self.random.random() < route.mirror_share:
+        if not incoming.fields.get(TRACE):
+            headers = incoming.headers + b"X-Trace-Id: %b\r\n" % incoming.trace_id
+            incoming = incoming._replace(headers=headers)
+        if route.mirror and incoming.upload is None and self.random.random() < route.mirror_share:
             self._mirror(incoming, route.mirror, route_number)
-        return self._admit(incoming, candidates, route_number)
+        return self._dispatch_to_pools(incoming, candidates, route_number)
 
     def _reject_by_limit(self, client: Client, route: CompiledRoute, now: int) -> None:
         self.limited += 1
@@ -182,14 +159,14 @@
         """Send a copy of a request to a pool whose responses are dropped."""
         trace_id = incoming.trace_id + TRACE_ID_SUFFIX
         copy = incoming._replace(
-            client=DiscardingClient(incoming.client.profile),
+            client=DiscardingClient(incoming.client.class_name),
             headers=mirror_headers(incoming.headers, trace_id),
             trace_id=trace_id,
         )
         class_index = self.routes.class_indices[pool_name][route_number]
-        self.pools_by_name[pool_name].router.admit(copy, class_index)
+        self.pools_by_name[pool_name].router.dispatch(copy, class_index)
 
-    def _admit(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
+    def _dispatch_to_pools(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
         """Offer a request to pools in order, until one of them doesn't reject it at once.
 
         The rejection of the last one is the response.
@@ -199,7 +176,7 @@
             pool = self.pools_by_name[name]
             rejected: list[int] = []
             on_rejected = rejected.append if name != candidates[-1] else None
-            number = pool.router.admit(incoming, class_indices[name][route_number], on_rejected)
+            number = pool.router.dispatch(incoming, class_indices[name][route_number], on_rejected)
             if not rejected:
                 break
         return NO_HANDLE if number < 0 else number * MAX_POOLS + pool.number % MAX_POOLS
--- a/dahliabend/proxy/mirroring.py
+++ b/dahliabend/proxy/mirroring.py
@@ -12,13 +12,13 @@
     """The client of a mirrored request: nobody gets the response.
 
     Args:
-        profile: Name of the request's class.
+        class_name: Name of the request's class.
     """
 
-    __slots__ = ("closed", "on_request_finished", "profile")
+    __slots__ = ("class_name", "closed", "on_request_finished")
 
-    def __init__(self, profile: bytes) -> None:
-        self.profile = profile
+    def __init__(self, class_name: bytes) -> None:
+        self.class_name = class_name
         self.closed = False
         self.on_request_finished: Callable[[], object] | None = None
 
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -3,47 +3,13 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from dahliabend.http.dispatch import Client
-from dahliabend.http.streaming import StreamingBody
+from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.model import Outcome
 from dahliabend.policy.retries import RequestState
 from dahliabend.proxy.policy_port import PolicyPort
+from dahliabend.transport.handles import NO_HANDLE
 from dahliabend.transport.timers import clock
 
-MARGIN_DIVISOR = 8  # the margin for the way back to the client is at most this part of its timeout
-
-
-class IncomingRequest(NamedTuple):
-    """A request as it has been read from a client.
-
-    Attributes:
-        client: Who waits for the response.
-        method: The method.
-        target: The request target.
-        headers: Header lines that are forwarded.
-        body: The body, unless it is streamed.
-        client_timeout: How long the client waits (us).
-        received_at: When its first byte came (us).
-        tenant: Name of the tenant, as on the wire.
-        is_retry: Whether the client says that it has sent the request before.
-        trace_id: Its id.
-        upload: A body that is still being received; None if `body` is complete.
-        key: What it concerns, where order is kept; empty for nothing.
-    """
-
-    client: Client
-    method: bytes
-    target: bytes
-    headers: bytes
-    body: bytes
-    client_timeout: int
-    received_at: int
-    tenant: bytes
-    is_retry: bool
-    trace_id: bytes
-    upload: StreamingBody | None
-    key: bytes
-
 
 class AttemptRecord(NamedTuple):
     """An attempt that has ended, as it stands in the log."""
@@ -64,22 +30,19 @@
 
 
 class Request:
-    """A request that has been admitted: its client, its state in the policy, and its attempts.
+    """A request that has been admitted: its state in the policy, and its attempts.
 
     Attributes:
-        client: Who waits for the response.
+        incoming: The request as it has been read from its client.
         class_index: Index of its class in the settings.
         class_name: Name of its class, as on the wire.
         route_name: Name of the route that it came by; empty without an operator's file.
         head: Its request line.
-        headers: Header lines that are forwarded.
-        body: Its body, unless it is streamed.
-        upload: Its body, if that is streamed.
-        trace_id: Its id.
         client_timeout: How long its client waits (us), less a margin.
         admitted_at: When it was admitted (us).
         number: Its handle among the router's requests; -1 for none.
-        state: Its state in the policy; None until the policy has decided on its admission.
+        is_admitted: Whether the policy has decided on its admission.
+        state: Its state in the policy, from then on.
         policy: The policy that decides on it.
         attempts: Its attempts, by their index in the policy.
         attempt_records: Those of them that have ended, in that order.
@@ -92,53 +55,38 @@
         "answered",
         "attempt_records",
         "attempts",
-        "body",
         "class_index",
         "class_name",
-        "client",
         "client_timeout",
         "head",
-        "headers",
+        "incoming",
+        "is_admitted",
         "number",
         "on_rejected",
         "policy",
         "route_name",
         "state",
-        "trace_id",
-        "upload",
     )
+    state: RequestState
 
     def __init__(
-        self, client: Client, class_index: int, head: bytes, headers: bytes, body: bytes, trace_id: bytes
+        self, incoming: IncomingRequest, class_index: int, client_timeout: int, policy: PolicyPort
     ) -> None:
-        self.client = client
+        self.incoming = incoming
         self.class_index = class_index
-        self.class_name = b""
+        self.class_name = incoming.client.class_name
         self.route_name = ""
-        self.head = head
-        self.headers = headers
-        self.body = body
-        self.upload: StreamingBody | None = None
-        self.trace_id = trace_id
-        self.client_timeout = 0
+        self.head = b"%b %b HTTP/1.1\r\n" % (incoming.method, incoming.target)
+        self.client_timeout = client_timeout
         self.admitted_at = clock()
-        self.number = -1
-        # Set during the admission; no event of an attempt needs them earlier.
-        self.state: RequestState = None  # type: ignore[assignment] # see above
-        self.policy: PolicyPort = None  # type: ignore[assignment] # see above
+        self.number = NO_HANDLE
+        self.is_admitted = False
+        self.policy = policy
         self.attempts: list[RequestAttempt] = []
         self.attempt_records: list[AttemptRecord] = []
         self.answered = False
         self.on_rejected: Callable[[int], None] | None = None
 
-    def set_client_timeout(self, timeout: int, margin: int) -> None:
-        """Set how long there is for a response, with a margin for its way back to the client.
-
-        On a busy machine the request's bytes have lain unread for a while, and so will those of the response:
-        one that is sent at the very limit comes too late.
-        """
-        self.client_timeout = timeout - min(margin, timeout // MARGIN_DIVISOR)
-
     def body_consumed(self) -> None:
         """Handle that a part of the streamed body is gone: no further attempt could send it."""
         self.state.body_consumed()
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -39,7 +39,7 @@
         if self.logs_access and ending != FORWARDED_TO_FALLBACK:
             self.log(
                 "access",
-                tx=request.trace_id.decode("latin-1"),
+                tx=request.incoming.trace_id.decode("latin-1"),
                 how=ending,
                 hops=_attempt_rows(request),
                 ms=(clock() - request.admitted_at) // 1000,
@@ -48,7 +48,7 @@
         if ending != SUCCEEDED:
             self.log(
                 ending,
-                tx=request.trace_id.decode("latin-1"),
+                tx=request.incoming.trace_id.decode("latin-1"),
                 **_class_fields(request),
                 hops=_attempt_rows(request),
                 out=len(request.attempts) - len(request.attempt_records),
@@ -59,7 +59,7 @@
         """Log an attempt that has not succeeded; `duration` in microseconds."""
         self.log(
             "hop",
-            tx=attempt.request.trace_id.decode("latin-1"),
+            tx=attempt.request.incoming.trace_id.decode("latin-1"),
             order=attempt.index,
             upstream=attempt.endpoint.name,
             outcome=outcome.name,
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -3,9 +3,8 @@
 from collections.abc import Callable
 
 from dahliabend.config.server_settings import ServerSettings
-from dahliabend.http.dispatch import Client
+from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
-from dahliabend.http.streaming import StreamingBody
 from dahliabend.model import Outcome
 from dahliabend.proxy import request_log
 from dahliabend.proxy.attempt import NO_DEADLINE, Attempt
@@ -13,12 +12,14 @@
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.policy_port import PolicyPort
 from dahliabend.proxy.pool_state import PoolState
-from dahliabend.proxy.request import AttemptRecord, IncomingRequest, Request
+from dahliabend.proxy.request import AttemptRecord, Request
 from dahliabend.proxy.request_log import RequestLog
 from dahliabend.proxy.upstream_request import UpstreamResponse
 from dahliabend.transport.handles import NO_HANDLE, HandleTable
 from dahliabend.transport.timers import TimerQueue, clock
 
+MARGIN_DIVISOR = 8  # the margin for the way back to the client is at most this part of its timeout
+
 
 class Router(BaseDispatcher, PoolState):
     """Serves the requests of one pool as its policy decides.
@@ -120,35 +121,7 @@
         del class_index
         return headers.get(TRACE, b""), headers.get(EXPIRES, b"")
 
-    def dispatch(  # noqa: PLR0913 - the signature that client connections call
-        self,
-        client: Client,
-        class_index: int,
-        method: bytes,
-        target: bytes,
-        headers: bytes,
-        body: bytes,
-        *,
-        client_timeout: int,
-        received_at: int,
-        tenant: bytes,
-        is_retry: bool,
-        trace_id: bytes,
-        upload: StreamingBody | None = None,
-        key: bytes = b"",
-    ) -> int:
-        """Admit a request; for the arguments see `IncomingRequest`.
-
-        Returns:
-            The request's handle, or `NO_HANDLE` if it has its response already.
-        """
-        incoming = IncomingRequest(
-            client, method, target, headers, body, client_timeout, received_at, tenant, is_retry, trace_id,
-            upload, key,
-        )  # fmt: skip
-        return self.admit(incoming, class_index)
-
-    def admit(
+    def dispatch(
         self, incoming: IncomingRequest, class_index: int, on_rejected: Callable[[int], None] | None = None
     ) -> int:
         """Let the policy decide on a request.
@@ -167,42 +140,40 @@
             return NO_HANDLE
         request = self._create(incoming, class_index)
         request.number = self.requests.add(request)
-        if request.number < 0:
+        if request.number == NO_HANDLE:
             self.log("no_room", requests=len(self.requests))
             incoming.client.send_response(503, b"", b"too many transactions\n")
             return NO_HANDLE
         self.trace_ids.add(incoming.trace_id)
         request.on_rejected = on_rejected
-        self._decide(request, incoming)
-        request.on_rejected = None
+        self._admit(request)
+        if not request.answered:
+            return request.number
         self.forget_if_finished(request)
-        return NO_HANDLE if request.answered else request.number
+        return NO_HANDLE
 
     def _create(self, incoming: IncomingRequest, class_index: int) -> Request:
-        head = b"%b %b HTTP/1.1\r\n" % (incoming.method, incoming.target)
-        request = Request(
-            incoming.client, class_index, head, incoming.headers, incoming.body, incoming.trace_id
-        )
-        request.class_name = incoming.client.profile
+        timeout = min(incoming.client_timeout, self.class_deadlines[class_index])
+        # On a busy machine the request's bytes have lain unread for a while, and so will those of the
+        # response: one that is sent at the very limit comes too late.
+        margin = min(self.deadline_margin, timeout // MARGIN_DIVISOR)
+        request = Request(incoming, class_index, timeout - margin, self.policies[-1])
         if self.route_names:
             request.route_name = self.route_names[class_index]
-        request.upload = incoming.upload
-        timeout = min(incoming.client_timeout, self.class_deadlines[class_index])
-        request.set_client_timeout(timeout, self.deadline_margin)
         return request
 
-    def _decide(self, request: Request, incoming: IncomingRequest) -> None:
+    def _admit(self, request: Request) -> None:
         """Hand a request to the policy in force."""
-        upload = request.upload
+        incoming = request.incoming
+        upload = incoming.upload
         if upload is not None:
             deadline = clock() + NO_DEADLINE
         else:
             deadline = incoming.received_at + request.client_timeout
         if self.shutdown_deadline:
             deadline = min(deadline, self.shutdown_deadline)
-        policy = self.policies[-1]
+        policy = request.policy
         policy.open_requests += 1
-        request.policy = policy
         request.state = policy.balancer.admit(
             request.admitted_at,
             request.number,
@@ -211,8 +182,9 @@
             deadline,
             incoming.is_retry,
             upload is not None,
-            incoming.key,
+            incoming.ordering_key,
         )
+        request.is_admitted = True
         if upload is not None:
             upload.observer = request
 
@@ -246,19 +218,23 @@
     def reject(self, ref: int, retry_after: int) -> None:
         """Answer a request with 503, and a Retry-After if `retry_after` (us) is not 0."""
         request = self.requests.get(ref)
-        if request is not None and request.on_rejected is not None and not request.attempts:
+        if request is None:
+            return
+        if request.on_rejected is not None and not request.is_admitted and not request.attempts:
             request.mark_answered()
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
             request.on_rejected(ref)
             return
         advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
-        self.respond(ref, request_log.REJECTED, 503, advice, b"rolled back\n")
-        if request is not None and request.state is not None and not request.attempts:
+        self.respond(request, request_log.REJECTED, 503, advice, b"rolled back\n")
+        if request.is_admitted and not request.attempts:
             self.forget_if_finished(request)  # it waited for its turn: no end of an attempt does this
 
     def fail(self, ref: int) -> None:
         """Answer a request with 502."""
-        self.respond(ref, request_log.FAILED, 502, b"", b"abandoned\n")
+        request = self.requests.get(ref)
+        if request is not None:
+            self.respond(request, request_log.FAILED, 502, b"", b"abandoned\n")
 
     def cancel(self, ref: int, attempt_index: int) -> None:
         """Give up an attempt."""
@@ -283,7 +259,7 @@
             duration = attempt.first_byte_at - attempt.started_at
             self._end_stream(request, outcome)
         elif response is not None and outcome is Outcome.SUCCEEDED:
-            self.respond(request.number, request_log.SUCCEEDED, 200, response.headers, response.body)
+            self.respond(request, request_log.SUCCEEDED, 200, response.headers, response.body)
         request.state.attempt_finished(
             clock(), attempt.index, outcome, duration, request.answered, attempt.connection_idle_time
         )
@@ -293,27 +269,26 @@
         """End a response that has been streamed, complete or not."""
         if outcome is Outcome.SUCCEEDED:
             self.request_log.request_ended(request_log.SUCCEEDED, request)
-            request.client.finish_response()
+            request.incoming.client.finish_response()
         else:
             self.request_log.request_ended(request_log.TRUNCATED, request)
-            request.client.abort_response()
+            request.incoming.client.abort_response()
 
-    def respond(self, ref: int, ending: str, status: int, headers: bytes, body: bytes) -> None:
+    def respond(self, request: Request, ending: str, status: int, headers: bytes, body: bytes) -> None:
         """Send a request's one response; whatever comes later is dropped.
 
         Args:
-            ref: The request's handle.
+            request: The request.
             ending: How it has ended, one of the names of `request_log`.
             status: Status of the response.
             headers: Further header lines.
             body: The body.
         """
-        request = self.requests.get(ref)
-        if request is None or request.answered:
+        if request.answered:
             return
         request.mark_answered()
         self.request_log.request_ended(ending, request)
-        request.client.send_response(status, headers, body)
+        request.incoming.client.send_response(status, headers, body)
 
     def forget_if_finished(self, request: Request) -> None:
         """Remove a request that has been answered and has no attempt out."""
@@ -323,7 +298,7 @@
         if not request.policy.open_requests and request.policy is not self.policies[-1]:
             self.policies.remove(request.policy)
         self.requests.remove(request.number)
-        self.trace_ids.discard(request.trace_id)
+        self.trace_ids.discard(request.incoming.trace_id)
         # Attempts refer to their request: without this it and its body would wait for the garbage collector.
         request.attempts.clear()
 
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -4,7 +4,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from dahliabend.http.streaming import StreamingBody
+from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
@@ -174,10 +174,10 @@
     def request_written(self) -> None:
         """Handle that all of it has been written: from now on it may be executed."""
 
-    def unsized_response_started(self) -> None:
+    def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Handle the start of a response whose length is not known."""
 
-    def response_started(self, headers: bytes, length: int | None) -> None:
+    def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """Handle the head of a response that is streamed."""
 
     def response_part(self, part: bytes) -> None:
--- a/tests/fake_transport.py
+++ b/tests/fake_transport.py
@@ -2,11 +2,21 @@
 
 from types import SimpleNamespace
 
+from dahliabend.http.dispatch import IncomingRequest
+
 DISPATCHER = SimpleNamespace(
     closing=lambda: False, methods=(b"GET", b"POST"), classify=lambda *_: None, ready=lambda: True
 )
 
 
+def incoming_request(client=None, **fields):
+    """A request as read from a client that is known by its class alone."""
+    plain = dict.fromkeys(("method", "target", "headers", "body", "trace_id", "tenant", "ordering_key"), b"")
+    numbers = {"client_timeout": 0, "received_at": 0, "is_retry": False}
+    client = client if client is not None else SimpleNamespace(class_name=b"")
+    return IncomingRequest(**{**plain, **numbers, "client": client, "fields": {}, "upload": None, **fields})
+
+
 def ignore(*_, **__): ...
 
 
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -8,7 +8,7 @@
     endpoint_table,
     send_request,
 )
-from fake_transport import DISPATCHER, FakeTransport, feed
+from fake_transport import DISPATCHER, FakeTransport, feed, incoming_request
 from helpers import MS, S
 from http_messages import SIZED
 
@@ -94,14 +94,15 @@
             gone = ref(made)
             del made
             assert gone() is None
-        request = Request(None, 0, b"", b"", b"", b"")
+        made = Connection(DescriptorBudget(100))
+        made.class_name = b""
+        made.release()
+        policy = SimpleNamespace(open_requests=1)
+        request = Request(incoming_request(made), 0, 0, policy)
         request.state, request.attempts = (
             SimpleNamespace(is_finished=True),
             [SimpleNamespace(request=request)],
         )
-        request.client = made = Connection(DescriptorBudget(100))
-        made.release()
-        policy = request.policy = SimpleNamespace(open_requests=1)
         router = SimpleNamespace(
             requests=HandleTable(4), trace_ids=set(), policies=[policy, SimpleNamespace(open_requests=0)]
         )
--- a/tests/proxy/test_request_log.py
+++ b/tests/proxy/test_request_log.py
@@ -2,6 +2,7 @@
 
 import orjson
 import pytest
+from fake_transport import incoming_request
 
 from dahliabend.model import Outcome
 from dahliabend.proxy import request_log
@@ -17,7 +18,7 @@
 
 
 def request_with_attempts(*records):
-    request = Request(None, 3, b"", b"", b"", b"t1")
+    request = Request(incoming_request(trace_id=b"t1"), 3, 0, None)
     request.attempt_records.extend(records)
     request.attempts.extend([None] * (len(records) + 1))  # one is still in flight
     return request
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -101,7 +101,7 @@
     real = Router.forget_if_finished
 
     def forget_if_finished(self, request):
-        if not request.trace_id.endswith(b"7"):
+        if not request.incoming.trace_id.endswith(b"7"):
             real(self, request)
 
     return instead(Router, "forget_if_finished", forget_if_finished)
@@ -129,11 +129,11 @@
 def answer_late():
     real = Router.respond
 
-    def respond(self, ref, how, status, headers, body):
+    def respond(self, request, how, status, headers, body):
         if how == "committed":
-            real(self, ref, how, status, headers, body)
+            real(self, request, how, status, headers, body)
         else:
-            self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
+            self.timers.schedule(clock() + 2 * S, real, self, request, how, status, headers, body)
 
     return instead(Router, "respond", respond)
 
@@ -259,7 +259,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.owner.respond(self.request.number, "abandoned", 502, b"", b"early\n")
+            self.owner.respond(self.request, "abandoned", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
