--- a/dahliabend/errors.py
+++ b/dahliabend/errors.py
@@ -45,6 +45,18 @@
         super().__init__(reason)
 
 
+class StaleHandleError(DahliabendError, LookupError):
+    """A handle whose occupancy is over was used where it must be valid.
+
+    Attributes:
+        handle: The handle.
+    """
+
+    def __init__(self, handle: int) -> None:
+        self.handle = handle
+        super().__init__(f"handle {handle} names nothing any more")
+
+
 class DatagramError(ProtocolError):
     """A membership datagram that cannot be decoded or authenticated."""
 
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -235,7 +235,8 @@
             return
         if self.class_name:
             self.dispatcher.count_response(self.class_name, status)
-        self._discard_upload()
+        if self.upload is not None:
+            self._discard_upload()
         head = response_head(status, headers, self._connection_line(), len(body))
         self.state = FLUSHING
         self.timers.cancel(self.stall_timer)
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -200,8 +200,10 @@
     def mark_finished(self) -> None:
         """Enter the last phase and release all timers."""
         super().mark_finished()
-        self.endpoint.resources.timers.cancel(self.buffering_timer)
-        self.endpoint.resources.timers.cancel(self.hedge_timer)
+        if self.buffering_timer is not None:
+            self.endpoint.resources.timers.cancel(self.buffering_timer)
+        if self.hedge_timer is not None:
+            self.endpoint.resources.timers.cancel(self.hedge_timer)
 
     def on_finished(self, outcome: Outcome, duration: int, response: UpstreamResponse | None) -> None:
         """Report the outcome to the router."""
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -1,6 +1,7 @@
 """One endpoint of a pool: an upstream's address and state, and the connections to it."""
 
 from bisect import bisect_right
+from operator import attrgetter
 from typing import NamedTuple
 
 from dahliabend.discovery.endpoint_list import EndpointRow
@@ -11,12 +12,22 @@
 
 
 class IdleConnection(NamedTuple):
+    """A connection without a request, and the clock time (us) since which it has none."""
+
+    connection: UpstreamConnection
+    idle_since: int
+
+
+class TakenConnection(NamedTuple):
     """A connection taken for the next request, if there was one, and how long it had been idle (us)."""
 
     connection: UpstreamConnection | None
     idle_time: int
 
 
+_idle_since = attrgetter("idle_since")
+
+
 class Endpoint:
     """The record of one upstream, with its idle connections; the one used last is used next.
 
@@ -36,7 +47,7 @@
         zone: The zone that it stands in.
         enabled: Whether requests may be sent to it, and connections to it stay open when idle.
         connections: All open connections to it.
-        idle_connections: Those that are idle, by when they became so.
+        idle_connections: Those that are idle, the latest last; those closed meanwhile until they are removed.
     """
 
     def __init__(self, resources: EndpointResources, index: int, name: str) -> None:
@@ -52,7 +63,7 @@
         self.zone = ""
         self.enabled = False
         self.connections: set[UpstreamConnection] = set()
-        self.idle_connections: list[UpstreamConnection] = []
+        self.idle_connections: list[IdleConnection] = []
 
     def update(self, row: EndpointRow, epoch: int) -> None:
         """Take a row of the endpoint list over, but for the state.
@@ -68,28 +79,21 @@
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
-    def take_idle_connection(self, now: int) -> IdleConnection:
+    def take_idle_connection(self, now: int) -> TakenConnection:
         """Take an idle connection that is surely still open at the other end, if there is one."""
-        idle_since = self.resources.descriptors.idle
         # A surplus response may come some milliseconds late and would be taken for the next request's. Where
         # requests are frequent, many connections became idle after that time: they are not looked at singly.
-        position = bisect_right(
-            self.idle_connections,
-            now - self.resources.reuse_delay,
-            key=lambda connection: idle_since.get(connection.handle, 0),
-        )
+        idle_long_enough = now - self.resources.reuse_delay
+        position = bisect_right(self.idle_connections, idle_long_enough, key=_idle_since)
         while position:
             position -= 1
-            connection = self.idle_connections[position]
-            idle_time = now - idle_since.get(connection.handle, 0)
-            if idle_time < self.resources.reuse_delay and not connection.closed:
-                continue  # a connection just closed has no time, and may have misled the search
-            del self.idle_connections[position]
+            connection, idle_since = self.idle_connections.pop(position)
+            idle_time = now - idle_since
             if self._is_reusable(connection, idle_time):
                 self.resources.descriptors.mark_busy(connection.handle)
-                return IdleConnection(connection, idle_time)
+                return TakenConnection(connection, idle_time)
             connection.abort()
-        return IdleConnection(None, 0)
+        return TakenConnection(None, 0)
 
     def _is_reusable(self, connection: UpstreamConnection, idle_time: int) -> bool:
         # Unread bytes would be taken for the start of the next response.
@@ -104,20 +108,22 @@
         if not self.enabled:
             connection.abort()
         elif not connection.closed:
-            self.idle_connections.append(connection)
-            self.resources.descriptors.mark_idle(connection.handle, clock())
+            now = clock()
+            self.idle_connections.append(IdleConnection(connection, now))
+            self.resources.descriptors.mark_idle(connection.handle, now)
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
         """Forget a connection that has been closed."""
         self.connections.discard(connection)
-        if connection in self.idle_connections:
-            self.idle_connections.remove(connection)
+        for position, idle in enumerate(self.idle_connections):
+            if idle.connection is connection:
+                del self.idle_connections[position]
+                return
 
     def close_idle(self, since: int) -> None:
         """Close the connections that have been idle since `since` or longer."""
-        idle_since = self.resources.descriptors.idle
-        while self.idle_connections and idle_since.get(self.idle_connections[0].handle, 0) <= since:
-            self.idle_connections.pop(0).abort()
+        while self.idle_connections and self.idle_connections[0].idle_since <= since:
+            self.idle_connections.pop(0).connection.abort()
 
     def disable(self) -> None:
         """Send nothing more: it is draining, removed or excluded."""
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from dahliabend.config.server_settings import ServerSettings
+from dahliabend.errors import StaleHandleError
 from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
 from dahliabend.model import Outcome
@@ -205,9 +206,14 @@
     # What policies ask for; see `model.Port`.
 
     def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
-        """Start an attempt."""
+        """Start an attempt.
+
+        Raises:
+            StaleHandleError: The request has ended; policies send for open requests only.
+        """
         request = self.requests.get(ref)
-        assert request is not None, "policies send for open requests only"
+        if request is None:
+            raise StaleHandleError(ref)
         attempt = Attempt(self, request, self.table.endpoints[endpoint_index], timeout)
         request.attempts.append(attempt)
         if self.shutdown_deadline and clock() >= self.shutdown_deadline:
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -24,6 +24,10 @@
     FINISHED = 3  # its outcome is known
 
 
+# Bound once: on Python 3.11, reading a member of an enum costs a function call.
+_FINISHED = Phase.FINISHED
+
+
 class UpstreamResponse(NamedTuple):
     """What an upstream has answered, as far as it is passed on or read.
 
@@ -94,7 +98,7 @@
     @property
     def is_finished(self) -> bool:
         """Whether the outcome is known."""
-        return self.phase is Phase.FINISHED
+        return self.phase is _FINISHED
 
     def start(self) -> None:
         """Send it on an idle connection, or open a connection for it."""
@@ -149,7 +153,7 @@
         """
         now = clock()
         unsent = self.outcome_if_unsent(now)
-        if self.is_finished or unsent is not None:
+        if self.phase is _FINISHED or unsent is not None:
             self.endpoint.return_connection(connection)
             if unsent is not None:
                 self.finish_soon(unsent)
@@ -211,12 +215,14 @@
 
         Nothing has been executed yet, so this is done also where cancellations are not allowed.
         """
+        if self.phase is _FINISHED:
+            return
         if self.connection is None or not self.connection.is_flushed:
             self.give_up(Outcome.CANCELLED)
 
     def give_up(self, outcome: Outcome) -> None:
         """Stop waiting. The connection is closed before this returns: nothing is sent beside this request."""
-        if self.is_finished:
+        if self.phase is _FINISHED:
             return
         written = self.connection is not None and self.connection.cancel_request()
         self.stop_connecting()
@@ -227,19 +233,19 @@
 
         The policy may be in the middle of the call that has led here.
         """
-        if not self.is_finished:
+        if self.phase is not _FINISHED:
             self.mark_finished()
             duration = clock() - self.started_at
             self.endpoint.resources.timers.loop.call_soon(self.on_finished, outcome, duration, None)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
         """Finish now."""
-        if not self.is_finished:
+        if self.phase is not _FINISHED:
             self.mark_finished()
             self.on_finished(outcome, clock() - self.started_at, response)
 
     def mark_finished(self) -> None:
         """Enter the last phase and release what belongs to it."""
-        self.phase = Phase.FINISHED
+        self.phase = _FINISHED
         self.connection = None
         self.endpoint.resources.timers.cancel(self.timeout_timer)
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -108,7 +108,8 @@
 
     def mark_idle(self, handle: int, now: int) -> None:
         """The connection is between requests from now on."""
-        self.mark_busy(handle)
+        self.slow_after.pop(handle, None)
+        self.idle.pop(handle, None)  # set anew, it is the newest of them
         self.idle[handle] = now
 
     def mark_awaiting_request(self, handle: int, slow_after: int) -> None:
--- a/dahliabend/transport/ring_buffer.py
+++ b/dahliabend/transport/ring_buffer.py
@@ -53,6 +53,6 @@
             space = self.writable_view()
             count = min(len(space), len(data) - end)
             space[:count] = data[end : end + count]
-            self.commit(count)
+            self.count += count
             end += count
         return end - start
--- a/tests/fake_endpoint.py
+++ b/tests/fake_endpoint.py
@@ -11,7 +11,7 @@
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.upstream_request import UpstreamRequest
 from dahliabend.transport.descriptor_budget import DescriptorBudget
-from dahliabend.transport.timers import TimerQueue, clock
+from dahliabend.transport.timers import TimerQueue
 
 AFTER_REUSE_DELAY = 75 * MS  # longer than a second answer is waited for
 
@@ -37,6 +37,14 @@
         self.outcome, self.body = outcome, answer and answer[1]
 
 
+def age_idle_connections(upstream, by):
+    """As if the idle connections of an endpoint had become idle so many microseconds earlier."""
+    idle = upstream.idle_connections
+    idle[:] = [entry._replace(idle_since=entry.idle_since - by) for entry in idle]
+    for entry in idle:
+        upstream.resources.descriptors.idle[entry.connection.handle] -= by
+
+
 def send_request(takes=1 << 30, length=9, kind=RecordingRequest):
     """A request out on a connection that takes so many bytes: the request and the connection."""
     upstream = endpoint_table().get_or_create("s-1")
@@ -45,9 +53,7 @@
     upstream.connections.add(connection)
     FakeTransport(connection, takes)
     upstream.return_connection(connection)
-    upstream.resources.descriptors.mark_idle(
-        connection.handle, clock() - upstream.resources.reuse_delay
-    )  # no second answer came
+    age_idle_connections(upstream, upstream.resources.reuse_delay)  # no second answer came
     request = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     request.start()
     return request, connection
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -2,7 +2,13 @@
 
 from types import SimpleNamespace
 
-from fake_endpoint import AFTER_REUSE_DELAY, RecordingRequest, endpoint_table, send_request
+from fake_endpoint import (
+    AFTER_REUSE_DELAY,
+    RecordingRequest,
+    age_idle_connections,
+    endpoint_table,
+    send_request,
+)
 from fake_port import RecordingPort
 from fake_transport import feed
 from helpers import S
@@ -42,9 +48,9 @@
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enabled = True
     old, new = (UpstreamConnection(upstream.resources.descriptors, upstream) for _ in range(2))
-    for connection in (old, new):
-        upstream.return_connection(connection)
-    upstream.resources.descriptors.idle[old.handle] -= S
+    upstream.return_connection(old)
+    age_idle_connections(upstream, S)
+    upstream.return_connection(new)
     upstream.close_idle(clock() - S // 2)
     assert old.closed
     assert not new.closed
@@ -58,9 +64,7 @@
     connection, busy = (UpstreamConnection(upstream.resources.descriptors, upstream) for _ in range(2))
     upstream.connections |= {connection, busy}
     upstream.return_connection(connection)
-    upstream.resources.descriptors.mark_idle(
-        connection.handle, clock() - upstream.resources.reuse_delay
-    )  # no second answer came
+    age_idle_connections(upstream, upstream.resources.reuse_delay)  # no second answer came
     upstream.set_address(("127.0.0.1", 2))
     assert connection.closed
     assert not busy.closed
