--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -21,7 +21,6 @@
 STREAM_TIMEOUT_FACTOR = 4  # of the write timeout: for the rest of a streamed response to be sent
 LINGER_DIVISOR = 4  # of the write timeout: for the client to end its sending behind the final response
 
-MICROSECONDS_PER_MS = 1000
 ALLOWED_METHODS = b"Allow: GET, POST\r\n"  # with 405
 
 
@@ -130,7 +129,8 @@
         """A fault in a body that is passed on already: it has no end, so that it is never executed."""
         self.upload = None
         self.keep_alive = False
-        request, self.request = self.request, NO_HANDLE
+        request = self.request
+        self.request = NO_HANDLE
         self.dispatcher.client_disconnected(request)
         self.send_error(self.parser.error_status)
 
@@ -154,9 +154,7 @@
         body = request.body
         if isinstance(body, StreamingBody):
             body = self._take_streaming_body(body)
-        target = request.target
-        if target[:1] != b"/":
-            target = request.origin_target()
+        target = request.target if request.target[:1] == b"/" else request.origin_target()
         if request.method not in self.dispatcher.methods:
             self.send_response(405, ALLOWED_METHODS, wire.REASONS[405] + b"\n")
             return
@@ -180,7 +178,7 @@
             headers=request.headers,
             body=body,
             upload=self.upload,
-            client_timeout=int(timeout_ms) * MICROSECONDS_PER_MS,
+            client_timeout=int(timeout_ms) * 1000,
             received_at=request.received_at,
             trace_id=trace_id,
             tenant=request.fields.get(wire.TENANT, b""),
@@ -218,7 +216,8 @@
             return
         self.class_name = b""
         self.dispatcher.request_closed()
-        callback, self.on_request_finished = self.on_request_finished, None
+        callback = self.on_request_finished
+        self.on_request_finished = None
         if callback is not None:
             callback()
 
@@ -283,7 +282,8 @@
         """A streamed response is complete."""
         if self.closed or self.response is None:
             return
-        response, self.response = self.response, None
+        response = self.response
+        self.response = None
         self.request = NO_HANDLE
         self.dispatcher.count_response(self.class_name, 200)
         self.state = FLUSHING
@@ -295,7 +295,8 @@
         """A streamed response stays incomplete, and the client has to see that."""
         if self.closed or self.response is None:
             return
-        response, self.response = self.response, None
+        response = self.response
+        self.response = None
         self.request = NO_HANDLE
         self.dispatcher.count_response(self.class_name, 502)
         if response.framing is Framing.UNTIL_CLOSE:
@@ -392,6 +393,7 @@
         self.timers.cancel(self.stall_timer)
         super().connection_closed()
         self._request_finished()
-        request, self.request = self.request, NO_HANDLE
+        request = self.request
+        self.request = NO_HANDLE
         if request >= 0:
             self.dispatcher.client_disconnected(request)
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -256,7 +256,8 @@
         self.is_streaming = True
         headers = wire.end_to_end_headers(self.headers, self.connection_header)
         self.handler.response_started(headers, self.length, self)
-        parts, self.body = self.body, []
+        parts = self.body
+        self.body = []
         for part in parts:
             if self.handler is not None:
                 self.handler.response_part(part)
@@ -305,7 +306,8 @@
         """Hands the response on, and returns the connection or closes it."""
         if self.handler is None:
             return  # cancelled meanwhile
-        handler, self.handler = self.handler, None
+        handler = self.handler
+        self.handler = None
         self.reading_suspended = False
         self.keep_alive = self.keep_alive and not wire.requests_close(self.connection_header)
         headers = wire.end_to_end_headers(self.headers, self.connection_header)
@@ -338,7 +340,8 @@
         self.pool.remove_connection(self)
         request_written = self.is_flushed
         self._detach_upload()
-        handler, self.handler = self.handler, None
+        handler = self.handler
+        self.handler = None
         if handler is not None:
             handler.connection_failed(request_written)
 
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
 
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.dispatch import Client, IncomingRequest
@@ -11,6 +10,7 @@
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
 from dahliabend.proxy.pool import Pool
+from dahliabend.proxy.pool_state import PoolTelemetry
 from dahliabend.proxy.request import Request
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
@@ -21,7 +21,13 @@
 MAX_POOLS = 1024  # at once; the handle of a request modulo this is its pool's number modulo this
 MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds
 LIMIT_EXCEEDED_BODY = b"too many of this route\n"
-POOL_TELEMETRY = ("registry_entries", "out_of_rotation")
+
+
+class DispatcherTelemetry(PoolTelemetry):
+    """The counts of all pools together and of each, and of requests that limits have rejected."""
+
+    pools: dict[str, PoolTelemetry]
+    limited: int
 
 
 @dataclass(slots=True)
@@ -78,7 +84,7 @@
         self.pools_by_name[name] = pool
         for endpoint_name in self.excluded:
             router.table.remember_id(endpoint_name)
-            router.exclude(endpoint_name, True)
+            router.exclude(endpoint_name, excluded=True)
         return pool
 
     def retire_pool(self, name: str) -> None:
@@ -232,11 +238,15 @@
         """By pool, ended requests by the operators' names of their ends."""
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
-    def telemetry(self) -> dict[str, Any]:
+    def telemetry(self) -> DispatcherTelemetry:
         """Return counts of endpoints, in total and by pool, and of requests that limits have rejected."""
         by_pool = {pool.name: pool.router.telemetry() for pool in self.pools.values()}
-        totals = {name: sum(counts[name] for counts in by_pool.values()) for name in POOL_TELEMETRY}
-        return totals | {"pools": by_pool, "limited": self.limited}
+        return {
+            "registry_entries": sum(counts["registry_entries"] for counts in by_pool.values()),
+            "out_of_rotation": sum(counts["out_of_rotation"] for counts in by_pool.values()),
+            "pools": by_pool,
+            "limited": self.limited,
+        }
 
     def __iter__(self) -> Iterator[Pool]:
         return iter(list(self.pools.values()))
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -18,7 +18,7 @@
     idle_since: int
 
 
-class TakenConnection(NamedTuple):
+class ReusableConnection(NamedTuple):
     """A connection taken for the next request, if there was one, and how long it had been idle (us)."""
 
     connection: UpstreamConnection | None
@@ -79,7 +79,7 @@
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
-    def take_idle_connection(self, now: int) -> TakenConnection:
+    def take_idle_connection(self, now: int) -> ReusableConnection:
         """Take an idle connection that is surely still open at the other end, if there is one."""
         # A surplus response may come some milliseconds late and would be taken for the next request's. Where
         # requests are frequent, many connections became idle after that time: they are not looked at singly.
@@ -91,9 +91,9 @@
             idle_time = now - idle_since
             if self._is_reusable(connection, idle_time):
                 self.resources.descriptors.mark_busy(connection.handle)
-                return TakenConnection(connection, idle_time)
+                return ReusableConnection(connection, idle_time)
             connection.abort()
-        return TakenConnection(None, 0)
+        return ReusableConnection(None, 0)
 
     def _is_reusable(self, connection: UpstreamConnection, idle_time: int) -> bool:
         # Unread bytes would be taken for the start of the next response.
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -1,7 +1,7 @@
 """What a router knows of its pool: the endpoints, and the policies that decide on its requests."""
 
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
+from typing import Any, Protocol, TypedDict
 
 from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.model import EndpointState, Outcome
@@ -26,6 +26,25 @@
         """Ask for nothing more."""
 
 
+class EndpointEntry(TypedDict):
+    """An endpoint in the form of the discovery service; `started_ms` is Unix time."""
+
+    id: str
+    addr: str
+    zone: str
+    cell: int
+    weight: float
+    state: str
+    started_ms: int
+
+
+class PoolTelemetry(TypedDict):
+    """Counts of endpoints, by the operators' names: all of them, and those that nothing is sent to now."""
+
+    registry_entries: int
+    out_of_rotation: int
+
+
 class PoolState:
     """The endpoints of a pool, as the endpoint list and operators change them, and the policies told of them.
 
@@ -169,7 +188,7 @@
         """Return the number of attempts in flight, under all policies."""
         return sum(policy.balancer.concurrency.in_flight for policy in self.policies)
 
-    def endpoint_entries(self) -> list[dict[str, Any]]:
+    def endpoint_entries(self) -> list[EndpointEntry]:
         """Return the endpoint list as it stands, in the form of the discovery service."""
         return [
             {
@@ -184,7 +203,7 @@
             for endpoint in self.table.endpoints.values()
         ]
 
-    def telemetry(self) -> dict[str, int]:
+    def telemetry(self) -> PoolTelemetry:
         """Return how many endpoints there are, and to how many of them nothing is sent now."""
         ejected = sum(
             known.is_ejected or known.state is not EndpointState.READY
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 from dahliabend.model import Outcome
 from dahliabend.proxy.attempt import Attempt
@@ -73,5 +72,5 @@
     return [tuple(record) for record in request.attempt_records]
 
 
-def _class_fields(request: Request) -> dict[str, Any]:
+def _class_fields(request: Request) -> dict[str, str | int]:
     return {"route": request.route_name} if request.route_name else {"profile": request.class_index}
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -179,7 +179,7 @@
 
     def telemetry(self) -> dict[str, Any]:
         """Return the counts that operators see."""
-        return self.metrics.snapshot() | self.router.telemetry()
+        return {**self.metrics.snapshot(), **self.router.telemetry()}
 
     def membership_status(self) -> dict[str, Any] | None:
         """Return the other balancers; None if there is no membership."""
--- a/dahliabend/transport/timers.py
+++ b/dahliabend/transport/timers.py
@@ -72,7 +72,8 @@
         """Cancels a timer of `schedule`; None, or one that has run or was cancelled before, is fine."""
         if timer is None or timer[_CALLBACK] is None:
             return
-        timer[_CALLBACK] = timer[_ARGUMENTS] = None
+        timer[_CALLBACK] = None
+        timer[_ARGUMENTS] = None
         self.cancelled += 1
         if self.cancelled > MIN_CANCELLED_TO_COMPACT and self.cancelled * 2 > len(self.heap):
             self.heap = [timer for timer in self.heap if timer[_CALLBACK] is not None]
@@ -96,11 +97,13 @@
         now = clock()
         while self.heap and self.heap[0][_WHEN] <= now:
             timer = heappop(self.heap)
-            callback, arguments = timer[_CALLBACK], timer[_ARGUMENTS]
+            callback = timer[_CALLBACK]
+            arguments = timer[_ARGUMENTS]
             if callback is None:
                 self.cancelled -= 1
                 continue
-            timer[_CALLBACK] = timer[_ARGUMENTS] = None
+            timer[_CALLBACK] = None
+            timer[_ARGUMENTS] = None
             try:
                 callback(*arguments)
             except Exception as error:  # one failed callback must not keep all later timers from running
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -11,6 +11,7 @@
 
 from dahliabend.config import platform as config
 from dahliabend.config.server_settings import ServerSettings
+from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
@@ -183,10 +184,11 @@
     return {"id": f"s-{number}", "addr": f"10.0.0.{number}:8000", "zone": "north", "cell": number}
 
 
-def row_of(entry: Mapping) -> tuple:
+def row_of(entry: Mapping) -> EndpointRow:
     """The server as the list's reader is told of it; it has run for long."""
     host, _, port = entry["addr"].partition(":")
-    return entry["id"], (host, int(port)), EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"]
+    address = (host, int(port))
+    return EndpointRow(entry["id"], address, EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"])
 
 
 def node_of(settings: Mapping, path: str) -> ServerSettings:
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -13,6 +13,7 @@
 from fake_transport import feed
 from helpers import S
 
+from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.policy_port import PolicyPort
@@ -88,18 +89,18 @@
         table=table, epoch=0, policies=[notified], excluded=set(), balancer=notified.balancer
     )
     dispatcher.update_connection_reuse = lambda upstream: Router.update_connection_reuse(dispatcher, upstream)
-    row = ("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
+    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(dispatcher, [row], True)
     upstream = table.get_or_create("s-1")
     busy, idle = (UpstreamConnection(table.resources.descriptors, upstream) for _ in range(2))
     upstream.return_connection(idle)
-    Router.endpoints_changed(dispatcher, [("s-1", ("", 0), EndpointState.REMOVED, *row[3:])], False)
+    Router.endpoints_changed(dispatcher, [row._replace(address=("", 0), state=EndpointState.REMOVED)], False)
     upstream.return_connection(busy)  # its answer came later
     assert idle.closed
     assert busy.closed
     assert not table.endpoints
     assert not table.indices
-    Router.endpoints_changed(dispatcher, [("s-2", *row[1:])], True)  # a new one at the same address
+    Router.endpoints_changed(dispatcher, [row._replace(name="s-2")], True)  # a new one at the same address
     new = table.get_or_create("s-2")
     assert notified == [(new.index, "s-2")]
     assert new.index != upstream.index
@@ -136,7 +137,7 @@
         lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full),
     )
     dispatcher.update_connection_reuse = lambda upstream: Router.update_connection_reuse(dispatcher, upstream)
-    row = ["s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a"]
+    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
     Router.endpoints_changed(dispatcher, [row], True)
     assert Router.exclude(dispatcher, "s-1", True)
     assert not Router.exclude(dispatcher, "s-2", True)
@@ -151,6 +152,6 @@
     Router.endpoints_changed(dispatcher, [row], False)  # the list has not heard of a restart
     assert [u[1] for u in notified[2:]] == [EndpointState.READY] * 2
     assert notified[2][2] == notified[3][2] >= back
-    row[3] = (clock() + S) // 1000
+    row = row._replace(started_ms=(clock() + S) // 1000)
     Router.endpoints_changed(dispatcher, [row], False)
-    assert notified[4][2] == row[3] * 1000
+    assert notified[4][2] == row.started_ms * 1000
