--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import NamedTuple
 
 import httptools
 
@@ -13,7 +14,13 @@
 MAX_REQUEST_BYTES = 8192  # head and body
 REQUEST_TIMEOUT = 2_500_000  # microseconds from connecting until the call has come and its answer is read
 
-AdminResponse = tuple[int, bytes, bytes]  # status, further header lines, body
+
+class AdminResponse(NamedTuple):
+    """The answer to a call; `headers` are header lines beyond those of its framing."""
+
+    status: int
+    headers: bytes
+    body: bytes
 
 
 class AdminConnection(Connection):
@@ -82,8 +89,7 @@
     def on_message_complete(self) -> None:
         """The call has come whole."""
         path = self.target.partition(b"?")[0]
-        status, headers, body = self.handle_request(self.parser.get_method(), path, self.body)
-        self.send_response(status, headers, body)
+        self.send_response(self.handle_request(self.parser.get_method(), path, self.body))
 
     def bytes_received(self, view: memoryview) -> None:
         """Reads the call; what follows it is discarded."""
@@ -91,18 +97,19 @@
             return
         self.size += len(view)
         if self.size > MAX_REQUEST_BYTES:
-            self.send_response(413, b"", b"too long\n")
+            self.send_response(AdminResponse(413, b"", b"too long\n"))
             return
         try:
             self.parser.feed_data(view)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.send_response(400, b"", b"not understood\n")
+            self.send_response(AdminResponse(400, b"", b"not understood\n"))
 
-    def send_response(self, status: int, headers: bytes, body: bytes) -> None:
+    def send_response(self, response: AdminResponse) -> None:
         """Answers the call, once."""
         if not self.responded:
             self.responded = True
-            self.write(response_head(status, CONNECTION_CLOSE + headers, b"", len(body)), body)
+            headers = CONNECTION_CLOSE + response.headers
+            self.write(response_head(response.status, headers, b"", len(response.body)), response.body)
 
     def output_flushed(self) -> None:
         """Ends the sending behind the answer.
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -1,6 +1,6 @@
 """HTTP connections to upstreams: one request at a time on each, and the response to it."""
 
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import httptools
 
@@ -15,6 +15,24 @@
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
+class UpstreamResponse(NamedTuple):
+    """A response that has come whole.
+
+    Attributes:
+        status: The status code.
+        headers: The header lines to pass on.
+        body: The body, but for the parts that were passed on.
+        load_report: The upstream's load report, if any.
+        not_executed: The upstream says that it never executed the request.
+    """
+
+    status: int
+    headers: bytes
+    body: bytes
+    load_report: bytes
+    not_executed: bool
+
+
 class ResponseHandler(Protocol):
     """Whoever has a request out.
 
@@ -40,18 +58,8 @@
     def response_part(self, part: bytes) -> None:
         """A part of the body of such a response."""
 
-    def response_complete(
-        self, status: int, not_executed: bool, load_report: bytes, headers: bytes, body: bytes
-    ) -> None:
-        """The response has come whole.
-
-        Args:
-            status: The status code.
-            not_executed: The upstream says that it never executed the request.
-            load_report: The upstream's load report, if any.
-            headers: The header lines to pass on.
-            body: The body, but for the parts that were passed on.
-        """
+    def response_complete(self, response: UpstreamResponse) -> None:
+        """The response has come whole."""
 
     def connection_failed(self, request_written: bool) -> None:
         """No response will come.
@@ -310,15 +318,19 @@
         self.handler = None
         self.reading_suspended = False
         self.keep_alive = self.keep_alive and not wire.requests_close(self.connection_header)
-        headers = wire.end_to_end_headers(self.headers, self.connection_header)
+        response = UpstreamResponse(
+            status=self.status,
+            headers=wire.end_to_end_headers(self.headers, self.connection_header),
+            body=b"".join(self.body),
+            load_report=self.load_report,
+            not_executed=self.not_executed,
+        )
         if self.keep_alive and self.is_flushed:
             self.pool.return_connection(self)
         else:
             self._detach_upload()
             self.abort()
-        handler.response_complete(
-            self.status, self.not_executed, self.load_report, headers, b"".join(self.body)
-        )
+        handler.response_complete(response)
 
     def _fail(self) -> None:
         """What has come is no response that could be used."""
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -3,13 +3,13 @@
 from typing import Protocol
 
 from dahliabend.http.streaming import BodySource
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import Effect, Outcome
 from dahliabend.policy.retries import RequestState
 from dahliabend.proxy.base_dispatcher import RequestMetrics
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.request import Request
-from dahliabend.proxy.upstream_request import Phase, UpstreamRequest, UpstreamResponse
+from dahliabend.proxy.upstream_request import Phase, UpstreamRequest
 from dahliabend.transport.timers import Timer, clock
 
 NO_DEADLINE = 1 << 50  # microseconds
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -4,9 +4,10 @@
 
 from dahliabend.http import load_reports
 from dahliabend.http.headers import HEALTHY, LOAD_PATH
+from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
-from dahliabend.proxy.upstream_request import UpstreamRequest, UpstreamResponse
+from dahliabend.proxy.upstream_request import UpstreamRequest
 
 
 class HealthCheck(UpstreamRequest):
@@ -39,7 +40,9 @@
         """Log the result and pass it on."""
         load = {}
         if response is not None:
-            load = load_reports.parse(response.body or response.load_report, self.report_fields)
+            # The body of an error is no load report.
+            report = response.body if outcome is Outcome.SUCCEEDED else b""
+            load = load_reports.parse(report or response.load_report, self.report_fields)
         self.endpoint.resources.log(
             "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=duration // 1000, load=load
         )
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -6,6 +6,7 @@
 from dahliabend.errors import StaleHandleError
 from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy import request_log
 from dahliabend.proxy.attempt import NO_DEADLINE, Attempt
@@ -15,7 +16,6 @@
 from dahliabend.proxy.pool_state import PoolState
 from dahliabend.proxy.request import AttemptRecord, Request
 from dahliabend.proxy.request_log import RequestLog
-from dahliabend.proxy.upstream_request import UpstreamResponse
 from dahliabend.transport.handles import NO_HANDLE, HandleTable
 from dahliabend.transport.timers import TimerQueue, clock
 
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -2,10 +2,9 @@
 
 import asyncio
 from enum import IntEnum
-from typing import NamedTuple
 
 from dahliabend.http.streaming import BodySource, StreamingBody
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.transport.connection import dial
@@ -28,20 +27,6 @@
 _FINISHED = Phase.FINISHED
 
 
-class UpstreamResponse(NamedTuple):
-    """What an upstream has answered, as far as it is passed on or read.
-
-    Attributes:
-        headers: Header lines that are passed on to the client.
-        body: The body; empty unless the request has succeeded.
-        load_report: Value of the header with the upstream's load.
-    """
-
-    headers: bytes
-    body: bytes
-    load_report: bytes
-
-
 class UpstreamRequest:
     """A request to one endpoint, with a deadline of its own. It handles the events of its connection.
 
@@ -187,16 +172,14 @@
     def response_part(self, part: bytes) -> None:
         """Handle a part of the body of a response that is streamed."""
 
-    def response_complete(
-        self, status: int, not_executed: bool, load_report: bytes, headers: bytes, body: bytes
-    ) -> None:
-        """Handle the end of a response; what has been streamed of it is not in `body`."""
-        if status == _STATUS_OK:
-            self.finish(Outcome.SUCCEEDED, UpstreamResponse(headers, body, load_report))
-        elif not_executed and status in _REJECTING_STATUSES:
-            self.finish(Outcome.REJECTED, UpstreamResponse(b"", b"", load_report))
+    def response_complete(self, response: UpstreamResponse) -> None:
+        """Handle the end of a response; what has been streamed of it is not in its body."""
+        if response.status == _STATUS_OK:
+            self.finish(Outcome.SUCCEEDED, response)
+        elif response.not_executed and response.status in _REJECTING_STATUSES:
+            self.finish(Outcome.REJECTED, response)
         else:
-            self.finish(Outcome.FAILED, UpstreamResponse(b"", b"", load_report))
+            self.finish(Outcome.FAILED, response)
 
     def connection_failed(self, request_written: bool) -> None:
         """Handle the loss of the connection. Only a request that was written completely may be executed."""
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -48,7 +48,7 @@
 
 def json_response(status: int, **fields: object) -> AdminResponse:
     """Return a response with these fields as a JSON object."""
-    return status, _JSON_HEADER, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE)
+    return AdminResponse(status, _JSON_HEADER, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE))
 
 
 class AdminApi:
@@ -76,10 +76,10 @@
         if call is None:
             response = json_response(404, error="no such call")
         elif method != allowed_method:
-            response = 405, b"Allow: %b\r\n" % allowed_method, b"wrong method\n"
+            response = AdminResponse(405, b"Allow: %b\r\n" % allowed_method, b"wrong method\n")
         else:
             response = call(body)
-        status = response[0]
+        status = response.status
         if allowed_method != b"GET" or status >= FIRST_ERROR_STATUS:
             self.log(
                 "call",
--- a/tests/fake_endpoint.py
+++ b/tests/fake_endpoint.py
@@ -34,7 +34,7 @@
 
 class RecordingBodyRequest(RecordingRequest):
     def on_finished(self, outcome, took, answer):
-        self.outcome, self.body = outcome, answer and answer[1]
+        self.outcome, self.body = outcome, answer and answer.body
 
 
 def age_idle_connections(upstream, by):
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -17,7 +17,7 @@
 from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.serving_state import ServingState
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.key_order import KeyQueues
@@ -213,7 +213,7 @@
         self.pool.remove_connection(self)
         handler, self.handler = self.handler, None
         if handler is not None and getattr(self, "head_complete", False):
-            handler.response_complete(200, False, b"", b"", b"".join(self.body))
+            handler.response_complete(UpstreamResponse(200, b"", b"".join(self.body), b"", False))
         elif handler is not None:
             handler.connection_failed(self.is_flushed)
 
