--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -1,12 +1,12 @@
 """HTTP connections to upstreams: one request at a time on each, and the response to it."""
 
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import httptools
 
 from dahliabend.errors import ProtocolError
 from dahliabend.http import headers as wire
-from dahliabend.http.streaming import StreamingBody
+from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
@@ -15,6 +15,24 @@
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
+class UpstreamResponse(NamedTuple):
+    """A response that has come whole.
+
+    Attributes:
+        status: The status code.
+        headers: The header lines to pass on.
+        body: The body, but for the parts that were passed on.
+        load_report: The upstream's load report, if any.
+        not_executed: The upstream says that it never executed the request.
+    """
+
+    status: int
+    headers: bytes
+    body: bytes
+    load_report: bytes
+    not_executed: bool
+
+
 class ResponseHandler(Protocol):
     """Whoever has a request out.
 
@@ -25,32 +43,23 @@
     def request_written(self) -> None:
         """The system has taken the whole request; called before any of the others."""
 
-    def unsized_response_started(self) -> None:
-        """The body of a response of unknown length has begun to come."""
+    def unsized_response_started(self, connection: "UpstreamConnection") -> None:
+        """The body of a response of unknown length has begun to come on this connection."""
 
-    def response_started(self, headers: bytes, length: int | None) -> None:
+    def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """A long response is passed on while it comes.
 
         Args:
             headers: The header lines to pass on.
             length: Bytes of its body, if known.
+            source: The connection that it comes from.
         """
 
     def response_part(self, part: bytes) -> None:
         """A part of the body of such a response."""
 
-    def response_complete(
-        self, status: int, not_executed: bool, load_report: bytes, headers: bytes, body: bytes
-    ) -> None:
-        """The response has come whole.
-
-        Args:
-            status: The status code.
-            not_executed: The upstream says that it never executed the request.
-            load_report: The upstream's load report, if any.
-            headers: The header lines to pass on.
-            body: The body, but for the parts that were passed on.
-        """
+    def response_complete(self, response: UpstreamResponse) -> None:
+        """The response has come whole."""
 
     def connection_failed(self, request_written: bool) -> None:
         """No response will come.
@@ -236,7 +245,7 @@
         if self.handler is None:
             return  # cancelled meanwhile
         if not self.size and self.length is None:
-            self.handler.unsized_response_started()
+            self.handler.unsized_response_started(self)
         self.size += len(part)
         if self.size > wire.MAX_BODY_BYTES:
             raise ProtocolError("too long a body")
@@ -254,8 +263,9 @@
             return
         self.is_streaming = True
         headers = wire.end_to_end_headers(self.headers, self.connection_header)
-        self.handler.response_started(headers, self.length)
-        parts, self.body = self.body, []
+        self.handler.response_started(headers, self.length, self)
+        parts = self.body
+        self.body = []
         for part in parts:
             if self.handler is not None:
                 self.handler.response_part(part)
@@ -304,18 +314,23 @@
         """Hands the response on, and returns the connection or closes it."""
         if self.handler is None:
             return  # cancelled meanwhile
-        handler, self.handler = self.handler, None
+        handler = self.handler
+        self.handler = None
         self.reading_suspended = False
         self.keep_alive = self.keep_alive and not wire.requests_close(self.connection_header)
-        headers = wire.end_to_end_headers(self.headers, self.connection_header)
+        response = UpstreamResponse(
+            status=self.status,
+            headers=wire.end_to_end_headers(self.headers, self.connection_header),
+            body=b"".join(self.body),
+            load_report=self.load_report,
+            not_executed=self.not_executed,
+        )
         if self.keep_alive and self.is_flushed:
             self.pool.return_connection(self)
         else:
             self._detach_upload()
             self.abort()
-        handler.response_complete(
-            self.status, self.not_executed, self.load_report, headers, b"".join(self.body)
-        )
+        handler.response_complete(response)
 
     def _fail(self) -> None:
         """What has come is no response that could be used."""
@@ -337,7 +352,8 @@
         self.pool.remove_connection(self)
         request_written = self.is_flushed
         self._detach_upload()
-        handler, self.handler = self.handler, None
+        handler = self.handler
+        self.handler = None
         if handler is not None:
             handler.connection_failed(request_written)
 
