--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -14,33 +14,30 @@
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place.
-
-    In the file a field has its `name`, if one is given here, else its own.
+    """What a process leaves for the next one in its place; the names that stand in the file are kept.
 
     Attributes:
         name: The member's name.
-        place: Its address, as the others send to it.
-        handed: Whether the next process goes on as this one; else it only knows whom to ask.
-        at: When it was written, in Unix microseconds.
-        generation: The member's.
+        address: Where the others send to.
+        handed_over: Whether the next process goes on as this one; else it only knows whom to ask.
+        written_at: In Unix microseconds.
+        generation: The member's generation.
         incarnation: Its last incarnation number.
-        sequence_number: Its last one.
+        sequence_number: The last one that it used.
         members: The last update of each other member.
     """
 
     name: str
-    place: str
-    handed: bool
-    at: int
+    address: str = msgspec.field(name="place")
+    handed_over: bool = msgspec.field(name="handed")
+    written_at: int = msgspec.field(name="at")
     generation: int = msgspec.field(name="life")
     incarnation: int
     sequence_number: int = msgspec.field(name="serial")
     members: list[Update]
 
-    @property
     def snapshot(self) -> MembershipSnapshot:
-        """What the next process goes on from."""
+        """Return the part that the membership protocol goes on from."""
         return MembershipSnapshot(self.generation, self.incarnation, self.sequence_number, self.members)
 
 
@@ -74,26 +71,26 @@
         except (OSError, ValueError) as error:
             self.log("handover.unread", why=f"{self.label}: {error}")
             return None
-        if (stored.name, stored.place) != (self.name, self.address):
-            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.place}")
+        if (stored.name, stored.address) != (self.name, self.address):
+            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.address}")
             return None
         # Written too long ago, or by a clock that was set back: only whom to ask is taken from it.
-        age = _unix_microseconds() - stored.at
-        stored.handed = stored.handed and 0 <= age < self.period * MAX_AGE_PERIODS
+        age = _unix_microseconds() - stored.written_at
+        stored.handed_over = stored.handed_over and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
-    def write(self, state: MembershipSnapshot, *, handed: bool) -> None:
+    def write(self, state: MembershipSnapshot, *, handed_over: bool) -> None:
         """Replace the file.
 
         Args:
             state: The member's state.
-            handed: Whether the next process is to go on as this one.
+            handed_over: Whether the next process is to go on as this one.
         """
         stored = StoredMembership(
             name=self.name,
-            place=self.address,
-            handed=handed,
-            at=_unix_microseconds(),
+            address=self.address,
+            handed_over=handed_over,
+            written_at=_unix_microseconds(),
             generation=state.generation,
             incarnation=state.incarnation,
             sequence_number=state.sequence_number,
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -38,16 +38,16 @@
     before, _ = cluster_member(tmp_path)
     known = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
     before.failure_detector.store_update(1, known, "joined")
-    before.store(handed=True)
+    before.store(handed_over=True)
     after, _ = cluster_member(tmp_path)
-    assert after.stored.handed
+    assert after.stored.handed_over
     assert after.seeds() == ["127.0.0.1:7947"]
     for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
         snapshot = json.loads((tmp_path / "b1.keep").read_text())
         snapshot["at"] = host_info.time_ns() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
         later, _ = cluster_member(tmp_path)
-        assert not later.stored.handed
+        assert not later.stored.handed_over
         assert later.failure_detector.generation > before.failure_detector.generation
         assert later.seeds() == ["127.0.0.1:7947"]
 
@@ -62,7 +62,7 @@
 
 def test_the_snapshot_of_another_member_is_ignored(tmp_path):
     before, _ = cluster_member(tmp_path)
-    before.store(handed=True)
+    before.store(handed_over=True)
     member, lines = cluster_member(tmp_path, advertise="127.0.0.1:9999")
     assert member.stored is None
     assert "127.0.0.1:7946" in lines[0][1]["why"]
