--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -24,7 +24,7 @@
     A route's values go before its class's, and these before the file's defaults.
     """
 
-    hop_time: Duration | None = None  # that one attempt may take
+    attempt_timeout: Duration | None = msgspec.field(name="hop-time", default=None)
     total_time: Duration | None = None  # all attempts together; the class's hard limit, if left out
     attempts: int | None = None  # at the most
     replays: int | None = None  # of these, after an attempt that may have executed
@@ -96,8 +96,10 @@
     cancels: bool = True
     idle: Duration = Duration(15 * SECOND)  # idle connections are closed after that
     dial_time: Duration = Duration(250 * MILLISECOND)
-    grace: Duration = Duration(1_500 * MILLISECOND)  # for an upstream that is known to drain
-    cold: SlowStartSettings = msgspec.field(default_factory=SlowStartSettings)
+    drain_notice_time: Duration = msgspec.field(  # for an upstream that is known to drain
+        name="grace", default=Duration(1_500 * MILLISECOND)
+    )
+    slow_start: SlowStartSettings = msgspec.field(name="cold", default_factory=SlowStartSettings)
     subset: SubsetSettings | None = None
 
 
--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -41,11 +41,11 @@
 class EndpointListObserver(Protocol):
     """Whoever is notified of the endpoint list."""
 
-    def endpoints_changed(self, rows: list[tuple[Any, ...]], full: bool) -> None:
+    def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
         """The list has changed.
 
         Args:
-            rows: Endpoints, as `EndpointRow`s.
+            rows: Endpoints.
             full: They are all there are; else only what has changed.
         """
 
@@ -112,9 +112,9 @@
         self.log("list", version=version, full=full, entries=len(rows))
         self.observer.endpoints_changed(rows, full)
 
-    def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[tuple[Any, ...]]:
+    def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
         """All valid entries; the others are logged."""
-        rows: list[tuple[Any, ...]] = []
+        rows: list[EndpointRow] = []
         for raw in entries:
             try:
                 rows.append(parse_endpoint(raw))
--- a/dahliabend/routing_rules/checks/common.py
+++ b/dahliabend/routing_rules/checks/common.py
@@ -10,7 +10,7 @@
 
 MAX_ATTEMPTS = 64
 POSITIVE_TREATMENT_FIELDS = (
-    "hop_time",
+    "attempt_timeout",
     "total_time",
     "second_copy_after",
     "concurrency",
--- a/dahliabend/routing_rules/checks/pools.py
+++ b/dahliabend/routing_rules/checks/pools.py
@@ -19,9 +19,9 @@
         _check_subset(file, pool, key, source)
         if pool.balancers < 1:
             source.fault((*key, "balancers"), f"{pool.balancers} is not above 0")
-        if pool.cold.multiple <= 1:
-            source.fault((*key, "cold", "multiple"), f"{pool.cold.multiple:g} is not above 1")
-        check_positive(pool, ("idle", "dial_time", "grace"), key, source)
+        if pool.slow_start.multiple <= 1:
+            source.fault((*key, "cold", "multiple"), f"{pool.slow_start.multiple:g} is not above 1")
+        check_positive(pool, ("idle", "dial_time", "drain_notice_time"), key, source)
 
 
 def _check_member_source(pool: PoolSettings, key: Key, source: Source) -> None:
--- a/dahliabend/routing_rules/checks/treatments.py
+++ b/dahliabend/routing_rules/checks/treatments.py
@@ -60,18 +60,21 @@
         if treatment.total_time > limit:
             reason = f"{treatment.total_time} is over the hard limit of {self._route.class_!r}, {limit}"
             self._fault("total_time", reason)
-        if treatment.hop_time is None:
+        if treatment.attempt_timeout is None:
             return
-        if treatment.hop_time > limit:
-            reason = f"{treatment.hop_time} is over the hard limit of {self._route.class_!r}, {limit}"
-            self._fault("hop_time", reason)
-        elif treatment.hop_time > treatment.total_time:
-            self._fault("hop_time", f"{treatment.hop_time} is over the total time, {treatment.total_time}")
+        if treatment.attempt_timeout > limit:
+            reason = f"{treatment.attempt_timeout} is over the hard limit of {self._route.class_!r}, {limit}"
+            self._fault("attempt_timeout", reason)
+        elif treatment.attempt_timeout > treatment.total_time:
+            self._fault(
+                "attempt_timeout",
+                f"{treatment.attempt_timeout} is over the total time, {treatment.total_time}",
+            )
         elif self._is_set("attempts"):
-            needed = Duration(treatment.attempts * treatment.hop_time)
+            needed = Duration(treatment.attempts * treatment.attempt_timeout)
             if needed > treatment.total_time:
                 reason = (
-                    f"{treatment.attempts} of {treatment.hop_time} take {needed}; "
+                    f"{treatment.attempts} of {treatment.attempt_timeout} take {needed}; "
                     f"there are {treatment.total_time}"
                 )
                 self._fault("attempts", reason)
@@ -87,7 +90,7 @@
             self._fault("second_copy_after", reason)
         elif treatment.attempts < HEDGED_ATTEMPTS:
             self._fault("second_copy_after", "attempts allows no second hop")
-        elif delay >= (treatment.hop_time or treatment.total_time):
+        elif delay >= (treatment.attempt_timeout or treatment.total_time):
             self._fault("second_copy_after", f"{delay} is over the time of a hop: it never acts")
 
     def replays(self) -> None:
@@ -132,10 +135,10 @@
             if pool is None or not pool.members:
                 continue
             pool_rate = rate * self._pool_share(name)
-            upstream_rate = pool_rate * pool.cold.share * pool.cold.time
+            upstream_rate = pool_rate * pool.slow_start.share * pool.slow_start.time
             requests = upstream_rate / MICROSECONDS_PER_SECOND / len(pool.members)
             if 0 < requests < 1:
-                got = f"{requests:.2g} transactions in {pool.cold.time}"
+                got = f"{requests:.2g} transactions in {pool.slow_start.time}"
                 self._fault("rate", f"{rate}: a cold upstream of {name!r} would get {got}")
                 return
 
--- a/dahliabend/routing_rules/explanation.py
+++ b/dahliabend/routing_rules/explanation.py
@@ -125,7 +125,7 @@
 
 def _steps(treatment: EffectiveTreatment, effect: Effect) -> list[str]:
     """What will be tried, in words."""
-    attempt_time = treatment.hop_time or treatment.total_time
+    attempt_time = treatment.attempt_timeout or treatment.total_time
     steps = [f"one hop of up to {Duration(attempt_time)}"]
     if treatment.second_copy_after is not None:
         steps.append(f"a second beside it after {treatment.second_copy_after}, the first answer counts")
--- a/dahliabend/routing_rules/treatment.py
+++ b/dahliabend/routing_rules/treatment.py
@@ -2,12 +2,21 @@
 
 from collections.abc import Iterator
 
-from dahliabend.config.operator_file.schema import OperatorFile, RouteSettings, TreatmentSettings
+import msgspec
+
+from dahliabend.config.operator_file.schema import (
+    ClassSettings,
+    OperatorFile,
+    PoolSettings,
+    RouteSettings,
+    SubsetSettings,
+    TreatmentSettings,
+)
 from dahliabend.config.operator_file.source import Key
 from dahliabend.config.operator_file.units import Duration, Fraction, Rate
 
 TREATMENT_FIELDS = (
-    "hop_time",
+    "attempt_timeout",
     "total_time",
     "attempts",
     "replays",
@@ -19,14 +28,20 @@
 )  # of `TreatmentSettings`, in the order in which they are shown
 DEFAULT_ATTEMPTS = 3
 
+_KEYS_BY_FIELD = {
+    field.name: field.encode_name
+    for table in (RouteSettings, ClassSettings, PoolSettings, SubsetSettings)
+    for field in msgspec.structs.fields(table)
+}
+
 
 def key_of_field(name: str) -> str:
     """A field's name as the file writes it.
 
-    >>> key_of_field("class_"), key_of_field("hop_time")
+    >>> key_of_field("class_"), key_of_field("attempt_timeout")
     ('class', 'hop-time')
     """
-    return name.rstrip("_").replace("_", "-")
+    return _KEYS_BY_FIELD[name]
 
 
 def target_pools(route: RouteSettings) -> Iterator[str]:
@@ -47,7 +62,7 @@
     Times are microseconds.
 
     Attributes:
-        hop_time: That one attempt may take; None: what is left of the total.
+        attempt_timeout: That one attempt may take; None: what is left of the total.
         total_time: That all attempts may take together.
         attempts: At the most.
         replays: Of these, after one that may have run.
@@ -59,7 +74,7 @@
         keys: The key that sets each value, by the field's name; for a default, the route's.
     """
 
-    hop_time: Duration | None
+    attempt_timeout: Duration | None
     total_time: Duration
     attempts: int
     replays: int
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -87,7 +87,7 @@
         self._file = self._membership_file()
         self.stored = self._file.read() if self._file is not None else None
         if self.stored is not None:  # a clock that was set back must not make it older than it was
-            generation = max(generation, self.stored.life + 1)
+            generation = max(generation, self.stored.generation + 1)
         self.failure_detector = self._membership_protocol(generation, random)
         self.transport = UdpTransport(
             self.failure_detector, self._authenticator(settings), timers, self._log_event
@@ -145,9 +145,9 @@
         Raises:
             OSError: The address can't be had.
         """
-        resumed = self.stored is not None and self.stored.handed
+        resumed = self.stored is not None and self.stored.handed_over
         if self.stored is not None and resumed:
-            self.failure_detector.restore(clock(), msgspec.structs.asdict(self.stored))
+            self.failure_detector.restore(clock(), self.stored.snapshot())
         await self.transport.open(parse_address(self.settings.address), self.seeds())
         self.log(
             "members.open",
@@ -174,7 +174,7 @@
         """Fall silent for a successor, which goes on as this member: the others see no change."""
         if self.state is not MemberState.LEFT:
             self.state = MemberState.LEFT
-            self.store(handed=True)
+            self.store(handed_over=True)
             self.transport.close()
 
     def close(self) -> None:
@@ -185,16 +185,16 @@
         self._seed_sources.stop()
         self.transport.close()
 
-    def store(self, *, handed: bool = False) -> None:
+    def store(self, *, handed_over: bool = False) -> None:
         """Write what a successor needs, and do so again after a while.
 
         Args:
-            handed: Whether the successor is to go on as this member; nothing is written after that.
+            handed_over: Whether the successor is to go on as this member; nothing is written after that.
         """
         if self._file is None:
             return
-        self._file.write(self.failure_detector.snapshot(), handed=handed)
-        if not handed:
+        self._file.write(self.failure_detector.snapshot(), handed_over=handed_over)
+        if not handed_over:
             self.timers.cancel(self._store_timer)
             interval = MAX_AGE_PERIODS * self.settings.period
             self._store_timer = self.timers.schedule(clock() + interval, self.store)
--- a/dahliabend/server/log.py
+++ b/dahliabend/server/log.py
@@ -53,7 +53,8 @@
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
         """Write from callbacks of that event loop from now on, without blocking."""
         self.loop = loop
-        os.set_blocking(self.sink, False)
+        blocking = False
+        os.set_blocking(self.sink, blocking)
 
     def __call__(self, event: str, **fields: object) -> None:
         """Log an event with its fields."""
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, Any
 
 from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file import schema
@@ -15,6 +15,7 @@
 from dahliabend.proxy.dispatcher import Dispatcher
 from dahliabend.proxy.endpoint_table import EndpointTable
 from dahliabend.proxy.pool import Pool
+from dahliabend.proxy.pool_state import EndpointSource
 from dahliabend.proxy.router import Router
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import EventLog
@@ -28,8 +29,6 @@
     from dahliabend.server.clustering import ClusterMember
     from dahliabend.server.subset_filter import SubsetFilter
 
-EndpointSource = DiscoveryClient | EndpointListFile
-
 
 @dataclass(frozen=True, slots=True)
 class PoolResources:
@@ -82,7 +81,7 @@
         if self.source is not None and self.source is not source:
             self.source.stop()
         self.source = source
-        self.pool.router.discovery = cast("Any", source)  # a file serves as a discovery client here
+        self.pool.router.discovery = source
 
     def close(self) -> None:
         """Stop watching for endpoints."""
@@ -108,7 +107,8 @@
 
     def settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
         """Return the settings of each pool of a file."""
-        seed, limit = self.resources.seed, self.resources.descriptor_limit
+        seed = self.resources.seed
+        limit = self.resources.descriptor_limit
         return {name: pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools}
 
     def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -135,7 +135,7 @@
         deadline=deadline,
         priority_weight=settings.revenue,
         late_weight=float(settings.late_share),
-        attempt_timeout=treatment.hop_time or 0,
+        attempt_timeout=treatment.attempt_timeout or 0,
         max_attempts=treatment.attempts,
         max_retries_after_execution=treatment.replays,
         hedge_delay=treatment.second_copy_after or 0,
@@ -162,9 +162,9 @@
         max_retry_after=MAX_RETRY_AFTER,
         polls_endpoints=False,
         poll_deadline=0,
-        initial_capacity=float(pool.cold.share),
-        warmup_time=pool.cold.time,
-        warmup_multiple=pool.cold.multiple,
+        initial_capacity=float(pool.slow_start.share),
+        warmup_time=pool.slow_start.time,
+        warmup_multiple=pool.slow_start.multiple,
         retry_budget_ratio=_retry_ratio(file, routes),
     )
 
--- a/dahliabend/server/seed_list.py
+++ b/dahliabend/server/seed_list.py
@@ -2,11 +2,10 @@
 
 import os
 from collections.abc import Callable, Iterable
-from typing import Any
 
 from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import MembershipSettings
-from dahliabend.discovery.endpoint_list import EndpointList
+from dahliabend.discovery.endpoint_list import EndpointList, EndpointRow
 from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.model import EndpointState
 from dahliabend.server.endpoint_list_file import EndpointListFile
@@ -24,16 +23,16 @@
         self.on_change = on_change
         self.addresses: dict[str, str] = {}  # by the balancer's name
 
-    def endpoints_changed(self, rows: Iterable[tuple[Any, ...]], full: bool) -> None:
+    def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
         """Apply changes of the list, or the whole list."""
         if full:
             self.addresses = {}
-        for name, address, state, *_ in rows:
-            if state is EndpointState.REMOVED:
-                self.addresses.pop(name, None)
+        for row in rows:
+            if row.state is EndpointState.REMOVED:
+                self.addresses.pop(row.name, None)
             else:
-                host, port = address
-                self.addresses[name] = f"{host}:{port}"
+                host, port = row.address
+                self.addresses[row.name] = f"{host}:{port}"
         self.on_change()
 
     def clear(self) -> None:
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -1,12 +1,17 @@
 """The file in which a member keeps whom it knows, for the next process in its place."""
 
 import os
-from collections.abc import Mapping
-from typing import Any
 
 import msgspec
 
 from dahliabend.membership.messages import Update
+from dahliabend.membership.snapshot import (
+    GENERATION_KEY,
+    INCARNATION_KEY,
+    MEMBERS_KEY,
+    SEQUENCE_NUMBER_KEY,
+    Snapshot,
+)
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
@@ -15,28 +20,37 @@
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place. The names of the fields stand in the file.
+    """What a process leaves for the next one in its place; the names that stand in the file are kept.
 
     Attributes:
         name: The member's name.
-        place: Its address, as the others send to it.
-        handed: Whether the next process goes on as this one; else it only knows whom to ask.
-        at: When it was written, in Unix microseconds.
-        life: The member's generation.
+        address: Where the others send to.
+        handed_over: Whether the next process goes on as this one; else it only knows whom to ask.
+        written_at: In Unix microseconds.
+        generation: The member's generation.
         incarnation: Its last incarnation number.
-        serial: Its last sequence number.
+        sequence_number: The last one that it used.
         members: The last update of each other member.
     """
 
     name: str
-    place: str
-    handed: bool
-    at: int
-    life: int
+    address: str = msgspec.field(name="place")
+    handed_over: bool = msgspec.field(name="handed")
+    written_at: int = msgspec.field(name="at")
+    generation: int = msgspec.field(name="life")
     incarnation: int
-    serial: int
+    sequence_number: int = msgspec.field(name="serial")
     members: list[Update]
 
+    def snapshot(self) -> Snapshot:
+        """Return the part that the membership protocol goes on from."""
+        return {
+            GENERATION_KEY: self.generation,
+            INCARNATION_KEY: self.incarnation,
+            SEQUENCE_NUMBER_KEY: self.sequence_number,
+            MEMBERS_KEY: self.members,
+        }
+
 
 class MembershipFile:
     """One member's file."""
@@ -68,22 +82,31 @@
         except (OSError, ValueError) as error:
             self.log("handover.unread", why=f"{self.label}: {error}")
             return None
-        if (stored.name, stored.place) != (self.name, self.address):
-            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.place}")
+        if (stored.name, stored.address) != (self.name, self.address):
+            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.address}")
             return None
         # Written too long ago, or by a clock that was set back: only whom to ask is taken from it.
-        age = _unix_microseconds() - stored.at
-        stored.handed = stored.handed and 0 <= age < self.period * MAX_AGE_PERIODS
+        age = _unix_microseconds() - stored.written_at
+        stored.handed_over = stored.handed_over and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
-    def write(self, state: Mapping[str, Any], *, handed: bool) -> None:
+    def write(self, state: Snapshot, *, handed_over: bool) -> None:
         """Replace the file.
 
         Args:
-            state: The member's state, by the last four fields of `StoredMembership`.
-            handed: Whether the next process is to go on as this one.
+            state: The member's state.
+            handed_over: Whether the next process is to go on as this one.
         """
-        stored = StoredMembership(self.name, self.address, handed, _unix_microseconds(), **state)
+        stored = StoredMembership(
+            name=self.name,
+            address=self.address,
+            handed_over=handed_over,
+            written_at=_unix_microseconds(),
+            generation=state[GENERATION_KEY],
+            incarnation=state[INCARNATION_KEY],
+            sequence_number=state[SEQUENCE_NUMBER_KEY],
+            members=state[MEMBERS_KEY],
+        )
         directory, file_name = os.path.split(self.path)
         try:
             host_info.runtime_directory(directory).write(file_name, msgspec.json.encode(stored))
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -4,9 +4,9 @@
 """
 
 import logging
-from collections.abc import MutableMapping
+from collections.abc import Mapping, MutableMapping
 from random import Random
-from typing import Any, cast
+from typing import Any
 
 import orjson
 import structlog
@@ -25,13 +25,18 @@
 DEFAULT_LEVEL = "info"  # of an event that the table of events does not have
 
 
+def redact_fields(fields: Mapping[str, object]) -> dict[str, object]:
+    """Return the fields with each secret replaced, at whatever depth one of them holds it."""
+    return {
+        key: REDACTED if str(key).lower().replace("_", "-") in SECRET_FIELDS else redact(item)
+        for key, item in fields.items()
+    }
+
+
 def redact(value: object) -> object:
-    """Return the value with each secret replaced, at whatever depth a field holds it."""
+    """Return a field's value with each secret in it replaced."""
     if isinstance(value, dict):
-        return {
-            key: REDACTED if str(key).lower().replace("_", "-") in SECRET_FIELDS else redact(item)
-            for key, item in value.items()
-        }
+        return redact_fields(value)
     if isinstance(value, list | tuple):
         return [redact(item) for item in value]
     return value
@@ -39,7 +44,7 @@
 
 def redact_line(_logger: object, _method: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """Redact a line; a processor of structlog."""
-    return cast("MutableMapping[str, Any]", redact(line))
+    return redact_fields(line)
 
 
 def render_json(line: object, **_options: object) -> bytes:
@@ -57,7 +62,10 @@
         """Append a line to the log's buffer."""
         self.log.put(line)
 
-    debug = info = warning = error = put
+    debug = put
+    info = put
+    warning = put
+    error = put
 
 
 class StructuredLog(Log):
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from dahliabend.config.operator_file import schema
+from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
 from dahliabend.server.log import EventLog
@@ -22,9 +23,6 @@
 MAX_LOGGED_NAMES = 20  # upstreams added and dropped, in a log line
 WEIGHT_DIGITS = 4  # decimal places of what operators are shown
 
-EndpointRow = tuple[Any, ...]  # an entry of the endpoint list, with the following positions
-NAME, STATE, WEIGHT, ZONE = 0, 2, 4, 6
-
 
 class SubsetFilter:
     """Stands between a pool's endpoint list and its router; observes the list.
@@ -69,16 +67,15 @@
         if full:
             self._rows = {}
         for row in rows:
-            name = row[NAME]
-            if row[STATE] is EndpointState.REMOVED:
-                self._rows.pop(name, None)
+            if row.state is EndpointState.REMOVED:
+                self._rows.pop(row.name, None)
             else:
-                self._rows[name] = row
-                self.router.table.remember_id(name)  # an operator may take it out before it is in use
+                self._rows[row.name] = row
+                self.router.table.remember_id(row.name)  # an operator may take it out before it is in use
         ready = [
-            Participant(name, row[ZONE], row[WEIGHT])
-            for name, row in self._rows.items()
-            if row[STATE] is EndpointState.READY
+            Participant(row.name, row.zone, row.weight)
+            for row in self._rows.values()
+            if row.state is EndpointState.READY
         ]
         self._controller.update_upstreams(clock(), ready)
         self._update_subset()
@@ -148,12 +145,12 @@
         An upstream that leaves the subset counts as removed: it gets nothing new, and attempts end there.
         """
         known = self.router.table.indices
-        rows = []
+        rows: list[EndpointRow] = []
         for name, row in self._rows.items():
             weight = self.subset.weights.get(name)
             if weight is not None:
-                rows.append((*row[:WEIGHT], weight, *row[WEIGHT + 1 :]))
-            elif row[STATE] is not EndpointState.READY and name in known:
+                rows.append(row._replace(weight=weight))
+            elif row.state is not EndpointState.READY and name in known:
                 rows.append(row)  # it is draining: kept until it is removed, for the attempts in flight there
         # Not all balancers send to these upstreams. Divided by all of them, the concurrency limit would be
         # too low, and clients be rejected while the upstreams idle.
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -81,7 +81,7 @@
         file = loaded.file
         if file is None or not loaded.is_usable:
             raise ValueError("; ".join(map(str, loaded.faults)))
-        drain_time = min(pool.grace for pool in file.pools.values())
+        drain_time = min(pool.drain_notice_time for pool in file.pools.values())
         self.invariants = InvariantChecker(self.scheduler, self.recorder, {}, drain_time)
         self.network.tap_factory = self.observe_connection
         self.network.on_event = self.recorder
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -10,7 +10,9 @@
 
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.operator_file.units import Duration
+from dahliabend.discovery.endpoint_list import EndpointRow
 from dahliabend.membership.messages import MemberStatus, Update
+from dahliabend.model import EndpointState
 from dahliabend.process_tests.processes import free_ports
 from dahliabend.server.clustering import ClusterMember
 from dahliabend.simulation.peers.discovery import Agent, Registry
@@ -38,16 +40,16 @@
     before, _ = cluster_member(tmp_path)
     known = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
     before.failure_detector.store_update(1, known, "joined")
-    before.store(handed=True)
+    before.store(handed_over=True)
     after, _ = cluster_member(tmp_path)
-    assert after.stored.handed
+    assert after.stored.handed_over
     assert after.seeds() == ["127.0.0.1:7947"]
     for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
         snapshot = json.loads((tmp_path / "b1.keep").read_text())
         snapshot["at"] = host_info.time_ns() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
         later, _ = cluster_member(tmp_path)
-        assert not later.stored.handed
+        assert not later.stored.handed_over
         assert later.failure_detector.generation > before.failure_detector.generation
         assert later.seeds() == ["127.0.0.1:7947"]
 
@@ -62,7 +64,7 @@
 
 def test_the_snapshot_of_another_member_is_ignored(tmp_path):
     before, _ = cluster_member(tmp_path)
-    before.store(handed=True)
+    before.store(handed_over=True)
     member, lines = cluster_member(tmp_path, advertise="127.0.0.1:9999")
     assert member.stored is None
     assert "127.0.0.1:7946" in lines[0][1]["why"]
@@ -95,7 +97,9 @@
 
 def test_seeds_follow_a_watched_file(tmp_path):
     member, _ = cluster_member(tmp_path, seeds=["127.0.0.1:1"], period=Duration(100_000))
-    member.seed_list.endpoints_changed([("b7", ("127.0.0.1", 7), 1, 0, 1.0, 0, "a")], full=True)
+    member.seed_list.endpoints_changed(
+        [EndpointRow("b7", ("127.0.0.1", 7), EndpointState.READY, 0, 1.0, 0, "a")], full=True
+    )
     assert member.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
     member.seed_list.endpoints_changed([], full=True)
     assert member.failure_detector.seeds == ["127.0.0.1:1"]
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -202,9 +202,9 @@
     with wall_clock(KEPT_AT + 500_000):
         successor = member(folder, log)
         assert successor.stored is not None
-        assert successor.stored.handed
+        assert successor.stored.handed_over
         machine = successor.failure_detector
-        machine.restore(7_000_000, msgspec.structs.asdict(successor.stored))
+        machine.restore(7_000_000, successor.stored.snapshot())
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
             "seeds": successor.seeds(), "life": machine.generation,
@@ -212,7 +212,7 @@
             "datagrams": [[address, data.hex()] for address, data in machine.outgoing],
             "members": [msgspec.to_builtins(each.update) for each in machine.members.values()],
         }  # fmt: skip
-        successor.store(handed=True)
+        successor.store(handed_over=True)
     assert not log
     return found, (folder / KEPT).read_text()
 
@@ -231,7 +231,7 @@
     with wall_clock(KEPT_AT + later):
         successor = member(tmp_path, LogLines())
     assert successor.stored is not None
-    assert successor.stored.handed is goes_on
+    assert successor.stored.handed_over is goes_on
     assert successor.failure_detector.generation == KEPT_AT + max(
         later, 1_000_001
     )  # newer than the life that was kept
