--- a/dahliabend/membership/conflicts.py
+++ b/dahliabend/membership/conflicts.py
@@ -1,6 +1,6 @@
 """Two processes that use one name at the same time."""
 
-from dahliabend.membership.events import EventLog
+from dahliabend.membership.events import EventKind, EventLog
 from dahliabend.membership.member_table import MemberTable
 from dahliabend.membership.messages import Update
 from dahliabend.membership.swim_config import SwimConfig
@@ -34,7 +34,7 @@
         if len(self._reported_at) > len(self._table):
             self._reported_at.clear()
         self._reported_at[update.name] = now
-        self._events.record(now, "conflict", update.name, update.reported_by)
+        self._events.record(now, EventKind.CONFLICT, update.name, update.reported_by)
 
     def copy_state(self, other: "ConflictReporter") -> None:
         """Take over a copy of another one's state."""
--- a/dahliabend/membership/events.py
+++ b/dahliabend/membership/events.py
@@ -1,22 +1,24 @@
 """Events that the protocol reports to its owner."""
 
 from dataclasses import dataclass
-from typing import Literal
-
-EventKind = Literal[
-    "joined",
-    "suspected",
-    "refuted",
-    "left",
-    "died",
-    "returned",  # a member that was dead or had left, or a new process in its place
-    "conflict",  # two processes use one name
-    "unreached",  # this member cannot reach that one directly any more
-    "reached",  # and can again
-    "paused",  # this process was stopped for longer than a period
-    "outcast",  # others took this member for dead
-    "counted",  # and no longer do
-]
+from enum import StrEnum
+
+
+class EventKind(StrEnum):
+    """What has happened; operators see the word in the log."""
+
+    JOINED = "joined"
+    SUSPECTED = "suspected"
+    REFUTED = "refuted"
+    LEFT = "left"
+    DIED = "died"
+    RETURNED = "returned"  # a member that was dead or had left, or a new process in its place
+    CONFLICT = "conflict"  # two processes use one name
+    UNREACHABLE = "unreached"  # this member cannot reach that one directly any more
+    REACHABLE = "reached"  # and can again
+    PAUSED = "paused"  # this process was stopped for longer than a period
+    EXCLUDED = "outcast"  # others took this member for dead
+    READMITTED = "counted"  # and no longer do
 
 
 @dataclass(frozen=True, slots=True)
--- a/dahliabend/membership/local_member.py
+++ b/dahliabend/membership/local_member.py
@@ -22,7 +22,7 @@
     name: str
     update: Update
     is_leaving: bool = False
-    exclusion: Exclusion = ""
+    exclusion: Exclusion = Exclusion.NONE
 
     @classmethod
     def create(cls, name: str, generation: int, address: str, zone: str, weight: float) -> "LocalMember":
--- a/dahliabend/membership/message_handler.py
+++ b/dahliabend/membership/message_handler.py
@@ -1,7 +1,9 @@
 """What a member does about each kind of message."""
 
+from dahliabend.membership.events import EventKind
 from dahliabend.membership.messages import Ack, Nack, Packet, Ping, PingRequest, Sync, UserMessage
 from dahliabend.membership.parts import Parts
+from dahliabend.membership.view import Exclusion
 
 MAX_PENDING_USER_MESSAGES = 64  # that wait for the owner
 
@@ -57,9 +59,9 @@
         if probed is None:
             return
         parts.health.improve()
-        if parts.local.exclusion == "dead":
-            parts.local.exclusion = ""
-            parts.events.record(now, "counted", parts.local.name, probed)
+        if parts.local.exclusion is Exclusion.DEAD:
+            parts.local.exclusion = Exclusion.NONE
+            parts.events.record(now, EventKind.READMITTED, parts.local.name, probed)
         parts.reachability.record_ack(now, probed, direct=ack.direct)
 
     def _handle_user_message(self, packet: Packet, message: UserMessage) -> None:
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -278,7 +278,7 @@
     def declare_dead(self, now: int, member: Member) -> None:
         """Store that a member is dead, by this member's own observation."""
         update = replace(member.update, status=MemberStatus.DEAD, reported_by=self.name)
-        self.store_update(now, update, "died")
+        self.store_update(now, update, EventKind.DIED)
 
     # Time.
 
@@ -317,7 +317,7 @@
         self._parts.health.set_worst()
         self._parts.suspicions.restart(now)
         self._parts.table.partitions.forget_recent()
-        self._parts.events.record(now, "paused", self.name, self.name)
+        self._parts.events.record(now, EventKind.PAUSED, self.name, self.name)
         if self._parts.table.present or self.seeds:
             self._schedule.unsettled_until = now + self.config.max_suspicion_time
         self._schedule.restart(now)
--- a/dahliabend/membership/self_updates.py
+++ b/dahliabend/membership/self_updates.py
@@ -4,11 +4,12 @@
 from dahliabend.membership.codec import MAX_UNREACHABLE_PEERS
 from dahliabend.membership.conflicts import ConflictReporter
 from dahliabend.membership.dissemination import Disseminator
-from dahliabend.membership.events import EventLog
+from dahliabend.membership.events import EventKind, EventLog
 from dahliabend.membership.local_health import LocalHealth
 from dahliabend.membership.local_member import LocalMember
 from dahliabend.membership.member_table import MemberTable
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Update
+from dahliabend.membership.view import Exclusion
 
 UNREACHABLE_SCORE = 8  # probes answered only by way of others, until a member is reported as unreachable
 # A direct answer takes back two: with three in ten datagrams lost, when half of the probes need help, the
@@ -78,10 +79,10 @@
         if name in unreachable:
             if member.indirect_only_score == 0:
                 self._announcer.announce_not_unreachable(name)
-                self._events.record(now, "reached", name, self._local.name)
+                self._events.record(now, EventKind.REACHABLE, name, self._local.name)
         elif member.indirect_only_score == UNREACHABLE_SCORE and len(unreachable) < MAX_UNREACHABLE_PEERS:
             self._announcer.announce(unreachable_peers=(*unreachable, name))
-            self._events.record(now, "unreached", name, self._local.name)
+            self._events.record(now, EventKind.UNREACHABLE, name, self._local.name)
 
 
 class Refuter:
@@ -117,7 +118,7 @@
         local = self._local
         if update.generation != local.generation and update.address != local.update.address:
             if update.status in PRESENT_STATUSES:
-                local.exclusion = "conflict"
+                local.exclusion = Exclusion.CONFLICT
                 self._conflicts.report(now, update)
         elif update.generation > local.generation:
             self._overtake(update.generation)
@@ -140,9 +141,9 @@
 
     def _refute(self, now: int, update: Update) -> None:
         local = self._local
-        if update.status is MemberStatus.DEAD and local.exclusion != "dead":
-            local.exclusion = "dead"
-            self._events.record(now, "outcast", local.name, update.reported_by)
+        if update.status is MemberStatus.DEAD and local.exclusion is not Exclusion.DEAD:
+            local.exclusion = Exclusion.DEAD
+            self._events.record(now, EventKind.EXCLUDED, local.name, update.reported_by)
         local.change(incarnation=update.incarnation + 1)
         self._health.worsen()
         self._disseminator.enqueue(local.update)
--- a/dahliabend/membership/update_rules.py
+++ b/dahliabend/membership/update_rules.py
@@ -55,7 +55,7 @@
         member = self._table.members.get(update.name)
         if member is None:
             if update.status in PRESENT_STATUSES and not self._table.is_full:
-                self.store(now, update, "joined")
+                self.store(now, update, EventKind.JOINED)
             return
         known = member.update
         if update.generation != known.generation:
@@ -109,7 +109,7 @@
         """Apply that one more member suspects this one, and how many confirmations that is worth."""
         known = member.update
         if known.status is not MemberStatus.SUSPECT or update.incarnation > known.incarnation:
-            self.store(now, update, "suspected")
+            self.store(now, update, EventKind.SUSPECTED)
             member = self._table.members[update.name]
         elif self._suspicions.add_confirmation(member, update.reported_by):
             self._disseminator.enqueue(update)
@@ -120,11 +120,11 @@
     """Return the event that a new status of a known member is."""
     known = member.update
     if update.status is MemberStatus.SUSPECT:
-        return "suspected"
+        return EventKind.SUSPECTED
     if update.status is MemberStatus.LEFT:
-        return "left"
+        return EventKind.LEFT
     if update.status is MemberStatus.DEAD:
         return None  # it was departed before
     if not member.is_present or update.generation > known.generation:
-        return "returned"
-    return "refuted" if known.status is MemberStatus.SUSPECT else None
+        return EventKind.RETURNED
+    return EventKind.REFUTED if known.status is MemberStatus.SUSPECT else None
--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -2,11 +2,25 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Literal
+from enum import StrEnum
 from zlib import crc32
 
-MemberState = Literal["alive", "suspected", "unreached"]
-Exclusion = Literal["", "dead", "unreached", "conflict"]
+
+class MemberState(StrEnum):
+    """How a present member is seen; operators see the word."""
+
+    ALIVE = "alive"
+    SUSPECTED = "suspected"
+    UNREACHABLE = "unreached"
+
+
+class Exclusion(StrEnum):
+    """Why the others may not count a member; operators see the word. `NONE` is false."""
+
+    NONE = ""
+    DEAD = "dead"  # it was declared dead
+    UNREACHABLE = "unreached"  # more than half of the others cannot reach it
+    CONFLICT = "conflict"  # its name is used elsewhere
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +34,7 @@
         weight: Its share of the work, relative to the other members.
         generation: Tells the processes of one name apart.
         incarnation: Counts what it has said of itself.
-        state: `unreached`: more than half of the others cannot reach it. It is not dead, as its datagrams
+        state: `UNREACHABLE`: more than half of the others cannot reach it. It is not dead, as its datagrams
             still arrive, and nothing should be sent to it.
         since: Microseconds of the viewer's clock; when the viewer first saw it so. 0 for the viewer itself.
         reported_by: The member that reported it.
@@ -38,6 +52,11 @@
     reported_by: str
     unreachable_peers: tuple[str, ...]
 
+    @property
+    def is_reachable(self) -> bool:
+        """Whether something may be sent to it."""
+        return self.state is not MemberState.UNREACHABLE
+
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
@@ -74,8 +93,9 @@
 def checksum(members: Sequence[MemberView]) -> str:
     """Return eight hexadecimal digits for names, generations, states, zones and weights.
 
-    >>> checksum(()), len(checksum((MemberView("a", "h:1", "z", 1.0, 1, 0, "alive", 5, "a", ()),)))
-    ('00000000', 8)
+    >>> member = MemberView("a", "h:1", "z", 1.0, 1, 0, MemberState.ALIVE, 5, "a", ())
+    >>> checksum(()), checksum((member,))
+    ('00000000', '3e3d22fb')
     """
-    fields = [(m.name, m.generation, m.state, m.zone, m.weight) for m in members]
+    fields = [(m.name, m.generation, m.state.value, m.zone, m.weight) for m in members]
     return f"{crc32(repr(fields).encode()) if fields else 0:08x}"
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -83,7 +83,8 @@
     def _exclusion(self) -> Exclusion:
         if self._local.exclusion:
             return self._local.exclusion
-        return "unreached" if self._table.is_unreachable(self._local.name) else ""
+        is_unreachable = self._table.is_unreachable(self._local.name)
+        return Exclusion.UNREACHABLE if is_unreachable else Exclusion.NONE
 
     def _listed_members(self) -> _Members:
         listed = self._members
@@ -98,11 +99,11 @@
         return tuple(self._view_of(update) for update in sorted([self._local.update, *present], key=_name))
 
     def _view_of(self, update: Update) -> MemberView:
-        state: MemberState = "alive"
+        state = MemberState.ALIVE
         if update.status is MemberStatus.SUSPECT:
-            state = "suspected"
+            state = MemberState.SUSPECTED
         elif self._table.is_unreachable(update.name):
-            state = "unreached"
+            state = MemberState.UNREACHABLE
         member = self._table.members.get(update.name)
         # By position: this is the costliest part of a view in a large cluster.
         return MemberView(
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -8,7 +8,7 @@
 
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
-from dahliabend.membership.view import MembershipView, MemberView
+from dahliabend.membership.view import MembershipView, MemberState, MemberView
 
 MICROSECONDS = 1000  # in a millisecond
 CONFIDENCE_DIGITS = 3  # decimal places
@@ -22,7 +22,7 @@
         "version": view.version,
         "mark": view.checksum,
         "members": len(view.members),
-        "suspected": sum(member.state == "suspected" for member in view.members),
+        "suspected": sum(member.state is MemberState.SUSPECTED for member in view.members),
         "stable": view.stable,
         "cut": view.possibly_partitioned,
         "outcast": view.exclusion,
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -16,7 +16,7 @@
 from dahliabend.membership.messages import MemberStatus
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
-from dahliabend.membership.view import MembershipView
+from dahliabend.membership.view import Exclusion, MembershipView
 from dahliabend.model import Outcome
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.router import Router
@@ -123,7 +123,7 @@
         self._timer = self.timers.schedule(now + GOSSIP_INTERVAL, self.tick)
         view = self.protocol.view(now)
         settled = self.protocol.last_stable_view(now)
-        members = {member.name for member in view.members if member.state != "unreached"}
+        members = {member.name for member in view.members if member.is_reachable}
         for pool, router in self.pools():
             self._report_suspected(now, pool, router, members)
         self._tick_health_checks(now, settled)
@@ -181,9 +181,9 @@
         if self.health_checks is None:
             return
         members = settled.members if settled is not None else ()
-        present = [Candidate(member.name, member.zone) for member in members if member.state != "unreached"]
+        present = [Candidate(member.name, member.zone) for member in members if member.is_reachable]
         pools = [(pool, router) for pool, router in self.pools() if router.health_check_delegate is not None]
-        is_member = now >= self.protocol.unsettled_until and self.protocol.exclusion != "dead"
+        is_member = now >= self.protocol.unsettled_until and self.protocol.exclusion is not Exclusion.DEAD
         self.health_checks.tick(present, bool(present) and is_member, pools)
 
     def _tick_limits(self, view: MembershipView, settled: MembershipView | None) -> None:
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -350,7 +350,7 @@
             now = self.model.now
             settled = machine.last_stable_view(now)
             members = settled.members if settled else ()
-            candidates = [Candidate(m.name, m.zone) for m in members if m.state != "unreached"]
+            candidates = [Candidate(m.name, m.zone) for m in members if m.is_reachable]
             tasks = {name: "" for name, row in self.rows.items() if row.state is EndpointState.READY}
             is_settled = bool(candidates) and now >= machine.unsettled_until
             self.leased_checks.tick(now, candidates, is_settled, tasks)
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -9,6 +9,7 @@
 from random import Random
 from typing import NamedTuple
 
+from dahliabend.membership.events import EventKind
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
@@ -179,4 +180,6 @@
     def declared_dead(self) -> set[str]:
         """The names that any instance declared dead at any time."""
         machines = self.machines.values()
-        return {event.name for machine in machines for event in machine.events if event.kind == "died"}
+        return {
+            event.name for machine in machines for event in machine.events if event.kind is EventKind.DIED
+        }
