--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -12,7 +12,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
 from dahliabend.subsetting.usable_endpoints import count_usable
 from dahliabend.transport.timers import TimerQueue, clock
 
@@ -163,7 +163,7 @@
 ) -> SubsetController:
     index = settings.self_index
     controller_settings = SubsetSettings(
-        source="members" if index is None else "index",
+        source=SubsetSource.MEMBERSHIP if index is None else SubsetSource.INDEX,
         min_size=settings.least,
         degree=settings.degree,
         by_zone=settings.zones,
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -36,7 +36,7 @@
     weights: dict[str, float] = field(default_factory=dict)
     added: list[str] = field(default_factory=list)
     dropped: list[str] = field(default_factory=list)
-    source: SubsetSource = "name"
+    source: SubsetSource = SubsetSource.NAME
     balancers: int = 1
     balancers_per_upstream: float = 1.0
 
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -1,13 +1,18 @@
 """Settings of one balancer's subset."""
 
 from dataclasses import dataclass
-from typing import Literal
+from enum import StrEnum
 
 from dahliabend.subsetting.selection import MIN_BALANCERS_PER_UPSTREAM, MIN_SUBSET_SIZE
 
-# Where a subset comes from: the view of membership, the configured numbers, two views of which one is
-# doubtful, or the balancer's own name without a view. Shown to operators by these words.
-SubsetSource = Literal["members", "index", "both", "name"]
+
+class SubsetSource(StrEnum):
+    """Where a subset comes from; operators see the word."""
+
+    MEMBERSHIP = "members"  # the view of membership
+    INDEX = "index"  # the configured numbers
+    TWO_VIEWS = "both"  # the last trusted view and a doubtful one
+    NAME = "name"  # the balancer's own name, without a view
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +23,7 @@
         min_size: Least number of upstreams.
         degree: Balancers of an upstream, on average.
         by_zone: Whether upstreams of the own zone come first.
-        source: What gives the view, `members` or `index`.
+        source: What gives the view, `MEMBERSHIP` or `INDEX`.
         balancers: Number of balancers while there is no view.
         hold_time: How long a doubtful view does not narrow the subset.
         step_interval: Time between two steps.
@@ -31,7 +36,7 @@
     min_size: int = MIN_SUBSET_SIZE
     degree: int = MIN_BALANCERS_PER_UPSTREAM
     by_zone: bool = False
-    source: SubsetSource = "members"
+    source: SubsetSource = SubsetSource.MEMBERSHIP
     balancers: int = 1
     hold_time: int = 60_000_000
     step_interval: int = 1_000_000
--- a/dahliabend/subsetting/target.py
+++ b/dahliabend/subsetting/target.py
@@ -23,7 +23,7 @@
 
     weights: dict[str, float] = field(default_factory=dict)
     ranking: list[str] = field(default_factory=list)
-    source: SubsetSource = "name"
+    source: SubsetSource = SubsetSource.NAME
     balancers: int = 1
     demand_share: float = 1.0
 
@@ -48,14 +48,14 @@
         return TargetSubset(
             weights=_weights_without_view(own, settings, pool, ranking),
             ranking=ranking,
-            source="name",
+            source=SubsetSource.NAME,
             balancers=settings.balancers,
             demand_share=1.0 / settings.balancers,
         )
     return TargetSubset(
         weights=_weights_by_views(own, settings, views, pool),
         ranking=ranking,
-        source=settings.source if len(views) == 1 else "both",
+        source=settings.source if len(views) == 1 else SubsetSource.TWO_VIEWS,
         balancers=max(len(view) for view in views),
         # In doubt the smaller share: with the larger this balancer would admit what others may still send.
         demand_share=min(_demand_share(own.name, view) for view in views),
