--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -189,7 +189,8 @@
         if time_left(request, now) <= 0 or not may_attempt(request, now):
             self.give_up(request)
             return
-        if self.outliers.must_reject_class(request, now):
+        is_class_outlier = self.throttling.class_outliers[request.class_index]
+        if is_class_outlier and self.outliers.must_reject_class(request, now):
             self.give_up(request)
             return
         endpoint = self.outliers.trial(request, now) if self.outliers.awaiting_trial else None
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -76,7 +76,7 @@
         It is early where a retry could follow: else one silent endpoint costs a request all its time. Not so
         while the tier holds a reduction, where all are slow and repeats would be more load.
         """
-        left = time_left(request, now)
+        left = request.deadline - now  # `time_left`, without the call
         timeout = request.request_class.attempt_timeout or left
         is_calm = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
         if is_calm and self.retries.budget >= 1 and is_retryable(request):
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -54,10 +54,10 @@
     def must_reject_class(self, request: RequestState, now: int) -> bool:
         """Returns whether a request is rejected at a time (us) because its class fails at every endpoint.
 
-        By the class's reduction, and only where the limit is nearly reached: it would hold places that
-        others need until it fails too.
+        Asked of classes that are outliers. By the class's reduction, and only where the limit is nearly
+        reached: it would hold places that others need until it fails too.
         """
-        if not self.throttling.class_outliers[request.class_index] or not self.concurrency.is_nearly_full():
+        if not self.concurrency.is_nearly_full():
             return False
         reduction = self.throttling.classes[request.class_index].valid_reduction(now)
         return reduction > 0 and self.random() < reduction
@@ -264,7 +264,7 @@
 
     def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> None:
         """Learns from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
-        lost = self.idle_losses(attempt, now, outcome, took, mean)
+        lost = 0 if outcome is Outcome.SUCCEEDED else self.idle_losses(attempt, now, outcome, took, mean)
         if lost:
             self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_OF_FEW)
         if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART):
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -10,7 +10,10 @@
 
 
 def is_late(request_class: RequestClass, took: int) -> bool:
-    """Returns whether an attempt that took so long (us) left its request little of the latency objective."""
+    """Returns whether an attempt that took so long (us) left its request little of the latency objective.
+
+    In an overload a late attempt counts as failed: else the reductions would wait until deadlines are missed.
+    """
     return took > LATE * request_class.latency_objective
 
 
@@ -30,34 +33,25 @@
         """
         return outcome in _TIMED and endpoint.silent_since > now - took
 
-    def counts_as_failed(self, request_class: RequestClass, outcome: Outcome, took: int) -> bool:
-        """Returns whether an attempt that took so long (us) counts as failed.
-
-        A late one does in an overload: else the reduction would wait until requests miss their deadlines.
-        """
-        if outcome is not Outcome.SUCCEEDED:
-            return True
-        return self.concurrency.is_overloaded and is_late(request_class, took)
-
-    def counts_for_tier(self, request: RequestState, endpoint: Endpoint) -> bool:
-        """Returns whether an attempt is a sample of the tier: only those at its request's first endpoint.
-
-        One request that finds five endpoints full in a row would count as five.
-        """
-        return request.attempts[0].endpoint is endpoint
-
     def learn(self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, took: int) -> None:
         """Takes the end of an attempt, which took so long (us), into the limit and the scopes."""
         request_class = request.request_class
         if self.tells_of_load(endpoint, now, outcome, took):
             ratio = took / request_class.latency_objective
             self.concurrency.learn_latency(ratio, endpoint.relative_latency)
-        is_failed = self.counts_as_failed(request_class, outcome, took)
+        is_failed = outcome is not Outcome.SUCCEEDED
+        if self.concurrency.is_overloaded:
+            is_failed = is_failed or is_late(request_class, took)
         self.throttling.add_endpoint_sample(endpoint.entries, request.class_index, is_failed=is_failed)
         if self.cross_zone_cost and endpoint.zone == self.zone:
             is_poor = is_failed or is_late(request_class, took)
             self.throttling.add_zone_sample(self.cross_zone_cost, is_failed=is_poor)
-        if self.counts_for_tier(request, endpoint):
-            # A failure of an endpoint's own says nothing of the tier, unless the tier is in an overload.
-            is_tiers = self.concurrency.is_overloaded or outcome.proves_not_executed
-            self.throttling.add_tier_sample(is_failed=is_failed and is_tiers)
+        if request.attempts[0].endpoint is endpoint:  # one that finds five full would count as five
+            self.throttling.add_tier_sample(is_failed=is_failed and self.is_tier_failure(outcome))
+
+    def is_tier_failure(self, outcome: Outcome) -> bool:
+        """Returns whether a failure counts for the tier: a rejection does, any other only in an overload.
+
+        An endpoint's own fault is no reason to reject requests that others could serve.
+        """
+        return self.concurrency.is_overloaded or outcome.proves_not_executed
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -196,6 +196,8 @@
             pools = (self.cross_zone, self.selected, self.ready)
         avoiding_for = request if unthrottled else None
         for pool in pools:
+            if not pool:
+                continue
             candidates = [endpoint for endpoint in pool if not endpoint.is_ejected]
             load_limit = load_limit_of(candidates)
             if request.attempts:
