--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -7,29 +7,6 @@
 T = 100 * S
 
 
-def test_request_past_its_deadline_is_rejected_at_once():
-    made, port = make_balancer()
-    request = made.admit(T, 1, 0, 0, T)
-    assert request.is_finished
-    assert port[-1][0] == "reject"
-    assert not port.of("send")
-
-
-def test_no_attempt_outlasts_the_deadline_and_the_last_timeout_is_answered():
-    made, port = make_balancer()
-    request = admit(made, 2)
-    assert port[-1][3] == 5 * S
-    request.attempt_finished(T + 5 * S, 0, Outcome.TIMED_OUT, 5 * S, False)
-    assert request.is_finished
-    assert port[-1] == ("fail", 1)
-
-
-def test_without_endpoints_requests_are_rejected_with_retry_after():
-    made, port = make_balancer(endpoints=0)
-    assert admit(made, 0).is_finished
-    assert port[-1] == ("reject", 1, S // 2)
-
-
 def test_nothing_is_sent_after_the_client_disconnected():
     made, port = make_balancer()
     request = admit(made, 0)
@@ -91,17 +68,6 @@
     assert made.selection.endpoints[1].consecutive_failures == 1
 
 
-def test_cold_endpoint_has_one_budget_through_a_change_of_settings():
-    old, _before = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
-    made, port = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
-    old.selection.endpoints[0].slow_start_budget = made.selection.endpoints[0].slow_start_budget = 1.0
-    made.restore(old.snapshot(ends=True), [])
-    for ref in range(5):
-        assert old.slow_start.warm_share(old.selection.endpoints[0], T + S, 1) == 0
-        admit(made, 0, ref=ref)
-    assert len(port.of("send")) == 1
-
-
 def test_same_seed_gives_the_same_actions():
     logs = []
     for _ in range(2):
@@ -111,12 +77,3 @@
             admit(made, 2, ref=ref)
         logs.append(list(port))
     assert logs[0] == logs[1]
-
-
-def test_successor_process_takes_half_of_the_slow_start_budget_and_the_limit():
-    old, _ = make_balancer(endpoints=1, born=T)
-    made, _ = make_balancer(endpoints=1, born=T)
-    old.selection.endpoints[0].slow_start_budget, old.concurrency.limit = 1.0, 99.0
-    made.restore(old.snapshot(ends=False), [(0, 0)])
-    assert old.selection.endpoints[0].slow_start_budget + made.selection.endpoints[0].slow_start_budget == 1
-    assert made.concurrency.limit == 99
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -2,7 +2,7 @@
 
 from fake_port import IDEMPOTENT, S, admit, make_balancer
 
-from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
+from dahliabend.model import DeduplicationScope, Effect, RequestClass
 from dahliabend.policy.throttling import TIER_FLOOR
 
 T = 100 * S
@@ -52,27 +52,6 @@
         assert admit(made, 0).is_finished == over
 
 
-def test_latency_of_slow_endpoints_counts_less_and_of_silent_ones_not():
-    for pace, heard, how, seen in (
-        (1, T, 1, 1 / 2),
-        (4, T, 1, 1 / 3),
-        (1, T + 1, 4, 1 / 2),
-        (1, T - S, 4, 0),
-    ):
-        made, _ = make_balancer()
-        request = admit(made, 2)
-        request.attempts[0].endpoint.relative_latency, request.attempts[0].endpoint.silent_since = pace, heard
-        request.attempt_finished(T + S, 0, Outcome(how), S, True)
-        assert abs(made.concurrency.latency_ratio - seen) < 1e-6
-
-
-def test_tenant_beyond_its_quota_loses_priority():
-    made, _ = make_balancer(tenant_quotas=(2.0, 2.0))
-    values = [admit(made, 0, ref=n).priority for n in range(4)]
-    assert values[0] == 1
-    assert values[-1] == made.settings.over_quota_weight
-
-
 def test_limit_is_adjusted_with_half_the_floor_after_a_validity_but_not_first():
     made, _ = make_balancer()
     made.concurrency.succeeded, made.concurrency.latency_ratio = TIER_FLOOR // 2, 0.9
@@ -85,12 +64,6 @@
     assert made.concurrency.adjusted_at > T
 
 
-def test_one_slow_attempt_counts_no_more_than_its_latency_objective():
-    made, _ = make_balancer()
-    admit(made, 2).attempt_finished(T + S, 0, Outcome.SUCCEEDED, 40 * S, True)
-    assert made.concurrency.latency_ratio == 1
-
-
 def test_attempts_in_flight_elsewhere_count_against_the_limit():
     made, port = make_balancer(endpoints=1, instance_count=1)
     made.concurrency.limit, made.concurrency.in_flight_elsewhere = 8.0, 8
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -116,21 +116,6 @@
         assert [note[1:] for note in port.of("close_idle_connections")] == [(0, S // 2)] * closed
 
 
-def test_ejected_cold_endpoint_is_tried_within_its_slow_start_budget():
-    for budget, tried in ((0.5, 1), (1.0, 0)):
-        made, port = make_balancer(endpoints=2, can_health_check=False)
-        made.deadlines.mean_latencies[0], cold = 10 * MS, made.selection.endpoints[0]
-        (
-            cold.is_ejected,
-            cold.started_at,
-            cold.slow_start_budget,
-            cold.budget_filled_at,
-            made.outliers.awaiting_trial,
-        ) = True, T - S, budget, T, {cold: None}
-        admit(made, 0)
-        assert port.of("send")[0][2] == tried
-
-
 def test_quick_failures_eject_before_the_window_ends_and_at_once_after_recovery():
     made, _ = make_balancer()
     u, made.deadlines.mean_latencies[2] = made.selection.endpoints[0], 100 * MS
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -102,17 +102,3 @@
     alone.give_up(request)
     request.hedge_timer_fired(100 * S + 400 * MS)
     assert request.in_flight == 1
-
-
-def test_attempt_leaves_time_for_a_retry_where_late_answers_are_worthless():
-    quote = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
-    made, port = make_balancer(request_classes=(quote,), max_attempts=6)
-    made.deadlines.mean_latencies[0] = 30 * MS
-    request = made.admit(T, 1, 0, 0, T + 1_500 * MS)
-    assert port.of("send")[0][3] == 300 * MS  # half of what it may take at all
-    request.attempt_finished(T + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
-    assert [note[3] for note in port.of("send")] == [300 * MS, 300 * MS]
-    assert request.in_flight == 1
-    request.attempt_finished(T + 600 * MS, 1, Outcome.TIMED_OUT, 300 * MS, False)
-    assert request.is_finished
-    assert len(port.of("send")) == 2
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_selection.py
@@ -45,27 +45,6 @@
         assert request.attempts[-1].endpoint.index == 1 - gone
 
 
-def test_cold_endpoints_get_no_more_than_their_slow_start_budget():
-    made, port = make_balancer(endpoints=4, born=0)
-    made.update_endpoints(T, [(3, EndpointState.READY, T, 1.0, 1, 1, b"")], full=False)
-    made.slow_start.send_rate, made.concurrency.limit = 400 / S, 1e9  # a hundred a second and endpoint
-    for step in range(4000):
-        now = T + step * S // 4000
-        admit(made, 0, now=now, ref=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
-    sent = sum(note[2] == 3 for note in port.of("send"))
-    assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5  # its share of half the multiple, a little risen
-
-
-def test_with_all_endpoints_cold_new_requests_set_the_send_rate():
-    made, port = make_balancer(endpoints=2, born=T)
-    assert admit(made, 0).is_finished  # nothing is known yet
-    made.admission.new_requests = 100
-    made.close_windows(T + S)
-    admit(made, 0, now=T + S)
-    admit(made, 0, now=T + 2 * S)
-    assert port.of("send")
-
-
 def test_round_robin_is_even():
     made, port = make_balancer(endpoints=4)
     for ref in range(40):
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -1,6 +1,6 @@
 """Held reductions: entries and their windows, the governing scope, classes that fail everywhere."""
 
-from fake_port import IDEMPOTENT, MS, S, admit, make_balancer
+from fake_port import MS, S, admit, make_balancer
 
 from dahliabend.model import Outcome
 from dahliabend.policy.throttling import LINGER, OUTLIER_REDUCTION, TIER_FLOOR, ThrottleEntry
@@ -69,36 +69,6 @@
     assert made.selection.choose(admit(made, 2), T, unthrottled=True) is None
 
 
-def test_where_all_endpoints_hold_reductions_the_tiers_reduction_governs():
-    for pressed, share, sent in ((False, 0.0, True), (True, 0.0, True), (False, 1.0, False)):
-        made, port = make_balancer()
-        made.concurrency.is_overloaded, made.throttling.tier.reduction, made.throttling.tier.valid_until = (
-            pressed,
-            share,
-            T + S,
-        )
-        for u in made.selection.ready:
-            u.entries[-1].reduction, u.entries[-1].valid_until = 1.0, T + S
-        admit(made, 2)
-        assert bool(port.of("send")) is sent
-
-
-def test_tier_reduction_is_rejected_at_the_entry_tier_only():
-    for tier in (0, 1):
-        made, port = make_balancer(tier=tier)
-        made.throttling.tier.reduction, made.throttling.tier.valid_until = 1.0, T + S
-        admit(made, 0)
-        assert bool(port.of("send")) == bool(tier)
-
-
-def test_late_attempts_count_for_the_tier_only_in_an_overload():
-    for pressed in (False, True):
-        made, _ = make_balancer()
-        made.concurrency.is_overloaded = pressed
-        admit(made, 0).attempt_finished(T, 0, Outcome.SUCCEEDED, IDEMPOTENT.latency_objective, True)
-        assert made.throttling.tier.failed == pressed
-
-
 def test_same_zone_reduction_adds_up_and_eases_by_half_at_most():
     entry, shares = ThrottleEntry(), []
     for now, bad in enumerate((5, 5, 2, -1, -5), 1):
@@ -115,14 +85,6 @@
     assert made.throttling.validity >= TIER_FLOOR * made.throttling.window > span
 
 
-def test_only_a_requests_first_endpoint_counts_for_the_tier():
-    made, _ = make_balancer()
-    request = admit(made, 0)
-    for number in range(3):
-        request.attempt_finished(T, number, Outcome.REJECTED, MS, False)
-    assert made.throttling.tier.sampled == made.throttling.tier.failed == 1
-
-
 def balancer_with_failing_class(others):
     """One class_index fails at every endpoint, the others as told."""
     made, port = make_balancer(can_health_check=False)
