--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -73,7 +73,10 @@
         return in_flight < limit
 
     def is_nearly_full(self) -> bool:
-        """Returns whether the share open to all priorities is in flight."""
+        """Returns whether the share of the limit that is open to all priorities is in flight.
+
+        Below it there are places for all, and nothing is gained by rejecting any.
+        """
         return self.in_flight >= EQUAL_SHARE * self.limit
 
     def is_due(self, now: int) -> bool:
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -51,7 +51,10 @@
         return max(self.tick, round(self.mean_latencies[class_index]))
 
     def queue_wait(self, class_index: int, ahead: int) -> int:
-        """Returns how long so many turns of a key take (us), all of this class."""
+        """Returns how long so many turns of a key take (us), all taken to be of this class.
+
+        Without the wait, a request would be queued whose turn comes too late.
+        """
         return round(ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -41,17 +41,21 @@
     return [endpoint for endpoint in endpoints if is_deduplicated_at(request, endpoint, executed)]
 
 
-def load_limit_of(endpoints: list[Endpoint]) -> float:
-    """Returns the mean of attempts in flight by weight: above it an endpoint is skipped.
+def available_endpoints(pool: list[Endpoint]) -> tuple[list[Endpoint], float]:
+    """Returns those of a pool that are not ejected, and their load limit.
 
-    Round robin alone would queue requests at an endpoint that has become slow.
+    The limit is their mean of attempts in flight by weight; above it an endpoint is skipped. Round robin
+    alone would queue requests at an endpoint that has become slow.
     """
+    available = []
     weights = 0.0
     attempts = 0
-    for endpoint in endpoints:
-        weights += endpoint.weight
-        attempts += len(endpoint.in_flight)
-    return attempts / weights if weights else 0.0
+    for endpoint in pool:
+        if not endpoint.is_ejected:
+            available.append(endpoint)
+            weights += endpoint.weight
+            attempts += len(endpoint.in_flight)
+    return available, attempts / weights if weights else 0.0
 
 
 class EndpointSelection:
@@ -198,8 +202,7 @@
         for pool in pools:
             if not pool:
                 continue
-            candidates = [endpoint for endpoint in pool if not endpoint.is_ejected]
-            load_limit = load_limit_of(candidates)
+            candidates, load_limit = available_endpoints(pool)
             if request.attempts:
                 tried = [attempt.endpoint for attempt in request.attempts]
                 candidates = [endpoint for endpoint in candidates if endpoint not in tried]
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,8 +1,10 @@
 """Events, deadlines, and what one balancer hands over to the next."""
 
+import pytest
 from fake_port import DEDUPLICATED, IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
+from msgspec import convert, to_builtins
 
-from dahliabend.model import Outcome
+from dahliabend.model import Outcome, Snapshot
 
 T = 100 * S
 
@@ -77,3 +79,15 @@
             admit(made, 2, ref=ref)
         logs.append(list(port))
     assert logs[0] == logs[1]
+
+
+def test_snapshot_is_stored_under_its_old_keys_and_one_that_does_not_fit_is_refused():
+    made, _ = make_balancer(endpoints=2)
+    stored = to_builtins(made.snapshot(ends=False))
+    assert list(stored) == ["shape", "usual", "gap", "upstreams", "crowd"]
+    assert [len(values) for values in stored["upstreams"].values()] == [10, 10]
+    assert len(stored["crowd"]) == 8
+    assert to_builtins(convert(stored, Snapshot)) == stored
+    for key, value in (("crowd", stored["crowd"][:-1]), ("crowd", [*stored["crowd"], 0]), ("shape", None)):
+        with pytest.raises(ValueError, match="Expected"):
+            convert({**stored, key: value}, Snapshot)
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -71,3 +71,31 @@
     assert not port.of("send")
     made.concurrency.in_flight_elsewhere = 0
     assert not admit(made, 0, ref=2).is_answered
+
+
+def test_latency_target_is_bound_to_the_lowest_latency_seen():
+    made, _ = make_balancer()
+    for lowest, target in ((0.03, 0.09), (0.2, 1 / 3), (0.6, 0.8)):
+        made.concurrency.min_latency_ratio = lowest
+        assert abs(made.concurrency.latency_target() - target) < 1e-9
+
+
+def test_is_due_with_enough_successes_and_two_latencies_later():
+    made, _ = make_balancer()
+    made.concurrency.adjusted_at, made.concurrency.succeeded = T, TIER_FLOOR
+    pause = made.throttling.window // 2
+    assert not made.concurrency.is_due(T + pause - 1)
+    assert made.concurrency.is_due(T + pause)
+    made.concurrency.mean_latency = pause
+    assert not made.concurrency.is_due(T + 2 * pause - 1)
+    assert made.concurrency.is_due(T + 2 * pause)
+    made.concurrency.succeeded = TIER_FLOOR - 1
+    assert not made.concurrency.is_due(T + 2 * pause)
+
+
+def test_is_nearly_full_at_the_share_open_to_all():
+    made, _ = make_balancer()
+    made.concurrency.limit = 10.0
+    for in_flight, full in ((5, False), (6, True)):
+        made.concurrency.in_flight = in_flight
+        assert made.concurrency.is_nearly_full() is full
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -1,10 +1,17 @@
 """Endpoint lists, subsets, zones, round robin and slow start."""
 
-from fake_port import MS, S, admit, make_balancer
+from dataclasses import replace
 
-from dahliabend.model import EndpointState, Outcome
+from fake_port import DEDUPLICATED, MS, S, admit, make_balancer
+
+from dahliabend.model import DeduplicationScope, EndpointState, Outcome
 from dahliabend.policy.concurrency import INITIAL_LIMIT
-from dahliabend.policy.selection import MIN_SUBSET
+from dahliabend.policy.selection import (
+    MIN_SUBSET,
+    available_endpoints,
+    is_deduplicated_at,
+    permitted_endpoints,
+)
 from dahliabend.policy.throttling import FLOOR, VALIDITY_WINDOWS
 
 T = 100 * S
@@ -189,3 +196,39 @@
     bound, _ = make_balancer(endpoints=2)
     bound.update_endpoints(T, [row(1, EndpointState.REMOVED)], full=False)
     assert set(bound.selection.endpoints) == {0}
+
+
+def test_available_endpoints_leave_out_ejected_ones_and_tell_the_mean_load():
+    made, _ = make_balancer(endpoints=3)
+    pool = list(made.selection.endpoints.values())
+    pool[0].is_ejected = True
+    pool[0].in_flight.update(dict.fromkeys(range(9)))
+    pool[1].in_flight.update(dict.fromkeys(range(3)))
+    assert available_endpoints(pool) == (pool[1:], 1.5)
+    assert available_endpoints(pool[:1]) == ([], 0.0)
+
+
+def test_is_deduplicated_at_by_scope():
+    for scope, known in (
+        (DeduplicationScope.ALL, [True] * 4),
+        (DeduplicationScope.ZONE, [True, False, True, False]),
+        (DeduplicationScope.CELL, [True, False, False, False]),
+    ):
+        made, _ = make_balancer(request_classes=(replace(DEDUPLICATED, deduplication_scope=scope),))
+        for endpoint in made.selection.endpoints.values():
+            endpoint.cell, endpoint.zone = endpoint.index, endpoint.index % 2
+        request = admit(made, 0)
+        first = request.attempts[0]
+        first.cell, first.zone = 0, 0
+        endpoints = made.selection.endpoints.values()
+        assert [is_deduplicated_at(request, endpoint, first) for endpoint in endpoints] == known
+        permitted = permitted_endpoints(request, list(endpoints))
+        assert [endpoint in permitted for endpoint in endpoints] == known
+        first.may_have_executed = False
+        assert len(permitted_endpoints(request, list(endpoints))) == 4
+
+
+def test_initial_subset_size_is_all_unless_balancers_outnumber_endpoints():
+    for balancers, size in ((1, 40), (40, 40), (41, MIN_SUBSET)):
+        made, _ = make_balancer(endpoints=40, instance_count=balancers)
+        assert made.selection.initial_subset_size() == size
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,9 +1,9 @@
 """Ejection and recovery of endpoints, and connections that died while idle."""
 
-from fake_port import MS, S, admit, make_balancer
+from fake_port import IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
 
 from dahliabend.model import Outcome
-from dahliabend.policy.throttling import FLOOR, LINGER, TIER_FLOOR
+from dahliabend.policy.throttling import FLOOR, LINGER, OUTLIER_REDUCTION, TIER_FLOOR
 
 T = 100 * S
 
@@ -174,3 +174,96 @@
     assert u.is_ejected
     made.health_check_finished(T + 2 * S, 0, Outcome.SUCCEEDED)
     assert not u.is_ejected
+
+
+def test_is_hung_only_when_silent_for_long_while_others_answer():
+    made, _ = make_balancer(endpoints=2)
+    made.concurrency.mean_latency = 100 * MS
+    endpoint = admit(made, 0).attempts[0].endpoint
+    allowed = 400 * MS + made.tick
+    assert not made.outliers.is_hung(endpoint, T + allowed + 1)  # nobody answers
+    made.outliers.last_answer_at = T + 1
+    assert not made.outliers.is_hung(endpoint, T + allowed)
+    assert made.outliers.is_hung(endpoint, T + allowed + 1)
+    made.throttling.class_outliers[0] = True
+    assert not made.outliers.is_hung(endpoint, T + allowed + 1)
+
+
+def test_is_failing_only_beside_a_tier_that_holds_less_than_half():
+    made, _ = make_balancer()
+    endpoint = made.selection.endpoints[0]
+    for own, tier, failing in (
+        (OUTLIER_REDUCTION, 0.0, True),
+        (OUTLIER_REDUCTION - 0.01, 0.0, False),
+        (0.8, 0.39, True),
+        (0.8, 0.4, False),
+    ):
+        endpoint.entries[-1].reduction = own
+        made.throttling.tier.reduction = tier
+        assert made.outliers.is_failing(endpoint) is failing
+
+
+def test_is_failing_quickly_by_its_open_window_or_after_an_ejection():
+    made, _ = make_balancer()
+    endpoint = made.selection.endpoints[0]
+    assert not made.outliers.is_failing_quickly(endpoint)
+    endpoint.entries[-1].add(FLOOR - 1, FLOOR - 1)
+    assert not made.outliers.is_failing_quickly(endpoint)
+    endpoint.entries[-1].add(0, 1)
+    assert made.outliers.is_failing_quickly(endpoint)
+    made.throttling.tier.reduction = OUTLIER_REDUCTION / 2
+    assert not made.outliers.is_failing_quickly(endpoint)
+    made.throttling.tier.reduction = 0.0
+    fresh = made.selection.endpoints[1]
+    fresh.consecutive_failures = 1
+    assert made.outliers.is_failing_quickly(fresh)
+
+
+def test_is_gone_after_a_validity_without_an_answer():
+    made, _ = make_balancer()
+    endpoint = made.selection.endpoints[0]
+    endpoint.answered_at = T
+    assert not made.outliers.is_gone(endpoint, T + made.throttling.validity - 1)
+    assert made.outliers.is_gone(endpoint, T + made.throttling.validity)
+
+
+def test_check_wait_and_trial_wait_double_with_each_failure_up_to_a_bound():
+    made, _ = make_balancer()
+    endpoint = made.selection.endpoints[0]
+    checks, trials = [], []
+    for failures in (0, 1, 5, 9):
+        endpoint.consecutive_failures = failures
+        checks.append(made.outliers.check_wait(endpoint) // made.tick)
+        trials.append(made.outliers.trial_wait(endpoint) // made.throttling.span)
+    assert checks == [1, 2, 32, 32]
+    assert trials == [1, 2, 32, 64]
+    endpoint.consecutive_failures = 0
+    made.throttling.validity = 3 * made.throttling.span
+    assert made.outliers.trial_wait(endpoint) == 3 * made.throttling.span
+
+
+def test_needs_trial_once_ejected_again_and_where_any_class_may_try():
+    for classes, needed in (((IDEMPOTENT,), True), ((NON_IDEMPOTENT,), False)):
+        made, _ = make_balancer(request_classes=classes)
+        endpoint = made.selection.endpoints[0]
+        endpoint.consecutive_failures = 1
+        assert not made.outliers.needs_trial(endpoint)
+        endpoint.consecutive_failures = 2
+        assert made.outliers.needs_trial(endpoint) is needed
+        made.outliers.awaiting_trial[endpoint] = None
+        assert not made.outliers.needs_trial(endpoint)
+
+
+def test_idle_losses_count_a_quick_reset_as_many_and_an_answered_end_as_none():
+    made, _ = make_balancer()
+    attempt = admit(made, 0).attempts[0]
+    for outcome, took, heard, losses in (
+        (Outcome.RESET, MS, T, 8),
+        (Outcome.RESET, 5 * MS, T, 0),
+        (Outcome.TIMED_OUT, S, T, 1),
+        (Outcome.CANCELLED, S, T, 1),
+        (Outcome.TIMED_OUT, S, T + 1, 0),
+        (Outcome.FAILED, S, T, 0),
+    ):
+        attempt.endpoint.silent_since = heard
+        assert made.outliers.idle_losses(attempt, T + S, outcome, took, 100 * MS) == losses
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -3,7 +3,7 @@
 from fake_port import DEDUPLICATED, MS, S, admit, make_balancer
 
 from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
-from dahliabend.policy.retries import may_attempt
+from dahliabend.policy.retries import cancellable_attempts, is_retryable, is_retryable_by_client, may_attempt
 
 T = 100 * S
 
@@ -102,3 +102,74 @@
     alone.give_up(request)
     request.hedge_timer_fired(100 * S + 400 * MS)
     assert request.in_flight == 1
+
+
+def test_may_attempt_no_more_than_max_attempts_and_never_without_the_body():
+    made, _ = make_balancer(max_attempts=2)
+    request = admit(made, 0)
+    request.in_flight = 0
+    assert may_attempt(request, T)
+    request.body_consumed()
+    assert not may_attempt(request, T)
+    request.is_body_consumed = False
+    request.attempts.append(request.attempts[0])
+    assert not may_attempt(request, T)
+
+
+def test_may_retry_free_of_cost_only_after_proof_that_it_did_not_execute():
+    made, _ = make_balancer()
+    for budget, allowed in (
+        (0.9, {Outcome.REJECTED, Outcome.UNREACHABLE}),
+        (1.0, set(Outcome) - {Outcome.NOT_SENT}),
+    ):
+        made.retries.budget = budget
+        assert {outcome for outcome in Outcome if made.retries.may_retry(outcome)} == allowed
+    made.retries.pay_for_retry(Outcome.REJECTED)
+    assert made.retries.budget == 1
+    made.retries.pay_for_retry(Outcome.FAILED)
+    assert made.retries.budget == 0
+
+
+def test_budget_is_earned_by_first_attempts_up_to_its_maximum():
+    made, _ = make_balancer()
+    made.retries.budget = 0.0
+    for _ in range(5):
+        made.retries.earn()
+    assert abs(made.retries.budget - 0.5) < 1e-9
+    for _ in range(200):
+        made.retries.earn()
+    assert made.retries.budget == 10
+
+
+def test_may_hedge_only_while_open_within_the_deadline_with_budget_and_attempts_left():
+    made, _ = make_balancer()
+    request = admit(made, 0)
+    assert made.retries.may_hedge(request, T)
+    assert not made.retries.may_hedge(request, request.deadline)
+    for name, value in (("is_answered", True), ("is_streaming", True), ("in_flight", 2), ("max_attempts", 1)):
+        before = getattr(request, name)
+        setattr(request, name, value)
+        assert not made.retries.may_hedge(request, T), name
+        setattr(request, name, before)
+    made.retries.budget = 0.9
+    assert not made.retries.may_hedge(request, T)
+
+
+def test_is_retryable_and_by_the_client_follow_the_effect():
+    made, _ = make_balancer()
+    requests = [admit(made, class_index) for class_index in range(3)]
+    assert [is_retryable(request) for request in requests] == [True, True, False]
+    assert [is_retryable_by_client(request) for request in requests] == [True, False, False]
+    for request in requests:
+        request.attempts[0].may_have_executed = False
+    assert all(is_retryable_by_client(request) for request in requests)
+
+
+def test_cancellable_attempts_are_the_newest_and_the_one_it_hedges_but_none_that_streams():
+    made, _ = make_balancer()
+    request = admit(made, 0)
+    assert list(cancellable_attempts(request)) == [0]
+    request.hedge_timer_fired(T + MS)
+    assert list(cancellable_attempts(request)) == [0, 1]
+    request.response_started(T + 2 * MS, 1)
+    assert list(cancellable_attempts(request)) == []
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -130,3 +130,18 @@
 
 def test_where_all_classes_fail_none_is_an_outlier():
     assert balancer_with_failing_class(Outcome.TIMED_OUT)[0].throttling.class_outliers == [False] * 3
+
+
+def test_tier_floor_is_halved_after_a_validity():
+    made, _ = make_balancer()
+    span = made.throttling.span
+    assert [made.throttling.tier_floor(elapsed) for elapsed in (0, span - 1, span)] == [20, 20, 10]
+
+
+def test_find_class_outliers_needs_another_class_that_is_clean():
+    made, _ = make_balancer()
+    classes = made.throttling.classes
+    for other, valid_until, outlier in ((0.0, T + 1, True), (0.0, T, False), (0.2, T + 1, False)):
+        classes[0].reduction, classes[0].valid_until = 1 - OUTLIER_REDUCTION, T + 1
+        classes[1].reduction, classes[1].valid_until = other, valid_until
+        assert made.throttling.find_class_outliers(T) == [outlier, False, False]
