--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -3,16 +3,15 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from random import Random
-from typing import Any
 
 from dahliabend.config.operator_file.schema import OperatorFile
-from dahliabend.http.dispatch import Client
+from dahliabend.http.dispatch import Client, IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
-from dahliabend.http.streaming import StreamingBody
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
 from dahliabend.proxy.pool import Pool
-from dahliabend.proxy.request import IncomingRequest, Request
+from dahliabend.proxy.pool_state import PoolTelemetry
+from dahliabend.proxy.request import Request
 from dahliabend.proxy.router import Router
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.route_table import HTTP_METHODS, RouteTable
@@ -22,7 +21,13 @@
 MAX_POOLS = 1024  # at once; the handle of a request modulo this is its pool's number modulo this
 MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds
 LIMIT_EXCEEDED_BODY = b"too many of this route\n"
-POOL_TELEMETRY = ("registry_entries", "out_of_rotation")
+
+
+class DispatcherTelemetry(PoolTelemetry):
+    """The counts of all pools together and of each, and of requests that limits have rejected."""
+
+    pools: dict[str, PoolTelemetry]
+    limited: int
 
 
 @dataclass(slots=True)
@@ -68,7 +73,6 @@
         self.next_pool_number = 0
         self.excluded: set[str] = set()
         self.limited = 0
-        self.request_headers: dict[bytes, bytes] = {}  # of the request that is dispatched next
 
     # Pools and routes.
 
@@ -80,7 +84,7 @@
         self.pools_by_name[name] = pool
         for endpoint_name in self.excluded:
             router.table.remember_id(endpoint_name)
-            router.exclude(endpoint_name, True)
+            router.exclude(endpoint_name, excluded=True)
         return pool
 
     def retire_pool(self, name: str) -> None:
@@ -126,30 +130,12 @@
 
         An id is made up, and the route's timeout taken, where the client says nothing.
         """
-        # Kept until `dispatch`: by then the client's connection may be reading the next request.
-        self.request_headers = headers
         trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
         timeout_ms = self.routes.choices[route_number].total_timeout // 1000
         return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
 
-    def dispatch(  # noqa: PLR0913 - the signature that client connections call
-        self,
-        client: Client,
-        route_number: int,
-        method: bytes,
-        target: bytes,
-        headers: bytes,
-        body: bytes,
-        *,
-        client_timeout: int,
-        received_at: int,
-        tenant: bytes,
-        is_retry: bool,
-        trace_id: bytes,
-        upload: StreamingBody | None = None,
-        key: bytes = b"",
-    ) -> int:
-        """Hand a request to its route's pools; for the arguments see `IncomingRequest`.
+    def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
+        """Hand a request to its route's pools.
 
         Returns:
             The request's handle, or `NO_HANDLE` if it has its response already.
@@ -157,20 +143,17 @@
         now = clock()
         route = self.routes.choices[route_number]
         if not route.limit.try_acquire(now):
-            self._reject_by_limit(client, route, now)
+            self._reject_by_limit(incoming.client, route, now)
             return NO_HANDLE
-        client.on_request_finished = route.limit.release
-        split_key = self.request_headers.get(route.split_by, b"") if route.split_by else b""
+        incoming.client.on_request_finished = route.limit.release
+        split_key = incoming.fields.get(route.split_by, b"") if route.split_by else b""
         candidates = route.candidate_pools(split_key, self.ready_fraction)
-        if not self.request_headers.get(TRACE):
-            headers += b"X-Trace-Id: %b\r\n" % trace_id
-        incoming = IncomingRequest(
-            client, method, target, headers, body, client_timeout, received_at, tenant, is_retry, trace_id,
-            upload, key,
-        )  # fmt: skip
-        if route.mirror and upload is None and self.random.random() < route.mirror_share:
+        if not incoming.fields.get(TRACE):
+            headers = incoming.headers + b"X-Trace-Id: %b\r\n" % incoming.trace_id
+            incoming = incoming._replace(headers=headers)
+        if route.mirror and incoming.upload is None and self.random.random() < route.mirror_share:
             self._mirror(incoming, route.mirror, route_number)
-        return self._admit(incoming, candidates, route_number)
+        return self._dispatch_to_pools(incoming, candidates, route_number)
 
     def _reject_by_limit(self, client: Client, route: CompiledRoute, now: int) -> None:
         self.limited += 1
@@ -182,14 +165,14 @@
         """Send a copy of a request to a pool whose responses are dropped."""
         trace_id = incoming.trace_id + TRACE_ID_SUFFIX
         copy = incoming._replace(
-            client=DiscardingClient(incoming.client.profile),
+            client=DiscardingClient(incoming.client.class_name),
             headers=mirror_headers(incoming.headers, trace_id),
             trace_id=trace_id,
         )
         class_index = self.routes.class_indices[pool_name][route_number]
-        self.pools_by_name[pool_name].router.admit(copy, class_index)
+        self.pools_by_name[pool_name].router.dispatch(copy, class_index)
 
-    def _admit(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
+    def _dispatch_to_pools(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
         """Offer a request to pools in order, until one of them doesn't reject it at once.
 
         The rejection of the last one is the response.
@@ -199,7 +182,7 @@
             pool = self.pools_by_name[name]
             rejected: list[int] = []
             on_rejected = rejected.append if name != candidates[-1] else None
-            number = pool.router.admit(incoming, class_indices[name][route_number], on_rejected)
+            number = pool.router.dispatch(incoming, class_indices[name][route_number], on_rejected)
             if not rejected:
                 break
         return NO_HANDLE if number < 0 else number * MAX_POOLS + pool.number % MAX_POOLS
@@ -255,11 +238,15 @@
         """By pool, ended requests by the operators' names of their ends."""
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
-    def telemetry(self) -> dict[str, Any]:
+    def telemetry(self) -> DispatcherTelemetry:
         """Return counts of endpoints, in total and by pool, and of requests that limits have rejected."""
         by_pool = {pool.name: pool.router.telemetry() for pool in self.pools.values()}
-        totals = {name: sum(counts[name] for counts in by_pool.values()) for name in POOL_TELEMETRY}
-        return totals | {"pools": by_pool, "limited": self.limited}
+        return {
+            "registry_entries": sum(counts["registry_entries"] for counts in by_pool.values()),
+            "out_of_rotation": sum(counts["out_of_rotation"] for counts in by_pool.values()),
+            "pools": by_pool,
+            "limited": self.limited,
+        }
 
     def __iter__(self) -> Iterator[Pool]:
         return iter(list(self.pools.values()))
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -17,7 +17,7 @@
 from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.serving_state import ServingState
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.policy import balancer, selection
 from dahliabend.policy.balancer import Balancer
@@ -103,7 +103,7 @@
     real = Router.forget_if_finished
 
     def forget_if_finished(self, request):
-        if not request.trace_id.endswith(b"7"):
+        if not request.incoming.trace_id.endswith(b"7"):
             real(self, request)
 
     return instead(Router, "forget_if_finished", forget_if_finished)
@@ -131,11 +131,11 @@
 def answer_late():
     real = Router.respond
 
-    def respond(self, ref, how, status, headers, body):
+    def respond(self, request, how, status, headers, body):
         if how == "committed":
-            real(self, ref, how, status, headers, body)
+            real(self, request, how, status, headers, body)
         else:
-            self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
+            self.timers.schedule(clock() + 2 * S, real, self, request, how, status, headers, body)
 
     return instead(Router, "respond", respond)
 
@@ -215,7 +215,7 @@
         self.pool.remove_connection(self)
         handler, self.handler = self.handler, None
         if handler is not None and getattr(self, "head_complete", False):
-            handler.response_complete(200, False, b"", b"", b"".join(self.body))
+            handler.response_complete(UpstreamResponse(200, b"", b"".join(self.body), b"", False))
         elif handler is not None:
             handler.connection_failed(self.is_flushed)
 
@@ -261,7 +261,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.owner.respond(self.request.number, "abandoned", 502, b"", b"early\n")
+            self.owner.respond(self.request, "abandoned", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
