--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -13,7 +13,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.handles import NO_HANDLE
 from dahliabend.transport.hangup_detection import HangupDetectingConnection
-from dahliabend.transport.timers import Timer, TimerQueue, clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, TimerQueue, clock
 
 # Microseconds.
 REQUEST_TIMEOUT = 2_500_000  # for a request to come whole, the first counted from connecting; 3 s are due
@@ -34,7 +34,7 @@
         queue: Requests that can be served, behind the one that is being served.
         state: What it does with requests.
         keep_alive: The connection goes on behind the response.
-        request: Handle of the request being served, `NO_HANDLE` if the dispatcher has none of it.
+        request_handle: Handle of the request being served, `NO_HANDLE` if the dispatcher has none of it.
         class_name: Name of that request's class, until its response is sent; empty if of no known one.
         on_request_finished: Called then; set by the dispatcher.
         upload: Its body, if that still comes.
@@ -54,7 +54,7 @@
         self.queue: deque[ReceivedRequest] = deque()
         self.state: ServingState = WAITING
         self.keep_alive = False
-        self.request = NO_HANDLE
+        self.request_handle = NO_HANDLE
         self.class_name = b""
         self.on_request_finished: Callable[[], object] | None = None
         self.upload: StreamingBody | None = None
@@ -129,9 +129,9 @@
         """A fault in a body that is passed on already: it has no end, so that it is never executed."""
         self.upload = None
         self.keep_alive = False
-        request = self.request
-        self.request = NO_HANDLE
-        self.dispatcher.client_disconnected(request)
+        handle = self.request_handle
+        self.request_handle = NO_HANDLE
+        self.dispatcher.client_disconnected(handle)
         self.send_error(self.parser.error_status)
 
     def _answer_error(self) -> None:
@@ -178,14 +178,14 @@
             headers=request.headers,
             body=body,
             upload=self.upload,
-            client_timeout=int(timeout_ms) * 1000,
+            client_timeout=int(timeout_ms) * MICROSECONDS_PER_MILLISECOND,
             received_at=request.received_at,
             trace_id=trace_id,
             tenant=request.fields.get(wire.TENANT, b""),
             is_retry=request.fields.get(wire.RETRY) == b"1",
             ordering_key=request.fields.get(wire.ORDERING_KEY, b""),
         )
-        self.request = self.dispatcher.dispatch(incoming, class_number)
+        self.request_handle = self.dispatcher.dispatch(incoming, class_number)
 
     def _take_streaming_body(self, body: StreamingBody) -> bytes:
         """The body if it has come whole meanwhile; else it is the upload, and nothing goes ahead of it."""
@@ -229,7 +229,7 @@
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
         """Answers the request being served with a response that is known whole."""
-        self.request = NO_HANDLE
+        self.request_handle = NO_HANDLE
         if self.closed:
             return
         if self.class_name:
@@ -284,7 +284,7 @@
             return
         response = self.response
         self.response = None
-        self.request = NO_HANDLE
+        self.request_handle = NO_HANDLE
         self.dispatcher.count_response(self.class_name, 200)
         self.state = FLUSHING
         due = clock() + STREAM_TIMEOUT_FACTOR * self.write_timeout
@@ -297,7 +297,7 @@
             return
         response = self.response
         self.response = None
-        self.request = NO_HANDLE
+        self.request_handle = NO_HANDLE
         self.dispatcher.count_response(self.class_name, 502)
         if response.framing is Framing.UNTIL_CLOSE:
             self.reset()  # an end in order would be taken for that of the response
@@ -393,7 +393,7 @@
         self.timers.cancel(self.stall_timer)
         super().connection_closed()
         self._request_finished()
-        request = self.request
-        self.request = NO_HANDLE
-        if request >= 0:
-            self.dispatcher.client_disconnected(request)
+        handle = self.request_handle
+        self.request_handle = NO_HANDLE
+        if handle != NO_HANDLE:
+            self.dispatcher.client_disconnected(handle)
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -116,7 +116,7 @@
             A handle that names the request until it is answered; `NO_HANDLE` if it has been already.
         """
 
-    def client_disconnected(self, number: int) -> None:
+    def client_disconnected(self, handle: int) -> None:
         """The client of a request that is not answered has gone."""
 
     def ready(self) -> bool:
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -7,12 +7,11 @@
 from dahliabend.http import headers as wire
 from dahliabend.http.responses import HTTP_1_1
 from dahliabend.http.streaming import BodySource, StreamingBody
-from dahliabend.transport.timers import clock
+from dahliabend.transport.timers import MICROSECONDS_PER_SECOND, clock
 
 BODY_PAUSE_TIMEOUT = 2_400_000  # microseconds in a body without a byte
 MIN_BODY_BYTES_PER_SECOND = 48 * 1024  # in the mean, but for `BODY_PAUSE_TIMEOUT` at the body's start
 ABSOLUTE_PREFIX = b"http://"
-MICROSECONDS = 1_000_000  # of a second
 
 
 class ReceivedRequest(NamedTuple):
@@ -115,7 +114,7 @@
 
     def body_deadline(self) -> int:
         """Clock time until which more of the body now coming has to have come."""
-        pace_time = self.size * MICROSECONDS // MIN_BODY_BYTES_PER_SECOND
+        pace_time = self.size * MICROSECONDS_PER_SECOND // MIN_BODY_BYTES_PER_SECOND
         return min(
             self.head_complete_at + BODY_PAUSE_TIMEOUT + pace_time,
             self.last_body_byte_at + BODY_PAUSE_TIMEOUT,
--- a/dahliabend/http/responses.py
+++ b/dahliabend/http/responses.py
@@ -4,12 +4,22 @@
 
 from dahliabend.http.headers import REASONS
 from dahliabend.http.streaming import LAST_CHUNK, BodySource
+from dahliabend.transport.timers import MICROSECONDS_PER_SECOND
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CONNECTION_CLOSE = b"Connection: close\r\n"
 HTTP_1_1 = "1.1"
 
 
+def retry_after_header(retry_after: int) -> bytes:
+    r"""The header line that says when to come back, in microseconds; nothing for 0.
+
+    >>> retry_after_header(1_500_000), retry_after_header(0)
+    (b'Retry-After: 1.500\r\n', b'')
+    """
+    return b"Retry-After: %.3f\r\n" % (retry_after / MICROSECONDS_PER_SECOND) if retry_after else b""
+
+
 def response_head(status: int, headers: bytes, connection_line: bytes, body_length: int) -> bytes:
     """The head of a response whose body is known.
 
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from dahliabend.http.streaming import BodySource
+from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import Effect, Outcome
 from dahliabend.policy.retries import RequestState
@@ -10,7 +10,7 @@
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.request import Request
 from dahliabend.proxy.upstream_request import Phase, UpstreamRequest
-from dahliabend.transport.timers import Timer, clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, clock
 
 NO_DEADLINE = 1 << 50  # microseconds
 STALL_TIMEOUT = 20_000_000  # microseconds; peers may take seconds to read or write, but not that long
@@ -94,7 +94,7 @@
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
             self.head,
-            max(1, time_left // 1000),
+            max(1, time_left // MICROSECONDS_PER_MILLISECOND),
             self.request.incoming.headers,
             framing,
         )
@@ -113,21 +113,32 @@
 
     def request_written(self) -> None:
         """Count it, and schedule the hedge. The time of a streamed body counts from here."""
-        request = self.request
-        timers = self.endpoint.resources.timers
         self.last_progress = clock()
-        self.owner.metrics.count_attempt(request.class_name)
+        self.owner.metrics.count_attempt(self.request.class_name)
+        if self.upload is None:
+            self._schedule_hedge()
+        elif self.request.state.body_pending:
+            self._restart_time(self.upload)
+
+    def _schedule_hedge(self) -> None:
+        request = self.request
         hedge_delay = request.policy.request_classes[request.class_index].hedge_delay
-        if hedge_delay and self.index == 0 and self.upload is None:
-            self.hedge_timer = timers.schedule(self.started_at + hedge_delay, self.hedge_timer_fired)
-        if self.upload is not None and request.state.body_pending:
-            # Nothing could be executed until now: what the client took to send counts against nobody.
-            deadline = self.upload.ended_at + request.client_timeout
-            timeout = request.state.body_received(self.last_progress, deadline)
-            self.started_at = self.last_progress
-            self.expires_at = self.last_progress + timeout
-            timers.cancel(self.timeout_timer)
-            self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
+        if hedge_delay and self.index == 0:
+            hedge_at = self.started_at + hedge_delay
+            self.hedge_timer = self.endpoint.resources.timers.schedule(hedge_at, self.hedge_timer_fired)
+
+    def _restart_time(self, upload: StreamingBody) -> None:
+        """Count its time from now on, as the last byte of its body has been sent.
+
+        Nothing could be executed until now: what the client took to send counts against nobody.
+        """
+        timers = self.endpoint.resources.timers
+        deadline = upload.ended_at + self.request.client_timeout
+        timeout = self.request.state.body_received(self.last_progress, deadline)
+        self.started_at = self.last_progress
+        self.expires_at = self.last_progress + timeout
+        timers.cancel(self.timeout_timer)
+        self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
 
     def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Stream a response of unknown length before long: buffered until its end it may come too late."""
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -7,6 +7,7 @@
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.dispatch import Client, IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.responses import retry_after_header
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
 from dahliabend.proxy.pool import Pool
@@ -16,7 +17,7 @@
 from dahliabend.routing_rules.compiled_route import CompiledRoute, compile_routes
 from dahliabend.routing_rules.route_table import HTTP_METHODS, RouteTable
 from dahliabend.transport.handles import NO_HANDLE
-from dahliabend.transport.timers import clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
 MAX_POOLS = 1024  # at once; the handle of a request modulo this is its pool's number modulo this
 MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds
@@ -131,7 +132,7 @@
         An id is made up, and the route's timeout taken, where the client says nothing.
         """
         trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
-        timeout_ms = self.routes.choices[route_number].total_timeout // 1000
+        timeout_ms = self.routes.choices[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
         return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
 
     def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
@@ -158,8 +159,7 @@
     def _reject_by_limit(self, client: Client, route: CompiledRoute, now: int) -> None:
         self.limited += 1
         retry_after = min(MAX_LIMIT_RETRY_AFTER, route.limit.time_until_token(now))
-        advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
-        client.send_response(503, advice, LIMIT_EXCEEDED_BODY)
+        client.send_response(503, retry_after_header(retry_after), LIMIT_EXCEEDED_BODY)
 
     def _mirror(self, incoming: IncomingRequest, pool_name: str, route_number: int) -> None:
         """Send a copy of a request to a pool whose responses are dropped."""
@@ -182,21 +182,21 @@
             pool = self.pools_by_name[name]
             rejected: list[int] = []
             on_rejected = rejected.append if name != candidates[-1] else None
-            number = pool.router.dispatch(incoming, class_indices[name][route_number], on_rejected)
+            handle = pool.router.dispatch(incoming, class_indices[name][route_number], on_rejected)
             if not rejected:
                 break
-        return NO_HANDLE if number < 0 else number * MAX_POOLS + pool.number % MAX_POOLS
+        return NO_HANDLE if handle == NO_HANDLE else handle * MAX_POOLS + pool.number % MAX_POOLS
 
     def ready_fraction(self, name: str) -> float:
         """Return the fraction of a pool's endpoints that requests can be sent to."""
         return self.pools_by_name[name].ready_fraction
 
-    def client_disconnected(self, number: int) -> None:
+    def client_disconnected(self, handle: int) -> None:
         """Handle that the client of a request has gone."""
-        pool_request, slot = divmod(number, MAX_POOLS)
+        pool_handle, slot = divmod(handle, MAX_POOLS)
         for pool in self.pools.values():
             if pool.number % MAX_POOLS == slot:
-                pool.router.client_disconnected(pool_request)
+                pool.router.client_disconnected(pool_handle)
 
     # What the server asks.
 
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -8,7 +8,7 @@
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
 from dahliabend.proxy.endpoint_resources import EndpointResources
-from dahliabend.transport.timers import clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
 
 class IdleConnection(NamedTuple):
@@ -75,10 +75,16 @@
         self.weight = row.weight
         self.cell = row.cell
         self.zone = row.zone
-        self.started_at = (row.started_ms * 1000 + epoch or 1) if row.started_ms else 0
+        self.started_at = (
+            (row.started_ms * MICROSECONDS_PER_MILLISECOND + epoch or 1) if row.started_ms else 0
+        )
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
+    def started_ms(self, epoch: int) -> int:
+        """Return when its process was started, in Unix time (ms); 0 if that is not known. See `update`."""
+        return (self.started_at - epoch) // MICROSECONDS_PER_MILLISECOND if self.started_at else 0
+
     def take_idle_connection(self, now: int) -> ReusableConnection:
         """Take an idle connection that is surely still open at the other end, if there is one."""
         # A surplus response may come some milliseconds late and would be taken for the next request's. Where
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -8,6 +8,7 @@
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.upstream_request import UpstreamRequest
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND
 
 
 class HealthCheck(UpstreamRequest):
@@ -44,6 +45,10 @@
             report = response.body if outcome is Outcome.SUCCEEDED else b""
             load = load_reports.parse(report or response.load_report, self.report_fields)
         self.endpoint.resources.log(
-            "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=duration // 1000, load=load
+            "probe",
+            upstream=self.endpoint.name,
+            outcome=outcome.name,
+            ms=duration // MICROSECONDS_PER_MILLISECOND,
+            load=load,
         )
         self.on_result(self.endpoint.index, outcome)
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -198,7 +198,7 @@
                 "cell": endpoint.cell,
                 "weight": endpoint.weight,
                 "state": "up" if endpoint.state is EndpointState.READY else "draining",
-                "started_ms": (endpoint.started_at - self.epoch) // 1000 if endpoint.started_at else 0,
+                "started_ms": endpoint.started_ms(self.epoch),
             }
             for endpoint in self.table.endpoints.values()
         ]
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -40,14 +40,14 @@
         head: Its request line.
         client_timeout: How long its client waits (us), less a margin.
         admitted_at: When it was admitted (us).
-        number: Its handle among the router's requests; -1 for none.
+        handle: Its handle among the router's requests; `NO_HANDLE` before it has one.
         is_admitted: Whether the policy has decided on its admission.
         state: Its state in the policy, from then on.
         policy: The policy that decides on it.
         attempts: Its attempts, by their index in the policy.
         attempt_records: Those of them that have ended, in that order.
         answered: Whether it has its response, or its client has gone: nothing more is sent for it.
-        on_rejected: Called with its number, in place of an answer, if it is rejected during its admission.
+        on_rejected: Called with its handle, in place of an answer, if it is rejected during its admission.
     """
 
     __slots__ = (
@@ -58,10 +58,10 @@
         "class_index",
         "class_name",
         "client_timeout",
+        "handle",
         "head",
         "incoming",
         "is_admitted",
-        "number",
         "on_rejected",
         "policy",
         "route_name",
@@ -79,7 +79,7 @@
         self.head = b"%b %b HTTP/1.1\r\n" % (incoming.method, incoming.target)
         self.client_timeout = client_timeout
         self.admitted_at = clock()
-        self.number = NO_HANDLE
+        self.handle = NO_HANDLE
         self.is_admitted = False
         self.policy = policy
         self.attempts: list[RequestAttempt] = []
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -8,7 +8,7 @@
 from dahliabend.model import Outcome
 from dahliabend.proxy.attempt import Attempt
 from dahliabend.proxy.request import Request
-from dahliabend.transport.timers import clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
 # How a request has ended, by the operators' names.
 SUCCEEDED = "committed"
@@ -41,7 +41,7 @@
                 tx=request.incoming.trace_id.decode("latin-1"),
                 how=ending,
                 hops=_attempt_rows(request),
-                ms=(clock() - request.admitted_at) // 1000,
+                ms=(clock() - request.admitted_at) // MICROSECONDS_PER_MILLISECOND,
                 **_class_fields(request),
             )
         if ending != SUCCEEDED:
@@ -51,7 +51,7 @@
                 **_class_fields(request),
                 hops=_attempt_rows(request),
                 out=len(request.attempts) - len(request.attempt_records),
-                ms=(clock() - request.admitted_at) // 1000,
+                ms=(clock() - request.admitted_at) // MICROSECONDS_PER_MILLISECOND,
             )
 
     def attempt_failed(self, attempt: Attempt, outcome: Outcome, duration: int) -> None:
@@ -62,7 +62,7 @@
             order=attempt.index,
             upstream=attempt.endpoint.name,
             outcome=outcome.name,
-            ms=duration // 1000,
+            ms=duration // MICROSECONDS_PER_MILLISECOND,
             why=attempt.failure_reason,
         )
 
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -6,6 +6,7 @@
 from dahliabend.errors import StaleHandleError
 from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.responses import retry_after_header
 from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy import request_log
@@ -17,7 +18,7 @@
 from dahliabend.proxy.request import AttemptRecord, Request
 from dahliabend.proxy.request_log import RequestLog
 from dahliabend.transport.handles import NO_HANDLE, HandleTable
-from dahliabend.transport.timers import TimerQueue, clock
+from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, TimerQueue, clock
 
 MARGIN_DIVISOR = 8  # the margin for the way back to the client is at most this part of its timeout
 
@@ -140,8 +141,8 @@
             incoming.client.send_error(409)
             return NO_HANDLE
         request = self._create(incoming, class_index)
-        request.number = self.requests.add(request)
-        if request.number == NO_HANDLE:
+        request.handle = self.requests.add(request)
+        if request.handle == NO_HANDLE:
             self.log("no_room", requests=len(self.requests))
             incoming.client.send_response(503, b"", b"too many transactions\n")
             return NO_HANDLE
@@ -149,7 +150,7 @@
         request.on_rejected = on_rejected
         self._admit(request)
         if not request.answered:
-            return request.number
+            return request.handle
         self.forget_if_finished(request)
         return NO_HANDLE
 
@@ -177,7 +178,7 @@
         policy.open_requests += 1
         request.state = policy.balancer.admit(
             request.admitted_at,
-            request.number,
+            request.handle,
             request.class_index,
             self.tenant_indices.get(incoming.tenant, len(self.tenant_indices)),
             deadline,
@@ -189,9 +190,9 @@
         if upload is not None:
             upload.observer = request
 
-    def client_disconnected(self, number: int) -> None:
+    def client_disconnected(self, handle: int) -> None:
         """Handle that the client of a request has gone."""
-        request = self.requests.get(number)
+        request = self.requests.get(handle)
         if request is None:
             return
         if request.answered:  # a response is being streamed to it
@@ -231,7 +232,7 @@
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
             request.on_rejected(ref)
             return
-        advice = b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
+        advice = retry_after_header(retry_after)
         self.respond(request, request_log.REJECTED, 503, advice, b"rolled back\n")
         if request.is_admitted and not request.attempts:
             self.forget_if_finished(request)  # it waited for its turn: no end of an attempt does this
@@ -256,7 +257,9 @@
         """Handle the end of an attempt: answer the client, or let the policy decide on another attempt."""
         request = attempt.request
         endpoint_name = attempt.endpoint.name
-        request.attempt_records.append(AttemptRecord(endpoint_name, outcome.name, duration // 1000))
+        request.attempt_records.append(
+            AttemptRecord(endpoint_name, outcome.name, duration // MICROSECONDS_PER_MILLISECOND)
+        )
         if self.on_attempt_finished is not None:
             self.on_attempt_finished(endpoint_name, outcome)
         if outcome is not Outcome.SUCCEEDED:
@@ -303,7 +306,7 @@
         request.policy.open_requests -= 1
         if not request.policy.open_requests and request.policy is not self.policies[-1]:
             self.policies.remove(request.policy)
-        self.requests.remove(request.number)
+        self.requests.remove(request.handle)
         self.trace_ids.discard(request.incoming.trace_id)
         # Attempts refer to their request: without this it and its body would wait for the garbage collector.
         request.attempts.clear()
--- a/dahliabend/transport/timers.py
+++ b/dahliabend/transport/timers.py
@@ -7,6 +7,10 @@
 
 from dahliabend.transport import host_info
 
+NANOSECONDS_PER_MICROSECOND = 1_000
+MICROSECONDS_PER_MILLISECOND = 1_000
+MICROSECONDS_PER_SECOND = 1_000_000
+MILLISECONDS_PER_SECOND = 1_000
 MIN_CANCELLED_TO_COMPACT = 64  # cancelled timers below which clearing them out is not worth a pass
 
 _WHEN = 0  # places in a `Timer`
@@ -16,7 +20,7 @@
 
 def clock() -> int:
     """Monotonic time in microseconds."""
-    return host_info.monotonic_ns() // 1000
+    return host_info.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
 
 
 class Timer(list[Any]):
@@ -88,8 +92,8 @@
         if self.heap:
             self.armed_for = self.heap[0][_WHEN]
             # The loop counts in milliseconds: rounded down, it would wake again and again until it is time.
-            wait_ms = -((clock() - self.armed_for) // 1000)
-            self.timer = self.loop.call_later(max(0, wait_ms) / 1000, self.run_due)
+            wait_ms = -((clock() - self.armed_for) // MICROSECONDS_PER_MILLISECOND)
+            self.timer = self.loop.call_later(max(0, wait_ms) / MILLISECONDS_PER_SECOND, self.run_due)
 
     def run_due(self) -> None:
         """Runs the timers that are due, and arms the event loop's timer for the next."""
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -162,7 +162,7 @@
         return self.items[slot] if slot < len(self.items) else None
 
     def answer(self, status, headers, body):
-        self.before = self.request if self.request >= 0 else getattr(self, "before", -1)
+        self.before = self.request_handle if self.request_handle >= 0 else getattr(self, "before", -1)
         real_answer(self, status, headers, body)
 
     def connection_closed(self):
