--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,10 +1,10 @@
-"""What a transaction costs a balancer on real sockets, paired over two trees.
+"""What a request costs a balancer on real sockets, paired over two trees.
 
     python benchmarks/path.py --rounds 8 BEFORE AFTER
 
 Each tree is a checkout with its own `.venv`, or takes this interpreter. In turn each serves the same number
-of transactions over a few kept connections on loopback; printed are the balancer's CPU microseconds a
-transaction, by round, and the median of the ratios.
+of requests over a few persistent connections on loopback; printed are the balancer's CPU microseconds a
+request, by round, and the median of the ratios.
 """
 
 import argparse
@@ -19,6 +19,9 @@
 
 CONNECTIONS = 2
 WARMUP_REQUESTS = 200
+START_ATTEMPTS = 200
+START_INTERVAL = 0.05  # seconds between attempts to reach a balancer that starts
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class UpstreamServer(asyncio.Protocol):
@@ -77,50 +80,68 @@
     writer.close()
 
 
+def configuration(listen: str, discovery: str) -> dict:
+    """The platform's configuration of a balancer with one request class, in the platform's own words."""
+    request_class = {"name": "query", "service-goal": 1e3, "hard-limit": 3e3, "semantics": "idempotent"}
+    return {
+        "listen": listen,
+        "discovery": discovery,
+        "settings": {
+            "balancers": 1, "discovery": "pushed", "profiles": [request_class], "caps": {"most-hops": 3},
+            "contract": {"cold-share": 0.5, "cold": 1e3, "fall-multiple": 3.0},
+        },
+    }  # fmt: skip
+
+
+async def free_address() -> tuple[str, int]:
+    """An address on loopback that nobody listens on."""
+    server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
+    address = server.sockets[0].getsockname()
+    server.close()
+    return address
+
+
+async def warm_up(address: tuple[str, int]) -> None:
+    """Send requests until the balancer has started and answered some."""
+    for _ in range(START_ATTEMPTS):
+        try:
+            await send_requests(address, WARMUP_REQUESTS, b"w")
+        except (OSError, AssertionError, asyncio.IncompleteReadError):
+            await asyncio.sleep(START_INTERVAL)
+        else:
+            return
+
+
 async def measure(tree: Path, count: int, command: Callable[[dict], list[str]] | None = None) -> float:
     """CPU microseconds a request; `command`: from the configuration to the program's arguments."""
     loop = asyncio.get_running_loop()
     upstream = await loop.create_server(UpstreamServer, "127.0.0.1", 0)
     port = upstream.sockets[0].getsockname()[1]
     row = {"id": "s", "addr": f"127.0.0.1:{port}", "zone": "a", "cell": 0, "state": "up", "started_ms": 0}
-    listing = await loop.create_server(lambda: DiscoveryServer([row]), "127.0.0.1", 0)
+    discovery = await loop.create_server(lambda: DiscoveryServer([row]), "127.0.0.1", 0)
+    discovery_port = discovery.sockets[0].getsockname()[1]
+    address = await free_address()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        free = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
-        address = free.sockets[0].getsockname()
-        free.close()
-        profile = {"name": "query", "service-goal": 1e3, "hard-limit": 3e3, "semantics": "idempotent"}
-        conf = {
-            "listen": f"127.0.0.1:{address[1]}",
-            "discovery": f"127.0.0.1:{listing.sockets[0].getsockname()[1]}",
-            "settings": {
-                "balancers": 1, "discovery": "pushed", "profiles": [profile], "caps": {"most-hops": 3},
-                "contract": {"cold-share": 0.5, "cold": 1e3, "fall-multiple": 3.0},
-            },
-        }  # fmt: skip
-        json.dump(conf, file)
+        settings = configuration(f"127.0.0.1:{address[1]}", f"127.0.0.1:{discovery_port}")
+        json.dump(settings, file)
         file.flush()
         python = tree / ".venv/bin/python"
         process = await asyncio.create_subprocess_exec(
             python if python.exists() else sys.executable, "-B", "-m", "dahliabend",
-            *(command(conf) if command is not None else ()), cwd=tree,
-            env={**os.environ, "PROXY_CONFIG": file.name, "UV_USE_IO_URING": "0"}, stderr=-3,
+            *(command(settings) if command is not None else ()), cwd=tree,
+            env={**os.environ, "PROXY_CONFIG": file.name, "UV_USE_IO_URING": "0"},
+            stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
-        for _ in range(200):
-            try:
-                await send_requests(address[:2], WARMUP_REQUESTS, b"w")
-                break
-            except (OSError, AssertionError, asyncio.IncompleteReadError):
-                await asyncio.sleep(0.05)
+        await warm_up(address)
         before = cpu_seconds(process.pid)
-        await asyncio.gather(
-            *(send_requests(address[:2], count // CONNECTIONS, b"%d" % n) for n in range(CONNECTIONS))
-        )
+        requests_each = count // CONNECTIONS
+        await asyncio.gather(*(send_requests(address, requests_each, b"%d" % n) for n in range(CONNECTIONS)))
         spent = cpu_seconds(process.pid) - before
         process.terminate()
         await process.wait()
     upstream.close()
-    listing.close()
-    return spent / (count // CONNECTIONS * CONNECTIONS) * 1e6
+    discovery.close()
+    return spent / (requests_each * CONNECTIONS) * MICROSECONDS_PER_SECOND
 
 
 def cpu_seconds(pid: int) -> float:
@@ -136,13 +157,15 @@
     parser.add_argument("after", type=Path)
     parser.add_argument("--rounds", type=int, default=8)
     parser.add_argument("--count", type=int, default=8000)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     ratios = []
-    for number in range(given.rounds):
-        pair = [given.before, given.after][:: 1 if number % 2 else -1]
-        got = {tree: asyncio.run(measure(tree, given.count)) for tree in pair}
-        ratios.append(got[given.after] / got[given.before])
-        print(f"{got[given.before]:8.1f} {got[given.after]:8.1f} {ratios[-1]:6.3f}", flush=True)
+    for number in range(arguments.rounds):
+        pair = [arguments.before, arguments.after][:: 1 if number % 2 else -1]
+        costs = {tree: asyncio.run(measure(tree, arguments.count)) for tree in pair}
+        before = costs[arguments.before]
+        after = costs[arguments.after]
+        ratios.append(after / before)
+        print(f"{before:8.1f} {after:8.1f} {ratios[-1]:6.3f}", flush=True)
     print(f"median ratio after/before {statistics.median(ratios):.3f}")
 
 
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -75,9 +75,10 @@
         self.weight = row.weight
         self.cell = row.cell
         self.zone = row.zone
-        self.started_at = (
-            (row.started_ms * MICROSECONDS_PER_MILLISECOND + epoch or 1) if row.started_ms else 0
-        )
+        self.started_at = 0
+        if row.started_ms:
+            started_at = row.started_ms * MICROSECONDS_PER_MILLISECOND + epoch
+            self.started_at = started_at or 1  # 0 would say that it is not known
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
