--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -5,7 +5,7 @@
 
 from dahliabend.http.dispatch import IncomingRequest
 from dahliabend.model import Outcome
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.proxy.policy_port import PolicyPort
 from dahliabend.transport.handles import NO_HANDLE
 from dahliabend.transport.timers import clock
