--- a/dahliabend/cli/serve.py
+++ b/dahliabend/cli/serve.py
@@ -36,7 +36,7 @@
             click.echo(str(fault), err=True)
         raise click.exceptions.Exit(EXIT_INVALID_CONFIGURATION) from None
     except OSError as error:
-        log("failed", why=str(error))
+        log("server.start_failed", reason=str(error))
         raise click.exceptions.Exit(EXIT_FAILED) from None
     finally:
         log.end()
--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -109,7 +109,7 @@
             return
         rows = self._parse_rows(message.get("servers") or ())
         self.version = version
-        self.log("list", version=version, full=full, entries=len(rows))
+        self.log("endpoint_list.applied", version=version, full=full, entries=len(rows))
         self.observer.endpoints_changed(rows, full)
 
     def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
@@ -119,5 +119,6 @@
             try:
                 rows.append(parse_endpoint(raw))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                self.log("list.bad_entry", why=str(error), entry=str(raw)[:MAX_LOGGED_ENTRY])
+                entry = str(raw)[:MAX_LOGGED_ENTRY]
+                self.log("endpoint_list.entry_skipped", reason=str(error), entry=entry)
         return rows
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -199,7 +199,7 @@
 
     def watch_silent(self) -> None:
         """Nothing has come in time: the watch is closed, and opened again."""
-        self.log("watch.silent", version=self.endpoint_list.version)
+        self.log("watch.timed_out", version=self.endpoint_list.version)
         self.close()
 
     def watch_ended(self, watch: WatchConnection) -> None:
@@ -210,7 +210,7 @@
         self.attempted = True
         self.state = WatchState.BACKING_OFF
         self.timers.cancel(self.silence_timer)
-        self.log("watch.ended", version=self.endpoint_list.version, again_in_ms=self.backoff // 1000)
+        self.log("watch.ended", version=self.endpoint_list.version, retry_in_ms=self.backoff // 1000)
         # With jitter: a list service that failed under load is not hit by all balancers at once.
         wait = round(self.backoff * (1 + self.random()) / 2)
         self.backoff = min(MAX_BACKOFF, self.backoff * 2)
--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -81,7 +81,7 @@
             self.parser.feed_data(view)
             self.on_data()
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.endpoint_list.log("watch.broken", why=repr(error.__context__ or error))
+            self.endpoint_list.log("watch.broken", reason=repr(error.__context__ or error))
             self.abort()
 
     def connection_closed(self) -> None:
--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -85,7 +85,8 @@
             self._start_check(due.task, partial(self._check_finished, due))
             if self.last_tokens.get(due.task) != due.fencing_token:
                 self.last_tokens[due.task] = due.fencing_token
-                self.log("duty", duty=due.task, fence=due.fencing_token, place=self.election.rank(due.task))
+                rank = self.election.rank(due.task)
+                self.log("lease.acquired", task=due.task, fencing_token=due.fencing_token, rank=rank)
         self.deliver_results(now)
         self._forget_removed_tasks()
 
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -152,9 +152,9 @@
                 self.errors.append(line.decode("utf-8", "replace").strip()[:MAX_ERROR_TEXT])
                 continue
             event = record.get("event")
-            if event == "members.open" and not self.opened.done():
+            if event == "membership.opened" and not self.opened.done():
                 self.opened.set_result(None)
-            if event in ("error", "failed"):
+            if event in ("exception.unhandled", "server.start_failed"):
                 self.errors.append(str(record)[:MAX_ERROR_TEXT])
             self.on_log(self, record)
         if not self.opened.done():
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -89,12 +89,12 @@
     def record_log(self, instance: Instance, record: LogRecord) -> None:
         """Take a record of an instance's log."""
         event = record.get("event")
-        if event == "believed":
+        if event == "upstream.suspected":
             self.outcome.counts["believed"] += 1
             text = f"{instance.name}: {record['upstream']} is bad, {record['origins']} say"
             self.log(self.now, text)
-        elif event == "member":
-            subject, kind, reported_by = record["member"], record["change"], record["by"]
+        elif event == "member.changed":
+            subject, kind, reported_by = record["member"], record["change"], record["reported_by"]
             change = MembershipChange(self.now, instance.number, kind, subject_number(subject), reported_by)
             self.membership_changes.append(change)
             self.log(self.now, f"{instance.name}: {subject} {kind}, by {reported_by}")
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -41,6 +41,10 @@
         if response is not None:
             load = load_reports.parse(response.body or response.load_report, self.report_fields)
         self.endpoint.table.log(
-            "probe", upstream=self.endpoint.name, outcome=outcome.name, ms=duration // 1000, load=load
+            "health_check.finished",
+            upstream=self.endpoint.name,
+            outcome=outcome.name,
+            duration_ms=duration // 1000,
+            load=load,
         )
         self.on_result(self.endpoint.index, outcome)
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -12,12 +12,12 @@
 from dahliabend.transport.timers import clock
 
 # How a request has ended, by the operators' names.
-SUCCEEDED = "committed"
-REJECTED = "rolled_back"
-FAILED = "abandoned"
-TRUNCATED = "cut"  # in the middle of a streamed response
-CLIENT_DISCONNECTED = "left"
-FORWARDED_TO_FALLBACK = "passed_on"  # rejected during its admission; another pool has it now
+SUCCEEDED = "succeeded"
+REJECTED = "rejected"
+FAILED = "failed"
+TRUNCATED = "truncated"  # in the middle of a streamed response
+CLIENT_DISCONNECTED = "client_disconnected"
+FORWARDED_TO_FALLBACK = "sent_to_fallback"  # rejected during its admission; another pool has it now
 
 
 class RequestLog:
@@ -38,33 +38,33 @@
         self.counts[ending] = self.counts.get(ending, 0) + 1
         if self.logs_access and ending != FORWARDED_TO_FALLBACK:
             self.log(
-                "access",
-                tx=request.trace_id.decode("latin-1"),
-                how=ending,
-                hops=_attempt_rows(request),
-                ms=(clock() - request.admitted_at) // 1000,
+                "request.finished",
+                trace_id=request.trace_id.decode("latin-1"),
+                outcome=ending,
+                attempts=_attempt_rows(request),
+                duration_ms=(clock() - request.admitted_at) // 1000,
                 **_class_fields(request),
             )
         if ending != SUCCEEDED:
             self.log(
-                ending,
-                tx=request.trace_id.decode("latin-1"),
+                f"request.{ending}",
+                trace_id=request.trace_id.decode("latin-1"),
                 **_class_fields(request),
-                hops=_attempt_rows(request),
-                out=len(request.attempts) - len(request.attempt_records),
-                ms=(clock() - request.admitted_at) // 1000,
+                attempts=_attempt_rows(request),
+                attempts_in_flight=len(request.attempts) - len(request.attempt_records),
+                duration_ms=(clock() - request.admitted_at) // 1000,
             )
 
     def attempt_failed(self, attempt: Attempt, outcome: Outcome, duration: int) -> None:
         """Log an attempt that has not succeeded; `duration` in microseconds."""
         self.log(
-            "hop",
-            tx=attempt.request.trace_id.decode("latin-1"),
-            order=attempt.index,
+            "attempt.failed",
+            trace_id=attempt.request.trace_id.decode("latin-1"),
+            attempt_index=attempt.index,
             upstream=attempt.endpoint.name,
             outcome=outcome.name,
-            ms=duration // 1000,
-            why=attempt.failure_reason,
+            duration_ms=duration // 1000,
+            reason=attempt.failure_reason,
         )
 
 
@@ -74,4 +74,4 @@
 
 
 def _class_fields(request: Request) -> dict[str, Any]:
-    return {"route": request.route_name} if request.route_name else {"profile": request.class_index}
+    return {"route": request.route_name} if request.route_name else {"request_class": request.class_index}
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -168,7 +168,7 @@
         request = self._create(incoming, class_index)
         request.number = self.requests.add(request)
         if request.number < 0:
-            self.log("no_room", requests=len(self.requests))
+            self.log("request_table.exhausted", requests=len(self.requests))
             incoming.client.send_response(503, b"", b"too many transactions\n")
             return NO_HANDLE
         self.trace_ids.add(incoming.trace_id)
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -82,7 +82,7 @@
         status = response[0]
         if allowed_method != b"GET" or status >= FIRST_ERROR_STATUS:
             self.log(
-                "call",
+                "admin.called",
                 method=method.decode("latin-1"),
                 path=path.decode("latin-1")[:MAX_LOGGED_CHARACTERS],
                 status=status,
@@ -141,7 +141,10 @@
             return json_response(400, error="target: no text, or empty")
         if not self.target.exclude(target, excluded):
             return json_response(404, error="target: never listed")
-        self.log("excluded" if excluded else "included", upstream=target[:MAX_LOGGED_CHARACTERS])
+        self.log(
+            "upstream.excluded" if excluded else "upstream.included",
+            upstream=target[:MAX_LOGGED_CHARACTERS],
+        )
         return json_response(200, target=target, excluded=excluded)
 
 
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -109,8 +109,8 @@
         if abs(fraction - self._logged_shares.get(route, 0.0)) > LOGGED_CHANGE * fraction:
             self._logged_shares[route] = fraction
             self.log(
-                "share",
+                "limit_share.changed",
                 route=route,
-                part=round(fraction, STATUS_DIGITS),
-                asked=round(demand, STATUS_DIGITS),
+                share=round(fraction, STATUS_DIGITS),
+                demand=round(demand, STATUS_DIGITS),
             )
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -6,35 +6,57 @@
 from collections.abc import Iterable
 from typing import Any
 
+import msgspec
+
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
-from dahliabend.membership.view import MembershipView, MemberView
+from dahliabend.membership.view import Exclusion, MembershipView, MemberView
 
 MICROSECONDS = 1000  # in a millisecond
 CONFIDENCE_DIGITS = 3  # decimal places
 
 
+class MembershipMetrics(msgspec.Struct, frozen=True):
+    """The metrics of membership: fields as the log names them, encoded as the admin call does."""
+
+    version: int
+    checksum: str = msgspec.field(name="mark")
+    members: int
+    suspected: int
+    stable: bool
+    possibly_partitioned: bool = msgspec.field(name="cut")
+    exclusion: Exclusion = msgspec.field(name="outcast")
+    time_since_contact_ms: int = msgspec.field(name="age_ms")
+    confidence: float
+    health_score: int = msgspec.field(name="doubt")
+    datagrams_sent: int = msgspec.field(name="sent")
+    bytes_sent: int = msgspec.field(name="sent_bytes")
+    datagrams_received: int = msgspec.field(name="come")
+    bytes_received: int = msgspec.field(name="come_bytes")
+    datagrams_dropped: dict[str, int] = msgspec.field(name="dropped")
+
+
 def membership_metrics(
     view: MembershipView, protocol: MembershipProtocol, transport: UdpTransport
-) -> dict[str, Any]:
-    """Return the metrics of membership, by the names that they have in the log."""
-    return {
-        "version": view.version,
-        "mark": view.checksum,
-        "members": len(view.members),
-        "suspected": sum(member.state == "suspected" for member in view.members),
-        "stable": view.stable,
-        "cut": view.possibly_partitioned,
-        "outcast": view.exclusion,
-        "age_ms": view.time_since_contact // MICROSECONDS,
-        "confidence": round(view.confidence, CONFIDENCE_DIGITS),
-        "doubt": protocol.health_score,
-        "sent": transport.sent,
-        "sent_bytes": transport.sent_bytes,
-        "come": transport.received,
-        "come_bytes": transport.received_bytes,
-        "dropped": dict(protocol.dropped_datagrams),
-    }
+) -> MembershipMetrics:
+    """Return the metrics of membership."""
+    return MembershipMetrics(
+        version=view.version,
+        checksum=view.checksum,
+        members=len(view.members),
+        suspected=sum(member.state == "suspected" for member in view.members),
+        stable=view.stable,
+        possibly_partitioned=view.possibly_partitioned,
+        exclusion=view.exclusion,
+        time_since_contact_ms=view.time_since_contact // MICROSECONDS,
+        confidence=round(view.confidence, CONFIDENCE_DIGITS),
+        health_score=protocol.health_score,
+        datagrams_sent=transport.sent,
+        bytes_sent=transport.sent_bytes,
+        datagrams_received=transport.received,
+        bytes_received=transport.received_bytes,
+        datagrams_dropped=dict(protocol.dropped_datagrams),
+    )
 
 
 def membership_status(
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -150,11 +150,11 @@
             self.failure_detector.restore(clock(), self.stored.snapshot())
         await self.transport.open(parse_address(self.settings.address), self.seeds())
         self.log(
-            "members.open",
+            "membership.opened",
             name=self.name,
             address=self.settings.address,
             advertise=self.address,
-            life=self.failure_detector.generation,
+            generation=self.failure_detector.generation,
             resumed=resumed,
         )
         if self.state is MemberState.NEW:
@@ -247,17 +247,17 @@
         weight = self.demand.update(clock(), request_count)
         if weight is not None:
             self.failure_detector.update_self(clock(), weight=weight)
-            self.log("demand", weight=weight)
+            self.log("demand.reported", weight=weight)
 
     def _update_seeds(self) -> None:
         self.failure_detector.set_seeds(self.seeds())
 
     def _log_event(self, event: Event) -> None:
         self.log(
-            "member",
+            "member.changed",
             change=event.kind,
             member=event.name,
-            by=event.reported_by,
+            reported_by=event.reported_by,
             incarnation=event.incarnation,
         )
 
@@ -271,7 +271,7 @@
         """Return the last view in which nobody was suspected, if there was one."""
         return self.failure_detector.last_stable_view(clock())
 
-    def metrics(self) -> dict[str, Any]:
+    def metrics(self) -> cluster_status.MembershipMetrics:
         """Return the metrics of membership."""
         return cluster_status.membership_metrics(self.view(), self.failure_detector, self.transport)
 
@@ -280,6 +280,6 @@
         protocol = self.failure_detector
         return {
             "name": self.name,
-            **self.metrics(),
+            **msgspec.to_builtins(self.metrics()),
             **cluster_status.membership_status(clock(), self.view(), self.settled(), protocol),
         }
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -61,7 +61,7 @@
             rows = _parse_rows(text)
         except (OSError, ValueError, KeyError, TypeError) as error:
             # Half a file, or none for a moment: the list stays as it is, and nothing is taken out for it.
-            self.log("members.unread", file=self._path, why=str(error))
+            self.log("endpoint_file.read_failed", file=self._path, reason=str(error))
             return
         self._applied_text = text
         self.set_endpoints(rows)
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -174,7 +174,7 @@
         for suspected in self.gossip.report_suspected(now, pool, set(indices), members, report):
             suspicion = Suspicion(pool, suspected.upstream, now, suspected.origins)
             self._suspicions = [*self._suspicions[1 - MAX_SHOWN_SUSPICIONS :], suspicion]
-            self.log("believed", pool=pool, upstream=suspected.upstream, origins=suspected.origins)
+            self.log("upstream.suspected", pool=pool, upstream=suspected.upstream, origins=suspected.origins)
 
     def _tick_health_checks(self, now: int, settled: MembershipView | None) -> None:
         if self.health_checks is None:
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -97,8 +97,8 @@
         try:
             self.directory.write(f"for-{_file_suffix(successor)}", orjson.dumps(content))
         except OSError as error:
-            self.log("handover.unwritten", why=str(error))
-        self.log("handed_over", to=successor[1])
+            self.log("hot_restart.write_failed", reason=str(error))
+        self.log("hot_restart.state_written", successor=successor[1])
 
     def read_state(self) -> dict[str, Any] | None:
         """Return the state that was written for this process, once; None if there is none to be read."""
@@ -111,10 +111,10 @@
             state: dict[str, Any] = orjson.loads(raw)
             version = state["version"]
         except (ValueError, TypeError, KeyError) as error:
-            self.log("handover.unread", why=repr(error))
+            self.log("hot_restart.read_failed", reason=repr(error))
             return None
         if version != VERSION:
-            self.log("handover.unread", why=f"version {version!r}")
+            self.log("hot_restart.read_failed", reason=f"version {version!r}")
             return None
         return state
 
@@ -145,4 +145,4 @@
             elif not self.directory.exists(path):
                 self.directory.write(path, name.encode())
         except (OSError, ValueError) as error:
-            self.log("handover.unwritten", why=str(error))
+            self.log("hot_restart.write_failed", reason=str(error))
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -93,7 +93,7 @@
         self.state = ServerState.DRAINING
         server = self.server
         now = clock()
-        server.log("stopping", held=len(server.router.requests))
+        server.log("shutdown.started", requests_in_flight=len(server.router.requests))
         request_time = min(server.max_request_time, MAX_REQUEST_TIME)
         server.router.shut_down_by(now + request_time + STOP_MARGIN - ANSWER_MARGIN)
         server.close_idle_clients()
@@ -137,7 +137,9 @@
     loop = asyncio.get_running_loop()
     log.attach(loop)
     loop.set_exception_handler(
-        lambda _, context: log("error", what=context.get("message"), why=repr(context.get("exception")))
+        lambda _, context: log(
+            "exception.unhandled", message=context.get("message"), reason=repr(context.get("exception"))
+        )
     )
     server = make_server()
     # What was made by now stays: no later garbage collection need walk it. Done before anything is connected:
--- a/dahliabend/server/log_events.py
+++ b/dahliabend/server/log_events.py
@@ -18,112 +18,208 @@
     fields: tuple[str, ...]
 
 
-REQUEST_FIELDS = ("tx", "profile", "route", "hops", "out", "ms")  # of a request that has ended
+REQUEST_FIELDS = (
+    "trace_id",
+    "request_class",
+    "route",
+    "attempts",
+    "attempts_in_flight",
+    "duration_ms",
+)  # of a request that has ended
 EVENTS = {
-    "abandoned": LogEvent("info", "a request was answered as failed", REQUEST_FIELDS),
-    "access": LogEvent(
-        "info",
-        "a request has its response; off by default",
-        ("tx", "how", "profile", "route", "hops", "ms"),
-    ),
-    "call": LogEvent(
+    "admin.called": LogEvent(
         "info", "an operator called, and it changed something or failed", ("method", "path", "status")
     ),
-    "believed": LogEvent(
+    "attempt.failed": LogEvent(
         "info",
-        "several other balancers report that an upstream fails; counted like attempts of this one",
-        ("pool", "upstream", "origins"),
+        "an attempt did not succeed",
+        ("trace_id", "attempt_index", "upstream", "outcome", "duration_ms", "reason"),
     ),
-    "committed": LogEvent("debug", "never by itself: see access", REQUEST_FIELDS),
-    "cut": LogEvent("warning", "a response that had begun could not be finished", REQUEST_FIELDS),
-    "demand": LogEvent("info", "this balancer tells the others how many requests it gets", ("weight",)),
-    "duty": LogEvent(
-        "info",
-        "this balancer holds a lease from now on; `place` 0: it is the first in the order of candidates",
-        ("duty", "fence", "place"),
-    ),
-    "ended": LogEvent("info", "the process ends in order", ("counts",)),
-    "error": LogEvent("error", "a fault of the program itself: report it", ("what", "why")),
-    "excluded": LogEvent("info", "an operator took an upstream out", ("upstream",)),
-    "failed": LogEvent("error", "it could not start", ("why",)),
-    "figures": LogEvent(
-        "info",
-        "every 5 s, for each pool where there are some",
-        ("counts", "held", "connections", "out", "crowd", "tier", "ready", "using", "aside", "retired"),
+    "demand.reported": LogEvent(
+        "info", "this balancer tells the others how many requests it gets", ("weight",)
     ),
-    "followed": LogEvent("info", "a process took over from the one before it", ("kept", "upstreams")),
-    "handed_over": LogEvent("info", "the state was written for a successor", ("to",)),
-    "handover.none": LogEvent(
-        "warning", "there is no directory to share; an upgrade starts with no state", ("why",)
+    "endpoint_file.read_failed": LogEvent(
+        "warning", "a list's file can't be read; the list stays as it is", ("file", "reason")
     ),
-    "handover.unread": LogEvent("warning", "what another process wrote can't be read", ("why",)),
-    "handover.unwritten": LogEvent(
-        "warning", "a file for another process could not be written", ("why",)
+    "endpoint_list.applied": LogEvent(
+        "info", "a list of upstreams, or a change of it, was applied", ("version", "full", "entries")
     ),
-    "hop": LogEvent(
-        "info", "an attempt did not succeed", ("tx", "order", "upstream", "outcome", "ms", "why")
+    "endpoint_list.entry_skipped": LogEvent(
+        "warning", "an entry of the list can't be read and is skipped", ("reason", "entry")
     ),
-    "included": LogEvent("info", "an operator put an upstream back", ("upstream",)),
-    "left": LogEvent("info", "a client disconnected before its response", REQUEST_FIELDS),
-    "list": LogEvent(
-        "info", "a list of upstreams, or a change of it, was applied", ("version", "full", "entries")
+    "exception.unhandled": LogEvent(
+        "error", "a fault of the program itself: report it", ("message", "reason")
+    ),
+    "health_check.finished": LogEvent(
+        "debug", "a health check ended", ("upstream", "outcome", "duration_ms", "load")
+    ),
+    "hot_restart.read_failed": LogEvent("warning", "what another process wrote can't be read", ("reason",)),
+    "hot_restart.resumed": LogEvent(
+        "info", "a process took over from the one before it", ("restored", "upstreams")
+    ),
+    "hot_restart.state_written": LogEvent("info", "the state was written for a successor", ("successor",)),
+    "hot_restart.unavailable": LogEvent(
+        "warning", "there is no directory to share; an upgrade starts with no state", ("reason",)
+    ),
+    "hot_restart.write_failed": LogEvent(
+        "warning", "a file for another process could not be written", ("reason",)
+    ),
+    "lease.acquired": LogEvent(
+        "info",
+        "this balancer holds a lease from now on; `rank` 0: it is the first in the order of candidates",
+        ("task", "fencing_token", "rank"),
     ),
-    "list.bad_entry": LogEvent(
-        "warning", "an entry of the list can't be read and is skipped", ("why", "entry")
+    "limit_share.changed": LogEvent(
+        "info", "this balancer's share of a shared limit, by its demand", ("route", "share", "demand")
     ),
-    "listening": LogEvent("info", "clients are accepted", ("address", "entrance", "pools")),
-    "member": LogEvent(
+    "member.changed": LogEvent(
         "info",
-        "the state of one balancer changed: joined, suspected, refuted, left, died, returned; unreached "
-        "and reached (that one from here), conflict (one name twice), paused (it was away itself), outcast "
-        "and counted (it itself, by the others)",
-        ("change", "member", "by", "incarnation"),
+        "the state of one balancer changed: joined, suspected, refuted, left, died, returned; "
+        "unreached and reached (that one from here), conflict (one name twice), paused (it "
+        "was away itself), outcast and counted (it itself, by the others)",
+        ("change", "member", "reported_by", "incarnation"),
     ),
-    "members.figures": LogEvent(
+    "membership.metrics_reported": LogEvent(
         "info",
         "every 5 s, where the file has [members]",
         (
-            "version", "mark", "members", "suspected", "stable", "cut", "outcast", "age_ms", "confidence",
-            "doubt", "sent", "sent_bytes", "come", "come_bytes", "dropped",
+            "version",
+            "checksum",
+            "members",
+            "suspected",
+            "stable",
+            "possibly_partitioned",
+            "exclusion",
+            "time_since_contact_ms",
+            "confidence",
+            "health_score",
+            "datagrams_sent",
+            "bytes_sent",
+            "datagrams_received",
+            "bytes_received",
+            "datagrams_dropped",
         ),
     ),
-    "members.open": LogEvent(
+    "membership.opened": LogEvent(
         "info",
         "it communicates with the other balancers",
-        ("name", "address", "advertise", "life", "resumed"),
+        ("name", "address", "advertise", "generation", "resumed"),
     ),
-    "members.unread": LogEvent(
-        "warning", "a list's file can't be read; the list stays as it is", ("file", "why")
+    "metrics.reported": LogEvent(
+        "info",
+        "every 5 s, for each pool where there are some",
+        (
+            "counts",
+            "requests_in_flight",
+            "connections",
+            "attempts_in_flight",
+            "concurrency_limit",
+            "reduction",
+            "ready",
+            "selected",
+            "ejected",
+            "retired",
+        ),
     ),
-    "no_room": LogEvent("warning", "more requests than the table holds", ("requests",)),
-    "passed_on": LogEvent("debug", "a pool rejected a request unsent; its fallback has it", REQUEST_FIELDS),
-    "pool.gone": LogEvent(
+    "pool.removed": LogEvent(
         "info", "a pool that the file no longer has has ended its last request", ("pool",)
     ),
-    "probe": LogEvent("debug", "a health check ended", ("upstream", "outcome", "ms", "load")),
-    "reload.refused": LogEvent("error", "a file was refused; nothing has changed", ("why", "faults")),
-    "reloaded": LogEvent("info", "a file was applied", ("discovery", "debug", "changes", "passed_over")),
-    "rolled_back": LogEvent(
+    "reload.applied": LogEvent(
+        "info", "a file was applied", ("discovery", "debug", "changes", "restart_required")
+    ),
+    "reload.rejected": LogEvent("error", "a file was refused; nothing has changed", ("reason", "faults")),
+    "request.client_disconnected": LogEvent(
+        "info", "a client disconnected before its response", REQUEST_FIELDS
+    ),
+    "request.failed": LogEvent("info", "a request was answered as failed", REQUEST_FIELDS),
+    "request.finished": LogEvent(
+        "info",
+        "a request has its response; off by default",
+        ("trace_id", "outcome", "request_class", "route", "attempts", "duration_ms"),
+    ),
+    "request.rejected": LogEvent(
         "info", "a request was rejected: it was not executed, and a retry is harmless", REQUEST_FIELDS
     ),
-    "share": LogEvent(
-        "info", "this balancer's share of a shared limit, by its demand", ("route", "part", "asked")
+    "request.sent_to_fallback": LogEvent(
+        "debug", "a pool rejected a request unsent; its fallback has it", REQUEST_FIELDS
+    ),
+    "request.succeeded": LogEvent("debug", "never by itself: see `request.finished`", REQUEST_FIELDS),
+    "request.truncated": LogEvent(
+        "warning", "a response that had begun could not be finished", REQUEST_FIELDS
     ),
-    "stopping": LogEvent("info", "SIGTERM came", ("held",)),
-    "subset": LogEvent(
+    "request_table.exhausted": LogEvent("warning", "more requests than the table holds", ("requests",)),
+    "server.start_failed": LogEvent("error", "it could not start", ("reason",)),
+    "server.started": LogEvent("info", "clients are accepted", ("address", "entry_tier", "pools")),
+    "server.stopped": LogEvent("info", "the process ends in order", ("counts",)),
+    "settings.applied": LogEvent(
+        "info", "other settings are in force", ("requests_in_flight", "restored", "new")
+    ),
+    "settings.ignored": LogEvent("warning", "settings that are read and not acted on", ("settings",)),
+    "shutdown.started": LogEvent("info", "SIGTERM came", ("requests_in_flight",)),
+    "subset.changed": LogEvent(
+        "info",
+        "the upstreams of a pool that this balancer uses have changed; `source` members, both "
+        "(a view that may be partitioned and the last trusted one), index (self-index) or its "
+        "own name",
+        ("size", "listed", "added", "dropped", "source", "balancers"),
+    ),
+    "upstream.excluded": LogEvent("info", "an operator took an upstream out", ("upstream",)),
+    "upstream.included": LogEvent("info", "an operator put an upstream back", ("upstream",)),
+    "upstream.suspected": LogEvent(
         "info",
-        "the upstreams of a pool that this balancer uses have changed; `by` members, both (a view that may "
-        "be partitioned and the last trusted one), index (self-index) or its own name",
-        ("size", "of", "added", "dropped", "by", "balancers"),
+        "several other balancers report that an upstream fails; counted like attempts of this one",
+        ("pool", "upstream", "origins"),
     ),
-    "switched": LogEvent("info", "other settings are in force", ("held", "kept", "afresh")),
-    "unmet": LogEvent("warning", "settings that are read and not acted on", ("settings",)),
-    "watch.broken": LogEvent("warning", "the watch of the list sent what can't be read", ("why",)),
+    "watch.broken": LogEvent("warning", "the watch of the list sent what can't be read", ("reason",)),
     "watch.ended": LogEvent(
-        "warning", "the watch of the list ended; it is opened again", ("version", "again_in_ms")
-    ),
-    "watch.silent": LogEvent("warning", "the watch of the list sent nothing for too long", ("version",)),
-}  # fmt: skip
+        "warning", "the watch of the list ended; it is opened again", ("version", "retry_in_ms")
+    ),
+    "watch.timed_out": LogEvent("warning", "the watch of the list sent nothing for too long", ("version",)),
+}
+# Names until version 0.2; settings that name events may still use them.
+EVENTS_BY_FORMER_NAME = {
+    "abandoned": "request.failed",
+    "access": "request.finished",
+    "call": "admin.called",
+    "believed": "upstream.suspected",
+    "committed": "request.succeeded",
+    "cut": "request.truncated",
+    "demand": "demand.reported",
+    "duty": "lease.acquired",
+    "ended": "server.stopped",
+    "error": "exception.unhandled",
+    "excluded": "upstream.excluded",
+    "failed": "server.start_failed",
+    "figures": "metrics.reported",
+    "followed": "hot_restart.resumed",
+    "handed_over": "hot_restart.state_written",
+    "handover.none": "hot_restart.unavailable",
+    "handover.unread": "hot_restart.read_failed",
+    "handover.unwritten": "hot_restart.write_failed",
+    "hop": "attempt.failed",
+    "included": "upstream.included",
+    "left": "request.client_disconnected",
+    "list": "endpoint_list.applied",
+    "list.bad_entry": "endpoint_list.entry_skipped",
+    "listening": "server.started",
+    "member": "member.changed",
+    "members.figures": "membership.metrics_reported",
+    "members.open": "membership.opened",
+    "members.unread": "endpoint_file.read_failed",
+    "no_room": "request_table.exhausted",
+    "passed_on": "request.sent_to_fallback",
+    "pool.gone": "pool.removed",
+    "probe": "health_check.finished",
+    "reload.refused": "reload.rejected",
+    "reloaded": "reload.applied",
+    "rolled_back": "request.rejected",
+    "share": "limit_share.changed",
+    "stopping": "shutdown.started",
+    "subset": "subset.changed",
+    "switched": "settings.applied",
+    "unmet": "settings.ignored",
+    "watch.silent": "watch.timed_out",
+}
 CONTEXT = {"pool": "the pool that it is about", "balancer": "this process's name", "at": "the time, UTC"}
 
 
@@ -136,8 +232,10 @@
 | --- | --- | --- | --- |
 """
 PAGE_END = """
-`hops` lists the attempts of a request: of each its upstream, its outcome and its milliseconds. `[log]` in
-an operator's file sets the least `level`, `sample` by event, and `access`. A balancer that is configured by
+`attempts` lists the attempts of a request: of each its upstream, its outcome and its milliseconds. `[log]` in
+an operator's file sets the least `level`, `sample` by event, and `access` (a line `request.finished` for each
+request). `sample` also accepts the names that events had until version 0.2 (`docs/on-call.md` has both). None
+of the operators' pages reads a name of an event or of a field. A balancer that is configured by
 `PROXY_CONFIG` logs the same events without `level`. Where nobody reads, lines beyond 1 MiB are dropped, and
 the next one says how many (`lines_lost`).
 """
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -6,6 +6,8 @@
 from collections.abc import Iterator, Mapping
 from typing import TYPE_CHECKING, Any
 
+import msgspec
+
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.proxy.dispatcher import ActiveRoutes, Dispatcher
 from dahliabend.routing_rules.comparison import diff, needs_restart
@@ -164,7 +166,7 @@
         if self.cluster is not None and file.members is not None:
             self.cluster.apply_settings(file.members)
         skipped = [change["key"] for change in changes if needs_restart(change["key"])]
-        return {"changes": len(changes), "passed_over": skipped}
+        return {"changes": len(changes), "restart_required": skipped}
 
     def _apply_file(self, configuration: UsableFile) -> None:
         file = configuration.file
@@ -223,18 +225,18 @@
         for pool in self.dispatcher:
             balancer = pool.router.balancer
             self.log(
-                "figures",
+                "metrics.reported",
                 pool=pool.name,
                 counts=pool.router.counts,
-                held=len(pool.router.requests),
-                out=balancer.concurrency.in_flight,
-                crowd=round(balancer.concurrency.limit, 1),
-                tier=round(balancer.throttling.tier.reduction, 2),
+                requests_in_flight=len(pool.router.requests),
+                attempts_in_flight=balancer.concurrency.in_flight,
+                concurrency_limit=round(balancer.concurrency.limit, 1),
+                reduction=round(balancer.throttling.tier.reduction, 2),
                 ready=len(balancer.selection.ready),
                 retired=pool.retired,
             )
         if self.cluster is not None and self.cluster.has_opened:
-            self.log("members.figures", **self.cluster.metrics())
+            self.log("membership.metrics_reported", **msgspec.structs.asdict(self.cluster.metrics()))
 
     def membership_status(self) -> dict[str, Any] | None:
         """Return the other balancers; None if there is no membership."""
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -95,7 +95,7 @@
 
     def listening_fields(self) -> dict[str, object]:
         """Return whether clients of the first tier come here."""
-        return {"entrance": self.router.balancer.is_entry_tier}
+        return {"entry_tier": self.router.balancer.is_entry_tier}
 
     def close(self) -> None:
         """Stop watching the endpoint list."""
@@ -106,16 +106,16 @@
         router = self.router
         balancer = router.balancer
         self.log(
-            "figures",
+            "metrics.reported",
             counts=router.counts,
-            held=len(router.requests),
+            requests_in_flight=len(router.requests),
             connections=len(self.descriptors.connections),
-            out=balancer.concurrency.in_flight,
-            crowd=round(balancer.concurrency.limit, 1),
-            tier=round(balancer.throttling.tier.reduction, 2),
+            attempts_in_flight=balancer.concurrency.in_flight,
+            concurrency_limit=round(balancer.concurrency.limit, 1),
+            reduction=round(balancer.throttling.tier.reduction, 2),
             ready=len(balancer.selection.ready),
-            using=len(balancer.selection.selected),
-            aside=[
+            selected=len(balancer.selection.selected),
+            ejected=[
                 router.table.endpoints[upstream.index].name
                 for upstream in balancer.selection.ready
                 if upstream.is_ejected
@@ -131,7 +131,7 @@
             KeyError, TypeError, ValueError, AttributeError: The state can't be read.
         """
         restored = restore_state(state, self.router, self.endpoint_list, self.discovery)
-        self.log("followed", kept=restored, upstreams=len(self.router.table.endpoints))
+        self.log("hot_restart.resumed", restored=restored, upstreams=len(self.router.table.endpoints))
 
     def handover_state(self) -> dict[str, Any]:
         """Return the state that a successor goes on from."""
@@ -151,7 +151,7 @@
         reload_configuration(
             lambda: reread_server_settings(self.environment, self._named_keys),
             self._apply,
-            lambda error: {"why": str(error)},
+            lambda error: {"reason": str(error)},
             metrics=self.metrics,
             log=self.log,
         )
@@ -174,7 +174,12 @@
         table.idle_timeout = settings.idle_reuse_time
         in_flight = len(self.router.requests)
         restored = self.router.apply_settings(settings)
-        self.log("switched", held=in_flight, kept=restored, afresh=len(table.endpoints) - restored)
+        self.log(
+            "settings.applied",
+            requests_in_flight=in_flight,
+            restored=restored,
+            new=len(table.endpoints) - restored,
+        )
         self.log_unsupported(settings.unsupported_keys)
 
 
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -138,7 +138,7 @@
             table = pool.router.table
             for index in tuple(table.endpoints):
                 table.remove(index)
-            self.resources.log("pool.gone", pool=pool.name)
+            self.resources.log("pool.removed", pool=pool.name)
 
     def close(self) -> None:
         """Stop watching for endpoints."""
--- a/dahliabend/server/process_takeover.py
+++ b/dahliabend/server/process_takeover.py
@@ -56,14 +56,14 @@
         try:
             self.directory.open()
         except OSError as error:
-            self.log("handover.none", why=str(error))
+            self.log("hot_restart.unavailable", reason=str(error))
             return False
         state = await self._wait_for_state()
         if self._older and state:
             try:
                 restore_state(state)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                self.log("handover.unread", why=repr(error))
+                self.log("hot_restart.read_failed", reason=repr(error))
         self._check_periodically(capture_state)
         return True
 
--- a/dahliabend/server/reload.py
+++ b/dahliabend/server/reload.py
@@ -30,7 +30,7 @@
         configuration = read()
     except ValueError as error:  # msgspec's errors are a kind of it
         metrics.configs_rejected += 1
-        log("reload.refused", **describe_fault(error))
+        log("reload.rejected", **describe_fault(error))
         return
     metrics.configs_accepted += 1
-    log("reloaded", **apply(configuration))
+    log("reload.applied", **apply(configuration))
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -90,7 +90,7 @@
         self.open_listener()
         self.lifecycle.serving()
         address = ":".join(map(str, self.listen_address))
-        self.log("listening", address=address, **self.listening_fields())
+        self.log("server.started", address=address, **self.listening_fields())
         self.log_metrics_periodically()
         self.close_idle_clients_periodically()
 
@@ -114,7 +114,7 @@
         """Wait until the graceful shutdown is over, and release what is left."""
         await self.lifecycle.stopped
         self.close()
-        self.log("ended", counts=self.router.counts)
+        self.log("server.stopped", counts=self.router.counts)
 
     @abstractmethod
     def close(self) -> None:
@@ -127,7 +127,7 @@
     def log_unsupported(self, keys: tuple[str, ...]) -> None:
         """Log the settings that are read and not acted on, if there are any."""
         if keys:
-            self.log("unmet", settings=keys)
+            self.log("settings.ignored", settings=keys)
 
     # Clients.
 
--- a/dahliabend/server/startup.py
+++ b/dahliabend/server/startup.py
@@ -29,7 +29,7 @@
     try:
         uvloop.run(serve_platform(settings, log))
     except OSError as error:
-        log("failed", why=str(error))
+        log("server.start_failed", reason=str(error))
         return EXIT_FAILED
     finally:
         log.end()
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -80,10 +80,12 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as error:
-            self.log("handover.unread", why=f"{self.label}: {error}")
+            self.log("hot_restart.read_failed", reason=f"{self.label}: {error}")
             return None
         if (stored.name, stored.address) != (self.name, self.address):
-            self.log("handover.unread", why=f"{self.label}: it is {stored.name}'s at {stored.address}")
+            self.log(
+                "hot_restart.read_failed", reason=f"{self.label}: it is {stored.name}'s at {stored.address}"
+            )
             return None
         # Written too long ago, or by a clock that was set back: only whom to ask is taken from it.
         age = _unix_microseconds() - stored.written_at
@@ -111,7 +113,7 @@
         try:
             host_info.runtime_directory(directory).write(file_name, msgspec.json.encode(stored))
         except OSError as error:
-            self.log("handover.unwritten", why=str(error))
+            self.log("hot_restart.write_failed", reason=str(error))
 
 
 def _unix_microseconds() -> int:
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -13,7 +13,7 @@
 
 from dahliabend.config.operator_file import schema
 from dahliabend.server.log import STANDARD_ERROR, EventLog, Log
-from dahliabend.server.log_events import EVENTS
+from dahliabend.server.log_events import EVENTS, EVENTS_BY_FORMER_NAME
 
 SECRET_FIELDS = frozenset(
     (
@@ -87,7 +87,9 @@
 
     def apply_settings(self, settings: schema.LogSettings) -> None:
         """Log by these settings from now on."""
-        self.sample_rates = {event: float(rate) for event, rate in settings.sample.items()}
+        self.sample_rates = {
+            EVENTS_BY_FORMER_NAME.get(event, event): float(rate) for event, rate in settings.sample.items()
+        }
         self.verbose = settings.level == "debug"
         self.logger = structlog.wrap_logger(
             LineSink(self),
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -129,12 +129,12 @@
             return False
         self.subset = subset
         self.log(
-            "subset",
+            "subset.changed",
             size=len(subset.weights),
-            of=len(self._rows),
+            listed=len(self._rows),
             added=subset.added[:MAX_LOGGED_NAMES],
             dropped=subset.dropped[:MAX_LOGGED_NAMES],
-            by=subset.source,
+            source=subset.source,
             balancers=subset.balancers,
         )
         return True
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -9,6 +9,7 @@
 import orjson
 
 from dahliabend.config.platform import read_server_settings
+from dahliabend.server.log_events import EVENTS_BY_FORMER_NAME
 from dahliabend.server.platform_server import PlatformServer
 from dahliabend.simulation.connections import Address, format_address
 from dahliabend.simulation.event_loop import Process
@@ -30,8 +31,19 @@
 LATE_VALUE = 0.25  # the share of its value that an answer after the latency objective earns
 MILLISECOND = 1_000  # microseconds
 # Events of the program's log about single requests: the peers record these themselves.
-UNRECORDED_LOG_EVENTS = frozenset({"hop", "rolled_back", "abandoned", "left", "committed", "figures"})
-RECORDED_LOG_FIELDS = ("why", "version", "kept", "status")
+UNRECORDED_LOG_EVENTS = frozenset(
+    {
+        "attempt.failed",
+        "request.rejected",
+        "request.failed",
+        "request.client_disconnected",
+        "request.succeeded",
+        "metrics.reported",
+    }
+)
+# The time line keeps the names that events and fields had before: a digest tells one run from another.
+RECORDED_EVENT_NAMES = {event: former for former, event in EVENTS_BY_FORMER_NAME.items()}
+RECORDED_FIELD_NAMES = {"reason": "why", "version": "version", "restored": "kept", "status": "status"}
 
 
 class LogOwner(Protocol):
@@ -50,20 +62,21 @@
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401 -- the log takes any value
         """Record a log event."""
-        if event == "listening":
+        if event == "server.started":
             self.recorder("listening", self.process)
-        if event == "error":
-            self.recorder("crashed", self.process, f"{fields.get('what')}: {fields.get('why')}")
+        if event == "exception.unhandled":
+            self.recorder("crashed", self.process, f"{fields.get('message')}: {fields.get('reason')}")
         elif event not in UNRECORDED_LOG_EVENTS:
-            shown = {key: fields[key] for key in RECORDED_LOG_FIELDS if key in fields}
-            self.recorder("log", self.process, event, orjson.dumps(shown, default=str).decode())
+            shown = {name: fields[key] for key, name in RECORDED_FIELD_NAMES.items() if key in fields}
+            name = RECORDED_EVENT_NAMES.get(event, event)
+            self.recorder("log", self.process, name, orjson.dumps(shown, default=str).decode())
 
     def debug(self, event: str, **fields: Any) -> None:  # noqa: ANN401 -- the log takes any value
         """Debug events are not recorded."""
 
     def loop_failed(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Record an exception that reached the process's event loop."""
-        self("error", what=context.get("message"), why=repr(context.get("exception")))
+        self("exception.unhandled", message=context.get("message"), reason=repr(context.get("exception")))
 
 
 class BalancerHost:
--- a/tests/discovery/test_list_service.py
+++ b/tests/discovery/test_list_service.py
@@ -85,7 +85,9 @@
         back.sock = socket.create_server((host, int(port)))
         Thread(target=back.accept, daemon=True).start()
         with closing(back):
-            while logged(process, "list")["entries"] != 1:  # without s-0: it drains, and is left out
+            while (
+                logged(process, "endpoint_list.applied")["entries"] != 1
+            ):  # without s-0: it drains, and is left out
                 pass
             assert call(process.admin, "/api/ready")[0] == 200
             statuses = []
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -224,7 +224,7 @@
         process.path, process.conf, process.log, process.admin = file.name, raw, Queue(), admin
         try:
             first = b""
-            while b'"listening"' not in first:
+            while b'"server.started"' not in first:
                 first = process.stderr.readline()
                 assert first, "it ended at its start"
                 process.log.put(first)
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -59,7 +59,7 @@
     (tmp_path / "b1.keep").write_text(text)
     member, lines = cluster_member(tmp_path)
     assert member.stored is None
-    assert [event for event, _ in lines] == ["handover.unread"]
+    assert [event for event, _ in lines] == ["hot_restart.read_failed"]
 
 
 def test_the_snapshot_of_another_member_is_ignored(tmp_path):
@@ -67,7 +67,7 @@
     before.store(handed_over=True)
     member, lines = cluster_member(tmp_path, advertise="127.0.0.1:9999")
     assert member.stored is None
-    assert "127.0.0.1:7946" in lines[0][1]["why"]
+    assert "127.0.0.1:7946" in lines[0][1]["reason"]
 
 
 def test_seeds_follow_the_discovery_list(tmp_path):
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -92,10 +92,10 @@
     copy(STATE, tmp_path)
     written, log, _ = handed_on(tmp_path)
     assert written == read_golden(HANDED_ON_GOLDEN)
-    assert ["list", {"version": 12, "full": True, "entries": 3}] in log
-    assert ["followed", {"kept": 3, "upstreams": 3}] in log
-    assert ["handed_over", {"to": 99}] in log
-    assert "handover.unread" not in {event for event, _ in log}
+    assert ["endpoint_list.applied", {"version": 12, "full": True, "entries": 3}] in log
+    assert ["hot_restart.resumed", {"restored": 3, "upstreams": 3}] in log
+    assert ["hot_restart.state_written", {"successor": 99}] in log
+    assert "hot_restart.read_failed" not in {event for event, _ in log}
     assert not (tmp_path / STATE).exists()
 
 
@@ -142,7 +142,7 @@
         "for-2-4711": '{"version":1,"epoch":5,"list":{"version":1}}',
     }
     assert files[f"alive-1-{own}"].stat().st_mode & 0o777 == 0o600
-    assert log == [["handed_over", {"to": 4711}]]
+    assert log == [["hot_restart.state_written", {"successor": 4711}]]
     assert VERSION == 1
     mine.set_excluded("s-1", False)
     assert mine.exclusions() == {"s-1/../bälter"}
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -47,16 +47,26 @@
     plain, structured = PlainLog("b1", sink=-1), StructuredLog("b1", sink=-1)
     for log in (plain, structured):
         log.write = lambda: None
-    plain("listening", address="127.0.0.1:1", entrance=True)
-    plain("error", what="why", why=ValueError("wrong"))
-    plain.debug("probe", upstream="s-1")
-    structured("listening", address="127.0.0.1:1", entrance=True, pools=["a"])
-    structured.bind(pool="a")("hop", tx="t-1", order=0, upstream="s-1", outcome="RESET", ms=1.5, why="")
-    structured("error", what={"Authorization": "Bearer x"}, why=ValueError("wrong"), token="x")
-    structured("watch.silent", version=3)
-    structured.debug("probe", upstream="s-1")
+    plain("server.started", address="127.0.0.1:1", entry_tier=True)
+    plain("exception.unhandled", message="why", reason=ValueError("wrong"))
+    plain.debug("health_check.finished", upstream="s-1")
+    structured("server.started", address="127.0.0.1:1", entry_tier=True, pools=["a"])
+    structured.bind(pool="a")(
+        "attempt.failed",
+        trace_id="t-1",
+        attempt_index=0,
+        upstream="s-1",
+        outcome="RESET",
+        duration_ms=1.5,
+        reason="",
+    )
+    structured(
+        "exception.unhandled", message={"Authorization": "Bearer x"}, reason=ValueError("wrong"), token="x"
+    )
+    structured("watch.timed_out", version=3)
+    structured.debug("health_check.finished", upstream="s-1")
     structured.apply_settings(LogSettings(level="debug"))
-    structured.debug("probe", upstream="s-1", outcome="COMMITTED", ms=1, load=None)
+    structured.debug("health_check.finished", upstream="s-1", outcome="COMMITTED", duration_ms=1, load=None)
     lines = [line for log in (plain, structured) for line in bytes(log.lines).decode().splitlines()]
     return "\n".join(without_time(line) for line in lines) + "\n"
 
--- a/tests/proxy/test_key_order_over_sockets.py
+++ b/tests/proxy/test_key_order_over_sockets.py
@@ -50,7 +50,7 @@
         changed = copy.deepcopy(process.conf["settings"])
         changed["caps"]["most-hops"] = 3
         replace(process, settings=changed)
-        logged(process, "reloaded")
+        logged(process, "reload.applied")
         third = amend(address, "d")
         other2 = amend(address, "e", key="7")
         assert held.came() == "e"  # those of key 9 wait, before the switch and after it
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -44,7 +44,7 @@
             caller.send("query", body=b"y" * 400, expires="60000", trace=f"more{n}")
         caller.sock.shutdown(socket.SHUT_RDWR)
         assert up.ended.get(timeout=PATIENCE)  # it would go on for a minute
-        assert logged(process, "left")["tx"] == "t1"
+        assert logged(process, "request.client_disconnected")["trace_id"] == "t1"
         assert Caller(address).ask(trace="other", expires="300")[0] == 503
         assert up.came.get(timeout=PATIENCE)[1]["x-trace-id"] == "other"
 
@@ -61,7 +61,7 @@
         wait_until_connecting(up)
         caller.sock.close()
         caller.file.close()
-        assert logged(process, "hop")["outcome"] == "CANCELLED"  # it is not left to come up
+        assert logged(process, "attempt.failed")["outcome"] == "CANCELLED"  # it is not left to come up
         up.open_up()
         assert Caller(address).ask("submit", "POST", b"y", trace="t2")[0] == 200
         assert [up.came.get(timeout=PATIENCE)[1]["x-trace-id"] for _ in range(up.came.qsize())] == ["t2"]
@@ -75,7 +75,7 @@
         caller.send("submit", "POST", b"x", "8000")
         wait_until_connecting(up)
         agent.tell(2, False, entry("s-0", up, "draining"), entry("s-1", other))
-        while logged(process, "list")["version"] != 2:
+        while logged(process, "endpoint_list.applied")["version"] != 2:
             pass
         up.open_up()
         assert caller.read()[0] == 200
@@ -147,7 +147,7 @@
         caller.send("submit", "POST", b"x", "60000")
         slow.came.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
-        logged(process, "stopping")
+        logged(process, "shutdown.started")
         caller.sock.sendall(b"POST /submit HTTP/1.1\r\nX-Trace-Id: t2\r\n")
         go.set()
         until(written)
--- a/tests/proxy/test_request_log.py
+++ b/tests/proxy/test_request_log.py
@@ -30,10 +30,16 @@
     log = RequestLog(lines := LogLines())
     log.request_ended(request_log.REJECTED, request_with_attempts(FAILED_ATTEMPT))
     (line,) = lines
-    duration = line.pop("ms")
-    assert line == {"event": "rolled_back", "tx": "t1", "profile": 3, "hops": [["s-1", "RESET", 7]], "out": 1}
+    duration = line.pop("duration_ms")
+    assert line == {
+        "event": "request.rejected",
+        "trace_id": "t1",
+        "request_class": 3,
+        "attempts": [["s-1", "RESET", 7]],
+        "attempts_in_flight": 1,
+    }
     assert duration >= 0
-    assert log.counts == {"rolled_back": 1}
+    assert log.counts == {"rejected": 1}
 
 
 def test_a_request_of_a_route_is_logged_by_the_route_in_place_of_its_class():
@@ -42,7 +48,7 @@
     request.route_name = "orders"
     log.request_ended(request_log.FAILED, request)
     assert lines[0]["route"] == "orders"
-    assert "profile" not in lines[0]
+    assert "request_class" not in lines[0]
 
 
 def test_a_success_is_counted_and_logged_only_where_every_request_is():
@@ -51,16 +57,16 @@
     assert not lines
     log.logs_access = True
     log.request_ended(request_log.SUCCEEDED, request_with_attempts())
-    assert [(line["event"], line["how"]) for line in lines] == [("access", "committed")]
-    assert log.counts == {"committed": 2}
+    assert [(line["event"], line["outcome"]) for line in lines] == [("request.finished", "succeeded")]
+    assert log.counts == {"succeeded": 2}
 
 
 @pytest.mark.parametrize(
     ("ending", "events"),
     [
-        (request_log.TRUNCATED, ["access", "cut"]),
-        (request_log.CLIENT_DISCONNECTED, ["access", "left"]),
-        (request_log.FORWARDED_TO_FALLBACK, ["passed_on"]),
+        (request_log.TRUNCATED, ["request.finished", "request.truncated"]),
+        (request_log.CLIENT_DISCONNECTED, ["request.finished", "request.client_disconnected"]),
+        (request_log.FORWARDED_TO_FALLBACK, ["request.sent_to_fallback"]),
     ],
 )
 def test_every_request_has_one_access_line_though_several_pools_may_have_been_offered_it(ending, events):
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -353,7 +353,7 @@
                 await asyncio.sleep(0.01)
             path.write_text(text.replace('pool = "main"', 'pool = "next"'))
             process.send_signal(1)
-            while b"reloaded" not in await process.stderr.readline():
+            while b"reload.applied" not in await process.stderr.readline():
                 pass
     finally:
         process.terminate()
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -105,9 +105,9 @@
         profiles = process.conf["settings"]["profiles"]
         settings = {**process.conf["settings"], "profiles": [profiles[0], {**profiles[1], "name": "upload"}]}
         replace(process, settings=settings)
-        logged(process, "reloaded")
+        logged(process, "reload.applied")
         replace(process, settings={**settings, "profiles": []})
-        logged(process, "reload.refused")
+        logged(process, "reload.rejected")
         ask(9, "upload", "POST")
         proceed.set()
         seen["query"][waiting.read()[0]] += 1
@@ -173,7 +173,7 @@
 
         def listed(version, *servers, full=False):
             agent.tell(version, full, *servers)
-            while logged(process, "list")["version"] < version:
+            while logged(process, "endpoint_list.applied")["version"] < version:
                 pass
 
         assert serves()
@@ -188,7 +188,7 @@
         listed(4, entry("s-1", one))
         listed(5, entry("s-1", one), entry("s-2", two), full=True)
         replace(process, settings={**process.conf["settings"], "balancers": 3})
-        logged(process, "switched")
+        logged(process, "settings.applied")
         assert serves()
         assert one.came.empty()
         assert telemetry(process)["out_of_rotation"] == 1
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -34,7 +34,7 @@
         try:
             for _ in range(2):
                 after = start()[1]
-                assert logged(after, "followed")["kept"] == 2
+                assert logged(after, "hot_restart.resumed")["restored"] == 2
                 before.send_signal(signal.SIGTERM)
                 assert before.wait(PATIENCE) == 0
                 count, before = len(statuses), after
@@ -94,7 +94,7 @@
     for raw in (b"", b'{"version": 1, "li', b"[]", b'{"version": 99}'):
         path.write_bytes(raw)
         assert hot_restart.read_state() is None
-        assert logged_events.pop() == "handover.unread"
+        assert logged_events.pop() == "hot_restart.read_failed"
         assert not path.exists()
     path.write_bytes(b'{"version": %d, "a": 1}' % VERSION)
     assert hot_restart.read_state()["a"] == 1
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -3,25 +3,26 @@
 import ast
 import json
 import os
+import re
 from pathlib import Path
 
 import dahliabend
 from dahliabend.config.operator_file.schema import LogSettings
 from dahliabend.config.operator_file.units import Fraction
 from dahliabend.server import log as plain
-from dahliabend.server.log_events import CONTEXT, EVENTS, REQUEST_FIELDS, page
+from dahliabend.server.log_events import CONTEXT, EVENTS, EVENTS_BY_FORMER_NAME, REQUEST_FIELDS, page
 from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
 LOGGING = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
 OUTCOMES = {
-    "committed",
-    "cut",
-    "left",
-    "rolled_back",
-    "abandoned",
-    "passed_on",
-}  # `how`, in Router.record_outcome
+    "request.succeeded",
+    "request.truncated",
+    "request.client_disconnected",
+    "request.rejected",
+    "request.failed",
+    "request.sent_to_fallback",
+}  # of `RequestLog.request_ended`
 
 
 def log_calls():
@@ -52,8 +53,8 @@
         assert event in EVENTS, (event, place)
         assert fields <= {*EVENTS[event].fields, *CONTEXT}, (event, place, fields)
     assert len(seen) > 30
-    assert not EVENTS.keys() - seen - {"failed"}
-    assert all(EVENTS[how].fields == REQUEST_FIELDS for how in OUTCOMES)
+    assert not EVENTS.keys() - seen - {"server.start_failed"}
+    assert all(EVENTS[event].fields == REQUEST_FIELDS for event in OUTCOMES)
 
 
 def test_the_page_of_events_is_made_of_the_table():
@@ -76,9 +77,17 @@
 
 def test_a_line_has_event_level_time_and_context():
     log = quiet()
-    log.bind(pool="main")("hop", tx="t", upstream="u", outcome="RESET", ms=3, order=0, why="")
+    log.bind(pool="main")(
+        "attempt.failed",
+        trace_id="t",
+        upstream="u",
+        outcome="RESET",
+        duration_ms=3,
+        attempt_index=0,
+        reason="",
+    )
     (line,) = lines(log)
-    assert line["event"] == "hop"
+    assert line["event"] == "attempt.failed"
     assert line["level"] == "info"
     assert line["pool"] == "main"
     assert line["balancer"] == "b"
@@ -88,27 +97,50 @@
 
 def test_an_event_is_logged_at_its_own_level_if_the_settings_want_that_level():
     log = quiet(level="warning")
-    for event in ("probe", "hop", "watch.silent", "error"):
+    for event in ("health_check.finished", "attempt.failed", "watch.timed_out", "exception.unhandled"):
         log(event)
-    assert [line["event"] for line in lines(log)] == ["watch.silent", "error"]
+    assert [line["event"] for line in lines(log)] == ["watch.timed_out", "exception.unhandled"]
     log.apply_settings(LogSettings(level="debug"))
-    log.debug("probe")
+    log.debug("health_check.finished")
     assert [line["level"] for line in lines(log)] == ["debug"]
 
 
 def test_sampling_drops_lines_of_the_sampled_event_only():
-    log = quiet(sample={"hop": Fraction(0.1)})
+    log = quiet(sample={"attempt.failed": Fraction(0.1)})
     for _ in range(2_000):
-        log("hop")
-        log("list")
+        log("attempt.failed")
+        log("endpoint_list.applied")
     counts = [line["event"] for line in lines(log)]
-    assert counts.count("list") == 2_000
-    assert 140 < counts.count("hop") < 260
+    assert counts.count("endpoint_list.applied") == 2_000
+    assert 140 < counts.count("attempt.failed") < 260
+
+
+def test_settings_may_name_an_event_by_its_former_name():
+    assert not EVENTS_BY_FORMER_NAME.keys() & EVENTS.keys()
+    assert len(set(EVENTS_BY_FORMER_NAME.values())) == len(EVENTS_BY_FORMER_NAME)
+    assert set(EVENTS_BY_FORMER_NAME.values()) <= EVENTS.keys()
+    for former, event in EVENTS_BY_FORMER_NAME.items():
+        log = quiet(level="debug", sample={former: Fraction(0.0)})
+        log(event)
+        log("watch.ended")
+        assert [line["event"] for line in lines(log)] == ["watch.ended"]
+
+
+def test_the_page_for_on_call_has_each_former_name_of_an_event():
+    page_text = (ROOT.parent / "docs" / "on-call.md").read_text()
+    table = page_text.split("| event until 0.2 | event now |\n| --- | --- |\n")[1].split("\n\n")[0]
+    rows = dict(re.findall(r"^\| `([^`]+)` \| `([^`]+)` \|$", table, re.MULTILINE))
+    assert rows == EVENTS_BY_FORMER_NAME
 
 
 def test_secrets_are_redacted():
     log = quiet()
-    log("error", what={"Authorization": "Bearer x1", "deep": [{"password": "x2"}]}, token="x3", why="fine")
+    log(
+        "exception.unhandled",
+        message={"Authorization": "Bearer x1", "deep": [{"password": "x2"}]},
+        token="x3",
+        reason="fine",
+    )
     text = bytes(log.lines)
     assert not any(secret in text for secret in (b"x1", b"x2", b"x3"))
     assert b"fine" in text
@@ -120,12 +152,12 @@
     log = StructuredLog("b", sink=writer)
     log.loop, log.write_scheduled = object(), True  # as if a write were due: nothing is written now
     for _ in range(100):
-        log("list", version=1)
+        log("endpoint_list.applied", version=1)
     assert log.lost_lines > 50
     assert len(log.lines) < 2_500
     lost_lines = log.lost_lines
     log.lines.clear()
-    log("list", version=2)
+    log("endpoint_list.applied", version=2)
     assert json.loads(bytes(log.lines))["lines_lost"] == lost_lines
     assert log.lost_lines == 0
     os.close(reader)
--- a/tests/server/test_server_reload.py
+++ b/tests/server/test_server_reload.py
@@ -64,14 +64,14 @@
     one, two, other = Upstream(), Upstream(), Agent()
     with program(one, two, agent=Agent(entry("s-1", one))) as (address, process, agent), closing(other):
         replace(process, discovery="127.0.0.1:70000")
-        assert logged(process, "reload.refused")["why"].startswith(f"{process.path}: discovery: ")
+        assert logged(process, "reload.rejected")["reason"].startswith(f"{process.path}: discovery: ")
         assert Caller(address).ask()[0] == 200
         assert len(agent.watches) == 1
         other.servers = [entry("s-2", two)]
         replace(process, discovery=other.address, log="debug")
         assert other.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=1"
         other.tell(2, True, entry("s-2", two))
-        while logged(process, "list")["version"] < 2:
+        while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         assert Caller(address).ask(trace="t2")[0] == 200
         assert two.came.get(timeout=PATIENCE)
@@ -99,15 +99,15 @@
             client.send("submit", "POST", trace=f"h{n}")
         assert one.came.get(timeout=PATIENCE)[0].startswith("POST /submit")
         replace(process, settings={**CHANGED_SETTINGS, "fees": {"cross-zone": -1}})
-        assert "settings.fees.cross-zone" in logged(process, "reload.refused")["why"]
+        assert "settings.fees.cross-zone" in logged(process, "reload.rejected")["reason"]
         replace(process, settings=CHANGED_SETTINGS)
-        switched = logged(process, "switched")
-        assert switched["kept"] == 2
-        assert not switched["afresh"]
-        assert switched["held"] >= 1
-        assert logged(process, "unmet")["settings"] == ["caps.max-streams"]
+        switched = logged(process, "settings.applied")
+        assert switched["restored"] == 2
+        assert not switched["new"]
+        assert switched["requests_in_flight"] >= 1
+        assert logged(process, "settings.ignored")["settings"] == ["caps.max-streams"]
         agent.tell(2, False, entry("s-0", one, "draining"))
-        while logged(process, "list")["version"] < 2:
+        while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         assert Caller(address).ask("submit", trace="n1")[0] == 404  # dropped by the new file
         answers = [Caller(address).ask("upload", "POST", trace=f"u{n}", expires="1500") for n in range(4)]
@@ -123,9 +123,9 @@
             "caps": {**CONF["caps"], "max-streams": 1},
         }
         replace(process, settings={**back, "fees": {}})
-        assert "settings.fees.cross-zone" in logged(process, "reload.refused")["why"]
+        assert "settings.fees.cross-zone" in logged(process, "reload.rejected")["reason"]
         replace(process, settings=back)
-        assert logged(process, "switched")["kept"] == 2
+        assert logged(process, "settings.applied")["restored"] == 2
         assert Caller(address).ask("submit", "POST", trace="n2")[0] == 200
 
 
@@ -141,9 +141,9 @@
         client.send(trace="q1")
         one.came.get(timeout=PATIENCE)
         replace(process, settings=CHANGED_SETTINGS)
-        logged(process, "switched")
+        logged(process, "settings.applied")
         agent.tell(2, False, entry("s-0", one, "draining"), entry("s-1", two))
-        while logged(process, "list")["version"] < 2:
+        while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         proceed.set()
         assert client.read()[0] == 200
@@ -176,7 +176,7 @@
         process.send_signal(signal.SIGHUP)
     else:
         replace(process, discovery="127.0.0.1:9", **text)
-    assert key in logged(process, "reload.refused")["why"]
+    assert key in logged(process, "reload.rejected")["reason"]
     telemetry = call(process.admin, "/api/telemetry")[1]
     assert (telemetry["cfg_accepted"], telemetry["cfg_invalid"]) == (0, invalid + 1)
     assert Caller(address).ask("submit", "POST")[0] == 200
--- a/tests/server/test_server_states.py
+++ b/tests/server/test_server_states.py
@@ -46,10 +46,10 @@
     begin = server.timers.now
     server.timers.run_until(begin + ACCEPT_PERIOD - 1)
     assert server.lifecycle.state is ServerState.DRAINING
-    assert server.events == ["stopping"]
+    assert server.events == ["shutdown.started"]
     server.timers.run_until(begin + ACCEPT_PERIOD)
     assert server.lifecycle.state is ServerState.CLOSING
-    assert server.events == ["stopping", "listener closed"]
+    assert server.events == ["shutdown.started", "listener closed"]
     server.clients = 0
     server.timers.run_until(begin + 2 * ACCEPT_PERIOD)
     assert server.lifecycle.state is ServerState.STOPPED
@@ -80,5 +80,5 @@
     server.timers.run_until(server.timers.now + ACCEPT_PERIOD)
     deadline = server.router.shutdown_deadline
     server.lifecycle.drain()
-    assert server.events == ["stopping", "listener closed"]
+    assert server.events == ["shutdown.started", "listener closed"]
     assert server.router.shutdown_deadline == deadline
--- a/tests/server/test_signals_and_shutdown.py
+++ b/tests/server/test_signals_and_shutdown.py
@@ -24,7 +24,7 @@
         with open(process.path, "wb") as file:
             file.write(text)
         process.send_signal(signal.SIGHUP)
-        assert process.path in logged(process, "reload.refused")["why"]
+        assert process.path in logged(process, "reload.rejected")["reason"]
         assert Caller(address).ask("submit", "POST")[0] == 200
 
 
@@ -37,11 +37,11 @@
         caller.send("submit", "POST", b"x", "60000")
         slow.came.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
-        logged(process, "stopping")
+        logged(process, "shutdown.started")
         for number in more:
             process.send_signal(number)
         if signal.SIGHUP in more:
-            logged(process, "reloaded")
+            logged(process, "reload.applied")
         go.set()
         assert caller.read()[0] == 200
         assert caller.read() is None
@@ -53,7 +53,7 @@
 def test_connections_waiting_in_the_systems_queue_at_sigterm_are_accepted_and_answered():
     with program(up := Upstream()) as (address, process, _):
         process.send_signal(signal.SIGTERM)
-        logged(process, "stopping")
+        logged(process, "shutdown.started")
         process.send_signal(signal.SIGSTOP)
         callers = []
         for n in range(100):
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -130,7 +130,7 @@
     real = Router.respond
 
     def respond(self, ref, how, status, headers, body):
-        if how == "committed":
+        if how == "succeeded":
             real(self, ref, how, status, headers, body)
         else:
             self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
@@ -258,7 +258,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.router.respond(self.request.number, "abandoned", 502, b"", b"early\n")
+            self.router.respond(self.request.number, "failed", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
