--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -147,7 +147,7 @@
         """
         resumed = self.stored is not None and self.stored.handed_over
         if self.stored is not None and resumed:
-            self.failure_detector.restore(clock(), self.stored.snapshot())
+            self.failure_detector.restore(clock(), self.stored.snapshot)
         await self.transport.open(parse_address(self.settings.address), self.seeds())
         self.log(
             "membership.opened",
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -5,13 +5,7 @@
 import msgspec
 
 from dahliabend.membership.messages import Update
-from dahliabend.membership.snapshot import (
-    GENERATION_KEY,
-    INCARNATION_KEY,
-    MEMBERS_KEY,
-    SEQUENCE_NUMBER_KEY,
-    Snapshot,
-)
+from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
@@ -20,16 +14,18 @@
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place; the names that stand in the file are kept.
+    """What a process leaves for the next one in its place.
+
+    In the file a field has its `name`, if one is given here, else its own.
 
     Attributes:
         name: The member's name.
         address: Where the others send to.
         handed_over: Whether the next process goes on as this one; else it only knows whom to ask.
         written_at: In Unix microseconds.
-        generation: The member's generation.
+        generation: The member's.
         incarnation: Its last incarnation number.
-        sequence_number: The last one that it used.
+        sequence_number: Its last one.
         members: The last update of each other member.
     """
 
@@ -42,14 +38,10 @@
     sequence_number: int = msgspec.field(name="serial")
     members: list[Update]
 
-    def snapshot(self) -> Snapshot:
-        """Return the part that the membership protocol goes on from."""
-        return {
-            GENERATION_KEY: self.generation,
-            INCARNATION_KEY: self.incarnation,
-            SEQUENCE_NUMBER_KEY: self.sequence_number,
-            MEMBERS_KEY: self.members,
-        }
+    @property
+    def snapshot(self) -> MembershipSnapshot:
+        """What the next process goes on from."""
+        return MembershipSnapshot(self.generation, self.incarnation, self.sequence_number, self.members)
 
 
 class MembershipFile:
@@ -92,7 +84,7 @@
         stored.handed_over = stored.handed_over and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
-    def write(self, state: Snapshot, *, handed_over: bool) -> None:
+    def write(self, state: MembershipSnapshot, *, handed_over: bool) -> None:
         """Replace the file.
 
         Args:
@@ -104,10 +96,10 @@
             address=self.address,
             handed_over=handed_over,
             written_at=_unix_microseconds(),
-            generation=state[GENERATION_KEY],
-            incarnation=state[INCARNATION_KEY],
-            sequence_number=state[SEQUENCE_NUMBER_KEY],
-            members=state[MEMBERS_KEY],
+            generation=state.generation,
+            incarnation=state.incarnation,
+            sequence_number=state.sequence_number,
+            members=list(state.members),
         )
         directory, file_name = os.path.split(self.path)
         try:
