--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -1,9 +1,21 @@
-"""Start, readiness, graceful shutdown and end of a server."""
+"""From start to end of a server; what happens at SIGTERM stands here whole.
+
+SIGTERM and SIGINT call `Server.stop`. A member of a cluster tells the others that it leaves (at SIGUSR2 it
+falls silent instead, for a successor that goes on as this member). Then `Lifecycle.drain`:
+
+1. DRAINING, at once: the server is not ready any more. Connections of idle clients are closed, others behind
+   their next response. What is not answered `ANSWER_MARGIN` before SIGKILL is due is given up: rejected where
+   it was not executed, failed otherwise. New connections are accepted for `ACCEPT_PERIOD`; not at all if the
+   listening socket is inherited, because a successor accepts from it.
+2. CLOSING: the connections that wait in the system's queue are accepted (not from an inherited socket), then
+   the listening socket is closed. Idle clients' connections are closed every `CLIENT_CHECK_INTERVAL`.
+3. STOPPED, once no client connection is left, and at the latest `CLIENT_CLOSE_TIMEOUT` after requests were
+   given up: the server releases what it has started, logs `server.stopped`, and the process ends (status 0).
+"""
 
 import asyncio
-import gc
 import signal
-from collections.abc import Callable, Sized
+from collections.abc import Sized
 from enum import Enum, auto
 from typing import Protocol
 
@@ -20,9 +32,7 @@
 ANSWER_MARGIN = 300_000  # before SIGKILL is due: by then the last responses go out
 ACCEPT_PERIOD = 500_000  # after SIGTERM, while new connections still come (for 0.4 s at the most)
 CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two looks whether all clients have gone
-CLIENT_CLOSE_TIMEOUT = (
-    ANSWER_MARGIN // 2
-)  # after the last requests were given up, for their responses to be read
+CLIENT_CLOSE_TIMEOUT = ANSWER_MARGIN // 2  # after requests were given up, for their responses to be read
 
 
 class ServerState(Enum):
@@ -101,50 +111,21 @@
         server.timers.schedule(now + accept_period, self._close_listener)
 
     def _close_listener(self) -> None:
+        """Accept no more clients."""
         self.state = ServerState.CLOSING
         self.server.listener.close()
         self._check_clients()
 
     def _check_clients(self) -> None:
-        server = self.server
-        if (
-            not server.close_idle_clients()
-            or clock() >= server.router.shutdown_deadline + CLIENT_CLOSE_TIMEOUT
-        ):
-            self.state = ServerState.STOPPED
-            self.stopped.set_result(None)
+        """Stop if no client is left or the time is over; else look again after a while."""
+        now = clock()
+        clients = self.server.close_idle_clients()
+        if not clients or now >= self.server.router.shutdown_deadline + CLIENT_CLOSE_TIMEOUT:
+            self._stop()
         else:
-            server.timers.schedule(clock() + CLIENT_CHECK_INTERVAL, self._check_clients)
-
-
-class RunnableServer(Protocol):
-    """A server that can be run until it has stopped."""
+            self.server.timers.schedule(now + CLIENT_CHECK_INTERVAL, self._check_clients)
 
-    async def start(self) -> None:
-        """Start accepting clients."""
-
-    async def end(self) -> None:
-        """Wait until it has stopped."""
-
-
-async def run_server(make_server: Callable[[], RunnableServer], log: Log) -> None:
-    """Make a server and run it until it has stopped.
-
-    Args:
-        make_server: Called once the event loop and the log are ready.
-        log: Where faults of the program itself are logged.
-    """
-    loop = asyncio.get_running_loop()
-    log.attach(loop)
-    loop.set_exception_handler(
-        lambda _, context: log(
-            "exception.unhandled", message=context.get("message"), reason=repr(context.get("exception"))
-        )
-    )
-    server = make_server()
-    # What was made by now stays: no later garbage collection need walk it. Done before anything is connected:
-    # a pause longer than the connect timeout would have connections given up.
-    gc.collect()
-    gc.freeze()
-    await server.start()
-    await server.end()
+    def _stop(self) -> None:
+        """Have `Server.end` release everything."""
+        self.state = ServerState.STOPPED
+        self.stopped.set_result(None)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -13,7 +13,6 @@
 from dahliabend.routing_rules.comparison import diff, needs_restart
 from dahliabend.routing_rules.compiled_route import CompiledRoute
 from dahliabend.routing_rules.treatment import target_pools
-from dahliabend.server.lifecycle import run_server
 from dahliabend.server.log import Log
 from dahliabend.server.operator_file_loading import (
     ADMIN_LISTENER,
@@ -26,6 +25,7 @@
 )
 from dahliabend.server.pool_manager import PoolManager, PoolResources
 from dahliabend.server.reload import reload_configuration
+from dahliabend.server.runner import run_server
 from dahliabend.server.server import Server
 from dahliabend.server.structured_log import StructuredLog
 from dahliabend.transport import host_info
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -13,10 +13,10 @@
 from dahliabend.proxy.router import Router
 from dahliabend.server.handover_state import capture_state, restore_state
 from dahliabend.server.hot_restart import HotRestart
-from dahliabend.server.lifecycle import run_server
 from dahliabend.server.log import Log
 from dahliabend.server.process_takeover import ProcessTakeover
 from dahliabend.server.reload import reload_configuration
+from dahliabend.server.runner import run_server
 from dahliabend.server.server import Server
 
 
