--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -1,10 +1,12 @@
 """What a router knows of its pool: the endpoints, and the policies that decide on its requests."""
 
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
+from typing import Any, Protocol, TypedDict
+
+from msgspec import convert, to_builtins
 
 from dahliabend.discovery.endpoint_list import EndpointRow
-from dahliabend.model import EndpointState, Outcome
+from dahliabend.model import EndpointState, Outcome, Snapshot
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.endpoint_table import MAX_REMEMBERED_IDS, EndpointTable
@@ -26,6 +28,25 @@
         """Ask for nothing more."""
 
 
+class EndpointEntry(TypedDict):
+    """An endpoint in the form of the discovery service; `started_ms` is Unix time."""
+
+    id: str
+    addr: str
+    zone: str
+    cell: int
+    weight: float
+    state: str
+    started_ms: int
+
+
+class PoolTelemetry(TypedDict):
+    """Counts of endpoints, by the operators' names: all of them, and those that nothing is sent to now."""
+
+    registry_entries: int
+    out_of_rotation: int
+
+
 class PoolState:
     """The endpoints of a pool, as the endpoint list and operators change them, and the policies told of them.
 
@@ -140,7 +161,7 @@
     def snapshot(self) -> dict[str, Any]:
         """Return the state for a successor in another process, with names in place of indices."""
         endpoints = self.table.endpoints
-        state: dict[str, Any] = self.balancer.snapshot(ends=False)
+        state: dict[str, Any] = to_builtins(self.balancer.snapshot(ends=False))
         state["upstreams"] = {endpoints[index].name: known for index, known in state["upstreams"].items()}
         state["epoch"] = self.epoch
         state["profiles"] = {name.decode("latin-1"): index for name, index in self.class_indices.items()}
@@ -157,7 +178,8 @@
         indices = self.table.indices
         upstreams = {indices[name]: known for name, known in state["upstreams"].items() if name in indices}
         classes = {name.encode("latin-1"): index for name, index in state["profiles"].items()}
-        return self.balancer.restore({**state, "upstreams": upstreams}, self.class_index_pairs(classes))
+        known = convert({**state, "upstreams": upstreams}, Snapshot)
+        return self.balancer.restore(known, self.class_index_pairs(classes))
 
     def class_index_pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
         """Return the index now and the index before, for each class that both settings have."""
@@ -169,7 +191,7 @@
         """Return the number of attempts in flight, under all policies."""
         return sum(policy.balancer.concurrency.in_flight for policy in self.policies)
 
-    def endpoint_entries(self) -> list[dict[str, Any]]:
+    def endpoint_entries(self) -> list[EndpointEntry]:
         """Return the endpoint list as it stands, in the form of the discovery service."""
         return [
             {
@@ -184,7 +206,7 @@
             for endpoint in self.table.endpoints.values()
         ]
 
-    def telemetry(self) -> dict[str, int]:
+    def telemetry(self) -> PoolTelemetry:
         """Return how many endpoints there are, and to how many of them nothing is sent now."""
         ejected = sum(
             known.is_ejected or known.state is not EndpointState.READY
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 from dahliabend.model import Outcome
 from dahliabend.proxy.attempt import Attempt
@@ -39,7 +38,7 @@
         if self.logs_access and ending != FORWARDED_TO_FALLBACK:
             self.log(
                 "request.finished",
-                trace_id=request.trace_id.decode("latin-1"),
+                trace_id=request.incoming.trace_id.decode("latin-1"),
                 outcome=ending,
                 attempts=_attempt_rows(request),
                 duration_ms=(clock() - request.admitted_at) // 1000,
@@ -48,7 +47,7 @@
         if ending != SUCCEEDED:
             self.log(
                 f"request.{ending}",
-                trace_id=request.trace_id.decode("latin-1"),
+                trace_id=request.incoming.trace_id.decode("latin-1"),
                 **_class_fields(request),
                 attempts=_attempt_rows(request),
                 attempts_in_flight=len(request.attempts) - len(request.attempt_records),
@@ -59,7 +58,7 @@
         """Log an attempt that has not succeeded; `duration` in microseconds."""
         self.log(
             "attempt.failed",
-            trace_id=attempt.request.trace_id.decode("latin-1"),
+            trace_id=attempt.request.incoming.trace_id.decode("latin-1"),
             attempt_index=attempt.index,
             upstream=attempt.endpoint.name,
             outcome=outcome.name,
@@ -73,5 +72,5 @@
     return [tuple(record) for record in request.attempt_records]
 
 
-def _class_fields(request: Request) -> dict[str, Any]:
+def _class_fields(request: Request) -> dict[str, str | int]:
     return {"route": request.route_name} if request.route_name else {"request_class": request.class_index}
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -2,10 +2,9 @@
 
 import asyncio
 from enum import IntEnum
-from typing import NamedTuple
 
-from dahliabend.http.streaming import StreamingBody
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.streaming import BodySource, StreamingBody
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.transport.connection import dial
@@ -24,18 +23,8 @@
     FINISHED = 3  # its outcome is known
 
 
-class UpstreamResponse(NamedTuple):
-    """What an upstream has answered, as far as it is passed on or read.
-
-    Attributes:
-        headers: Header lines that are passed on to the client.
-        body: The body; empty unless the request has succeeded.
-        load_report: Value of the header with the upstream's load.
-    """
-
-    headers: bytes
-    body: bytes
-    load_report: bytes
+# Bound once: on Python 3.11, reading a member of an enum costs a function call.
+_FINISHED = Phase.FINISHED
 
 
 class UpstreamRequest:
@@ -94,7 +83,7 @@
     @property
     def is_finished(self) -> bool:
         """Whether the outcome is known."""
-        return self.phase is Phase.FINISHED
+        return self.phase is _FINISHED
 
     def start(self) -> None:
         """Send it on an idle connection, or open a connection for it."""
@@ -149,7 +138,7 @@
         """
         now = clock()
         unsent = self.outcome_if_unsent(now)
-        if self.is_finished or unsent is not None:
+        if self.phase is _FINISHED or unsent is not None:
             self.endpoint.return_connection(connection)
             if unsent is not None:
                 self.finish_soon(unsent)
@@ -174,25 +163,23 @@
     def request_written(self) -> None:
         """Handle that all of it has been written: from now on it may be executed."""
 
-    def unsized_response_started(self) -> None:
+    def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Handle the start of a response whose length is not known."""
 
-    def response_started(self, headers: bytes, length: int | None) -> None:
+    def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """Handle the head of a response that is streamed."""
 
     def response_part(self, part: bytes) -> None:
         """Handle a part of the body of a response that is streamed."""
 
-    def response_complete(
-        self, status: int, not_executed: bool, load_report: bytes, headers: bytes, body: bytes
-    ) -> None:
-        """Handle the end of a response; what has been streamed of it is not in `body`."""
-        if status == _STATUS_OK:
-            self.finish(Outcome.SUCCEEDED, UpstreamResponse(headers, body, load_report))
-        elif not_executed and status in _REJECTING_STATUSES:
-            self.finish(Outcome.REJECTED, UpstreamResponse(b"", b"", load_report))
+    def response_complete(self, response: UpstreamResponse) -> None:
+        """Handle the end of a response; what has been streamed of it is not in its body."""
+        if response.status == _STATUS_OK:
+            self.finish(Outcome.SUCCEEDED, response)
+        elif response.not_executed and response.status in _REJECTING_STATUSES:
+            self.finish(Outcome.REJECTED, response)
         else:
-            self.finish(Outcome.FAILED, UpstreamResponse(b"", b"", load_report))
+            self.finish(Outcome.FAILED, response)
 
     def connection_failed(self, request_written: bool) -> None:
         """Handle the loss of the connection. Only a request that was written completely may be executed."""
@@ -211,12 +198,14 @@
 
         Nothing has been executed yet, so this is done also where cancellations are not allowed.
         """
+        if self.phase is _FINISHED:
+            return
         if self.connection is None or not self.connection.is_flushed:
             self.give_up(Outcome.CANCELLED)
 
     def give_up(self, outcome: Outcome) -> None:
         """Stop waiting. The connection is closed before this returns: nothing is sent beside this request."""
-        if self.is_finished:
+        if self.phase is _FINISHED:
             return
         written = self.connection is not None and self.connection.cancel_request()
         self.stop_connecting()
@@ -227,19 +216,19 @@
 
         The policy may be in the middle of the call that has led here.
         """
-        if not self.is_finished:
+        if self.phase is not _FINISHED:
             self.mark_finished()
             duration = clock() - self.started_at
             self.endpoint.resources.timers.loop.call_soon(self.on_finished, outcome, duration, None)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
         """Finish now."""
-        if not self.is_finished:
+        if self.phase is not _FINISHED:
             self.mark_finished()
             self.on_finished(outcome, clock() - self.started_at, response)
 
     def mark_finished(self) -> None:
         """Enter the last phase and release what belongs to it."""
-        self.phase = Phase.FINISHED
+        self.phase = _FINISHED
         self.connection = None
         self.endpoint.resources.timers.cancel(self.timeout_timer)
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -10,7 +10,7 @@
 
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.udp_transport import UdpTransport
-from dahliabend.membership.view import Exclusion, MembershipView, MemberView
+from dahliabend.membership.view import Exclusion, MembershipView, MemberState, MemberView
 
 MICROSECONDS = 1000  # in a millisecond
 CONFIDENCE_DIGITS = 3  # decimal places
@@ -44,7 +44,7 @@
         version=view.version,
         checksum=view.checksum,
         members=len(view.members),
-        suspected=sum(member.state == "suspected" for member in view.members),
+        suspected=sum(member.state is MemberState.SUSPECTED for member in view.members),
         stable=view.stable,
         possibly_partitioned=view.possibly_partitioned,
         exclusion=view.exclusion,
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -14,18 +14,16 @@
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place.
-
-    In the file a field has its `name`, if one is given here, else its own.
+    """What a process leaves for the next one in its place; the names that stand in the file are kept.
 
     Attributes:
         name: The member's name.
         address: Where the others send to.
         handed_over: Whether the next process goes on as this one; else it only knows whom to ask.
         written_at: In Unix microseconds.
-        generation: The member's.
+        generation: The member's generation.
         incarnation: Its last incarnation number.
-        sequence_number: Its last one.
+        sequence_number: The last one that it used.
         members: The last update of each other member.
     """
 
@@ -38,9 +36,8 @@
     sequence_number: int = msgspec.field(name="serial")
     members: list[Update]
 
-    @property
     def snapshot(self) -> MembershipSnapshot:
-        """What the next process goes on from."""
+        """Return the part that the membership protocol goes on from."""
         return MembershipSnapshot(self.generation, self.incarnation, self.sequence_number, self.members)
 
 
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -79,8 +79,8 @@
         limit = decisions.concurrency
         values["all"] = [
             limit.limit, limit.mean_in_flight, limit.sustained_in_flight, limit.latency_ratio,
-            limit.least_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
-            decisions.outliers.fatal_idle_time, *decisions.usual,
+            limit.min_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
+            decisions.outliers.fatal_idle_time, *decisions.deadlines.mean_latencies,
         ]  # fmt: skip
         mine.write_state_for((3, 99), program.handover_state)
 
@@ -204,7 +204,7 @@
         assert successor.stored is not None
         assert successor.stored.handed_over
         machine = successor.failure_detector
-        machine.restore(7_000_000, successor.stored.snapshot)
+        machine.restore(7_000_000, successor.stored.snapshot())
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
             "seeds": successor.seeds(), "life": machine.generation,
