--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -45,10 +45,10 @@
             report = response.body if outcome is Outcome.SUCCEEDED else b""
             load = load_reports.parse(report or response.load_report, self.report_fields)
         self.endpoint.resources.log(
-            "probe",
+            "health_check.finished",
             upstream=self.endpoint.name,
             outcome=outcome.name,
-            ms=duration // MICROSECONDS_PER_MILLISECOND,
+            duration_ms=duration // MICROSECONDS_PER_MILLISECOND,
             load=load,
         )
         self.on_result(self.endpoint.index, outcome)
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -13,10 +13,10 @@
 from dahliabend.proxy.router import Router
 from dahliabend.server.handover_state import capture_state, restore_state
 from dahliabend.server.hot_restart import HotRestart
-from dahliabend.server.lifecycle import run_server
 from dahliabend.server.log import Log
 from dahliabend.server.process_takeover import ProcessTakeover
 from dahliabend.server.reload import reload_configuration
+from dahliabend.server.runner import run_server
 from dahliabend.server.server import Server
 
 
@@ -97,7 +97,7 @@
 
     def listening_fields(self) -> dict[str, object]:
         """Return whether clients of the first tier come here."""
-        return {"entrance": self.router.balancer.settings.is_entry_tier}
+        return {"entry_tier": self.router.balancer.settings.is_entry_tier}
 
     def close(self) -> None:
         """Stop watching the endpoint list."""
@@ -108,16 +108,16 @@
         router = self.router
         balancer = router.balancer
         self.log(
-            "figures",
+            "metrics.reported",
             counts=router.counts,
-            held=len(router.requests),
+            requests_in_flight=len(router.requests),
             connections=len(self.descriptors.connections),
-            out=balancer.concurrency.in_flight,
-            crowd=round(balancer.concurrency.limit, 1),
-            tier=round(balancer.throttling.tier.reduction, 2),
+            attempts_in_flight=balancer.concurrency.in_flight,
+            concurrency_limit=round(balancer.concurrency.limit, 1),
+            reduction=round(balancer.throttling.tier.reduction, 2),
             ready=len(balancer.selection.ready),
-            using=len(balancer.selection.selected),
-            aside=[
+            selected=len(balancer.selection.selected),
+            ejected=[
                 router.table.endpoints[upstream.index].name
                 for upstream in balancer.selection.ready
                 if upstream.is_ejected
@@ -133,7 +133,7 @@
             KeyError, TypeError, ValueError, AttributeError: The state can't be read.
         """
         restored = restore_state(state, self.router, self.endpoint_list, self.discovery)
-        self.log("followed", kept=restored, upstreams=len(self.router.table.endpoints))
+        self.log("hot_restart.resumed", restored=restored, upstreams=len(self.router.table.endpoints))
 
     def handover_state(self) -> dict[str, Any]:
         """Return the state that a successor goes on from."""
@@ -153,7 +153,7 @@
         reload_configuration(
             lambda: reread_server_settings(self.environment, self._named_keys),
             self._apply,
-            lambda error: {"why": str(error)},
+            lambda error: {"reason": str(error)},
             metrics=self.metrics,
             log=self.log,
         )
@@ -176,7 +176,12 @@
         table.resources.idle_timeout = settings.idle_reuse_time
         in_flight = len(self.router.requests)
         restored = self.router.apply_settings(settings)
-        self.log("switched", held=in_flight, kept=restored, afresh=len(table.endpoints) - restored)
+        self.log(
+            "settings.applied",
+            requests_in_flight=in_flight,
+            restored=restored,
+            new=len(table.endpoints) - restored,
+        )
         self.log_unsupported(settings.unsupported_keys)
 
 
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -132,7 +132,7 @@
     real = Router.respond
 
     def respond(self, request, how, status, headers, body):
-        if how == "committed":
+        if how == "succeeded":
             real(self, request, how, status, headers, body)
         else:
             self.timers.schedule(clock() + 2 * S, real, self, request, how, status, headers, body)
@@ -261,7 +261,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.owner.respond(self.request, "abandoned", 502, b"", b"early\n")
+            self.owner.respond(self.request, "failed", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
