--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -174,8 +174,7 @@
     def timed_out(self) -> None:
         """Give up, but while something is streamed only if no byte has moved for long."""
         now = clock()
-        upload = self.upload if self.upload is not None and self.request.state.body_pending else None
-        is_uploading = upload is not None
+        is_uploading = self.upload is not None and self.request.state.body_pending
         allowed_pause = self.allowed_pause(is_uploading)
         if is_uploading and self.phase is Phase.CONNECTING:
             self.check_progress_at(now + allowed_pause)
@@ -183,8 +182,8 @@
         last_progress = now - allowed_pause
         if self.is_streaming:
             last_progress = self.last_progress
-        elif upload is not None:
-            last_progress = upload.last_progress
+        elif self.upload is not None and is_uploading:
+            last_progress = self.upload.last_progress
         if now - last_progress < allowed_pause:
             self.check_progress_at(last_progress + allowed_pause)
             return
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -78,16 +78,15 @@
 
     # Endpoints.
 
-    def endpoints_changed(self, rows: Iterable[tuple[Any, ...]], full: bool) -> None:
+    def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
         """Take rows of the endpoint list over.
 
         Args:
-            rows: Endpoints, each in the form of an `EndpointRow`.
+            rows: Endpoints.
             full: What is not among them has been removed.
         """
         changed: list[tuple[Endpoint, EndpointState]] = []
-        for fields in rows:
-            row = EndpointRow(*fields)
+        for row in rows:
             if row.state is EndpointState.REMOVED and row.name not in self.table.indices:
                 continue
             endpoint = self.table.get_or_create(row.name)
