--- a/dahliabend/routing_rules/comparison.py
+++ b/dahliabend/routing_rules/comparison.py
@@ -1,5 +1,6 @@
 """What a reload from one file to another would change, and what becomes of each change."""
 
+from enum import StrEnum
 from typing import TypedDict
 
 from dahliabend.routing_rules.loaded_file import LoadedFile, settings
@@ -8,11 +9,19 @@
 RELOADED_MEMBER_KEYS = {"zone", "weight", "seeds", "seeds-file", "seeds-discovery", "key-files"}  # but these
 
 
+class ChangeKind(StrEnum):
+    """How a setting differs; shown by its word."""
+
+    ADDED = "added"
+    REMOVED = "removed"
+    CHANGED = "changed"
+
+
 class Change(TypedDict):
     """One setting that differs, as it is shown."""
 
     key: str  # of the setting; a route is identified by its name
-    how: str  # "added", "removed" or "changed"
+    how: ChangeKind
     old: object  # None where it was added
     new: object  # None where it was removed
     effect: str  # what becomes of it, in words
@@ -27,9 +36,9 @@
         old_value = before.get(key)
         new_value = after.get(key)
         if old_value != new_value:
-            how = "added" if old_value is None else "removed" if new_value is None else "changed"
-            effect = _effect(key, how, new)
-            changes.append(Change(key=key, how=how, old=old_value, new=new_value, effect=effect))
+            kind = _kind_of_change(old_value, new_value)
+            effect = _effect(key, kind, new)
+            changes.append(Change(key=key, how=kind, old=old_value, new=new_value, effect=effect))
     return changes
 
 
@@ -52,14 +61,20 @@
     return values
 
 
-def _effect(key: str, how: str, new: LoadedFile) -> str:
+def _kind_of_change(old: object, new: object) -> ChangeKind:
+    if old is None:
+        return ChangeKind.ADDED
+    return ChangeKind.REMOVED if new is None else ChangeKind.CHANGED
+
+
+def _effect(key: str, kind: ChangeKind, new: LoadedFile) -> str:
     table, _, rest = key.partition(".")
     name = rest.partition(".")[0]
     file = new.usable_file
     if needs_restart(key):
         return "wants a restart; a reload passes it over"
-    if table == "pools" and how == "removed" and name not in file.pools:
+    if table == "pools" and kind is ChangeKind.REMOVED and name not in file.pools:
         return "the pool goes once what is open there has ended"
-    if table == "routes" and how == "removed" and name not in [route.name for route in file.routes]:
+    if table == "routes" and kind is ChangeKind.REMOVED and name not in [route.name for route in file.routes]:
         return "the route takes nothing new; what is open ends as it was taken"
     return "from the reload on, for what is taken then"
