--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -17,12 +17,12 @@
 from dahliabend.discovery.endpoint_list import EndpointList
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.serving_state import ServingState
-from dahliabend.http.upstream_connection import UpstreamConnection
+from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
 from dahliabend.model import EndpointState, Outcome
+from dahliabend.policy import balancer, selection
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.key_order import KeyQueues
-from dahliabend.policy.retries import RequestState
-from dahliabend.policy.selection import EndpointSelection
+from dahliabend.policy.slow_start import SlowStart
 from dahliabend.proxy import attempt
 from dahliabend.proxy.attempt import Attempt
 from dahliabend.proxy.endpoint_resources import EndpointResources
@@ -72,9 +72,11 @@
 
 
 def resend_what_may_have_run():
-    return instead(
-        RequestState, "may_be_sent", lambda self, now: not self.is_body_consumed and not self.in_flight
-    )
+    def may_attempt(request, now):
+        has_more = len(request.attempts) < request.max_attempts
+        return has_more and not request.is_body_consumed and not request.in_flight
+
+    return instead(balancer, "may_attempt", may_attempt)
 
 
 def use_those_that_drain():
@@ -84,7 +86,7 @@
 
 
 def no_cold_budget():
-    return instead(EndpointSelection, "warm_share", lambda self, endpoint, now: 1.0)
+    return instead(SlowStart, "warm_share", lambda self, endpoint, now, max_ready: 1.0)
 
 
 def keep_a_descriptor():
@@ -101,7 +103,7 @@
     real = Router.forget_if_finished
 
     def forget_if_finished(self, request):
-        if not request.trace_id.endswith(b"7"):
+        if not request.incoming.trace_id.endswith(b"7"):
             real(self, request)
 
     return instead(Router, "forget_if_finished", forget_if_finished)
@@ -129,11 +131,11 @@
 def answer_late():
     real = Router.respond
 
-    def respond(self, ref, how, status, headers, body):
+    def respond(self, request, how, status, headers, body):
         if how == "committed":
-            real(self, ref, how, status, headers, body)
+            real(self, request, how, status, headers, body)
         else:
-            self.timers.schedule(clock() + 2 * S, real, self, ref, how, status, headers, body)
+            self.timers.schedule(clock() + 2 * S, real, self, request, how, status, headers, body)
 
     return instead(Router, "respond", respond)
 
@@ -195,7 +197,7 @@
 
 
 def roll_back_what_may_have_run():
-    def give_up(self, request):
+    def give_up(self, request, wait=0):
         request.is_answered = True
         self.cancel(request)
         self.port.reject(request.ref, 0)
@@ -204,7 +206,7 @@
 
 
 def leave_the_group():
-    return instead(RequestState, "is_deduplicated_at", lambda self, endpoint, first: True)
+    return instead(selection, "is_deduplicated_at", lambda request, endpoint, first: True)
 
 
 def pass_on_cut_answers():
@@ -213,7 +215,7 @@
         self.pool.remove_connection(self)
         handler, self.handler = self.handler, None
         if handler is not None and getattr(self, "head_complete", False):
-            handler.response_complete(200, False, b"", b"", b"".join(self.body))
+            handler.response_complete(UpstreamResponse(200, b"", b"".join(self.body), b"", False))
         elif handler is not None:
             handler.connection_failed(self.is_flushed)
 
@@ -259,7 +261,7 @@
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
-            self.owner.respond(self.request.number, "abandoned", 502, b"", b"early\n")
+            self.owner.respond(self.request, "abandoned", 502, b"", b"early\n")
 
     return instead(Attempt, "give_up", give_up)
 
