--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -51,7 +51,10 @@
         return max(self.tick, round(self.mean_latencies[class_index]))
 
     def queue_wait(self, class_index: int, ahead: int) -> int:
-        """Returns how long so many turns of a key take (us), all of this class."""
+        """Returns how long so many turns of a key take (us), all taken to be of this class.
+
+        Without the wait, a request would be queued whose turn comes too late.
+        """
         return round(ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
@@ -76,7 +79,7 @@
         It is early where a retry could follow: else one silent endpoint costs a request all its time. Not so
         while the tier holds a reduction, where all are slow and repeats would be more load.
         """
-        left = time_left(request, now)
+        left = request.deadline - now  # `time_left`, without the call
         timeout = request.request_class.attempt_timeout or left
         is_calm = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
         if is_calm and self.retries.budget >= 1 and is_retryable(request):
