--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -55,7 +55,7 @@
         bytes_sent=transport.sent_bytes,
         datagrams_received=transport.received,
         bytes_received=transport.received_bytes,
-        datagrams_dropped=dict(protocol.dropped_datagrams),
+        datagrams_dropped={str(reason): count for reason, count in protocol.dropped_datagrams.items()},
     )
 
 
