--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -10,9 +10,9 @@
 from random import Random
 from typing import cast
 
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.cluster.ground_truth import Link
 from dahliabend.simulation.cluster.script import S
-from dahliabend.simulation.connections import Address
 
 MAX_IN_TRANSIT = 20_000  # datagrams: more are lost, as in a full queue
 MIN_TIMER_DELAY = 200  # microseconds: for a shorter delay a timer would be too late
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from dahliabend.process_tests.load_observer import DRAIN_TIME, LIMIT, SLACK, LoadObserver
+from dahliabend.simulation.addresses import Address, format_address
 from dahliabend.simulation.cluster.script import Fleet
-from dahliabend.simulation.connections import Address, format_address
 from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -12,8 +12,8 @@
 
 import orjson
 
+from dahliabend.simulation.addresses import Address, format_address
 from dahliabend.simulation.cluster.script import Fleet
-from dahliabend.simulation.connections import Address, format_address
 from dahliabend.simulation.peers.operators import call
 
 START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -1,24 +1,20 @@
 """Faults of balancers: their processes and configurations, and what operators do to them."""
 
-from __future__ import annotations
-
 import asyncio
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import orjson
 
-from dahliabend.simulation.connections import Address
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.balancer_host import BalancerHost
+from dahliabend.simulation.event_loop import Process
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.peers.misbehaving_clients import MalformedClient
 from dahliabend.simulation.peers.operators import call
 from dahliabend.simulation.scenario import MS, Fault
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.balancer_host import BalancerHost
-    from dahliabend.simulation.event_loop import Process
-    from dahliabend.simulation.world import Simulation
-
 RESTART_TIME = 200 * MS  # from an end until the next start, where the span says less
 READINESS_INTERVAL = 100 * MS  # between two polls of a successor
 MAX_ADDED_ATTEMPTS = 4  # of reloaded settings, times the fault's size
@@ -28,13 +24,11 @@
 TARGET_MULTIPLIER = 97  # spreads the sizes of faults over the upstreams
 OK = 200
 
-Undo = Callable[[], object] | None
-
 
 class BalancerFaults:
     """The faults of balancers and operators; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self._operator_calls: dict[str, asyncio.Task[None]] = {}  # by balancer: the last one
         self.actions: dict[str, Callable[[Fault], Undo]] = {
@@ -198,7 +192,7 @@
 
 
 def open_malformed_connections(
-    simulation: Simulation, process: Process, count: int, next_address: Callable[[], Address | None]
+    simulation: FaultEnvironment, process: Process, count: int, next_address: Callable[[], Address | None]
 ) -> Undo:
     """Open connections on which malformed clients stay until this is undone."""
     transports: list[asyncio.Transport] = []
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -1,23 +1,19 @@
 """A balancer of a simulation through its processes: its configuration, starts, signals and ends."""
 
-from __future__ import annotations
-
 import asyncio
 import signal
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 import orjson
 
 from dahliabend.config.platform import read_server_settings
 from dahliabend.server.platform_server import PlatformServer
-from dahliabend.simulation.connections import Address, format_address
+from dahliabend.simulation.addresses import Address, format_address
+from dahliabend.simulation.environment import SimulationEnvironment
 from dahliabend.simulation.event_loop import Process
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.simulation.recorder import Recorder
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
-
 CLIENT_PORT = 8080
 SECOND_TIER_PORT = 9080
 AGENT_PORT = 8500
@@ -70,7 +66,13 @@
     """One balancer, its discovery agent, and the processes that it had."""
 
     def __init__(
-        self, simulation: Simulation, name: str, host: str, registry: Registry, tier: int, index: int
+        self,
+        simulation: SimulationEnvironment,
+        name: str,
+        host: str,
+        registry: Registry,
+        tier: int,
+        index: int,
     ) -> None:
         """Create a balancer that has not started.
 
@@ -207,7 +209,7 @@
     task.add_done_callback(ended)
 
 
-def platform_settings(simulation: Simulation, tier: int, index: int) -> dict[str, Any]:
+def platform_settings(simulation: SimulationEnvironment, tier: int, index: int) -> dict[str, Any]:
     """The settings that the platform hands to a balancer, with the keys of the wire."""
     spec, load = simulation.spec, simulation.load
     objective, deadline = spec.goal / MILLISECOND, spec.limit / MILLISECOND
--- a/dahliabend/simulation/client_faults.py
+++ b/dahliabend/simulation/client_faults.py
@@ -1,17 +1,12 @@
 """Faults of clients: bursts, floods, bad manners, and clients that all leave at once."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from dahliabend.simulation.balancer_faults import open_malformed_connections
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.peers.misbehaving_clients import FloodingClient
 from dahliabend.simulation.scenario import MS, Fault
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
-
 BURST_REQUESTS = 80  # times the fault's size
 BURST_TIME = 100 * MS
 FLOOD_REQUESTS = 90  # that one flooding client sends at once
@@ -19,13 +14,11 @@
 HALF_CLOSE_CLIENTS = 12  # times the fault's size
 MALFORMED_CLIENTS = 150  # times the fault's size
 
-Undo = Callable[[], object] | None
-
 
 class ClientFaults:
     """The faults of clients; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.actions: dict[str, Callable[[Fault], Undo]] = {
             "crowd": self.burst,
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -3,13 +3,10 @@
 Attempts go to simulated upstreams; there are no bytes. The instance is the policy's port.
 """
 
-from __future__ import annotations
-
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
-from typing import TYPE_CHECKING
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
@@ -17,6 +14,7 @@
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.retries import RequestState
+from dahliabend.simulation.cluster.instance_environment import InstanceEnvironment
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream
 from dahliabend.subsetting.controller import SubsetController
@@ -24,9 +22,6 @@
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.usable_endpoints import count_usable
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.cluster.workload_model import WorkloadModel
-
 SUBSET_INTERVAL = 250 * MS  # between two steps of a subset controller
 ONE_WAY_DELAY = 1 * MS  # of a message to an upstream, or back
 CONNECT_TIME = 3 * MS
@@ -69,7 +64,7 @@
 class BalancerInstance:
     """One balancer's process, from its start until its end."""
 
-    def __init__(self, model: WorkloadModel, number: int, generation: int) -> None:
+    def __init__(self, model: InstanceEnvironment, number: int, generation: int) -> None:
         self.model = model
         self.number = number
         self.is_alive = True
--- /dev/null
+++ b/dahliabend/simulation/cluster/instance_environment.py
@@ -0,0 +1,72 @@
+"""What a balancer instance may use of the workload model that it belongs to, and the counters of a run."""
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any, Protocol
+
+from dahliabend.membership.protocol import MembershipProtocol
+from dahliabend.model import Settings
+from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream
+from dahliabend.subsetting.selection import Participant
+from dahliabend.subsetting.settings import SubsetSettings
+
+
+@dataclass(slots=True)
+class WorkloadMetrics:
+    """The measurements of a run. Times are microseconds."""
+
+    counts: Counter[str] = field(default_factory=Counter)
+    latencies: list[int] = field(default_factory=list)  # of requests served in time
+    samples: list[dict[str, int]] = field(default_factory=list)  # the counts, each second
+    violations: list[str] = field(default_factory=list)
+    mean_connections: list[float] = field(default_factory=list)  # of an upstream, each second
+    max_connections: int = 0
+
+    @property
+    def served_share(self) -> float:
+        """The share of all requests that was served within the latency objective."""
+        return self.counts["served"] / max(1, self.counts["asked"])
+
+
+class InstanceEnvironment(Protocol):
+    """The workload model as its balancer instances see it. Times are microseconds of the virtual clock."""
+
+    fleet: Fleet
+    subset: SubsetSettings | None
+    announces_demand: bool
+    has_gossip: bool
+    lies: dict[int, str]
+    check_period: int
+    zone_names: list[str]
+    metrics: WorkloadMetrics
+    measured_since: int
+    upstreams: list[SimulatedUpstream]
+    upstreams_by_name: dict[str, SimulatedUpstream]
+
+    @property
+    def now(self) -> int:
+        """The time."""
+
+    @property
+    def counts(self) -> Counter[str]:
+        """The counters of the run."""
+
+    def report_violation(self, what: str) -> None:
+        """Record a violated invariant."""
+
+    def call_at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401 -- passed on
+        """Schedule a call."""
+
+    def machine(self, number: int) -> MembershipProtocol | None:
+        """The membership protocol of a balancer."""
+
+    def send_gossip(self, source: str, target: str, payload: bytes) -> None:
+        """Send a datagram of health reports."""
+
+    def settings(self) -> Settings:
+        """The policy's settings of each balancer."""
+
+    def participant(self, number: int) -> Participant:
+        """A balancer as the subset controllers know it."""
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -10,7 +10,6 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from random import Random
 from typing import Any
@@ -25,6 +24,7 @@
     REQUEST_CLASSES,
     BalancerInstance,
 )
+from dahliabend.simulation.cluster.instance_environment import WorkloadMetrics
 from dahliabend.simulation.cluster.model import ClusterModel
 from dahliabend.simulation.cluster.script import Fleet
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream, UpstreamProfile
@@ -40,23 +40,6 @@
 SUBMIT_SHARE = 0.3  # of the requests
 
 
-@dataclass(slots=True)
-class WorkloadMetrics:
-    """The measurements of a run. Times are microseconds."""
-
-    counts: Counter[str] = field(default_factory=Counter)
-    latencies: list[int] = field(default_factory=list)  # of requests served in time
-    samples: list[dict[str, int]] = field(default_factory=list)  # the counts, each second
-    violations: list[str] = field(default_factory=list)
-    mean_connections: list[float] = field(default_factory=list)  # of an upstream, each second
-    max_connections: int = 0
-
-    @property
-    def served_share(self) -> float:
-        """The share of all requests that was served within the latency objective."""
-        return self.counts["served"] / max(1, self.counts["asked"])
-
-
 class WorkloadModel(ClusterModel):
     """As the cluster model, under load. Without a subset each balancer uses all upstreams.
 
--- a/dahliabend/simulation/connections.py
+++ b/dahliabend/simulation/connections.py
@@ -7,19 +7,18 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from random import Random
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.event_loop import Process
-    from dahliabend.simulation.network import Network
-    from dahliabend.simulation.sockets import Socket
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.event_loop import Process, Scheduler
+from dahliabend.simulation.network_profile import NetworkProfile
 
 ECONNRESET = 104
 EPIPE = 32
 MAX_SEGMENT = 65_536  # bytes
 MAX_RESUME_DELAY = 200_000  # microseconds: the longest until held packets come, once a path works again
 
-Address = tuple[str, int]  # host and port
 Buffer = bytes | bytearray | memoryview
 
 
@@ -33,6 +32,33 @@
         """The other end has written bytes."""
 
 
+class ConnectionOwner(Protocol):
+    """The socket of a connection's end, which is notified of what arrives."""
+
+    process: Process
+
+    def notify_readable(self) -> None:
+        """Bytes, the end or a reset have arrived."""
+
+    def notify_writable(self) -> None:
+        """There may be room for more bytes."""
+
+
+class ConnectionNetwork(Protocol):
+    """The network as the ends of its connections use it."""
+
+    scheduler: Scheduler
+    profile: NetworkProfile
+    rng: Random
+    connections: dict[int, ConnectionEnd]
+
+    def delay(self, one: str, other: str) -> int:
+        """Draw the microseconds that a packet takes from one host to another."""
+
+    def is_blocked(self, one: str, other: str) -> bool:
+        """Whether packets between two hosts are lost."""
+
+
 class ConnectionEnd:
     """One end of a connection. Times are microseconds."""
 
@@ -64,7 +90,7 @@
     )
 
     def __init__(
-        self, network: Network, number: int, local: Address, remote: Address, initiator: Process
+        self, network: ConnectionNetwork, number: int, local: Address, remote: Address, initiator: Process
     ) -> None:
         """Create an end; `peer` has to be set before it is used. `initiator`: the process that dialled."""
         self.network = network
@@ -73,7 +99,7 @@
         self.remote = remote
         self.initiator = initiator
         self.peer: ConnectionEnd
-        self.sock: Socket | None = None
+        self.sock: ConnectionOwner | None = None
         self.send_queue = bytearray()  # accepted from the writer, not sent yet
         self.in_flight = 0  # bytes sent, not arrived yet
         self.receive_queue = bytearray()  # arrived, not read yet
@@ -279,9 +305,3 @@
             self.sock.notify_writable()
         if self.is_closed or self.peer.is_closed or self.peer.reset_received:
             self.network.connections.pop(self.number, None)
-
-
-def format_address(address: Address) -> str:
-    """An address as `host:port`."""
-    host, port = address
-    return f"{host}:{port}"
--- a/dahliabend/simulation/discovery_faults.py
+++ b/dahliabend/simulation/discovery_faults.py
@@ -1,30 +1,23 @@
 """Faults of discovery: late, missing, invalid and misleading updates, and agents that move."""
 
-from __future__ import annotations
-
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
+from dahliabend.simulation.balancer_host import BalancerHost
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.scenario import MS, Fault
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.balancer_host import BalancerHost
-    from dahliabend.simulation.world import Simulation
-
 MAX_EXTRA_DELAY = 400 * MS  # times the fault's size
 OLD_ADDRESS_LIFETIME = 500 * MS  # for which an agent that has moved stays at its old address
 REPEATED_SIZE = 0.4  # of a fault that closes watches: larger ones do it again
 REPEAT_DELAYS = (60, 130, 300)  # milliseconds
 INVALID_UPDATE_KINDS = 100  # that the fault's size selects from
 
-Undo = Callable[[], object] | None
-
 
 class DiscoveryFaults:
     """The faults of discovery agents; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.actions: dict[str, Callable[[Fault], Undo]] = {
             "late": self.delay_updates,
--- a/dahliabend/simulation/event_loop.py
+++ b/dahliabend/simulation/event_loop.py
@@ -11,12 +11,10 @@
 from collections.abc import Callable, Coroutine
 from contextvars import Context
 from heapq import heappop, heappush
-from typing import TYPE_CHECKING, Any, NoReturn
+from typing import Any, NoReturn
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.connections import Address
-    from dahliabend.simulation.network import Network
-    from dahliabend.simulation.sockets import Server, Socket
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.loop_sockets import LoopNetwork, LoopServer, LoopSocket
 
 CLOCK_START = 1_000_000_000  # microseconds: what the virtual clock shows first
 UNIX_TIME_AT_ZERO = 1_700_000_000_000_000  # microseconds of Unix time at virtual 0
@@ -187,7 +185,7 @@
         self.alive = True
         self.stalled_until = 0
         self.deferred: list[ScheduledCall] = []  # due while it was stalled
-        self.sockets: dict[int, Socket] = {}  # by descriptor
+        self.sockets: dict[int, LoopSocket] = {}  # by descriptor
         self.max_sockets = max_sockets
         self.peak_sockets = 0
         self.process_id = 0  # where several share a runtime directory
@@ -245,7 +243,7 @@
 class VirtualLoop(asyncio.AbstractEventLoop):
     """What asyncio, the network code and the peers use of an event loop, on virtual time."""
 
-    network: "Network"  # set by whoever builds the run: where sockets and connections come from
+    network: LoopNetwork[Process]  # set by whoever builds the run: where sockets and connections come from
 
     def __init__(self, scheduler: Scheduler, process: Process) -> None:
         self.scheduler = scheduler
@@ -345,7 +343,7 @@
 
     # Connections.
 
-    async def sock_connect(self, sock: "Socket", address: "Address") -> None:  # type: ignore[override]  # simulated sockets
+    async def sock_connect(self, sock: LoopSocket, address: Address) -> None:  # type: ignore[override]  # simulated sockets
         """As asyncio."""
         future = self.create_future()
         sock.connect(address, future)
@@ -361,7 +359,7 @@
         host: str = "",
         port: int = 0,
         *,
-        sock: "Socket | None" = None,
+        sock: LoopSocket | None = None,
         **_options: object,
     ) -> tuple[asyncio.Transport, Any]:
         """As asyncio."""
@@ -375,12 +373,12 @@
         return await self.connect_accepted_socket(protocol_factory, sock)
 
     async def connect_accepted_socket(  # type: ignore[override]  # simulated sockets
-        self, protocol_factory: Callable[[], asyncio.BaseProtocol], sock: "Socket", **_options: object
+        self, protocol_factory: Callable[[], asyncio.BaseProtocol], sock: LoopSocket, **_options: object
     ) -> tuple[asyncio.Transport, Any]:
         """As asyncio."""
         waiter = self.create_future()
         protocol = protocol_factory()
-        transport = self.network.create_transport(self, sock, protocol, waiter)
+        transport = sock.create_transport(self, protocol, waiter)
         await waiter
         return transport, protocol
 
@@ -392,6 +390,9 @@
         *,
         backlog: int = DEFAULT_BACKLOG,
         **_options: object,
-    ) -> "Server":
+    ) -> LoopServer:
         """As asyncio."""
-        return self.network.create_server(self, protocol_factory, (host, port), backlog)
+        sock = self.network.socket(self.process)
+        sock.bind((host or self.process.address, port))
+        sock.listen(backlog)
+        return sock.create_server(self, protocol_factory)
--- a/dahliabend/simulation/faults.py
+++ b/dahliabend/simulation/faults.py
@@ -1,30 +1,24 @@
 """Injects the faults of a scenario, each at its time or at its event of the run."""
 
-from __future__ import annotations
-
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from dahliabend.simulation.balancer_faults import BalancerFaults
 from dahliabend.simulation.client_faults import ClientFaults
 from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.discovery_faults import DiscoveryFaults
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.scenario import RESET_SIZE, Fault
 from dahliabend.simulation.upstream_faults import UpstreamFaults
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
-
 # Events of a request that a fault may wait for by the name of the request's class.
 REQUEST_EVENTS = frozenset({"hop.head", "hop.whole", "begun", "made", "answer"})
 
-Undo = Callable[[], object] | None  # what ends a fault; None: it ends by itself
-
 
 class FaultInjector:
     """Acts on a simulation. What a fault began is undone by `stop_all` at the latest."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.is_stopping = False
         self._event_counts: dict[int, int] = {}  # by fault: events that fit, so far
--- a/dahliabend/simulation/network.py
+++ b/dahliabend/simulation/network.py
@@ -1,19 +1,14 @@
 """The simulated network: who listens where, which paths are blocked, and how long bytes take."""
 
-from __future__ import annotations
-
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
-from typing import TYPE_CHECKING
-
-from dahliabend.simulation.connections import Address, ConnectionEnd, Tap
-from dahliabend.simulation.event_loop import Process, Scheduler, VirtualLoop
-from dahliabend.simulation.sockets import ListenQueue, Server, Socket
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.transports import Transport
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.connections import ConnectionEnd, Tap
+from dahliabend.simulation.event_loop import Process, Scheduler
+from dahliabend.simulation.network_profile import NetworkProfile
+from dahliabend.simulation.sockets import ListenQueue, Socket, TransportFactory
 
 EMFILE = 24
 EADDRINUSE = 98
@@ -25,25 +20,6 @@
 FIRST_PORT = 10_000
 FIRST_DESCRIPTOR = 10_000
 
-TransportFactory = Callable[
-    [VirtualLoop, Socket, asyncio.BaseProtocol, "asyncio.Future[None] | None"], "Transport"
-]
-
-
-@dataclass(slots=True)
-class NetworkProfile:
-    """A network without faults; microseconds and bytes."""
-
-    delay: int = 250  # one way, inside a zone
-    cross_zone_delay: int = 3_000
-    jitter: float = 0.3  # of the delay, the mean of what comes on top
-    bandwidth: int = 125  # bytes a microsecond of one connection
-    send_buffer: int = 256 * 1024  # that the sender's system accepts before it blocks
-    receive_window: int = 64 * 1024  # that may lie unread at the receiver
-    max_segment: int = 0  # 0: no limit of its own
-    idle_timeout: int = 0  # after which the path forgets an idle connection, unseen; 0: never
-    reset_after_idle: bool = False  # what is sent on a forgotten one is answered by a reset, not by silence
-
 
 class Network:
     """The network between all processes of a run."""
@@ -141,29 +117,6 @@
         """A new socket."""
         return Socket(self, process)
 
-    def create_transport(
-        self,
-        loop: VirtualLoop,
-        sock: Socket,
-        protocol: asyncio.BaseProtocol,
-        waiter: asyncio.Future[None] | None,
-    ) -> Transport:
-        """A transport over a connected socket; the waiter is done once the protocol is connected."""
-        return self.transport_factory(loop, sock, protocol, waiter)
-
-    def create_server(
-        self,
-        loop: VirtualLoop,
-        protocol_factory: Callable[[], asyncio.BaseProtocol],
-        address: Address,
-        backlog: int,
-    ) -> Server:
-        """A server at an address; no host is that of the loop's process."""
-        sock = self.socket(loop.process)
-        sock.bind((address[0] or loop.process.address, address[1]))
-        sock.listen(backlog)
-        return Server(loop, sock, protocol_factory)
-
     def listen(self, address: Address, backlog: int) -> ListenQueue:
         """A new queue of connections.
 
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -16,11 +16,13 @@
 from dahliabend.routing_rules.treatment import EffectiveTreatment
 from dahliabend.server.operator_file_server import OperatorFileServer
 from dahliabend.simulation import transports
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.balancer_host import ProgramLog, terminate_when_done
-from dahliabend.simulation.connections import Address, ConnectionEnd
+from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.event_loop import CLOCK_START, Process, Scheduler
 from dahliabend.simulation.invariants import InvariantChecker
-from dahliabend.simulation.network import Network, NetworkProfile
+from dahliabend.simulation.network import Network
+from dahliabend.simulation.network_profile import NetworkProfile
 from dahliabend.simulation.observed_run import ClassTally, RequestClassRules
 from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, EndpointEntry, Registry
--- a/dahliabend/simulation/sockets.py
+++ b/dahliabend/simulation/sockets.py
@@ -4,24 +4,67 @@
 import socket
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
-from dahliabend.simulation.connections import ECONNRESET, Address, ConnectionEnd
-from dahliabend.simulation.event_loop import Process, VirtualLoop
-
-if TYPE_CHECKING:
-    from dahliabend.simulation.network import Network
-    from dahliabend.simulation.transports import Transport
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.connections import ECONNRESET, ConnectionEnd
+from dahliabend.simulation.event_loop import Process, Scheduler
 
 EAGAIN = 11
 ENOTCONN = 107
 NO_LINGER = b"\0\0\0\0"  # the first field of the option's value
 
 
+class SocketTransport(Protocol):
+    """A transport as its socket uses it."""
+
+    write_buffer_size: int  # bytes that the system has not accepted
+
+    def on_readable(self) -> None:
+        """Bytes, the end or a reset have come."""
+
+    def on_writable(self) -> None:
+        """The system has room for more bytes."""
+
+
+TransportFactory = Callable[
+    [asyncio.AbstractEventLoop, "Socket", asyncio.BaseProtocol, "asyncio.Future[None] | None"],
+    asyncio.Transport,
+]
+
+
+class SocketNetwork(Protocol):
+    """The network as its sockets use it."""
+
+    scheduler: Scheduler
+    listeners: dict[Address, "ListenQueue"]
+    transport_factory: TransportFactory
+
+    def allocate_descriptor(self, process: Process) -> int:
+        """A new descriptor.
+
+        Raises:
+            OSError: the process has as many as it may.
+        """
+
+    def ephemeral_port(self) -> int:
+        """A port that nobody uses."""
+
+    def listen(self, address: Address, backlog: int) -> "ListenQueue":
+        """A new queue of connections.
+
+        Raises:
+            OSError: another socket listens there.
+        """
+
+    def connect(self, sock: "Socket", address: Address, future: asyncio.Future[None]) -> None:
+        """Connect a socket; the future is done when that has succeeded or failed."""
+
+
 class ListenQueue:
     """Connections that wait at an address to be accepted; several sockets may listen there."""
 
-    def __init__(self, network: "Network", address: Address, backlog: int) -> None:
+    def __init__(self, network: SocketNetwork, address: Address, backlog: int) -> None:
         self.network = network
         self.address = address
         self.backlog = backlog
@@ -50,7 +93,7 @@
 
     def __init__(
         self,
-        network: "Network",
+        network: SocketNetwork,
         process: Process,
         end: ConnectionEnd | None = None,
         listen_queue: ListenQueue | None = None,
@@ -65,7 +108,7 @@
         self.closed = False
         self.read_scheduled = False
         self.resets_on_close = False
-        self.transport: Transport | None = None
+        self.transport: SocketTransport | None = None
         self.address: Address = ("", 0)
         if end is not None:
             end.sock = self
@@ -191,6 +234,21 @@
             else:
                 self.end.close()
 
+    def create_transport(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        protocol: asyncio.BaseProtocol,
+        waiter: asyncio.Future[None] | None,
+    ) -> asyncio.Transport:
+        """A transport over this connected socket; the waiter is done once the protocol is connected."""
+        return self.network.transport_factory(loop, self, protocol, waiter)
+
+    def create_server(
+        self, loop: asyncio.AbstractEventLoop, protocol_factory: Callable[[], asyncio.BaseProtocol]
+    ) -> "Server":
+        """A server that accepts the connections of this listening socket."""
+        return Server(loop, self, protocol_factory)
+
     # What the network and the end of the process notify it of.
 
     def notify_readable(self) -> None:
@@ -241,7 +299,10 @@
     """Accepts connections for a peer, as `loop.create_server` promises."""
 
     def __init__(
-        self, loop: VirtualLoop, sock: Socket, protocol_factory: Callable[[], asyncio.BaseProtocol]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: Socket,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
     ) -> None:
         self.loop = loop
         self.sock = sock
@@ -255,7 +316,7 @@
                 sock, _ = self.sock.accept()
             except OSError:
                 return
-            self.loop.network.create_transport(self.loop, sock, self.protocol_factory(), None)
+            sock.create_transport(self.loop, self.protocol_factory(), None)
 
     def close(self) -> None:
         """Accept no more."""
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from dahliabend.simulation.connections import ConnectionEnd
-from dahliabend.simulation.event_loop import VirtualLoop
 from dahliabend.simulation.sockets import Socket
 
 MAX_READ_PER_TURN = 262_144  # bytes
@@ -20,7 +19,7 @@
 
     def __init__(
         self,
-        loop: VirtualLoop,
+        loop: asyncio.AbstractEventLoop,
         sock: Socket,
         protocol: asyncio.BaseProtocol,
         waiter: asyncio.Future[None] | None,
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -1,15 +1,10 @@
 """Faults of upstreams: their processes, what they answer, how they can be reached, and their list entries."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.scenario import MS, RESET_SIZE, Fault
-
-if TYPE_CHECKING:
-    from dahliabend.simulation.upstream_host import UpstreamHost
-    from dahliabend.simulation.world import Simulation
+from dahliabend.simulation.upstream_host import UpstreamHost
 
 RESTART_TIME = 200 * MS  # of a planned restart
 MAX_CONNECT_DELAY = 1_500 * MS  # times the fault's size
@@ -17,13 +12,11 @@
 MAX_CONNECTIONS = 4  # of an upstream with a limit, times the fault's size
 FLAPS = 6  # changes of a list entry that flaps
 
-Undo = Callable[[], object] | None
-
 
 class UpstreamFaults:
     """The faults of upstreams; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.actions: dict[str, Callable[[Fault], Undo]] = {
             "hang": self.hang,
@@ -107,7 +100,7 @@
 
         def end_drain() -> None:
             """List the upstream as up, if it is still the same process."""
-            if simulation.faults.is_stopping:
+            if simulation.is_stopping:
                 return
             upstream.draining = False
             if host.upstream is upstream and host.process.alive:
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -1,21 +1,16 @@
 """An upstream of a simulation through its processes, with its entry in the endpoint list."""
 
-from __future__ import annotations
-
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.balancer_host import BalancerHost
-from dahliabend.simulation.connections import Address
+from dahliabend.simulation.environment import SimulationEnvironment
 from dahliabend.simulation.event_loop import UNIX_TIME_AT_ZERO, Process
 from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import EndpointEntry, Registry
 from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
-
 MICROSECONDS_PER_MILLISECOND = 1_000
 OK = 200
 
@@ -23,7 +18,7 @@
 class UpstreamHost:
     """One upstream, and the processes that it had."""
 
-    def __init__(self, simulation: Simulation, spec: UpstreamSpec, registry: Registry) -> None:
+    def __init__(self, simulation: SimulationEnvironment, spec: UpstreamSpec, registry: Registry) -> None:
         self.simulation = simulation
         self.spec = spec
         self.registry = registry
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -9,13 +9,15 @@
 from typing import Any
 
 from dahliabend.simulation import transports
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.balancer_host import LATE_VALUE, BalancerHost
-from dahliabend.simulation.connections import Address, ConnectionEnd
+from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.event_loop import CLOCK_START, Process, Scheduler, StepLimitError
 from dahliabend.simulation.faults import FaultInjector
 from dahliabend.simulation.invariants import InvariantChecker
 from dahliabend.simulation.leaks import LeakChecker, count_objects
-from dahliabend.simulation.network import Network, NetworkProfile
+from dahliabend.simulation.network import Network
+from dahliabend.simulation.network_profile import NetworkProfile
 from dahliabend.simulation.observed_run import RequestClassRules, Violation
 from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
 from dahliabend.simulation.peers.discovery import Registry
@@ -216,6 +218,11 @@
             return None
         return AttemptTap(self.recorder, end, end.initiator.name, upstream)
 
+    @property
+    def is_stopping(self) -> bool:
+        """Whether the load has ended, and no fault begins any more."""
+        return self.faults.is_stopping
+
     @property
     def all_balancers(self) -> list[BalancerHost]:
         """The balancers of both tiers."""
@@ -235,7 +242,7 @@
 
     def poll_readiness(self) -> None:
         """Ask all balancers whether they are ready, periodically: clients connect to those that are."""
-        if self.faults.is_stopping:
+        if self.is_stopping:
             return
         for balancer in self.balancers:
             self.spawn(self.poller_process, self._poll(balancer))
--- a/tests/simulation/connection_pair.py
+++ b/tests/simulation/connection_pair.py
@@ -4,7 +4,8 @@
 from random import Random
 
 from dahliabend.simulation.event_loop import Process, Scheduler
-from dahliabend.simulation.network import Network, NetworkProfile
+from dahliabend.simulation.network import Network
+from dahliabend.simulation.network_profile import NetworkProfile
 from dahliabend.simulation.transports import Transport
 
 ADDRESS = ("10.0.0.2", 80)
