--- a/dahliabend/process_tests/checks.py
+++ b/dahliabend/process_tests/checks.py
@@ -64,7 +64,8 @@
         outcome: that violations and counts are added to.
     """
     times = sorted(submit_times)
-    most = first = 0
+    most = 0
+    first = 0
     for last, time in enumerate(times):
         while times[first] < time - LIMIT_WINDOW:
             first += 1
--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -87,7 +87,8 @@
 
     def forward(self, sender: int, receiver: int, payload: bytes) -> None:
         """Send a datagram on to its receiver, from the sender's endpoint."""
-        transport, target = self.endpoints[sender].transport, self.endpoints[receiver].target
+        transport = self.endpoints[sender].transport
+        target = self.endpoints[receiver].target
         if target is not None and not transport.is_closing():
             self.forwarded += 1
             transport.sendto(payload, target)
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -8,9 +8,12 @@
 from dahliabend.process_tests.load_observer import DRAIN_TIME, LIMIT, SLACK, LoadObserver
 from dahliabend.simulation.addresses import Address, format_address
 from dahliabend.simulation.cluster.script import Fleet
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, Registry
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 S = 1_000_000  # microseconds in a second
 LOOPBACK = "127.0.0.1"
@@ -120,7 +123,8 @@
 
     async def start_upstream(self, spec: UpstreamSpec, started_at: int) -> Upstream:
         """Start an upstream, in the place of the one of that name; `started_at` as in `Upstream`."""
-        loop, rng = asyncio.get_running_loop(), Random(f"{spec.name} {started_at}")
+        loop = asyncio.get_running_loop()
+        rng = Random(f"{spec.name} {started_at}")
         upstream = Upstream(spec, loop, self.observer, rng, started_at, lambda _: True)
         await upstream.open()
         self.upstreams = [other for other in self.upstreams if other.spec.name != spec.name] + [upstream]
@@ -142,7 +146,8 @@
 
     def add_clients(self, instance: int, address: Address) -> None:
         """Add clients of an instance."""
-        loop, rotation = asyncio.get_running_loop(), ConnectionRotation([address])
+        loop = asyncio.get_running_loop()
+        rotation = ConnectionRotation([address])
         rng = Random(f"clients {instance}")
         self.clients[instance] = Clients(loop, self.observer, rng, rotation, f"c{instance}-")
 
--- a/dahliabend/process_tests/load_observer.py
+++ b/dahliabend/process_tests/load_observer.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-MS, S = 1_000, 1_000_000  # microseconds
+MS = 1_000
+S = 1_000_000  # microseconds
 LIMIT = 2 * S  # of a request
 DRAIN_TIME = 1_500 * MS
 SLACK = 400 * MS  # covers a loaded machine
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -17,7 +17,8 @@
 from dahliabend.simulation.peers.operators import call
 
 START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
-FIRST_PORT, LAST_PORT = 20_000, 30_000  # below those that the system hands out
+FIRST_PORT = 20_000
+LAST_PORT = 30_000  # below those that the system hands out
 PORT_STRIDE = 97  # spreads processes that look for ports at the same time
 MAX_ERROR_TEXT = 300  # characters
 LOOPBACK = "127.0.0.1"
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -94,7 +94,9 @@
             text = f"{instance.name}: {record['upstream']} is bad, {record['origins']} say"
             self.log(self.now, text)
         elif event == "member":
-            subject, kind, reported_by = record["member"], record["change"], record["by"]
+            subject = record["member"]
+            kind = record["change"]
+            reported_by = record["by"]
             change = MembershipChange(self.now, instance.number, kind, subject_number(subject), reported_by)
             self.membership_changes.append(change)
             self.log(self.now, f"{instance.name}: {subject} {kind}, by {reported_by}")
@@ -262,7 +264,8 @@
         return what in ("restart", "hand")
 
     async def _revert_all(self) -> None:
-        reversals, self.pending_reversals = self.pending_reversals, []
+        reversals = self.pending_reversals
+        self.pending_reversals = []
         for _, step in reversals:
             await self.revert_step(step)
         self.link_faults.clear()
--- a/dahliabend/simulation/attempt_invariants.py
+++ b/dahliabend/simulation/attempt_invariants.py
@@ -76,7 +76,8 @@
 
     def _check_request_is_open(self, request: RequestRecord, upstream: str, started_at: int) -> None:
         """Nothing is sent after the end of a request, or for what came on a connection after its shutdown."""
-        run, trace_id = self.run, request.trace_id
+        run = self.run
+        trace_id = request.trace_id
         if request.answered_at and started_at > request.answered_at:
             run.report("after the end", f"{trace_id}: sent to {upstream} after its final answer")
         if request.disconnected_at and not run.excuse(request):
@@ -136,7 +137,8 @@
 
         After an attempt that may go on at its upstream, the next one waits for the key's rest.
         """
-        run, key = self.run, request.key
+        run = self.run
+        key = request.key
         unsettled = [other for other in self._requests_by_key[key] if not self._is_settled(other)]
         self._requests_by_key[key] = unsettled
         sent = f"{request.trace_id}: sent to {upstream}"
--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -57,7 +57,8 @@
 
     def terminate(self, fault: Fault) -> Undo:
         """A planned restart; where processes share a listener, the successor comes first."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         process = balancer.process
         if simulation.spec.shared:
             return self.upgrade(fault)
@@ -125,7 +126,8 @@
 
     def upgrade(self, fault: Fault) -> Undo:
         """A successor starts beside it; once that is ready, this process is terminated."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         older = balancer.process
         if older is None or not older.alive or not simulation.spec.shared:
             return None
@@ -154,7 +156,8 @@
     def _call_operator(self, balancer: BalancerHost, path: str, target: str = "") -> None:
         """Call a balancer's admin interface, after the answer to the call before."""
         simulation = self.simulation
-        process, address = balancer.process, balancer.admin_address
+        process = balancer.process
+        address = balancer.admin_address
         before = self._operator_calls.get(balancer.name)
 
         async def make_call() -> None:
@@ -171,7 +174,8 @@
 
     def exclude(self, fault: Fault) -> Undo:
         """An operator excludes an upstream."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         number = int(fault.size * TARGET_MULTIPLIER) % simulation.spec.upstreams
         target = simulation.upstreams[number].spec.name
         self._call_operator(balancer, "exclude", target)
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -211,8 +211,10 @@
 
 def platform_settings(simulation: SimulationEnvironment, tier: int, index: int) -> dict[str, Any]:
     """The settings that the platform hands to a balancer, with the keys of the wire."""
-    spec, load = simulation.spec, simulation.load
-    objective, deadline = spec.goal / MILLISECOND, spec.limit / MILLISECOND
+    spec = simulation.spec
+    load = simulation.load
+    objective = spec.goal / MILLISECOND
+    deadline = spec.limit / MILLISECOND
 
     def request_class(name: str, semantics: str, value: float, **more: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
         """One request class of the settings."""
--- a/dahliabend/simulation/client_faults.py
+++ b/dahliabend/simulation/client_faults.py
@@ -58,7 +58,9 @@
         for _ in range(1 + int(HALF_CLOSE_CLIENTS * fault.size)):
             request = simulation.draw_request(rng, simulation.load)
             follow_up = simulation.draw_request(rng, simulation.load)
-            request.disconnect_after = request.chunk_interval = follow_up.chunk_interval = 0
+            request.disconnect_after = 0
+            request.chunk_interval = 0
+            follow_up.chunk_interval = 0
             address = simulation.rotation.next_address()
             if address is not None:
                 sending = simulation.clients.send_after_half_close(request, follow_up, address)
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -91,7 +91,8 @@
         self.weights: dict[str, float] = {}  # of the upstreams in the subset
 
     def _create_gossip(self, generation: int) -> HealthGossip | None:
-        model, number = self.model, self.number
+        model = self.model
+        number = self.number
         if not model.has_gossip:
             return None
         rng = Random(f"signals {model.fleet.seed} {number} {generation}")
@@ -135,7 +136,8 @@
         request = self.requests.get(ref)
         if request is None or request.attempts[number].is_finished:
             return
-        model, upstream = self.model, request.attempts[number].upstream
+        model = self.model
+        upstream = request.attempts[number].upstream
         result = upstream.request_arrived(model.now, self.number)
         if result.outcome is Outcome.SUCCEEDED:
             request.effects += 1
@@ -152,7 +154,8 @@
 
     def attempt_ended(self, ref: int, number: int, outcome: Outcome) -> None:
         """An attempt has ended; the first end counts."""
-        request, model = self.requests.get(ref), self.model
+        request = self.requests.get(ref)
+        model = self.model
         if request is None or request.attempts[number].is_finished or not self.is_alive:
             return
         attempt = request.attempts[number]
@@ -203,10 +206,10 @@
         """Fail a request."""
         self.answer(self.requests[ref], "abandoned")
 
-    def cancel(self, ref: int, hop: int) -> None:
+    def cancel(self, ref: int, attempt: int) -> None:
         """Cancel an attempt."""
-        if not self.requests[ref].attempts[hop].is_finished:
-            self.model.call_at(self.model.now, self.attempt_ended, ref, hop, Outcome.CANCELLED)
+        if not self.requests[ref].attempts[attempt].is_finished:
+            self.model.call_at(self.model.now, self.attempt_ended, ref, attempt, Outcome.CANCELLED)
 
     def check_health(self, upstream: int) -> None:
         """Check an upstream's health, or have the lease holder do it."""
@@ -317,7 +320,8 @@
 
     def gossip_timer_fired(self) -> None:
         """Use what other instances reported, run due health checks, and send own reports, periodically."""
-        model, gossip = self.model, self.gossip
+        model = self.model
+        gossip = self.gossip
         machine = model.machine(self.number)
         if not self.is_alive or gossip is None or machine is None:
             return
@@ -334,7 +338,8 @@
         gossip.report_suspected(model.now, POOL, set(indices), members, on_suspected)
         self._run_leased_checks(machine)
         gossip.tick(model.now, sorted(members))
-        outbox, gossip.outbox = gossip.outbox, []
+        outbox = gossip.outbox
+        gossip.outbox = []
         for name, payload in outbox:
             model.send_gossip(machine.name, name, payload)
 
@@ -350,7 +355,8 @@
 
     def _step_subset(self) -> bool:
         """Step the subset controller; whether the subset has changed."""
-        model, controller = self.model, self.controller
+        model = self.model
+        controller = self.controller
         if controller is None:
             return False
         machine = model.machine(self.number)
--- a/dahliabend/simulation/cluster/ground_truth.py
+++ b/dahliabend/simulation/cluster/ground_truth.py
@@ -75,7 +75,8 @@
         """
         found: list[Span] = []
         for moment, end in self._moments_with_ends(until):
-            awake, blocked = moment.awake, moment.blocked_links
+            awake = moment.awake
+            blocked = moment.blocked_links
             if of in awake and (not blocked or of in _reachable(to, awake, blocked)):
                 continue
             if found and found[-1][1] == moment.at:
@@ -103,7 +104,8 @@
 
 def _reachable(start: int, awake: frozenset[int], blocked: frozenset[Link]) -> set[int]:
     """Instances reachable over links that work in both directions, through awake instances."""
-    seen, waiting = {start}, [start]
+    seen = {start}
+    waiting = [start]
     while waiting:
         at = waiting.pop()
         for other in awake - seen:
--- a/dahliabend/simulation/cluster/lease_search.py
+++ b/dahliabend/simulation/cluster/lease_search.py
@@ -25,7 +25,7 @@
 MIN_RUN_DISTANCE = 2  # ticks between two runs, without a cut, a loss or a stop
 STOP_LENGTHS = (6, 14)  # ticks
 CUT_LINKS = ((0, 1), (1, 2), (2, 0))
-RUNS_KEPT = 3  # of the newest runs in a state
+MAX_REMEMBERED_RUNS = 3  # of the newest runs in a state
 MAX_STATES = 1_000_000
 NO_INSTANCE = -1
 NO_LINK = (NO_INSTANCE, NO_INSTANCE)
@@ -147,7 +147,7 @@
     """The instance's place among the candidates for the task."""
     election = LeaseElection(name, PERIOD)
     election.update_tasks(PERIOD, {TASK: ""})
-    election.update_members(PERIOD, MEMBERS, True)
+    election.update_members(PERIOD, MEMBERS, settled=True)
     return election.rank(TASK)
 
 
@@ -223,7 +223,7 @@
         if loses_one and index == 0:
             continue
         if not is_here or number == stopped:  # on its way, or unread in the socket
-            waiting.append(Letter(letter.target, aged, True))
+            waiting.append(Letter(letter.target, aged, is_late=True))
         else:
             elections[number].apply_announcement(now, aged)
     runs = list(state.runs)
@@ -242,7 +242,7 @@
         in_transit=_newest_letters([*waiting, *sent]),
         losses_left=state.losses_left - loses_one,
         stopped=stopped,
-        runs=tuple(runs[-RUNS_KEPT:]),
+        runs=tuple(runs[-MAX_REMEMBERED_RUNS:]),
     )
 
 
@@ -252,7 +252,7 @@
     for other, name in enumerate(NAMES):
         if other != number and (number, other) != cut_link:
             for announcement in election.announcements(now):
-                yield Letter(name, announcement, False)
+                yield Letter(name, announcement, is_late=False)
 
 
 def _newest_letters(letters: list[Letter]) -> tuple[Letter, ...]:
@@ -295,7 +295,7 @@
 def _find_close_runs(runs: tuple[Run, ...], has_faults: bool, has_cuts: bool) -> str:
     if not has_faults and len(runs) > 1 and runs[-1].at - runs[-2].at < MIN_RUN_DISTANCE * TICK:
         return f"done twice within {MIN_RUN_DISTANCE} eighths: {tuple(map(tuple, runs[-2:]))}"
-    if not has_cuts and len(runs) == RUNS_KEPT and runs[-1].at - runs[0].at < PERIOD:
+    if not has_cuts and len(runs) == MAX_REMEMBERED_RUNS and runs[-1].at - runs[0].at < PERIOD:
         return f"three times within a period: {tuple(map(tuple, runs))}"
     return ""
 
--- a/dahliabend/simulation/cluster/membership_search.py
+++ b/dahliabend/simulation/cluster/membership_search.py
@@ -73,7 +73,8 @@
 
     def own_machine(self, name: str) -> MembershipProtocol:
         """A copy of a machine that belongs to this state alone."""
-        machine = self.machines[name] = self.machines[name].duplicate()
+        machine = self.machines[name].duplicate()
+        self.machines[name] = machine
         return machine
 
     def deliver(self, datagram: Datagram) -> None:
@@ -262,7 +263,8 @@
         was = before.machines[name]
         if machine is was:
             continue
-        own, old_own = machine.self_update, was.self_update
+        own = machine.self_update
+        old_own = was.self_update
         if own.incarnation < old_own.incarnation and machine.generation == was.generation:
             return f"{name}: its own incarnation went back"
         for subject, member in machine.members.items():
@@ -283,7 +285,8 @@
 def _find_unsafe_death(
     before: State, after: State, machine: MembershipProtocol, subject: str, old: Member
 ) -> str:
-    name, config = machine.name, machine.config
+    name = machine.name
+    config = machine.config
     buried = f"{name} buried {subject}"
     lateness = after.now - before.machines[name].timer_due
     if before.stopped == name and lateness > config.late_timer_ratio * config.period:
@@ -303,7 +306,8 @@
 def find_unsettled(state: State, max_moves: int = MAX_SETTLE_MOVES) -> str:
     """The liveness invariant: left alone, without faults, all come to one view with all in it; "" if so."""
     state = state.copy()
-    state.losses_left = state.pauses_left = 0
+    state.losses_left = 0
+    state.pauses_left = 0
     for _ in range(max_moves):
         if state.in_transit:
             datagram, *others = state.in_transit
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -124,7 +124,8 @@
     def run(self, span: int) -> "SimulatedCluster":
         """Let so many microseconds pass."""
         end = self.now + span
-        timers, in_transit = self.timers, self.in_transit
+        timers = self.timers
+        in_transit = self.in_transit
         while True:
             next_timer = timers[0].due if timers else end
             next_arrival = in_transit[0].arrives_at if in_transit else end
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -121,7 +121,8 @@
 
     def run(self, span: int) -> None:
         """Let so many microseconds pass."""
-        end, events = self.clock + span, self.events
+        end = self.clock + span
+        events = self.events
         while self.clock < end:
             until = min(self.clock + MEMBERSHIP_STEP, end)
             while events and events[0][0] < until:
@@ -204,7 +205,8 @@
         super().start_instance(number, state)
         if self.announces_demand:
             self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND)
-        balancer = self.balancers[number] = BalancerInstance(self, number, self.generations[number])
+        balancer = BalancerInstance(self, number, self.generations[number])
+        self.balancers[number] = balancer
         rows = {name: self.endpoint_row(upstream) for name, upstream in self.upstreams_by_name.items()}
         balancer.endpoints_changed(rows)
         balancer.subset_timer_fired()
--- a/dahliabend/simulation/connections.py
+++ b/dahliabend/simulation/connections.py
@@ -180,7 +180,9 @@
         """End it at once; what is in flight or unread is lost."""
         if not self.is_closed:
             self._mark_closed()
-        self.is_closed = self.fin_queued = self.fin_sent = True
+        self.is_closed = True
+        self.fin_queued = True
+        self.fin_sent = True
         self.send_queue.clear()
         self.deliver_later(0, self.peer.reset_arrived)
         self._unregister()
@@ -201,11 +203,13 @@
 
     def transmit(self) -> None:
         """Send what the other end's window allows."""
-        profile, now = self.network.profile, self.network.scheduler.now
+        profile = self.network.profile
+        now = self.network.scheduler.now
         if self.idle_timeout and now - self.last_used_at > self.idle_timeout and not self.is_closed:
             self._lose_path()
             return
-        self.last_used_at = self.peer.last_used_at = now
+        self.last_used_at = now
+        self.peer.last_used_at = now
         while self.send_queue:
             window = profile.receive_window - len(self.peer.receive_queue) - self.in_flight
             size = min(len(self.send_queue), window, profile.max_segment or MAX_SEGMENT)
@@ -229,7 +233,8 @@
 
     def deliver_later(self, size: int, call: Callable[..., Any], *arguments: object) -> None:
         """Have a packet arrive after its delay, in order whatever the jitter."""
-        network, now = self.network, self.network.scheduler.now
+        network = self.network
+        now = self.network.scheduler.now
         self.busy_until = max(now, self.busy_until) + size // network.profile.bandwidth
         due = max(self.busy_until + network.delay(self.local[0], self.remote[0]), self.last_arrival_at)
         self.last_arrival_at = due
@@ -250,7 +255,8 @@
 
     def _release_blocked(self) -> None:
         if not self.network.is_blocked(self.local[0], self.remote[0]):
-            packets, self.blocked_packets = self.blocked_packets, []
+            packets = self.blocked_packets
+            self.blocked_packets = []
             for call, arguments in packets:
                 call(*arguments)
 
--- a/dahliabend/simulation/discovery_faults.py
+++ b/dahliabend/simulation/discovery_faults.py
@@ -48,14 +48,16 @@
     def silence(self, fault: Fault) -> Undo:
         """The agent sends nothing; what it missed is sent once that ends."""
         balancer = self._balancer(fault)
-        agent, process = balancer.agent, balancer.agent_process
+        agent = balancer.agent
+        process = balancer.agent_process
         agent.silent = True
         return lambda: process.run(agent.end_silence)
 
     def close_watches(self, fault: Fault) -> Undo:
         """Watches end; where the fault is large, again as soon as they are open."""
         balancer = self._balancer(fault)
-        process, agent = balancer.agent_process, balancer.agent
+        process = balancer.agent_process
+        agent = balancer.agent
         process.run(agent.close_watches)
         if fault.size > REPEATED_SIZE:
             for delay in REPEAT_DELAYS:
@@ -90,7 +92,8 @@
 
     def move(self, fault: Fault) -> Undo:
         """The agent moves to another address; a new configuration has it."""
-        balancer, simulation = self._balancer(fault), self.simulation
+        balancer = self._balancer(fault)
+        simulation = self.simulation
         old_servers = list(balancer.agent.servers)
         balancer.agent_port += 1
         opening = balancer.agent.open(balancer.host, balancer.agent_port)
--- a/dahliabend/simulation/event_loop.py
+++ b/dahliabend/simulation/event_loop.py
@@ -15,15 +15,14 @@
 
 from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.loop_sockets import LoopNetwork, LoopServer, LoopSocket
+from dahliabend.simulation.scheduled_call import MICROSECONDS_PER_SECOND, Call, ScheduledCall
 
 CLOCK_START = 1_000_000_000  # microseconds: what the virtual clock shows first
 UNIX_TIME_AT_ZERO = 1_700_000_000_000_000  # microseconds of Unix time at virtual 0
-MICROSECONDS_PER_SECOND = 1e6
 MAX_STEPS = 5_000_000
 DEFAULT_MAX_SOCKETS = 1 << 20
 DEFAULT_BACKLOG = 128
 
-Call = Callable[..., Any]
 ExceptionHandler = Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object]
 
 
@@ -31,46 +30,13 @@
     """More events than a run may have: a loop without end, or without time passing."""
 
 
-class ScheduledCall:
-    """A call that is to run; the handle that callers of the event loop cancel."""
-
-    __slots__ = ("arguments", "callback", "context", "due", "is_timer", "owner")
-
-    def __init__(
-        self,
-        owner: "Process | None",
-        due: int,
-        callback: Call,
-        arguments: tuple[Any, ...],
-        context: Context | None,
-    ) -> None:
-        self.owner = owner
-        self.due = due
-        self.callback: Call | None = callback
-        self.arguments: tuple[Any, ...] | None = arguments
-        self.context = context
-        self.is_timer = False
-
-    def cancel(self) -> None:
-        """Have it not run."""
-        self.callback = self.arguments = None
-
-    def cancelled(self) -> bool:
-        """Whether it will not run any more."""
-        return self.callback is None
-
-    def when(self) -> float:
-        """Seconds of the loop's clock at which it is due."""
-        return self.due / MICROSECONDS_PER_SECOND
-
-
 class Scheduler:
     """The queue of events and the clock. Times are microseconds."""
 
     def __init__(self, max_steps: int = MAX_STEPS) -> None:
         self.now = CLOCK_START
-        self.timers: list[tuple[int, int, ScheduledCall]] = []
-        self.ready: deque[ScheduledCall] = deque()
+        self.timers: list[tuple[int, int, ScheduledCall[Process]]] = []
+        self.ready: deque[ScheduledCall[Process]] = deque()
         self.sequence = 0
         self.steps = 0
         self.max_steps = max_steps
@@ -79,7 +45,7 @@
 
     def call_soon(
         self, owner: "Process | None", call: Call, *arguments: object, context: Context | None = None
-    ) -> ScheduledCall:
+    ) -> ScheduledCall["Process"]:
         """Schedule a call for now, after what is ready already."""
         scheduled = ScheduledCall(owner, self.now, call, arguments, context)
         self.ready.append(scheduled)
@@ -96,7 +62,7 @@
         call: Call,
         *arguments: object,
         context: Context | None = None,
-    ) -> ScheduledCall:
+    ) -> ScheduledCall["Process"]:
         """Schedule a call for a time."""
         scheduled = ScheduledCall(owner, due, call, arguments, context)
         scheduled.is_timer = owner is not None
@@ -106,7 +72,8 @@
 
     def run_until(self, until: int) -> None:
         """Run all that is due by then; the clock shows that time afterwards."""
-        timers, ready = self.timers, self.ready
+        timers = self.timers
+        ready = self.ready
         while True:
             if ready:
                 scheduled = ready.popleft()
@@ -127,7 +94,7 @@
         self.timers.clear()
         self.ready.clear()
 
-    def _run(self, scheduled: ScheduledCall) -> None:
+    def _run(self, scheduled: ScheduledCall["Process"]) -> None:
         owner = scheduled.owner
         if owner is not None:
             if not owner.alive:
@@ -138,7 +105,8 @@
         self.steps += 1
         if self.steps > self.max_steps:
             raise StepLimitError(f"more than {self.max_steps} steps, at {self.now - CLOCK_START} us")
-        call, arguments = scheduled.callback, scheduled.arguments
+        call = scheduled.callback
+        arguments = scheduled.arguments
         scheduled.cancel()  # it has run; a kept handle does not keep what it refers to
         if call is None or arguments is None:
             return
@@ -151,7 +119,8 @@
         self, owner: "Process", call: Call, arguments: tuple[Any, ...] = (), context: Context | None = None
     ) -> Any:  # noqa: ANN401 -- what the call returns
         """Run a call as that process: its loop is the running one, and gets the exceptions."""
-        previous, self.current_process = self.current_process, owner
+        previous = self.current_process
+        self.current_process = owner
         running_loop = events._get_running_loop()
         events._set_running_loop(owner.loop)
         try:
@@ -184,7 +153,7 @@
         self.loop = VirtualLoop(scheduler, self)  # type: ignore[abstract]  # it has what is used
         self.alive = True
         self.stalled_until = 0
-        self.deferred: list[ScheduledCall] = []  # due while it was stalled
+        self.deferred: list[ScheduledCall[Process]] = []  # due while it was stalled
         self.sockets: dict[int, LoopSocket] = {}  # by descriptor
         self.max_sockets = max_sockets
         self.peak_sockets = 0
@@ -205,7 +174,8 @@
 
     def _resume(self) -> None:
         if self.alive and self.stalled_until <= self.scheduler.now:
-            deferred, self.deferred = self.deferred, []
+            deferred = self.deferred
+            self.deferred = []
             deferred.sort(key=lambda scheduled: not scheduled.is_timer)  # a loop runs its timers first
             self.scheduler.ready.extend(call for call in deferred if call.callback is not None)
 
@@ -235,7 +205,8 @@
         self.deferred.clear()
         self.loop.signal_handlers.clear()
         self.loop.readers.clear()
-        on_exit, self.on_exit = self.on_exit, None
+        on_exit = self.on_exit
+        self.on_exit = None
         if on_exit is not None:
             on_exit(reason)
 
@@ -263,7 +234,7 @@
 
     def call_soon(  # type: ignore[override]  # a handle of our own
         self, callback: Call, *arguments: object, context: Context | None = None
-    ) -> ScheduledCall:
+    ) -> ScheduledCall["Process"]:
         """As asyncio."""
         return self.scheduler.call_soon(self.process, callback, *arguments, context=context)
 
@@ -271,14 +242,14 @@
 
     def call_later(  # type: ignore[override]  # a handle of our own
         self, delay: float, callback: Call, *arguments: object, context: Context | None = None
-    ) -> ScheduledCall:
+    ) -> ScheduledCall["Process"]:
         """As asyncio."""
         due = self.scheduler.now + max(0, round(delay * MICROSECONDS_PER_SECOND))
         return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
 
     def call_at(  # type: ignore[override]  # a handle of our own
         self, when: float, callback: Call, *arguments: object, context: Context | None = None
-    ) -> ScheduledCall:
+    ) -> ScheduledCall["Process"]:
         """As asyncio."""
         due = round(when * MICROSECONDS_PER_SECOND)
         return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
--- a/dahliabend/simulation/fault_environment.py
+++ b/dahliabend/simulation/fault_environment.py
@@ -7,7 +7,9 @@
 from dahliabend.simulation.balancer_host import BalancerHost
 from dahliabend.simulation.environment import SimulationEnvironment
 from dahliabend.simulation.event_loop import Process
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.scenario import LoadSpec, Scenario
 from dahliabend.simulation.upstream_host import UpstreamHost
 
--- a/dahliabend/simulation/faults.py
+++ b/dahliabend/simulation/faults.py
@@ -109,6 +109,7 @@
         return self.simulation.invariants.connections.get(request.attempts[-1].connection)
 
     def _cut_zone(self, fault: Fault) -> Undo:
-        network, zone = self.simulation.network, self.simulation.zone_of(fault.whom)
+        network = self.simulation.network
+        zone = self.simulation.zone_of(fault.whom)
         network.cut_zone(zone)
         return lambda: network.restore_zone(zone, resets=fault.size > RESET_SIZE)
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -123,7 +123,8 @@
 
     def _check_timers_and_tasks(self, process: Process, program: Program) -> None:
         balancer = balancer_of(process.name)
-        timers, tasks = count_timers(program), len(asyncio.all_tasks(process.loop))
+        timers = count_timers(program)
+        tasks = len(asyncio.all_tasks(process.loop))
         initial_timers = self.initial_timers.get(balancer, 0)
         initial_tasks = self.initial_tasks.get(balancer, 1)
         max_timers = initial_timers + len(_connections(program)) + TOLERANCE
--- a/dahliabend/simulation/network.py
+++ b/dahliabend/simulation/network.py
@@ -125,7 +125,8 @@
         """
         if address in self.listeners:
             raise OSError(EADDRINUSE, "address in use")
-        queue = self.listeners[address] = ListenQueue(self, address, backlog)
+        queue = ListenQueue(self, address, backlog)
+        self.listeners[address] = queue
         return queue
 
     def ephemeral_port(self) -> int:
@@ -160,7 +161,9 @@
         self.connections[number] = near
         near.tap = self.tap_factory(near) if self.tap_factory is not None else None
         # Only on the way to upstreams is there a device that forgets idle connections.
-        near.idle_timeout = far.idle_timeout = self.profile.idle_timeout if near.tap is not None else 0
+        idle_timeout = self.profile.idle_timeout if near.tap is not None else 0
+        near.idle_timeout = idle_timeout
+        far.idle_timeout = idle_timeout
         return near, far
 
 
@@ -178,7 +181,9 @@
 
     def syn_arrived(self, retries: int) -> None:
         """The first packet has come to the address, or is lost on its way."""
-        network, address, host = self.network, self.address, self.sock.process.address
+        network = self.network
+        address = self.address
+        host = self.sock.process.address
         if self.future.done() or not self.sock.process.alive:
             return
         if network.is_blocked(host, address[0]) or address in network.unresponsive_addresses:
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -24,9 +24,12 @@
 from dahliabend.simulation.network import Network
 from dahliabend.simulation.network_profile import NetworkProfile
 from dahliabend.simulation.observed_run import ClassTally, RequestClassRules
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, EndpointEntry, Registry
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 from dahliabend.simulation.recorder import AttemptTap, Recorder
 from dahliabend.simulation.simulated_host import SimulatedHost
 
@@ -153,7 +156,8 @@
         """Start a pool's upstreams, and its discovery."""
         if name in self.upstreams_by_pool:
             return
-        pool, number = file.pools[name], len(self.upstreams_by_pool)
+        pool = file.pools[name]
+        number = len(self.upstreams_by_pool)
         members = pool.members or [
             EndpointSettings(id=f"{name}-{n}", address=f"10.7.{number}.{n + 1}:80", zone="a", cell=n)
             for n in range(DISCOVERED_ENDPOINTS)
@@ -241,7 +245,8 @@
 
     def inject_fault(self, name: str, what: str, span: int) -> None:
         """Have a fault of an upstream begin now, for so many microseconds."""
-        upstream, process = self.upstreams[name], self.processes[name]
+        upstream = self.upstreams[name]
+        process = self.processes[name]
         self.recorder("fault", what, name)
         if what == "reset":
             process.run(upstream.reset_all)
--- /dev/null
+++ b/dahliabend/simulation/peers/client_request.py
@@ -0,0 +1,51 @@
+"""One request of a simulated client, as data and as bytes."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+MICROSECONDS_PER_MILLISECOND = 1_000
+
+
+@dataclass(slots=True)
+class ClientRequest:
+    """One request, and how its client behaves. Times are microseconds."""
+
+    trace_id: str
+    class_name: str
+    timeout: int
+    deadline: int = 0
+    body: bytes = b""
+    query_string: bytes = b""
+    path: str = ""  # where it is not the class's name
+    method: str = ""
+    headers: tuple[tuple[str, str], ...] = ()
+    key: str = ""  # the ordering key
+    retry_count: int = 0
+    max_attempts: int = 1
+    disconnect_after: int = 0  # 0: the client stays
+    chunk_interval: int = 0  # between the chunks in which it is sent; 0: at once
+    needs_new_connection: bool = False
+    honours_retry_after: bool = True
+    was_resent: bool = False  # on another connection, because the first was closed without reading it
+    on_finished: Callable[[int], None] | None = None  # called with the final status, or 0
+
+    def message(self) -> bytes:
+        """The request as bytes."""
+        method = self.method.encode() or (b"GET" if self.class_name == "query" else b"POST")
+        path = self.path.encode() or b"/" + self.class_name.encode()
+        head = b"%b %b%b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: %b\r\nX-Expires-In-Ms: %d\r\n" % (
+            method,
+            path,
+            self.query_string,
+            self.trace_id.encode(),
+            self.timeout // MICROSECONDS_PER_MILLISECOND,
+        )
+        for name, value in self.headers:
+            head += f"{name}: {value}\r\n".encode()
+        if self.key:
+            head += f"X-Item: {self.key}\r\n".encode()
+        if self.retry_count:
+            head += b"X-Second-Try: 1\r\n"
+        if self.body or method == b"POST":
+            head += b"Content-Length: %d\r\n" % len(self.body)
+        return head + b"\r\n" + self.body
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -2,13 +2,15 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 from typing import cast
 
 import httptools
 
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.peers import RecordEvent
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 
 LARGE_BODY = 60_000  # bytes that may not all fit into the other end's buffer
 DISCONNECT_DELAY = 600_000  # microseconds: then a client disconnects
@@ -19,74 +21,9 @@
 SHOWN_BYTES = 100  # of unexpected data
 UNKNOWN_LENGTH = 1 << 30
 MICROSECONDS_PER_SECOND = 1e6
-MICROSECONDS_PER_MILLISECOND = 1_000
 OK = 200
 NO_STATUS = 0  # of a request that got no response
 
-Address = tuple[str, int]
-
-
-@dataclass(slots=True)
-class ClientRequest:
-    """One request, and how its client behaves. Times are microseconds."""
-
-    trace_id: str
-    class_name: str
-    timeout: int
-    deadline: int = 0
-    body: bytes = b""
-    query_string: bytes = b""
-    path: str = ""  # where it is not the class's name
-    method: str = ""
-    headers: tuple[tuple[str, str], ...] = ()
-    key: str = ""  # the ordering key
-    retry_count: int = 0
-    max_attempts: int = 1
-    disconnect_after: int = 0  # 0: the client stays
-    chunk_interval: int = 0  # between the chunks in which it is sent; 0: at once
-    needs_new_connection: bool = False
-    honours_retry_after: bool = True
-    was_resent: bool = False  # on another connection, because the first was closed without reading it
-    on_finished: Callable[[int], None] | None = None  # called with the final status, or 0
-
-    def message(self) -> bytes:
-        """The request as bytes."""
-        method = self.method.encode() or (b"GET" if self.class_name == "query" else b"POST")
-        path = self.path.encode() or b"/" + self.class_name.encode()
-        head = b"%b %b%b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: %b\r\nX-Expires-In-Ms: %d\r\n" % (
-            method,
-            path,
-            self.query_string,
-            self.trace_id.encode(),
-            self.timeout // MICROSECONDS_PER_MILLISECOND,
-        )
-        for name, value in self.headers:
-            head += f"{name}: {value}\r\n".encode()
-        if self.key:
-            head += f"X-Item: {self.key}\r\n".encode()
-        if self.retry_count:
-            head += b"X-Second-Try: 1\r\n"
-        if self.body or method == b"POST":
-            head += b"Content-Length: %d\r\n" % len(self.body)
-        return head + b"\r\n" + self.body
-
-
-class ConnectionRotation:
-    """Deals out connections among the balancers that are ready, in rotation."""
-
-    def __init__(self, addresses: list[Address]) -> None:
-        self.addresses = list(addresses)
-        self.not_ready: set[Address] = set()
-        self._position = 0
-
-    def next_address(self) -> Address | None:
-        """Where the next connection goes, None if no balancer is ready."""
-        ready = [address for address in self.addresses if address not in self.not_ready]
-        if not ready:
-            return None
-        self._position += 1
-        return ready[self._position % len(ready)]
-
 
 class Clients:
     """All clients of one machine, with the connections that they share."""
@@ -208,7 +145,8 @@
 
     def send(self, request: ClientRequest) -> None:
         """Send a request."""
-        loop, recorder = self.clients.loop, self.clients.recorder
+        loop = self.clients.loop
+        recorder = self.clients.recorder
         self.request = request
         self.is_sent = False
         self.clients.waiting.add(self)
@@ -284,8 +222,10 @@
         for timer in (self.deadline_timer, self.disconnect_timer):
             if timer is not None:
                 timer.cancel()
-        self.deadline_timer = self.disconnect_timer = None
-        self.last_request, self.request = self.request, None
+        self.deadline_timer = None
+        self.disconnect_timer = None
+        self.last_request = self.request
+        self.request = None
         self.clients.waiting.discard(self)
 
     # The response.
@@ -297,7 +237,8 @@
 
     def data_received(self, data: bytes) -> None:
         """As asyncio."""
-        request, recorder = self.request, self.clients.recorder
+        request = self.request
+        recorder = self.clients.recorder
         if request is None or self.parser is None:
             trace_id = self.last_request.trace_id if self.last_request is not None else "nothing"
             recorder("extra", trace_id, data[:SHOWN_BYTES])
@@ -332,7 +273,8 @@
         """As httptools."""
         if self.status < OK or self.request is None or self.parser is None:
             return
-        request, is_reusable = self.request, self.parser.should_keep_alive() and self.is_sent
+        request = self.request
+        is_reusable = self.parser.should_keep_alive() and self.is_sent
         self._end_request()
         self.clients.recorder("answer", request.trace_id, self.status, b"".join(self.body))
         retry_after = round(float(self.headers.get(b"retry-after", 0)) * MICROSECONDS_PER_SECOND)
@@ -361,7 +303,8 @@
         self._end_request()
         if self.requests_sent > 1 and not error and not self.status and not request.was_resent:
             # Closed in order between two requests, this one unread: it goes out on a new connection.
-            request.was_resent = request.needs_new_connection = True
+            request.was_resent = True
+            request.needs_new_connection = True
             self.clients.dispatch(request)
             return
         if self.status == OK:
@@ -383,7 +326,8 @@
 
     def eof_received(self) -> bool:
         """Send the other request on the direction that is left."""
-        follow_up, self.follow_up = self.follow_up, None
+        follow_up = self.follow_up
+        self.follow_up = None
         if self.request is not None or follow_up is None or not self.requests_sent:
             return False
         trace_id = follow_up.trace_id
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -15,7 +15,7 @@
 
 KEEPALIVE_INTERVAL = 2.0  # seconds between empty lines on a watch
 MICROSECONDS_PER_SECOND = 1e6
-WHOLE_LIST = -1  # the version after which a watch asks for changes, where it asks for the list
+FULL_LIST = -1  # the version after which a watch asks for changes, where it asks for the list
 
 EndpointEntry = dict[str, Any]  # an endpoint as JSON: id, addr, zone, cell, state, weight, started_ms
 
@@ -92,7 +92,8 @@
 
     def apply_change(self, version: int, entry: EndpointEntry) -> None:
         """Learn of a change now."""
-        name, state = entry["id"], entry["state"]
+        name = entry["id"]
+        state = entry["state"]
         version -= self.version_offset
         self.version = version
         self.changes.append((version, entry))
@@ -110,7 +111,7 @@
             self.close_watches()
         elif not self.silent:
             for watch in list(self.watches):
-                watch.send_update(version, False, [entry])
+                watch.send_update(version, [entry], is_full=False)
 
     def full_list(self) -> dict[str, Any]:
         """The list as this agent knows it, as JSON."""
@@ -157,7 +158,7 @@
         self.agent = agent
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.after = WHOLE_LIST  # the version that its client has
+        self.after = FULL_LIST  # the version that its client has
         self.is_open = False
         self.is_muted = False
         self.keepalive_timer: asyncio.TimerHandle | None = None
@@ -179,7 +180,7 @@
     def on_message_complete(self) -> None:
         """As httptools."""
         _, found, after = self.target.partition(b"after=")
-        self.after = int(after) if found else WHOLE_LIST
+        self.after = int(after) if found else FULL_LIST
         self.agent.watches.append(self)
         if not self.agent.silent:
             self._begin()
@@ -192,13 +193,13 @@
         oldest = agent.changes[0][0] if agent.changes else None
         if agent.sends_full_lists:
             up = [entry for entry in agent.entries.values() if entry["state"] == "up"]
-            self.send_update(agent.version, True, up)
+            self.send_update(agent.version, up, is_full=True)
         elif agent.version_offset and self.after > agent.version:
-            self.send_update(agent.version, False, [])
+            self.send_update(agent.version, [], is_full=False)
         elif self.after < 0 or oldest is None or oldest > self.after + 1:
-            self.send_update(agent.version, True, list(agent.entries.values()))
+            self.send_update(agent.version, list(agent.entries.values()), is_full=True)
         else:
-            self.send_update(agent.version, False, self._missed_entries())
+            self.send_update(agent.version, self._missed_entries(), is_full=False)
         self.keepalive_timer = agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
 
     def _missed_entries(self) -> list[EndpointEntry]:
@@ -211,7 +212,7 @@
             return
         missed = self._missed_entries()
         if missed:
-            self.send_update(self.agent.version, False, missed)
+            self.send_update(self.agent.version, missed, is_full=False)
 
     def _send_keepalive(self) -> None:
         if not self.transport.is_closing():
@@ -219,7 +220,7 @@
                 self.write_line(b"\n")
             self.keepalive_timer = self.agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
 
-    def send_update(self, version: int, is_full: bool, entries: list[EndpointEntry]) -> None:
+    def send_update(self, version: int, entries: list[EndpointEntry], *, is_full: bool) -> None:
         """Send entries; a full list announces by omission that others are removed."""
         self.after = version
         if self.is_muted:
--- a/dahliabend/simulation/peers/misbehaving_clients.py
+++ b/dahliabend/simulation/peers/misbehaving_clients.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from dahliabend.simulation.peers import RecordEvent
-from dahliabend.simulation.peers.clients import ClientRequest
+from dahliabend.simulation.peers.client_request import ClientRequest
 
 MIN_LIFETIME = 0.02  # seconds
 MAX_EXTRA_LIFETIME = 0.2  # seconds
--- a/dahliabend/simulation/peers/upstream.py
+++ b/dahliabend/simulation/peers/upstream.py
@@ -10,6 +10,7 @@
 import httptools
 
 from dahliabend.simulation.peers import RecordEvent
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 LONG_ANSWER = 150_000  # bytes
 DUPLICATE_DELAY = 500, 6_000  # microseconds: how long after a response it is sent once more
@@ -26,31 +27,6 @@
 ADMIN_PREFIX = b"/-/"  # of the paths of health checks
 
 
-@dataclass(slots=True)
-class UpstreamSpec:
-    """What an upstream is and can do. Times are microseconds."""
-
-    name: str
-    host: str
-    port: int
-    zone: str
-    cell: int
-    cores: int = 2
-    slots: int = 8  # requests executed at once on a core, which they share
-    queue: int = 8  # and waiting, on a core
-    contention_share: float = 1.0  # of its slots: beyond, all work takes longer
-    mean_work: int = 8_000  # of a core for a request
-    warmup_time: int = 2_000_000
-    initial_capacity: float = 0.4  # the share of its capacity at the start of the warm-up
-    overload_multiple: float = 4.0  # times its capacity while warming up: it fails for good beyond that
-    overload_window: int = 1_000_000
-    idle_timeout: int = 2_000_000  # of connections
-    answers_health_checks: bool = True
-    # With many balancers, requests are counted in place of their work: it fails beyond N + 2 sqrt(N) + 2 of
-    # them, where N are allowed.
-    counts_requests: bool = False
-
-
 class Arrival(NamedTuple):
     """A request that came while an upstream warmed up."""
 
@@ -133,14 +109,17 @@
 
     def warmup_factor(self) -> float:
         """The share of its capacity that it has."""
-        spec, age = self.spec, self.now() - self.started_at
+        spec = self.spec
+        age = self.now() - self.started_at
         if not self.started_at or age >= spec.warmup_time:
             return 1.0
         return spec.initial_capacity + (1 - spec.initial_capacity) * age / spec.warmup_time
 
     def record_work(self, work: int, process: str) -> None:
         """Count work that arrives during the warm-up, also what is rejected; too much ends the process."""
-        now, spec, warmup_factor = self.now(), self.spec, self.warmup_factor()
+        now = self.now()
+        spec = self.spec
+        warmup_factor = self.warmup_factor()
         if warmup_factor >= 1.0:
             self.recent_arrivals.clear()
             self.recent_work = 0
@@ -221,11 +200,11 @@
 
     def _work_done(self, job: Job) -> None:
         if self.call_next_tier is not None and not job.is_orphaned:
-            self.call_next_tier(job.trace_id, job.class_name, lambda ok: self._finish_job(job, ok))
+            self.call_next_tier(job.trace_id, job.class_name, lambda ok: self._finish_job(job, is_ok=ok))
         else:
-            self._finish_job(job, True)
+            self._finish_job(job, is_ok=True)
 
-    def _finish_job(self, job: Job, is_ok: bool) -> None:
+    def _finish_job(self, job: Job, *, is_ok: bool) -> None:
         self.running -= 1
         while self.queue and self.running < self.spec.cores * self.spec.slots:
             self._start_job(self.queue.popleft())
@@ -335,7 +314,8 @@
 
     def on_message_complete(self) -> None:
         """As httptools."""
-        target, trace_id = self.target, self.trace_id
+        target = self.target
+        trace_id = self.trace_id
         self.target = b""
         self.trace_id = ""
         self._cancel_idle_timer()
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -110,7 +110,9 @@
 
 def _vary_sizes(rng: Random, scenario: Scenario) -> None:
     """Give some seeds short deadlines, or many balancers with a cold upstream under a burst."""
-    world, load, drawn = scenario.world, scenario.load, rng.random()
+    world = scenario.world
+    load = scenario.load
+    drawn = rng.random()
     if drawn < SHORT_DEADLINE_SHARE:
         world.limit = Duration(700 * MS)
         world.goal = Duration(300 * MS)
@@ -129,7 +131,8 @@
     possible = [what for what in LATER_FAULTS if what in kinds] if kinds else LATER_FAULTS
     if not possible or (not kinds and rng.random() > LATER_FAULT_SHARE):
         return
-    world, faults = scenario.world, scenario.faults
+    world = scenario.world
+    faults = scenario.faults
     what = rng.choice(possible)
     at = Duration(rng.randrange(300, 1_500) * MS + rng.randrange(1_000))
     counts = {"upstream": world.upstreams, "discovery": world.balancers, "clients": 1}
@@ -156,7 +159,8 @@
 
 def _add_retries_of_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
     """Have clients disconnect, attempts repeat and deduplication windows end while connections come up."""
-    world, load = scenario.world, scenario.load
+    world = scenario.world
+    load = scenario.load
     begin = fault.at or Duration(0)
     world.dial = Duration(rng.choice((75, 400, 900)) * MS)
     load.leave = 0.4
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -42,7 +42,9 @@
     """
     if not violates(scenario, rule):
         raise ValueError(f"this run does not break the rule {rule!r}")
-    runs, best, has_progressed = 1, scenario, True
+    runs = 1
+    best = scenario
+    has_progressed = True
     while has_progressed and runs < max_runs:
         has_progressed = False
         for smaller in candidates(best):
@@ -52,7 +54,8 @@
                 continue
             runs += 1
             if violates(smaller, rule):
-                best, has_progressed = smaller, True
+                best = smaller
+                has_progressed = True
                 break
     return _replace(best, breaks=rule), runs
 
@@ -100,7 +103,8 @@
 
 
 def _with_smaller_world(scenario: Scenario) -> Iterator[Scenario]:
-    world, plain = scenario.world, WorldSpec()
+    world = scenario.world
+    plain = WorldSpec()
     for name in COUNTS_REDUCED:
         least = 0 if name == "behind" else 1
         if getattr(world, name) > least:
--- a/dahliabend/simulation/simulated_host.py
+++ b/dahliabend/simulation/simulated_host.py
@@ -74,7 +74,8 @@
 
     def create_locked(self, name: str) -> MemoryLock:
         """Create a file that is locked as long as the current process lives."""
-        lock = self.files[name] = MemoryLock(_current(self.scheduler))
+        lock = MemoryLock(_current(self.scheduler))
+        self.files[name] = lock
         return lock
 
     def read_locked(self, name: str) -> bytes | None:
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -9,7 +9,7 @@
 from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.sockets import Socket
 
-MAX_READ_PER_TURN = 262_144  # bytes
+MAX_READ_PER_EVENT = 262_144  # bytes
 READ_SIZE = 65_536  # bytes
 HIGH_WATER = 65_536  # bytes
 
@@ -86,7 +86,7 @@
 
     def _read_available(self) -> None:
         end = self.end
-        left = MAX_READ_PER_TURN
+        left = MAX_READ_PER_EVENT
         while end.receive_queue and not self.reading_paused and not self.closing and left > 0:
             if self.uses_buffered_protocol:
                 buffer = self.protocol.get_buffer(-1)
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -40,7 +40,7 @@
     def _host(self, fault: Fault) -> UpstreamHost:
         return self.simulation.upstreams[fault.whom]
 
-    def _set_behavior(self, fault: Fault, name: str, value: object) -> Undo:
+    def _set_behavior(self, fault: Fault, name: str, *, value: object) -> Undo:
         """Set one of an upstream's switches."""
         upstream = self._host(fault).upstream
         before = getattr(upstream, name)
@@ -49,27 +49,28 @@
 
     def hang(self, fault: Fault) -> Undo:
         """It accepts requests and answers nothing."""
-        return self._set_behavior(fault, "hung", True)
+        return self._set_behavior(fault, "hung", value=True)
 
     def slow(self, fault: Fault) -> Undo:
         """Its work takes longer."""
-        return self._set_behavior(fault, "slower", 1 + MAX_SLOWDOWN * fault.size)
+        return self._set_behavior(fault, "slower", value=1 + MAX_SLOWDOWN * fault.size)
 
     def fail(self, fault: Fault) -> Undo:
         """A share of its requests fails."""
-        return self._set_behavior(fault, "failing", fault.size)
+        return self._set_behavior(fault, "failing", value=fault.size)
 
     def garble(self, fault: Fault) -> Undo:
         """A share of its responses is invalid."""
-        return self._set_behavior(fault, "garbled", fault.size)
+        return self._set_behavior(fault, "garbled", value=fault.size)
 
     def duplicate_responses(self, fault: Fault) -> Undo:
         """A share of its responses is sent twice."""
-        return self._set_behavior(fault, "twice", fault.size)
+        return self._set_behavior(fault, "twice", value=fault.size)
 
     def limit_connections(self, fault: Fault) -> Undo:
         """It takes few connections."""
-        limits, address = self.simulation.network.connection_limits, self._host(fault).address
+        limits = self.simulation.network.connection_limits
+        address = self._host(fault).address
         limits[address] = 1 + int(MAX_CONNECTIONS * fault.size)
         return lambda: limits.pop(address, None)
 
@@ -92,7 +93,8 @@
 
     def drain(self, fault: Fault) -> Undo:
         """It drains, and is back later."""
-        host, simulation = self._host(fault), self.simulation
+        host = self._host(fault)
+        simulation = self.simulation
         drain_time = simulation.spec.grace
         host.publish("draining")
         upstream = host.upstream
@@ -111,7 +113,8 @@
 
     def restart(self, fault: Fault) -> Undo:
         """A planned restart: it drains, ends, and starts again cold."""
-        host, simulation = self._host(fault), self.simulation
+        host = self._host(fault)
+        simulation = self.simulation
         host.publish("draining")
 
         def end() -> None:
@@ -139,19 +142,22 @@
 
     def refuse_connections(self, fault: Fault) -> Undo:
         """New connections to it are refused."""
-        refusing, address = self.simulation.network.refusing_addresses, self._host(fault).address
+        refusing = self.simulation.network.refusing_addresses
+        address = self._host(fault).address
         refusing.add(address)
         return lambda: refusing.discard(address)
 
     def ignore_connections(self, fault: Fault) -> Undo:
         """New connections to it never come up."""
-        unresponsive, address = self.simulation.network.unresponsive_addresses, self._host(fault).address
+        unresponsive = self.simulation.network.unresponsive_addresses
+        address = self._host(fault).address
         unresponsive.add(address)
         return lambda: unresponsive.discard(address)
 
     def vanish(self, fault: Fault) -> Undo:
         """Its host cannot be reached."""
-        network, host = self.simulation.network, self._host(fault).spec.host
+        network = self.simulation.network
+        host = self._host(fault).spec.host
         network.vanish(host)
         return lambda: network.restore_host(host, resets=fault.size > RESET_SIZE)
 
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -7,9 +7,12 @@
 from dahliabend.simulation.balancer_host import BalancerHost
 from dahliabend.simulation.environment import SimulationEnvironment
 from dahliabend.simulation.event_loop import UNIX_TIME_AT_ZERO, Process
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import EndpointEntry, Registry
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 OK = 200
@@ -56,7 +59,8 @@
 
     def start(self, *, needs_warmup: bool) -> None:
         """Start a process; a cold one warms up first."""
-        simulation, spec = self.simulation, self.spec
+        simulation = self.simulation
+        spec = self.spec
         self.starts += 1
         process = Process(simulation.scheduler, f"{spec.name}/{self.starts}", spec.host, spec.zone)
         process.loop.network = simulation.network
@@ -85,7 +89,8 @@
 
     def call_next_tier(self, _trace_id: str, class_name: str, on_finished: Callable[[bool], None]) -> None:
         """Make the calls of the next tier that a request needs, one after the other."""
-        clients, spec = self.clients, self.simulation.spec
+        clients = self.clients
+        spec = self.simulation.spec
         if clients is None:
             raise RuntimeError(f"{self.spec.name} has no balancer to call")
         deadline = spec.limit * 2 // 3
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -19,10 +19,12 @@
 from dahliabend.simulation.network import Network
 from dahliabend.simulation.network_profile import NetworkProfile
 from dahliabend.simulation.observed_run import RequestClassRules, Violation
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import Registry
 from dahliabend.simulation.peers.operators import call
-from dahliabend.simulation.peers.upstream import UpstreamSpec
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 from dahliabend.simulation.recorder import AttemptTap, Event, Recorder
 from dahliabend.simulation.scenario import LoadSpec, Scenario, WorldSpec
 from dahliabend.simulation.simulated_host import SimulatedHost
@@ -130,7 +132,8 @@
             zones[f"10.1.0.{FIRST_HOST_NUMBER + number}"] = self.zone_of(number)
         for number in range(self.spec.behind):
             zones[f"10.2.0.{FIRST_HOST_NUMBER + number}"] = self.zone_of(number)
-        zones[CLIENT_HOST] = zones[POLLER_HOST] = "a"
+        zones[CLIENT_HOST] = "a"
+        zones[POLLER_HOST] = "a"
 
     def _build_upstreams(self) -> None:
         for number in range(self.spec.upstreams):
@@ -260,7 +263,8 @@
 
     def _schedule_requests(self) -> None:
         """Schedule all requests before the first is sent: answers don't slow the load down."""
-        load, rng = self.load, self.rng_for("load")
+        load = self.load
+        rng = self.rng_for("load")
         for _ in range(load.requests):
             at = rng.random() * load.over
             if rng.random() < load.burst:
@@ -323,7 +327,8 @@
 
     def _run_phases(self) -> None:
         """Start-up, load, rest and shutdown."""
-        scheduler, spec = self.scheduler, self.spec
+        scheduler = self.scheduler
+        spec = self.spec
         load_end = self.load_start + self.scenario.length
         self.faults.schedule_all()
         self._schedule_requests()
@@ -362,7 +367,9 @@
 
 
 def _request_classes(spec: WorldSpec, load: LoadSpec) -> dict[str, RequestClassRules]:
-    limit, goal, window = spec.limit, spec.goal, spec.repeat_window
+    limit = spec.limit
+    goal = spec.goal
+    window = spec.repeat_window
     classes = (
         RequestClassRules("query", "idempotent", "all", 0, limit, goal, 1.0),
         RequestClassRules("submit", "at_most_once", "all", 0, limit, goal, 10.0),
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -25,10 +25,13 @@
 from helpers import free_addresses  # noqa: E402
 
 from dahliabend.routing_rules.loaded_file import load_file  # noqa: E402
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation  # noqa: E402
+from dahliabend.simulation.peers.client_request import ClientRequest  # noqa: E402
+from dahliabend.simulation.peers.clients import Clients  # noqa: E402
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation  # noqa: E402
 from dahliabend.simulation.peers.discovery import Agent, Registry  # noqa: E402
 from dahliabend.simulation.peers.operators import call  # noqa: E402
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec  # noqa: E402
+from dahliabend.simulation.peers.upstream import Upstream  # noqa: E402
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec  # noqa: E402
 
 S, RATE, LATE = 1_000_000, 8, 50_000
 FAULT_KINDS = ("hung", "failing", "garbled", "slower", "reset")
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -13,9 +13,12 @@
 
 from dahliabend.routing_rules.weighted_split import WeightedSplit
 from dahliabend.simulation.operator_file_simulation import FAULT_KINDS, OperatorFileSimulation
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.operators import call
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 MS, S = 1_000, 1_000_000
 TOP = """
--- a/tests/simulation/test_loopback.py
+++ b/tests/simulation/test_loopback.py
@@ -9,10 +9,13 @@
 
 from helpers import CONF, free_addresses
 
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import Agent, Registry
 from dahliabend.simulation.peers.operators import call
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 S = 1_000_000
 REQUESTS = 60
