--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -24,9 +24,6 @@
         "operator_file", "check", "Says all that is wrong with an operator's file, by line."
     ),
     "diff": LazyCommand("operator_file", "diff", "What a reload from one file to another would change."),
-    "emulate": LazyCommand(
-        "simulation", "emulate", "The network code on a virtual clock, against faults from seeds or files."
-    ),
     "explain": LazyCommand(
         "operator_file",
         "explain",
@@ -35,7 +32,7 @@
     "members": LazyCommand(
         "membership", "members", "Who else balances: alive, suspected, gone, by whom and since when."
     ),
-    "rig": LazyCommand(
+    "process-test": LazyCommand(
         "process_tests",
         "process_tests",
         "Real processes of the program on loopback, with faults between them.",
@@ -44,6 +41,9 @@
     "signals": LazyCommand(
         "peer_state", "signals", "What balancers tell each other of upstreams, and what is believed."
     ),
+    "simulate": LazyCommand(
+        "simulation", "simulate", "The network code on a virtual clock, against faults from seeds or files."
+    ),
     "subset": LazyCommand(
         "subsetting", "subset", "Who of many balancers uses which upstreams, and what an event moves."
     ),
@@ -54,14 +54,24 @@
     ),
 }
 
+# Names that commands had before; they keep working, and no help shows them.
+FORMER_NAMES = {"emulate": "simulate", "rig": "process-test"}
+
 
 class LazyGroup(click.Group):
     """A group in which one command's libraries are not loaded for another."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands."""
+        """The names of all commands, without those that they had before."""
         return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
+    def resolve_command(
+        self, ctx: click.Context, args: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        """The command that the arguments name, and its arguments; a former name stands for today's."""
+        name = FORMER_NAMES.get(args[0], args[0])
+        return super().resolve_command(ctx, [name, *args[1:]])
+
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """The command of a name; None if there is none.
 
--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -1,4 +1,4 @@
-"""`dahliabend rig`: a cluster of real processes on loopback, or of the model, with faults between them."""
+"""`dahliabend process-test`: a cluster with faults between its members, as real processes or as a model."""
 
 import asyncio
 import functools
@@ -53,10 +53,10 @@
     """A seed's, or a file's."""
     if what.isascii() and what.isdigit():
         return script.draw(int(what), instances, Duration.parse(period), minutes)
-    return script.read(what)
+    return script.SCRIPT_FILES.read(what)
 
 
-@click.group("rig")
+@click.group("process-test")
 def process_tests() -> None:
     """Real processes of the program on loopback, with faults between them."""
 
@@ -71,7 +71,7 @@
 def run(
     cluster: script.Fleet, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
 ) -> None:
-    """Plays WHAT between real processes; exits with 1 if a rule was broken.
+    """Runs WHAT between real processes; exits with 1 if a rule was broken.
 
     Bounded by its script; everything stays on 127.0.0.1, and every process that it starts it ends.
     """
@@ -112,18 +112,17 @@
 def _run_processes(
     cluster: script.Fleet, traffic: float, upstreams: int, print_line: Callable[[str], None]
 ) -> Outcome:
-    from dahliabend.process_tests.runner import Rig
+    from dahliabend.process_tests.runner import ProcessTestRunner
 
-    outcome: Outcome = asyncio.run(Rig(cluster, traffic, upstreams, print_line).play())
-    return outcome
+    return asyncio.run(ProcessTestRunner(cluster, traffic, upstreams, print_line).run_script())
 
 
 @process_tests.command("model")
 @_with_cluster
 @json_option
 def model_command(cluster: script.Fleet, *, as_json: bool) -> None:
-    """Plays WHAT on the modelled network and prints its time line; exits with 1 if a rule was broken."""
-    outcome = model.play(cluster)
+    """Runs WHAT on the modelled network and prints its time line; exits with 1 if a rule was broken."""
+    outcome = model.run_script(cluster)
     if as_json:
         click.echo(orjson.dumps(_outcome_json(outcome), option=orjson.OPT_INDENT_2))
     else:
@@ -141,7 +140,7 @@
 def script_command(seed: int, instances: int, period: str, minutes: float) -> None:
     """Prints a seed's script as a file, to be changed by hand."""
     cluster = script.draw(seed, instances, Duration.parse(period), minutes)
-    click.echo(script.encode(cluster).decode(), nl=False)
+    click.echo(script.SCRIPT_FILES.encode(cluster).decode(), nl=False)
 
 
 def _outcome_json(outcome: Outcome) -> dict[str, Any]:
--- a/dahliabend/cli/simulation.py
+++ b/dahliabend/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`dahliabend emulate`: sweeps, replays and shrinking in the simulated network."""
+"""`dahliabend simulate`: sweeps, replays and shrinking in the simulated network."""
 
 import os
 from pathlib import Path
@@ -12,8 +12,9 @@
 
 from dahliabend.cli.output import json_option
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation import script, shrink, sweep, timeline
-from dahliabend.simulation.world import play as run_scenario
+from dahliabend.simulation import scenario_generator, shrink, sweep, timeline
+from dahliabend.simulation.scenario import GROUP_OF, SCENARIO_FILES, Scenario, check
+from dahliabend.simulation.world import run_scenario
 
 MAX_RUNS_SHOWN = 20  # that broke a rule, in full
 MICROSECONDS_PER_SECOND = 1e6
@@ -31,32 +32,32 @@
     return seeds
 
 
-def _load_scenario(text: str) -> script.Scenario:
+def _load_scenario(text: str) -> Scenario:
     """A seed's, or a file's."""
-    is_seed = text.isascii() and text.isdigit()
-    scenario: script.Scenario = script.draw(int(text)) if is_seed else script.read(text)
-    return scenario
+    if text.isascii() and text.isdigit():
+        return scenario_generator.draw(int(text))
+    return SCENARIO_FILES.read(text)
 
 
 def _check_kinds(names: tuple[str, ...]) -> tuple[str, ...]:
     for name in names:
-        if name not in script.GROUP_OF:
-            raise click.BadParameter(f"{name!r} is none of {', '.join(sorted(script.GROUP_OF))}")
+        if name not in GROUP_OF:
+            raise click.BadParameter(f"{name!r} is none of {', '.join(sorted(GROUP_OF))}")
     return names
 
 
 @click.group()
-def emulate() -> None:
+def simulate() -> None:
     """The network code on a virtual clock, against faults from seeds or files."""
 
 
-@emulate.command("sweep")
+@simulate.command("sweep")
 @click.option("--seeds", callback=_parse_seeds, default="1000", show_default=True, help="How many, or A..B.")
 @click.option("--jobs", type=click.IntRange(1), default=os.cpu_count(), show_default=True)
 @click.option("--fault", multiple=True, help="Only these kinds of fault; may be given more than once.")
 @json_option
 def sweep_command(seeds: range, jobs: int, fault: tuple[str, ...], *, as_json: bool) -> None:
-    """Plays many seeds; exits with 1 if a rule was broken."""
+    """Runs many seeds; exits with 1 if a rule was broken."""
     console = Console()
     progress = Progress(
         TextColumn("{task.description}"),
@@ -96,13 +97,13 @@
     console.print(f"{len(summary.broken)} runs broke a rule")
 
 
-@emulate.command()
+@simulate.command()
 @click.argument("what")
 @click.option("--about", default="", help="Only what names this transaction, process or upstream.")
 @click.option("--quiet", is_flag=True, help="Only the digest and what was broken.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs; without the time line.")
 def replay(what: str, about: str, *, quiet: bool, as_json: bool) -> None:
-    """Plays WHAT, a seed or a file, and prints its time line; exits with 1 if a rule was broken."""
+    """Runs WHAT, a seed or a file, and prints its time line; exits with 1 if a rule was broken."""
     result = run_scenario(_load_scenario(what))
     if as_json:
         result.lines.clear()
@@ -118,7 +119,7 @@
     raise click.exceptions.Exit(1 if result.violations else 0)
 
 
-@emulate.command("shrink")
+@simulate.command("shrink")
 @click.argument("what")
 @click.option("--rule", default="", help="The rule to keep broken; else the first that is.")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), required=True)
@@ -129,21 +130,21 @@
     if not rules:
         raise click.ClickException(f"{what} breaks no rule")
     smallest, runs = shrink.shrink(scenario, rule or rules[0])
-    out.write_bytes(script.encode(smallest))
+    out.write_bytes(SCENARIO_FILES.encode(smallest))
     click.echo(
         f"{out}: breaks {smallest.breaks!r} with {len(smallest.faults)} faults, {smallest.load.requests} "
         f"transactions, {Duration(smallest.length)}; {runs} runs"
     )
 
 
-@emulate.command("script")
+@simulate.command("script")
 @click.argument("seed", type=int)
 @click.option("--requests", type=int, help="As many transactions instead.")
 def script_command(seed: int, requests: int | None) -> None:
     """Prints a seed's scenario as a file, to be changed by hand."""
-    scenario = script.draw(seed)
+    scenario = scenario_generator.draw(seed)
     if requests is not None:
         load = msgspec.structs.replace(scenario.load, requests=requests)
         scenario = msgspec.structs.replace(scenario, load=load)
-        script.check(scenario)
-    click.echo(script.encode(scenario).decode(), nl=False)
+        check(scenario)
+    click.echo(SCENARIO_FILES.encode(scenario).decode(), nl=False)
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -388,8 +388,3 @@
             check_health_checks(times, self.fleet.probing, self.first_agreement, end, self.outcome)
         if self.fleet.limit:
             check_rate_limit(observer.submit_times, self.fleet.limit, len(self.instances), end, self.outcome)
-
-    play = run_script  # the name that `dahliabend.cli` uses
-
-
-Rig = ProcessTestRunner  # the name that `dahliabend.cli` imports
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -283,6 +283,3 @@
 def run_script(fleet: Fleet, config: SwimConfig | None = None, starts_warm: bool = False) -> Outcome:
     """Run a script on the simulated network."""
     return ClusterModel(fleet, config, starts_warm).run_script()
-
-
-play = run_script  # the name that `dahliabend.cli` imports
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.scenario import Table, parse, plain, read_with
+from dahliabend.simulation.file_format import FileFormat, Table
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
@@ -91,31 +91,6 @@
     why: str = ""
 
 
-def encode(fleet: Fleet) -> bytes:
-    """The JSON form of a script."""
-    return msgspec.json.format(msgspec.json.encode(plain(fleet))) + b"\n"
-
-
-def decode(text: bytes, name: str = "fleet.json") -> Fleet:
-    """Parse a script, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    fleet = parse(Fleet, text, name)
-    check(fleet)
-    return fleet
-
-
-def read(path: str) -> Fleet:
-    """Read a script's file.
-
-    Raises:
-        ValueError: with the file and the path of what is wrong.
-    """
-    return read_with(decode, path)
-
-
 def check(fleet: Fleet) -> None:
     """Check what the types cannot.
 
@@ -178,6 +153,9 @@
         raise ValueError(f"$.{path}.until: out names nobody")
 
 
+SCRIPT_FILES = FileFormat(Fleet, check)
+
+
 def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> Fleet:
     """Draw a script: faults one after the other, some at the same time, for so many minutes; then calm."""
     rng = Random(f"fleet {seed}")
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -27,14 +27,12 @@
 | `behind` (fault) | clients that send a request after the server's half-close |
 """
 
-from collections.abc import Callable
-from pathlib import Path
-from typing import Literal, TypeVar
+from typing import Literal
 
 import msgspec
 
-from dahliabend.config.operator_file import units
 from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.file_format import FileFormat, Table
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
@@ -79,12 +77,6 @@
 TWO_ZONES = 2
 RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
 
-Parsed = TypeVar("Parsed")
-
-
-class Table(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
-    """A table of a file: keys in kebab case, unknown ones rejected."""
-
 
 class WorldSpec(Table):
     """The balancers, upstreams, network and settings of a run. Times in microseconds."""
@@ -177,74 +169,6 @@
     breaks: str = ""  # the rule that a regression file once violated
 
 
-def encode(scenario: Scenario) -> bytes:
-    """The JSON form of a scenario."""
-    return msgspec.json.format(msgspec.json.encode(plain(scenario))) + b"\n"
-
-
-def plain(value: object) -> object:
-    """A value with spans of time as text, and without what has its default."""
-    if isinstance(value, Duration):
-        return str(value)
-    if isinstance(value, msgspec.Struct):
-        fields = msgspec.structs.fields(value)
-        return {f.encode_name: plain(v) for f in fields if (v := getattr(value, f.name)) != _default(f)}
-    if isinstance(value, list):
-        return [plain(each) for each in value]
-    return value
-
-
-def _default(field: msgspec.structs.FieldInfo) -> object:
-    if field.default is not msgspec.NODEFAULT:
-        return field.default
-    return field.default_factory() if field.default_factory is not msgspec.NODEFAULT else msgspec.NODEFAULT
-
-
-def parse(kind: type[Parsed], text: bytes, name: str) -> Parsed:
-    """Parse a file, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    decoder = msgspec.toml if name.endswith(".toml") else msgspec.json
-    parsed: Parsed = decoder.decode(text, type=kind, dec_hook=units.decode_unit)
-    return parsed
-
-
-def decode(text: bytes, name: str = "script.json") -> Scenario:
-    """Parse a scenario, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    scenario = parse(Scenario, text, name)
-    check(scenario)
-    return scenario
-
-
-def read(path: str) -> Scenario:
-    """Read a scenario's file.
-
-    Raises:
-        ValueError: with the file and the path of what is wrong.
-    """
-    return read_with(decode, path)
-
-
-def read_with(decode: Callable[[bytes, str], Parsed], path: str) -> Parsed:
-    """Read a file by a decoder, which gets its content and its name.
-
-    Raises:
-        ValueError: with the file and what is wrong with it.
-    """
-    try:
-        return decode(Path(path).read_bytes(), path)
-    except OSError as error:
-        raise ValueError(f"{path}: {error.strerror}") from None
-    except ValueError as error:
-        raise ValueError(f"{path}: {error}") from None
-
-
 def check(scenario: Scenario) -> None:
     """Check what the types cannot: whether the faults are possible in that world.
 
@@ -303,3 +227,6 @@
         raise ValueError(f"{path}.at: {fault.at} is outside the run")
     if fault.after < 0 or fault.span < 0 or fault.nth < 1:
         raise ValueError(f"{path}: after and span can't be negative, nth begins at 1")
+
+
+SCENARIO_FILES = FileFormat(Scenario, check)
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -389,6 +389,3 @@
 def run_scenario(scenario: Scenario) -> Result:
     """Run a scenario and check it."""
     return Simulation(scenario).run()
-
-
-play = run_scenario  # the name that `dahliabend.cli` imports
--- a/tests/cli/test_operators_commands.py
+++ b/tests/cli/test_operators_commands.py
@@ -108,6 +108,28 @@
 def test_every_command_is_listed_with_its_help():
     status, output = run("--help")
     assert status == 0
-    for name in ("check", "completion", "diff", "emulate", "events", "explain", "members", "rig", "serve",
-                 "show", "signals", "subset", "turns", "version"):  # fmt: skip
+    for name in ("check", "completion", "diff", "events", "explain", "members", "process-test", "serve",
+                 "show", "signals", "simulate", "subset", "turns", "version"):  # fmt: skip
         assert any(line.split()[:1] == [name] for line in output.splitlines())
+
+
+@pytest.mark.parametrize(("former", "name"), [("emulate", "simulate"), ("rig", "process-test")])
+def test_a_former_name_of_a_command_works_and_is_listed_nowhere(former, name):
+    """A script that still calls a command by its former name gets the same command."""
+    _, listed = run("--help")
+    assert not any(line.split()[:1] == [former] for line in listed.splitlines())
+    assert run(former, "--help") == run(name, "--help")
+    assert run(former, "script", "7") == run(name, "script", "7")
+    assert run(former, "script", "7")[0] == 0
+    assert run(former, "script", "--help") == run(name, "script", "--help")
+
+
+@pytest.mark.parametrize(
+    ("name", "subcommands"),
+    [("emulate", ("sweep", "replay", "shrink", "script")), ("rig", ("run", "model", "script"))],
+)
+def test_a_former_name_has_all_subcommands(name, subcommands):
+    for subcommand in subcommands:
+        status, output = run(name, subcommand, "--help")
+        assert status == 0
+        assert "Usage: " in output
--- a/tests/process_tests/test_runner.py
+++ b/tests/process_tests/test_runner.py
@@ -4,8 +4,8 @@
 from pathlib import Path
 
 from dahliabend.process_tests.runner import ProcessTestRunner
-from dahliabend.simulation.cluster import script
 from dahliabend.simulation.cluster.model import ClusterModel
+from dahliabend.simulation.cluster.script import SCRIPT_FILES
 
 SCRIPT = Path(__file__).parent / "scripts" / "members.toml"
 
@@ -15,7 +15,7 @@
 
 
 def test_membership_between_real_processes_behaves_as_simulated():
-    fleet = script.read(str(SCRIPT))
+    fleet = SCRIPT_FILES.read(str(SCRIPT))
     model, runner = ClusterModel(fleet), ProcessTestRunner(fleet, traffic=20)
     assert model.run_script().violations == []
     assert asyncio.run(runner.run_script()).violations == []
@@ -26,7 +26,9 @@
 
 
 def test_subsets_of_real_processes_add_up_while_balancers_come_and_go():
-    runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "subsets.toml")), traffic=150, upstreams=24)
+    runner = ProcessTestRunner(
+        SCRIPT_FILES.read(str(SCRIPT.parent / "subsets.toml")), traffic=150, upstreams=24
+    )
     assert asyncio.run(runner.run_script()).violations == []
     served, shown = runner.load.observer.executions_by_upstream, runner.subsets
     assert len(served) == 24
@@ -39,21 +41,25 @@
 
 
 def test_health_reports_of_several_are_used_between_real_processes():
-    runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "signals.toml")), traffic=120, upstreams=24)
+    runner = ProcessTestRunner(
+        SCRIPT_FILES.read(str(SCRIPT.parent / "signals.toml")), traffic=120, upstreams=24
+    )
     assert asyncio.run(runner.run_script()).violations == []
     assert runner.outcome.counts["believed"] >= 1
     assert runner.outcome.counts["tx 200"] > 100
 
 
 def test_each_upstream_is_checked_about_once_a_period_whoever_is_down():
-    runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "turns.toml")), traffic=10, upstreams=8)
+    runner = ProcessTestRunner(SCRIPT_FILES.read(str(SCRIPT.parent / "turns.toml")), traffic=10, upstreams=8)
     assert asyncio.run(runner.run_script()).violations == []
     counts = runner.outcome.counts
     assert 0.5 * counts["probe periods"] <= counts["probes"] <= 1.5 * counts["probe periods"]
 
 
 def test_a_shared_rate_limit_holds_between_real_processes():
-    runner = ProcessTestRunner(script.read(str(SCRIPT.parent / "limits.toml")), traffic=200, upstreams=8)
+    runner = ProcessTestRunner(
+        SCRIPT_FILES.read(str(SCRIPT.parent / "limits.toml")), traffic=200, upstreams=8
+    )
     assert asyncio.run(runner.run_script()).violations == []
     counts = runner.outcome.counts
     assert counts["tx asked"] * 0.4 > 1.5 * counts["limited"], "more is asked than is let in"
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -164,8 +164,8 @@
 )
 def test_an_invalid_file_is_reported_by_its_path(text, path):
     with pytest.raises(ValueError, match=path.replace("$", r"\$").replace("[", r"\[")):
-        script.decode(text.encode())
+        script.SCRIPT_FILES.decode(text.encode())
 
 
 def test_a_script_is_the_same_after_it_was_written_and_read():
-    assert script.decode(script.encode(script.draw(3, 9))) == script.draw(3, 9)
+    assert script.SCRIPT_FILES.decode(script.SCRIPT_FILES.encode(script.draw(3, 9))) == script.draw(3, 9)
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dahliabend.simulation.scenario import GROUP_OF, S, Scenario, decode, encode, read
+from dahliabend.simulation.scenario import GROUP_OF, SCENARIO_FILES, S, Scenario
 from dahliabend.simulation.scenario_generator import draw
 
 
@@ -32,7 +32,7 @@
 )
 def test_an_invalid_scenario_is_rejected_by_path(text, why):
     with pytest.raises(ValueError, match=r".") as refused:
-        decode(text.encode())
+        SCENARIO_FILES.decode(text.encode())
     assert why in str(refused.value)
 
 
@@ -40,9 +40,9 @@
     path = tmp_path / "wrong.toml"
     path.write_text('length = "5 hours"\n')
     with pytest.raises(ValueError, match=r"wrong\.toml.*no span"):
-        read(str(path))
+        SCENARIO_FILES.read(str(path))
     with pytest.raises(ValueError, match=r"none\.toml: No such file"):
-        read(str(tmp_path / "none.toml"))
+        SCENARIO_FILES.read(str(tmp_path / "none.toml"))
 
 
 def test_toml_and_json_are_equivalent(tmp_path):
@@ -50,8 +50,8 @@
     path.write_text(
         'seed = 4\n[world]\nupstreams = 3\n[[faults]]\nwhat = "hang"\non = "begun"\nafter = "1us"\n'
     )
-    scenario = read(str(path))
-    assert decode(encode(scenario)) == scenario
+    scenario = SCENARIO_FILES.read(str(path))
+    assert SCENARIO_FILES.decode(SCENARIO_FILES.encode(scenario)) == scenario
     assert scenario.faults[0].after == 1
     assert scenario.length == 5 * S
 
@@ -60,7 +60,7 @@
     seen = set()
     for seed in range(400):
         scenario = draw(seed)
-        assert decode(encode(scenario)) == scenario == draw(seed)
+        assert SCENARIO_FILES.decode(SCENARIO_FILES.encode(scenario)) == scenario == draw(seed)
         assert scenario.world.balancers >= 2
         assert scenario.load.requests >= 100
         assert scenario.length >= 5 * S
@@ -75,4 +75,4 @@
 
 
 def test_an_empty_file_is_a_complete_scenario():
-    assert decode(b"{}") == Scenario()
+    assert SCENARIO_FILES.decode(b"{}") == Scenario()
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -11,7 +11,7 @@
 from defects import DEFECTS, SHOWN, caught
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.scenario import Fault, LoadSpec, Scenario, WorldSpec, read
+from dahliabend.simulation.scenario import SCENARIO_FILES, Fault, LoadSpec, Scenario, WorldSpec
 from dahliabend.simulation.scenario_generator import draw
 from dahliabend.simulation.shrink import shrink
 from dahliabend.simulation.sweep import run_seed, sweep
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
 def test_a_fixed_violation_does_not_return(path):
-    result = run_scenario(read(str(path)))
+    result = run_scenario(SCENARIO_FILES.read(str(path)))
     assert not result.violations, [str(violation) for violation in result.violations]
 
 
 @pytest.mark.parametrize("script", SHOWN)
 def test_a_regression_script_violates_its_rule_again_without_the_fix(script):
-    kept = read(str(HERE / "regressions" / f"{script}.json"))
+    kept = SCENARIO_FILES.read(str(HERE / "regressions" / f"{script}.json"))
     with DEFECTS[SHOWN[script]].plant():
         assert kept.breaks in run_scenario(kept).rules
 
