--- /dev/null
+++ b/tests/pins/test_scenario_files.py
@@ -0,0 +1,59 @@
+"""Stored scenarios and cluster scripts: the keys of their tables with defaults, and what seeds are written as.
+
+Guards files that were stored, and seeds that were noted, against a renamed field: they stay readable.
+"""
+
+import json
+
+import msgspec
+import pytest
+from golden_files import as_json, read_golden, write_golden
+
+from dahliabend.simulation import scenario_generator
+from dahliabend.simulation.cluster import script
+from dahliabend.simulation.scenario import SCENARIO_FILES, Fault, LoadSpec, Scenario, WorldSpec
+
+KEYS = "scenario_file_keys.json"
+SCENARIOS = "scenario_files.json"
+SCRIPTS = "cluster_script_files.json"
+TABLES = (Scenario, WorldSpec, LoadSpec, Fault, script.Fleet, script.Step)
+SCENARIO_SEEDS = (0, 1, 5, 44, 120)
+SCRIPT_SEEDS = (0, 3)
+
+
+def table_keys() -> dict[str, dict[str, str]]:
+    """By table and key: the default, as text."""
+    return {
+        table.__name__: {f.encode_name: str(f.default) for f in msgspec.structs.fields(table)}
+        for table in TABLES
+    }
+
+
+def scenario_files() -> dict[str, object]:
+    """By seed: the file of its scenario."""
+    return {
+        str(seed): json.loads(SCENARIO_FILES.encode(scenario_generator.draw(seed))) for seed in SCENARIO_SEEDS
+    }
+
+
+def script_files() -> dict[str, object]:
+    """By seed: the file of its cluster script."""
+    return {str(seed): json.loads(script.SCRIPT_FILES.encode(script.draw(seed))) for seed in SCRIPT_SEEDS}
+
+
+@pytest.mark.parametrize(
+    ("name", "produce"), [(KEYS, table_keys), (SCENARIOS, scenario_files), (SCRIPTS, script_files)]
+)
+def test_files_have_the_keys_and_values_that_they_always_had(name, produce):
+    assert as_json(produce()) == read_golden(name)
+
+
+def test_a_stored_file_is_read_as_the_scenario_that_its_seed_draws():
+    for seed, content in json.loads(read_golden(SCENARIOS)).items():
+        assert SCENARIO_FILES.decode(json.dumps(content).encode()) == scenario_generator.draw(int(seed))
+
+
+if __name__ == "__main__":
+    write_golden(KEYS, as_json(table_keys()))
+    write_golden(SCENARIOS, as_json(scenario_files()))
+    write_golden(SCRIPTS, as_json(script_files()))
