--- a/dahliabend/cli/simulation.py
+++ b/dahliabend/cli/simulation.py
@@ -1,5 +1,6 @@
 """`dahliabend simulate`: sweeps, replays and shrinking in the simulated network."""
 
+import dataclasses
 import os
 from pathlib import Path
 
@@ -14,7 +15,7 @@
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation import scenario_generator, shrink, sweep, timeline
 from dahliabend.simulation.scenario import GROUP_OF, SCENARIO_FILES, Scenario, check
-from dahliabend.simulation.world import run_scenario
+from dahliabend.simulation.world import Result, run_scenario
 
 MAX_RUNS_SHOWN = 20  # that broke a rule, in full
 MICROSECONDS_PER_SECOND = 1e6
@@ -107,7 +108,7 @@
     result = run_scenario(_load_scenario(what))
     if as_json:
         result.lines.clear()
-        click.echo(orjson.dumps(result, option=orjson.OPT_INDENT_2))
+        click.echo(orjson.dumps(_result_json(result), option=orjson.OPT_INDENT_2))
         raise click.exceptions.Exit(1 if result.violations else 0)
     if not quiet:
         for line in timeline.lines(result.lines, about):
@@ -115,10 +116,16 @@
     for violation in result.violations:
         click.echo(f"BROKEN {violation}")
     counts = " ".join(f"{name}={count}" for name, count in result.counts.items())
-    click.echo(f"digest {result.digest} steps {result.steps} {counts} worth {result.worth:.4f}")
+    click.echo(f"digest {result.digest} steps {result.steps} {counts} worth {result.served_value:.4f}")
     raise click.exceptions.Exit(1 if result.violations else 0)
 
 
+def _result_json(result: Result) -> dict[str, object]:
+    """A run's result with the keys that are published."""
+    names = {field.name: field.name for field in dataclasses.fields(result)} | {"served_value": "worth"}
+    return {key: getattr(result, name) for name, key in names.items()}
+
+
 @simulate.command("shrink")
 @click.argument("what")
 @click.option("--rule", default="", help="The rule to keep broken; else the first that is.")
--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from dahliabend.simulation.addresses import Address
-from dahliabend.simulation.cluster.ground_truth import Link
+from dahliabend.simulation.cluster.actual_history import Link
 from dahliabend.simulation.cluster.script import S
 
 MAX_IN_TRANSIT = 20_000  # datagrams: more are lost, as in a full queue
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -122,9 +122,9 @@
             if delay > MAX_CLOCK_DELAY:
                 self.outcome.counts["rig late"] += 1
                 all_links = {(a, b) for a in everyone for b in everyone if a != b}
-                since = max(self.ground_truth.last_change(), self.now - round(delay))
-                self.ground_truth.set_blocked_links(since, all_links)
-                self.ground_truth.set_blocked_links(self.now, self.blocked_links())
+                since = max(self.actual_history.last_change(), self.now - round(delay))
+                self.actual_history.set_blocked_links(since, all_links)
+                self.actual_history.set_blocked_links(self.now, self.blocked_links())
                 self.log(self.now, f"RIG late by {delay / S:.2f} s")
 
     # The run.
@@ -142,7 +142,7 @@
                     await self.load.end()
             finally:
                 await self._close()
-        check_membership_changes(self.ground_truth, self.membership_changes, self.config, end, self.outcome)
+        check_membership_changes(self.actual_history, self.membership_changes, self.config, end, self.outcome)
         self._collect_results(end)
         return self.outcome
 
@@ -215,11 +215,11 @@
             await self.instances[number].start()
         for number in numbers:
             await self.instances[number].wait_until_open()
-            self.ground_truth.start(self.now, number)
+            self.actual_history.start(self.now, number)
 
     async def end(self, number: int, signal_number: int) -> None:
         """End an instance by a signal."""
-        self.ground_truth.end(self.now, number)
+        self.actual_history.end(self.now, number)
         self._interrupted(number)
         await self.instances[number].end(signal_number)
 
@@ -255,7 +255,7 @@
             await self.end(number, signal.SIGKILL)
         elif what in ("stop", "block"):
             self.instances[number].stop()
-            self.ground_truth.stop(self.now, number)
+            self.actual_history.stop(self.now, number)
             self._interrupted(number)
         elif what == "leave":
             await self.end(number, signal.SIGTERM)
@@ -283,7 +283,7 @@
             instance = self.instances[number]
             if step.what in ("stop", "block") and instance.is_stopped and instance.alive:
                 instance.resume()
-                self.ground_truth.resume(self.now, number)
+                self.actual_history.resume(self.now, number)
                 self._interrupted(number)
             elif step.what in ("kill", "leave") and not instance.alive:
                 starting.append(number)
@@ -298,8 +298,8 @@
         """Bring the proxy in line with the link faults in force."""
         blocked = self.blocked_links()
         self.proxy.blocked_links = blocked
-        if blocked != self.ground_truth.blocked_links:
-            self.ground_truth.set_blocked_links(self.now, blocked)
+        if blocked != self.actual_history.blocked_links:
+            self.actual_history.set_blocked_links(self.now, blocked)
         lose = self.strongest_fault("lose")
         delay = self.strongest_fault("delay")
         double = self.strongest_fault("double")
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -242,7 +242,7 @@
             request_class("mark", "deduplicated", 2.0, group=load.group, **deduplication),
         ],
         "caps": {
-            "most-hops": spec.hops,
+            "most-hops": spec.max_attempts,
             "may-cancel": spec.may_cancel,
             "probing": spec.may_probe,
             "retry-after": spec.advises,
@@ -251,9 +251,9 @@
             "dial-timeout": spec.dial / MILLISECOND,
         },
         "contract": {
-            "cold-share": spec.cold_share,
-            "cold": spec.cold / MILLISECOND,
-            "fall-multiple": spec.fall_multiple,
+            "cold-share": spec.initial_capacity,
+            "cold": spec.warmup_time / MILLISECOND,
+            "fall-multiple": spec.overload_multiple,
             "answer-slack": 20.0,
             "order-pause": spec.order_pause / MILLISECOND,
         },
--- a/dahliabend/simulation/cluster/ground_truth.py
+++ b/dahliabend/simulation/cluster/actual_history.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class GroundTruth:
+class ActualHistory:
     """The history of one run. Times are microseconds of the runner's clock."""
 
     instance_count: int
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -1,4 +1,4 @@
-"""The membership changes that instances reported, checked against the ground ground_truth.
+"""The membership changes that instances reported, checked against the ground actual_history.
 
 No invariant depends on a time that chance decides: the bounds are those that the membership settings allow,
 and observations are ordered by the clock of the observer of the run alone.
@@ -9,7 +9,7 @@
 from math import log10
 
 from dahliabend.membership.swim_config import SwimConfig
-from dahliabend.simulation.cluster.ground_truth import GroundTruth, Span
+from dahliabend.simulation.cluster.actual_history import ActualHistory, Span
 
 MAX_VIOLATIONS = 40  # kept of a run; the others are only counted
 MICROSECONDS_PER_SECOND = 1e6
@@ -64,17 +64,21 @@
 
 
 def check_membership_changes(
-    ground_truth: GroundTruth, changes: list[MembershipChange], config: SwimConfig, end: int, outcome: Outcome
+    actual_history: ActualHistory,
+    changes: list[MembershipChange],
+    config: SwimConfig,
+    end: int,
+    outcome: Outcome,
 ) -> None:
     """Check all reported changes of a run that ended at `end`, and add what is found to the outcome."""
     outcome.counts.update(change.kind for change in changes)
-    checker = _ChangeChecker(ground_truth, changes, config, end, outcome)
+    checker = _ChangeChecker(actual_history, changes, config, end, outcome)
     checker.check_deaths()
     checker.check_detections()
     outcome.hours += sum(
         (stop - begin) / MICROSECONDS_PER_HOUR
-        for instance in range(ground_truth.instance_count)
-        for begin, stop in ground_truth.presence(instance, end)
+        for instance in range(actual_history.instance_count)
+        for begin, stop in actual_history.presence(instance, end)
     )
 
 
@@ -83,24 +87,24 @@
 
     def __init__(
         self,
-        ground_truth: GroundTruth,
+        actual_history: ActualHistory,
         changes: list[MembershipChange],
         config: SwimConfig,
         end: int,
         outcome: Outcome,
     ) -> None:
-        self.ground_truth = ground_truth
+        self.actual_history = actual_history
         self.changes = changes
         self.config = config
         self.end = end
         self.outcome = outcome
-        self.bounds = Bounds(config, ground_truth.instance_count)
+        self.bounds = Bounds(config, actual_history.instance_count)
         self._absences: dict[tuple[int, int], list[Span]] = {}
 
     def absences(self, of: int, to: int) -> list[Span]:
-        """As `GroundTruth.absences`, computed once a pair."""
+        """As `ActualHistory.absences`, computed once a pair."""
         if (of, to) not in self._absences:
-            self._absences[of, to] = self.ground_truth.absences(of, to, self.end)
+            self._absences[of, to] = self.actual_history.absences(of, to, self.end)
         return self._absences[of, to]
 
     def check_deaths(self) -> None:
@@ -130,13 +134,13 @@
     def check_detections(self) -> None:
         """An instance absent for longer than the bound is out of the view of all that ran all the time."""
         views = self._view_changes()
-        everyone = range(self.ground_truth.instance_count)
+        everyone = range(self.actual_history.instance_count)
         for subject in everyone:
             for begin, stop in self.absences(subject, subject):
-                if begin == self.ground_truth.history[0].at:
+                if begin == self.actual_history.history[0].at:
                     continue  # not started yet
                 absent = sum(_overlaps(self.absences(each, each), begin, stop) for each in everyone)
-                bound = Bounds(self.config, self.ground_truth.instance_count, absent).detection
+                bound = Bounds(self.config, self.actual_history.instance_count, absent).detection
                 delays = self._detection_delays(subject, begin, stop, bound, views)
                 if delays and stop - begin >= bound:
                     self.outcome.first.append(min(delays))
@@ -161,7 +165,7 @@
     ) -> list[int]:
         """How long each observer took to notice one absence; late ones are violations."""
         delays = []
-        for observer in range(self.ground_truth.instance_count):
+        for observer in range(self.actual_history.instance_count):
             changes = self._changes_seen(observer, subject, begin, bound, views)
             was_absent = _overlaps(self.absences(observer, observer), begin, min(stop, begin + bound))
             if changes is None or was_absent:
@@ -185,7 +189,7 @@
 
         That is if it started after the absence began, or did not have the subject in its view.
         """
-        starts = self.ground_truth.start_times.get(observer, [])
+        starts = self.actual_history.start_times.get(observer, [])
         if any(begin < at <= begin + bound for at in starts):
             return None
         running_since = max((at for at in starts if at <= begin), default=0)
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -13,7 +13,7 @@
 from dahliabend.membership.messages import Ping
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.swim_config import SwimConfig
-from dahliabend.simulation.cluster.ground_truth import GroundTruth, Link
+from dahliabend.simulation.cluster.actual_history import ActualHistory, Link
 from dahliabend.simulation.cluster.invariants import (
     Bounds,
     MembershipChange,
@@ -42,7 +42,7 @@
     def __init__(self, fleet: Fleet, config: SwimConfig) -> None:
         self.fleet = fleet
         self.config = config
-        self.ground_truth = GroundTruth(fleet.instances)
+        self.actual_history = ActualHistory(fleet.instances)
         self.membership_changes: list[MembershipChange] = []
         self.outcome = Outcome()
         self.link_faults: list[Step] = []  # those in force
@@ -130,7 +130,7 @@
             self.run(step.wait)
             self.wait_for_condition(step)
         check_membership_changes(
-            self.ground_truth, self.membership_changes, self.config, self.now, self.outcome
+            self.actual_history, self.membership_changes, self.config, self.now, self.outcome
         )
         return self.outcome
 
@@ -146,14 +146,14 @@
     def start_instance(self, number: int, state: Mapping[str, Any] | None = None) -> None:
         """Start an instance of the next generation, from a snapshot if one is given."""
         self.generations[number] += 1
-        self.ground_truth.start(self.now, number)
+        self.actual_history.start(self.now, number)
         seeds = [f"b{seed}" for seed in self.fleet.seeds]
         zone = f"z{number % self.fleet.zones}"
         self.cluster.start_instance(f"b{number}", self.generations[number], seeds, state, zone)
 
     def stop_instance(self, number: int) -> MembershipProtocol | None:
         """End an instance at once."""
-        self.ground_truth.end(self.now, number)
+        self.actual_history.end(self.now, number)
         return self.cluster.stop_instance(f"b{number}")
 
     def apply_step(self, step: Step) -> None:
@@ -181,7 +181,7 @@
             self.stop_instance(number)
             self.start_instance(number)
         elif what in ("stop", "block"):
-            self.ground_truth.stop(self.now, number)
+            self.actual_history.stop(self.now, number)
             self.cluster.pause(name, FOREVER)
         elif what == "leave":
             self.cluster.machines[name].leave(self.now)
@@ -211,7 +211,7 @@
                 self.cluster.paused_until[name] = self.now
                 self.cluster.machines[name].timer_fired(self.now)
                 self.cluster.transmit(name)
-                self.ground_truth.resume(self.now, number)
+                self.actual_history.resume(self.now, number)
             elif step.what in ("kill", "leave") and name not in self.cluster.machines:
                 self.start_instance(number)
 
@@ -219,8 +219,8 @@
         """Bring the network in line with the link faults in force."""
         blocked = self.blocked_links()
         self.cluster.blocked_links = {(f"b{a}", f"b{b}") for a, b in blocked}
-        if blocked != self.ground_truth.blocked_links:
-            self.ground_truth.set_blocked_links(self.now, blocked)
+        if blocked != self.actual_history.blocked_links:
+            self.actual_history.set_blocked_links(self.now, blocked)
         lose = self.strongest_fault("lose")
         delay = self.strongest_fault("delay")
         double = self.strongest_fault("double")
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -112,9 +112,9 @@
             raise ValueError(f"$.{path}: a span of time is below 0")
 
 
-def _check_range(path: str, value: float, least: float, most: float) -> None:
-    if not least <= value <= most:
-        raise ValueError(f"$.{path}: {value} is not between {least} and {most}")
+def _check_range(path: str, value: float, minimum: float, maximum: float) -> None:
+    if not minimum <= value <= maximum:
+        raise ValueError(f"$.{path}: {value} is not between {minimum} and {maximum}")
 
 
 def _check_instances(fleet: Fleet, path: str, numbers: list[int]) -> None:
@@ -176,9 +176,9 @@
     few = rng.sample(everyone, rng.randint(1, max(1, fleet.instances // 5)))
     one = few[:1]
 
-    def periods(least: float, most: float) -> Duration:
+    def periods(minimum: float, maximum: float) -> Duration:
         """Draw a number of periods."""
-        return Duration(round(fleet.period * rng.uniform(least, most)))
+        return Duration(round(fleet.period * rng.uniform(minimum, maximum)))
 
     what = rng.choice(DRAWN_FAULTS)
     step = Step(what, span=periods(1, 60), wait=periods(2, 60))
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -72,7 +72,7 @@
 }
 COUNT_RANGES = (
     ("balancers", 1, 32), ("upstreams", 1, 64), ("behind", 0, 32), ("zones", 1, 4), ("cores", 1, 64),
-    ("slots", 1, 256), ("queue", 0, 1024), ("hops", 1, 16), ("sockets", 64, 65536),
+    ("slots", 1, 256), ("queue", 0, 1024), ("max_attempts", 1, 16), ("sockets", 64, 65536),
 )  # fmt: skip
 TWO_ZONES = 2
 RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
@@ -92,13 +92,13 @@
     queue: int = 8  # and waiting
     choke_at: float = 1.0  # of its slots: from there on an upstream slows down
     work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
-    cold: Duration = Duration(2 * S)
-    cold_share: float = 0.4
-    fall_multiple: float = 4.0
-    grace: Duration = Duration(1_500 * MS)
+    warmup_time: Duration = msgspec.field(default=Duration(2 * S), name="cold")
+    initial_capacity: float = msgspec.field(default=0.4, name="cold-share")  # share at the start
+    overload_multiple: float = msgspec.field(default=4.0, name="fall-multiple")
+    drain_time: Duration = msgspec.field(default=Duration(1_500 * MS), name="grace")
     goal: Duration = Duration(500 * MS)
     limit: Duration = Duration(1_500 * MS)
-    hops: int = 4  # attempts of a request at the most
+    max_attempts: int = msgspec.field(default=4, name="hops")  # of a request
     may_probe: bool = True
     may_cancel: bool = True
     advises: bool = True
@@ -175,10 +175,11 @@
     Raises:
         ValueError: with the path of what is wrong.
     """
-    for key, least, most in COUNT_RANGES:
-        value = getattr(scenario.world, key)
-        if not least <= value <= most:
-            raise ValueError(f"$.world.{key}: {value} is not between {least} and {most}")
+    keys = {field.name: field.encode_name for field in msgspec.structs.fields(WorldSpec)}
+    for name, minimum, maximum in COUNT_RANGES:
+        value = getattr(scenario.world, name)
+        if not minimum <= value <= maximum:
+            raise ValueError(f"$.world.{keys[name]}: {value} is not between {minimum} and {maximum}")
     requests = scenario.load.requests
     if not 1 <= requests <= MAX_REQUESTS:
         raise ValueError(f"$.load.requests: {requests} is not between 1 and {MAX_REQUESTS}")
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -76,9 +76,9 @@
         slots=pick((4, 8)),
         queue=pick((2, 8)),
         work=Duration(pick((10, 40, 80)) * MS),
-        cold=Duration(pick((1, 2)) * S),
-        cold_share=pick((0.15, 0.4)),
-        fall_multiple=pick((3.0, 4.0)),
+        warmup_time=Duration(pick((1, 2)) * S),
+        initial_capacity=pick((0.15, 0.4)),
+        overload_multiple=pick((3.0, 4.0)),
         shared=_happens(rng, 0.25),
         sockets=pick((256, 256, 72)),
         conn_idle=Duration(pick((1, 2, 5)) * S),
@@ -195,7 +195,7 @@
         size=round(rng.uniform(0.2, 1.0), 3),
     )
     if what == "exclude":  # what comes within the grace violates nothing
-        fault.span = Duration(world.grace + rng.randrange(300, 1_500) * MS)
+        fault.span = Duration(world.drain_time + rng.randrange(300, 1_500) * MS)
     if what == "crowd":
         fault.size = round(2 * fault.size, 3)
     if target == "hop" or rng.random() < EVENT_TRIGGER_SHARE:
@@ -220,7 +220,7 @@
             what=other,
             whom=0 if GROUP_OF[other] in ("balancer", "discovery") else fault.whom,
             on="told",
-            after=Duration(world.grace + rng.choice(DRAIN_EDGE_OFFSETS)),
+            after=Duration(world.drain_time + rng.choice(DRAIN_EDGE_OFFSETS)),
             span=Duration(200 * MS),
             size=1.0,
         )
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -95,7 +95,7 @@
         """It drains, and is back later."""
         host = self._host(fault)
         simulation = self.simulation
-        drain_time = simulation.spec.grace
+        drain_time = simulation.spec.drain_time
         host.publish("draining")
         upstream = host.upstream
         simulation.call_later(drain_time, upstream.drain)
@@ -124,7 +124,7 @@
                 host.kill()
                 simulation.call_later(RESTART_TIME, self._start_again, host)
 
-        simulation.call_later(simulation.spec.grace + fault.span, end)
+        simulation.call_later(simulation.spec.drain_time + fault.span, end)
         return None
 
     def withdraw(self, fault: Fault) -> Undo:
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of a run. The field names appear in JSON output."""
+    """What came of a run. The field names appear in JSON output, `served_value` as `worth`."""
 
     seed: int
     digest: str
@@ -63,7 +63,7 @@
     span: int  # virtual microseconds
     faults: list[str]
     lines: list[Event] = field(default_factory=list)
-    worth: float = 0.0  # the share of the requests' value that was earned
+    served_value: float = 0.0  # the share of the requests' value that was earned
 
     @property
     def rules(self) -> list[str]:
@@ -94,7 +94,7 @@
         self.recorder = Recorder(self.scheduler)
         classes = _request_classes(self.spec, self.load)
         self.invariants = InvariantChecker(
-            self.scheduler, self.recorder, classes, self.spec.grace, self.spec.order_pause
+            self.scheduler, self.recorder, classes, self.spec.drain_time, self.spec.order_pause
         )
         self.network.tap_factory = self.observe_connection
         self.network.on_event = self.recorder
@@ -157,9 +157,9 @@
             queue=spec.queue,
             contention_share=spec.choke_at,
             mean_work=spec.work,
-            warmup_time=spec.cold,
-            initial_capacity=spec.cold_share,
-            overload_multiple=spec.fall_multiple,
+            warmup_time=spec.warmup_time,
+            initial_capacity=spec.initial_capacity,
+            overload_multiple=spec.overload_multiple,
             idle_timeout=spec.conn_idle,
             answers_health_checks=spec.may_probe,
             counts_requests=spec.balancers > MAX_EXACT_BALANCERS,
@@ -322,7 +322,7 @@
             span=self.scheduler.now - CLOCK_START,
             faults=[fault.what for fault in self.scenario.faults],
             lines=self.recorder.events,
-            worth=self.invariants.served_value(LATE_VALUE),
+            served_value=self.invariants.served_value(LATE_VALUE),
         )
 
     def _run_phases(self) -> None:
--- a/tests/pins/test_scenario_files.py
+++ b/tests/pins/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Stored scenarios and cluster scripts: the keys of their tables with defaults, and what seeds are written as.
+"""Stored scenarios and cluster scripts: the keys of their tables with defaults, and the files of some seeds.
 
 Guards files that were stored, and seeds that were noted, against a renamed field: they stay readable.
 """
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -6,7 +6,7 @@
 from dahliabend.membership.messages import MemberStatus
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster import script
-from dahliabend.simulation.cluster.ground_truth import GroundTruth
+from dahliabend.simulation.cluster.actual_history import ActualHistory
 from dahliabend.simulation.cluster.invariants import MembershipChange, Outcome, check_membership_changes
 from dahliabend.simulation.cluster.model import ClusterModel, run_script
 from dahliabend.simulation.cluster.script import Fleet, S, Step
@@ -90,14 +90,14 @@
 
 
 def test_invariants_find_a_false_death_a_late_detection_and_differing_views():
-    ground_truth = GroundTruth(3)
+    actual_history = ActualHistory(3)
     for number in range(3):
-        ground_truth.start(0, number)
-    ground_truth.end(100 * S, 2)
+        actual_history.start(0, number)
+    actual_history.end(100 * S, 2)
     format_address = [MembershipChange(S, a, "joined", b) for a in range(3) for b in range(3) if a != b]
     outcome = Outcome()
     check_membership_changes(
-        ground_truth,
+        actual_history,
         [*format_address, MembershipChange(50 * S, 0, "died", 1)],
         SwimConfig(),
         400 * S,
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -52,6 +52,9 @@
     assert status == 0
     assert json.loads(out)["violations"] == []
     assert json.loads(out)["counts"]["asked"] >= 100
+    assert list(json.loads(out)) == [
+        "seed", "digest", "violations", "counts", "steps", "span", "faults", "lines", "worth",
+    ]  # fmt: skip
     status, out, _ = run("emulate", "sweep", "--seeds", "2", "--jobs", "1", "--json")
     assert status == 0
     assert json.loads(out)["runs"] == 2
