--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -5,7 +5,6 @@
 
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from random import Random
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
@@ -14,9 +13,9 @@
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import Balancer
-from dahliabend.policy.retries import RequestState
 from dahliabend.simulation.cluster.instance_environment import InstanceEnvironment
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
+from dahliabend.simulation.cluster.pending_request import AttemptRecord, PendingRequest
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.demand import DemandEstimator
@@ -41,27 +40,6 @@
 ResultCallback = Callable[[int, Outcome], None]
 
 
-@dataclass(slots=True)
-class AttemptRecord:
-    """One attempt of a request."""
-
-    upstream: SimulatedUpstream
-    sent_at: int
-    is_finished: bool = False
-
-
-@dataclass(slots=True)
-class PendingRequest:
-    """A request that a balancer holds."""
-
-    arrived_at: int
-    class_index: int
-    is_answered: bool = False
-    effects: int = 0  # how often it was executed
-    state: RequestState | None = None
-    attempts: list[AttemptRecord] = field(default_factory=list)
-
-
 class BalancerInstance:
     """One balancer's process, from its start until its end."""
 
