--- a/dahliabend/process_tests/checks.py
+++ b/dahliabend/process_tests/checks.py
@@ -2,9 +2,9 @@
 
 import asyncio
 from collections.abc import Iterable
-from typing import Any
 
 from dahliabend.leases.shared_limits import OVERCOMMIT_LIMIT
+from dahliabend.process_tests.admin_answers import MembershipView, PoolSubset
 from dahliabend.routing_rules.limits import MIN_PARTIAL_BURST
 from dahliabend.simulation.cluster.invariants import Outcome
 
@@ -40,9 +40,9 @@
         longest_gap = max(b - a for a, b in zip([begin, *times], [*times, end], strict=True))
         if longest_gap > MAX_GAP_PERIODS * seconds + OBSERVATION_DELAY:
             outcome.report("probes", at, f"{name}: none for {longest_gap:.1f} s")
-        most = max((_count_between(times, time, time + window) for time in times), default=0)
-        if most > MAX_CHECKS_PER_PERIOD:
-            outcome.report("probes", at, f"{name}: {most} in {seconds:g} s")
+        max_checks = max((_count_between(times, time, time + window) for time in times), default=0)
+        if max_checks > MAX_CHECKS_PER_PERIOD:
+            outcome.report("probes", at, f"{name}: {max_checks} in {seconds:g} s")
         outcome.counts["probes"] += len(times)
     outcome.counts["probe periods"] = round(len(times_by_upstream) * (end - begin) / seconds)
 
@@ -64,39 +64,35 @@
         outcome: that violations and counts are added to.
     """
     times = sorted(submit_times)
-    most = 0
+    max_requests = 0
     first = 0
     for last, time in enumerate(times):
         while times[first] < time - LIMIT_WINDOW:
             first += 1
-        most = max(most, last - first + 1)
+        max_requests = max(max_requests, last - first + 1)
     burst = MIN_PARTIAL_BURST * instance_count
     allowed = OVERCOMMIT_LIMIT * limit * (LIMIT_WINDOW + OBSERVATION_DELAY) + burst
-    outcome.counts.update({"limited": len(times), "limited most": most})
-    if most > allowed:
-        outcome.report("limit", at, f"{most} in {LIMIT_WINDOW:g} s, {allowed:.0f} allowed")
+    outcome.counts.update({"limited": len(times), "limited most": max_requests})
+    if max_requests > allowed:
+        outcome.report("limit", at, f"{max_requests} in {LIMIT_WINDOW:g} s, {allowed:.0f} allowed")
 
 
-def are_subsets_even(upstreams: list[str], subsets: dict[str, dict[str, Any]]) -> bool:
+def are_subsets_even(upstreams: list[str], subsets: dict[str, PoolSubset]) -> bool:
     """Whether the subsets of all instances, which have the same demand, use each upstream alike."""
     load = dict.fromkeys(upstreams, 0.0)
     for subset in subsets.values():
-        total = sum(subset["weights"].values())
-        for name, weight in subset["weights"].items():
+        total = sum(subset.weights.values())
+        for name, weight in subset.weights.items():
             load[name] += weight / total
     return max(load.values()) <= MAX_IMBALANCE * sum(load.values()) / len(load)
 
 
-def are_out(views: dict[str, dict[str, Any]], gone: set[str]) -> bool:
+def are_out(views: dict[str, MembershipView], gone: set[str]) -> bool:
     """Whether none of these is in the view of any other."""
-    return all(not gone & _names_in(view) for name, view in views.items() if name not in gone)
+    return all(not gone & view.names() for name, view in views.items() if name not in gone)
 
 
-def do_agree(views: dict[str, dict[str, Any]], members: set[str]) -> bool:
+def do_agree(views: dict[str, MembershipView], members: set[str]) -> bool:
     """Whether all views are stable, equal, and have exactly these members."""
-    are_complete = all(view["stable"] and _names_in(view) == members for view in views.values())
-    return are_complete and len({view["mark"] for view in views.values()}) <= 1
-
-
-def _names_in(view: dict[str, Any]) -> set[str]:
-    return {row["name"] for row in view["here"]}
+    are_complete = all(view.stable and view.names() == members for view in views.values())
+    return are_complete and len({view.checksum for view in views.values()}) <= 1
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -8,8 +8,9 @@
 from collections.abc import Callable
 from contextlib import ExitStack, suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
+import msgspec
 import orjson
 
 from dahliabend.simulation.addresses import Address, format_address
@@ -25,6 +26,7 @@
 OK = 200
 
 LogRecord = dict[str, Any]
+Answer = TypeVar("Answer", bound=msgspec.Struct)
 
 
 def free_ports(count: int) -> list[int]:
@@ -206,8 +208,8 @@
             self.errors.append(f"{self.name} ended with {status}")
         return status
 
-    async def ask(self, path: str) -> dict[str, Any] | None:
+    async def ask(self, path: str, answer_type: type[Answer]) -> Answer | None:
         """The answer of its admin interface, None if there is none."""
         loop = asyncio.get_running_loop()
         status, body = await call(loop, self.admin_address, "GET", path)
-        return orjson.loads(body) if status == OK else None
+        return msgspec.json.decode(body, type=answer_type) if status == OK else None
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from dahliabend.membership.swim_config import SwimConfig
+from dahliabend.process_tests.admin_answers import MembershipView, PoolSubset, ReportUse, SubsetAnswer
 from dahliabend.process_tests.checks import (
     are_out,
     are_subsets_even,
@@ -73,7 +73,7 @@
         self.upstream_names: list[str] = []
         self.load: LoadGenerator | None = None
         self.first_agreement: float | None = None  # when all had one view for the first time
-        self.subsets: dict[str, dict[str, Any]] = {}  # of each instance, as it was last asked
+        self.subsets: dict[str, PoolSubset] = {}  # of each instance, as it was last asked
         self._replayed: list[bytes] = []
         self._key = secrets.token_hex(KEY_BYTES)
         self._clock_watch: asyncio.Task[None] | None = None
@@ -351,13 +351,15 @@
         members = {instance.name for instance in self.instances if instance.alive}
         return do_agree(views, members) and (step.until != "even" or await self._are_subsets_even())
 
-    async def _views(self) -> dict[str, dict[str, Any]] | None:
+    async def _views(self) -> dict[str, MembershipView] | None:
         """The views of all instances that run, None if one does not answer."""
         asked = [each for each in self.instances if each.is_running and each.opened.done()]
-        views: dict[str, dict[str, Any]] = {}
+        views: dict[str, MembershipView] = {}
         for at in range(0, len(asked), MAX_PARALLEL_CALLS):
             some = asked[at : at + MAX_PARALLEL_CALLS]
-            answers = await asyncio.gather(*(instance.ask("/api/members") for instance in some))
+            answers = await asyncio.gather(
+                *(instance.ask("/api/members", MembershipView) for instance in some)
+            )
             for instance, view in zip(some, answers, strict=True):
                 if view is None:
                     return None
@@ -366,18 +368,18 @@
 
     async def _are_reports_used(self) -> bool:
         """Whether the policy of any instance has used the health reports of others."""
-        answers = [await each.ask("/api/signals") for each in self.instances if each.is_running]
-        return all(answers) and any(answer["told"] for answer in answers if answer is not None)
+        answers = [await each.ask("/api/signals", ReportUse) for each in self.instances if each.is_running]
+        return None not in answers and any(answer.used_reports for answer in answers if answer is not None)
 
     async def _are_subsets_even(self) -> bool:
         """Whether the subsets add up: faults of upstreams end before, as these disturb them."""
         self.subsets = {}
         for instance in self.instances:
             if instance.is_running:
-                answer = await instance.ask("/api/subsets")
+                answer = await instance.ask("/api/subsets", SubsetAnswer)
                 if answer is None:
                     return False
-                self.subsets[instance.name] = answer["pools"]["main"]
+                self.subsets[instance.name] = answer.pools["main"]
         return are_subsets_even(self.upstream_names, self.subsets)
 
     def _check_load(self, end: int) -> None:
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -4,7 +4,7 @@
 import json
 from collections.abc import Iterable
 from random import Random
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, Any, NotRequired, TypedDict, cast
 
 import httptools
 
@@ -17,7 +17,25 @@
 MICROSECONDS_PER_SECOND = 1e6
 FULL_LIST = -1  # the version after which a watch asks for changes, where it asks for the list
 
-EndpointEntry = dict[str, Any]  # an endpoint as JSON: id, addr, zone, cell, state, weight, started_ms
+
+class EndpointEntry(TypedDict):
+    """An endpoint of the list, with the keys of the wire."""
+
+    id: str
+    addr: str
+    zone: str
+    cell: int
+    state: str
+    weight: NotRequired[float]
+    started_ms: int  # of Unix time; 0: long ago
+
+
+class EndpointListMessage(TypedDict):
+    """The list, or a change of it, with the keys of the wire."""
+
+    version: int
+    full: bool
+    servers: list[EndpointEntry]
 
 
 class Registry:
@@ -113,7 +131,7 @@
             for watch in list(self.watches):
                 watch.send_update(version, [entry], is_full=False)
 
-    def full_list(self) -> dict[str, Any]:
+    def full_list(self) -> EndpointListMessage:
         """The list as this agent knows it, as JSON."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
@@ -225,9 +243,8 @@
         self.after = version
         if self.is_muted:
             return
-        self.write_line(
-            json.dumps({"version": version, "full": is_full, "servers": entries}).encode() + b"\n"
-        )
+        message = EndpointListMessage(version=version, full=is_full, servers=entries)
+        self.write_line(json.dumps(message).encode() + b"\n")
         for entry in entries:
             self.agent.recorder("told", self.peer, entry["id"], entry["state"])
         if is_full:
--- a/tests/process_tests/test_runner.py
+++ b/tests/process_tests/test_runner.py
@@ -32,8 +32,8 @@
     assert asyncio.run(runner.run_script()).violations == []
     served, shown = runner.load.observer.executions_by_upstream, runner.subsets
     assert len(served) == 24
-    assert all(len(pool["weights"]) < 24 for pool in shown.values())
-    assert {pool["by"] for pool in shown.values()} == {"members"}
+    assert all(len(pool.weights) < 24 for pool in shown.values())
+    assert {pool.chosen_by for pool in shown.values()} == {"members"}
     # The script's last condition is that what all say that they use adds up, within 5%. What came is bounded
     # by chance: 24 counts of some 100.
     mean = sum(served.values()) / 24
