--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -5,7 +5,6 @@
 
 from collections.abc import Sequence
 from random import Random
-from typing import cast
 
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.scenario import (
@@ -30,6 +29,7 @@
 # Faults of discovery after each of which an upstream is withdrawn, in a longer run.
 DISCOVERY_SILENCES = ("deaf", "whole", "anew", "away")
 ALL_FAULTS: tuple[FaultKind, ...] = tuple(kind for kinds in FAULTS_BY_TARGET.values() for kind in kinds)
+KINDS_BY_NAME: dict[str, FaultKind] = {kind: kind for kind in ALL_FAULTS}
 EDGE_FAULTS: tuple[FaultKind, ...] = ("stall", "hang", "crash", "reset", "end-watch")
 DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds round the end of a drain's grace
 ORDERED_SHARE = 0.25  # of the seeds: requests with ordering keys
@@ -175,7 +175,7 @@
 
 def _draw_fault(rng: Random, world: WorldSpec, kinds: Sequence[str]) -> list[Fault]:
     """Draw a fault, sometimes with another one that comes at its worst moment."""
-    asked = cast("Sequence[FaultKind]", kinds) or ALL_FAULTS
+    asked = [KINDS_BY_NAME[name] for name in kinds] or ALL_FAULTS
     possible = [kind for kind in asked if _is_possible(kind, world) and kind not in LATER_FAULTS]
     if not possible:
         return []
