--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -60,7 +60,7 @@
         simulation = self.simulation
         balancer = self._balancer(fault)
         process = balancer.process
-        if simulation.spec.shared:
+        if simulation.spec.shares_listener:
             return self.upgrade(fault)
         if process is None or not process.alive:
             return None
@@ -129,7 +129,7 @@
         simulation = self.simulation
         balancer = self._balancer(fault)
         older = balancer.process
-        if older is None or not older.alive or not simulation.spec.shared:
+        if older is None or not older.alive or not simulation.spec.shares_listener:
             return None
         balancer.start()
         newer = balancer.process
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -98,7 +98,7 @@
         zone = simulation.network.zones[host]
         self.agent_process = Process(simulation.scheduler, f"{name}-agent", host, zone)
         rng = simulation.rng_for(f"agent {name}")
-        notice = simulation.spec.notice
+        notice = simulation.spec.discovery_delay
         self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, notice)
         self.agent.name = name
         simulation.spawn(self.agent_process, self.agent.open(host, self.agent_port))
@@ -112,7 +112,7 @@
             "listen": format_address(self.address),
             "discovery": f"{self.host}:{self.agent_port}",
             "seed": f"{simulation.rng.getrandbits(48):x}",
-            "limits": {"sockets": simulation.spec.sockets},
+            "limits": {"sockets": simulation.spec.max_descriptors},
             "known": self.agent.full_list(),
             "settings": self.settings,
         }
@@ -137,7 +137,7 @@
             f"{self.name}/{self.starts}",
             self.host,
             simulation.network.zones[self.host],
-            simulation.spec.sockets - RESERVED_DESCRIPTORS,
+            simulation.spec.max_descriptors - RESERVED_DESCRIPTORS,
         )
         process.process_id = FIRST_PROCESS_ID + self.starts
         process.loop.network = simulation.network
@@ -146,7 +146,7 @@
         if simulation.spec.admin and not self.tier:
             self.admin_address = (self.host, ADMIN_PORT + self.starts)
             environment["PROXY_ADMIN"] = format_address(self.admin_address)
-        if simulation.spec.shared and not self.tier:
+        if simulation.spec.shares_listener and not self.tier:
             environment |= {"PROXY_FD": "3", "TMPDIR": f"/tmp/{self.name}"}
         self.process = process
         self.program = None
@@ -179,7 +179,7 @@
 
     def kill(self) -> None:
         """Kill its newest process."""
-        if not self.simulation.spec.shared:
+        if not self.simulation.spec.shares_listener:
             self.simulation.invariants.endpoints.forget_exclusions(self.name)
         self.signal(signal.SIGKILL)
 
@@ -191,7 +191,7 @@
     def terminate(self, process: Process) -> None:
         """End a process as the platform does: SIGTERM, and SIGKILL if that takes too long."""
         process.signal(signal.SIGTERM)
-        deadline = min(self.simulation.spec.limit, MAX_COUNTED_DEADLINE)
+        deadline = min(self.simulation.spec.deadline, MAX_COUNTED_DEADLINE)
         wait = max(MIN_TERMINATION_TIME, deadline + TERMINATION_MARGIN)
         self.simulation.call_later(wait, process.signal, signal.SIGKILL)
 
@@ -213,8 +213,8 @@
     """The settings that the platform hands to a balancer, with the keys of the wire."""
     spec = simulation.spec
     load = simulation.load
-    objective = spec.goal / MILLISECOND
-    deadline = spec.limit / MILLISECOND
+    objective = spec.latency_objective / MILLISECOND
+    deadline = spec.deadline / MILLISECOND
 
     def request_class(name: str, semantics: str, value: float, **more: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
         """One request class of the settings."""
@@ -228,7 +228,10 @@
             **more,
         }
 
-    deduplication = {"dedup-window": spec.repeat_window / MILLISECOND, "in-order": load.keys > 0}
+    deduplication = {
+        "dedup-window": spec.deduplication_window / MILLISECOND,
+        "in-order": load.ordering_keys > 0,
+    }
     return {
         "balancers": spec.upstreams if tier else spec.balancers,
         "tier": tier,
@@ -239,16 +242,16 @@
         "profiles": [
             request_class("query", "idempotent", 1.0),
             request_class("submit", "at_most_once", 10.0),
-            request_class("mark", "deduplicated", 2.0, group=load.group, **deduplication),
+            request_class("mark", "deduplicated", 2.0, group=load.deduplication_scope, **deduplication),
         ],
         "caps": {
             "most-hops": spec.max_attempts,
             "may-cancel": spec.may_cancel,
-            "probing": spec.may_probe,
-            "retry-after": spec.advises,
+            "probing": spec.answers_health_checks,
+            "retry-after": spec.sends_retry_after,
             "max-retry-after": 3000.0,
-            "conn-idle": spec.conn_idle / MILLISECOND,
-            "dial-timeout": spec.dial / MILLISECOND,
+            "conn-idle": spec.idle_timeout / MILLISECOND,
+            "dial-timeout": spec.connect_timeout / MILLISECOND,
         },
         "contract": {
             "cold-share": spec.initial_capacity,
--- a/dahliabend/simulation/client_faults.py
+++ b/dahliabend/simulation/client_faults.py
@@ -45,7 +45,9 @@
         for _ in range(1 + int(FLOODING_CLIENTS * fault.size)):
             trace_ids = [simulation.clients.next_trace_id() for _ in range(FLOOD_REQUESTS)]
             process = simulation.client_process
-            client = FloodingClient(process.loop, simulation.recorder, trace_ids, simulation.spec.limit, rng)
+            client = FloodingClient(
+                process.loop, simulation.recorder, trace_ids, simulation.spec.deadline, rng
+            )
             address = simulation.rotation.next_address()
             if address is not None:
                 simulation.spawn(process, client.connect(address))
--- a/dahliabend/simulation/file_format.py
+++ b/dahliabend/simulation/file_format.py
@@ -3,7 +3,7 @@
 A span of time has its unit ("250ms", "1.5s", "1us"); unknown keys are rejected with their path.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Generic, TypeVar
@@ -14,6 +14,11 @@
 from dahliabend.config.operator_file.units import Duration
 
 
+def stored_keys(keys: Mapping[str, str]) -> Callable[[str], str]:
+    """What renames fields to stored keys: to those given, and else to the field's name in kebab case."""
+    return lambda field: keys.get(field, field.replace("_", "-"))
+
+
 class Table(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
     """A table of a file: keys in kebab case, unknown ones rejected."""
 
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -32,7 +32,7 @@
 import msgspec
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.file_format import FileFormat, Table
+from dahliabend.simulation.file_format import FileFormat, Table, stored_keys
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
@@ -71,72 +71,115 @@
     "fault": "another fault begins",
 }
 COUNT_RANGES = (
-    ("balancers", 1, 32), ("upstreams", 1, 64), ("behind", 0, 32), ("zones", 1, 4), ("cores", 1, 64),
-    ("slots", 1, 256), ("queue", 0, 1024), ("max_attempts", 1, 16), ("sockets", 64, 65536),
+    ("balancers", 1, 32), ("upstreams", 1, 64), ("second_tier_upstreams", 0, 32), ("zones", 1, 4),
+    ("cores", 1, 64), ("slots", 1, 256), ("queue", 0, 1024), ("max_attempts", 1, 16),
+    ("max_descriptors", 64, 65536),
 )  # fmt: skip
 TWO_ZONES = 2
 RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
 
+# The stored keys of fields whose names differ from them, by field.
+WORLD_KEYS = {
+    "second_tier_upstreams": "behind",
+    "second_tier_calls": "calls",
+    "second_tier_work": "work-behind",
+    "contention_share": "choke-at",
+    "mean_work": "work",
+    "warmup_time": "cold",
+    "initial_capacity": "cold-share",
+    "overload_multiple": "fall-multiple",
+    "drain_time": "grace",
+    "latency_objective": "goal",
+    "deadline": "limit",
+    "max_attempts": "hops",
+    "answers_health_checks": "may-probe",
+    "sends_retry_after": "advises",
+    "max_descriptors": "sockets",
+    "idle_timeout": "conn-idle",
+    "connect_timeout": "dial",
+    "deduplication_window": "repeat-window",
+    "shares_listener": "shared",
+    "cross_zone_delay": "cross",
+    "send_buffer": "sending",
+    "receive_window": "window",
+    "max_segment": "piece",
+    "path_idle_timeout": "idle-dies",
+    "resets_after_idle": "idle-resets",
+    "discovery_delay": "notice",
+}
+LOAD_KEYS = {
+    "send_time": "over",
+    "burst_share": "burst",
+    "submit_share": "submits",
+    "deduplicated_share": "marked",
+    "deduplication_scope": "group",
+    "retry_after_share": "honours",
+    "disconnect_share": "leave",
+    "chunked_share": "trickle",
+    "new_connection_share": "fresh",
+    "ordering_keys": "keys",
+}
+
 
-class WorldSpec(Table):
+class WorldSpec(Table, rename=stored_keys(WORLD_KEYS)):
     """The balancers, upstreams, network and settings of a run. Times in microseconds."""
 
     balancers: int = 2
     upstreams: int = 4
-    behind: int = 0  # upstreams of a second tier, which those of the first call
-    calls: float = 1.0  # calls of the second tier for each request, one after the other, in the mean
-    work_behind: Duration = Duration(0)  # of a request there; 0: as in the first tier
+    second_tier_upstreams: int = 0  # which those of the first tier call
+    second_tier_calls: float = 1.0  # for each request of the first, one after the other, in the mean
+    second_tier_work: Duration = Duration(0)  # of a request there; 0: as in the first tier
     zones: int = 1
     cores: int = 2  # of an upstream
     slots: int = 8  # requests executed at once on a core
     queue: int = 8  # and waiting
-    choke_at: float = 1.0  # of its slots: from there on an upstream slows down
-    work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
-    warmup_time: Duration = msgspec.field(default=Duration(2 * S), name="cold")
-    initial_capacity: float = msgspec.field(default=0.4, name="cold-share")  # share at the start
-    overload_multiple: float = msgspec.field(default=4.0, name="fall-multiple")
-    drain_time: Duration = msgspec.field(default=Duration(1_500 * MS), name="grace")
-    goal: Duration = Duration(500 * MS)
-    limit: Duration = Duration(1_500 * MS)
-    max_attempts: int = msgspec.field(default=4, name="hops")  # of a request
-    may_probe: bool = True
+    contention_share: float = 1.0  # of its slots: from there on an upstream slows down
+    mean_work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
+    warmup_time: Duration = Duration(2 * S)
+    initial_capacity: float = 0.4  # the share at the start of the warm-up
+    overload_multiple: float = 4.0
+    drain_time: Duration = Duration(1_500 * MS)
+    latency_objective: Duration = Duration(500 * MS)
+    deadline: Duration = Duration(1_500 * MS)
+    max_attempts: int = 4  # of a request
+    answers_health_checks: bool = True
     may_cancel: bool = True
-    advises: bool = True
-    sockets: int = 256  # descriptors of a balancer
-    conn_idle: Duration = Duration(2 * S)
-    dial: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
-    repeat_window: Duration = Duration(1_200 * MS)  # the deduplication window
+    sends_retry_after: bool = True
+    max_descriptors: int = 256  # of a balancer
+    idle_timeout: Duration = Duration(2 * S)
+    connect_timeout: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
+    deduplication_window: Duration = Duration(1_200 * MS)
     order_pause: Duration = Duration(0)  # a key's rest after an attempt that may go on
-    shared: bool = False  # the platform holds the listener, and processes share a runtime directory
+    shares_listener: bool = False  # the platform holds the listener, and processes share a runtime directory
     admin: bool = True
     delay: Duration = Duration(250)
-    cross: Duration = Duration(3 * MS)
+    cross_zone_delay: Duration = Duration(3 * MS)
     jitter: float = 0.3
-    sending: int = 262_144
-    window: int = 65_536
-    piece: int = 0
-    idle_dies: Duration = Duration(0)
-    idle_resets: bool = False
-    notice: Duration = Duration(50 * MS)
+    send_buffer: int = 262_144
+    receive_window: int = 65_536
+    max_segment: int = 0
+    path_idle_timeout: Duration = Duration(0)
+    resets_after_idle: bool = False
+    discovery_delay: Duration = Duration(50 * MS)
 
 
-class LoadSpec(Table):
+class LoadSpec(Table, rename=stored_keys(LOAD_KEYS)):
     """The clients' requests. Times in microseconds."""
 
     requests: int = 110
-    over: Duration = Duration(4 * S)
-    burst: float = 0.0  # the share that comes within a tenth of the time
-    submits: float = 0.4
-    marked: float = 0.1
-    group: Literal["all", "zone", "cell"] = "cell"
+    send_time: Duration = Duration(4 * S)
+    burst_share: float = 0.0  # the share that comes within a tenth of the time
+    submit_share: float = 0.4
+    deduplicated_share: float = 0.1
+    deduplication_scope: Literal["all", "zone", "cell"] = "cell"
     retries: int = 1
-    honours: float = 0.8
-    leave: float = 0.02
-    trickle: float = 0.03
-    fresh: float = 0.1
+    retry_after_share: float = 0.8
+    disconnect_share: float = 0.02
+    chunked_share: float = 0.03
+    new_connection_share: float = 0.1
     long_bodies: float = 0.0
     long_answers: float = 0.0
-    keys: int = 0  # ordering keys that deduplicated requests carry; 0: none
+    ordering_keys: int = 0  # that deduplicated requests carry; 0: none
 
 
 class Fault(Table):
@@ -183,7 +226,7 @@
     requests = scenario.load.requests
     if not 1 <= requests <= MAX_REQUESTS:
         raise ValueError(f"$.load.requests: {requests} is not between 1 and {MAX_REQUESTS}")
-    if scenario.load.over > scenario.length:
+    if scenario.load.send_time > scenario.length:
         raise ValueError("$.load.over: longer than the run")
     if scenario.length > MAX_LENGTH:
         raise ValueError("$.length: longer than a day")
@@ -197,7 +240,7 @@
 def _check_target(world: WorldSpec, fault: Fault, path: str) -> None:
     target = GROUP_OF[fault.what]
     counts = {
-        "upstream": world.upstreams + world.behind,
+        "upstream": world.upstreams + world.second_tier_upstreams,
         "balancer": world.balancers,
         "discovery": world.balancers,
         "operator": world.balancers,
@@ -211,7 +254,7 @@
     target = GROUP_OF[fault.what]
     if fault.what == "cut-zone" and (world.zones < TWO_ZONES or fault.whom == 0):
         raise ValueError(f"{path}.what: the callers' own zone, or the only one, can't be cut off")
-    if fault.what == "upgrade" and not world.shared:
+    if fault.what == "upgrade" and not world.shares_listener:
         raise ValueError(f"{path}.what: an upgrade wants world.shared")
     if target == "operator" and not world.admin:
         raise ValueError(f"{path}.what: there is no operators' door, world.admin is off")
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -50,8 +50,8 @@
     order_rng = Random(f"order {seed}")
     if order_rng.random() < ORDERED_SHARE:
         world.order_pause = Duration(order_rng.choice((20, 100)) * MS)
-        load.keys = order_rng.choice((1, 3, 8))
-        load.marked = 0.4
+        load.ordering_keys = order_rng.choice((1, 3, 8))
+        load.deduplicated_share = 0.4
     scenario = Scenario(
         seed=seed, world=world, load=load, faults=[fault for group in groups for fault in group]
     )
@@ -70,27 +70,27 @@
     return WorldSpec(
         balancers=2,
         upstreams=rng.randint(3, 6),
-        behind=pick((0, 0, 0, 0, 0, 2)),
+        second_tier_upstreams=pick((0, 0, 0, 0, 0, 2)),
         zones=pick((1, 1, 2)),
         cores=pick((1, 2, 2)),
         slots=pick((4, 8)),
         queue=pick((2, 8)),
-        work=Duration(pick((10, 40, 80)) * MS),
+        mean_work=Duration(pick((10, 40, 80)) * MS),
         warmup_time=Duration(pick((1, 2)) * S),
         initial_capacity=pick((0.15, 0.4)),
         overload_multiple=pick((3.0, 4.0)),
-        shared=_happens(rng, 0.25),
-        sockets=pick((256, 256, 72)),
-        conn_idle=Duration(pick((1, 2, 5)) * S),
-        may_probe=_happens(rng, 0.8),
+        shares_listener=_happens(rng, 0.25),
+        max_descriptors=pick((256, 256, 72)),
+        idle_timeout=Duration(pick((1, 2, 5)) * S),
+        answers_health_checks=_happens(rng, 0.8),
         may_cancel=_happens(rng, 0.9),
-        advises=_happens(rng, 0.7),
-        sending=pick((262_144, 262_144, 3_000)),
-        window=pick((65_536, 65_536, 2_000)),
-        piece=pick((0, 0, 0, 700)),
-        idle_dies=Duration(pick((0, 0, 0, 700)) * MS),
-        idle_resets=_happens(rng, 0.5),
-        notice=Duration(pick((20, 80, 300)) * MS),
+        sends_retry_after=_happens(rng, 0.7),
+        send_buffer=pick((262_144, 262_144, 3_000)),
+        receive_window=pick((65_536, 65_536, 2_000)),
+        max_segment=pick((0, 0, 0, 700)),
+        path_idle_timeout=Duration(pick((0, 0, 0, 700)) * MS),
+        resets_after_idle=_happens(rng, 0.5),
+        discovery_delay=Duration(pick((20, 80, 300)) * MS),
     )
 
 
@@ -98,11 +98,11 @@
     pick = rng.choice
     return LoadSpec(
         requests=rng.randint(100, 130),
-        burst=pick((0.0, 0.0, 0.3)),
-        marked=pick((0.0, 0.2)),
-        group=pick(("all", "zone", "cell")),
+        burst_share=pick((0.0, 0.0, 0.3)),
+        deduplicated_share=pick((0.0, 0.2)),
+        deduplication_scope=pick(("all", "zone", "cell")),
         retries=pick((0, 1, 2)),
-        leave=pick((0.0, 0.05)),
+        disconnect_share=pick((0.0, 0.05)),
         long_bodies=pick((0.0, 0.0, 0.05)),
         long_answers=pick((0.0, 0.0, 0.05)),
     )
@@ -114,13 +114,13 @@
     load = scenario.load
     drawn = rng.random()
     if drawn < SHORT_DEADLINE_SHARE:
-        world.limit = Duration(700 * MS)
-        world.goal = Duration(300 * MS)
-        world.repeat_window = Duration(rng.choice((150, 400)) * MS)
-    elif drawn < MANY_BALANCERS_SHARE and not world.behind and not world.shared:
+        world.deadline = Duration(700 * MS)
+        world.latency_objective = Duration(300 * MS)
+        world.deduplication_window = Duration(rng.choice((150, 400)) * MS)
+    elif drawn < MANY_BALANCERS_SHARE and not world.second_tier_upstreams and not world.shares_listener:
         world.balancers = rng.randint(20, 30)
         load.requests *= 3
-        load.burst = 0.3
+        load.burst_share = 0.3
         at = Duration(rng.randrange(600, 1_400) * MS)
         upstream = rng.randrange(world.upstreams)
         scenario.faults.append(Fault("crash", whom=upstream, at=at, span=Duration(300 * MS)))
@@ -153,7 +153,7 @@
         soon = Duration(at + rng.randrange(50, 900) * MS)
         faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=soon))
         scenario.length = Duration(12 * S)
-        scenario.load.over = Duration(11 * S)
+        scenario.load.send_time = Duration(11 * S)
         scenario.load.requests *= 2
 
 
@@ -162,11 +162,11 @@
     world = scenario.world
     load = scenario.load
     begin = fault.at or Duration(0)
-    world.dial = Duration(rng.choice((75, 400, 900)) * MS)
-    load.leave = 0.4
+    world.connect_timeout = Duration(rng.choice((75, 400, 900)) * MS)
+    load.disconnect_share = 0.4
     world.may_cancel = world.may_cancel and _happens(rng, 0.5)
-    world.repeat_window = Duration(rng.choice((150, 400, 1_200)) * MS)
-    load.marked = 0.4
+    world.deduplication_window = Duration(rng.choice((150, 400, 1_200)) * MS)
+    load.deduplicated_share = 0.4
     upstream = rng.randrange(count)
     scenario.faults.append(Fault("fail", whom=upstream, at=begin, span=Duration(2 * S), size=0.5))
     fault.at = Duration(rng.randrange(200) * MS)  # most connections come up in the first seconds
@@ -182,7 +182,7 @@
     what = rng.choice(possible)
     target = GROUP_OF[what]
     counts = {
-        "upstream": world.upstreams + world.behind,
+        "upstream": world.upstreams + world.second_tier_upstreams,
         "balancer": world.balancers,
         "discovery": world.balancers,
         "operator": world.balancers,
@@ -231,4 +231,4 @@
 def _is_possible(what: str, world: WorldSpec) -> bool:
     if what == "cut-zone":
         return world.zones >= TWO_ZONES
-    return what != "upgrade" or world.shared
+    return what != "upgrade" or world.shares_listener
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -11,14 +11,16 @@
 MAX_RUNS = 400
 MIN_LENGTH = 500 * MS  # of a run that is still halved
 LOAD_DIVISORS = (8, 4, 2)  # the number of requests is divided by these, the largest first
-COUNTS_REDUCED = ("balancers", "upstreams", "behind", "zones", "cores")
+COUNTS_REDUCED = ("balancers", "upstreams", "second_tier_upstreams", "zones", "cores")
 WORLD_DEFAULTS_TRIED = (
-    "shared", "sockets", "conn_idle", "sending", "window", "piece", "idle_dies", "notice",
-    "work", "slots", "queue", "may_probe", "advises", "may_cancel",
+    "shares_listener", "max_descriptors", "idle_timeout", "send_buffer", "receive_window", "max_segment",
+    "path_idle_timeout", "discovery_delay", "mean_work", "slots", "queue", "answers_health_checks",
+    "sends_retry_after", "may_cancel",
 )  # fmt: skip
 LOAD_VALUES_TRIED: tuple[tuple[str, object], ...] = (
-    ("burst", 0.0), ("marked", 0.0), ("retries", 0), ("leave", 0.0), ("trickle", 0.0),
-    ("fresh", 0.0), ("long_bodies", 0.0), ("long_answers", 0.0), ("group", LoadSpec().group),
+    ("burst_share", 0.0), ("deduplicated_share", 0.0), ("retries", 0), ("disconnect_share", 0.0),
+    ("chunked_share", 0.0), ("new_connection_share", 0.0), ("long_bodies", 0.0), ("long_answers", 0.0),
+    ("deduplication_scope", LoadSpec().deduplication_scope),
 )  # fmt: skip
 
 _replace = msgspec.structs.replace
@@ -98,7 +100,7 @@
         """Whether a fault begins in the half that stays."""
         return fault.at is None or fault.at <= half
 
-    load = _replace(scenario.load, over=Duration(min(scenario.load.over, half)))
+    load = _replace(scenario.load, send_time=Duration(min(scenario.load.send_time, half)))
     return _replace(scenario, length=half, faults=list(filter(is_early, scenario.faults)), load=load)
 
 
@@ -106,8 +108,8 @@
     world = scenario.world
     plain = WorldSpec()
     for name in COUNTS_REDUCED:
-        least = 0 if name == "behind" else 1
-        if getattr(world, name) > least:
+        minimum = 0 if name == "second_tier_upstreams" else 1
+        if getattr(world, name) > minimum:
             yield _replace(scenario, world=_replace(world, **{name: getattr(world, name) - 1}))
     for name in WORLD_DEFAULTS_TRIED:
         if getattr(world, name) != getattr(plain, name):
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -93,8 +93,8 @@
         spec = self.simulation.spec
         if clients is None:
             raise RuntimeError(f"{self.spec.name} has no balancer to call")
-        deadline = spec.limit * 2 // 3
-        calls_left = int(spec.calls) + (self.upstream.rng.random() < spec.calls % 1)
+        deadline = spec.deadline * 2 // 3
+        calls_left = int(spec.second_tier_calls) + (self.upstream.rng.random() < spec.second_tier_calls % 1)
 
         def call_once() -> None:
             """Make one call."""
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -130,7 +130,7 @@
             zones[f"10.0.0.{FIRST_HOST_NUMBER + number}"] = "a"
         for number in range(self.spec.upstreams):
             zones[f"10.1.0.{FIRST_HOST_NUMBER + number}"] = self.zone_of(number)
-        for number in range(self.spec.behind):
+        for number in range(self.spec.second_tier_upstreams):
             zones[f"10.2.0.{FIRST_HOST_NUMBER + number}"] = self.zone_of(number)
         zones[CLIENT_HOST] = "a"
         zones[POLLER_HOST] = "a"
@@ -139,9 +139,9 @@
         for number in range(self.spec.upstreams):
             spec = self._upstream_spec(f"s-{number}", f"10.1.0.{FIRST_HOST_NUMBER + number}", number)
             self._add_upstream(spec, self.registry)
-        for number in range(self.spec.behind):
+        for number in range(self.spec.second_tier_upstreams):
             spec = self._upstream_spec(f"r-{number}", f"10.2.0.{FIRST_HOST_NUMBER + number}", number)
-            spec.mean_work = self.spec.work_behind or self.spec.work
+            spec.mean_work = self.spec.second_tier_work or self.spec.mean_work
             self._add_upstream(spec, self.second_registry)
 
     def _upstream_spec(self, name: str, host: str, number: int) -> UpstreamSpec:
@@ -155,13 +155,13 @@
             cores=spec.cores,
             slots=spec.slots,
             queue=spec.queue,
-            contention_share=spec.choke_at,
-            mean_work=spec.work,
+            contention_share=spec.contention_share,
+            mean_work=spec.mean_work,
             warmup_time=spec.warmup_time,
             initial_capacity=spec.initial_capacity,
             overload_multiple=spec.overload_multiple,
-            idle_timeout=spec.conn_idle,
-            answers_health_checks=spec.may_probe,
+            idle_timeout=spec.idle_timeout,
+            answers_health_checks=spec.answers_health_checks,
             counts_requests=spec.balancers > MAX_EXACT_BALANCERS,
         )
 
@@ -175,7 +175,7 @@
         for number in range(self.spec.balancers):
             host = f"10.0.0.{FIRST_HOST_NUMBER + number}"
             self.balancers.append(BalancerHost(self, f"b{number}", host, self.registry, 0, number))
-        if self.spec.shared:
+        if self.spec.shares_listener:
             for balancer in self.balancers:
                 self._listen_for(balancer)
 
@@ -189,7 +189,7 @@
             self.host.inherited[balancer.host] = sock.listen_queue
 
     def _build_sidecars(self) -> None:
-        if not self.spec.behind:
+        if not self.spec.second_tier_upstreams:
             return
         for number, upstream in enumerate(self.upstreams[: self.spec.upstreams]):
             host = upstream.spec.host
@@ -266,16 +266,16 @@
         load = self.load
         rng = self.rng_for("load")
         for _ in range(load.requests):
-            at = rng.random() * load.over
-            if rng.random() < load.burst:
-                at = load.over // 2 + rng.random() * load.over / BURST_FRACTION
+            at = rng.random() * load.send_time
+            if rng.random() < load.burst_share:
+                at = load.send_time // 2 + rng.random() * load.send_time / BURST_FRACTION
             due = self.load_start + int(at)
             self.scheduler.call_at(due, self.client_process, self.clients.send, self.draw_request(rng, load))
 
     def draw_request(self, rng: Random, load: LoadSpec) -> ClientRequest:
         """Draw a request, and how its client behaves."""
         name = _draw_class(rng, load)
-        deadline = self.spec.limit
+        deadline = self.spec.deadline
         timeout = int(deadline * rng.uniform(0.5, 1.2)) // 1000 * 1000
         request = ClientRequest(
             self.clients.next_trace_id(),
@@ -283,8 +283,8 @@
             timeout,
             min(deadline, timeout),
             max_attempts=1 + load.retries,
-            needs_new_connection=rng.random() < load.fresh,
-            honours_retry_after=rng.random() < load.honours,
+            needs_new_connection=rng.random() < load.new_connection_share,
+            honours_retry_after=rng.random() < load.retry_after_share,
         )
         if name != "query":
             request.body = b"x" * rng.choice(BODY_SIZES)
@@ -292,11 +292,11 @@
                 request.body = b"y" * LONG_BODY
         if rng.random() < load.long_answers:
             request.query_string = b"?long"
-        if name == "mark" and load.keys:
-            request.key = f"k{rng.randrange(load.keys)}"
-        if rng.random() < load.leave:
+        if name == "mark" and load.ordering_keys:
+            request.key = f"k{rng.randrange(load.ordering_keys)}"
+        if rng.random() < load.disconnect_share:
             request.disconnect_after = 1 + int(rng.random() * timeout)
-        if rng.random() < load.trickle:
+        if rng.random() < load.chunked_share:
             request.chunk_interval = rng.choice(CHUNK_INTERVALS)
         return request
 
@@ -342,7 +342,7 @@
             self.object_counts.append([count_objects(program) for program in programs])
         scheduler.run_until(load_end)
         self.faults.stop_all()
-        settle_time = max(SETTLE_TIME, 2 * spec.limit + spec.conn_idle + SETTLE_MARGIN)
+        settle_time = max(SETTLE_TIME, 2 * spec.deadline + spec.idle_timeout + SETTLE_MARGIN)
         scheduler.run_until(scheduler.now + settle_time)
         self.leak_checker.check()
         for balancer in self.all_balancers:
@@ -355,25 +355,25 @@
 def _network_profile(spec: WorldSpec) -> NetworkProfile:
     return NetworkProfile(
         delay=spec.delay,
-        cross_zone_delay=spec.cross,
+        cross_zone_delay=spec.cross_zone_delay,
         jitter=spec.jitter,
         bandwidth=BANDWIDTH,
-        send_buffer=spec.sending,
-        receive_window=spec.window,
-        max_segment=spec.piece,
-        idle_timeout=spec.idle_dies,
-        reset_after_idle=spec.idle_resets,
+        send_buffer=spec.send_buffer,
+        receive_window=spec.receive_window,
+        max_segment=spec.max_segment,
+        idle_timeout=spec.path_idle_timeout,
+        reset_after_idle=spec.resets_after_idle,
     )
 
 
 def _request_classes(spec: WorldSpec, load: LoadSpec) -> dict[str, RequestClassRules]:
-    limit = spec.limit
-    goal = spec.goal
-    window = spec.repeat_window
+    limit = spec.deadline
+    goal = spec.latency_objective
+    window = spec.deduplication_window
     classes = (
         RequestClassRules("query", "idempotent", "all", 0, limit, goal, 1.0),
         RequestClassRules("submit", "at_most_once", "all", 0, limit, goal, 10.0),
-        RequestClassRules("mark", "deduplicated", load.group, window, limit, goal, 2.0),
+        RequestClassRules("mark", "deduplicated", load.deduplication_scope, window, limit, goal, 2.0),
         RequestClassRules("late", "idempotent", "all", 0, limit, goal, 1.0),
     )
     return {rules.name: rules for rules in classes}
@@ -381,9 +381,9 @@
 
 def _draw_class(rng: Random, load: LoadSpec) -> str:
     drawn = rng.random()
-    if drawn < load.submits:
+    if drawn < load.submit_share:
         return "submit"
-    return "mark" if drawn < load.submits + load.marked else "query"
+    return "mark" if drawn < load.submit_share + load.deduplicated_share else "query"
 
 
 def run_scenario(scenario: Scenario) -> Result:
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -114,7 +114,7 @@
 
 def scenario(*faults, world=None, load=None, **more):
     return Scenario(
-        world=msgspec.structs.replace(WorldSpec(work=Duration(30 * MS)), **(world or {})),
+        world=msgspec.structs.replace(WorldSpec(mean_work=Duration(30 * MS)), **(world or {})),
         load=msgspec.structs.replace(LoadSpec(), **(load or {})), faults=list(faults), **more,
     )  # fmt: skip
 
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("on", ["hop.whole", "begun", "made"])
 def test_a_reset_between_a_requests_last_byte_and_its_answers_first(on, name, status):
     fault = Fault("reset-hop", on=on, name=name, nth=5)
-    result = run_scenario(scenario(fault, load={"marked": 0.2, "retries": 0}))
+    result = run_scenario(scenario(fault, load={"deduplicated_share": 0.2, "retries": 0}))
     at = next(line[0] for line in result.lines if line[1] == "fault")
     trace = next(line[2] for line in result.lines if line[0] == at and line[1] == on)
     answered = {line[3] for line in result.lines if line[1] == "answer" and line[2] == trace}
@@ -157,7 +157,7 @@
     """Both balancers, at the same step of different requests, with clients that ask behind the end."""
     terms = [Fault("term", whom=n, on=on, name=name, nth=9 + 8 * n, after=Duration(after)) for n in (0, 1)]
     behind = Fault("behind", at=Duration(200 * MS), size=1.0)
-    result = run_scenario(scenario(behind, *terms, load={"fresh": 0.3, "trickle": 0.1}))
+    result = run_scenario(scenario(behind, *terms, load={"new_connection_share": 0.3, "chunked_share": 0.1}))
     ended = [line[0] for line in result.lines if line[1] == "ended" and line[2] in ("b0/1", "b1/1")]
     assert not result.violations, [str(violation) for violation in result.violations]
     assert len(ended) == 2
@@ -177,7 +177,7 @@
             Fault("exclude", at=Duration(300 * MS), span=Duration(3_500 * MS), size=0.02),
             Fault("crash", whom=2, at=Duration(400 * MS), span=Duration(300 * MS)),
             Fault("upgrade", at=Duration(900 * MS)),
-            world={"shared": True}, load={"requests": 300},
+            world={"shares_listener": True}, load={"requests": 300},
         )
     )  # fmt: skip
     lines = result.lines
@@ -193,7 +193,9 @@
 
 
 def test_settings_that_drop_a_class_with_its_requests_open():
-    result = run_scenario(scenario(Fault("drop-class", on="begun", name="mark", nth=3), load={"marked": 0.4}))
+    result = run_scenario(
+        scenario(Fault("drop-class", on="begun", name="mark", nth=3), load={"deduplicated_share": 0.4})
+    )
     at = next(line[0] for line in result.lines if line[1] == "fault")
     trace = next(line[2] for line in reversed(result.lines) if line[1] == "begun" and line[0] <= at)
     assert ("answer", trace, 200) in {line[1:4] for line in result.lines}
@@ -215,7 +217,7 @@
         scenario(
             Fault("rude", at=Duration(S), size=1.0, span=Duration(2 * S)),
             Fault("crowd", at=Duration(1_200 * MS), size=2.0),
-            world={"sockets": 72}, load={"long_bodies": 0.3, "submits": 0.7},
+            world={"max_descriptors": 72}, load={"long_bodies": 0.3, "submit_share": 0.7},
         )
     )  # fmt: skip
     assert not result.violations
@@ -231,7 +233,8 @@
     ]
     faults = [f for f in faults if f.what not in ("end-watch", "wrong") or f.whom < 2]
     simulation = Simulation(
-        scenario(*faults, length=Duration(60 * S), load={"requests": 1_500, "over": Duration(60 * S)}), 10 * S
+        scenario(*faults, length=Duration(60 * S), load={"requests": 1_500, "send_time": Duration(60 * S)}),
+        10 * S,
     )
     result = simulation.run()
     weights = [sum(sum(kinds.values()) for kinds in each) for each in simulation.object_counts]
