--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 from dahliabend.model import Outcome
 from dahliabend.proxy.attempt import Attempt
@@ -39,7 +38,7 @@
         if self.logs_access and ending != FORWARDED_TO_FALLBACK:
             self.log(
                 "access",
-                tx=request.trace_id.decode("latin-1"),
+                tx=request.incoming.trace_id.decode("latin-1"),
                 how=ending,
                 hops=_attempt_rows(request),
                 ms=(clock() - request.admitted_at) // 1000,
@@ -48,7 +47,7 @@
         if ending != SUCCEEDED:
             self.log(
                 ending,
-                tx=request.trace_id.decode("latin-1"),
+                tx=request.incoming.trace_id.decode("latin-1"),
                 **_class_fields(request),
                 hops=_attempt_rows(request),
                 out=len(request.attempts) - len(request.attempt_records),
@@ -59,7 +58,7 @@
         """Log an attempt that has not succeeded; `duration` in microseconds."""
         self.log(
             "hop",
-            tx=attempt.request.trace_id.decode("latin-1"),
+            tx=attempt.request.incoming.trace_id.decode("latin-1"),
             order=attempt.index,
             upstream=attempt.endpoint.name,
             outcome=outcome.name,
@@ -73,5 +72,5 @@
     return [tuple(record) for record in request.attempt_records]
 
 
-def _class_fields(request: Request) -> dict[str, Any]:
+def _class_fields(request: Request) -> dict[str, str | int]:
     return {"route": request.route_name} if request.route_name else {"profile": request.class_index}
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -228,10 +228,8 @@
             **more,
         }
 
-    deduplication = {
-        "dedup-window": spec.deduplication_window / MILLISECOND,
-        "in-order": load.ordering_keys > 0,
-    }
+    window = spec.deduplication_window / MILLISECOND
+    deduplication = {"dedup-window": window, "in-order": load.ordering_keys > 0}
     return {
         "balancers": spec.upstreams if tier else spec.balancers,
         "tier": tier,
--- a/dahliabend/simulation/cluster/pending_request.py
+++ b/dahliabend/simulation/cluster/pending_request.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from dahliabend.policy.retries import RequestState
+from dahliabend.policy.records import RequestState
 from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream
 
 
