--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -10,9 +10,9 @@
 from random import Random
 from typing import cast
 
-from dahliabend.simulation.cluster.ground_truth import Link
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.cluster.actual_history import Link
 from dahliabend.simulation.cluster.script import S
-from dahliabend.simulation.connections import Address
 
 MAX_IN_TRANSIT = 20_000  # datagrams: more are lost, as in a full queue
 MIN_TIMER_DELAY = 200  # microseconds: for a shorter delay a timer would be too late
@@ -87,7 +87,8 @@
 
     def forward(self, sender: int, receiver: int, payload: bytes) -> None:
         """Send a datagram on to its receiver, from the sender's endpoint."""
-        transport, target = self.endpoints[sender].transport, self.endpoints[receiver].target
+        transport = self.endpoints[sender].transport
+        target = self.endpoints[receiver].target
         if target is not None and not transport.is_closing():
             self.forwarded += 1
             transport.sendto(payload, target)
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -8,22 +8,25 @@
 from collections.abc import Callable
 from contextlib import ExitStack, suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
+import msgspec
 import orjson
 
+from dahliabend.simulation.addresses import Address, format_address
 from dahliabend.simulation.cluster.script import Fleet
-from dahliabend.simulation.connections import Address, format_address
 from dahliabend.simulation.peers.operators import call
 
 START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
-FIRST_PORT, LAST_PORT = 20_000, 30_000  # below those that the system hands out
+FIRST_PORT = 20_000
+LAST_PORT = 30_000  # below those that the system hands out
 PORT_STRIDE = 97  # spreads processes that look for ports at the same time
 MAX_ERROR_TEXT = 300  # characters
 LOOPBACK = "127.0.0.1"
 OK = 200
 
 LogRecord = dict[str, Any]
+Answer = TypeVar("Answer", bound=msgspec.Struct)
 
 
 def free_ports(count: int) -> list[int]:
@@ -205,8 +208,8 @@
             self.errors.append(f"{self.name} ended with {status}")
         return status
 
-    async def ask(self, path: str) -> dict[str, Any] | None:
+    async def ask(self, path: str, answer_type: type[Answer]) -> Answer | None:
         """The answer of its admin interface, None if there is none."""
         loop = asyncio.get_running_loop()
         status, body = await call(loop, self.admin_address, "GET", path)
-        return orjson.loads(body) if status == OK else None
+        return msgspec.json.decode(body, type=answer_type) if status == OK else None
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from dahliabend.membership.swim_config import SwimConfig
+from dahliabend.process_tests.admin_answers import MembershipView, PoolSubset, ReportUse, SubsetAnswer
 from dahliabend.process_tests.checks import (
     are_out,
     are_subsets_even,
@@ -73,7 +73,7 @@
         self.upstream_names: list[str] = []
         self.load: LoadGenerator | None = None
         self.first_agreement: float | None = None  # when all had one view for the first time
-        self.subsets: dict[str, dict[str, Any]] = {}  # of each instance, as it was last asked
+        self.subsets: dict[str, PoolSubset] = {}  # of each instance, as it was last asked
         self._replayed: list[bytes] = []
         self._key = secrets.token_hex(KEY_BYTES)
         self._clock_watch: asyncio.Task[None] | None = None
@@ -94,7 +94,9 @@
             text = f"{instance.name}: {record['upstream']} is bad, {record['origins']} say"
             self.log(self.now, text)
         elif event == "member.changed":
-            subject, kind, reported_by = record["member"], record["change"], record["reported_by"]
+            subject = record["member"]
+            kind = record["change"]
+            reported_by = record["reported_by"]
             change = MembershipChange(self.now, instance.number, kind, subject_number(subject), reported_by)
             self.membership_changes.append(change)
             self.log(self.now, f"{instance.name}: {subject} {kind}, by {reported_by}")
@@ -120,9 +122,9 @@
             if delay > MAX_CLOCK_DELAY:
                 self.outcome.counts["rig late"] += 1
                 all_links = {(a, b) for a in everyone for b in everyone if a != b}
-                since = max(self.ground_truth.last_change(), self.now - round(delay))
-                self.ground_truth.set_blocked_links(since, all_links)
-                self.ground_truth.set_blocked_links(self.now, self.blocked_links())
+                since = max(self.actual_history.last_change(), self.now - round(delay))
+                self.actual_history.set_blocked_links(since, all_links)
+                self.actual_history.set_blocked_links(self.now, self.blocked_links())
                 self.log(self.now, f"RIG late by {delay / S:.2f} s")
 
     # The run.
@@ -140,7 +142,7 @@
                     await self.load.end()
             finally:
                 await self._close()
-        check_membership_changes(self.ground_truth, self.membership_changes, self.config, end, self.outcome)
+        check_membership_changes(self.actual_history, self.membership_changes, self.config, end, self.outcome)
         self._collect_results(end)
         return self.outcome
 
@@ -213,11 +215,11 @@
             await self.instances[number].start()
         for number in numbers:
             await self.instances[number].wait_until_open()
-            self.ground_truth.start(self.now, number)
+            self.actual_history.start(self.now, number)
 
     async def end(self, number: int, signal_number: int) -> None:
         """End an instance by a signal."""
-        self.ground_truth.end(self.now, number)
+        self.actual_history.end(self.now, number)
         self._interrupted(number)
         await self.instances[number].end(signal_number)
 
@@ -253,7 +255,7 @@
             await self.end(number, signal.SIGKILL)
         elif what in ("stop", "block"):
             self.instances[number].stop()
-            self.ground_truth.stop(self.now, number)
+            self.actual_history.stop(self.now, number)
             self._interrupted(number)
         elif what == "leave":
             await self.end(number, signal.SIGTERM)
@@ -262,7 +264,8 @@
         return what in ("restart", "hand")
 
     async def _revert_all(self) -> None:
-        reversals, self.pending_reversals = self.pending_reversals, []
+        reversals = self.pending_reversals
+        self.pending_reversals = []
         for _, step in reversals:
             await self.revert_step(step)
         self.link_faults.clear()
@@ -280,7 +283,7 @@
             instance = self.instances[number]
             if step.what in ("stop", "block") and instance.is_stopped and instance.alive:
                 instance.resume()
-                self.ground_truth.resume(self.now, number)
+                self.actual_history.resume(self.now, number)
                 self._interrupted(number)
             elif step.what in ("kill", "leave") and not instance.alive:
                 starting.append(number)
@@ -295,8 +298,8 @@
         """Bring the proxy in line with the link faults in force."""
         blocked = self.blocked_links()
         self.proxy.blocked_links = blocked
-        if blocked != self.ground_truth.blocked_links:
-            self.ground_truth.set_blocked_links(self.now, blocked)
+        if blocked != self.actual_history.blocked_links:
+            self.actual_history.set_blocked_links(self.now, blocked)
         lose = self.strongest_fault("lose")
         delay = self.strongest_fault("delay")
         double = self.strongest_fault("double")
@@ -348,13 +351,15 @@
         members = {instance.name for instance in self.instances if instance.alive}
         return do_agree(views, members) and (step.until != "even" or await self._are_subsets_even())
 
-    async def _views(self) -> dict[str, dict[str, Any]] | None:
+    async def _views(self) -> dict[str, MembershipView] | None:
         """The views of all instances that run, None if one does not answer."""
         asked = [each for each in self.instances if each.is_running and each.opened.done()]
-        views: dict[str, dict[str, Any]] = {}
+        views: dict[str, MembershipView] = {}
         for at in range(0, len(asked), MAX_PARALLEL_CALLS):
             some = asked[at : at + MAX_PARALLEL_CALLS]
-            answers = await asyncio.gather(*(instance.ask("/api/members") for instance in some))
+            answers = await asyncio.gather(
+                *(instance.ask("/api/members", MembershipView) for instance in some)
+            )
             for instance, view in zip(some, answers, strict=True):
                 if view is None:
                     return None
@@ -363,18 +368,18 @@
 
     async def _are_reports_used(self) -> bool:
         """Whether the policy of any instance has used the health reports of others."""
-        answers = [await each.ask("/api/signals") for each in self.instances if each.is_running]
-        return all(answers) and any(answer["told"] for answer in answers if answer is not None)
+        answers = [await each.ask("/api/signals", ReportUse) for each in self.instances if each.is_running]
+        return None not in answers and any(answer.used_reports for answer in answers if answer is not None)
 
     async def _are_subsets_even(self) -> bool:
         """Whether the subsets add up: faults of upstreams end before, as these disturb them."""
         self.subsets = {}
         for instance in self.instances:
             if instance.is_running:
-                answer = await instance.ask("/api/subsets")
+                answer = await instance.ask("/api/subsets", SubsetAnswer)
                 if answer is None:
                     return False
-                self.subsets[instance.name] = answer["pools"]["main"]
+                self.subsets[instance.name] = answer.pools["main"]
         return are_subsets_even(self.upstream_names, self.subsets)
 
     def _check_load(self, end: int) -> None:
@@ -385,8 +390,3 @@
             check_health_checks(times, self.fleet.probing, self.first_agreement, end, self.outcome)
         if self.fleet.limit:
             check_rate_limit(observer.submit_times, self.fleet.limit, len(self.instances), end, self.outcome)
-
-    play = run_script  # the name that `dahliabend.cli` uses
-
-
-Rig = ProcessTestRunner  # the name that `dahliabend.cli` imports
--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -1,24 +1,20 @@
 """Faults of balancers: their processes and configurations, and what operators do to them."""
 
-from __future__ import annotations
-
 import asyncio
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import orjson
 
-from dahliabend.simulation.connections import Address
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.balancer_host import BalancerHost
+from dahliabend.simulation.event_loop import Process
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.peers.misbehaving_clients import MalformedClient
 from dahliabend.simulation.peers.operators import call
 from dahliabend.simulation.scenario import MS, Fault
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.balancer_host import BalancerHost
-    from dahliabend.simulation.event_loop import Process
-    from dahliabend.simulation.world import Simulation
-
 RESTART_TIME = 200 * MS  # from an end until the next start, where the span says less
 READINESS_INTERVAL = 100 * MS  # between two polls of a successor
 MAX_ADDED_ATTEMPTS = 4  # of reloaded settings, times the fault's size
@@ -28,13 +24,11 @@
 TARGET_MULTIPLIER = 97  # spreads the sizes of faults over the upstreams
 OK = 200
 
-Undo = Callable[[], object] | None
-
 
 class BalancerFaults:
     """The faults of balancers and operators; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self._operator_calls: dict[str, asyncio.Task[None]] = {}  # by balancer: the last one
         self.actions: dict[str, Callable[[Fault], Undo]] = {
@@ -63,9 +57,10 @@
 
     def terminate(self, fault: Fault) -> Undo:
         """A planned restart; where processes share a listener, the successor comes first."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         process = balancer.process
-        if simulation.spec.shared:
+        if simulation.spec.shares_listener:
             return self.upgrade(fault)
         if process is None or not process.alive:
             return None
@@ -131,9 +126,10 @@
 
     def upgrade(self, fault: Fault) -> Undo:
         """A successor starts beside it; once that is ready, this process is terminated."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         older = balancer.process
-        if older is None or not older.alive or not simulation.spec.shared:
+        if older is None or not older.alive or not simulation.spec.shares_listener:
             return None
         balancer.start()
         newer = balancer.process
@@ -160,7 +156,8 @@
     def _call_operator(self, balancer: BalancerHost, path: str, target: str = "") -> None:
         """Call a balancer's admin interface, after the answer to the call before."""
         simulation = self.simulation
-        process, address = balancer.process, balancer.admin_address
+        process = balancer.process
+        address = balancer.admin_address
         before = self._operator_calls.get(balancer.name)
 
         async def make_call() -> None:
@@ -177,7 +174,8 @@
 
     def exclude(self, fault: Fault) -> Undo:
         """An operator excludes an upstream."""
-        simulation, balancer = self.simulation, self._balancer(fault)
+        simulation = self.simulation
+        balancer = self._balancer(fault)
         number = int(fault.size * TARGET_MULTIPLIER) % simulation.spec.upstreams
         target = simulation.upstreams[number].spec.name
         self._call_operator(balancer, "exclude", target)
@@ -198,7 +196,7 @@
 
 
 def open_malformed_connections(
-    simulation: Simulation, process: Process, count: int, next_address: Callable[[], Address | None]
+    simulation: FaultEnvironment, process: Process, count: int, next_address: Callable[[], Address | None]
 ) -> Undo:
     """Open connections on which malformed clients stay until this is undone."""
     transports: list[asyncio.Transport] = []
--- a/dahliabend/simulation/client_faults.py
+++ b/dahliabend/simulation/client_faults.py
@@ -1,17 +1,12 @@
 """Faults of clients: bursts, floods, bad manners, and clients that all leave at once."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from dahliabend.simulation.balancer_faults import open_malformed_connections
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.peers.misbehaving_clients import FloodingClient
 from dahliabend.simulation.scenario import MS, Fault
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
-
 BURST_REQUESTS = 80  # times the fault's size
 BURST_TIME = 100 * MS
 FLOOD_REQUESTS = 90  # that one flooding client sends at once
@@ -19,13 +14,11 @@
 HALF_CLOSE_CLIENTS = 12  # times the fault's size
 MALFORMED_CLIENTS = 150  # times the fault's size
 
-Undo = Callable[[], object] | None
-
 
 class ClientFaults:
     """The faults of clients; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.actions: dict[str, Callable[[Fault], Undo]] = {
             "crowd": self.burst,
@@ -52,7 +45,9 @@
         for _ in range(1 + int(FLOODING_CLIENTS * fault.size)):
             trace_ids = [simulation.clients.next_trace_id() for _ in range(FLOOD_REQUESTS)]
             process = simulation.client_process
-            client = FloodingClient(process.loop, simulation.recorder, trace_ids, simulation.spec.limit, rng)
+            client = FloodingClient(
+                process.loop, simulation.recorder, trace_ids, simulation.spec.deadline, rng
+            )
             address = simulation.rotation.next_address()
             if address is not None:
                 simulation.spawn(process, client.connect(address))
@@ -65,7 +60,9 @@
         for _ in range(1 + int(HALF_CLOSE_CLIENTS * fault.size)):
             request = simulation.draw_request(rng, simulation.load)
             follow_up = simulation.draw_request(rng, simulation.load)
-            request.disconnect_after = request.chunk_interval = follow_up.chunk_interval = 0
+            request.disconnect_after = 0
+            request.chunk_interval = 0
+            follow_up.chunk_interval = 0
             address = simulation.rotation.next_address()
             if address is not None:
                 sending = simulation.clients.send_after_half_close(request, follow_up, address)
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -3,13 +3,9 @@
 Attempts go to simulated upstreams; there are no bytes. The instance is the policy's port.
 """
 
-from __future__ import annotations
-
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from random import Random
-from typing import TYPE_CHECKING
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, HealthGossip
 from dahliabend.leases.candidate_order import Candidate
@@ -17,17 +13,15 @@
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
 from dahliabend.policy.balancer import Balancer
-from dahliabend.policy.records import RequestState
+from dahliabend.simulation.cluster.instance_environment import InstanceEnvironment
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
+from dahliabend.simulation.cluster.pending_request import AttemptRecord, PendingRequest
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.demand import DemandEstimator
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.usable_endpoints import count_usable
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.cluster.workload_model import WorkloadModel
-
 SUBSET_INTERVAL = 250 * MS  # between two steps of a subset controller
 ONE_WAY_DELAY = 1 * MS  # of a message to an upstream, or back
 CONNECT_TIME = 3 * MS
@@ -46,31 +40,10 @@
 ResultCallback = Callable[[int, Outcome], None]
 
 
-@dataclass(slots=True)
-class AttemptRecord:
-    """One attempt of a request."""
-
-    upstream: SimulatedUpstream
-    sent_at: int
-    is_finished: bool = False
-
-
-@dataclass(slots=True)
-class PendingRequest:
-    """A request that a balancer holds."""
-
-    arrived_at: int
-    class_index: int
-    is_answered: bool = False
-    effects: int = 0  # how often it was executed
-    state: RequestState | None = None
-    attempts: list[AttemptRecord] = field(default_factory=list)
-
-
 class BalancerInstance:
     """One balancer's process, from its start until its end."""
 
-    def __init__(self, model: WorkloadModel, number: int, generation: int) -> None:
+    def __init__(self, model: InstanceEnvironment, number: int, generation: int) -> None:
         self.model = model
         self.number = number
         self.is_alive = True
@@ -97,7 +70,8 @@
         self.weights: dict[str, float] = {}  # of the upstreams in the subset
 
     def _create_gossip(self, generation: int) -> HealthGossip | None:
-        model, number = self.model, self.number
+        model = self.model
+        number = self.number
         if not model.has_gossip:
             return None
         rng = Random(f"signals {model.fleet.seed} {number} {generation}")
@@ -141,7 +115,8 @@
         request = self.requests.get(ref)
         if request is None or request.attempts[number].is_finished:
             return
-        model, upstream = self.model, request.attempts[number].upstream
+        model = self.model
+        upstream = request.attempts[number].upstream
         result = upstream.request_arrived(model.now, self.number)
         if result.outcome is Outcome.SUCCEEDED:
             request.effects += 1
@@ -158,7 +133,8 @@
 
     def attempt_ended(self, ref: int, number: int, outcome: Outcome) -> None:
         """An attempt has ended; the first end counts."""
-        request, model = self.requests.get(ref), self.model
+        request = self.requests.get(ref)
+        model = self.model
         if request is None or request.attempts[number].is_finished or not self.is_alive:
             return
         attempt = request.attempts[number]
@@ -209,10 +185,10 @@
         """Fail a request."""
         self.answer(self.requests[ref], "abandoned")
 
-    def cancel(self, ref: int, hop: int) -> None:
+    def cancel(self, ref: int, attempt: int) -> None:
         """Cancel an attempt."""
-        if not self.requests[ref].attempts[hop].is_finished:
-            self.model.call_at(self.model.now, self.attempt_ended, ref, hop, Outcome.CANCELLED)
+        if not self.requests[ref].attempts[attempt].is_finished:
+            self.model.call_at(self.model.now, self.attempt_ended, ref, attempt, Outcome.CANCELLED)
 
     def check_health(self, upstream: int) -> None:
         """Check an upstream's health, or have the lease holder do it."""
@@ -323,7 +299,8 @@
 
     def gossip_timer_fired(self) -> None:
         """Use what other instances reported, run due health checks, and send own reports, periodically."""
-        model, gossip = self.model, self.gossip
+        model = self.model
+        gossip = self.gossip
         machine = model.machine(self.number)
         if not self.is_alive or gossip is None or machine is None:
             return
@@ -340,7 +317,8 @@
         gossip.report_suspected(model.now, POOL, set(indices), members, on_suspected)
         self._run_leased_checks(machine)
         gossip.tick(model.now, sorted(members))
-        outbox, gossip.outbox = gossip.outbox, []
+        outbox = gossip.outbox
+        gossip.outbox = []
         for name, payload in outbox:
             model.send_gossip(machine.name, name, payload)
 
@@ -357,7 +335,8 @@
 
     def _step_subset(self) -> bool:
         """Step the subset controller; whether the subset has changed."""
-        model, controller = self.model, self.controller
+        model = self.model
+        controller = self.controller
         if controller is None:
             return False
         machine = model.machine(self.number)
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.scenario import Table, parse, plain, read_with
+from dahliabend.simulation.file_format import FileFormat, Table
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
@@ -91,31 +91,6 @@
     why: str = ""
 
 
-def encode(fleet: Fleet) -> bytes:
-    """The JSON form of a script."""
-    return msgspec.json.format(msgspec.json.encode(plain(fleet))) + b"\n"
-
-
-def decode(text: bytes, name: str = "fleet.json") -> Fleet:
-    """Parse a script, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    fleet = parse(Fleet, text, name)
-    check(fleet)
-    return fleet
-
-
-def read(path: str) -> Fleet:
-    """Read a script's file.
-
-    Raises:
-        ValueError: with the file and the path of what is wrong.
-    """
-    return read_with(decode, path)
-
-
 def check(fleet: Fleet) -> None:
     """Check what the types cannot.
 
@@ -137,9 +112,9 @@
             raise ValueError(f"$.{path}: a span of time is below 0")
 
 
-def _check_range(path: str, value: float, least: float, most: float) -> None:
-    if not least <= value <= most:
-        raise ValueError(f"$.{path}: {value} is not between {least} and {most}")
+def _check_range(path: str, value: float, minimum: float, maximum: float) -> None:
+    if not minimum <= value <= maximum:
+        raise ValueError(f"$.{path}: {value} is not between {minimum} and {maximum}")
 
 
 def _check_instances(fleet: Fleet, path: str, numbers: list[int]) -> None:
@@ -178,6 +153,9 @@
         raise ValueError(f"$.{path}.until: out names nobody")
 
 
+SCRIPT_FILES = FileFormat(Fleet, check)
+
+
 def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> Fleet:
     """Draw a script: faults one after the other, some at the same time, for so many minutes; then calm."""
     rng = Random(f"fleet {seed}")
@@ -198,9 +176,9 @@
     few = rng.sample(everyone, rng.randint(1, max(1, fleet.instances // 5)))
     one = few[:1]
 
-    def periods(least: float, most: float) -> Duration:
+    def periods(minimum: float, maximum: float) -> Duration:
         """Draw a number of periods."""
-        return Duration(round(fleet.period * rng.uniform(least, most)))
+        return Duration(round(fleet.period * rng.uniform(minimum, maximum)))
 
     what = rng.choice(DRAWN_FAULTS)
     step = Step(what, span=periods(1, 60), wait=periods(2, 60))
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -10,7 +10,6 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from random import Random
 from typing import Any
@@ -26,6 +25,7 @@
     REQUEST_CLASSES,
     BalancerInstance,
 )
+from dahliabend.simulation.cluster.instance_environment import WorkloadMetrics
 from dahliabend.simulation.cluster.model import ClusterModel
 from dahliabend.simulation.cluster.script import Fleet
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream, UpstreamProfile
@@ -41,23 +41,6 @@
 SUBMIT_SHARE = 0.3  # of the requests
 
 
-@dataclass(slots=True)
-class WorkloadMetrics:
-    """The measurements of a run. Times are microseconds."""
-
-    counts: Counter[str] = field(default_factory=Counter)
-    latencies: list[int] = field(default_factory=list)  # of requests served in time
-    samples: list[dict[str, int]] = field(default_factory=list)  # the counts, each second
-    violations: list[str] = field(default_factory=list)
-    mean_connections: list[float] = field(default_factory=list)  # of an upstream, each second
-    max_connections: int = 0
-
-    @property
-    def served_share(self) -> float:
-        """The share of all requests that was served within the latency objective."""
-        return self.counts["served"] / max(1, self.counts["asked"])
-
-
 class WorkloadModel(ClusterModel):
     """As the cluster model, under load. Without a subset each balancer uses all upstreams.
 
@@ -139,7 +122,8 @@
 
     def run(self, span: int) -> None:
         """Let so many microseconds pass."""
-        end, events = self.clock + span, self.events
+        end = self.clock + span
+        events = self.events
         while self.clock < end:
             until = min(self.clock + MEMBERSHIP_STEP, end)
             while events and events[0][0] < until:
@@ -222,7 +206,8 @@
         super().start_instance(number, state)
         if self.announces_demand:
             self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND)
-        balancer = self.balancers[number] = BalancerInstance(self, number, self.generations[number])
+        balancer = BalancerInstance(self, number, self.generations[number])
+        self.balancers[number] = balancer
         rows = {name: self.endpoint_row(upstream) for name, upstream in self.upstreams_by_name.items()}
         balancer.endpoints_changed(rows)
         balancer.subset_timer_fired()
--- a/dahliabend/simulation/connections.py
+++ b/dahliabend/simulation/connections.py
@@ -7,19 +7,18 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from random import Random
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from dahliabend.simulation.event_loop import Process
-    from dahliabend.simulation.network import Network
-    from dahliabend.simulation.sockets import Socket
+from dahliabend.simulation.addresses import Address
+from dahliabend.simulation.event_loop import Process, Scheduler
+from dahliabend.simulation.network_profile import NetworkProfile
 
 ECONNRESET = 104
 EPIPE = 32
 MAX_SEGMENT = 65_536  # bytes
 MAX_RESUME_DELAY = 200_000  # microseconds: the longest until held packets come, once a path works again
 
-Address = tuple[str, int]  # host and port
 Buffer = bytes | bytearray | memoryview
 
 
@@ -33,6 +32,33 @@
         """The other end has written bytes."""
 
 
+class ConnectionOwner(Protocol):
+    """The socket of a connection's end, which is notified of what arrives."""
+
+    process: Process
+
+    def notify_readable(self) -> None:
+        """Bytes, the end or a reset have arrived."""
+
+    def notify_writable(self) -> None:
+        """There may be room for more bytes."""
+
+
+class ConnectionNetwork(Protocol):
+    """The network as the ends of its connections use it."""
+
+    scheduler: Scheduler
+    profile: NetworkProfile
+    rng: Random
+    connections: dict[int, ConnectionEnd]
+
+    def delay(self, one: str, other: str) -> int:
+        """Draw the microseconds that a packet takes from one host to another."""
+
+    def is_blocked(self, one: str, other: str) -> bool:
+        """Whether packets between two hosts are lost."""
+
+
 class ConnectionEnd:
     """One end of a connection. Times are microseconds."""
 
@@ -64,7 +90,7 @@
     )
 
     def __init__(
-        self, network: Network, number: int, local: Address, remote: Address, initiator: Process
+        self, network: ConnectionNetwork, number: int, local: Address, remote: Address, initiator: Process
     ) -> None:
         """Create an end; `peer` has to be set before it is used. `initiator`: the process that dialled."""
         self.network = network
@@ -73,7 +99,7 @@
         self.remote = remote
         self.initiator = initiator
         self.peer: ConnectionEnd
-        self.sock: Socket | None = None
+        self.sock: ConnectionOwner | None = None
         self.send_queue = bytearray()  # accepted from the writer, not sent yet
         self.in_flight = 0  # bytes sent, not arrived yet
         self.receive_queue = bytearray()  # arrived, not read yet
@@ -154,7 +180,9 @@
         """End it at once; what is in flight or unread is lost."""
         if not self.is_closed:
             self._mark_closed()
-        self.is_closed = self.fin_queued = self.fin_sent = True
+        self.is_closed = True
+        self.fin_queued = True
+        self.fin_sent = True
         self.send_queue.clear()
         self.deliver_later(0, self.peer.reset_arrived)
         self._unregister()
@@ -175,11 +203,13 @@
 
     def transmit(self) -> None:
         """Send what the other end's window allows."""
-        profile, now = self.network.profile, self.network.scheduler.now
+        profile = self.network.profile
+        now = self.network.scheduler.now
         if self.idle_timeout and now - self.last_used_at > self.idle_timeout and not self.is_closed:
             self._lose_path()
             return
-        self.last_used_at = self.peer.last_used_at = now
+        self.last_used_at = now
+        self.peer.last_used_at = now
         while self.send_queue:
             window = profile.receive_window - len(self.peer.receive_queue) - self.in_flight
             size = min(len(self.send_queue), window, profile.max_segment or MAX_SEGMENT)
@@ -203,7 +233,8 @@
 
     def deliver_later(self, size: int, call: Callable[..., Any], *arguments: object) -> None:
         """Have a packet arrive after its delay, in order whatever the jitter."""
-        network, now = self.network, self.network.scheduler.now
+        network = self.network
+        now = self.network.scheduler.now
         self.busy_until = max(now, self.busy_until) + size // network.profile.bandwidth
         due = max(self.busy_until + network.delay(self.local[0], self.remote[0]), self.last_arrival_at)
         self.last_arrival_at = due
@@ -224,7 +255,8 @@
 
     def _release_blocked(self) -> None:
         if not self.network.is_blocked(self.local[0], self.remote[0]):
-            packets, self.blocked_packets = self.blocked_packets, []
+            packets = self.blocked_packets
+            self.blocked_packets = []
             for call, arguments in packets:
                 call(*arguments)
 
@@ -279,9 +311,3 @@
             self.sock.notify_writable()
         if self.is_closed or self.peer.is_closed or self.peer.reset_received:
             self.network.connections.pop(self.number, None)
-
-
-def format_address(address: Address) -> str:
-    """An address as `host:port`."""
-    host, port = address
-    return f"{host}:{port}"
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -27,14 +27,12 @@
 | `behind` (fault) | clients that send a request after the server's half-close |
 """
 
-from collections.abc import Callable
-from pathlib import Path
-from typing import Literal, TypeVar
+from typing import Literal
 
 import msgspec
 
-from dahliabend.config.operator_file import units
 from dahliabend.config.operator_file.units import Duration
+from dahliabend.simulation.file_format import FileFormat, Table, stored_keys
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
@@ -73,78 +71,115 @@
     "fault": "another fault begins",
 }
 COUNT_RANGES = (
-    ("balancers", 1, 32), ("upstreams", 1, 64), ("behind", 0, 32), ("zones", 1, 4), ("cores", 1, 64),
-    ("slots", 1, 256), ("queue", 0, 1024), ("hops", 1, 16), ("sockets", 64, 65536),
+    ("balancers", 1, 32), ("upstreams", 1, 64), ("second_tier_upstreams", 0, 32), ("zones", 1, 4),
+    ("cores", 1, 64), ("slots", 1, 256), ("queue", 0, 1024), ("max_attempts", 1, 16),
+    ("max_descriptors", 64, 65536),
 )  # fmt: skip
 TWO_ZONES = 2
 RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
 
-Parsed = TypeVar("Parsed")
-
-
-class Table(msgspec.Struct, rename="kebab", forbid_unknown_fields=True, omit_defaults=True):
-    """A table of a file: keys in kebab case, unknown ones rejected."""
+# The stored keys of fields whose names differ from them, by field.
+WORLD_KEYS = {
+    "second_tier_upstreams": "behind",
+    "second_tier_calls": "calls",
+    "second_tier_work": "work-behind",
+    "contention_share": "choke-at",
+    "mean_work": "work",
+    "warmup_time": "cold",
+    "initial_capacity": "cold-share",
+    "overload_multiple": "fall-multiple",
+    "drain_time": "grace",
+    "latency_objective": "goal",
+    "deadline": "limit",
+    "max_attempts": "hops",
+    "answers_health_checks": "may-probe",
+    "sends_retry_after": "advises",
+    "max_descriptors": "sockets",
+    "idle_timeout": "conn-idle",
+    "connect_timeout": "dial",
+    "deduplication_window": "repeat-window",
+    "shares_listener": "shared",
+    "cross_zone_delay": "cross",
+    "send_buffer": "sending",
+    "receive_window": "window",
+    "max_segment": "piece",
+    "path_idle_timeout": "idle-dies",
+    "resets_after_idle": "idle-resets",
+    "discovery_delay": "notice",
+}
+LOAD_KEYS = {
+    "send_time": "over",
+    "burst_share": "burst",
+    "submit_share": "submits",
+    "deduplicated_share": "marked",
+    "deduplication_scope": "group",
+    "retry_after_share": "honours",
+    "disconnect_share": "leave",
+    "chunked_share": "trickle",
+    "new_connection_share": "fresh",
+    "ordering_keys": "keys",
+}
 
 
-class WorldSpec(Table):
+class WorldSpec(Table, rename=stored_keys(WORLD_KEYS)):
     """The balancers, upstreams, network and settings of a run. Times in microseconds."""
 
     balancers: int = 2
     upstreams: int = 4
-    behind: int = 0  # upstreams of a second tier, which those of the first call
-    calls: float = 1.0  # calls of the second tier for each request, one after the other, in the mean
-    work_behind: Duration = Duration(0)  # of a request there; 0: as in the first tier
+    second_tier_upstreams: int = 0  # which those of the first tier call
+    second_tier_calls: float = 1.0  # for each request of the first, one after the other, in the mean
+    second_tier_work: Duration = Duration(0)  # of a request there; 0: as in the first tier
     zones: int = 1
     cores: int = 2  # of an upstream
     slots: int = 8  # requests executed at once on a core
     queue: int = 8  # and waiting
-    choke_at: float = 1.0  # of its slots: from there on an upstream slows down
-    work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
-    cold: Duration = Duration(2 * S)
-    cold_share: float = 0.4
-    fall_multiple: float = 4.0
-    grace: Duration = Duration(1_500 * MS)
-    goal: Duration = Duration(500 * MS)
-    limit: Duration = Duration(1_500 * MS)
-    hops: int = 4  # attempts of a request at the most
-    may_probe: bool = True
+    contention_share: float = 1.0  # of its slots: from there on an upstream slows down
+    mean_work: Duration = Duration(8 * MS)  # of a query, in the mean; a submit's is half as much again
+    warmup_time: Duration = Duration(2 * S)
+    initial_capacity: float = 0.4  # the share at the start of the warm-up
+    overload_multiple: float = 4.0
+    drain_time: Duration = Duration(1_500 * MS)
+    latency_objective: Duration = Duration(500 * MS)
+    deadline: Duration = Duration(1_500 * MS)
+    max_attempts: int = 4  # of a request
+    answers_health_checks: bool = True
     may_cancel: bool = True
-    advises: bool = True
-    sockets: int = 256  # descriptors of a balancer
-    conn_idle: Duration = Duration(2 * S)
-    dial: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
-    repeat_window: Duration = Duration(1_200 * MS)  # the deduplication window
+    sends_retry_after: bool = True
+    max_descriptors: int = 256  # of a balancer
+    idle_timeout: Duration = Duration(2 * S)
+    connect_timeout: Duration = Duration(75 * MS)  # how long a connection to an upstream may take to come up
+    deduplication_window: Duration = Duration(1_200 * MS)
     order_pause: Duration = Duration(0)  # a key's rest after an attempt that may go on
-    shared: bool = False  # the platform holds the listener, and processes share a runtime directory
+    shares_listener: bool = False  # the platform holds the listener, and processes share a runtime directory
     admin: bool = True
     delay: Duration = Duration(250)
-    cross: Duration = Duration(3 * MS)
+    cross_zone_delay: Duration = Duration(3 * MS)
     jitter: float = 0.3
-    sending: int = 262_144
-    window: int = 65_536
-    piece: int = 0
-    idle_dies: Duration = Duration(0)
-    idle_resets: bool = False
-    notice: Duration = Duration(50 * MS)
+    send_buffer: int = 262_144
+    receive_window: int = 65_536
+    max_segment: int = 0
+    path_idle_timeout: Duration = Duration(0)
+    resets_after_idle: bool = False
+    discovery_delay: Duration = Duration(50 * MS)
 
 
-class LoadSpec(Table):
+class LoadSpec(Table, rename=stored_keys(LOAD_KEYS)):
     """The clients' requests. Times in microseconds."""
 
     requests: int = 110
-    over: Duration = Duration(4 * S)
-    burst: float = 0.0  # the share that comes within a tenth of the time
-    submits: float = 0.4
-    marked: float = 0.1
-    group: Literal["all", "zone", "cell"] = "cell"
+    send_time: Duration = Duration(4 * S)
+    burst_share: float = 0.0  # the share that comes within a tenth of the time
+    submit_share: float = 0.4
+    deduplicated_share: float = 0.1
+    deduplication_scope: Literal["all", "zone", "cell"] = "cell"
     retries: int = 1
-    honours: float = 0.8
-    leave: float = 0.02
-    trickle: float = 0.03
-    fresh: float = 0.1
+    retry_after_share: float = 0.8
+    disconnect_share: float = 0.02
+    chunked_share: float = 0.03
+    new_connection_share: float = 0.1
     long_bodies: float = 0.0
     long_answers: float = 0.0
-    keys: int = 0  # ordering keys that deduplicated requests carry; 0: none
+    ordering_keys: int = 0  # that deduplicated requests carry; 0: none
 
 
 class Fault(Table):
@@ -177,88 +212,21 @@
     breaks: str = ""  # the rule that a regression file once violated
 
 
-def encode(scenario: Scenario) -> bytes:
-    """The JSON form of a scenario."""
-    return msgspec.json.format(msgspec.json.encode(plain(scenario))) + b"\n"
-
-
-def plain(value: object) -> object:
-    """A value with spans of time as text, and without what has its default."""
-    if isinstance(value, Duration):
-        return str(value)
-    if isinstance(value, msgspec.Struct):
-        fields = msgspec.structs.fields(value)
-        return {f.encode_name: plain(v) for f in fields if (v := getattr(value, f.name)) != _default(f)}
-    if isinstance(value, list):
-        return [plain(each) for each in value]
-    return value
-
-
-def _default(field: msgspec.structs.FieldInfo) -> object:
-    if field.default is not msgspec.NODEFAULT:
-        return field.default
-    return field.default_factory() if field.default_factory is not msgspec.NODEFAULT else msgspec.NODEFAULT
-
-
-def parse(kind: type[Parsed], text: bytes, name: str) -> Parsed:
-    """Parse a file, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    decoder = msgspec.toml if name.endswith(".toml") else msgspec.json
-    parsed: Parsed = decoder.decode(text, type=kind, dec_hook=units.decode_unit)
-    return parsed
-
-
-def decode(text: bytes, name: str = "script.json") -> Scenario:
-    """Parse a scenario, TOML or JSON by the ending of its name.
-
-    Raises:
-        ValueError: with the path of what is wrong.
-    """
-    scenario = parse(Scenario, text, name)
-    check(scenario)
-    return scenario
-
-
-def read(path: str) -> Scenario:
-    """Read a scenario's file.
-
-    Raises:
-        ValueError: with the file and the path of what is wrong.
-    """
-    return read_with(decode, path)
-
-
-def read_with(decode: Callable[[bytes, str], Parsed], path: str) -> Parsed:
-    """Read a file by a decoder, which gets its content and its name.
-
-    Raises:
-        ValueError: with the file and what is wrong with it.
-    """
-    try:
-        return decode(Path(path).read_bytes(), path)
-    except OSError as error:
-        raise ValueError(f"{path}: {error.strerror}") from None
-    except ValueError as error:
-        raise ValueError(f"{path}: {error}") from None
-
-
 def check(scenario: Scenario) -> None:
     """Check what the types cannot: whether the faults are possible in that world.
 
     Raises:
         ValueError: with the path of what is wrong.
     """
-    for key, least, most in COUNT_RANGES:
-        value = getattr(scenario.world, key)
-        if not least <= value <= most:
-            raise ValueError(f"$.world.{key}: {value} is not between {least} and {most}")
+    keys = {field.name: field.encode_name for field in msgspec.structs.fields(WorldSpec)}
+    for name, minimum, maximum in COUNT_RANGES:
+        value = getattr(scenario.world, name)
+        if not minimum <= value <= maximum:
+            raise ValueError(f"$.world.{keys[name]}: {value} is not between {minimum} and {maximum}")
     requests = scenario.load.requests
     if not 1 <= requests <= MAX_REQUESTS:
         raise ValueError(f"$.load.requests: {requests} is not between 1 and {MAX_REQUESTS}")
-    if scenario.load.over > scenario.length:
+    if scenario.load.send_time > scenario.length:
         raise ValueError("$.load.over: longer than the run")
     if scenario.length > MAX_LENGTH:
         raise ValueError("$.length: longer than a day")
@@ -272,7 +240,7 @@
 def _check_target(world: WorldSpec, fault: Fault, path: str) -> None:
     target = GROUP_OF[fault.what]
     counts = {
-        "upstream": world.upstreams + world.behind,
+        "upstream": world.upstreams + world.second_tier_upstreams,
         "balancer": world.balancers,
         "discovery": world.balancers,
         "operator": world.balancers,
@@ -286,7 +254,7 @@
     target = GROUP_OF[fault.what]
     if fault.what == "cut-zone" and (world.zones < TWO_ZONES or fault.whom == 0):
         raise ValueError(f"{path}.what: the callers' own zone, or the only one, can't be cut off")
-    if fault.what == "upgrade" and not world.shared:
+    if fault.what == "upgrade" and not world.shares_listener:
         raise ValueError(f"{path}.what: an upgrade wants world.shared")
     if target == "operator" and not world.admin:
         raise ValueError(f"{path}.what: there is no operators' door, world.admin is off")
@@ -303,3 +271,6 @@
         raise ValueError(f"{path}.at: {fault.at} is outside the run")
     if fault.after < 0 or fault.span < 0 or fault.nth < 1:
         raise ValueError(f"{path}: after and span can't be negative, nth begins at 1")
+
+
+SCENARIO_FILES = FileFormat(Scenario, check)
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -1,15 +1,10 @@
 """Faults of upstreams: their processes, what they answer, how they can be reached, and their list entries."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
+from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
 from dahliabend.simulation.scenario import MS, RESET_SIZE, Fault
-
-if TYPE_CHECKING:
-    from dahliabend.simulation.upstream_host import UpstreamHost
-    from dahliabend.simulation.world import Simulation
+from dahliabend.simulation.upstream_host import UpstreamHost
 
 RESTART_TIME = 200 * MS  # of a planned restart
 MAX_CONNECT_DELAY = 1_500 * MS  # times the fault's size
@@ -17,13 +12,11 @@
 MAX_CONNECTIONS = 4  # of an upstream with a limit, times the fault's size
 FLAPS = 6  # changes of a list entry that flaps
 
-Undo = Callable[[], object] | None
-
 
 class UpstreamFaults:
     """The faults of upstreams; each action returns what undoes it."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: FaultEnvironment) -> None:
         self.simulation = simulation
         self.actions: dict[str, Callable[[Fault], Undo]] = {
             "hang": self.hang,
@@ -47,7 +40,7 @@
     def _host(self, fault: Fault) -> UpstreamHost:
         return self.simulation.upstreams[fault.whom]
 
-    def _set_behavior(self, fault: Fault, name: str, value: object) -> Undo:
+    def _set_behavior(self, fault: Fault, name: str, *, value: object) -> Undo:
         """Set one of an upstream's switches."""
         upstream = self._host(fault).upstream
         before = getattr(upstream, name)
@@ -56,27 +49,28 @@
 
     def hang(self, fault: Fault) -> Undo:
         """It accepts requests and answers nothing."""
-        return self._set_behavior(fault, "hung", True)
+        return self._set_behavior(fault, "hung", value=True)
 
     def slow(self, fault: Fault) -> Undo:
         """Its work takes longer."""
-        return self._set_behavior(fault, "slower", 1 + MAX_SLOWDOWN * fault.size)
+        return self._set_behavior(fault, "slower", value=1 + MAX_SLOWDOWN * fault.size)
 
     def fail(self, fault: Fault) -> Undo:
         """A share of its requests fails."""
-        return self._set_behavior(fault, "failing", fault.size)
+        return self._set_behavior(fault, "failing", value=fault.size)
 
     def garble(self, fault: Fault) -> Undo:
         """A share of its responses is invalid."""
-        return self._set_behavior(fault, "garbled", fault.size)
+        return self._set_behavior(fault, "garbled", value=fault.size)
 
     def duplicate_responses(self, fault: Fault) -> Undo:
         """A share of its responses is sent twice."""
-        return self._set_behavior(fault, "twice", fault.size)
+        return self._set_behavior(fault, "twice", value=fault.size)
 
     def limit_connections(self, fault: Fault) -> Undo:
         """It takes few connections."""
-        limits, address = self.simulation.network.connection_limits, self._host(fault).address
+        limits = self.simulation.network.connection_limits
+        address = self._host(fault).address
         limits[address] = 1 + int(MAX_CONNECTIONS * fault.size)
         return lambda: limits.pop(address, None)
 
@@ -99,15 +93,16 @@
 
     def drain(self, fault: Fault) -> Undo:
         """It drains, and is back later."""
-        host, simulation = self._host(fault), self.simulation
-        drain_time = simulation.spec.grace
+        host = self._host(fault)
+        simulation = self.simulation
+        drain_time = simulation.spec.drain_time
         host.publish("draining")
         upstream = host.upstream
         simulation.call_later(drain_time, upstream.drain)
 
         def end_drain() -> None:
             """List the upstream as up, if it is still the same process."""
-            if simulation.faults.is_stopping:
+            if simulation.is_stopping:
                 return
             upstream.draining = False
             if host.upstream is upstream and host.process.alive:
@@ -118,7 +113,8 @@
 
     def restart(self, fault: Fault) -> Undo:
         """A planned restart: it drains, ends, and starts again cold."""
-        host, simulation = self._host(fault), self.simulation
+        host = self._host(fault)
+        simulation = self.simulation
         host.publish("draining")
 
         def end() -> None:
@@ -128,7 +124,7 @@
                 host.kill()
                 simulation.call_later(RESTART_TIME, self._start_again, host)
 
-        simulation.call_later(simulation.spec.grace + fault.span, end)
+        simulation.call_later(simulation.spec.drain_time + fault.span, end)
         return None
 
     def withdraw(self, fault: Fault) -> Undo:
@@ -146,19 +142,22 @@
 
     def refuse_connections(self, fault: Fault) -> Undo:
         """New connections to it are refused."""
-        refusing, address = self.simulation.network.refusing_addresses, self._host(fault).address
+        refusing = self.simulation.network.refusing_addresses
+        address = self._host(fault).address
         refusing.add(address)
         return lambda: refusing.discard(address)
 
     def ignore_connections(self, fault: Fault) -> Undo:
         """New connections to it never come up."""
-        unresponsive, address = self.simulation.network.unresponsive_addresses, self._host(fault).address
+        unresponsive = self.simulation.network.unresponsive_addresses
+        address = self._host(fault).address
         unresponsive.add(address)
         return lambda: unresponsive.discard(address)
 
     def vanish(self, fault: Fault) -> Undo:
         """Its host cannot be reached."""
-        network, host = self.simulation.network, self._host(fault).spec.host
+        network = self.simulation.network
+        host = self._host(fault).spec.host
         network.vanish(host)
         return lambda: network.restore_host(host, resets=fault.size > RESET_SIZE)
 
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -1,20 +1,18 @@
 """An upstream of a simulation through its processes, with its entry in the endpoint list."""
 
-from __future__ import annotations
-
 import signal
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
+from dahliabend.simulation.addresses import Address
 from dahliabend.simulation.balancer_host import BalancerHost
-from dahliabend.simulation.connections import Address
+from dahliabend.simulation.environment import SimulationEnvironment
 from dahliabend.simulation.event_loop import UNIX_TIME_AT_ZERO, Process
-from dahliabend.simulation.peers.clients import ClientRequest, Clients, ConnectionRotation
+from dahliabend.simulation.peers.client_request import ClientRequest
+from dahliabend.simulation.peers.clients import Clients
+from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 from dahliabend.simulation.peers.discovery import EndpointEntry, Registry
-from dahliabend.simulation.peers.upstream import Upstream, UpstreamSpec
-
-if TYPE_CHECKING:
-    from dahliabend.simulation.world import Simulation
+from dahliabend.simulation.peers.upstream import Upstream
+from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 OK = 200
@@ -23,7 +21,7 @@
 class UpstreamHost:
     """One upstream, and the processes that it had."""
 
-    def __init__(self, simulation: Simulation, spec: UpstreamSpec, registry: Registry) -> None:
+    def __init__(self, simulation: SimulationEnvironment, spec: UpstreamSpec, registry: Registry) -> None:
         self.simulation = simulation
         self.spec = spec
         self.registry = registry
@@ -61,7 +59,8 @@
 
     def start(self, *, needs_warmup: bool) -> None:
         """Start a process; a cold one warms up first."""
-        simulation, spec = self.simulation, self.spec
+        simulation = self.simulation
+        spec = self.spec
         self.starts += 1
         process = Process(simulation.scheduler, f"{spec.name}/{self.starts}", spec.host, spec.zone)
         process.loop.network = simulation.network
@@ -90,11 +89,12 @@
 
     def call_next_tier(self, _trace_id: str, class_name: str, on_finished: Callable[[bool], None]) -> None:
         """Make the calls of the next tier that a request needs, one after the other."""
-        clients, spec = self.clients, self.simulation.spec
+        clients = self.clients
+        spec = self.simulation.spec
         if clients is None:
             raise RuntimeError(f"{self.spec.name} has no balancer to call")
-        deadline = spec.limit * 2 // 3
-        calls_left = int(spec.calls) + (self.upstream.rng.random() < spec.calls % 1)
+        deadline = spec.deadline * 2 // 3
+        calls_left = int(spec.second_tier_calls) + (self.upstream.rng.random() < spec.second_tier_calls % 1)
 
         def call_once() -> None:
             """Make one call."""
