--- a/tests/proxy/test_key_order_over_sockets.py
+++ b/tests/proxy/test_key_order_over_sockets.py
@@ -18,24 +18,32 @@
 UNHURRIED["profiles"][-1].update({"service-goal": 30_000.0, "hard-limit": 60_000.0})
 
 
-class Held:
-    """An upstream that answers each request once it is let go on."""
+TRACE_IDS = ("a", "b", "c", "d", "e")
+
+
+class HoldingUpstream:
+    """An upstream that answers each request once it is released, by its trace id.
+
+    With one queue of releases for all, a request that arrives late could take the release of an earlier one.
+    """
 
     def __init__(self):
-        self.gates = Queue()
-        self.upstream = Upstream(self.play)
+        self.releases = {trace_id: Queue() for trace_id in TRACE_IDS}
+        self.upstream = Upstream(self.hold)
 
-    def play(self, conn, request):
+    def hold(self, conn, request):
         try:
-            return self.gates.get(timeout=PATIENCE)(conn)
+            self.releases[request[1]["x-trace-id"]].get(timeout=PATIENCE)
         except Empty:
             return False  # the test is over
+        return conn.sendall(answer()) is None
 
     def came(self):
         return self.upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"]
 
-    def go_on(self):
-        self.gates.put(lambda conn: conn.sendall(answer()) is None)
+    def release(self, *trace_ids):
+        for trace_id in trace_ids:
+            self.releases[trace_id].put(True)
 
 
 def amend(address, trace, key="9", expires=LONG_EXPIRES):
@@ -45,7 +53,7 @@
 
 
 def test_one_of_a_key_is_sent_at_a_time_also_across_a_switch_of_settings():
-    held = Held()
+    held = HoldingUpstream()
     with program(held.upstream, conf=UNHURRIED) as (address, process, _):
         first = amend(address, "a")
         assert held.came() == "a"
@@ -58,19 +66,18 @@
         third = amend(address, "d")
         other2 = amend(address, "e", key="7")
         assert held.came() == "e"  # those of key 9 wait, before the switch and after it
-        for _ in range(3):
-            held.go_on()
+        held.release("a", "c", "e")
         assert {caller.read()[0] for caller in (first, other, other2)} == {200}
         assert held.came() == "b"
-        held.go_on()
+        held.release("b")
         assert second.read()[0] == 200
         assert held.came() == "d"
-        held.go_on()
+        held.release("d")
         assert third.read()[0] == 200
 
 
 def test_one_whose_limit_comes_in_line_is_answered_and_leaves_nothing_open():
-    held = Held()
+    held = HoldingUpstream()
     with program(held.upstream, conf=UNHURRIED) as (address, _, _):
         first = amend(address, "a")
         assert held.came() == "a"
@@ -80,12 +87,12 @@
         assert float(headers["retry-after"]) > 0
         again = amend(address, "b", key="8")  # its id is free once more
         assert held.came() == "b"
-        held.go_on(), held.go_on()
+        held.release("a", "b")
         assert first.read()[0] == again.read()[0] == 200
 
 
 def test_sigterm_leaves_nothing_in_line_unanswered():
-    held = Held()
+    held = HoldingUpstream()
     with program(held.upstream, conf=ORDERED) as (address, process, _):
         first = amend(address, "a")
         assert held.came() == "a"
