--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -39,8 +39,8 @@
         on_request_finished: Called then; set by the dispatcher.
         upload: Its body, if that still comes.
         response: Its response, if that is passed on while it comes.
-        opened_at: Clock time at which it was accepted; 0 from the first response on. Counted from accepting:
-            one whose transport is not up yet was closed at SIGTERM as if idle, and the request on it lost.
+        opened_at: Clock time (us) at which it was accepted; 0 from the first response on. Counted from
+            accepting, so that a connection whose transport is not up yet is not taken for idle.
         stall_timer: Fires if a request does not come, or a response is not read, in time.
     """
 
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -33,10 +33,10 @@
     FAILED = 2  # the endpoint's own error; it may have run
     REJECTED = 3  # refused unseen
     TIMED_OUT = 4
-    UNREACHABLE = 5  # no connection in time
+    UNREACHABLE = 5  # it was not written completely, so it can't have run
     RESET = 6
     CANCELLED = 7
-    NOT_SENT = 8  # never sent
+    NOT_SENT = 8  # never sent, for a reason on this side
 
     @property
     def proves_not_executed(self) -> bool:
@@ -154,9 +154,9 @@
     request_classes: tuple[RequestClass, ...]
     tenant_quotas: tuple[float, ...]  # by tenant: requests a second, all balancers together
     over_quota_weight: float  # of the priority, beyond the quota
-    overall_weight: float  # what the whole run weighs in the operators' goal
-    worst_class_weight: float  # and what the worst-served class weighs
-    cross_zone_cost: float
+    overall_weight: float  # of the total over all classes, in the operators' goal
+    worst_class_weight: float  # of the worst-served class, in the same
+    cross_zone_cost: float  # of an attempt beyond the own zone, in answers
     max_attempts: int
     can_cancel: bool
     can_health_check: bool
@@ -184,10 +184,13 @@
         """Sends an attempt of a request to an endpoint; it is to be ended after the time-out."""
 
     def reject(self, ref: int, retry_after: int) -> None:
-        """Answers that the request was not done, and when to come back (0: nothing is told)."""
+        """Answers 503: the client may send the request again, after this time (us; 0: none is told).
+
+        An idempotent request, or one deduplicated everywhere, may have been executed.
+        """
 
     def fail(self, ref: int) -> None:
-        """Answers that the request failed, and may have been done."""
+        """Answers 502: the request failed, may have been executed and must not be sent again."""
 
     def cancel(self, ref: int, attempt: int) -> None:
         """Ends an attempt, by its place among those of the request; its end is reported as any other."""
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -10,7 +10,7 @@
 from dahliabend.policy.throttling import Throttling
 
 NO_QUOTA = 1e12  # requests a second
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 def class_priorities(settings: Settings) -> list[float]:
@@ -51,7 +51,8 @@
         self.over_quota_weight = settings.over_quota_weight
         self.priorities = class_priorities(settings)
         self.quotas = [
-            (quota or NO_QUOTA) / settings.instance_count / MICROSECONDS for quota in settings.tenant_quotas
+            (quota or NO_QUOTA) / settings.instance_count / MICROSECONDS_PER_SECOND
+            for quota in settings.tenant_quotas
         ]
         self.tokens = [(quota * self.throttling.window, 0) for quota in self.quotas]
         self.new_requests = 0
@@ -91,8 +92,8 @@
     def place_under_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
         """Returns where a request goes at a time (us), of the endpoint chosen and the reductions held.
 
-        By the governing reduction it goes to an endpoint known to hold none. Where all hold reductions, none
-        is at fault alone, and the tier's governs; None: the request is rejected.
+        With the probability of the endpoint's valid reduction it goes to an endpoint known to hold none.
+        Where no other is free of reductions, none is at fault alone, and the tier's decides; None: rejected.
         """
         governing = self.throttling.governing(endpoint.entries, request.class_index, now)
         if governing is not self.throttling.tier:
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -184,7 +184,7 @@
             self.key_queues.leave(request, now)
 
     def send(self, request: RequestState, now: int) -> None:
-        """Sends the next attempt of a request, or gives it up."""
+        """Sends the next attempt of a request, or gives the request up if none is allowed or possible."""
         is_first = not request.attempts
         if time_left(request, now) <= 0 or not may_attempt(request, now):
             self.give_up(request)
@@ -202,9 +202,9 @@
             return
         if is_first:
             self.retries.earn()
-        self._dispatch(request, endpoint, now)
+        self._start_attempt(request, endpoint, now)
 
-    def _dispatch(self, request: RequestState, endpoint: Endpoint, now: int) -> None:
+    def _start_attempt(self, request: RequestState, endpoint: Endpoint, now: int) -> None:
         self.slow_start.spend(endpoint)
         attempt = Attempt(endpoint, now)
         if self.outliers.must_close_idle(attempt, now):
@@ -232,7 +232,7 @@
         if endpoint is not None and all(attempt.endpoint is not endpoint for attempt in request.attempts):
             self.retries.pay_for_hedge()
             request.mark_hedged()
-            self._dispatch(request, endpoint, now)
+            self._start_attempt(request, endpoint, now)
 
     # Its end.
 
@@ -286,7 +286,7 @@
         self.send(request, now)
 
     def give_up(self, request: RequestState, wait: int = 0) -> None:
-        """Rejects a request, or fails it if it may have executed and must not be sent again.
+        """Ends a request without a success: rejected if its client may safely send it again, else failed.
 
         Takes what it would have had to wait for its turn (us).
         """
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -3,7 +3,7 @@
 from dahliabend.model import Settings, StoredLimit
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
-from dahliabend.policy.throttling import TIER_FLOOR, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
+from dahliabend.policy.throttling import MIN_TIER_SAMPLES, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
 
 INITIAL_LIMIT = 5  # attempts in flight an endpoint, all balancers together
 MIN_LIMIT = 4  # attempts in flight an endpoint, all balancers together
@@ -85,7 +85,7 @@
         A change shows only after a latency or two; adjusted sooner, the limit would swing.
         """
         elapsed = now - self.adjusted_at
-        enough = self.throttling.tier_floor(elapsed) if self.adjusted_at else TIER_FLOOR
+        enough = self.throttling.tier_floor(elapsed) if self.adjusted_at else MIN_TIER_SAMPLES
         pause = max(self.throttling.window // 2, 2 * self.mean_latency)
         return self.succeeded >= enough and elapsed >= pause
 
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -8,13 +8,13 @@
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.selection import EndpointSelection
-from dahliabend.policy.throttling import FLOOR, LINGER, OUTLIER_REDUCTION, STEP, Throttling
+from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_SAMPLES, OUTLIER_REDUCTION, Throttling
 
 SILENCE_LATENCIES = 4  # mean latencies with attempts in flight and no answer: the endpoint is ejected
 MAX_CHECK_DOUBLINGS = 5  # of the wait before a health check
 MAX_TRIAL_DOUBLINGS = 6  # of the wait before a trial request
-QUICK_FAILURE = STEP  # of the mean latency: a failure within it comes from a fault, not from load
-RESET_LOSSES = round(OUTLIER_REDUCTION / STEP)  # a quick reset proves what a time-out only suggests
+QUICK_FAILURE_RATIO = 1 / 20  # of the mean latency: a failure within it comes from a fault, not from load
+LOSSES_PER_QUICK_RESET = 8  # it proves what a time-out only suggests
 MIN_IDLE_PART = 1 / 2  # of the fatal idle time, from which connections are counted, and closed
 _ANSWERED = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint itself said so
 
@@ -24,7 +24,7 @@
 
     Attributes:
         last_answer_at: When any endpoint answered last (us).
-        awaiting_trial: Endpoints ejected for long enough to be tried, in order.
+        awaiting_trial: Endpoints ejected for long enough to be tried; the last one added goes first.
         fatal_idle_time: Mean of how long connections had been idle that swallowed a request (us).
     """
 
@@ -98,7 +98,7 @@
         if self.throttling.tier.reduction >= OUTLIER_REDUCTION / 2:
             return False
         own = endpoint.entries[-1]
-        is_failing = own.sampled >= FLOOR and own.failed >= OUTLIER_REDUCTION * own.sampled
+        is_failing = own.sampled >= MIN_SAMPLES and own.failed >= OUTLIER_REDUCTION * own.sampled
         return endpoint.consecutive_failures > 0 or is_failing
 
     def is_gone(self, endpoint: Endpoint, now: int) -> bool:
@@ -133,7 +133,7 @@
         """
         if outcome is Outcome.UNREACHABLE:
             is_outlier = self.is_gone(endpoint, now)
-        elif outcome is Outcome.FAILED and took < mean * QUICK_FAILURE:
+        elif outcome is Outcome.FAILED and took < mean * QUICK_FAILURE_RATIO:
             is_outlier = self.is_failing_quickly(endpoint)
         else:
             is_outlier = False
@@ -143,7 +143,7 @@
     def close_window(self, endpoint: Endpoint, now: int) -> None:
         """Closes the windows of an endpoint's entries at a time (us), and ejects it if it is failing."""
         for entry in endpoint.entries:
-            entry.close_window(now, FLOOR, self.throttling.validity, self.throttling.span)
+            entry.close_window(now, MIN_SAMPLES, self.throttling.validity, self.throttling.min_validity)
         if self.is_failing(endpoint):
             self.eject(endpoint, now)
 
@@ -162,7 +162,7 @@
         Doubled by each failure: trials are clients' requests.
         """
         doublings = min(endpoint.consecutive_failures, MAX_TRIAL_DOUBLINGS)
-        return max(self.throttling.validity, self.throttling.span << doublings)
+        return max(self.throttling.validity, self.throttling.min_validity << doublings)
 
     def recover(self, endpoint: Endpoint, now: int) -> None:
         """Goes on with the recovery of an ejected endpoint at a time (us)."""
@@ -173,7 +173,7 @@
                 self.port.check_health(endpoint.index)
             return
         wait = self.trial_wait(endpoint)
-        if waited >= LINGER * wait:
+        if waited >= LINGER_VALIDITIES * wait:
             self.restore(endpoint, now)  # nothing came by that may run again
         elif waited >= wait:
             self.awaiting_trial[endpoint] = None
@@ -257,8 +257,8 @@
         Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
         connection swallows the request.
         """
-        if outcome is Outcome.RESET and took < mean * QUICK_FAILURE:
-            return RESET_LOSSES
+        if outcome is Outcome.RESET and took < mean * QUICK_FAILURE_RATIO:
+            return LOSSES_PER_QUICK_RESET
         is_unheard = now - attempt.endpoint.silent_since >= took
         return int(is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
 
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -38,7 +38,7 @@
         self.position = position
         self.relative_latency = 1.0  # mean of latencies by the mean latency of their class
         # Slow start: `SlowStart`.
-        self.slow_start_budget = position  # attempts
+        self.slow_start_budget = position  # attempts; random, so that not all balancers send at once
         self.budget_filled_at = now
         # Faults: `OutlierDetector`.
         self.silent_since = now  # with attempts in flight
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -4,7 +4,7 @@
 from dahliabend.policy.records import RequestState
 
 INITIAL_BUDGET = 1.0  # retries
-MAX_BUDGET = 10  # attempts after ones that may have executed, and hedges, that may be saved up
+MAX_RETRY_BUDGET = 10  # attempts after ones that may have executed, and hedges, that may be saved up
 RETRY_COST = 1  # of the budget, for such an attempt
 
 
@@ -86,7 +86,7 @@
 
     def earn(self) -> None:
         """Adds the part of a retry that a first attempt earns."""
-        self.budget = min(MAX_BUDGET, self.budget + self.earned)
+        self.budget = min(MAX_RETRY_BUDGET, self.budget + self.earned)
 
     def pay_for_retry(self, outcome: Outcome) -> None:
         """Takes a retry after an attempt that ended so from the budget, if that may have executed."""
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -8,7 +8,7 @@
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.slow_start import SlowStart
-from dahliabend.policy.throttling import FLOOR, Throttling
+from dahliabend.policy.throttling import MIN_SAMPLES, Throttling
 
 MIN_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
 MIN_SUBSET_CHANGE = 4  # a subset keeps its size until it would change by more than one such part of it
@@ -171,8 +171,10 @@
 
         Spread over more endpoints, the few attempts of one balancer would tell nothing of any of them.
         """
-        attempts = self.slow_start.send_rate * self.throttling.span
-        size = self.max_ready if attempts >= self.max_ready else max(MIN_SUBSET, round(attempts / FLOOR))
+        attempts = self.slow_start.send_rate * self.throttling.min_validity
+        size = (
+            self.max_ready if attempts >= self.max_ready else max(MIN_SUBSET, round(attempts / MIN_SAMPLES))
+        )
         if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE:
             self.subset_size = size
             self.select()
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -4,7 +4,7 @@
 from dahliabend.policy.records import Endpoint
 
 SEND_RATE_WEIGHT = 4  # a window's rate has one such part in the mean rate
-MAX_BUDGET = 1.0  # attempts saved up
+MAX_SLOW_START_BUDGET = 1.0  # attempts saved up
 
 
 class SlowStart:
@@ -36,7 +36,7 @@
         rate = self.send_rate / max_ready * warm * (self.settings.warmup_multiple / 2)
         earned = (now - endpoint.budget_filled_at) * rate
         endpoint.budget_filled_at = now
-        endpoint.slow_start_budget = min(MAX_BUDGET, endpoint.slow_start_budget + earned)
+        endpoint.slow_start_budget = min(MAX_SLOW_START_BUDGET, endpoint.slow_start_budget + earned)
         return warm if endpoint.slow_start_budget >= 1 else 0.0
 
     def spend(self, endpoint: Endpoint) -> None:
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -9,11 +9,11 @@
 
 WINDOW_TICKS = 4  # ticks in a window
 VALIDITY_WINDOWS = 5 / 2  # windows for which an entry that is not renewed stays valid
-STEP = 0.05  # a smaller change of a reduction renews it, a larger one replaces it
-TIER_FLOOR = 20  # samples below which a window of the tier counts as without failures
-FLOOR = 5  # the same for a window of an endpoint or a zone
-EASING = 1 / 2  # of a held reduction, kept by each window without failures
-LINGER = 4  # validities: how long the last percents of an eased reduction are renewed by such windows
+MIN_REDUCTION_CHANGE = 0.05  # a smaller change of a reduction renews it, a larger one replaces it
+MIN_TIER_SAMPLES = 20  # samples below which a window of the tier counts as without failures
+MIN_SAMPLES = 5  # the same for a window of an endpoint or a zone
+EASING_FACTOR = 1 / 2  # of a held reduction, kept by each window without failures
+LINGER_VALIDITIES = 4  # how long the last percents of an eased reduction are renewed by such windows
 OUTLIER_REDUCTION = 2 / 5  # at which one scope is an outlier, where the others hold less than half of that
 
 
@@ -52,7 +52,9 @@
         """Ends the reduction before its validity: the scope is known to have recovered."""
         self.reduction = 0.0
 
-    def close_window(self, now: int, floor: int, validity: int, span: int, *, adds: bool = False) -> None:
+    def close_window(
+        self, now: int, floor: int, validity: int, min_validity: int, *, adds: bool = False
+    ) -> None:
         """Renews or replaces the reduction by the window's share of failures, and opens the next window.
 
         A window below the floor stays open until the validity has passed: a quiet balancer reaches the floor
@@ -62,7 +64,7 @@
             now: The time (us).
             floor: Samples below which the window counts as without failures.
             validity: How long the reduction holds from now on (us).
-            span: The shortest validity of any entry (us).
+            min_validity: The shortest validity of any entry (us).
             adds: Whether failures add to the reduction instead of setting it.
         """
         self.reduction = self.valid_reduction(now)
@@ -70,12 +72,12 @@
             return
         if self.sampled:  # an empty window neither replaces nor renews
             seen = self.failed / self.sampled if self.sampled >= floor else 0.0
-            wanted = min(1.0, self.reduction + seen * EASING) if adds else seen
+            wanted = min(1.0, self.reduction + seen * EASING_FACTOR) if adds else seen
             # Throttling thins the traffic seen here: dropped at one clean window, load would return in waves.
-            wanted = max(wanted, self.reduction * EASING)
-            has_lingered = not seen and now - self.replaced_at >= LINGER * span
-            if has_lingered or abs(wanted - self.reduction) >= STEP:
-                self.reduction = wanted if wanted > STEP else 0.0
+            wanted = max(wanted, self.reduction * EASING_FACTOR)
+            has_lingered = not seen and now - self.replaced_at >= LINGER_VALIDITIES * min_validity
+            if has_lingered or abs(wanted - self.reduction) >= MIN_REDUCTION_CHANGE:
+                self.reduction = wanted if wanted > MIN_REDUCTION_CHANGE else 0.0
                 self.replaced_at = now
             self.valid_until = now + validity
         self.sampled = 0
@@ -88,7 +90,7 @@
 
     Attributes:
         window: Length of a window (us).
-        span: The shortest validity (us).
+        min_validity: The shortest validity (us).
         validity: The validity of entries, long enough for the tier's floor at the present rate (us).
         tier: Of all endpoints together.
         same_zone: Of the own zone, against the cost of crossing zones.
@@ -99,8 +101,8 @@
 
     def __init__(self, class_count: int, window: int) -> None:
         self.window = window
-        self.span = round(window * VALIDITY_WINDOWS)
-        self.validity = self.span
+        self.min_validity = round(window * VALIDITY_WINDOWS)
+        self.validity = self.min_validity
         self.tier = ThrottleEntry()
         self.same_zone = ThrottleEntry()
         self.idle_connections = ThrottleEntry()
@@ -130,7 +132,7 @@
 
         An overload would not wait for all of them: half are enough once a validity has passed.
         """
-        return TIER_FLOOR if elapsed < self.span else TIER_FLOOR // 2
+        return MIN_TIER_SAMPLES if elapsed < self.min_validity else MIN_TIER_SAMPLES // 2
 
     def add_class_sample(self, class_index: int, outcome: Outcome) -> None:
         """Counts the end of an attempt in its class; a rejection is the tier's doing, not the class's."""
@@ -149,7 +151,7 @@
 
         The cost of crossing (in answers) is set against it: a zone is left only where staying loses more.
         """
-        self.same_zone.add(is_failed - cost * EASING)
+        self.same_zone.add(is_failed - cost * EASING_FACTOR)
 
     def add_tier_sample(self, *, is_failed: bool) -> None:
         """Counts the end of an attempt in the tier."""
@@ -162,12 +164,14 @@
 
     def close_windows(self, now: int) -> None:
         """Closes the windows of these scopes at a time (us), and finds the classes that are outliers."""
-        linger = LINGER * self.validity
-        self.tier.close_window(now, self.tier_floor(now - self.tier.opened_at), self.validity, self.span)
-        self.same_zone.close_window(now, FLOOR, self.validity, self.span, adds=True)
-        self.idle_connections.close_window(now, TIER_FLOOR, linger, linger)
+        linger = LINGER_VALIDITIES * self.validity
+        self.tier.close_window(
+            now, self.tier_floor(now - self.tier.opened_at), self.validity, self.min_validity
+        )
+        self.same_zone.close_window(now, MIN_SAMPLES, self.validity, self.min_validity, adds=True)
+        self.idle_connections.close_window(now, MIN_TIER_SAMPLES, linger, linger)
         for entry in self.classes:
-            entry.close_window(now, TIER_FLOOR // 2, self.validity, self.span)
+            entry.close_window(now, MIN_TIER_SAMPLES // 2, self.validity, self.min_validity)
         self.class_outliers = self.find_class_outliers(now)
 
     def find_class_outliers(self, now: int) -> list[bool]:
@@ -186,4 +190,5 @@
 
         At a low rate the reductions of a shorter validity would lapse before a window could renew them.
         """
-        self.validity = round(VALIDITY_WINDOWS * max(self.window, TIER_FLOOR / (send_rate or TIER_FLOOR)))
+        time_to_floor = MIN_TIER_SAMPLES / send_rate if send_rate else 0.0
+        self.validity = round(VALIDITY_WINDOWS * max(self.window, time_to_floor))
--- a/dahliabend/proxy/base_dispatcher.py
+++ b/dahliabend/proxy/base_dispatcher.py
@@ -48,5 +48,5 @@
         self.metrics.open_requests -= 1
 
     def shut_down_by(self, deadline: int) -> None:
-        """Give every request until `deadline` (us) at the most."""
+        """End every request that is still open at `deadline` (us, clock time)."""
         self.shutdown_deadline = deadline
--- a/dahliabend/proxy/policy_port.py
+++ b/dahliabend/proxy/policy_port.py
@@ -35,10 +35,10 @@
         """Start an attempt of a request, with a timeout (us)."""
 
     def reject(self, ref: int, retry_after: int) -> None:
-        """Answer that a request was not executed, and when to come back (us; 0 for no advice)."""
+        """Answer 503: the client may send the request again, after `retry_after` (us; 0 for no advice)."""
 
     def fail(self, ref: int) -> None:
-        """Answer that a request failed, and may have been executed."""
+        """Answer 502: the request failed, and may have been executed."""
 
     def cancel(self, ref: int, attempt_index: int) -> None:
         """Give up an attempt."""
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -124,7 +124,7 @@
             return True
         if excluded:
             if len(self.excluded) >= MAX_REMEMBERED_IDS:
-                return False  # more than were ever listed: a script has run wild
+                return False  # the limit bounds memory
             self.excluded.add(name)
         else:
             self.excluded.discard(name)
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -314,7 +314,7 @@
     # Shutdown.
 
     def shut_down_by(self, deadline: int) -> None:
-        """Give every request until `deadline` (us) at the most."""
+        """End every request that is still open at `deadline` (us, clock time)."""
         super().shut_down_by(deadline)
         for request in self.requests:
             if not request.attempts:  # it waits for its turn: no end of an attempt would end it in time
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -204,7 +204,10 @@
             self.give_up(Outcome.CANCELLED)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting. The connection is closed before this returns: nothing is sent beside this request."""
+        """End it with `outcome`, or with UNREACHABLE if it was not written completely.
+
+        A cancellation stays one. The connection is closed before this returns: nothing is sent beside it.
+        """
         if self.phase is _FINISHED:
             return
         written = self.connection is not None and self.connection.cancel_request()
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -12,7 +12,7 @@
 from dahliabend.membership.udp_transport import UdpTransport
 from dahliabend.membership.view import Exclusion, MembershipView, MemberState, MemberView
 
-MICROSECONDS = 1000  # in a millisecond
+MICROSECONDS_PER_MILLISECOND = 1000
 CONFIDENCE_DIGITS = 3  # decimal places
 
 
@@ -48,7 +48,7 @@
         stable=view.stable,
         possibly_partitioned=view.possibly_partitioned,
         exclusion=view.exclusion,
-        time_since_contact_ms=view.time_since_contact // MICROSECONDS,
+        time_since_contact_ms=view.time_since_contact // MICROSECONDS_PER_MILLISECOND,
         confidence=round(view.confidence, CONFIDENCE_DIGITS),
         health_score=protocol.health_score,
         datagrams_sent=transport.sent,
@@ -81,7 +81,7 @@
         "state": member.state,
         "by": member.reported_by,
         "cannot_reach": member.unreachable_peers,
-        "since_ms": (now - member.since) // MICROSECONDS if member.since else None,
+        "since_ms": (now - member.since) // MICROSECONDS_PER_MILLISECOND if member.since else None,
     }
 
 
@@ -96,7 +96,7 @@
             "state": update.status.name.lower(),
             "by": update.reported_by,
             "incarnation": update.incarnation,
-            "since_ms": (now - member.since) // MICROSECONDS,
+            "since_ms": (now - member.since) // MICROSECONDS_PER_MILLISECOND,
         }
 
 
@@ -105,5 +105,5 @@
         "version": settled.version,
         "mark": settled.checksum,
         "members": [member.name for member in settled.members],
-        "age_ms": (now - settled.at) // MICROSECONDS,
+        "age_ms": (now - settled.at) // MICROSECONDS_PER_MILLISECOND,
     }
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -28,7 +28,7 @@
     from dahliabend.server.cluster_limits import ClusterLimits, SharedRoutes
     from dahliabend.server.shared_health_checks import SharedHealthChecks
 
-MICROSECONDS = 1000  # in a millisecond
+MICROSECONDS_PER_MILLISECOND = 1000
 MAX_SHOWN_SUSPICIONS = 16  # the newest ones, kept for operators
 
 PoolRouters = Sequence[tuple[str, Router]]
@@ -141,7 +141,7 @@
         origins = [
             {
                 "name": name,
-                "age_ms": (now - received.created_at) // MICROSECONDS,
+                "age_ms": (now - received.created_at) // MICROSECONDS_PER_MILLISECOND,
                 "hops": received.report.relays,
                 "rows": _shown_counts(received.report.counts),
             }
@@ -208,7 +208,7 @@
             "pool": suspicion.pool,
             "upstream": suspicion.upstream,
             "origins": suspicion.origins,
-            "age_ms": (now - suspicion.at) // MICROSECONDS,
+            "age_ms": (now - suspicion.at) // MICROSECONDS_PER_MILLISECOND,
         }
 
 
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -4,9 +4,9 @@
 falls silent instead, for a successor that goes on as this member). Then `Lifecycle.drain`:
 
 1. DRAINING, at once: the server is not ready any more. Connections of idle clients are closed, others behind
-   their next response. What is not answered `ANSWER_MARGIN` before SIGKILL is due is given up: rejected where
-   it was not executed, failed otherwise. New connections are accepted for `ACCEPT_PERIOD`; not at all if the
-   listening socket is inherited, because a successor accepts from it.
+   their next response. What is not answered `ANSWER_MARGIN` before SIGKILL is due is given up: rejected
+   (503) where the client may safely send it again, failed (502) otherwise. New connections are accepted for
+   `ACCEPT_PERIOD`; not at all if the listening socket is inherited, because a successor accepts from it.
 2. CLOSING: the connections that wait in the system's queue are accepted (not from an inherited socket), then
    the listening socket is closed. Idle clients' connections are closed every `CLIENT_CHECK_INTERVAL`.
 3. STOPPED, once no client connection is left, and at the latest `CLIENT_CLOSE_TIMEOUT` after requests were
@@ -26,11 +26,11 @@
 BLOCKED_SIGNALS = (signal.SIGHUP,)  # from the start of the process until they can be acted on
 
 # All in microseconds. The platform sends SIGKILL after SIGTERM, no sooner than the longest deadline of a
-# request, counted up to MAX_REQUEST_TIME, and STOP_MARGIN.
+# request, counted up to MAX_REQUEST_TIME, and KILL_MARGIN.
 MAX_REQUEST_TIME = 3_000_000
-STOP_MARGIN = 700_000
+KILL_MARGIN = 700_000
 ANSWER_MARGIN = 300_000  # before SIGKILL is due: by then the last responses go out
-ACCEPT_PERIOD = 500_000  # after SIGTERM, while new connections still come (for 0.4 s at the most)
+ACCEPT_PERIOD = 500_000  # after SIGTERM; the platform sends new connections for up to 0.4 s
 CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two looks whether all clients have gone
 CLIENT_CLOSE_TIMEOUT = ANSWER_MARGIN // 2  # after requests were given up, for their responses to be read
 
@@ -105,7 +105,7 @@
         now = clock()
         server.log("shutdown.started", requests_in_flight=len(server.router.requests))
         request_time = min(server.max_request_time, MAX_REQUEST_TIME)
-        server.router.shut_down_by(now + request_time + STOP_MARGIN - ANSWER_MARGIN)
+        server.router.shut_down_by(now + request_time + KILL_MARGIN - ANSWER_MARGIN)
         server.close_idle_clients()
         accept_period = 0 if server.listener.shared else ACCEPT_PERIOD
         server.timers.schedule(now + accept_period, self._close_listener)
--- a/dahliabend/server/process_takeover.py
+++ b/dahliabend/server/process_takeover.py
@@ -13,7 +13,7 @@
 CHECK_INTERVAL = 100_000  # microseconds between two looks for other processes
 STATE_TIMEOUT = 1_000_000  # microseconds that an older process is waited for to write its state
 STATE_CHECKS_PER_INTERVAL = 4  # while it is waited for
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 FULL_SHARE = 1.0
 SHARE_BESIDE_ANOTHER = 1 / 2  # of the descriptors: to the system's limits both processes are one balancer
 
@@ -79,7 +79,7 @@
             state = self.directory.read_state()
             if state:
                 break
-            await asyncio.sleep(CHECK_INTERVAL / MICROSECONDS / STATE_CHECKS_PER_INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL / MICROSECONDS_PER_SECOND / STATE_CHECKS_PER_INTERVAL)
             self._check_processes()
         return state
 
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -15,7 +15,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.transport.timers import clock
 
-MICROSECONDS = 1000  # in a millisecond
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 def health_check_task(pool: str, endpoint: Endpoint) -> str:
@@ -80,14 +80,16 @@
                 "owner": lease.holder,
                 "fence": lease.fencing_token,
                 "place": election.rank(task),
-                "age_ms": (now - lease.last_run_at) // MICROSECONDS if lease.completed_runs else None,
+                "age_ms": (now - lease.last_run_at) // MICROSECONDS_PER_MILLISECOND
+                if lease.completed_runs
+                else None,
                 "result": Outcome(lease.result).name if lease.completed_runs else "",
             }
             for task, lease in sorted(election.leases.items())
         ]
         return {
             "name": election.own_name,
-            "period_ms": election.period // MICROSECONDS,
+            "period_ms": election.period // MICROSECONDS_PER_MILLISECOND,
             "settled": election.view_settled,
             "duties": rows,
             "probes": self.leased.checks_run,
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -3,7 +3,7 @@
 from fake_port import IDEMPOTENT, S, admit, make_balancer
 
 from dahliabend.model import DeduplicationScope, Effect, RequestClass
-from dahliabend.policy.throttling import TIER_FLOOR
+from dahliabend.policy.throttling import MIN_TIER_SAMPLES
 
 T = 100 * S
 
@@ -54,13 +54,13 @@
 
 def test_limit_is_adjusted_with_half_the_floor_after_a_validity_but_not_first():
     made, _ = make_balancer()
-    made.concurrency.succeeded, made.concurrency.latency_ratio = TIER_FLOOR // 2, 0.9
+    made.concurrency.succeeded, made.concurrency.latency_ratio = MIN_TIER_SAMPLES // 2, 0.9
     made.timer_fired(T + S, 0)
     assert not made.concurrency.adjusted_at
     made.concurrency.adjusted_at = T
-    made.timer_fired(T + made.throttling.span - 1, 0)
+    made.timer_fired(T + made.throttling.min_validity - 1, 0)
     assert made.concurrency.adjusted_at == T
-    made.timer_fired(T + made.throttling.span, 0)
+    made.timer_fired(T + made.throttling.min_validity, 0)
     assert made.concurrency.adjusted_at > T
 
 
@@ -82,14 +82,14 @@
 
 def test_is_due_with_enough_successes_and_two_latencies_later():
     made, _ = make_balancer()
-    made.concurrency.adjusted_at, made.concurrency.succeeded = T, TIER_FLOOR
+    made.concurrency.adjusted_at, made.concurrency.succeeded = T, MIN_TIER_SAMPLES
     pause = made.throttling.window // 2
     assert not made.concurrency.is_due(T + pause - 1)
     assert made.concurrency.is_due(T + pause)
     made.concurrency.mean_latency = pause
     assert not made.concurrency.is_due(T + 2 * pause - 1)
     assert made.concurrency.is_due(T + 2 * pause)
-    made.concurrency.succeeded = TIER_FLOOR - 1
+    made.concurrency.succeeded = MIN_TIER_SAMPLES - 1
     assert not made.concurrency.is_due(T + 2 * pause)
 
 
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -12,7 +12,7 @@
     is_deduplicated_at,
     permitted_endpoints,
 )
-from dahliabend.policy.throttling import FLOOR, VALIDITY_WINDOWS
+from dahliabend.policy.throttling import MIN_SAMPLES, VALIDITY_WINDOWS
 
 T = 100 * S
 
@@ -84,7 +84,7 @@
         made.slow_start.sent = 15
         made.close_windows(T + S)
         used.append({u.index for u in made.selection.selected})
-    size = round(15 * VALIDITY_WINDOWS / FLOOR)  # each reaches its floor within a validity
+    size = round(15 * VALIDITY_WINDOWS / MIN_SAMPLES)  # each reaches its floor within a validity
     assert len(used[0]) == size
     assert used[0] == used[2] != used[1]
     assert len(used[3]) == 40
@@ -111,7 +111,7 @@
     assert max(counts) < 3 * 60 * 5 / 40
 
 
-def same_zone_reduction(outcome, took, attempts=FLOOR, cost=0.1):
+def same_zone_reduction(outcome, took, attempts=MIN_SAMPLES, cost=0.1):
     """The reduction of the own zone after so many attempts, and the share that crosses zones."""
     made, port = make_balancer(cross_zone_cost=cost)
     for ref in range(attempts):
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -3,7 +3,7 @@
 from fake_port import IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
 
 from dahliabend.model import Outcome
-from dahliabend.policy.throttling import FLOOR, LINGER, OUTLIER_REDUCTION, TIER_FLOOR
+from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_SAMPLES, MIN_TIER_SAMPLES, OUTLIER_REDUCTION
 
 T = 100 * S
 
@@ -39,7 +39,7 @@
     made, port = make_balancer(endpoints=2, can_health_check=False)
     made.deadlines.mean_latencies[:] = [10 * MS] * 3
     made.outliers.eject(made.selection.endpoints[0], T)
-    wait = max(made.throttling.validity, made.throttling.span << 1)
+    wait = max(made.throttling.validity, made.throttling.min_validity << 1)
     made.timer_fired(T + wait - 1, 0)
     assert not made.outliers.awaiting_trial
     assert not port.of("check_health")
@@ -53,16 +53,18 @@
         tried.attempt_finished(now, 0, outcome, MS, back)
         other.attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
         assert made.selection.endpoints[0].is_ejected is not back
-        wait += max(made.throttling.validity, made.throttling.span << 2)
+        wait += max(made.throttling.validity, made.throttling.min_validity << 2)
     made.outliers.eject(made.selection.endpoints[1], T)
-    made.timer_fired(T + LINGER * max(made.throttling.validity, made.throttling.span << 1), 0)
+    made.timer_fired(
+        T + LINGER_VALIDITIES * max(made.throttling.validity, made.throttling.min_validity << 1), 0
+    )
     assert not made.selection.endpoints[1].is_ejected  # only what must not run twice came by
 
 
 def test_endpoint_that_fails_far_more_than_the_tier_is_ejected():
     made, _ = make_balancer()
     for u in (made.selection.endpoints[0], made.selection.endpoints[1]):
-        u.entries[-1].sampled, u.entries[-1].failed = FLOOR, FLOOR * (u.index == 0)
+        u.entries[-1].sampled, u.entries[-1].failed = MIN_SAMPLES, MIN_SAMPLES * (u.index == 0)
     made.close_windows(T + S)
     assert made.selection.endpoints[0].is_ejected
     assert not made.selection.endpoints[1].is_ejected
@@ -81,7 +83,7 @@
 
 def test_idle_connections_that_lose_requests_are_closed_before_sending():
     made, port = make_balancer(endpoints=1)
-    for n in range(TIER_FLOOR):
+    for n in range(MIN_TIER_SAMPLES):
         made.selection.endpoints[0].last_ended_at = T - 3 * S
         admit(made, 2, ref=n).attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
     made.close_windows(T + S)
@@ -103,7 +105,7 @@
     ):  # the last after an answer
         made, port = make_balancer(endpoints=1)
         made.concurrency.limit, made.deadlines.mean_latencies[:] = 1e9, [S, S, S]
-        for n in range(TIER_FLOOR):
+        for n in range(MIN_TIER_SAMPLES):
             outcome = Outcome.RESET if n < resets else Outcome.FAILED
             admit(made, 2, ref=n).attempt_finished(
                 T, 0, outcome, took, False, S
@@ -128,7 +130,7 @@
         request.attempts[0].endpoint = u
         request.attempt_finished(T, 0, Outcome.FAILED, MS, False)
 
-    for _ in range(FLOOR):
+    for _ in range(MIN_SAMPLES):
         assert not u.is_ejected
         fails()
     assert u.is_ejected
@@ -207,7 +209,7 @@
     made, _ = make_balancer()
     endpoint = made.selection.endpoints[0]
     assert not made.outliers.is_failing_quickly(endpoint)
-    endpoint.entries[-1].add(FLOOR - 1, FLOOR - 1)
+    endpoint.entries[-1].add(MIN_SAMPLES - 1, MIN_SAMPLES - 1)
     assert not made.outliers.is_failing_quickly(endpoint)
     endpoint.entries[-1].add(0, 1)
     assert made.outliers.is_failing_quickly(endpoint)
@@ -234,12 +236,12 @@
     for failures in (0, 1, 5, 9):
         endpoint.consecutive_failures = failures
         checks.append(made.outliers.check_wait(endpoint) // made.tick)
-        trials.append(made.outliers.trial_wait(endpoint) // made.throttling.span)
+        trials.append(made.outliers.trial_wait(endpoint) // made.throttling.min_validity)
     assert checks == [1, 2, 32, 32]
     assert trials == [1, 2, 32, 64]
     endpoint.consecutive_failures = 0
-    made.throttling.validity = 3 * made.throttling.span
-    assert made.outliers.trial_wait(endpoint) == 3 * made.throttling.span
+    made.throttling.validity = 3 * made.throttling.min_validity
+    assert made.outliers.trial_wait(endpoint) == 3 * made.throttling.min_validity
 
 
 def test_needs_trial_once_ejected_again_and_where_any_class_may_try():
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -3,7 +3,7 @@
 from fake_port import MS, S, admit, make_balancer
 
 from dahliabend.model import Outcome
-from dahliabend.policy.throttling import LINGER, OUTLIER_REDUCTION, TIER_FLOOR, ThrottleEntry
+from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_TIER_SAMPLES, OUTLIER_REDUCTION, ThrottleEntry
 
 T = 100 * S
 
@@ -31,7 +31,7 @@
 
 def test_last_percents_of_an_eased_reduction_end():
     entry = closed_window(20, 2, 6 * S)
-    for n in range(LINGER + 1):
+    for n in range(LINGER_VALIDITIES + 1):
         closed_window(20, 0, (8 + 5 * n) * S, entry)
     assert entry.reduction == 0
 
@@ -40,7 +40,9 @@
     entry = ThrottleEntry()
     for now, tried, bad, reduction in ((0, 100, 8, 0.08), (19, 20, 0, 0.08), (20, 20, 0, 0.0)):
         entry.sampled, entry.failed = tried, bad
-        entry.close_window(now * S, TIER_FLOOR, 20 * S, 5 * S)  # valid for 20 s, the shortest validity is 5 s
+        entry.close_window(
+            now * S, MIN_TIER_SAMPLES, 20 * S, 5 * S
+        )  # valid for 20 s, the shortest validity is 5 s
         assert abs(entry.reduction - reduction) < 1e-9, now
     assert closed_window(20, 1, 60 * S).reduction == 0
 
@@ -82,14 +84,14 @@
     made, _ = make_balancer()
     span, made.slow_start.sent = made.throttling.validity, 1
     made.close_windows(T + S)
-    assert made.throttling.validity >= TIER_FLOOR * made.throttling.window > span
+    assert made.throttling.validity >= MIN_TIER_SAMPLES * made.throttling.window > span
 
 
 def balancer_with_failing_class(others):
     """One class_index fails at every endpoint, the others as told."""
     made, port = make_balancer(can_health_check=False)
     made.concurrency.limit = 1e9
-    for n in range(2 * TIER_FLOOR):
+    for n in range(2 * MIN_TIER_SAMPLES):
         admit(made, n % 2, ref=n).attempt_finished(T, 0, (Outcome.TIMED_OUT, others)[n % 2], S, n % 2 > 0)
     made.close_windows(T + S)
     for u in made.selection.ready:
@@ -134,7 +136,7 @@
 
 def test_tier_floor_is_halved_after_a_validity():
     made, _ = make_balancer()
-    span = made.throttling.span
+    span = made.throttling.min_validity
     assert [made.throttling.tier_floor(elapsed) for elapsed in (0, span - 1, span)] == [20, 20, 10]
 
 
--- a/tests/server/test_server_states.py
+++ b/tests/server/test_server_states.py
@@ -8,7 +8,7 @@
     ACCEPT_PERIOD,
     ANSWER_MARGIN,
     CLIENT_CLOSE_TIMEOUT,
-    STOP_MARGIN,
+    KILL_MARGIN,
     ServerState,
 )
 
@@ -66,7 +66,7 @@
 def test_clients_that_stay_are_not_waited_for_beyond_the_deadline(make_server):
     server = make_server(1)
     server.lifecycle.drain()
-    deadline = server.timers.now + server.max_request_time + STOP_MARGIN - ANSWER_MARGIN
+    deadline = server.timers.now + server.max_request_time + KILL_MARGIN - ANSWER_MARGIN
     assert server.router.shutdown_deadline == deadline
     server.timers.run_until(deadline + CLIENT_CLOSE_TIMEOUT - 1)
     assert server.lifecycle.state is ServerState.CLOSING
