--- a/dahliabend/http/__init__.py
+++ b/dahliabend/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 to clients, upstreams and operators, and the load reports that it carries."""
+"""HTTP/1.1 connections to clients, upstreams and operators, and the load reports in responses."""
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -1,4 +1,4 @@
-"""HTTP connections of operators: one call each, answered in the loop's turn in which it has come whole."""
+"""HTTP connections of operators: one admin call each, answered as soon as it has been received in full."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import Timer, TimerQueue, clock
 
-MAX_REQUEST_BYTES = 8192  # head and body
-REQUEST_TIMEOUT = 2_500_000  # microseconds from connecting until the call has come and its answer is read
+MAX_REQUEST_BYTES = 8192  # of head and body together
+REQUEST_TIMEOUT = 2_500_000  # microseconds from connecting until the operator has read the response
 
 
 class AdminResponse(NamedTuple):
-    """The answer to a call; `headers` are header lines beyond those of its framing."""
+    """The response to an admin call; `headers` holds header lines beyond those of its framing."""
 
     status: int
     headers: bytes
@@ -24,14 +24,14 @@
 
 
 class AdminConnection(Connection):
-    """One operator's call.
+    """A connection that carries one admin call.
 
     Attributes:
-        target: Of the call, as far as it has come.
-        body: Likewise.
-        size: Bytes that have come.
-        responded: It is answered.
-        timeout_timer: Closes it when `REQUEST_TIMEOUT` is over.
+        target: Request target, as far as it has been received.
+        body: Request body, as far as it has been received.
+        received_bytes: Bytes of head and body received so far.
+        has_responded: Whether the response has been written.
+        timeout_timer: Aborts the connection after `REQUEST_TIMEOUT`.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         timers: TimerQueue,
         handle_request: Callable[[bytes, bytes, bytes], AdminResponse],
     ) -> None:
-        """Creates it.
+        """Create a connection that is not connected to a transport yet.
 
         Args:
-            descriptors: Owner of its descriptor.
-            timers: Of the process.
+            descriptors: Owner of the connection's descriptor.
+            timers: Timers of the process.
             handle_request: Answers a call; takes its method, path and body.
         """
         super().__init__(descriptors)
@@ -53,50 +53,50 @@
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.body = b""
-        self.size = 0
-        self.responded = False
+        self.received_bytes = 0
+        self.has_responded = False
         self.timeout_timer: Timer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Its call is due from now on.
+        """Wait for the call, which has to arrive within `REQUEST_TIMEOUT`.
 
-        The oldest that has not sent one is evicted once another wants in: otherwise a few silent ones would
-        lock the operators out.
+        If another operator connects, the oldest connection that has not sent a call is evicted: otherwise a
+        few silent connections would lock the operators out.
         """
         super().connection_made(transport)
         self.descriptors.mark_awaiting_request(self.handle, clock())
         self.timeout_timer = self.timers.schedule(clock() + REQUEST_TIMEOUT, self.abort)
 
     def can_evict(self) -> bool:
-        """Whether no call can be lying unread."""
+        """Whether the connection can be closed without losing a call that has not been read yet."""
         return not self.unread_input()
 
-    # Called by the parser.
+    # Parser callbacks
 
     def on_url(self, part: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header; none but Expect is heeded."""
+        """Answer `Expect: 100-continue`; all other headers are ignored."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.write(CONTINUE)
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the request body."""
         self.body += part
 
     def on_message_complete(self) -> None:
-        """The call has come whole."""
+        """Answer the call, which has been received in full."""
         path = self.target.partition(b"?")[0]
         self.send_response(self.handle_request(self.parser.get_method(), path, self.body))
 
     def bytes_received(self, view: memoryview) -> None:
-        """Reads the call; what follows it is discarded."""
-        if self.responded:
+        """Parse the call; bytes after it are discarded."""
+        if self.has_responded:
             return
-        self.size += len(view)
-        if self.size > MAX_REQUEST_BYTES:
+        self.received_bytes += len(view)
+        if self.received_bytes > MAX_REQUEST_BYTES:
             self.send_response(AdminResponse(413, b"", b"too long\n"))
             return
         try:
@@ -105,22 +105,23 @@
             self.send_response(AdminResponse(400, b"", b"not understood\n"))
 
     def send_response(self, response: AdminResponse) -> None:
-        """Answers the call, once."""
-        if not self.responded:
-            self.responded = True
+        """Write the response, unless one has been written before."""
+        if not self.has_responded:
+            self.has_responded = True
             headers = CONNECTION_CLOSE + response.headers
             self.write(response_head(response.status, headers, b"", len(response.body)), response.body)
 
     def output_flushed(self) -> None:
-        """Ends the sending behind the answer.
+        """Shut down the sending side after the response.
 
-        Closed with a part of the call unread, the answer could be wiped out before it is read: the connection
-        ends when the operator ends it, or when its time is over.
+        Closing the connection while a part of the call is unread could make the system discard the response
+        before the operator reads it. The connection ends when the operator closes it or when
+        `REQUEST_TIMEOUT` is over.
         """
-        if self.responded and self.transport is not None and self.transport.can_write_eof():
+        if self.has_responded and self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def connection_closed(self) -> None:
-        """Lets go of the parser, which holds this connection and its buffers."""
+        """Delete the parser, which holds references to this connection and its buffers."""
         del self.parser
         self.timers.cancel(self.timeout_timer)
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -156,10 +156,10 @@
             body = self._take_streaming_body(body)
         target = request.target if request.target[:1] == b"/" else request.origin_target()
         if request.method not in self.dispatcher.methods:
-            self.send_response(405, ALLOWED_METHODS, wire.REASONS[405] + b"\n")
+            self.send_response(405, ALLOWED_METHODS, wire.REASON_PHRASES[405] + b"\n")
             return
         path = target.partition(b"?")[0]
-        if path == wire.READY:
+        if path == wire.READY_PATH:
             self._answer_ready()
             return
         class_number = self._classify(request.method, path, request.fields)
@@ -181,9 +181,9 @@
             client_timeout=int(timeout_ms) * MICROSECONDS_PER_MILLISECOND,
             received_at=request.received_at,
             trace_id=trace_id,
-            tenant=request.fields.get(wire.TENANT, b""),
-            is_retry=request.fields.get(wire.RETRY) == b"1",
-            ordering_key=request.fields.get(wire.ORDERING_KEY, b""),
+            tenant=request.fields.get(wire.TENANT_HEADER, b""),
+            is_retry=request.fields.get(wire.RETRY_HEADER) == b"1",
+            ordering_key=request.fields.get(wire.ORDERING_KEY_HEADER, b""),
         )
         self.request_handle = self.dispatcher.dispatch(incoming, class_number)
 
@@ -225,7 +225,7 @@
 
     def send_error(self, status: int) -> None:
         """Answers the request being served with an error and its reason."""
-        self.send_response(status, b"", wire.REASONS[status] + b"\n")
+        self.send_response(status, b"", wire.REASON_PHRASES[status] + b"\n")
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
         """Answers the request being served with a response that is known whole."""
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -1,4 +1,4 @@
-"""The interface between clients' connections and whatever serves their requests."""
+"""The interfaces between client connections and the code that serves their requests."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -10,15 +10,16 @@
 
 
 class Client(Protocol):
-    """Whoever waits for a response. A request is answered once, in one of three ways.
+    """The receiver of a response.
 
-    These are `send_error`; `send_response`; `start_response`, `send_part` for each part, and then
-    `finish_response` or `abort_response`.
+    Each request is answered exactly once, in one of three ways: `send_error`; `send_response`; or
+    `start_response`, then `send_part` for each part of the body, and at last `finish_response` or
+    `abort_response`.
 
     Attributes:
-        closed: It has gone: nothing is sent any more.
+        closed: Whether the connection is closed, so that nothing can be sent any more.
         class_name: Name of the request's class.
-        on_request_finished: Called once the response is sent or the client has gone.
+        on_request_finished: Called once the response has been sent or the client has disconnected.
     """
 
     closed: bool
@@ -26,10 +27,10 @@
     on_request_finished: Callable[[], object] | None
 
     def send_error(self, status: int) -> None:
-        """Answers with an error and its reason."""
+        """Send an error response with the status and its reason phrase."""
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
-        """Answers with a response that is known whole.
+        """Send a response whose body is complete.
 
         Args:
             status: The status code.
@@ -38,41 +39,41 @@
         """
 
     def start_response(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Begins a successful response that is passed on while it comes.
+        """Start a streamed response with status 200.
 
         Args:
             headers: Header lines to pass on.
-            length: Bytes of its body, if known.
-            source: The connection that it comes from.
+            length: Length of the body in bytes, if known.
+            source: The connection that the body is read from.
         """
 
     def send_part(self, part: bytes) -> None:
-        """Passes on a part of its body."""
+        """Send a part of the body of the streamed response."""
 
     def finish_response(self) -> None:
-        """It is complete."""
+        """Complete the streamed response."""
 
     def abort_response(self) -> None:
-        """It stays incomplete, and the client has to see that."""
+        """Leave the streamed response incomplete, in a way that the client can detect."""
 
 
 class IncomingRequest(NamedTuple):
-    """A request as it has been read from a client: one object for all who handle it.
+    """A request as received from a client; one object is shared by all code that handles the request.
 
     Attributes:
-        client: Who waits for the response.
+        client: Receiver of the response.
         method: The method.
         target: The target, in origin form.
-        fields: Values of its headers by name in lower case.
-        headers: Header lines that are forwarded.
+        fields: Header values by name in lower case.
+        headers: Header lines to forward.
         body: The body, unless it is streamed.
         upload: A body that is still being received; None if `body` is complete.
-        client_timeout: How long the client waits (us).
-        received_at: Clock time (us) of its first byte.
-        trace_id: Its id.
+        client_timeout: How long the client waits for the response (us).
+        received_at: Clock time (us) of the first byte.
+        trace_id: Trace id of the request.
         tenant: Name of the tenant, as on the wire; empty for none.
         is_retry: Whether the client says that it has sent the request before.
-        ordering_key: What it concerns, where order is kept; empty for nothing.
+        ordering_key: Key within which requests are kept in order; empty for none.
     """
 
     client: Client
@@ -91,7 +92,7 @@
 
 
 class Dispatcher(Protocol):
-    """Where requests go. It answers each by a method of its `Client`.
+    """The code that serves requests. It answers each by a method of its `Client`.
 
     Attributes:
         methods: The HTTP methods that it serves.
@@ -100,43 +101,46 @@
     methods: frozenset[bytes]
 
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
-        """Name and number of a request's class; None if it is of no known one."""
+        """Return name and number of the request's class, or None if it belongs to no known class."""
 
     def identify(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
-        """A request's trace id, and how many milliseconds its client waits, as digits."""
+        """Return the request's trace id and its client timeout.
+
+        The timeout is in milliseconds, as ASCII digits. Neither value has been validated.
+        """
 
     def dispatch(self, incoming: IncomingRequest, class_number: int) -> int:
-        """Takes a request.
+        """Take over a request.
 
         Args:
             incoming: The request.
-            class_number: What `classify` said of it.
+            class_number: Number of its class, from `classify`.
 
         Returns:
-            A handle that names the request until it is answered; `NO_HANDLE` if it has been already.
+            A handle that is valid until the request is answered; `NO_HANDLE` if it has been answered already.
         """
 
     def client_disconnected(self, handle: int) -> None:
-        """The client of a request that is not answered has gone."""
+        """Handle the loss of a client whose request has not been answered yet."""
 
     def ready(self) -> bool:
         """Whether requests can be served."""
 
     def closing(self) -> bool:
-        """Whether clients are to go elsewhere."""
+        """Whether clients should close their connections and use another balancer."""
 
     def request_opened(self) -> None:
-        """A request of a known class is being served."""
+        """Count a request of a known class as open."""
 
     def request_closed(self) -> None:
-        """Its response has been sent, or its connection is closed."""
+        """Stop counting a request as open: its response was sent, or its connection closed."""
 
     def count_response(self, name: bytes, status: int) -> None:
-        """A request of that class is answered with that status."""
+        """Count a response with this status to a request of the class with this name."""
 
 
 def is_valid_identity(trace_id: bytes, timeout_ms: bytes) -> bool:
-    """Whether a request's trace id and timeout, as `Dispatcher.identify` found them, can be used."""
+    """Whether a trace id and a timeout, as returned by `Dispatcher.identify`, are valid."""
     if not 0 < len(trace_id) <= MAX_TRACE_ID_BYTES:
         return False
     return timeout_ms.isdigit() and len(timeout_ms) <= MAX_TIMEOUT_DIGITS and int(timeout_ms) > 0
--- a/dahliabend/http/headers.py
+++ b/dahliabend/http/headers.py
@@ -1,29 +1,29 @@
-"""Names on the wire, limits of messages, and the headers that a balancer passes on."""
+"""Header names and paths used on the wire, message size limits, and the selection of forwarded headers."""
 
 TRACE = b"x-trace-id"
 EXPIRES = b"x-expires-in-ms"
-RETRY = b"x-second-try"
-TENANT = b"x-customer"
-ORDERING_KEY = b"x-item"  # what a request concerns: its key where requests are ordered
-NOT_EXECUTED = b"x-never-ran"
-LOAD_REPORT = b"endpoint-load-metrics"
+RETRY_HEADER = b"x-second-try"
+TENANT_HEADER = b"x-customer"
+ORDERING_KEY_HEADER = b"x-item"  # requests with the same key are kept in order
+NOT_EXECUTED_HEADER = b"x-never-ran"
+LOAD_REPORT_HEADER = b"endpoint-load-metrics"
 
-READY = b"/-/ready"
+READY_PATH = b"/-/ready"
 HEALTHY = b"/-/healthy"
 LOAD_PATH = b"/-/load"
 
-MAX_BUFFERED_BYTES = 64 * 1024  # a body up to this is buffered whole; of a longer one no more waits at a time
-MAX_BODY_BYTES = 32 * 1024 * 1024  # longer ones are rejected
+MAX_BUFFERED_BYTES = 64 * 1024  # of a body; longer ones are streamed, with at most this much waiting
+MAX_BODY_BYTES = 32 * 1024 * 1024  # longer bodies are rejected
 MAX_HEAD_BYTES = 16 * 1024
-FIELD_OVERHEAD_BYTES = 4  # of a header line: ": " and the line's end
+HEADER_OVERHEAD_BYTES = 4  # ": " and CRLF in each header line
 
-# Hop-by-hop headers, which belong to one connection, and those that are written anew for each.
+# Hop-by-hop headers, and headers whose value the balancer sets itself for each connection.
 _NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer upgrade "
     b"transfer-encoding content-length expect x-expires-in-ms x-never-ran endpoint-load-metrics".split()
 )
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -38,14 +38,14 @@
 
 
 def end_to_end_headers(headers: list[tuple[bytes, bytes]], connection_header: bytes = b"") -> bytes:
-    r"""The header lines that are passed on.
+    r"""Return the header lines to forward.
 
     >>> end_to_end_headers([(b"Host", b"a"), (b"TE", b"x"), (b"X-Hop", b"1")], b"close, X-Hop")
     b'Host: a\r\n'
 
     Args:
-        headers: Name and value of each, as they came.
-        connection_header: The values of Connection, which may name further headers to leave out.
+        headers: Names and values, as received.
+        connection_header: Value of the Connection header, which may name further headers to drop.
     """
     dropped = {name.strip().lower() for name in connection_header.split(b",")} if connection_header else ()
     lines = []
@@ -57,5 +57,5 @@
 
 
 def requests_close(connection_header: bytes) -> bool:
-    """Whether a Connection header ends the connection with its message."""
+    """Whether a Connection header asks to close the connection after its message."""
     return b"close" in connection_header.lower()
--- a/dahliabend/http/load_reports.py
+++ b/dahliabend/http/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports, as responses and health checks carry them."""
+"""Parsing of the load reports that upstreams send in responses and health checks."""
 
 from math import isfinite
 
@@ -6,7 +6,7 @@
 
 
 def parse(text: bytes, fields: tuple[str, ...]) -> dict[str, float]:
-    """The named values of a report; what is not named, or no finite number, is ignored.
+    """Return the requested values of a load report; other fields and values that are not finite are ignored.
 
     >>> parse(
     ...     b"TEXT inflight=7, queue=x, util=0.61, eps=nan, qps=-inf, more",
@@ -23,6 +23,6 @@
             value = float(text_value)
         except ValueError:
             continue
-        if isfinite(value):  # any other would spoil every mean that it went into
+        if isfinite(value):  # NaN or infinity would make every mean it enters NaN or infinite
             values[name] = value
     return values
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -144,7 +144,7 @@
         """A header, or a trailer, which is no part of the head."""
         if self.head_complete_at:
             return
-        self.size += len(name) + len(value) + wire.FIELD_OVERHEAD_BYTES
+        self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
         if self.size > wire.MAX_HEAD_BYTES:
             self.fail(431)
         if self.error_status:
--- a/dahliabend/http/responses.py
+++ b/dahliabend/http/responses.py
@@ -1,8 +1,8 @@
-"""The form of responses to clients: heads, and the framing of bodies that are passed on while they come."""
+"""Encoding of responses to clients: heads, and the framing of streamed bodies."""
 
 from enum import Enum
 
-from dahliabend.http.headers import REASONS
+from dahliabend.http.headers import REASON_PHRASES
 from dahliabend.http.streaming import LAST_CHUNK, BodySource
 from dahliabend.transport.timers import MICROSECONDS_PER_SECOND
 
@@ -12,7 +12,7 @@
 
 
 def retry_after_header(retry_after: int) -> bytes:
-    r"""The header line that says when to come back, in microseconds; nothing for 0.
+    r"""Return the Retry-After header line for a delay in microseconds; empty for 0.
 
     >>> retry_after_header(1_500_000), retry_after_header(0)
     (b'Retry-After: 1.500\r\n', b'')
@@ -21,17 +21,17 @@
 
 
 def response_head(status: int, headers: bytes, connection_line: bytes, body_length: int) -> bytes:
-    """The head of a response whose body is known.
+    """Return the head of a response whose body length is known.
 
     Args:
         status: The status code.
         headers: Further header lines.
-        connection_line: The Connection header's line, or nothing.
-        body_length: Bytes of its body.
+        connection_line: The Connection header line, or nothing.
+        body_length: Length of the body in bytes.
     """
     start = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (
         status,
-        REASONS.get(status, b"Other"),
+        REASON_PHRASES.get(status, b"Other"),
         body_length,
     )
     return start + headers + connection_line + b"\r\n"
@@ -42,26 +42,27 @@
 
     CONTENT_LENGTH = 0
     CHUNKED = 1
-    UNTIL_CLOSE = 2  # by the end of the connection: for clients that do not understand chunks
+    UNTIL_CLOSE = 2  # the connection ends with the body: for clients without support for chunks
 
 
 class StreamedResponse:
-    """A successful response that is passed on while it comes.
+    """The encoding of a response whose body is passed on while it is received.
 
     Attributes:
-        source: The connection that it comes from.
-        framing: How its end is marked.
+        source: The connection that the body is read from.
+        framing: How the end of the body is marked.
+        length: Length of the body in bytes, if known.
     """
 
     __slots__ = ("framing", "length", "source")
 
     def __init__(self, source: BodySource, length: int | None, http_version: str) -> None:
-        """Creates it.
+        """Choose the framing from the body length and the client's HTTP version.
 
         Args:
-            source: The connection that it comes from.
-            length: Bytes of its body, if known.
-            http_version: The client's, as `1.1`.
+            source: The connection that the body is read from.
+            length: Length of the body in bytes, if known.
+            http_version: HTTP version of the client's request, such as `1.1`.
         """
         self.source = source
         self.length = length
@@ -73,7 +74,7 @@
             self.framing = Framing.UNTIL_CLOSE
 
     def head(self, headers: bytes, connection_line: bytes) -> bytes:
-        """Its head, with further header lines and the Connection header's line."""
+        """Return the response head, with further header lines and the Connection header line."""
         if self.length is not None:
             framing = b"Content-Length: %d\r\n" % self.length
         elif self.framing is Framing.CHUNKED:
@@ -83,11 +84,11 @@
         return b"HTTP/1.1 200 OK\r\n" + framing + headers + connection_line + b"\r\n"
 
     def frame(self, part: bytes) -> tuple[bytes, ...]:
-        """The pieces in which a part of the body goes out."""
+        """Return the pieces to write for a part of the body."""
         if self.framing is Framing.CHUNKED:
             return b"%x\r\n" % len(part), part, b"\r\n"
         return (part,)
 
     def terminator(self) -> bytes:
-        """What follows the last part."""
+        """Return the bytes that follow the last part of the body."""
         return LAST_CHUNK if self.framing is Framing.CHUNKED else b""
--- a/dahliabend/http/serving_state.py
+++ b/dahliabend/http/serving_state.py
@@ -1,22 +1,23 @@
-"""What a client's connection does with requests, as a state."""
+"""The states of a client connection."""
 
 from enum import Enum
 
 
 class ServingState(Enum):
-    """Of a client's connection.
+    """What a client connection is doing.
 
-    WAITING goes to SERVING as a request is taken, that to FLUSHING as its response is complete, and that back
-    to WAITING once it is sent; behind the final response to LINGERING instead, which stays.
+    WAITING becomes SERVING when a request is taken, SERVING becomes FLUSHING when its response is complete,
+    and FLUSHING becomes WAITING when the response has been sent. After the final response FLUSHING becomes
+    LINGERING instead, which lasts until the connection is closed.
     """
 
-    WAITING = 0  # for a request
-    SERVING = 1  # one is with the dispatcher, or its response is under way
-    FLUSHING = 2  # its response is complete, and not sent whole yet
-    LINGERING = 3  # the final response and an end are sent; all that still comes is discarded
+    WAITING = 0  # no request is being served
+    SERVING = 1  # the dispatcher has a request, or its response is being streamed
+    FLUSHING = 2  # the response is complete and has not been sent in full yet
+    LINGERING = 3  # final response sent and sending side shut down; further input is discarded
 
 
-# Bound once: on Python 3.11, reading a member of an enum costs a function call.
+# Module constants, because reading an enum member costs a function call on Python 3.11.
 WAITING = ServingState.WAITING
 SERVING = ServingState.SERVING
 FLUSHING = ServingState.FLUSHING
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -202,13 +202,13 @@
         """A header, or a trailer, which is ignored."""
         if self.head_complete:
             return
-        self.size += len(name) + len(value) + wire.FIELD_OVERHEAD_BYTES
+        self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
         if self.size > wire.MAX_HEAD_BYTES:
             raise ProtocolError("too long a head")
         lower_name = name.lower()
-        if lower_name == wire.LOAD_REPORT:
+        if lower_name == wire.LOAD_REPORT_HEADER:
             self.load_report = value
-        elif lower_name == wire.NOT_EXECUTED:
+        elif lower_name == wire.NOT_EXECUTED_HEADER:
             self.not_executed = value == b"1"
         elif lower_name == b"connection":
             self.connection_header += b"," + value
