--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -1,4 +1,4 @@
-"""HTTP connections of clients: their requests in, one response each out, in order."""
+"""HTTP connections of clients: requests are received, and answered one by one in the same order."""
 
 import asyncio
 from collections import deque
@@ -16,32 +16,34 @@
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, TimerQueue, clock
 
 # Microseconds.
-REQUEST_TIMEOUT = 2_500_000  # for a request to come whole, the first counted from connecting; 3 s are due
-SLOW_AFTER = REQUEST_TIMEOUT // 8  # until then an incomplete request is not evicted
-STREAM_TIMEOUT_FACTOR = 4  # of the write timeout: for the rest of a streamed response to be sent
-LINGER_DIVISOR = 4  # of the write timeout: for the client to end its sending behind the final response
+REQUEST_TIMEOUT = 2_500_000  # to receive a request, the first counted from accepting; at most 3 s
+SLOW_REQUEST_AGE = REQUEST_TIMEOUT // 8  # from this age on, an incomplete request can be evicted
+STREAM_TIMEOUT_FACTOR = 4  # write timeouts in which the rest of a streamed response has to be sent
+LINGER_DIVISOR = 4  # of the write timeout: time for the client to close after the final response
 
-ALLOWED_METHODS = b"Allow: GET, POST\r\n"  # with 405
+ALLOWED_METHODS = b"Allow: GET, POST\r\n"  # header line of a 405 response
 
 
 class ClientConnection(HangupDetectingConnection):
-    """One client's connection. Requests are served one by one, in the order in which they came.
+    """The connection of one client. Requests are served one at a time, in the order received.
 
     Attributes:
-        dispatcher: Where its requests go.
-        write_timeout: Microseconds in which a response has to be read.
-        parser: Reads the requests.
-        queue: Requests that can be served, behind the one that is being served.
-        state: What it does with requests.
-        keep_alive: The connection goes on behind the response.
-        request_handle: Handle of the request being served, `NO_HANDLE` if the dispatcher has none of it.
-        class_name: Name of that request's class, until its response is sent; empty if of no known one.
-        on_request_finished: Called then; set by the dispatcher.
-        upload: Its body, if that still comes.
-        response: Its response, if that is passed on while it comes.
-        opened_at: Clock time (us) at which it was accepted; 0 from the first response on. Counted from
-            accepting, so that a connection whose transport is not up yet is not taken for idle.
-        stall_timer: Fires if a request does not come, or a response is not read, in time.
+        dispatcher: Serves the requests.
+        write_timeout: Microseconds within which the client has to read a response.
+        parser: Parses the requests.
+        queue: Received requests that wait behind the one being served.
+        state: What the connection is doing.
+        keep_alive: Whether the connection stays open after the current response.
+        request_handle: Handle of the request that is being served; `NO_HANDLE` if the dispatcher has none.
+        class_name: Name of that request's class until its response is sent; empty if the class is unknown.
+        on_request_finished: Called when that response has been sent or the connection closed; set by the
+            dispatcher.
+        upload: The body of that request, if it is still being received.
+        response: The response to that request, if it is streamed.
+        opened_at: Clock time (us) at which the connection was accepted; 0 from the first response on. It
+            counts from accepting, so that a connection whose transport is not connected yet is not taken for
+            idle.
+        stall_timer: Fires if a request is not received, or a response not read, in time.
     """
 
     def __init__(
@@ -63,70 +65,73 @@
         self.stall_timer: Timer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A first request is due from now on.
+        """Wait for the first request.
 
-        A fresh connection was opened for a request that may be here already: it is not idle, whatever the
-        budget; closed now, that request would be lost.
+        A new connection is not treated as idle, even when descriptors are scarce: it was opened for a request
+        that may already have arrived, and closing it would lose that request.
         """
         super().connection_made(transport)
         self.await_request(self.opened_at)
 
     def await_request(self, since: int) -> None:
-        """The rest of a request is due, counted from that clock time."""
-        self.descriptors.mark_awaiting_request(self.handle, since + SLOW_AFTER)
+        """Set the time limit for receiving the rest of a request, counted from clock time `since`."""
+        self.descriptors.mark_awaiting_request(self.handle, since + SLOW_REQUEST_AGE)
         self.stall_timer = self.timers.schedule(since + REQUEST_TIMEOUT, self.request_timed_out)
 
     @property
     def _is_serving(self) -> bool:
-        """Whether a request has no response yet, or one that is not sent whole."""
+        """Whether a request has no response yet, or one that has not been sent in full."""
         return self.state is SERVING or self.state is FLUSHING
 
-    # What the parser reports.
+    # Parser callbacks
 
     def request_received(self, request: ReceivedRequest) -> None:
-        """It is served once those ahead of it are answered."""
+        """Queue a request until those ahead of it are answered."""
         self.queue.append(request)
 
     def continue_expected(self) -> None:
-        """The client is told to go on, unless an earlier request is being served."""
+        """Send 100 Continue, unless an earlier request is being served."""
         if not self._is_serving:
             self.write(CONTINUE)
 
     def streaming_body_received(self, body: StreamingBody) -> None:
-        """Its client is waited for no more."""
+        """Cancel the time limit of the current upload, which has been received in full."""
         if body is self.upload:
             self.timers.cancel(self.stall_timer)
 
-    # Requests.
+    # Requests
 
     def bytes_received(self, view: memoryview) -> None:
-        """Reads requests, and serves the next; behind the final response nothing is read any more."""
+        """Parse requests and serve the next one; input after the final response is ignored."""
         if self.state is LINGERING or (self.state is FLUSHING and not self.keep_alive):
             return
         self.parser.feed(view)
         self.serve_next()
 
     def serve_next(self) -> None:
-        """Serves the next request that has come, if none is being served."""
+        """Serve the next request in the queue, if none is being served."""
         while self.queue and self.state is WAITING and not self.closed:
             self.timers.cancel(self.stall_timer)
             self.descriptors.mark_busy(self.handle)
             self.state = SERVING
             self.start_request(self.queue.popleft())
-        # A client that sends on without waiting for responses waits itself: else its requests pile up here.
+        # Stop reading from a client that pipelines: otherwise its requests would pile up in memory.
         self.input_blocked = bool(self.queue or self.parser.error_status)
         if self.parser.error_status and not self.closed:
             if self.upload is not None:
                 self._fail_upload()
                 return
             if self.state is WAITING:
-                self._answer_error()
+                self._answer_parse_error()
                 return
         if self.parser.received_at:
             self._await_rest_of_request()
 
     def _fail_upload(self) -> None:
-        """A fault in a body that is passed on already: it has no end, so that it is never executed."""
+        """Answer an error in a body that is already being streamed to an upstream.
+
+        The upstream never receives the end of the body, so it does not execute the request.
+        """
         self.upload = None
         self.keep_alive = False
         handle = self.request_handle
@@ -134,22 +139,25 @@
         self.dispatcher.client_disconnected(handle)
         self.send_error(self.parser.error_status)
 
-    def _answer_error(self) -> None:
-        """Answers a request that could not be read."""
+    def _answer_parse_error(self) -> None:
+        """Answer a request that could not be parsed."""
         self.state = SERVING
         self.keep_alive = False
         self._classify(b"", self.parser.target.partition(b"?")[0], {})
         self.send_error(self.parser.error_status)
 
     def _await_rest_of_request(self) -> None:
-        """Limits the time of a request that has come in part: else it would hold its descriptor for ever."""
+        """Limit the time to receive the rest of a request that has begun.
+
+        Without a limit, an incomplete request would hold its descriptor forever.
+        """
         if self._is_serving and self.upload is None:
             return
         if self.stall_timer is None or not self.stall_timer.is_pending:
             self.await_request(self.parser.received_at)
 
     def start_request(self, request: ReceivedRequest) -> None:
-        """Answers a request, or hands it to the dispatcher."""
+        """Answer a request, or pass it to the dispatcher."""
         self.keep_alive = request.keep_alive
         body = request.body
         if isinstance(body, StreamingBody):
@@ -160,7 +168,7 @@
             return
         path = target.partition(b"?")[0]
         if path == wire.READY_PATH:
-            self._answer_ready()
+            self._answer_readiness_check()
             return
         class_number = self._classify(request.method, path, request.fields)
         if class_number is None:
@@ -188,30 +196,30 @@
         self.request_handle = self.dispatcher.dispatch(incoming, class_number)
 
     def _take_streaming_body(self, body: StreamingBody) -> bytes:
-        """The body if it has come whole meanwhile; else it is the upload, and nothing goes ahead of it."""
-        if body.is_complete:  # while others were served: it is like any other
+        """Return the body if it has been received in full; else keep it as the upload and return nothing."""
+        if body.is_complete:  # it was received while earlier requests were served
             self.upload = None
             return b"".join(body.parts)
         self.upload = body
         return b""
 
-    def _answer_ready(self) -> None:
+    def _answer_readiness_check(self) -> None:
         if self.dispatcher.ready():
             self.send_response(200, b"", b"ready\n")
         else:
             self.send_response(503, b"", b"not ready\n")
 
     def _classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> int | None:
-        """The number of the request's class, if known; it counts as open from now on."""
-        found = self.dispatcher.classify(method, path, fields)
-        if found is None:
+        """Return the number of the request's class, if known, and count the request as open."""
+        name_and_number = self.dispatcher.classify(method, path, fields)
+        if name_and_number is None:
             return None
-        self.class_name, class_number = found
+        self.class_name, class_number = name_and_number
         self.dispatcher.request_opened()
         return class_number
 
     def _request_finished(self) -> None:
-        """The request being served counts as open no more."""
+        """Stop counting the current request as open, and notify the dispatcher."""
         if not self.class_name:
             return
         self.class_name = b""
@@ -221,14 +229,14 @@
         if callback is not None:
             callback()
 
-    # Responses.
+    # Responses
 
     def send_error(self, status: int) -> None:
-        """Answers the request being served with an error and its reason."""
+        """Send an error response with the status and its reason phrase."""
         self.send_response(status, b"", wire.REASON_PHRASES[status] + b"\n")
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
-        """Answers the request being served with a response that is known whole."""
+        """Send a response whose body is complete."""
         self.request_handle = NO_HANDLE
         if self.closed:
             return
@@ -241,28 +249,32 @@
         self.timers.cancel(self.stall_timer)
         self.write(head, body)
         if self.state is FLUSHING:
-            # A client that reads nothing would hold its descriptor, and the response's bytes, for ever.
+            # A client that reads nothing would hold its descriptor and the response in memory forever.
             self.stall_timer = self.timers.schedule(clock() + self.write_timeout, self.abort)
 
     def _connection_line(self) -> bytes:
-        """Decides whether the connection goes on behind the response; the header line that says so.
+        """Decide whether the connection stays open after the response; return the Connection header line.
 
-        Kept while others wait to be accepted, it would have these miss their deadlines. What has come whole
-        behind this request would be lost if it went.
+        While descriptors are scarce the connection is closed, because keeping it would make clients that wait
+        to be accepted miss their deadlines. It stays open if further requests have been received already:
+        closing it would lose them.
         """
         if self.keep_alive and not self.queue:
             self.keep_alive = not (self.dispatcher.closing() or self.descriptors.reserve_in_use)
         return b"" if self.keep_alive else CONNECTION_CLOSE
 
     def _discard_upload(self) -> None:
-        """Answered before its body has come whole: the rest is for nobody, and its end is not waited for."""
+        """Drop the upload; if it is incomplete, close the connection after the response.
+
+        The rest of a body that has been answered already has no use, and its end is not waited for.
+        """
         if self.upload is not None and not self.upload.is_complete:
             self.keep_alive = False
             self.parser.fail(413)
         self.upload = None
 
     def start_response(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Begins a successful response that is passed on while it comes from `source`."""
+        """Start a streamed response with status 200, whose body is read from `source`."""
         if self.closed:
             return
         self._discard_upload()
@@ -271,7 +283,7 @@
         self.write(self.response.head(headers, self._connection_line()))
 
     def send_part(self, part: bytes) -> None:
-        """Passes on a part of the body of a streamed response."""
+        """Send a part of the body of the streamed response."""
         if self.closed or self.response is None:
             return
         self.write(*self.response.frame(part))
@@ -279,7 +291,7 @@
             self.response.source.suspend_reading()
 
     def finish_response(self) -> None:
-        """A streamed response is complete."""
+        """Complete the streamed response."""
         if self.closed or self.response is None:
             return
         response = self.response
@@ -292,7 +304,7 @@
         self.write(response.terminator())
 
     def abort_response(self) -> None:
-        """A streamed response stays incomplete, and the client has to see that."""
+        """Leave the streamed response incomplete, in a way that the client can detect."""
         if self.closed or self.response is None:
             return
         response = self.response
@@ -300,12 +312,12 @@
         self.request_handle = NO_HANDLE
         self.dispatcher.count_response(self.class_name, 502)
         if response.framing is Framing.UNTIL_CLOSE:
-            self.reset()  # an end in order would be taken for that of the response
+            self.reset()  # the client would take an orderly close for the end of the response
         else:
             self.abort()
 
     def output_flushed(self) -> None:
-        """The system has taken all that was written: the response is sent if it is complete."""
+        """Resume the source of a streamed response, or finish a response that has been sent in full."""
         if self.response is not None and self.response.source.reading_suspended:
             self.response.source.continue_reading()
         if self.state is not FLUSHING:
@@ -320,22 +332,23 @@
         self.opened_at = 0
         self.descriptors.mark_idle(self.handle, clock())
         if self.queue or self.receive_buffer.count or self.parser.received_at or self.parser.error_status:
-            # On the loop's next turn: a long queue answered at once would nest a call for each.
+            # In the next turn of the event loop: serving a long queue at once would nest a call per request.
             self.timers.loop.call_soon(self.continue_serving)
 
     def continue_serving(self) -> None:
-        """Serves what has come meanwhile."""
+        """Serve requests that were received while the previous response was being sent."""
         if not self.closed:
             self.serve_next()
             self.process_input()
 
-    # Ends.
+    # Timeouts and closing
 
     def linger(self) -> None:
-        """Ends the sending behind the final response, and goes once the client has ended its own.
+        """Shut down the sending side after the final response, and wait for the client to close.
 
-        Closed at once, whatever comes from the client meanwhile, or lies unread, would wipe the response out
-        before it is read. The connection makes room for others like any that is idle.
+        If the connection were closed at once, data that the client sends meanwhile, or that lies unread,
+        would make the system discard the response before the client reads it. A lingering connection can be
+        evicted like an idle one.
         """
         self.state = LINGERING
         self.parser.error_status = 0
@@ -349,32 +362,32 @@
         self.timers.loop.call_soon(self.process_input)
 
     def request_timed_out(self) -> None:
-        """A request has not come whole in time; a body that comes fast enough is given more."""
+        """Reject a request that was not received in time; a body that arrives fast enough gets more time."""
         if self._is_serving and self.upload is None:
             return
         parser = self.parser
         if parser.head_complete_at and parser.received_at and not parser.error_status:
-            # While reading is suspended, it is not the client that is slow.
+            # While reading is suspended, the client is not the cause of the delay.
             due = clock() + BODY_PAUSE_TIMEOUT if self.reading_suspended else parser.body_deadline()
             if due > clock():
                 self.stall_timer = self.timers.schedule(due, self.request_timed_out)
                 return
         if not parser.received_at and not parser.error_status and not self.unread_input():
-            self.close()  # it never sent anything
+            self.close()  # the client never sent anything
         else:
             parser.fail(408)
             self.serve_next()
 
     def can_evict(self) -> bool:
-        """Whether no request has come whole, nor can one be lying unread."""
+        """Whether closing the connection loses no request, received or unread."""
         return not (self._is_serving or self.queue or self.unread_input())
 
     def close_if_idle(self, opened_before: int) -> None:
-        """Closes it between requests.
+        """Close the connection if it is between requests.
 
         Args:
-            opened_before: One that was opened later, and has served no request, stays: what it was opened for
-                is on its way.
+            opened_before: Clock time (us); a connection that was accepted later and has served no request
+                stays open, because the request that it was opened for is on its way.
         """
         if self.opened_at >= opened_before or self.parser.received_at:
             return
@@ -382,11 +395,11 @@
             self.close()
 
     def continue_reading(self) -> None:
-        """Reads on, on the loop's next turn: never within a call that dispatches or writes."""
+        """Resume reading in the next turn of the event loop, never in a call that dispatches or writes."""
         self.timers.loop.call_soon(super().continue_reading)
 
     def connection_closed(self) -> None:
-        """Ends what is under way."""
+        """End the current request, and notify the dispatcher if it has not been answered."""
         self.parser.close()
         self.upload = None
         self.response = None
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -1,4 +1,4 @@
-"""Requests of one client connection, from bytes. It writes nothing and serves nothing."""
+"""Parsing of the requests of one client connection. The parser writes nothing and serves nothing."""
 
 from typing import NamedTuple, Protocol
 
@@ -9,22 +9,22 @@
 from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.transport.timers import MICROSECONDS_PER_SECOND, clock
 
-BODY_PAUSE_TIMEOUT = 2_400_000  # microseconds in a body without a byte
-MIN_BODY_BYTES_PER_SECOND = 48 * 1024  # in the mean, but for `BODY_PAUSE_TIMEOUT` at the body's start
+BODY_PAUSE_TIMEOUT = 2_400_000  # microseconds without a byte within a body
+MIN_BODY_BYTES_PER_SECOND = 48 * 1024  # on average, counted from `BODY_PAUSE_TIMEOUT` after the head
 ABSOLUTE_PREFIX = b"http://"
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that has come whole, or whose body is passed on while it comes.
+    """A request that has been received in full, or whose body is streamed while it is received.
 
     Attributes:
-        received_at: Clock time of its first byte.
-        method: As it came.
-        target: As it came.
-        fields: Values by header name in lower case; the last of a name.
-        headers: The header lines that are passed on.
-        body: What has come of it; a `StreamingBody` if it is too long to be buffered.
-        keep_alive: The client wants to keep the connection.
+        received_at: Clock time (us) of the first byte.
+        method: The method, as received.
+        target: The target, as received.
+        fields: Header values by name in lower case; if a name occurs more than once, the last value.
+        headers: The header lines to forward.
+        body: The whole body, or a `StreamingBody` if it is too long to be buffered.
+        keep_alive: Whether the client allows the connection to stay open.
     """
 
     received_at: int
@@ -36,42 +36,43 @@
     keep_alive: bool
 
     def origin_target(self) -> bytes:
-        """The target without scheme and host, which it has if it came as to a proxy."""
+        """Return the target in origin form: without scheme and host, which requests to a proxy have."""
         if self.target[: len(ABSOLUTE_PREFIX)].lower() != ABSOLUTE_PREFIX:
             return self.target
         return b"/" + self.target[len(ABSOLUTE_PREFIX) :].partition(b"/")[2]
 
 
 class RequestSink(BodySource, Protocol):
-    """The connection that a parser reads for."""
+    """The connection that receives the parsed requests."""
 
     def request_received(self, request: ReceivedRequest) -> None:
-        """A request can be served."""
+        """Take a request that can be served."""
 
     def continue_expected(self) -> None:
-        """The client waits for 100 Continue before it sends its body."""
+        """Handle a client that waits for 100 Continue before it sends the body."""
 
     def streaming_body_received(self, body: StreamingBody) -> None:
-        """The last byte of such a body has come."""
+        """Handle the end of a streamed body."""
 
 
 class RequestParser:
-    """Reads requests and checks their limits.
+    """Parses requests and enforces their size limits.
 
     Attributes:
-        sink: The connection that it reads for.
-        error_status: Status of the first fault found; 0 if none. Nothing is read behind it.
-        received_at: Clock time of the first byte of the request now coming; 0 between requests.
-        unparsed_bytes: Bytes since the parser last made something of them.
-        target: Of the request now coming, as far as it has come.
-        headers: Likewise, name and value as they came.
-        fields: Likewise, by name in lower case.
-        connection_header: Likewise, the values of Connection.
-        body: Likewise, as long as it is short enough to be buffered.
-        size: Bytes of its head, then of its body.
+        sink: The connection that receives the requests.
+        error_status: Status of the first error; 0 if none. No request is reported after an error.
+        received_at: Clock time (us) of the first byte of the current request; 0 between requests.
+        unparsed_bytes: Bytes since the underlying parser last reported progress.
+        target: Target of the current request, as far as it has been received.
+        headers: Names and values of its headers, as received.
+        fields: Values of its headers by name in lower case.
+        connection_header: Values of its Connection headers, each preceded by a comma.
+        body: Parts of its body, as long as the body is short enough to be buffered.
+        size: Bytes of its head; from the end of the head on, bytes of its body.
         streaming_body: Its body, once that is too long to be buffered.
-        head_complete_at: Clock time at which its head was complete; 0 before.
-        last_body_byte_at: Clock time of the last bytes of its body; at first of its head.
+        head_complete_at: Clock time (us) at which its head was complete; 0 before.
+        last_body_byte_at: Clock time (us) at which body bytes were last received; until then, that of the
+            head's end.
     """
 
     def __init__(self, sink: RequestSink) -> None:
@@ -94,26 +95,26 @@
         self.last_body_byte_at = 0
 
     def feed(self, data: memoryview) -> None:
-        """Reads bytes; what they bring is reported to the sink before this returns."""
+        """Parse bytes; the sink is notified of their contents before this returns."""
         self.unparsed_bytes += len(data)
         try:
             self._http.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.fail(400)
         if self.unparsed_bytes > wire.MAX_HEAD_BYTES:
-            self.fail(431)  # the parser gathers a line without end
+            self.fail(431)  # the underlying parser would buffer an endless line
 
     def fail(self, status: int) -> None:
-        """Notes a fault; the first one is answered."""
+        """Record the status of an error, unless there was one before."""
         self.error_status = self.error_status or status
 
     @property
     def http_version(self) -> str:
-        """Of the last request that has begun, as `1.1`."""
+        """HTTP version of the last request that has begun, such as `1.1`."""
         return self._http.get_http_version()
 
     def body_deadline(self) -> int:
-        """Clock time until which more of the body now coming has to have come."""
+        """Return the clock time (us) by which more of the current body has to be received."""
         pace_time = self.size * MICROSECONDS_PER_SECOND // MIN_BODY_BYTES_PER_SECOND
         return min(
             self.head_complete_at + BODY_PAUSE_TIMEOUT + pace_time,
@@ -121,27 +122,27 @@
         )
 
     def close(self) -> None:
-        """Lets go of the connection that it reads for: each would keep the other from being freed."""
+        """Drop the reference to the connection, as each would keep the other from being freed."""
         self.streaming_body = None
         del self._http
         del self.sink
 
-    # Called by the HTTP parser.
+    # HTTP parser callbacks
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a new request."""
         self.received_at = clock()
         self._start_request()
 
     def on_url(self, part: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the target."""
         self.target += part
         self.size += len(part)
         if self.size > wire.MAX_HEAD_BYTES:
             self.fail(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which is no part of the head."""
+        """Record a header; trailers, which follow the body, are ignored."""
         if self.head_complete_at:
             return
         self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
@@ -156,11 +157,11 @@
         elif lower_name == b"expect" and value.lower() == b"100-continue":
             self.sink.continue_expected()
         if lower_name in (wire.TRACE, wire.EXPIRES) and lower_name in self.fields:
-            self.fail(400)  # which of the two is meant?
+            self.fail(400)  # with two values, it is unclear which one applies
         self.fields[lower_name] = value
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Check the body length, and stream the body if it is too long to be buffered."""
         self.size = 0
         self.unparsed_bytes = 0
         self.head_complete_at = clock()
@@ -171,10 +172,10 @@
         elif length > wire.MAX_BUFFERED_BYTES and not self.error_status:
             self._start_streaming_body(length)
         if self._http.should_upgrade():
-            self.fail(400)  # what follows is not read as its body
+            self.fail(400)  # the parser does not read the bytes after an upgrade request as its body
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Buffer a part of the body, or pass it to the streaming body."""
         self.unparsed_bytes = 0
         self.last_body_byte_at = clock()
         self.size += len(part)
@@ -190,12 +191,12 @@
                 self._start_streaming_body(None)
 
     def _start_streaming_body(self, length: int | None) -> None:
-        """The request is served while its body comes."""
+        """Report the request with a body that is still being received."""
         self.streaming_body = StreamingBody(self.sink, length, self.body)
         self._report_request(self.streaming_body)
 
     def on_message_complete(self) -> None:
-        """The request has come whole."""
+        """Report the request, or the end of its streamed body."""
         if self.error_status:
             return
         if self.streaming_body is None:
@@ -207,7 +208,7 @@
         self.unparsed_bytes = 0
 
     def _report_request(self, body: bytes | StreamingBody) -> None:
-        # Clients of an older protocol may not know how to keep the connection.
+        # Clients of older HTTP versions may not support persistent connections.
         keep_alive = (
             self._http.should_keep_alive()
             and not wire.requests_close(self.connection_header)
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -1,4 +1,4 @@
-"""A request's body that is too long to be buffered: it is passed on piece by piece, while it comes."""
+"""Streaming of request bodies that are too long to be buffered: they are sent on while they are received."""
 
 from typing import Protocol
 
@@ -9,24 +9,24 @@
 
 
 class BodyObserver(Protocol):
-    """Whoever is notified that part of a body is gone, so that it cannot be sent again."""
+    """An object that is notified when the beginning of a body is dropped, so that it cannot be resent."""
 
     def body_consumed(self) -> None:
-        """A part that was passed on is not buffered any more."""
+        """Handle the loss of the buffered beginning of the body."""
 
 
 class BodySource(Protocol):
-    """The connection that a body, or a response, comes from."""
+    """The connection that a body is received on."""
 
     @property
     def reading_suspended(self) -> bool:
-        """Whether it reads nothing for now."""
+        """Whether reading is suspended."""
 
     def suspend_reading(self) -> None:
-        """Reads nothing for now."""
+        """Stop reading until `continue_reading` is called."""
 
     def continue_reading(self) -> None:
-        """Reads on."""
+        """Resume reading."""
 
 
 class BodySink(Protocol):
@@ -34,32 +34,33 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that were written and not sent yet."""
+        """Bytes that were written and have not been sent yet."""
 
     def write(self, *pieces: bytes) -> None:
-        """Sends the pieces."""
+        """Write the pieces."""
 
-    def upload_finished(self, terminator: bytes) -> None:
-        """The whole body has been written, but for these bytes."""
+    def finish_upload(self, terminator: bytes) -> None:
+        """Write the terminator, the last bytes of the body's encoding."""
 
 
 class StreamingBody:
-    """What has come of a body, and the connection that it is passed on to.
+    """The received beginning of a body, and the connection that the body is written to.
 
-    It is buffered up to `MAX_BUFFERED_BYTES`: up to there, an attempt that was never executed may be followed
-    by another. It holds its source back while nobody takes it, or whoever does is slower.
+    Up to `MAX_BUFFERED_BYTES` the body is kept in memory, so that an attempt that was not executed can be
+    followed by another. The source is suspended while the body has no sink, and while the sink is slower than
+    the source.
 
     Attributes:
-        source: The connection that it comes from.
-        length: Its length in bytes; None if it comes in chunks.
-        parts: What is buffered, from its beginning.
-        size: Bytes that have come.
-        observer: Notified once the beginning is not buffered any more.
-        sink: The connection that it is written to, if any.
-        is_complete: All of it has come.
-        is_discarded: Its beginning is not buffered any more.
-        last_progress: Clock time at which bytes last came or went.
-        ended_at: Clock time at which its last byte came.
+        source: The connection that the body is received on.
+        length: Length of the body in bytes; None if it is received in chunks.
+        parts: The buffered parts, from the beginning of the body.
+        size: Bytes received so far.
+        observer: Notified when the beginning of the body is no longer buffered.
+        sink: The connection that the body is written to, if any.
+        is_complete: Whether the whole body has been received.
+        is_discarded: Whether the beginning of the body is no longer buffered.
+        last_progress: Clock time (us) at which bytes were last received or sent.
+        ended_at: Clock time (us) at which the last byte was received.
     """
 
     def __init__(self, source: BodySource, length: int | None, parts: list[bytes]) -> None:
@@ -70,44 +71,44 @@
         self.observer: BodyObserver | None = None
         self.sink: BodySink | None = None
         self.is_complete = False
-        self.is_discarded = False
+        self.is_prefix_discarded = False
         self.last_progress = clock()
         self.ended_at = self.last_progress
 
     def feed(self, part: bytes) -> None:
-        """Takes the next bytes in."""
+        """Buffer the next bytes, and write them to the sink if there is one."""
         self.size += len(part)
         self.last_progress = clock()
-        if not self.is_discarded:
+        if not self.is_prefix_discarded:
             if self.sink is None or self.size <= MAX_BUFFERED_BYTES:
                 self.parts.append(part)
             else:
-                self._discard()
+                self._discard_prefix()
         if self.sink is None:
             self.source.suspend_reading()
         else:
             self._write(self.sink, part)
 
-    def _discard(self) -> None:
-        self.is_discarded = True
+    def _discard_prefix(self) -> None:
+        self.is_prefix_discarded = True
         self.parts = []
         if self.observer is not None:
             self.observer.body_consumed()
 
     def mark_complete(self) -> None:
-        """All of it has come."""
+        """Handle the end of the body."""
         self.is_complete = True
         self.ended_at = clock()
         if self.sink is not None:
-            self.sink.upload_finished(self._terminator())
+            self.sink.finish_upload(self._terminator())
 
     def attach(self, sink: BodySink) -> None:
-        """Writes it to this connection from now on, from its beginning."""
+        """Write the body to this connection, from its beginning."""
         self.sink = sink
         for part in self.parts:
             self._write(sink, part)
         if self.is_complete:
-            sink.upload_finished(self._terminator())
+            sink.finish_upload(self._terminator())
         else:
             self.source.continue_reading()
 
@@ -116,7 +117,7 @@
             sink.write(b"%x\r\n" % len(part), part, b"\r\n")
         else:
             sink.write(part)
-        # The write may have failed, and detached it.
+        # A failed write detaches the sink.
         if self.sink is not None and self.sink.unsent_bytes > MAX_BUFFERED_BYTES:
             self.source.suspend_reading()
 
@@ -124,11 +125,11 @@
         return b"" if self.length is not None else LAST_CHUNK
 
     def sink_flushed(self) -> None:
-        """The sink has sent all that was written."""
+        """Resume reading from the source, as the sink has sent all that was written."""
         self.last_progress = clock()
         if self.source.reading_suspended:
             self.source.continue_reading()
 
     def detach(self) -> None:
-        """The sink has ended."""
+        """Forget the sink, which has closed or takes no more of the body."""
         self.sink = None
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""HTTP connections to upstreams: one request at a time on each, and the response to it."""
+"""HTTP connections to upstreams: one request at a time on each connection, and its response."""
 
 from typing import NamedTuple, Protocol
 
@@ -16,14 +16,14 @@
 
 
 class UpstreamResponse(NamedTuple):
-    """A response that has come whole.
+    """A response that has been received in full.
 
     Attributes:
         status: The status code.
         headers: The header lines to pass on.
-        body: The body, but for the parts that were passed on.
+        body: The body, without the parts that were passed on while streaming.
         load_report: The upstream's load report, if any.
-        not_executed: The upstream says that it never executed the request.
+        not_executed: Whether the upstream says that it did not execute the request.
     """
 
     status: int
@@ -34,43 +34,43 @@
 
 
 class ResponseHandler(Protocol):
-    """Whoever has a request out.
+    """The owner of a request that has been sent on a connection.
 
     Exactly one of `response_complete` and `connection_failed` is called, unless the request is cancelled
     first.
     """
 
     def request_written(self) -> None:
-        """The system has taken the whole request; called before any of the others."""
+        """Handle the completed write of the request to the system; called before any other method."""
 
     def unsized_response_started(self, connection: "UpstreamConnection") -> None:
-        """The body of a response of unknown length has begun to come on this connection."""
+        """Handle the first body bytes of a response of unknown length on this connection."""
 
     def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """A long response is passed on while it comes.
+        """Handle the start of a streamed response.
 
         Args:
             headers: The header lines to pass on.
-            length: Bytes of its body, if known.
-            source: The connection that it comes from.
+            length: Length of the body in bytes, if known.
+            source: The connection that the body is received on.
         """
 
     def response_part(self, part: bytes) -> None:
-        """A part of the body of such a response."""
+        """Handle a part of the body of a streamed response."""
 
     def response_complete(self, response: UpstreamResponse) -> None:
-        """The response has come whole."""
+        """Handle a response that has been received in full."""
 
     def connection_failed(self, request_written: bool) -> None:
-        """No response will come.
+        """Handle a failed connection: there will be no response.
 
         Args:
-            request_written: The whole request had been written, so that it may be executed.
+            request_written: Whether the whole request had been written, so that it may have been executed.
         """
 
 
 class TimerOwner(Protocol):
-    """Whatever has the process's timers."""
+    """An object that holds the timers of the process."""
 
     @property
     def timers(self) -> TimerQueue:
@@ -78,51 +78,51 @@
 
 
 class ConnectionPool(Protocol):
-    """The owner of an upstream's connections."""
+    """The owner of the connections to an upstream."""
 
     @property
     def resources(self) -> TimerOwner:
-        """What the connections of a pool share."""
+        """The resources that all connections of the pool share."""
 
     def return_connection(self, connection: "UpstreamConnection") -> None:
-        """A connection is free for the next request."""
+        """Take back a connection that is free for the next request."""
 
     def remove_connection(self, connection: "UpstreamConnection") -> None:
-        """A connection is closed."""
+        """Remove a connection that is closed."""
 
 
 class UpstreamConnection(Connection):
     """One connection to an upstream.
 
     Attributes:
-        pool: Its owner.
-        handler: Whoever has a request out on it, if any.
-        keep_alive: It may serve another request.
-        request_pending: The request is still being written.
-        upload: The request's body, if that still comes.
-        status: Of the response, once that has come whole; else 0.
-        unparsed_bytes: Bytes since the parser last made something of them.
-        is_streaming: The response is passed on while it comes.
-        head_complete: The response's head has come.
-        parse_error: What could not be read of the response.
-        headers: Of the response, name and value as they came.
-        body: Of the response, as far as it is buffered.
-        size: Bytes of the response's head, then of its body.
-        connection_header: The values of the response's Connection headers.
+        pool: Owner of the connection.
+        handler: Owner of the request that awaits its response, if any.
+        keep_alive: Whether the connection can carry another request.
+        request_pending: Whether the request is still being written.
+        upload: The request body, if it is still being received.
+        status: Status of the response, once it has been received in full; else 0.
+        unparsed_bytes: Bytes since the parser last reported progress.
+        is_streaming: Whether the response is passed on while it is received.
+        head_complete: Whether the head of the response has been received.
+        parse_error: Why the response could not be parsed; empty if it could.
+        headers: Names and values of the response headers, as received.
+        body: Buffered parts of the response body.
+        size: Bytes of the response head; from the end of the head on, bytes of the body.
+        connection_header: Values of the response's Connection headers, each preceded by a comma.
         load_report: The upstream's load report, if any.
-        not_executed: The upstream says that it never executed the request.
-        length: Bytes of the response's body, if it says so.
-        has_transfer_encoding: The response has a Transfer-Encoding.
-        has_end_marker: The response's end can be told, and is not beyond the limit.
-        ends_with_connection: The response ends with its connection.
+        not_executed: Whether the upstream says that it did not execute the request.
+        length: Length of the response body in bytes, if the response states it.
+        has_transfer_encoding: Whether the response has a Transfer-Encoding header.
+        has_end_marker: Whether the response is chunked or states a length within the limit.
+        ends_with_connection: Whether the body ends when the connection is closed.
     """
 
     def __init__(self, descriptors: DescriptorBudget, pool: ConnectionPool) -> None:
-        """Creates it; `dial` connects it.
+        """Create a connection that is not connected yet; `dial` connects it.
 
         Args:
-            descriptors: Owner of its descriptor.
-            pool: Its owner.
+            descriptors: Owner of the connection's descriptor.
+            pool: Owner of the connection.
         """
         super().__init__(descriptors)
         self.pool = pool
@@ -132,7 +132,7 @@
         self.request_pending = False
         self.upload: StreamingBody | None = None
 
-    # The request.
+    # Request
 
     @property
     def is_flushed(self) -> bool:
@@ -142,13 +142,13 @@
     def send_request(
         self, handler: ResponseHandler, head: bytes, body: bytes, upload: StreamingBody | None = None
     ) -> None:
-        """Sends a request.
+        """Send a request.
 
         Args:
-            handler: Takes the response.
-            head: The request's head.
-            body: Its body, as far as it has come.
-            upload: The rest of its body, if that still comes.
+            handler: Receives the response.
+            head: The request head.
+            body: The request body, as far as it is buffered.
+            upload: The whole body, if it is still being received.
         """
         self.handler = handler
         self.parser = httptools.HttpResponseParser(self)
@@ -164,28 +164,32 @@
             upload.attach(self)
 
     def continue_reading(self) -> None:
-        """Reads on, on the loop's next turn: never within a call that writes."""
+        """Resume reading in the next turn of the event loop, never within a call that writes."""
         self.pool.resources.timers.loop.call_soon(super().continue_reading)
 
-    def upload_finished(self, terminator: bytes) -> None:
-        """The whole body has been written, but for these bytes."""
+    def finish_upload(self, terminator: bytes) -> None:
+        """Write the terminator of a streamed request body."""
         self.upload = None
         self.write(terminator)
 
     def output_flushed(self) -> None:
-        """The system has taken all that was written."""
+        """Notify the upload or the handler that the system has taken all that was written."""
         if self.upload is not None:
             self.upload.sink_flushed()
         elif self.request_pending and self.handler is not None:
             self.request_pending = False
             self.handler.request_written()
 
-    # The response, as the parser reports it. An error raised here ends the reading.
+    # Parser callbacks. An error raised in one of them stops the parser.
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Reset the state of the response.
+
+        Raises:
+            ProtocolError: A response to the request has been received already.
+        """
         if self.status:
-            raise ProtocolError("more than was asked for")  # a second one would be joined to the response
+            raise ProtocolError("second response to one request")  # it would be appended to the first
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.size = 0
@@ -199,12 +203,16 @@
         self.has_transfer_encoding = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which is ignored."""
+        """Record a header; trailers are ignored.
+
+        Raises:
+            ProtocolError: The head is too long.
+        """
         if self.head_complete:
             return
         self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
         if self.size > wire.MAX_HEAD_BYTES:
-            raise ProtocolError("too long a head")
+            raise ProtocolError("response head exceeds the limit")
         lower_name = name.lower()
         if lower_name == wire.LOAD_REPORT_HEADER:
             self.load_report = value
@@ -221,10 +229,14 @@
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """The head is complete; it has to say how the body ends.
+        """Check that the head states how the body ends.
 
-        One that says neither its length nor that its connection ends with it cannot be told from a spoilt
-        head, and one too long is of no use: waited for, either would hold its request to the deadline.
+        A head with neither a length nor the announcement that the connection will close cannot be told from a
+        corrupted head, and a body over the limit is of no use. Waiting for either would hold the request
+        until its deadline.
+
+        Raises:
+            ProtocolError: The end of the body is not stated, or the body is too long.
         """
         self.size = 0
         self.unparsed_bytes = 0
@@ -235,20 +247,24 @@
             self.ends_with_connection = is_unsized and wire.requests_close(self.connection_header)
             has_end = self.has_end_marker or self.ends_with_connection
             if not has_end and status not in STATUSES_WITHOUT_BODY:
-                raise ProtocolError("no length, or too long a body")
+                raise ProtocolError("response body has no stated end or exceeds the limit")
         if status == HTTP_OK and self.length is not None and self.length > wire.MAX_BUFFERED_BYTES:
             self.start_streaming()
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Buffer a part of the body, or pass it on if the response is streamed.
+
+        Raises:
+            ProtocolError: The body is too long.
+        """
         self.unparsed_bytes = 0
         if self.handler is None:
-            return  # cancelled meanwhile
+            return  # the request was cancelled
         if not self.size and self.length is None:
             self.handler.unsized_response_started(self)
         self.size += len(part)
         if self.size > wire.MAX_BODY_BYTES:
-            raise ProtocolError("too long a body")
+            raise ProtocolError("response body exceeds the limit")
         if self.is_streaming:
             self.handler.response_part(part)
         elif self.size <= wire.MAX_BUFFERED_BYTES:
@@ -258,7 +274,7 @@
             self.start_streaming()
 
     def start_streaming(self) -> None:
-        """Passes the response on while it comes; what is buffered of it goes ahead."""
+        """Pass on the response while it is received, beginning with the parts already buffered."""
         if self.is_streaming or self.handler is None or self.status:
             return
         self.is_streaming = True
@@ -271,17 +287,17 @@
                 self.handler.response_part(part)
 
     def on_message_complete(self) -> None:
-        """The response has come whole, unless it is 100 Continue or the like."""
+        """Record the end of the response; interim responses such as 100 Continue are skipped."""
         status = self.parser.get_status_code()
         if status >= HTTP_OK:
             self.status = status
-            # The parser knows only here whether the connection stays open.
+            # The parser knows only now whether the connection can stay open.
             self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
 
-    # Bytes and their ends.
+    # Input and end of the connection
 
     def bytes_received(self, view: memoryview) -> None:
-        """Reads the response; bytes that nobody asked for end the connection."""
+        """Parse the response; bytes without a request close the connection."""
         if self.handler is None:
             self.abort()
             return
@@ -297,12 +313,12 @@
         if self.status:
             self._complete_response()
         elif self.unparsed_bytes > wire.MAX_HEAD_BYTES:
-            self._fail()  # the parser gathers a line without end
+            self._fail()  # the parser would buffer an endless line
 
     def eof_received(self) -> bool:
-        """Completes a response that ends with its connection.
+        """Complete a response whose body ends when the connection is closed.
 
-        A break comes as an error instead, and leaves such a response incomplete.
+        A connection that breaks is reported as an error instead, and leaves such a response incomplete.
         """
         if self.handler is not None and self.head_complete and self.ends_with_connection and not self.status:
             self.status = self.parser.get_status_code()
@@ -311,9 +327,9 @@
         return False
 
     def _complete_response(self) -> None:
-        """Hands the response on, and returns the connection or closes it."""
+        """Hand the response to the handler, and return the connection to the pool or close it."""
         if self.handler is None:
-            return  # cancelled meanwhile
+            return  # the request was cancelled
         handler = self.handler
         self.handler = None
         self.reading_suspended = False
@@ -333,13 +349,13 @@
         handler.response_complete(response)
 
     def _fail(self) -> None:
-        """What has come is no response that could be used."""
+        """Report a response that cannot be used, and close the connection."""
         handler = self.handler
         if handler is not None:
             handler.connection_failed(self.cancel_request())
 
     def cancel_request(self) -> bool:
-        """Gives up the request that is out, and closes the connection; whether it had been written whole."""
+        """Cancel the request and close the connection; return whether the whole request had been written."""
         self.handler = None
         request_written = self.is_flushed
         self._detach_upload()
@@ -347,8 +363,8 @@
         return request_written
 
     def connection_closed(self) -> None:
-        """Reports that no response will come."""
-        self.parser = None  # type: ignore[assignment]  # it holds this connection and its buffers
+        """Remove the connection from the pool and report that there will be no response."""
+        self.parser = None  # type: ignore[assignment]  # it holds references to this connection and its buffers
         self.pool.remove_connection(self)
         request_written = self.is_flushed
         self._detach_upload()
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients: time limits, pipelining and ends."""
+"""Client connections: time limits, pipelining and closing."""
 
 import gc
 from types import SimpleNamespace
@@ -37,14 +37,14 @@
 def test_silent_and_trickling_clients_time_out_counted_from_connecting():
     for sent, status in ((b"", b""), (b"GET /-/re", b"HTTP/1.1 408")):
         client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, 9 * S)
-        pipe, came = FakeTransport(client), clock()
+        transport, connected_at = FakeTransport(client), clock()
         for byte in sent:
             feed(client, bytes([byte]))
-        when, _, call, _ = client.stall_timer
-        assert when <= came + 3 * S - 250 * MS  # the end has to reach them in time
-        call()
-        assert pipe.written[:12] == status
-        assert status or pipe.ended
+        when, _, callback, _ = client.stall_timer
+        assert when <= connected_at + 3 * S - 250 * MS  # so that the response reaches the client within 3 s
+        callback()
+        assert transport.written[:12] == status
+        assert status or transport.ended
 
 
 def test_an_accepted_connection_not_yet_up_is_not_closed_as_idle():
@@ -54,51 +54,51 @@
 
 
 def test_a_slow_head_and_a_steady_body_do_not_time_out_but_silence_does():
-    client, came = (
+    client, connected_at = (
         ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, 9 * S),
         clock(),
     )
     FakeTransport(client)
     feed(client, SIZED % (b"t", 60_000))
-    client.parser.head_complete_at = client.parser.last_body_byte_at = came - BODY_PAUSE_TIMEOUT // 2
+    client.parser.head_complete_at = client.parser.last_body_byte_at = connected_at - BODY_PAUSE_TIMEOUT // 2
     client.request_timed_out()
     assert not client.parser.error_status
-    assert client.stall_timer[0] >= came + BODY_PAUSE_TIMEOUT // 2 - MS
-    client.parser.head_complete_at = client.parser.last_body_byte_at = came - 2 * BODY_PAUSE_TIMEOUT
+    assert client.stall_timer[0] >= connected_at + BODY_PAUSE_TIMEOUT // 2 - MS
+    client.parser.head_complete_at = client.parser.last_body_byte_at = connected_at - 2 * BODY_PAUSE_TIMEOUT
     client.request_timed_out()
     assert client.parser.error_status == 408 or client.transport.written.startswith(b"HTTP/1.1 408")
 
 
 def test_a_request_pipelined_behind_a_streamed_response_is_not_lost_on_shutdown():
     dispatcher = SimpleNamespace(closing=lambda: True, ready=lambda: True)
-    for behind, kept in ((1, True), (0, False)):
+    for queued_requests, is_kept_open in ((1, True), (0, False)):
         client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, dispatcher, S)
         FakeTransport(client)
         client.state, client.keep_alive = ServingState.SERVING, True
-        client.queue.extend([()] * behind)
+        client.queue.extend([()] * queued_requests)
         client.start_response(b"", 9, SimpleNamespace(reading_suspended=False))
-        assert client.keep_alive is kept
-        assert (b"Connection: close" in client.transport.written) is not kept
+        assert client.keep_alive is is_kept_open
+        assert (b"Connection: close" in client.transport.written) is not is_kept_open
 
 
 def test_closed_connections_and_finished_requests_leave_no_reference_cycles():
     gc.disable()
     try:
-        for make in (
+        for make_connection in (
             lambda: ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S),
             lambda: send_request()[1],
         ):
-            made = make()
-            FakeTransport(made)
-            made.connection_lost(None)
-            gone = ref(made)
-            del made
-            assert gone() is None
-        made = Connection(DescriptorBudget(100))
-        made.class_name = b""
-        made.release()
+            connection = make_connection()
+            FakeTransport(connection)
+            connection.connection_lost(None)
+            weak_connection = ref(connection)
+            del connection
+            assert weak_connection() is None
+        connection = Connection(DescriptorBudget(100))
+        connection.class_name = b""
+        connection.release()
         policy = SimpleNamespace(open_requests=1)
-        request = Request(incoming_request(made), 0, 0, policy)
+        request = Request(incoming_request(connection), 0, 0, policy)
         request.state, request.attempts = (
             SimpleNamespace(is_finished=True),
             [SimpleNamespace(request=request)],
@@ -107,9 +107,9 @@
             requests=HandleTable(4), trace_ids=set(), policies=[policy, SimpleNamespace(open_requests=0)]
         )
         Router.forget_if_finished(router, request)
-        assert len(router.policies) == 1  # nor does a set of decisions that has been followed stay
-        gone = ref(made)
-        del request, made
-        assert gone() is None  # nothing holds its transaction any more
+        assert len(router.policies) == 1  # the outdated policy, now without open requests, is dropped as well
+        weak_connection = ref(connection)
+        del request, connection
+        assert weak_connection() is None  # nothing refers to the finished request any more
     finally:
         gc.enable()
--- a/tests/http/test_long_messages.py
+++ b/tests/http/test_long_messages.py
@@ -22,43 +22,44 @@
         assert call(process.admin, "/api/telemetry")[1]["relayed"] == 4
 
 
-def sends(raw):
+def respond_and_keep_open(raw):
     return lambda conn, request: conn.sendall(raw) is None
 
 
-def ends(raw):
+def respond_and_close(raw):
     return lambda conn, request: conn.sendall(raw) is not None
 
 
 @pytest.mark.parametrize(
-    "play",
+    "respond",
     [
-        sends(answer(LONG)), sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)),
-        ends(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG),
+        respond_and_keep_open(answer(LONG)),
+        respond_and_keep_open(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)),
+        respond_and_close(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG),
     ],
 )  # fmt: skip
-def test_a_long_response_passes_unchanged_in_every_framing(play):
-    with program(Upstream(play)) as (address, _, _):
+def test_a_long_response_passes_unchanged_in_every_framing(respond):
+    with program(Upstream(respond)) as (address, _, _):
         client = Caller(address)
         for trace in ("t1", "t2"):
             assert client.ask(trace=trace)[::2] == (200, LONG)
 
 
-def cuts(conn, request):
+def close_within_sized_response(conn, request):
     conn.sendall(answer(LONG)[:100_000])
 
 
-def cuts_chunks(conn, request):
+def close_within_chunked_response(conn, request):
     conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)[:200_000])
 
 
-@pytest.mark.parametrize("play", [cuts, cuts_chunks])
-def test_a_connection_lost_within_a_long_response_is_seen_by_the_client_and_not_retried(play):
-    upstream = Upstream(play)
+@pytest.mark.parametrize("respond", [close_within_sized_response, close_within_chunked_response])
+def test_a_connection_lost_within_a_long_response_is_seen_by_the_client_and_not_retried(respond):
+    upstream = Upstream(respond)
     with program(upstream) as (address, process, _):
         client = Caller(address)
         client.send()
-        assert client.read() is None  # ended short
+        assert client.read() is None  # the response is incomplete
         assert upstream.came.qsize() == 1
         shown = call(process.admin, "/api/telemetry")[1]["operations"]["query"]
         assert (shown["fulfilled"], shown["faulted"]) == (0, 1)
@@ -66,7 +67,8 @@
 
 def test_a_partly_consumed_body_is_rejected_when_its_attempt_fails():
     upstream = Upstream()
-    upstream.serve = lambda conn: (conn.recv(1000), upstream.ended.put(True))  # ends in the middle
+    # The upstream closes the connection in the middle of the body.
+    upstream.serve = lambda conn: (conn.recv(1000), upstream.ended.put(True))
     with program(upstream) as (address, _, _):
         client = Caller(address)
         client.sock.sendall(SIZED % (b"t", len(LONG)) + LONG[:300_000])
@@ -76,22 +78,22 @@
 
 def test_many_long_messages_at_once_with_slow_readers_stay_within_memory():
     body = LONG * 8  # 16 MiB
-    with program(Upstream(sends(answer(body)))) as (address, process, _):
+    with program(Upstream(respond_and_keep_open(answer(body)))) as (address, process, _):
         clients = [Caller(address) for _ in range(40)]
         for n, client in enumerate(clients):
             client.send("submit", "POST", b"x" * 200_000, trace=f"t{n}")
         until(lambda: call(process.admin, "/api/telemetry")[1]["relayed"] >= 40)
-        assert clients[0].read()[2] == body  # while nobody else reads
+        assert clients[0].read()[2] == body  # while no other client reads
         with open(f"/proc/{process.pid}/statm") as file:
             assert int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") < 80 << 20
 
 
 def test_a_response_to_http_1_0_ends_with_its_connection_and_a_cut_one_with_a_reset():
-    for play, is_whole in (
-        (ends(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG), True),
-        (cuts_chunks, False),
+    for respond, is_whole in (
+        (respond_and_close(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG), True),
+        (close_within_chunked_response, False),
     ):
-        with program(Upstream(play)) as (address, _, _):
+        with program(Upstream(respond)) as (address, _, _):
             client = Caller(address)
             client.sock.sendall(
                 b"GET http://api/query HTTP/1.0\r\nX-Trace-Id: o\r\nX-Expires-In-Ms: 2000\r\n\r\n"
--- a/tests/http/test_upstream_connection.py
+++ b/tests/http/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: what is a response, and what ends the connection."""
+"""Upstream connections: which bytes form a response, and what closes the connection."""
 
 import socket
 from contextlib import closing
@@ -12,20 +12,20 @@
 
 
 def test_a_lost_connection_reports_whether_the_request_was_written():
-    for length, takes, outcome in (
+    for length, accepted_bytes, outcome in (
         (9, 99, Outcome.RESET),
         (9, 8, Outcome.UNREACHABLE),
         (3 * BUFFER_SIZE, 2 * BUFFER_SIZE, Outcome.UNREACHABLE),
         (3 * BUFFER_SIZE, 9 * BUFFER_SIZE, Outcome.RESET),
     ):
-        request, connection = send_request(takes, length)
+        request, connection = send_request(accepted_bytes, length)
         connection.connection_lost(None)
         assert request.outcome is outcome
 
 
 def test_a_timeout_closes_the_connection_before_it_is_reported():
-    for takes, outcome in ((99, Outcome.TIMED_OUT), (8, Outcome.UNREACHABLE)):
-        request, connection = send_request(takes)
+    for accepted_bytes, outcome in ((99, Outcome.TIMED_OUT), (8, Outcome.UNREACHABLE)):
+        request, connection = send_request(accepted_bytes)
         request.timed_out()
         assert connection.closed
         assert connection.transport.ended
@@ -33,7 +33,7 @@
 
 
 def test_a_second_or_unrequested_response_closes_the_connection():
-    for raw, kept in (
+    for raw, is_kept_open in (
         (RESPONSE, True),
         (RESPONSE + RESPONSE, False),
         (RESPONSE.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"), False),
@@ -41,7 +41,7 @@
         request, connection = send_request()
         feed(connection, raw)
         assert request.outcome is Outcome.SUCCEEDED
-        assert connection.closed is not kept
+        assert connection.closed is not is_kept_open
     request, connection = send_request()
     feed(connection, b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE)
     assert request.outcome is Outcome.SUCCEEDED
@@ -52,28 +52,29 @@
 
 
 def test_bytes_behind_a_response_are_no_part_of_it_and_close_the_connection():
-    early = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-    for raw, kept in (
+    early_hints = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+    for raw, is_kept_open in (
         (RESPONSE + RESPONSE, False),
         (RESPONSE + RESPONSE[:20], False),
         (RESPONSE + b"\x00 noise", False),
-        (early * 2 + RESPONSE, True),
+        (early_hints * 2 + RESPONSE, True),
     ):
         request, connection = send_request(kind=RecordingBodyRequest)
         feed(connection, raw)
         assert (request.outcome, request.body) == (Outcome.SUCCEEDED, b"ok")
-        assert connection.closed is not kept
+        assert connection.closed is not is_kept_open
 
 
 def test_unrequested_bytes_are_never_taken_for_the_next_response():
-    for late in (b"H", None):  # they come, or the connection ends, before the loop reads either
+    # The bytes arrive, or the connection is closed, before the event loop reads either.
+    for unrequested in (b"H", None):
         request, connection = send_request()
         feed(connection, RESPONSE)
         near, far = socket.socketpair()
         with closing(near), closing(far):
             near.setblocking(False)
             connection.sock = near
-            far.send(late) if late else far.close()
+            far.send(unrequested) if unrequested else far.close()
             assert request.endpoint.take_idle_connection(clock() + AFTER_REUSE_DELAY)[0] is None
             assert connection.closed
 
