--- a/dahliabend/transport/__init__.py
+++ b/dahliabend/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets with their buffers, and the tables and timers that own them. Nothing here knows HTTP."""
+"""Sockets and their buffers, the budget of file descriptors, and timers. Nothing here knows HTTP."""
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -1,4 +1,4 @@
-"""One socket with a ring buffer each way."""
+"""A connection: one socket with a ring buffer in each direction."""
 
 import asyncio
 import contextlib
@@ -12,33 +12,35 @@
 from dahliabend.transport.ring_buffer import RingBuffer
 
 BUFFER_SIZE = 8192  # bytes of each ring buffer
-# Bytes. The system's own buffer grows to megabytes otherwise: what lies there counts as written, and a peer
-# that reads slowly would seem to stand still while it is emptied.
+# Bytes. Without a limit the system's buffer grows to megabytes. Bytes in it count as written, so a peer that
+# reads slowly would seem to make no progress while the buffer is emptied.
 SYSTEM_SEND_BUFFER_SIZE = 256 * 1024
-_LINGER_WITH_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, no time
+_LINGER_WITH_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a timeout of 0 s
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Bytes in and out of a socket, with backpressure both ways.
+    """Reads from and writes to a socket, with backpressure in both directions.
 
-    What the bytes mean is a subclass's: it fills in `bytes_received`, `output_flushed`, `transport_paused`
-    and `connection_closed`. The descriptor belongs to the `DescriptorBudget`, from the constructor until
-    `release`.
+    Subclasses give the bytes a meaning by overriding `bytes_received`, `output_flushed`, `transport_paused`
+    and `connection_closed`. The socket's descriptor counts against the `DescriptorBudget` from the
+    constructor until `release`.
 
     Attributes:
-        handle: Of this connection in the budget.
-        receive_buffer: What has come and was not handed on yet.
-        send_buffer: What goes to the system next.
-        pending: Pieces to be written that are not wholly in the send buffer yet.
-        pending_offset: How much of the first pending piece is in the send buffer.
+        handle: Handle of this connection in the descriptor budget.
+        receive_buffer: Bytes that were received and not yet passed to `bytes_received`.
+        send_buffer: Bytes to pass to the transport next.
+        pending: Pieces to write that are not entirely in the send buffer yet.
+        pending_offset: Bytes of the first pending piece that are in the send buffer already.
         pending_bytes: Bytes of the pending pieces that are not in the send buffer yet.
-        bytes_in_transport: Bytes of the send buffer that the transport still reads.
-        write_paused: The transport has more than it can write.
-        write_failed: The system refused a write.
-        input_blocked: What has come waits, as earlier requests have to be answered first.
-        reading_suspended: Nothing is read, as whoever the bytes go to is slower.
-        reading_paused: The transport has been told not to read.
-        closed: It is closed or being closed.
+        bytes_in_transport: Bytes of the send buffer that the transport has not finished reading.
+        write_paused: Whether the transport has more bytes than it can write.
+        write_failed: Whether the system refused a write.
+        input_blocked: Whether received bytes have to wait until earlier requests are answered.
+        reading_suspended: Whether reading is stopped because the receiver of the bytes is slower.
+        reading_paused: Whether the transport has been told not to read.
+        closed: Whether the connection is closed or being closed.
+        transport: The transport; None before the connection is established and after it is lost.
+        sock: The socket; None while `transport` is, and after `reset`.
     """
 
     def __init__(self, descriptors: DescriptorBudget) -> None:
@@ -59,41 +61,41 @@
         self.transport: asyncio.Transport | None = None
         self.sock: socket.socket | None = None
 
-    # What a subclass fills in.
+    # Methods that subclasses override
 
     def bytes_received(self, view: memoryview) -> None:
-        """Bytes have come; the view is valid during the call only."""
+        """Process received bytes; the view is valid during the call only."""
 
     def output_flushed(self) -> None:
-        """The system has taken all that was written."""
+        """Handle that the system has taken all written bytes."""
 
     def transport_paused(self) -> None:
-        """Nothing is read any more, for now."""
+        """Handle that reading has been paused."""
 
     def connection_closed(self) -> None:
-        """The connection is gone, and its descriptor has been released."""
+        """Handle the end of the connection; its descriptor has been released."""
 
-    # Reading.
+    # Reading
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The transport is up; it is aborted if the connection was closed meanwhile."""
+        """Store the transport, or abort it if the connection was closed while it was being established."""
         self.transport = cast(asyncio.Transport, transport)
-        # At 0 a write goes to the socket at once, and `pause_writing` is called if it did not go whole.
+        # With a limit of 0, `pause_writing` is called whenever the socket does not take a write entirely.
         self.transport.set_write_buffer_limits(high=0)
         if self.closed:
             self.transport.abort()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Where the transport puts what it reads next."""
+        """Return the buffer for the bytes that the transport reads next."""
         return self.receive_buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """The transport has read so many bytes."""
+        """Take in `nbytes` bytes that the transport has read."""
         self.receive_buffer.commit(nbytes)
         self.process_input()
 
     def process_input(self) -> None:
-        """Hands on what has come, unless it is to wait; a full buffer holds the peer back."""
+        """Pass on received bytes unless they have to wait; while the buffer is full, pause reading."""
         ring = self.receive_buffer
         while ring.count and not self.input_blocked and not self.reading_suspended and not self.closed:
             view = ring.readable_view()
@@ -107,27 +109,27 @@
             self.transport.resume_reading()
 
     def pause_transport(self) -> None:
-        """Tells the transport not to read for now."""
+        """Tell the transport not to read."""
         if not self.reading_paused and self.transport is not None and not self.closed:
             self.reading_paused = True
             self.transport.pause_reading()
             self.transport_paused()
 
     def suspend_reading(self) -> None:
-        """Reads nothing more for now, as whoever the bytes go to is slower.
+        """Stop reading because the receiver of the bytes is slower.
 
-        An end is not seen before the bytes ahead of it have been handed on.
+        The end of the peer's stream is not noticed until the bytes before it have been passed on.
         """
         self.reading_suspended = True
         self.pause_transport()
 
     def continue_reading(self) -> None:
-        """Undoes `suspend_reading`."""
+        """Undo `suspend_reading`."""
         if self.reading_suspended:
             self.reading_suspended = False
             self.process_input()
 
-    # Writing.
+    # Writing
 
     @property
     def unsent_bytes(self) -> int:
@@ -136,17 +138,20 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the system has taken all that was written."""
+        """Whether the system has taken all written bytes."""
         return not (self.write_paused or self.pending or self.send_buffer.count or self.write_failed)
 
     def write(self, *pieces: bytes) -> None:
-        """Sends the pieces as one; none is copied as a whole, as many peers may wait with long bodies."""
+        """Send the pieces in order.
+
+        No piece is copied as a whole, because many peers may be waiting for long bodies at once.
+        """
         self.pending.extend(pieces)
         self.pending_bytes += sum(map(len, pieces))
         self.flush_pending()
 
     def flush_pending(self) -> None:
-        """Hands pending pieces to the system, as far as it takes them."""
+        """Pass pending pieces to the system, as far as it takes them."""
         ring = self.send_buffer
         while not self.write_paused and not self.closed and self.transport is not None:
             while self.pending and ring.count < ring.size:
@@ -162,7 +167,7 @@
             view = ring.readable_view()
             self.transport.write(view)
             if self.transport.is_closing():
-                self.write_failed = True  # the system refused it
+                self.write_failed = True  # the system refused the write
                 return
             if self.write_paused:
                 self.bytes_in_transport = len(view)
@@ -170,31 +175,31 @@
             ring.consume(len(view))
 
     def pause_writing(self) -> None:
-        """The transport could not write all at once."""
+        """Note that the transport could not write all bytes at once."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """The transport has written all it had."""
+        """Continue writing, as the transport has written all its bytes."""
         self.write_paused = False
         self.send_buffer.consume(self.bytes_in_transport)
         self.bytes_in_transport = 0
         self.flush_pending()
 
-    # Ending.
+    # Closing
 
     def eof_received(self) -> bool:
-        """The peer has ended its sending: the transport closes."""
+        """Let the transport close, as the peer has ended its stream."""
         return False
 
     def can_evict(self) -> bool:
-        """Whether it may be closed while idle without a request being lost."""
+        """Whether the connection, while idle, can be closed without losing a request."""
         return True
 
     def unread_input(self) -> bool | None:
-        """Whether something is still to be read.
+        """Return whether anything is left to read.
 
         Returns:
-            None: nothing; False: only that the peer has closed it; True: bytes.
+            None: nothing; False: only the end of the peer's stream; True: bytes.
         """
         if self.receive_buffer.count:
             return True
@@ -202,34 +207,34 @@
             return bool(self.sock.recv(1, socket.MSG_PEEK)) if self.sock is not None else None
         except BlockingIOError:
             return None
-        except OSError:  # nothing to come any more
+        except OSError:  # the socket has failed, so nothing more will be received
             return False
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed it, also where that stands behind bytes not read yet."""
+        """Return whether the peer has closed the connection, even if bytes before that are unread."""
         return self.sock is not None and host_info.peer_has_closed(self.sock)
 
     def abort(self) -> None:
-        """Closes it at once; the peer is notified before this returns."""
+        """Close the connection at once; the peer is notified before this returns."""
         if self.closed:
             return
         self.closed = True
         self.descriptors.mark_busy(self.handle)
         if self.sock is not None and self.transport is not None:
-            with contextlib.suppress(OSError):  # it may have been closed already
+            with contextlib.suppress(OSError):  # the socket may have been closed already
                 self.sock.shutdown(socket.SHUT_RDWR)
         if self.transport is not None:
             self.transport.abort()
 
     def reset(self) -> None:
-        """Closes it by a reset, so that the peer does not take what was sent for complete."""
+        """Close the connection by a reset, so that the peer does not take the sent data for complete."""
         if self.sock is not None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_WITH_RESET)
-            self.sock = None  # shut down, it would end in order
+            self.sock = None  # `abort` would shut it down, which is an orderly close
         self.abort()
 
     def close(self) -> None:
-        """Closes it in order; all that was written has been flushed."""
+        """Close the connection in an orderly way; all written bytes must have been flushed."""
         if not self.closed:
             self.closed = True
             self.descriptors.mark_busy(self.handle)
@@ -237,36 +242,36 @@
                 self.transport.close()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """The transport is closed."""
+        """Release the descriptor after the transport has closed."""
         self.closed = True
         self.release()
         if self.sock is not None:
-            with contextlib.suppress(OSError):  # closed for good before anyone acts on it
+            with contextlib.suppress(OSError):  # the connection is down before `connection_closed` acts on it
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.connection_closed()
         self.transport = None
         self.sock = None
 
     def release(self) -> None:
-        """Gives the descriptor back to the budget."""
+        """Return the descriptor to the budget."""
         self.descriptors.release(self.handle)
 
     def dial_cancelled(self) -> None:
-        """Dialling was cancelled before it began: nothing else gives the descriptor back."""
+        """Release the descriptor if `dial` was cancelled before its first step; nothing else would do so."""
         if self.transport is None and not self.closed:
             self.closed = True
             self.release()
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Sets the options that all connections need."""
+    """Set the options that all connections need."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SYSTEM_SEND_BUFFER_SIZE)
 
 
 async def dial(loop: asyncio.AbstractEventLoop, address: tuple[str, int], connection: Connection) -> None:
-    """Connects to an address. Cancelled, it leaves nothing open.
+    """Connect to an address. If this is cancelled, no socket stays open.
 
     Raises:
         OSError: The address cannot be reached.
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -1,32 +1,32 @@
-"""The table of connections, which is also the budget of descriptors."""
+"""The table of open connections, which enforces the budget of file descriptors."""
 
 from itertools import chain
 from typing import Protocol
 
 from dahliabend.transport.handles import HandleTable
 
-ADMIN_DESCRIPTORS = 16  # of the limit: the operators' own, never lent to clients
-PROCESS_DESCRIPTORS = 16  # held beside connections: standard streams, listener, loop, files at the start
-RESERVE_FRACTION = 1 / 16  # of the limit: for clients that can only be answered that there is no capacity
+ADMIN_DESCRIPTORS = 16  # part of the limit, reserved for operators and never used for clients
+PROCESS_DESCRIPTORS = 16  # not connections: standard streams, listener, event loop, files read at the start
+RESERVE_FRACTION = 1 / 16  # of the limit, for clients that can only be told that there is no capacity
 MIN_RESERVE = 8
 
 
 class ManagedConnection(Protocol):
-    """What the budget needs of a connection."""
+    """What the budget needs from a connection."""
 
     def can_evict(self) -> bool:
-        """Whether closing it now loses no request."""
+        """Whether closing the connection now loses no request."""
 
     def abort(self) -> None:
-        """Closes it at once."""
+        """Close the connection at once."""
 
 
 class DescriptorBudget:
-    """Owns each connection's descriptor from `register` until `release`, the one place where it returns.
+    """Counts the descriptor of each connection from `register` until `release`, the only place that frees it.
 
-    Idle connections are remembered in the order in which they became idle; the oldest is evicted when
-    another is wanted and none is left. Where none is idle, one goes that has long been slow to send its
-    request: many that trickle would keep all others out.
+    Idle connections are kept in the order in which they became idle. If a new connection needs a descriptor
+    and none is left, the oldest idle connection is evicted. If none is idle, a connection is evicted that has
+    been slow to send its request: otherwise many clients that send slowly would keep all others out.
 
     >>> budget = DescriptorBudget(26)
     >>> [budget.register(n) for n in "abc"], budget.is_full(), budget.reserve_in_use, budget.is_exhausted()
@@ -38,25 +38,30 @@
 
     Attributes:
         connections: All connections that hold a descriptor.
-        idle: By handle, the clock time since which a connection is idle; the oldest first.
-        slow_after: By handle, of connections that still receive a request: when they count as slow.
-        closing: Handles of connections that were evicted and are not closed yet.
+        idle: By handle, the clock time (us) since which a connection is idle; the oldest first.
+        slow_after: By handle, the clock time (us) from which a connection that is receiving a request counts
+            as slow.
+        evicting: Handles of connections that were evicted and are not closed yet.
         reserve: Descriptors kept for clients that can only be rejected.
-        limit: Connections that this process may hold at most.
-        limit_before_reserve: Connections beyond which the reserve is used.
+        limit: Largest number of connections of this process.
+        limit_before_reserve: Number of connections from which on the reserve is used.
     """
 
     def __init__(self, limit: int) -> None:
-        """Args: limit: Descriptors that this process may have open, `PROCESS_DESCRIPTORS` included."""
+        """Create a budget without connections.
+
+        Args:
+            limit: Descriptors that this process may have open, `PROCESS_DESCRIPTORS` included.
+        """
         self.connections: HandleTable[ManagedConnection] = HandleTable(limit - PROCESS_DESCRIPTORS)
         self.idle: dict[int, int] = {}
         self.slow_after: dict[int, int] = {}
-        self.closing: set[int] = set()
+        self.evicting: set[int] = set()
         self.reserve = max(MIN_RESERVE, round(limit * RESERVE_FRACTION))
         self.set_share(1)
 
     def set_share(self, fraction: float) -> None:
-        """Limits this process to a fraction of the descriptors, as another process has the rest.
+        """Limit this process to a fraction of the descriptors, as another process uses the others.
 
         Idle connections beyond the limit are closed.
         """
@@ -68,22 +73,22 @@
             self._evict(handle)
 
     def _evict(self, handle: int) -> bool:
-        """Closes a connection if no request is lost by it; whether it did.
+        """Close a connection if that loses no request; return whether it was closed.
 
-        Its slot comes back once it is closed; until then the reserve bears it.
+        Its slot is free only once it has closed; until then it counts against the reserve.
         """
         connection = self.connections.get(handle)
         if connection is None or not connection.can_evict():
             return False
-        self.closing.add(handle)
+        self.evicting.add(handle)
         connection.abort()
         return True
 
     def is_full(self, now: int = 0) -> bool:
-        """Whether only the reserve is left, also after the oldest idle connection has been evicted.
+        """Evict a connection if only the reserve is left; return whether the budget is still full.
 
         Args:
-            now: Clock time; connections that count as slow by then may be evicted too.
+            now: Clock time (us); connections that count as slow by then may be evicted too.
         """
         if not self.reserve_in_use:
             return False
@@ -95,46 +100,46 @@
 
     @property
     def reserve_in_use(self) -> bool:
-        """Whether the reserve is in use: no connection is then kept open for later."""
-        return len(self.connections) - len(self.closing) >= self.limit_before_reserve
+        """Whether the reserve is in use; no connection is then kept open for later requests."""
+        return len(self.connections) - len(self.evicting) >= self.limit_before_reserve
 
     def is_exhausted(self) -> bool:
-        """Whether even the reserve is used up."""
+        """Return whether the reserve is used up as well."""
         return len(self.connections) >= self.limit
 
     def register(self, connection: ManagedConnection) -> int:
-        """Takes a descriptor for a connection; returns its handle."""
+        """Take a descriptor for a connection; return the connection's handle."""
         return self.connections.add(connection)
 
     def mark_idle(self, handle: int, now: int) -> None:
-        """The connection is between requests from now on."""
+        """Record that the connection is between requests from clock time `now` on."""
         self.slow_after.pop(handle, None)
-        self.idle.pop(handle, None)  # set anew, it is the newest of them
+        self.idle.pop(handle, None)  # removed first, so that it becomes the last entry
         self.idle[handle] = now
 
     def mark_awaiting_request(self, handle: int, slow_after: int) -> None:
-        """The connection has begun to receive a request, and counts as slow from that time on."""
+        """Record that the connection is receiving a request, and when it starts to count as slow."""
         self.idle.pop(handle, None)
         self.slow_after[handle] = slow_after
 
     def mark_busy(self, handle: int) -> None:
-        """The connection is in use: it is not evicted."""
+        """Record that the connection is in use, so that it is not evicted."""
         self.idle.pop(handle, None)
         self.slow_after.pop(handle, None)
 
     def idle_since(self, before: int) -> list[ManagedConnection]:
-        """The connections that became idle before that time, oldest first."""
-        found: list[ManagedConnection] = []
+        """Return the connections that became idle before clock time `before`, oldest first."""
+        idle_connections: list[ManagedConnection] = []
         for handle, since in self.idle.items():
             if since >= before:
                 break
             connection = self.connections.get(handle)
             if connection is not None:
-                found.append(connection)
-        return found
+                idle_connections.append(connection)
+        return idle_connections
 
     def release(self, handle: int) -> None:
-        """Gives a connection's descriptor back."""
+        """Return a connection's descriptor to the budget."""
         self.mark_busy(handle)
-        self.closing.discard(handle)
+        self.evicting.discard(handle)
         self.connections.remove(handle)
--- a/dahliabend/transport/handles.py
+++ b/dahliabend/transport/handles.py
@@ -9,10 +9,10 @@
 
 
 class HandleTable(Generic[T]):
-    """Items by handle, of a fixed capacity.
+    """A table of fixed capacity that stores items by handle.
 
-    A handle names one occupancy of a slot: once that is over, the handle finds nothing, so that a late
-    event never reaches whoever has the slot next.
+    A handle stands for one use of a slot. After the item has been removed, its handle finds nothing, so that
+    a late event never reaches the next item in the same slot.
 
     >>> table = HandleTable(1)
     >>> first = table.add("a"); table.add("b"), table.remove(first), table.get(first)
@@ -24,7 +24,7 @@
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.items: list[T | None] = []
-        self.handles: list[int] = []  # by slot, of its present or last occupancy
+        self.handles: list[int] = []  # by slot, handle of its current or last item
         self.free_slots: list[int] = []
 
     def __len__(self) -> int:
@@ -34,7 +34,7 @@
         return iter([item for item in self.items if item is not None])
 
     def add(self, item: T) -> int:
-        """Stores an item; returns its handle, or `NO_HANDLE` if no slot is free."""
+        """Store an item; return its handle, or `NO_HANDLE` if no slot is free."""
         if self.free_slots:
             slot = self.free_slots.pop()
             self.handles[slot] += self.capacity
@@ -48,14 +48,14 @@
         return self.handles[slot]
 
     def get(self, handle: int) -> T | None:
-        """The item, if its occupancy is not over."""
+        """Return the item, or None if it has been removed."""
         slot = handle % self.capacity
         if slot < len(self.items) and self.handles[slot] == handle:
             return self.items[slot]
         return None
 
     def remove(self, handle: int) -> T | None:
-        """Ends an occupancy; returns the item, or None if it was over already."""
+        """Remove an item and return it; return None if it has been removed before."""
         item = self.get(handle)
         if item is not None:
             slot = handle % self.capacity
--- a/dahliabend/transport/hangup_detection.py
+++ b/dahliabend/transport/hangup_detection.py
@@ -1,17 +1,17 @@
-"""Connections that notice that the peer has gone also while nothing is read from it."""
+"""A connection that notices the peer's disconnect even while reading is paused."""
 
 from dahliabend.transport.connection import Connection
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import Timer, TimerQueue, clock
 
-HANGUP_CHECK_INTERVAL = 50_000  # microseconds; a client that has gone counts within 0.1 s
+HANGUP_CHECK_INTERVAL = 50_000  # microseconds; a disconnect has to be noticed within 0.1 s
 
 
 class HangupDetectingConnection(Connection):
-    """A connection that is checked from time to time while its reading is paused.
+    """A connection that is checked at intervals while its reading is paused.
 
     Attributes:
-        hangup_timer: Fires at the next check.
+        hangup_timer: Fires when the next check is due.
     """
 
     def __init__(self, descriptors: DescriptorBudget, timers: TimerQueue) -> None:
@@ -20,12 +20,15 @@
         self.hangup_timer: Timer | None = None
 
     def transport_paused(self) -> None:
-        """Schedules the next check."""
+        """Schedule the next check."""
         self.timers.cancel(self.hangup_timer)
         self.hangup_timer = self.timers.schedule(clock() + HANGUP_CHECK_INTERVAL, self.check_hangup)
 
     def check_hangup(self) -> None:
-        """Closes it if the peer has gone: what it sent ahead would be served for nobody."""
+        """Close the connection if the peer has disconnected.
+
+        Otherwise the requests that the peer sent before would be served although nobody reads the responses.
+        """
         if not self.reading_paused or self.closed:
             return
         if self.peer_has_closed():
@@ -34,5 +37,5 @@
             self.transport_paused()
 
     def connection_closed(self) -> None:
-        """Checks no more."""
+        """Cancel the next check."""
         self.timers.cancel(self.hangup_timer)
--- a/dahliabend/transport/host_info.py
+++ b/dahliabend/transport/host_info.py
@@ -1,6 +1,6 @@
-"""What the program takes from its host: clocks, sockets, files, and the directory that processes share.
+"""Operating system services that the program uses: clocks, sockets, files, and the runtime directory.
 
-Everything else calls these by way of the module, so that `dahliabend.simulation` can replace them.
+All other code calls them through this module, so that `dahliabend.simulation` can replace them.
 """
 
 import os
@@ -12,23 +12,23 @@
 from dahliabend.transport.runtime_directory import RuntimeDirectory
 
 monotonic_ns = time.monotonic_ns  # monotonic time in nanoseconds
-time_ns = time.time_ns  # Unix time in nanoseconds; all machines read one clock
+time_ns = time.time_ns  # Unix time in nanoseconds; the clocks of all machines are taken to agree
 process_id = os.getpid
-runtime_directory = RuntimeDirectory  # of a path
+runtime_directory = RuntimeDirectory  # called with a path
 
 
 def stream_socket() -> socket.socket:
-    """A new TCP socket."""
+    """Return a new TCP socket."""
     return socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
 
 def datagram_socket() -> socket.socket:
-    """A new UDP socket."""
+    """Return a new UDP socket."""
     return socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
 
 def inherited_socket(number: int) -> socket.socket:
-    """The socket of an inherited descriptor.
+    """Return the socket of an inherited descriptor.
 
     Raises:
         OSError: The descriptor is not a socket.
@@ -37,16 +37,16 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed its sending side or all of the connection, whatever is still unread."""
+    """Return whether the peer has closed its sending side or the whole connection, even with data unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def read_file(path: str) -> bytes:
-    """The content of a file.
+    """Return the content of a file.
 
     Raises:
-        OSError: It cannot be read.
+        OSError: The file cannot be read.
     """
     return Path(path).read_bytes()
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket and the connections that come in on it."""
+"""A listening socket, which accepts connections."""
 
 import asyncio
 import contextlib
@@ -10,21 +10,21 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue, clock
 
-BACKLOG = 1024  # connections that wait in the system's queue
-MAX_ACCEPTS_AT_ONCE = 64  # before other events are handled
-RETRY_DELAY = 5_000  # microseconds, if no descriptor is left
+BACKLOG = 1024  # connections that may wait in the system's queue
+MAX_ACCEPTS_AT_ONCE = 64  # connections accepted before other events are handled
+RETRY_DELAY = 5_000  # microseconds until the next attempt to accept, if no descriptor is left
 
 
 class Listener:
-    """Accepts as long as there are descriptors.
+    """Accepts connections as long as descriptors are available.
 
-    What has to wait longer waits in the system's queue: accepted and closed at once, a request already
-    written would be lost.
+    Further connections wait in the system's queue: if they were accepted and closed at once, requests that
+    their clients have sent already would be lost.
 
     Attributes:
-        sock: The listening socket, while it accepts.
-        shared: Other processes accept on the same socket.
-        accept_tasks: One a connection that is accepted and not up yet.
+        sock: The listening socket, while it is open.
+        shared: Whether other processes accept on the same socket.
+        accept_tasks: One task for each accepted connection that is not established yet.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.accept_tasks: set[asyncio.Task[None]] = set()
 
     def open(self, address: tuple[str, int]) -> None:
-        """Listens on an address.
+        """Listen on an address.
 
         Raises:
             OSError: The address cannot be bound.
@@ -55,22 +55,22 @@
         self.sock = sock
         self.start_accepting()
 
-    def inherit(self, number: int) -> None:
-        """Accepts on an inherited descriptor that other processes hold too; it listens already.
+    def inherit(self, descriptor: int) -> None:
+        """Accept on an inherited descriptor of a listening socket, which other processes hold too.
 
         Raises:
             OSError: The descriptor is not a listening socket.
         """
-        sock = host_info.inherited_socket(number)
+        sock = host_info.inherited_socket(descriptor)
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(f"PROXY_FD: {number} does not listen")
+            raise OSError(f"PROXY_FD: descriptor {descriptor} is not a listening socket")
         sock.setblocking(False)
         self.sock = sock
         self.shared = True
         self.start_accepting()
 
     def start_accepting(self) -> None:
-        """Accepts whenever a connection waits, unless it was closed."""
+        """Accept whenever a connection waits, unless the listener has been closed."""
         if self.sock is not None:
             self.timers.loop.add_reader(self.sock.fileno(), self.accept_waiting)
 
@@ -79,12 +79,16 @@
         self.timers.schedule(clock() + RETRY_DELAY, self.start_accepting)
 
     def accept_waiting(self) -> bool:
-        """Accepts some of the connections that wait; whether more may wait that there are descriptors for."""
+        """Accept some of the waiting connections.
+
+        Returns:
+            Whether more connections may be waiting that descriptors are available for.
+        """
         listening = self.sock
         if listening is None:
             return False
         for _ in range(MAX_ACCEPTS_AT_ONCE):
-            # Idle connections that kept others waiting to be accepted would have these miss their deadlines.
+            # Idle connections are evicted first: waiting clients would otherwise miss their deadlines.
             if self.descriptors.is_full(clock()) and self.descriptors.is_exhausted():
                 self._pause_accepting(listening)
                 return False
@@ -94,20 +98,20 @@
                 continue
             except BlockingIOError:
                 return False
-            except OSError:  # the system itself has no descriptor left
+            except OSError:  # the process or the system has no descriptor left
                 self._pause_accepting(listening)
                 return False
-            self._accepted(sock)
+            self._start_accepted(sock)
         return True
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _start_accepted(self, sock: socket.socket) -> None:
         configure_socket(sock)
         task = self.timers.loop.create_task(self.start(sock, self.make_connection()))
         self.accept_tasks.add(task)
         task.add_done_callback(self.accept_tasks.discard)
 
     async def start(self, sock: socket.socket, connection: Connection) -> None:
-        """Connects an accepted socket with its protocol."""
+        """Connect an accepted socket to its protocol."""
         connection.sock = sock
         try:
             await self.timers.loop.connect_accepted_socket(lambda: connection, sock=sock)
@@ -118,14 +122,15 @@
                     sock.close()
 
     def close(self) -> None:
-        """Accepts no more.
+        """Stop accepting.
 
-        What the system has accepted by now is still taken in, unless others go on accepting: it is theirs.
-        Only this copy is closed; shut down, the socket would end for all.
+        Connections that wait in the system's queue are still accepted, unless other processes share the
+        socket and will accept them. Only this process's descriptor is closed: shutting the socket down would
+        end it for all.
         """
         if self.sock is None:
             return
-        # Closed with some still in the queue, what these have sent would be lost.
+        # Closing the socket would lose the requests of clients that still wait in its queue.
         while not self.shared and self.accept_waiting():
             pass
         self.timers.loop.remove_reader(self.sock.fileno())
--- a/dahliabend/transport/ring_buffer.py
+++ b/dahliabend/transport/ring_buffer.py
@@ -2,7 +2,7 @@
 
 
 class RingBuffer:
-    """Bytes go in at the tail and out at the head; both ends hand out views, so nothing is copied twice.
+    """Adds bytes at the tail and removes them at the head; both ends are views, so nothing is copied twice.
 
     >>> ring = RingBuffer(4)
     >>> ring.write_from(b"abcdef", 0), bytes(ring.readable_view())
@@ -13,9 +13,9 @@
     b'ef'
 
     Attributes:
-        size: How many bytes it holds at most.
+        size: Capacity in bytes.
         head: Position of the oldest byte.
-        count: How many bytes it holds now.
+        count: Number of bytes stored.
     """
 
     __slots__ = ("count", "head", "size", "view")
@@ -27,27 +27,27 @@
         self.count = 0
 
     def writable_view(self) -> memoryview:
-        """The free bytes that lie together behind the tail; empty only if the ring is full."""
+        """Return the contiguous free bytes after the tail; empty only if the ring is full."""
         tail = self.head + self.count
         if tail >= self.size:
             return self.view[tail - self.size : self.head]
         return self.view[tail:]
 
     def commit(self, count: int) -> None:
-        """Takes in the first `count` bytes of the writable view, now that they are written."""
+        """Add the first `count` bytes of the writable view, which have been written."""
         self.count += count
 
     def readable_view(self) -> memoryview:
-        """The oldest bytes, as far as they lie together."""
+        """Return the oldest bytes, as far as they are contiguous."""
         return self.view[self.head : min(self.head + self.count, self.size)]
 
     def consume(self, count: int) -> None:
-        """Drops the oldest `count` bytes."""
+        """Remove the oldest `count` bytes."""
         self.count -= count
         self.head = (self.head + count) % self.size if self.count else 0
 
     def write_from(self, data: bytes, start: int) -> int:
-        """Copies `data` from `start` on, as far as there is space; returns how many bytes that was."""
+        """Copy `data` from `start` on, as far as there is space; return the number of bytes copied."""
         end = start
         while end < len(data) and self.count < self.size:
             space = self.writable_view()
--- a/dahliabend/transport/runtime_directory.py
+++ b/dahliabend/transport/runtime_directory.py
@@ -1,81 +1,83 @@
-"""A directory of small files that processes share: written and read whole, with locks that show who lives."""
+"""A directory of small files that processes share. Locked files show which processes are alive."""
 
 import contextlib
 import fcntl
 import os
 from pathlib import Path
 
-LOCKED_FILE_BYTES = 8  # that others read of a locked file
+LOCKED_FILE_BYTES = 8  # that other processes read of a locked file
 
 
 class LockedFile:
-    """A file that this process holds locked until it ends, with a few bytes for the others to read."""
+    """A file that this process keeps locked until it exits, with a few bytes for other processes to read."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
 
     def write(self, data: bytes) -> None:
-        """Replaces the content in place.
+        """Replace the content in place.
 
-        Written anew ten times a second, a file would have the event loop wait for a busy disk.
+        The file is written ten times a second; creating a new file each time would make the event loop wait
+        for a busy disk.
         """
         with contextlib.suppress(OSError):
             os.pwrite(self.descriptor, data, 0)
 
 
 class RuntimeDirectory:
-    """Files by name; a name may have one `/`, for a directory within.
+    """Files by name; a name may contain one `/`, for a subdirectory.
 
-    All methods but `read`, `read_locked` and `exists` raise OSError if the disk refuses.
+    All methods but `read`, `read_locked` and `exists` raise OSError if the file system reports an error.
     """
 
     def __init__(self, path: str) -> None:
         self.path = Path(path)
-        self.temporary = f"new-{os.getpid()}"
+        self.temporary_name = f"new-{os.getpid()}"
 
     def make_directory(self, name: str = "") -> None:
-        """Creates the directory, or one within it, unless it exists."""
+        """Create the directory, or a subdirectory, unless it exists."""
         (self.path / name).mkdir(parents=True, exist_ok=True)
 
     def glob(self, pattern: str) -> list[str]:
-        """The names that match a pattern, sorted, so that nothing depends on the disk's order."""
+        """Return the names that match a pattern, sorted to be independent of the file system's order."""
         return sorted(str(path.relative_to(self.path)) for path in self.path.glob(pattern))
 
     def read(self, name: str) -> bytes | None:
-        """The content, or None if it cannot be read."""
+        """Return the content of a file, or None if it cannot be read."""
         try:
             return (self.path / name).read_bytes()
         except OSError:
             return None
 
     def exists(self, name: str) -> bool:
-        """Whether there is a file of that name."""
+        """Return whether there is a file of that name."""
         return (self.path / name).exists()
 
     def write(self, name: str, data: bytes) -> None:
-        """Writes a file, whole or not at all: under another name first."""
-        temporary = self.path / self.temporary
-        temporary.write_bytes(data)
-        temporary.rename(self.path / name)
+        """Write a file atomically: to a temporary file, which is then renamed."""
+        temporary_path = self.path / self.temporary_name
+        temporary_path.write_bytes(data)
+        temporary_path.rename(self.path / name)
 
     def remove(self, name: str) -> None:
-        """Removes a file, if it is there."""
+        """Remove a file, if it exists."""
         (self.path / name).unlink(missing_ok=True)
 
     def create_locked(self, name: str) -> LockedFile:
-        """Creates a file that this process holds locked."""
-        temporary = self.path / self.temporary
-        descriptor = os.open(temporary, os.O_RDWR | os.O_CREAT, 0o600)
-        # Locked before it has its name: seen unlocked, it would be taken for a dead one's and removed.
+        """Create a file that this process keeps locked."""
+        temporary_path = self.path / self.temporary_name
+        descriptor = os.open(temporary_path, os.O_RDWR | os.O_CREAT, 0o600)
+        # Locked before it is renamed: another process would remove an unlocked file as that of a crashed one.
         fcntl.lockf(descriptor, fcntl.LOCK_EX)
-        temporary.rename(self.path / name)
+        temporary_path.rename(self.path / name)
         return LockedFile(descriptor)
 
     def read_locked(self, name: str) -> bytes | None:
-        """What the process that holds a file locked has written there; None if no process does.
+        """Return what the process that keeps a file locked has written to it; None if no process does.
 
-        A file that no process holds is removed: a crash frees the lock, so that no old file misleads. Never
-        call it for a file of this process: opened and closed here, its lock would be lost.
+        A file without a lock is removed: a crash frees the lock, so a file that a crashed process left cannot
+        mislead. Never call this for a file that this process has locked: opening and closing it here would
+        drop the lock.
         """
         path = self.path / name
         try:
--- a/tests/transport/test_connection.py
+++ b/tests/transport/test_connection.py
@@ -1,4 +1,4 @@
-"""Writing with backpressure."""
+"""Writing to a transport that pauses the writer."""
 
 from fake_transport import FakeTransport
 
@@ -8,9 +8,9 @@
 
 def test_a_blocked_write_resumes_where_it_stopped():
     connection = UpstreamConnection(DescriptorBudget(100), None)
-    pipe = FakeTransport(connection, 100)
+    transport = FakeTransport(connection, 100)
     data = bytes(range(256)) * 100
     connection.write(data)
     while not connection.is_flushed:
         connection.resume_writing()
-    assert pipe.written == data
+    assert transport.written == data
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Which connections are evicted for others."""
+"""Eviction of connections when descriptors are scarce."""
 
 import socket
 from contextlib import closing
@@ -13,27 +13,29 @@
 
 
 def test_idle_clients_are_evicted_but_none_with_an_unread_request():
-    budget, near, far = DescriptorBudget(26), *socket.socketpair()
-    with closing(near), closing(far):
-        near.setblocking(False)
+    budget, server_side, client_side = DescriptorBudget(26), *socket.socketpair()
+    with closing(server_side), closing(client_side):
+        server_side.setblocking(False)
         timers = endpoint_table().resources.timers
-        unread, idle, fresh = (ClientConnection(budget, timers, DISPATCHER, S) for _ in range(3))
-        unread.sock = near
-        far.send(b"G")
-        for client in (unread, idle, fresh):
+        client_with_unread_request, idle_client, new_client = (
+            ClientConnection(budget, timers, DISPATCHER, S) for _ in range(3)
+        )
+        client_with_unread_request.sock = server_side
+        client_side.send(b"G")
+        for client in (client_with_unread_request, idle_client, new_client):
             FakeTransport(client)
         assert budget.is_full()
-        assert not fresh.closed  # what it was opened for is on its way
-        budget.mark_idle(unread.handle, 1)
-        budget.mark_idle(idle.handle, 2)
+        assert not new_client.closed  # the request that it was opened for is on its way
+        budget.mark_idle(client_with_unread_request.handle, 1)
+        budget.mark_idle(idle_client.handle, 2)
         assert not budget.is_full()
-        assert idle.closed
-        assert not unread.closed
-        budget.connections.add(None)  # what went has been replaced
+        assert idle_client.closed
+        assert not client_with_unread_request.closed
+        budget.connections.add(None)  # another connection takes the free slot
         assert budget.is_full(S)
-        assert not fresh.closed
+        assert not new_client.closed
         assert budget.is_full(clock())
-        assert not fresh.closed
-        assert not budget.is_full(clock() + S)  # slow to send by then
-        assert fresh.closed
-        assert not unread.closed
+        assert not new_client.closed
+        assert not budget.is_full(clock() + S)  # it counts as slow by then
+        assert new_client.closed
+        assert not client_with_unread_request.closed
