--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: its messages parsed, its version, and the observer that is notified of changes."""
+"""The endpoint list: parsing of its messages, its version, and the interface to observers of its changes."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
@@ -7,7 +7,7 @@
 from dahliabend.model import EndpointState
 
 UNKNOWN_VERSION = -1
-MAX_LOGGED_ENTRY = 200  # characters of an entry that cannot be read
+MAX_LOGGED_ENTRY_CHARS = 200  # characters logged of an invalid entry
 
 _STATE_NAMES = {
     "up": EndpointState.READY,
@@ -17,16 +17,16 @@
 
 
 class EndpointRow(NamedTuple):
-    """One endpoint as the list has it.
+    """One endpoint as the endpoint list describes it.
 
     Attributes:
-        name: Its id.
-        address: Host and port; empty for one that was removed.
-        state: Whether it takes requests.
+        name: Id of the endpoint.
+        address: Host and port; empty for an endpoint that was removed.
+        state: Whether the endpoint takes requests.
         started_ms: Unix time of its start in milliseconds; 0 if unknown.
-        weight: Its capacity, relative to the others.
+        weight: Its capacity, relative to the other endpoints.
         cell: The deduplication scope that it belongs to.
-        zone: The zone that it stands in; empty if unknown.
+        zone: Its zone; empty if unknown.
     """
 
     name: str
@@ -39,22 +39,22 @@
 
 
 class EndpointListObserver(Protocol):
-    """Whoever is notified of the endpoint list."""
+    """An object that is notified of changes of the endpoint list."""
 
-    def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
-        """The list has changed.
+    def endpoints_changed(self, entries: list[EndpointRow], full: bool) -> None:
+        """Handle a change of the list.
 
         Args:
-            rows: Endpoints.
-            full: They are all there are; else only what has changed.
+            entries: Endpoints.
+            full: Whether these are all endpoints; else they are those that have changed.
         """
 
     def endpoint_poll_failed(self) -> None:
-        """The list could not be had; it is tried again without being asked for."""
+        """Handle a failed attempt to get the list, which is repeated without a further request."""
 
 
 def parse_endpoint(raw: dict[str, Any]) -> EndpointRow:
-    """Reads one entry of a message.
+    """Parse one entry of a message.
 
     >>> tuple(parse_endpoint({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"}))
     ('s-1', ('10.0.0.1', 80), <EndpointState.READY: 1>, 0, 1.0, 0, 'a')
@@ -65,7 +65,7 @@
     state = _STATE_NAMES[raw["state"]]
     name = raw["id"]
     if not isinstance(name, str) or not name:
-        raise ValueError("no id")
+        raise ValueError("id is missing or empty")
     host_and_port = ("", 0) if state is EndpointState.REMOVED else parse_address(str(raw.get("addr")))
     started_ms = int(raw.get("started_ms") or 0)
     cell = int(raw.get("cell") or 0)
@@ -74,10 +74,13 @@
 
 
 class EndpointList:
-    """The version of the list that is known, and the observer of its changes.
+    """The version of the list that was applied last, and the observer of its changes.
 
     Attributes:
-        version: Of the last message applied; `UNKNOWN_VERSION` if there is none to go on from.
+        observer: Notified of each change.
+        log: Called with an event's name and its fields.
+        version: Version of the last message applied; `UNKNOWN_VERSION` if the next watch has to get the full
+            list.
     """
 
     def __init__(self, observer: EndpointListObserver, log: Callable[..., None]) -> None:
@@ -86,39 +89,42 @@
         self.version = UNKNOWN_VERSION
 
     def apply(self, message: dict[str, Any], first: bool) -> None:
-        """Applies one message, unless its version is known already.
+        """Apply one message, unless it contains only changes that have been applied already.
 
-        A full list holds whatever its version is, as versions may have begun anew.
+        A full list is applied whatever its version is, because the list service may have restarted its
+        versions.
 
         Args:
             message: Its `version`, whether it is `full`, and the `servers`.
-            first: It is the first message of its watch.
+            first: Whether it is the first message of its watch.
 
         Raises:
-            ValueError: It has only changes, and its version is older than ours: the full list is needed.
+            ValueError: The message contains only changes, and its version is older than the applied one: the
+                full list is needed.
             KeyError, TypeError: It is not a message of the list.
         """
         version = int(message["version"])
         full = bool(message.get("full"))
         if version <= self.version and not full:
             if first and version < self.version:
-                # Asked for what came after ours, it knows less: its versions began anew. If its changes were
-                # ignored as known, drains would be missed until it has counted up to ours.
+                # The service was asked for changes after the applied version and answers with an older one:
+                # it has restarted its versions. If its changes were ignored as already applied, drains would
+                # be missed until its versions reach the applied one.
                 self.version = UNKNOWN_VERSION
-                raise ValueError("its count began anew")
+                raise ValueError("the list service has restarted its versions")
             return
-        rows = self._parse_rows(message.get("servers") or ())
+        entries = self._parse_entries(message.get("servers") or ())
         self.version = version
-        self.log("endpoint_list.applied", version=version, full=full, entries=len(rows))
-        self.observer.endpoints_changed(rows, full)
+        self.log("endpoint_list.applied", version=version, full=full, entries=len(entries))
+        self.observer.endpoints_changed(entries, full)
 
-    def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
-        """All valid entries; the others are logged."""
-        rows: list[EndpointRow] = []
-        for raw in entries:
+    def _parse_entries(self, raw_entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
+        """Return all valid entries; invalid ones are logged."""
+        entries: list[EndpointRow] = []
+        for raw in raw_entries:
             try:
-                rows.append(parse_endpoint(raw))
+                entries.append(parse_endpoint(raw))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                entry = str(raw)[:MAX_LOGGED_ENTRY]
+                entry = str(raw)[:MAX_LOGGED_ENTRY_CHARS]
                 self.log("endpoint_list.entry_skipped", reason=str(error), entry=entry)
-        return rows
+        return entries
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch that keeps the endpoint list current: opened again whenever it ends or falls silent."""
+"""The watch that keeps the endpoint list up to date; it is reopened when it ends or sends nothing."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,23 +12,23 @@
 from dahliabend.transport.timers import Timer, TimerQueue, clock
 
 # Microseconds.
-HEARTBEAT_INTERVAL = 2_000_000  # an empty line comes that often while nothing changes
-SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # without a byte for longer, the watch is dead
-FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # a watch is answered at once: else it is dead too
-SHARED_FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 4  # if it may queue behind those of all other balancers
-MIN_BACKOFF = HEARTBEAT_INTERVAL // 20  # before a watch is opened again
+HEARTBEAT_INTERVAL = 2_000_000  # between the empty lines that are sent while nothing changes
+SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # without a byte for so long, the watch is considered dead
+FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # shorter, because a watch is answered at once
+SHARED_FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 4  # the request may queue behind other balancers'
+MIN_BACKOFF = HEARTBEAT_INTERVAL // 20  # before a watch is reopened
 MAX_BACKOFF = HEARTBEAT_INTERVAL // 2
 
 
 class WatchState(IntEnum):
-    """Of a `DiscoveryClient`. docs/design.md has the transitions."""
+    """The states of a `DiscoveryClient`. docs/design.md describes the transitions."""
 
-    IDLE = 0  # no watch has been asked for yet
-    CONNECTING = 1  # its connection comes up
-    REQUESTED = 2  # the request is out, nothing has come
-    ACTIVE = 3  # something has, within `SILENCE_TIMEOUT` of the last byte
-    BACKING_OFF = 4  # it has ended; the next one is opened after a while
-    STOPPED = 5  # for good
+    IDLE = 0  # no watch has been opened yet
+    CONNECTING = 1  # the connection is being established
+    REQUESTED = 2  # the request has been sent, nothing has been received
+    ACTIVE = 3  # the last byte was received less than `SILENCE_TIMEOUT` ago
+    BACKING_OFF = 4  # the watch has ended; the next one is opened after a delay
+    STOPPED = 5  # no watch is opened any more
 
 
 class DiscoveryClient:
@@ -36,14 +36,14 @@
 
     Attributes:
         address: Host and port of the list service.
-        state: Of the watch.
-        watch: The present one, while CONNECTING, REQUESTED or ACTIVE.
-        previous_watch: The one at an earlier address, until the present one is active.
-        connect_task: Dials the present watch.
+        state: State of the watch.
+        watch: The current watch, while CONNECTING, REQUESTED or ACTIVE.
+        previous_watch: The watch at the previous address, until the current one is active.
+        connect_task: Connects the current watch.
         silence_timer: Fires if nothing is received in time.
-        retry_timer: Fires when the next watch is to be opened.
-        backoff: Microseconds until the next retry at most.
-        attempted: A message has come, or none could be had.
+        retry_timer: Fires when the next watch has to be opened.
+        backoff: Longest delay in microseconds until the next watch.
+        attempted: Whether a message has been received or the first attempt has failed.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         log: Callable[..., None],
         shared_service: bool = False,
     ) -> None:
-        """Creates it; `open` or `poll` opens the first watch.
+        """Create a client without a watch; `open` or `poll` opens the first one.
 
         Args:
             address: Host and port of the list service.
-            endpoint_list: Where its messages go.
-            timers: Of the process.
+            endpoint_list: Applies the messages.
+            timers: Timers of the process.
             descriptors: Owner of the watches' descriptors.
-            connect_timeout: Microseconds in which a connection has to come up.
-            random: Numbers from 0 to 1, for the jitter of the backoff.
+            connect_timeout: Microseconds within which a connection has to be established.
+            random: Returns numbers from 0 to 1, for the jitter of the backoff.
             log: Called with an event's name and its fields.
-            shared_service: One service answers all balancers, not an agent beside each.
+            shared_service: Whether one list service answers all balancers, instead of an agent beside each.
         """
         self.address = address
         self.endpoint_list = endpoint_list
@@ -86,10 +86,10 @@
         self.backoff = MIN_BACKOFF
         self.attempted = False
 
-    # What the owner asks for.
+    # Interface to the owner
 
     def open(self) -> None:
-        """Opens a watch, unless one is open or being opened: IDLE or BACKING_OFF to CONNECTING."""
+        """Open a watch unless one is open or being opened: IDLE or BACKING_OFF to CONNECTING."""
         if self.state not in (WatchState.IDLE, WatchState.BACKING_OFF):
             return
         self.timers.cancel(self.retry_timer)
@@ -104,19 +104,19 @@
             self.timers.schedule(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
 
     def poll(self) -> None:
-        """Opens the first watch, as the policy wants the list.
+        """Open the first watch, as the policy needs the list.
 
-        A watch that waits for its backoff is left alone: with a second timer beside that one, each failure
-        would bring two requests, and a list service that refuses for want of capacity would be kept there by
-        its clients.
+        A watch that waits for its backoff is left alone. If a second attempt were made beside that of the
+        retry timer, each failure would cause two requests, and the clients would keep an overloaded list
+        service overloaded.
         """
         if self.state is WatchState.IDLE:
             self.open()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Goes to another list service: any state but STOPPED to CONNECTING.
+        """Switch to another list service: any state but STOPPED to CONNECTING.
 
-        An open watch goes on until the new one is active: closed before, it would leave a gap in which a
+        An open watch stays open until the new one is active. Closing it earlier would leave a gap in which a
         drain is missed.
         """
         if address == self.address or self.state is WatchState.STOPPED:
@@ -134,7 +134,7 @@
         self.open()
 
     def stop(self) -> None:
-        """Closes the watch for good: any state to STOPPED."""
+        """Close the watch for good: any state to STOPPED."""
         self.timers.cancel(self.retry_timer)
         self.timers.cancel(self.silence_timer)
         self.close_previous_watch()
@@ -142,25 +142,25 @@
         self.state = WatchState.STOPPED
         self.watch = None
 
-    # Connecting.
+    # Connecting
 
     async def connect(self, watch: WatchConnection) -> None:
-        """Dials a watch, and sends its request once it is up."""
+        """Connect a watch and send its request."""
         try:
             await dial(self.timers.loop, self.address, watch)
         except (OSError, asyncio.CancelledError):
             self.watch_ended(watch)
             return
-        if watch is not self.watch:  # another address, or stopped, in the moment in which it came up
+        if watch is not self.watch:  # address changed or client stopped while connecting
             watch.abort()
             return
         self.request_watch(watch)
 
     def connect_finished(self, watch: WatchConnection, task: asyncio.Task[None]) -> None:
-        """Ends a watch whose dialling was cancelled before its first step.
+        """End a watch whose connect task was cancelled before its first step.
 
-        That happens where a start takes longer than the connect timeout: `connect` never ran, so that nothing
-        else reports the end, no watch would be opened any more, and drains would be missed.
+        This happens if starting the task takes longer than the connect timeout. `connect` has then not run
+        and reports no end: without this method no further watch would be opened, and drains would be missed.
         """
         if task.cancelled():
             watch.dial_cancelled()
@@ -171,21 +171,21 @@
             self.connect_task.cancel()
 
     def first_attempt_timed_out(self) -> None:
-        """The list is not waited for any longer before requests are taken."""
+        """Stop making requests wait for the list."""
         self.attempted = True
 
-    # The watch's life.
+    # Progress and end of a watch
 
     def request_watch(self, watch: WatchConnection) -> None:
-        """Its connection is up: CONNECTING to REQUESTED."""
+        """Send the request of an established watch: CONNECTING to REQUESTED."""
         self.state = WatchState.REQUESTED
-        # Requested while the list service was down it stays silent: waited for as long as for a heartbeat, it
-        # would hide a drain that others are notified of meanwhile.
+        # A watch requested while the list service was down receives nothing. Waiting for it as long as for a
+        # heartbeat would delay drains that other balancers are notified of meanwhile.
         self.restart_silence_timer(self.first_byte_timeout)
         watch.send_request(f"{self.address[0]}:{self.address[1]}")
 
     def data_received(self) -> None:
-        """Bytes have come on the present watch: REQUESTED or ACTIVE to ACTIVE."""
+        """Handle bytes on the current watch: REQUESTED or ACTIVE to ACTIVE."""
         self.state = WatchState.ACTIVE
         self.attempted = True
         self.backoff = MIN_BACKOFF
@@ -193,17 +193,17 @@
         self.close_previous_watch()
 
     def restart_silence_timer(self, timeout: int) -> None:
-        """Something has to be received within that time, in microseconds."""
+        """Set the time in microseconds within which something has to be received."""
         self.timers.cancel(self.silence_timer)
         self.silence_timer = self.timers.schedule(clock() + timeout, self.watch_silent)
 
     def watch_silent(self) -> None:
-        """Nothing has come in time: the watch is closed, and opened again."""
+        """Close a watch that sent nothing in time; it is then reopened."""
         self.log("watch.timed_out", version=self.endpoint_list.version)
         self.close()
 
     def watch_ended(self, watch: WatchConnection) -> None:
-        """The present watch is closed: any state to BACKING_OFF."""
+        """Schedule the next watch if the current one is closed: any state to BACKING_OFF."""
         if watch is not self.watch:
             return
         self.watch = None
@@ -211,21 +211,21 @@
         self.state = WatchState.BACKING_OFF
         self.timers.cancel(self.silence_timer)
         self.log("watch.ended", version=self.endpoint_list.version, retry_in_ms=self.backoff // 1000)
-        # With jitter: a list service that failed under load is not hit by all balancers at once.
+        # With jitter, so that not all balancers reconnect at once to a list service that failed under load.
         wait = round(self.backoff * (1 + self.random()) / 2)
         self.backoff = min(MAX_BACKOFF, self.backoff * 2)
         self.retry_timer = self.timers.schedule(clock() + wait, self.open)
         self.endpoint_list.observer.endpoint_poll_failed()
 
     def close(self) -> None:
-        """Closes the present watch; `watch_ended` is called for it."""
+        """Close the current watch; `watch_ended` is called for it."""
         if self.state is WatchState.CONNECTING:
             self._cancel_connecting()
         elif self.watch is not None:
             self.watch.abort()
 
     def close_previous_watch(self) -> None:
-        """Closes the watch at an earlier address."""
+        """Close the watch at the previous address."""
         if self.previous_watch is not None:
             self.previous_watch.abort()
             self.previous_watch = None
--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch of the endpoint list, from its request until it ends."""
+"""One watch of the endpoint list, from its request until its end."""
 
 from collections.abc import Callable
 
@@ -14,9 +14,9 @@
 
 
 class WatchConnection(Connection):
-    """A request whose response goes on for as long as the watch lasts: one message a line.
+    """A request whose response lasts as long as the watch, with one message per line.
 
-    What cannot be read ends it; the next watch asks for what this one has missed.
+    Data that cannot be parsed ends the watch; the next watch asks for the changes that this one missed.
     """
 
     def __init__(
@@ -26,13 +26,13 @@
         on_data: Callable[[], None],
         on_end: Callable[["WatchConnection"], None],
     ) -> None:
-        """Creates it; `dial` connects it.
+        """Create a connection that is not connected yet; `dial` connects it.
 
         Args:
-            descriptors: Owner of its descriptor.
-            endpoint_list: Where its messages go.
+            descriptors: Owner of the connection's descriptor.
+            endpoint_list: Applies the messages.
             on_data: Called after each read.
-            on_end: Called once it is closed.
+            on_end: Called once the connection is closed.
         """
         super().__init__(descriptors)
         self.endpoint_list = endpoint_list
@@ -40,43 +40,55 @@
         self.on_end = on_end
         self.parser = httptools.HttpResponseParser(self)
         self.partial_line = bytearray()
-        self.first = True  # no message has come yet
+        self.awaits_first_message = True  # no message has been applied yet
 
     def send_request(self, host: str) -> None:
-        """Asks for the changes after the known version, or for the full list."""
+        """Ask for the changes after the applied version, or for the full list if there is none."""
         version = self.endpoint_list.version
         after = b"&after=%d" % version if version >= 0 else b""
         self.write(b"GET /api/targets?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (after, host.encode()))
 
     def ignore_data(self) -> None:
-        """Reports reads no more; its messages still count."""
+        """Stop calling `on_data`; messages are still applied."""
         self.on_data = _do_nothing
 
-    # Called by the parser. An error raised here ends the watch.
+    # Parser callbacks. An error raised in one of them ends the watch.
 
     def on_headers_complete(self) -> None:
-        """Raises ValueError if the watch is refused."""
+        """Check the response status.
+
+        Raises:
+            ValueError: The list service refused the watch.
+        """
         if self.parser.get_status_code() != HTTP_OK:
-            raise ValueError("watch refused")
+            raise ValueError("list service refused the watch")
 
     def on_body(self, part: bytes) -> None:
-        """Applies the messages that are complete."""
+        """Apply the messages that have been received in full.
+
+        Raises:
+            ValueError: A line is too long, or a message cannot be applied.
+        """
         self.partial_line += part
         while (end := self.partial_line.find(b"\n")) >= 0:
             line = bytes(self.partial_line[:end]).strip()
             del self.partial_line[: end + 1]
-            if line:  # an empty one is a heartbeat
-                self.endpoint_list.apply(orjson.loads(line), self.first)
-                self.first = False
+            if line:  # an empty line is a heartbeat
+                self.endpoint_list.apply(orjson.loads(line), self.awaits_first_message)
+                self.awaits_first_message = False
         if len(self.partial_line) > MAX_LINE_BYTES:
-            raise ValueError("too long a line")
+            raise ValueError("line exceeds the limit")
 
     def on_message_complete(self) -> None:
-        """Raises ValueError, as a watch has no end of its own."""
-        raise ValueError("watch ended")
+        """End the watch.
+
+        Raises:
+            ValueError: Always, because the response to a watch has no regular end.
+        """
+        raise ValueError("list service ended the watch")
 
     def bytes_received(self, view: memoryview) -> None:
-        """Reads on; a watch that cannot be read is closed."""
+        """Parse received bytes; close the connection if they are invalid."""
         try:
             self.parser.feed_data(view)
             self.on_data()
@@ -85,8 +97,8 @@
             self.abort()
 
     def connection_closed(self) -> None:
-        """Reports the end."""
-        del self.parser  # it holds this connection and its buffers
+        """Report the end of the watch."""
+        del self.parser  # it holds references to this connection and its buffers
         self.on_end(self)
 
 
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Versions of the endpoint list."""
+"""Versions of the endpoint list: which messages are applied and which are ignored."""
 
 import pytest
 from fake_transport import ignore
@@ -6,28 +6,27 @@
 from dahliabend.discovery.endpoint_list import EndpointList
 
 
-def test_known_changes_are_ignored_but_never_a_full_list():
-    class EndpointListObserver(list):
+def test_changes_already_applied_are_ignored_but_a_full_list_never_is():
+    class RecordingObserver(list):
         def endpoints_changed(self, rows, full):
             self.append([row[0] for row in rows])
 
-    observer = EndpointListObserver()
+    observer = RecordingObserver()
     endpoint_list = EndpointList(observer, ignore)
 
-    def read(version, full, first, name):
+    def apply(version, full, first, name):
         server = {"id": name, "addr": "127.0.0.1:1", "state": "up"}
         endpoint_list.apply({"version": version, "full": full, "servers": [server, {"state": "?"}]}, first)
 
-    for line in ((4, True, True, "a"), (4, False, False, "b"), (4, False, True, "b"), (5, False, False, "c"),
+    for fields in ((4, True, True, "a"), (4, False, False, "b"), (4, False, True, "b"), (5, False, False, "c"),
                  (3, True, False, "d"), (4, False, False, "e"), (3, False, False, "b"), (1, True, True, "f"),
                  (2, False, False, "g")):  # fmt: skip
-        read(*line)
+        apply(*fields)
     assert observer == [["a"], ["c"], ["d"], ["e"], ["f"], ["g"]]
     assert endpoint_list.version == 2
-    with pytest.raises(
-        ValueError, match="its count began anew"
-    ):  # a watch that begins behind what is known: its count is another one
-        read(1, False, True, "h")
-    read(1, False, True, "i")  # send_request anew, for all
+    # The first message of a watch has an older version than the applied one: the versions were restarted.
+    with pytest.raises(ValueError, match="the list service has restarted its versions"):
+        apply(1, False, True, "h")
+    apply(1, False, True, "i")  # the next watch starts without a version
     assert observer[-1] == ["i"]
     assert endpoint_list.version == 1
--- a/tests/discovery/test_list_service.py
+++ b/tests/discovery/test_list_service.py
@@ -1,4 +1,4 @@
-"""List services that refuse, begin anew or are away, over sockets."""
+"""List services that refuse watches, restart their versions or are unavailable, over sockets."""
 
 import socket
 import time
@@ -22,7 +22,7 @@
 
 
 class RefusingListService(Agent):
-    """Turns every watch away; `times` has when they came."""
+    """Refuses every watch; `times` holds the time of each request."""
 
     def __init__(self):
         self.times = Queue()
@@ -35,16 +35,16 @@
 
 
 def test_a_list_service_that_refuses_is_retried_by_one_timer_with_backoff():
-    up = Upstream()
+    upstream = Upstream()
     settings = {"discovery": "on_request", "contract": {**CONF["contract"], "ask-within": 80.0}}
-    with closing(up), program(agent=(agent := RefusingListService()), ready=False, conf=settings):
+    with closing(upstream), program(agent=(agent := RefusingListService()), ready=False, conf=settings):
         times = [agent.times.get(timeout=PATIENCE) for _ in range(8)]
-        # The least of each wait, doubled from half of 100 ms up to half of 1 s.
+        # The shortest delay before each retry is half of the backoff, which doubles from 100 ms up to 1 s.
         assert times[-1] - times[0] >= 0.05 + 0.1 + 0.2 + 0.4 + 3 * 0.5
 
 
 class RestartedListService(Agent):
-    """Its count begins anew between the first watch and the second, which it answers with changes alone."""
+    """Restarts its versions after the first watch and answers the second one with changes only."""
 
     def serve(self, conn):
         request = conn.recv(4096).split(b"\r\n")[0].decode()
@@ -56,47 +56,54 @@
             conn.recv(1)
 
 
-def test_a_list_whose_versions_began_anew_is_requested_in_full():
-    one, two = Upstream(), Upstream()
-    lists = (41, True, entry("s-0", one)), (3, False), (3, True, entry("s-1", two))
+def test_a_list_whose_versions_were_restarted_is_requested_in_full():
+    first_upstream, second_upstream = Upstream(), Upstream()
+    lists = (41, True, entry("s-0", first_upstream)), (3, False), (3, True, entry("s-1", second_upstream))
     with (
-        closing(one),
-        closing(two),
+        closing(first_upstream),
+        closing(second_upstream),
         program(agent=(agent := RestartedListService(*lists))) as (address, _, _),
     ):
         asked = [agent.asked.get(timeout=PATIENCE) for _ in range(3)]
         assert ["after" in path for path in asked] == [False, True, False]
-        until(lambda: Caller(address).ask("submit", "POST")[0] == 200 and not two.came.empty())
+        until(lambda: Caller(address).ask("submit", "POST")[0] == 200 and not second_upstream.came.empty())
 
 
-def test_idle_clients_that_use_all_descriptors_while_discovery_is_away_block_nobody():
-    one, two = Upstream(), Upstream()
-    first = Agent(entry("s-0", one), entry("s-1", two))
-    with program(agent=first, limits={"sockets": 64}) as (address, process, _), closing(one), closing(two):
-        host, port = first.address.split(":")
-        first.close()
+def test_idle_clients_that_use_all_descriptors_while_discovery_is_unavailable_do_not_block_requests():
+    first_upstream, second_upstream = Upstream(), Upstream()
+    first_agent = Agent(entry("s-0", first_upstream), entry("s-1", second_upstream))
+    with (
+        program(agent=first_agent, limits={"sockets": 64}) as (address, process, _),
+        closing(first_upstream),
+        closing(second_upstream),
+    ):
+        host, port = first_agent.address.split(":")
+        first_agent.close()
         logged(process, "watch.ended")
-        idle = [
+        idle_sockets = [
             socket.create_connection((address.split(":")[0], int(address.split(":")[1]))) for _ in range(100)
         ]
-        until(lambda: logged(process, "watch.ended"))  # it is tried again, among these
-        back = Agent.__new__(Agent)
-        back.asked, back.watches, back.servers, back.open = Queue(), [], (entry("s-1", two),), []
-        back.sock = socket.create_server((host, int(port)))
-        Thread(target=back.accept, daemon=True).start()
-        with closing(back):
-            while (
-                logged(process, "endpoint_list.applied")["entries"] != 1
-            ):  # without s-0: it drains, and is left out
+        until(lambda: logged(process, "watch.ended"))  # it is retried beside the idle clients
+        restarted_agent = Agent.__new__(Agent)
+        restarted_agent.asked = Queue()
+        restarted_agent.watches = []
+        restarted_agent.servers = (entry("s-1", second_upstream),)
+        restarted_agent.open = []
+        restarted_agent.sock = socket.create_server((host, int(port)))
+        Thread(target=restarted_agent.accept, daemon=True).start()
+        with closing(restarted_agent):
+            # Until the list without s-0 is applied, which then drains and receives no requests.
+            while logged(process, "endpoint_list.applied")["entries"] != 1:
                 pass
             assert call(process.admin, "/api/ready")[0] == 200
             statuses = []
-            # Refused while all that fill the table are too fresh to be sent away, 0.3 s; never lost.
+            # Requests are rejected for 0.3 s, until the connections that fill the table are old enough to be
+            # evicted; none is lost.
             while statuses.count(200) < 4:
                 statuses.append(Caller(address).ask("submit", "POST", trace=f"t{len(statuses)}")[0])
                 assert statuses[-1] in (200, 503)
                 assert len(statuses) < 1000
-            assert one.came.empty()
-            assert two.came.qsize() == 4
-        for sock in idle:
+            assert first_upstream.came.empty()
+            assert second_upstream.came.qsize() == 4
+        for sock in idle_sockets:
             sock.close()
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -14,7 +14,7 @@
 
 
 class FakeEventLoop:
-    """Dials nobody; its timers never ring."""
+    """An event loop that connects nothing and whose timers never fire."""
 
     def create_task(self, task):
         task.close()
@@ -23,12 +23,12 @@
     def call_later(self, *_): ...
 
 
-def idle_client():
-    notes = RecordingPort()
+def observer_and_idle_client():
+    observer = RecordingPort()
     timers = TimerQueue(FakeEventLoop())
-    return notes, DiscoveryClient(
+    return observer, DiscoveryClient(
         ("127.0.0.1", 1),
-        EndpointList(notes, ignore),
+        EndpointList(observer, ignore),
         timers,
         DescriptorBudget(100),
         75 * MS,
@@ -38,74 +38,74 @@
 
 
 def test_the_old_watch_stays_open_until_the_new_one_is_active():
-    _, watcher = idle_client()
-    watcher.open()
-    old = watcher.watch
-    FakeTransport(old)
-    watcher.request_watch(old)
-    watcher.change_address(("127.0.0.1", 1))
-    assert watcher.watch is old  # the same address
-    watcher.change_address(("127.0.0.1", 2))
-    new = watcher.watch
-    FakeTransport(new)
-    watcher.request_watch(new)
-    line = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
-    feed(old, line)
-    assert new is not old
-    assert not old.closed  # what it sends still counts, but no data of the new one has come
-    feed(new, line)
-    assert old.closed
-    assert not new.closed
-    old.connection_lost(None)
-    assert watcher.watch is new
-    assert watcher.retry_timer is None
+    _, client = observer_and_idle_client()
+    client.open()
+    old_watch = client.watch
+    FakeTransport(old_watch)
+    client.request_watch(old_watch)
+    client.change_address(("127.0.0.1", 1))
+    assert client.watch is old_watch  # the address has not changed
+    client.change_address(("127.0.0.1", 2))
+    new_watch = client.watch
+    FakeTransport(new_watch)
+    client.request_watch(new_watch)
+    heartbeat_response = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+    feed(old_watch, heartbeat_response)
+    assert new_watch is not old_watch
+    assert not old_watch.closed  # its data is still applied, and the new watch has received nothing
+    feed(new_watch, heartbeat_response)
+    assert old_watch.closed
+    assert not new_watch.closed
+    old_watch.connection_lost(None)
+    assert client.watch is new_watch
+    assert client.retry_timer is None
 
 
 def test_a_watch_without_a_first_byte_or_heartbeat_soon_times_out():
-    _, watcher = idle_client()
-    watcher.open()
-    FakeTransport(watcher.watch)
-    watcher.request_watch(watcher.watch)
-    assert watcher.silence_timer[0] <= clock() + S // 2
-    feed(watcher.watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    assert clock() + 2 * S < watcher.silence_timer[0] < clock() + 3 * S - S // 2
+    _, client = observer_and_idle_client()
+    client.open()
+    FakeTransport(client.watch)
+    client.request_watch(client.watch)
+    assert client.silence_timer[0] <= clock() + S // 2
+    feed(client.watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    assert clock() + 2 * S < client.silence_timer[0] < clock() + 3 * S - S // 2
 
 
 def test_a_silent_watch_is_retried_with_backoff_and_the_observer_is_notified():
-    (notes, watcher), waits = idle_client(), []
+    (observer, client), backoffs = observer_and_idle_client(), []
     for _ in range(9):
-        watcher.open()
-        FakeTransport(watch := watcher.watch)
-        watcher.request_watch(watch)
-        watcher.watch_silent()
+        client.open()
+        FakeTransport(watch := client.watch)
+        client.request_watch(watch)
+        client.watch_silent()
         assert watch.closed
-        waits.append(watcher.backoff)
+        backoffs.append(client.backoff)
         watch.connection_lost(None)
-        assert watcher.retry_timer[0] <= clock() + waits[-1]
-    assert waits == sorted(waits)
-    assert waits[0] < waits[-1] <= S
-    assert len(notes.of("endpoint_poll_failed")) == 9
+        assert client.retry_timer[0] <= clock() + backoffs[-1]
+    assert backoffs == sorted(backoffs)
+    assert backoffs[0] < backoffs[-1] <= S
+    assert len(observer.of("endpoint_poll_failed")) == 9
 
 
 def test_a_connect_cancelled_before_its_first_step_is_retried():
-    """Its task is cancelled before it has run at all: a start that took longer than the dialling may."""
+    """The connect task is cancelled before its first step, as if starting it took longer than the timeout."""
 
-    async def play():
+    async def cancel_connect():
         loop = asyncio.get_running_loop()
         budget, endpoint_list = (
             DescriptorBudget(26),
             EndpointList(SimpleNamespace(endpoint_poll_failed=ignore), ignore),
         )
-        watcher = DiscoveryClient(
+        client = DiscoveryClient(
             ("127.0.0.1", 9), endpoint_list, TimerQueue(loop), budget, S, lambda: 0.5, ignore
         )
-        watcher.open()
-        watcher.watch_silent()
+        client.open()
+        client.watch_silent()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert watcher.watch is None
-        assert watcher.retry_timer[2] is not None
+        assert client.watch is None
+        assert client.retry_timer[2] is not None
         assert not len(budget.connections)
-        watcher.stop()
+        client.stop()
 
-    asyncio.run(play())
+    asyncio.run(cancel_connect())
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -23,7 +23,7 @@
 from dahliabend.transport.timers import clock
 
 
-def test_a_client_that_pipelines_without_reading_is_held_back():
+def test_a_client_that_pipelines_without_reading_is_not_read_from_any_further():
     client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S)
     FakeTransport(client, 0)
     raw = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -47,7 +47,7 @@
         assert status or transport.ended
 
 
-def test_an_accepted_connection_not_yet_up_is_not_closed_as_idle():
+def test_an_accepted_connection_not_yet_established_is_not_closed_as_idle():
     client = ClientConnection(DescriptorBudget(100), endpoint_table().resources.timers, DISPATCHER, S)
     client.close_if_idle(clock() - S // 2)
     assert not client.closed
--- a/tests/transport/test_timers.py
+++ b/tests/transport/test_timers.py
@@ -18,9 +18,7 @@
         for timer in (ordered_timers[2], *cancelled_timers):
             timers.cancel(timer)
         timers.cancel(ordered_timers[2])
-        timers.schedule(
-            now + 2 * MS, lambda: 1 / 0
-        )  # a failing callback does not keep the others from running
+        timers.schedule(now + 2 * MS, lambda: 1 / 0)  # its failure does not stop the other timers
         loop.set_exception_handler(lambda *_: calls.append("failed"))
         timers.schedule(now + 12 * MS, done.set_result, None)
         await asyncio.wait_for(done, 10)
