--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -14,8 +14,8 @@
 # Microseconds.
 HEARTBEAT_INTERVAL = 2_000_000  # between the empty lines that are sent while nothing changes
 SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # without a byte for so long, the watch is considered dead
-FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # shorter, because a watch is answered at once
-SHARED_FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 4  # the request may queue behind other balancers'
+FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # shorter, because a working list service answers at once
+SHARED_FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 4  # a shared service may answer others first
 MIN_BACKOFF = HEARTBEAT_INTERVAL // 20  # before a watch is reopened
 MAX_BACKOFF = HEARTBEAT_INTERVAL // 2
 
@@ -171,7 +171,7 @@
             self.connect_task.cancel()
 
     def first_attempt_timed_out(self) -> None:
-        """Stop making requests wait for the list."""
+        """Stop waiting for the list before requests are served."""
         self.attempted = True
 
     # Progress and end of a watch
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -58,7 +58,7 @@
         observer: Notified when the beginning of the body is no longer buffered.
         sink: The connection that the body is written to, if any.
         is_complete: Whether the whole body has been received.
-        is_discarded: Whether the beginning of the body is no longer buffered.
+        is_prefix_discarded: Whether the beginning of the body is no longer buffered.
         last_progress: Clock time (us) at which bytes were last received or sent.
         ended_at: Clock time (us) at which the last byte was received.
     """
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -40,7 +40,7 @@
         reading_paused: Whether the transport has been told not to read.
         closed: Whether the connection is closed or being closed.
         transport: The transport; None before the connection is established and after it is lost.
-        sock: The socket; None while `transport` is, and after `reset`.
+        sock: The socket; None before it is connected, and after the connection is lost or reset.
     """
 
     def __init__(self, descriptors: DescriptorBudget) -> None:
@@ -67,10 +67,10 @@
         """Process received bytes; the view is valid during the call only."""
 
     def output_flushed(self) -> None:
-        """Handle that the system has taken all written bytes."""
+        """Handle the completed write of all bytes to the system."""
 
     def transport_paused(self) -> None:
-        """Handle that reading has been paused."""
+        """Handle a pause in reading."""
 
     def connection_closed(self) -> None:
         """Handle the end of the connection; its descriptor has been released."""
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -18,9 +18,11 @@
         server = {"id": name, "addr": "127.0.0.1:1", "state": "up"}
         endpoint_list.apply({"version": version, "full": full, "servers": [server, {"state": "?"}]}, first)
 
-    for fields in ((4, True, True, "a"), (4, False, False, "b"), (4, False, True, "b"), (5, False, False, "c"),
-                 (3, True, False, "d"), (4, False, False, "e"), (3, False, False, "b"), (1, True, True, "f"),
-                 (2, False, False, "g")):  # fmt: skip
+    for fields in (
+        (4, True, True, "a"), (4, False, False, "b"), (4, False, True, "b"), (5, False, False, "c"),
+        (3, True, False, "d"), (4, False, False, "e"), (3, False, False, "b"), (1, True, True, "f"),
+        (2, False, False, "g"),
+    ):  # fmt: skip
         apply(*fields)
     assert observer == [["a"], ["c"], ["d"], ["e"], ["f"], ["g"]]
     assert endpoint_list.version == 2
