--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -63,13 +63,13 @@
         if self.parser.get_status_code() != HTTP_OK:
             raise ValueError("list service refused the watch")
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Apply the messages that have been received in full.
 
         Raises:
             ValueError: A line is too long, or a message cannot be applied.
         """
-        self.partial_line += part
+        self.partial_line += data
         while (end := self.partial_line.find(b"\n")) >= 0:
             line = bytes(self.partial_line[:end]).strip()
             del self.partial_line[: end + 1]
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -73,18 +73,18 @@
 
     # Parser callbacks
 
-    def on_url(self, part: bytes) -> None:
+    def on_url(self, data: bytes) -> None:
         """Append a part of the request target."""
-        self.target += part
+        self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Answer `Expect: 100-continue`; all other headers are ignored."""
         if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.write(CONTINUE)
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Append a part of the request body."""
-        self.body += part
+        self.body += data
 
     def on_message_complete(self) -> None:
         """Answer the call, which has been received in full."""
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -282,11 +282,11 @@
         self.timers.cancel(self.stall_timer)
         self.write(self.response.head(headers, self._connection_line()))
 
-    def send_part(self, part: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Send a part of the body of the streamed response."""
         if self.closed or self.response is None:
             return
-        self.write(*self.response.frame(part))
+        self.write(*self.response.frame(data))
         if self.unsent_bytes > wire.MAX_BUFFERED_BYTES and self.response is not None:
             self.response.source.suspend_reading()
 
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -47,7 +47,7 @@
             source: The connection that the body is read from.
         """
 
-    def send_part(self, part: bytes) -> None:
+    def send_part(self, data: bytes) -> None:
         """Send a part of the body of the streamed response."""
 
     def finish_response(self) -> None:
--- a/dahliabend/http/load_reports.py
+++ b/dahliabend/http/load_reports.py
@@ -15,8 +15,8 @@
     {'util': 0.61}
     """
     values = {}
-    for part in text.strip().removeprefix(PREFIX).decode("ascii", "replace").split(","):
-        name, _, text_value = part.strip().partition("=")
+    for field in text.strip().removeprefix(PREFIX).decode("ascii", "replace").split(","):
+        name, _, text_value = field.strip().partition("=")
         if name not in fields:
             continue
         try:
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -134,10 +134,10 @@
         self.received_at = clock()
         self._start_request()
 
-    def on_url(self, part: bytes) -> None:
+    def on_url(self, data: bytes) -> None:
         """Append a part of the target."""
-        self.target += part
-        self.size += len(part)
+        self.target += data
+        self.size += len(data)
         if self.size > wire.MAX_HEAD_BYTES:
             self.fail(431)
 
@@ -174,19 +174,19 @@
         if self._http.should_upgrade():
             self.fail(400)  # the parser does not read the bytes after an upgrade request as its body
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Buffer a part of the body, or pass it to the streaming body."""
         self.unparsed_bytes = 0
         self.last_body_byte_at = clock()
-        self.size += len(part)
+        self.size += len(data)
         if self.size > wire.MAX_BODY_BYTES:
             self.fail(413)
         elif self.error_status:
             return
         elif self.streaming_body is not None:
-            self.streaming_body.feed(part)
+            self.streaming_body.feed(data)
         else:
-            self.body.append(part)
+            self.body.append(data)
             if self.size > wire.MAX_BUFFERED_BYTES:
                 self._start_streaming_body(None)
 
--- a/dahliabend/http/responses.py
+++ b/dahliabend/http/responses.py
@@ -83,11 +83,11 @@
             framing = b""
         return b"HTTP/1.1 200 OK\r\n" + framing + headers + connection_line + b"\r\n"
 
-    def frame(self, part: bytes) -> tuple[bytes, ...]:
+    def frame(self, data: bytes) -> tuple[bytes, ...]:
         """Return the pieces to write for a part of the body."""
         if self.framing is Framing.CHUNKED:
-            return b"%x\r\n" % len(part), part, b"\r\n"
-        return (part,)
+            return b"%x\r\n" % len(data), data, b"\r\n"
+        return (data,)
 
     def terminator(self) -> bytes:
         """Return the bytes that follow the last part of the body."""
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -75,19 +75,19 @@
         self.last_progress = clock()
         self.ended_at = self.last_progress
 
-    def feed(self, part: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Buffer the next bytes, and write them to the sink if there is one."""
-        self.size += len(part)
+        self.size += len(data)
         self.last_progress = clock()
         if not self.is_prefix_discarded:
             if self.sink is None or self.size <= MAX_BUFFERED_BYTES:
-                self.parts.append(part)
+                self.parts.append(data)
             else:
                 self._discard_prefix()
         if self.sink is None:
             self.source.suspend_reading()
         else:
-            self._write(self.sink, part)
+            self._write(self.sink, data)
 
     def _discard_prefix(self) -> None:
         self.is_prefix_discarded = True
@@ -112,11 +112,11 @@
         else:
             self.source.continue_reading()
 
-    def _write(self, sink: BodySink, part: bytes) -> None:
+    def _write(self, sink: BodySink, data: bytes) -> None:
         if self.length is None:
-            sink.write(b"%x\r\n" % len(part), part, b"\r\n")
+            sink.write(b"%x\r\n" % len(data), data, b"\r\n")
         else:
-            sink.write(part)
+            sink.write(data)
         # A failed write detaches the sink.
         if self.sink is not None and self.sink.unsent_bytes > MAX_BUFFERED_BYTES:
             self.source.suspend_reading()
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -55,7 +55,7 @@
             source: The connection that the body is received on.
         """
 
-    def response_part(self, part: bytes) -> None:
+    def response_part(self, data: bytes) -> None:
         """Handle a part of the body of a streamed response."""
 
     def response_complete(self, response: UpstreamResponse) -> None:
@@ -251,7 +251,7 @@
         if status == HTTP_OK and self.length is not None and self.length > wire.MAX_BUFFERED_BYTES:
             self.start_streaming()
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Buffer a part of the body, or pass it on if the response is streamed.
 
         Raises:
@@ -262,15 +262,15 @@
             return  # the request was cancelled
         if not self.size and self.length is None:
             self.handler.unsized_response_started(self)
-        self.size += len(part)
+        self.size += len(data)
         if self.size > wire.MAX_BODY_BYTES:
             raise ProtocolError("response body exceeds the limit")
         if self.is_streaming:
-            self.handler.response_part(part)
+            self.handler.response_part(data)
         elif self.size <= wire.MAX_BUFFERED_BYTES:
-            self.body.append(part)
+            self.body.append(data)
         elif self.parser.get_status_code() == HTTP_OK:
-            self.body.append(part)
+            self.body.append(data)
             self.start_streaming()
 
     def start_streaming(self) -> None:
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -155,9 +155,9 @@
         ring = self.send_buffer
         while not self.write_paused and not self.closed and self.transport is not None:
             while self.pending and ring.count < ring.size:
-                moved = ring.write_from(self.pending[0], self.pending_offset)
-                self.pending_offset += moved
-                self.pending_bytes -= moved
+                copied_bytes = ring.write_from(self.pending[0], self.pending_offset)
+                self.pending_offset += copied_bytes
+                self.pending_bytes -= copied_bytes
                 if self.pending_offset == len(self.pending[0]):
                     self.pending.popleft()
                     self.pending_offset = 0
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -8,8 +8,8 @@
 
 def test_changes_already_applied_are_ignored_but_a_full_list_never_is():
     class RecordingObserver(list):
-        def endpoints_changed(self, rows, full):
-            self.append([row[0] for row in rows])
+        def endpoints_changed(self, entries, full):
+            self.append([list_entry[0] for list_entry in entries])
 
     observer = RecordingObserver()
     endpoint_list = EndpointList(observer, ignore)
--- a/tests/http/test_long_messages.py
+++ b/tests/http/test_long_messages.py
@@ -61,8 +61,8 @@
         client.send()
         assert client.read() is None  # the response is incomplete
         assert upstream.came.qsize() == 1
-        shown = call(process.admin, "/api/telemetry")[1]["operations"]["query"]
-        assert (shown["fulfilled"], shown["faulted"]) == (0, 1)
+        query_counts = call(process.admin, "/api/telemetry")[1]["operations"]["query"]
+        assert (query_counts["fulfilled"], query_counts["faulted"]) == (0, 1)
 
 
 def test_a_partly_consumed_body_is_rejected_when_its_attempt_fails():
