--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -16,7 +16,7 @@
 }
 
 
-class EndpointRow(NamedTuple):
+class EndpointListEntry(NamedTuple):
     """One endpoint as the endpoint list describes it.
 
     Attributes:
@@ -41,7 +41,7 @@
 class EndpointListObserver(Protocol):
     """An object that is notified of changes of the endpoint list."""
 
-    def endpoints_changed(self, entries: list[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, entries: list[EndpointListEntry], full: bool) -> None:
         """Handle a change of the list.
 
         Args:
@@ -53,7 +53,7 @@
         """Handle a failed attempt to get the list, which is repeated without a further request."""
 
 
-def parse_endpoint(raw: dict[str, Any]) -> EndpointRow:
+def parse_endpoint(raw: dict[str, Any]) -> EndpointListEntry:
     """Parse one entry of a message.
 
     >>> tuple(parse_endpoint({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"}))
@@ -70,7 +70,7 @@
     started_ms = int(raw.get("started_ms") or 0)
     cell = int(raw.get("cell") or 0)
     weight = float(raw.get("weight") or 1.0)
-    return EndpointRow(name, host_and_port, state, started_ms, weight, cell, str(raw.get("zone", "")))
+    return EndpointListEntry(name, host_and_port, state, started_ms, weight, cell, str(raw.get("zone", "")))
 
 
 class EndpointList:
@@ -118,9 +118,9 @@
         self.log("endpoint_list.applied", version=version, full=full, entries=len(entries))
         self.observer.endpoints_changed(entries, full)
 
-    def _parse_entries(self, raw_entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
+    def _parse_entries(self, raw_entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointListEntry]:
         """Return all valid entries; invalid ones are logged."""
-        entries: list[EndpointRow] = []
+        entries: list[EndpointListEntry] = []
         for raw in raw_entries:
             try:
                 entries.append(parse_endpoint(raw))
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -103,7 +103,7 @@
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         """Return name and number of the request's class, or None if it belongs to no known class."""
 
-    def identify(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """Return the request's trace id and its client timeout.
 
         The timeout is in milliseconds, as ASCII digits. Neither value has been validated.
--- a/dahliabend/http/headers.py
+++ b/dahliabend/http/headers.py
@@ -1,7 +1,7 @@
 """Header names and paths used on the wire, message size limits, and the selection of forwarded headers."""
 
-TRACE = b"x-trace-id"
-EXPIRES = b"x-expires-in-ms"
+TRACE_ID_HEADER = b"x-trace-id"
+TIMEOUT_HEADER = b"x-expires-in-ms"
 RETRY_HEADER = b"x-second-try"
 TENANT_HEADER = b"x-customer"
 ORDERING_KEY_HEADER = b"x-item"  # requests with the same key are kept in order
@@ -9,7 +9,7 @@
 LOAD_REPORT_HEADER = b"endpoint-load-metrics"
 
 READY_PATH = b"/-/ready"
-HEALTHY = b"/-/healthy"
+HEALTHY_PATH = b"/-/healthy"
 LOAD_PATH = b"/-/load"
 
 MAX_BUFFERED_BYTES = 64 * 1024  # of a body; longer ones are streamed, with at most this much waiting
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -73,7 +73,7 @@
         self.is_complete = False
         self.is_prefix_discarded = False
         self.last_progress = clock()
-        self.ended_at = self.last_progress
+        self.completed_at = self.last_progress
 
     def feed(self, data: bytes) -> None:
         """Buffer the next bytes, and write them to the sink if there is one."""
@@ -98,7 +98,7 @@
     def mark_complete(self) -> None:
         """Handle the end of the body."""
         self.is_complete = True
-        self.ended_at = clock()
+        self.completed_at = clock()
         if self.sink is not None:
             self.sink.finish_upload(self._terminator())
 
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -84,7 +84,7 @@
         connection.abort()
         return True
 
-    def is_full(self, now: int = 0) -> bool:
+    def is_full_after_eviction(self, now: int = 0) -> bool:
         """Evict a connection if only the reserve is left; return whether the budget is still full.
 
         Args:
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -89,7 +89,7 @@
             return False
         for _ in range(MAX_ACCEPTS_AT_ONCE):
             # Idle connections are evicted first: waiting clients would otherwise miss their deadlines.
-            if self.descriptors.is_full(clock()) and self.descriptors.is_exhausted():
+            if self.descriptors.is_full_after_eviction(clock()) and self.descriptors.is_exhausted():
                 self._pause_accepting(listening)
                 return False
             try:
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -24,18 +24,18 @@
         client_side.send(b"G")
         for client in (client_with_unread_request, idle_client, new_client):
             FakeTransport(client)
-        assert budget.is_full()
+        assert budget.is_full_after_eviction()
         assert not new_client.closed  # the request that it was opened for is on its way
         budget.mark_idle(client_with_unread_request.handle, 1)
         budget.mark_idle(idle_client.handle, 2)
-        assert not budget.is_full()
+        assert not budget.is_full_after_eviction()
         assert idle_client.closed
         assert not client_with_unread_request.closed
         budget.connections.add(None)  # another connection takes the free slot
-        assert budget.is_full(S)
+        assert budget.is_full_after_eviction(S)
         assert not new_client.closed
-        assert budget.is_full(clock())
+        assert budget.is_full_after_eviction(clock())
         assert not new_client.closed
-        assert not budget.is_full(clock() + S)  # it counts as slow by then
+        assert not budget.is_full_after_eviction(clock() + S)  # it counts as slow by then
         assert new_client.closed
         assert not client_with_unread_request.closed
