--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -102,7 +102,7 @@
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         """Name and number of a request's class; None if it is of no known one."""
 
-    def identify(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """A request's trace id, and how many milliseconds its client waits, as digits."""
 
     def dispatch(self, incoming: IncomingRequest, class_number: int) -> int:
@@ -136,7 +136,7 @@
 
 
 def is_valid_identity(trace_id: bytes, timeout_ms: bytes) -> bool:
-    """Whether a request's trace id and timeout, as `Dispatcher.identify` found them, can be used."""
+    """Whether the trace id and timeout that `Dispatcher.read_trace_id_and_timeout` found can be used."""
     if not 0 < len(trace_id) <= MAX_TRACE_ID_BYTES:
         return False
     return timeout_ms.isdigit() and len(timeout_ms) <= MAX_TIMEOUT_DIGITS and int(timeout_ms) > 0
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -19,14 +19,14 @@
     discovery client.
 
     Attributes:
-        attempted: Always true: unlike a discovery service, a file need not be waited for.
+        first_attempt_finished: Always true: unlike a discovery service, a file need not be waited for.
     """
 
     def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: EventLog) -> None:
         self.endpoint_list = endpoint_list
         self.timers = timers
         self.log = log
-        self.attempted = True
+        self.first_attempt_finished = True
         self._path = ""
         self._applied_text = b""
         self._read_timer: Any = None
--- a/dahliabend/simulation/observed_run.py
+++ b/dahliabend/simulation/observed_run.py
@@ -121,7 +121,7 @@
     """The state that all invariants share."""
 
     def __init__(
-        self, scheduler: Scheduler, classes: dict[str, RequestClassRules], drain_time: int, key_rest: int
+        self, scheduler: Scheduler, classes: dict[str, RequestClassRules], drain_time: int, key_pause: int
     ) -> None:
         """Begin with nothing observed.
 
@@ -129,12 +129,12 @@
             scheduler: of the run.
             classes: of requests, by name.
             drain_time: microseconds for which an endpoint may still be used after it drains.
-            key_rest: microseconds between an attempt that may go on and the next request of its key.
+            key_pause: microseconds between an attempt that may go on and the next request of its key.
         """
         self.scheduler = scheduler
         self.classes = classes
         self.drain_time = drain_time
-        self.key_rest = key_rest
+        self.key_pause = key_pause
         self.requests: dict[str, RequestRecord] = {}
         self.open_requests: set[str] = set()
         self._finished: deque[tuple[int, str]] = deque()
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -29,8 +29,10 @@
     request: many that trickle would keep all others out.
 
     >>> budget = DescriptorBudget(26)
-    >>> [budget.register(n) for n in "abc"], budget.is_full(), budget.reserve_in_use, budget.is_exhausted()
-    ([0, 1, 2], True, True, False)
+    >>> [budget.register(n) for n in "abc"], budget.is_full_after_eviction()
+    ([0, 1, 2], True)
+    >>> budget.reserve_in_use, budget.is_exhausted()
+    (True, False)
     >>> [budget.register(n) for n in "defghij"], budget.is_exhausted()
     ([3, 4, 5, 6, 7, 8, 9], True)
     >>> budget.release(1), budget.is_exhausted()
@@ -79,7 +81,7 @@
         connection.abort()
         return True
 
-    def is_full(self, now: int = 0) -> bool:
+    def is_full_after_eviction(self, now: int = 0) -> bool:
         """Whether only the reserve is left, also after the oldest idle connection has been evicted.
 
         Args:
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from corpus import FAULTS, make
+from corpus import FAULTS, generate_operator_files
 
 from dahliabend.config.operator_file.key_lines import key_lines
 from dahliabend.config.operator_file.loader import load_source
@@ -33,7 +33,7 @@
 def test_of_500_files_each_faulty_one_is_refused_at_its_line_with_its_reason_and_no_sound_one():
     kinds = set()
     for seed in range(CORPUS):
-        made = make(seed)
+        made = generate_operator_files(seed)
         plan = load_file("file.toml", environment={}, read=made.read)
         if not made.kind:
             assert plan.is_usable, (seed, [str(fault) for fault in plan.faults])
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -21,7 +21,7 @@
     sys.path.insert(0, str(folder))
 
 import orjson  # noqa: E402
-from corpus import make  # noqa: E402
+from corpus import generate_operator_files  # noqa: E402
 from helpers import free_addresses  # noqa: E402
 
 from dahliabend.routing_rules.loaded_file import load_file  # noqa: E402
@@ -62,7 +62,7 @@
 
     async def build(self, folder: Path) -> None:
         """The file with every address on loopback, and whoever is to be there."""
-        text = make(self.seed).files["file.toml"]
+        text = generate_operator_files(self.seed).files["file.toml"]
         found = sorted(set(re.findall(r"\d+\.\d+\.\d+\.\d+:\d+", text)))
         new = dict(zip(found, free_addresses(len(found)), strict=True))
         for old in sorted(found, key=len, reverse=True):
--- a/tests/routing_rules/play.py
+++ b/tests/routing_rules/play.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "config"))
 
-from corpus import make
+from corpus import generate_operator_files
 
 from dahliabend.simulation.operator_file_simulation import FAULT_KINDS, OperatorFileSimulation
 
@@ -23,7 +23,7 @@
 
 
 def play(seed: int, span: int) -> tuple[int, dict, list[str], int]:
-    world, rng = OperatorFileSimulation(make(seed).files, seed), Random(seed)
+    world, rng = OperatorFileSimulation(generate_operator_files(seed).files, seed), Random(seed)
 
     def act(world: OperatorFileSimulation) -> None:
         world.load(world.load_file().file, RATE, span)
@@ -48,7 +48,7 @@
     parser.add_argument("--minutes", type=float, default=5.0)
     given = parser.parse_args()
     began, counts, steps, broken = time.perf_counter(), Counter(), 0, 0
-    seeds = [seed for seed in range(given.files) if not make(seed).kind]
+    seeds = [seed for seed in range(given.files) if not generate_operator_files(seed).kind]
     with ProcessPoolExecutor(given.jobs) as pool:
         spans = [round(given.minutes * 60 * S)] * len(seeds)
         for seed, seen, violations, taken in pool.map(play, seeds, spans):
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -8,7 +8,7 @@
 from random import Random
 
 import pytest
-from corpus import make
+from corpus import generate_operator_files
 from helpers import free_addresses
 
 from dahliabend.routing_rules.weighted_split import WeightedSplit
@@ -196,7 +196,7 @@
 
     loaded(held, 20, 8 * S, hang)
     assert held.invariants.counts["refused"] > 20
-    assert held.program.dispatcher.routes.choices[0].limit.in_flight == 0
+    assert held.program.dispatcher.routes.compiled_routes[0].limit.in_flight == 0
 
 
 def test_times_and_attempts_are_a_routes_own():
@@ -311,7 +311,7 @@
 def test_sound_files_are_served_through_faults_without_a_violation(seed):
     """Some of the corpus, for half a minute each; tests/routing_rules/play.py plays all for five."""
     drawn = Random(seed)
-    made = OperatorFileSimulation(make(seed).files, seed)
+    made = OperatorFileSimulation(generate_operator_files(seed).files, seed)
 
     def troubles(made):
         for second in range(0, 30, 5):
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -200,7 +200,7 @@
     def give_up(self, request, wait=0):
         request.is_answered = True
         self.cancel(request)
-        self.port.reject(request.ref, 0)
+        self.port.reject(request.request_id, 0)
 
     return instead(Balancer, "give_up", give_up)
 
@@ -248,7 +248,7 @@
 @contextmanager
 def heed_no_limit_of_descriptors():
     with (
-        instead(DescriptorBudget, "is_full", lambda self, now=0: False),
+        instead(DescriptorBudget, "is_full_after_eviction", lambda self, now=0: False),
         instead(DescriptorBudget, "is_exhausted", lambda self: False),
         instead(DescriptorBudget, "reserve_in_use", property(lambda self: False)),
         instead(DescriptorBudget, "mark_idle", lambda self, number, now: None),
@@ -355,20 +355,20 @@
 
 
 def leave_out_the_rest():
-    return instead(KeyQueues, "rest", lambda self, request, now: None)
+    return instead(KeyQueues, "pause", lambda self, request, now: None)
 
 
 def forget_the_line_at_a_time_out():
-    return instead(KeyQueues, "rest", lambda self, request, now: self.queues.pop(request.key, None))
+    return instead(KeyQueues, "pause", lambda self, request, now: self.queues.pop(request.key, None))
 
 
 def last_come_first_served():
-    def ahead(self, key):
+    def turns_ahead(self, key):
         if queue := self.queues.get(key):
-            queue.current, queue.rests_until = None, 0
+            queue.current, queue.paused_until = None, 0
         return 0
 
-    return instead(KeyQueues, "ahead", ahead)
+    return instead(KeyQueues, "turns_ahead", turns_ahead)
 
 
 DEFECTS = {
