--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -38,7 +38,7 @@
     Attributes:
         file: The file that they stand in.
         table: Finds the route of a request.
-        choices: The routes, by number, as requests are decided by them.
+        compiled_routes: The routes, by number, as requests are decided by them.
         matched_headers: Names of the headers that any route looks at.
         class_indices: By pool, the class index there of each route that leads to it.
     """
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -37,7 +37,7 @@
         max_request_time: The longest deadline of any request class so far, in microseconds.
         descriptors: Client and upstream connections, within the limit of descriptors.
         admin_descriptors: Connections of operators, which clients can't crowd out.
-        operations: The admin calls.
+        admin_api: The admin calls.
         lifecycle: Where the server stands between start and end.
     """
 
