--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -43,7 +43,7 @@
         silence_timer: Fires if nothing is received in time.
         retry_timer: Fires when the next watch has to be opened.
         backoff: Longest delay in microseconds until the next watch.
-        attempted: Whether a message has been received or the first attempt has failed.
+        first_attempt_finished: Whether a message was received, or the first attempt failed or timed out.
     """
 
     def __init__(
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from dahliabend.http import headers as wire
-from dahliabend.http.dispatch import Dispatcher, IncomingRequest, is_valid_identity
+from dahliabend.http.dispatch import Dispatcher, IncomingRequest, is_valid_trace_id_and_timeout
 from dahliabend.http.request_parser import BODY_PAUSE_TIMEOUT, ReceivedRequest, RequestParser
 from dahliabend.http.responses import CONNECTION_CLOSE, CONTINUE, Framing, StreamedResponse, response_head
 from dahliabend.http.serving_state import FLUSHING, LINGERING, SERVING, WAITING, ServingState
@@ -175,7 +175,7 @@
             self.send_error(404)
             return
         trace_id, timeout_ms = self.dispatcher.read_trace_id_and_timeout(class_number, request.fields)
-        if not is_valid_identity(trace_id, timeout_ms):
+        if not is_valid_trace_id_and_timeout(trace_id, timeout_ms):
             self.send_error(400)
             return
         incoming = IncomingRequest(
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -139,8 +139,8 @@
         """Count a response with this status to a request of the class with this name."""
 
 
-def is_valid_identity(trace_id: bytes, timeout_ms: bytes) -> bool:
-    """Whether a trace id and a timeout, as returned by `Dispatcher.identify`, are valid."""
+def is_valid_trace_id_and_timeout(trace_id: bytes, timeout_ms: bytes) -> bool:
+    """Whether a trace id and a timeout, as returned by `Dispatcher.read_trace_id_and_timeout`, are valid."""
     if not 0 < len(trace_id) <= MAX_TRACE_ID_BYTES:
         return False
     return timeout_ms.isdigit() and len(timeout_ms) <= MAX_TIMEOUT_DIGITS and int(timeout_ms) > 0
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -60,7 +60,7 @@
         is_complete: Whether the whole body has been received.
         is_prefix_discarded: Whether the beginning of the body is no longer buffered.
         last_progress: Clock time (us) at which bytes were last received or sent.
-        ended_at: Clock time (us) at which the last byte was received.
+        completed_at: Clock time (us) at which the last byte was received.
     """
 
     def __init__(self, source: BodySource, length: int | None, parts: list[bytes]) -> None:
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -63,7 +63,7 @@
         """
         sock = host_info.inherited_socket(descriptor)
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(f"PROXY_FD: descriptor {descriptor} is not a listening socket")
+            raise OSError(f"PROXY_FD: {descriptor} is not a listening socket")
         sock.setblocking(False)
         self.sock = sock
         self.shared = True
