--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -71,9 +71,9 @@
         that may already have arrived, and closing it would lose that request.
         """
         super().connection_made(transport)
-        self.await_request(self.opened_at)
+        self.limit_request_time(self.opened_at)
 
-    def await_request(self, since: int) -> None:
+    def limit_request_time(self, since: int) -> None:
         """Set the time limit for receiving the rest of a request, counted from clock time `since`."""
         self.descriptors.mark_awaiting_request(self.handle, since + SLOW_REQUEST_AGE)
         self.stall_timer = self.timers.schedule(since + REQUEST_TIMEOUT, self.request_timed_out)
@@ -125,7 +125,7 @@
                 self._answer_parse_error()
                 return
         if self.parser.received_at:
-            self._await_rest_of_request()
+            self._limit_rest_of_request()
 
     def _fail_upload(self) -> None:
         """Answer an error in a body that is already being streamed to an upstream.
@@ -146,7 +146,7 @@
         self._classify(b"", self.parser.target.partition(b"?")[0], {})
         self.send_error(self.parser.error_status)
 
-    def _await_rest_of_request(self) -> None:
+    def _limit_rest_of_request(self) -> None:
         """Limit the time to receive the rest of a request that has begun.
 
         Without a limit, an incomplete request would hold its descriptor forever.
@@ -154,7 +154,7 @@
         if self._is_serving and self.upload is None:
             return
         if self.stall_timer is None or not self.stall_timer.is_pending:
-            self.await_request(self.parser.received_at)
+            self.limit_request_time(self.parser.received_at)
 
     def start_request(self, request: ReceivedRequest) -> None:
         """Answer a request, or pass it to the dispatcher."""
--- a/dahliabend/http/responses.py
+++ b/dahliabend/http/responses.py
@@ -46,7 +46,7 @@
 
 
 class StreamedResponse:
-    """The encoding of a response whose body is passed on while it is received.
+    """The encoding of a response with status 200 whose body is passed on while it is received.
 
     Attributes:
         source: The connection that the body is read from.
