--- a/dahliabend/proxy/__init__.py
+++ b/dahliabend/proxy/__init__.py
@@ -1,5 +1,6 @@
-"""Requests of clients and their attempts on sockets: what a policy's port does. It decides nothing itself.
+"""Forwarding of client requests to upstreams. Load-balancing decisions are made in `dahliabend.policy`.
 
-A `Dispatcher` finds the pool of a request by an operator's routes. A `Router` serves the requests of one pool
-as the policy asks through its `PolicyPort`: by one or more `Attempt`s each, on connections of an `Endpoint`.
+A `Dispatcher` finds the pool of a request by the routes in an operator's file. A `Router` serves the requests
+of one pool as its policy decides: the policy calls its `PolicyPort`, and the router sends one or more
+`Attempt`s per request, each on a connection of an `Endpoint`.
 """
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a client's request: it is sent to one endpoint, once."""
+"""An attempt of a client's request: sends the request to one endpoint, at most once."""
 
 from typing import Protocol
 
@@ -13,15 +13,16 @@
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, clock
 
 NO_DEADLINE = 1 << 50  # microseconds
-STALL_TIMEOUT = 20_000_000  # microseconds; peers may take seconds to read or write, but not that long
-UNSIZED_RESPONSE_BUFFERING = 500_000  # microseconds that a response of unknown length is buffered
+STALL_TIMEOUT = 20_000_000  # microseconds; a slow peer may pause for seconds, but not for this long
+UNSIZED_RESPONSE_BUFFERING = 500_000  # microseconds for which a response of unknown length is buffered
 
 
 def deduplication_deadline(state: RequestState) -> int:
-    """Return until when (us) a request's newest attempt may be sent beside earlier ones.
+    """Return the time (us) until which the newest attempt of a request may be sent.
 
-    Earlier attempts may have been executed. The endpoints' group drops a repeat of them for the deduplication
-    window, which goes on while a connection is being opened.
+    If an earlier attempt may have been executed, the upstreams recognize and drop a repeat only within the
+    deduplication window. The window keeps running while a connection is being opened. Without such an attempt
+    there is no deadline.
     """
     if state.request_class.effect is not Effect.DEDUPLICATED:
         return NO_DEADLINE
@@ -32,7 +33,7 @@
 
 
 class AttemptOwner(Protocol):
-    """The router that attempts are reported to."""
+    """Interface of the router that attempts report to."""
 
     metrics: RequestMetrics
 
@@ -43,21 +44,21 @@
 
         Args:
             attempt: The attempt.
-            outcome: How it has ended.
-            duration: How long it took (us).
-            response: What the upstream has answered, if that has been received completely.
+            outcome: Its outcome.
+            duration: Its duration (us).
+            response: The upstream's response; None if it has not been received completely.
         """
 
 
 class Attempt(UpstreamRequest):
-    """One attempt of a request.
+    """An attempt of a request.
 
     Attributes:
-        owner: The router that it is reported to.
-        request: The request that it belongs to.
-        index: Its index among the attempts of its request.
-        first_byte_at: When a streamed response has begun (us); None if none is streamed.
-        last_progress: When bytes of the request or of a streamed response moved last (us).
+        owner: The router that the attempt reports to.
+        request: The request that the attempt belongs to.
+        index: Index among the attempts of the request.
+        first_byte_at: When streaming the response to the client began (us); None if it is not streamed.
+        last_progress: When bytes of the request or of a streamed response were last transferred (us).
     """
 
     def __init__(self, owner: AttemptOwner, request: Request, endpoint: Endpoint, timeout: int) -> None:
@@ -75,17 +76,17 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Whether its response is, or was, streamed to the client."""
+        """Whether the response is being streamed to the client, or has been."""
         return self.first_byte_at is not None
 
     def is_awaited(self) -> bool:
-        """Tell whether the client still waits for a response."""
+        """Return whether the client still waits for a response."""
         return not self.request.answered
 
     def build_head(self, time_left: int) -> bytes:
-        """Return the head with the time that the upstream has.
+        """Return the request head, with the remaining time in the `X-Expires-In-Ms` header.
 
-        It is written when the attempt is sent: written earlier, it would leave out what connecting has taken.
+        The head is built when the attempt is sent, so that the time spent on connecting is deducted.
         """
         length: int | None = len(self.body)
         if self.upload is not None:
@@ -100,7 +101,7 @@
         )
 
     def start(self) -> None:
-        """Send it. With a streamed body it is looked at after the client's timeout at the latest."""
+        """Start the attempt; with a streamed body, check progress by the client's timeout at the latest."""
         super().start()
         if self.upload is None or self.is_finished:
             return
@@ -109,16 +110,16 @@
             self.endpoint.resources.timers.cancel(self.timeout_timer)
             self.check_progress_at(client_deadline)
 
-    # Events of its connection.
+    # Connection events
 
     def request_written(self) -> None:
-        """Count it, and schedule the hedge. The time of a streamed body counts from here."""
+        """Count the attempt, and schedule its hedge or, with a streamed body, restart its timeout."""
         self.last_progress = clock()
         self.owner.metrics.count_attempt(self.request.class_name)
         if self.upload is None:
             self._schedule_hedge()
         elif self.request.state.body_pending:
-            self._restart_time(self.upload)
+            self._restart_timeout(self.upload)
 
     def _schedule_hedge(self) -> None:
         request = self.request
@@ -127,10 +128,11 @@
             hedge_at = self.started_at + hedge_delay
             self.hedge_timer = self.endpoint.resources.timers.schedule(hedge_at, self.hedge_timer_fired)
 
-    def _restart_time(self, upload: StreamingBody) -> None:
-        """Count its time from now on, as the last byte of its body has been sent.
+    def _restart_timeout(self, upload: StreamingBody) -> None:
+        """Restart duration and timeout now that the last byte of the streamed body has been sent.
 
-        Nothing could be executed until now: what the client took to send counts against nobody.
+        The upstream could not execute the request before, so the time that the client took to upload the body
+        must not count against the endpoint.
         """
         timers = self.endpoint.resources.timers
         deadline = upload.ended_at + self.request.client_timeout
@@ -141,12 +143,15 @@
         self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
 
     def unsized_response_started(self, connection: UpstreamConnection) -> None:
-        """Stream a response of unknown length before long: buffered until its end it may come too late."""
+        """Schedule streaming of a response of unknown length.
+
+        Buffered until its end, the response could come too late for the client.
+        """
         stream_at = clock() + UNSIZED_RESPONSE_BUFFERING
         self.buffering_timer = self.endpoint.resources.timers.schedule(stream_at, connection.start_streaming)
 
     def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Begin to stream the response, unless a hedged attempt has been quicker."""
+        """Start streaming the response to the client, unless another attempt has answered already."""
         request = self.request
         if request.answered:
             self.give_up(Outcome.CANCELLED)
@@ -161,18 +166,18 @@
         self.timed_out()
 
     def response_part(self, part: bytes) -> None:
-        """Pass a part of a streamed response on."""
+        """Forward a part of a streamed response to the client."""
         self.last_progress = clock()
         self.request.incoming.client.send_part(part)
 
-    # Timers.
+    # Timers
 
     def hedge_timer_fired(self) -> None:
-        """Tell the policy that this attempt is slow."""
+        """Report to the policy that this attempt is slow, so that it may send a hedge."""
         self.request.state.hedge_timer_fired(clock())
 
     def timed_out(self) -> None:
-        """Give up, but while something is streamed only if no byte has moved for long."""
+        """Give up; while a body is streamed, only if no byte has been transferred for the allowed pause."""
         now = clock()
         is_uploading = self.upload is not None and self.request.state.body_pending
         allowed_pause = self.allowed_pause(is_uploading)
@@ -188,27 +193,28 @@
             self.check_progress_at(last_progress + allowed_pause)
             return
         if is_uploading:
-            self.request.body_consumed()  # its time is over: none is left for another attempt
+            self.request.body_consumed()  # no time is left for another attempt with this body
         super().timed_out()
 
     def allowed_pause(self, is_uploading: bool) -> int:
-        """Return for how long (us) no byte has to move.
+        """Return how long (us) a streamed transfer may pause before the attempt is given up.
 
-        Where the upstream doesn't read, the client may have sent everything, which can't be seen while it is
-        held back: waited for as long as a slow client, the request would go unanswered beyond its limit.
+        While the upstream does not read, reading from the client is paused, so it is unknown whether the
+        client has sent everything. The pause is then limited by the client's timeout: with the limit for a
+        slow client the request would stay unanswered beyond its deadline.
         """
         if is_uploading and (self.connection is None or self.connection.unsent_bytes):
             return min(STALL_TIMEOUT, self.request.client_timeout)
         return STALL_TIMEOUT
 
     def check_progress_at(self, when: int) -> None:
-        """Call `timed_out` at that time."""
+        """Schedule a call of `timed_out` at a time (us)."""
         self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.timed_out)
 
-    # Its end.
+    # Completion
 
     def mark_finished(self) -> None:
-        """Enter the last phase and release all timers."""
+        """Enter the FINISHED phase and cancel all timers."""
         super().mark_finished()
         if self.buffering_timer is not None:
             self.endpoint.resources.timers.cancel(self.buffering_timer)
--- a/dahliabend/proxy/base_dispatcher.py
+++ b/dahliabend/proxy/base_dispatcher.py
@@ -1,32 +1,33 @@
-"""What all that takes clients' requests has in common: counting them, and sending clients elsewhere."""
+"""Base class of the dispatchers that client connections hand requests to: counters and shutdown state."""
 
 from collections.abc import Collection
 from typing import Protocol
 
 
 class RequestMetrics(Protocol):
-    """Counters of requests by class, for operators."""
+    """Interface of the counters of requests by class, which operators can read."""
 
     open_requests: int
 
     def count_response(self, name: bytes, status: int) -> None:
-        """Count a response to a request of the class with that name."""
+        """Count a response by the name of the request's class and the HTTP status."""
 
     def count_attempt(self, name: bytes) -> None:
-        """Count an attempt that has been written to an upstream."""
+        """Count an attempt that has been written to an upstream, by the name of the request's class."""
 
     def set_active_classes(self, names: Collection[bytes]) -> None:
-        """Set the classes that are in force."""
+        """Set the names of the classes that are currently configured."""
 
 
 class BaseDispatcher:
-    """Base of whatever client connections hand requests to.
+    """Base class of the dispatchers that client connections hand requests to.
 
     Attributes:
         metrics: Counters of requests.
-        count_response: Counts a response, by the class's name and the status.
-        evacuated: Whether an operator sends clients elsewhere.
-        shutdown_deadline: When all requests are given up because the process ends (us); 0 while it doesn't.
+        count_response: Method of `metrics` that counts a response by class name and status.
+        evacuated: Whether an operator has asked for clients to be directed to other balancers.
+        shutdown_deadline: When the remaining requests are given up because the process exits (us); 0 unless
+            the process is shutting down.
     """
 
     def __init__(self, metrics: RequestMetrics) -> None:
@@ -36,17 +37,17 @@
         self.shutdown_deadline = 0
 
     def closing(self) -> bool:
-        """Tell whether clients are to go elsewhere."""
+        """Return whether clients are to connect to another balancer: on shutdown or while evacuated."""
         return self.shutdown_deadline > 0 or self.evacuated
 
     def request_opened(self) -> None:
-        """Count a request of a known class that has come."""
+        """Count the arrival of a request of a known class."""
         self.metrics.open_requests += 1
 
     def request_closed(self) -> None:
-        """Count that its response has been written, or its connection has gone."""
+        """Count the end of a request: its response has been written, or its connection has been lost."""
         self.metrics.open_requests -= 1
 
     def shut_down_by(self, deadline: int) -> None:
-        """End every request that is still open at `deadline` (us, clock time)."""
+        """Begin to shut down; requests that are still open at `deadline` (us, clock time) are ended."""
         self.shutdown_deadline = deadline
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes requests by an operator's routes to the pools, each with a router and a policy of its own."""
+"""Dispatches requests to pools by the routes of an operator's file; every pool has a router of its own."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
@@ -19,13 +19,13 @@
 from dahliabend.transport.handles import NO_HANDLE
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
-MAX_POOLS = 1024  # at once; the handle of a request modulo this is its pool's number modulo this
-MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds
+MAX_POOLS = 1024  # at the same time; request handle % MAX_POOLS equals pool number % MAX_POOLS
+MAX_LIMIT_RETRY_AFTER = 1_000_000  # microseconds; upper bound of Retry-After for a request over its limit
 LIMIT_EXCEEDED_BODY = b"too many of this route\n"
 
 
 class DispatcherTelemetry(PoolTelemetry):
-    """The counts of all pools together and of each, and of requests that limits have rejected."""
+    """Counts of endpoints over all pools and per pool, and of requests rejected by the limits of routes."""
 
     pools: dict[str, PoolTelemetry]
     limited: int
@@ -33,14 +33,14 @@
 
 @dataclass(slots=True)
 class ActiveRoutes:
-    """The routes in force. A request keeps those that it was dispatched by.
+    """The current routes, replaced as a whole by a reload; open requests keep the routes they came by.
 
     Attributes:
-        file: The file that they stand in.
+        file: The operator's file that defines the routes.
         table: Finds the route of a request.
-        choices: The routes, by number, as requests are decided by them.
-        matched_headers: Names of the headers that any route looks at.
-        class_indices: By pool, the class index there of each route that leads to it.
+        choices: The compiled routes, in the order of the file.
+        matched_headers: Lower-case names of the headers that any route matches or splits by.
+        class_indices: For each pool by name, the request class index in that pool by route number.
     """
 
     file: OperatorFile
@@ -51,15 +51,15 @@
 
 
 class Dispatcher(BaseDispatcher):
-    """Hands each request to the pools that its route names. Handles of requests name their pool too.
+    """Hands each request to the pools of its route. The handle of a request also encodes its pool.
 
     Attributes:
-        methods: Request methods that are served.
-        pools: The pools by number, retired ones among them.
-        pools_by_name: Those in force, by name.
-        routes: The routes in force, from the first `apply_routes` on.
+        methods: HTTP methods that are served.
+        pools: All pools by number, including retired ones.
+        pools_by_name: Pools that are not retired, by name.
+        routes: The current routes; set by the first call of `apply_routes`.
         excluded: Ids of endpoints that an operator has excluded.
-        limited: How many requests a route's limit has rejected.
+        limited: Number of requests that the limits of routes have rejected.
     """
 
     methods = frozenset(method.encode() for method in HTTP_METHODS)
@@ -75,10 +75,10 @@
         self.excluded: set[str] = set()
         self.limited = 0
 
-    # Pools and routes.
+    # Pools and routes
 
     def add_pool(self, name: str, router: Router) -> Pool:
-        """Add a pool; endpoints that an operator has excluded are excluded there too."""
+        """Add a pool, with the endpoints excluded that an operator has excluded so far."""
         pool = Pool(name, self.next_pool_number, router)
         self.next_pool_number += 1
         self.pools[pool.number] = pool
@@ -89,57 +89,58 @@
         return pool
 
     def retire_pool(self, name: str) -> None:
-        """Send nothing more to a pool. It is removed once its last request has ended."""
+        """Stop sending requests to a pool; `remove_finished_pools` removes it after its last request."""
         pool = self.pools_by_name.pop(name)
         pool.retired = True
 
     def remove_finished_pools(self) -> list[Pool]:
-        """Remove the retired pools without requests; the caller stops what belongs to them."""
+        """Remove and return the retired pools without open requests; the caller releases their resources."""
         finished = [pool for pool in self.pools.values() if pool.retired and not len(pool.router.requests)]
         for pool in finished:
             del self.pools[pool.number]
         return finished
 
     def apply_routes(self, file: OperatorFile, class_indices: dict[str, dict[int, int]]) -> None:
-        """Put the routes of a file in force.
+        """Apply the routes of a file.
 
-        A route goes on with its limits and its split if there was one of its name before.
+        A route that had a predecessor of the same name takes over the state of its limit and its split.
 
         Args:
-            file: The file.
-            class_indices: By pool, the class index there of each route that leads to it.
+            file: The operator's file.
+            class_indices: For each pool by name, the request class index in that pool by route number.
         """
-        routes_before = getattr(self, "routes", None)
-        before = {route.name: route for route in routes_before.choices} if routes_before is not None else {}
-        compiled = compile_routes(file, before)
+        current = getattr(self, "routes", None)
+        previous = {route.name: route for route in current.choices} if current is not None else {}
+        compiled = compile_routes(file, previous)
         headers = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
         matched_headers = tuple(sorted(headers - {""}))
         self.routes = ActiveRoutes(file, RouteTable(file.routes), compiled, matched_headers, class_indices)
         self.metrics.set_active_classes([name.encode() for name in file.classes])
 
-    # Requests from clients.
+    # Requests from clients
 
     def classify(self, method: bytes, path: bytes, headers: dict[bytes, bytes]) -> tuple[bytes, int] | None:
-        """Return the name of a request's class and the number of its route, None if no route matches."""
+        """Return the name of a request's class and the number of its route, or None if no route matches."""
         routes = self.routes
         matched = {name: headers.get(name.encode(), b"").decode("latin-1") for name in routes.matched_headers}
         number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), matched)
         return None if number is None else (routes.choices[number].class_name, number)
 
     def identify(self, route_number: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
-        """Return a request's id and the milliseconds that its client waits.
+        """Return a request's trace id and its client's timeout in milliseconds, as digits.
 
-        An id is made up, and the route's timeout taken, where the client says nothing.
+        Where the client sends no such header, the trace id is generated at random and the timeout is the
+        route's.
         """
         trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
         timeout_ms = self.routes.choices[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
         return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
 
     def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
-        """Hand a request to its route's pools.
+        """Hand a request to the pools of its route, unless the route's limit rejects it.
 
         Returns:
-            The request's handle, or `NO_HANDLE` if it has its response already.
+            The request's handle, or `NO_HANDLE` if the request has already been answered.
         """
         now = clock()
         route = self.routes.choices[route_number]
@@ -162,7 +163,7 @@
         client.send_response(503, retry_after_header(retry_after), LIMIT_EXCEEDED_BODY)
 
     def _mirror(self, incoming: IncomingRequest, pool_name: str, route_number: int) -> None:
-        """Send a copy of a request to a pool whose responses are dropped."""
+        """Send a copy of a request to the mirror pool, whose responses are dropped."""
         trace_id = incoming.trace_id + TRACE_ID_SUFFIX
         copy = incoming._replace(
             client=DiscardingClient(incoming.client.class_name),
@@ -173,17 +174,17 @@
         self.pools_by_name[pool_name].router.dispatch(copy, class_index)
 
     def _dispatch_to_pools(self, incoming: IncomingRequest, candidates: list[str], route_number: int) -> int:
-        """Offer a request to pools in order, until one of them doesn't reject it at once.
+        """Offer a request to pools in order, until one of them does not reject it at once.
 
-        The rejection of the last one is the response.
+        If all reject it, the client receives the rejection of the last pool.
         """
         class_indices = self.routes.class_indices
         for name in candidates:
             pool = self.pools_by_name[name]
-            rejected: list[int] = []
-            on_rejected = rejected.append if name != candidates[-1] else None
+            rejected_handles: list[int] = []
+            on_rejected = rejected_handles.append if name != candidates[-1] else None
             handle = pool.router.dispatch(incoming, class_indices[name][route_number], on_rejected)
-            if not rejected:
+            if not rejected_handles:
                 break
         return NO_HANDLE if handle == NO_HANDLE else handle * MAX_POOLS + pool.number % MAX_POOLS
 
@@ -192,29 +193,29 @@
         return self.pools_by_name[name].ready_fraction
 
     def client_disconnected(self, handle: int) -> None:
-        """Handle that the client of a request has gone."""
+        """Handle the disconnection of a request's client."""
         pool_handle, slot = divmod(handle, MAX_POOLS)
         for pool in self.pools.values():
             if pool.number % MAX_POOLS == slot:
                 pool.router.client_disconnected(pool_handle)
 
-    # What the server asks.
+    # Status and operations, called by the server
 
     def ready(self) -> bool:
-        """Tell whether every route has a pool, or a fallback, with an endpoint that is ready."""
+        """Return whether every route has a pool, fallbacks included, with an endpoint that is ready."""
         return not self.closing() and all(
             any(self.ready_fraction(name) > 0 for name in route.reachable_pools)
             for route in self.routes.choices
         )
 
     def exclude(self, name: str, excluded: bool) -> bool:
-        """Exclude an endpoint in every pool that has it, or include it again.
+        """Exclude an endpoint from every pool that has it, or include it again.
 
         Returns:
-            False if no pool has ever had an endpoint with that id.
+            Whether any pool has done so; False if no pool has ever had an endpoint with that id.
         """
-        known = [pool.router.exclude(name, excluded) for pool in self.pools.values()]
-        if not any(known):
+        results = [pool.router.exclude(name, excluded) for pool in self.pools.values()]
+        if not any(results):
             return False
         if excluded:
             self.excluded.add(name)
@@ -223,7 +224,7 @@
         return True
 
     def shut_down_by(self, deadline: int) -> None:
-        """Give every request of every pool until `deadline` (us) at the most."""
+        """Begin to shut down all pools; requests that are still open at `deadline` (us) are ended."""
         super().shut_down_by(deadline)
         for pool in self.pools.values():
             pool.router.shut_down_by(deadline)
@@ -235,11 +236,11 @@
 
     @property
     def counts(self) -> dict[str, dict[str, int]]:
-        """By pool, ended requests by the operators' names of their ends."""
+        """Number of ended requests by pool and by ending, as named in `request_log`."""
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
     def telemetry(self) -> DispatcherTelemetry:
-        """Return counts of endpoints, in total and by pool, and of requests that limits have rejected."""
+        """Return counts of endpoints, in total and by pool, and of requests rejected by limits of routes."""
         by_pool = {pool.name: pool.router.telemetry() for pool in self.pools.values()}
         return {
             "registry_entries": sum(counts["registry_entries"] for counts in by_pool.values()),
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint of a pool: an upstream's address and state, and the connections to it."""
+"""An endpoint of a pool: the address and state of an upstream, and the connections to it."""
 
 from bisect import bisect_right
 from operator import attrgetter
@@ -12,14 +12,14 @@
 
 
 class IdleConnection(NamedTuple):
-    """A connection without a request, and the clock time (us) since which it has none."""
+    """A connection without a request, and the clock time (us) at which it became idle."""
 
     connection: UpstreamConnection
     idle_since: int
 
 
 class ReusableConnection(NamedTuple):
-    """A connection taken for the next request, if there was one, and how long it had been idle (us)."""
+    """An idle connection taken for the next request, or None, and how long it had been idle (us)."""
 
     connection: UpstreamConnection | None
     idle_time: int
@@ -29,25 +29,27 @@
 
 
 class Endpoint:
-    """The record of one upstream, with its idle connections; the one used last is used next.
+    """An upstream of a pool and the connections to it; the most recent idle connection is reused first.
 
-    State, start, weight, cell and zone are as the endpoint list said last: a policy with other settings needs
-    them again.
+    State, start time, weight, cell and zone keep the last values from the endpoint list, because a policy
+    with new settings is given them again.
 
     Attributes:
-        resources: What it shares with the other endpoints of its pool.
-        index: Its number in the pool.
-        name: Its id in the endpoint list.
+        resources: Resources shared by the endpoints of a pool.
+        index: Index in the pool.
+        name: Id in the endpoint list.
         address: Host and port.
-        state: What the endpoint list says of it.
-        started_at: When its process was started (us, monotonic); 0 if that is not known.
-        included_at: When an operator last put it back, 0 if none has; it may have been restarted before.
-        weight: Its part of the load, relative to the others.
-        cell: The cell that it stands in.
-        zone: The zone that it stands in.
-        enabled: Whether requests may be sent to it, and connections to it stay open when idle.
-        connections: All open connections to it.
-        idle_connections: Those that are idle, the latest last; those closed meanwhile until they are removed.
+        state: State according to the endpoint list.
+        started_at: When the upstream process was started (us, monotonic); 0 if unknown.
+        included_at: When an operator last included the endpoint again (us), 0 if never; the process may have
+            been restarted before that.
+        weight: Share of the load relative to the other endpoints.
+        cell: Cell that the endpoint belongs to.
+        zone: Zone that the endpoint belongs to.
+        enabled: Whether requests may be sent to the endpoint and its idle connections stay open.
+        connections: All open connections to the endpoint.
+        idle_connections: The idle ones, most recent last. A connection that has been closed stays here until
+            it is removed.
     """
 
     def __init__(self, resources: EndpointResources, index: int, name: str) -> None:
@@ -66,11 +68,11 @@
         self.idle_connections: list[IdleConnection] = []
 
     def update(self, row: EndpointRow, epoch: int) -> None:
-        """Take a row of the endpoint list over, but for the state.
+        """Apply a row of the endpoint list, except for the state.
 
         Args:
             row: The row.
-            epoch: Monotonic time less Unix time (us).
+            epoch: Monotonic time minus Unix time (us).
         """
         self.weight = row.weight
         self.cell = row.cell
@@ -78,20 +80,25 @@
         self.started_at = 0
         if row.started_ms:
             started_at = row.started_ms * MICROSECONDS_PER_MILLISECOND + epoch
-            self.started_at = started_at or 1  # 0 would say that it is not known
+            self.started_at = started_at or 1  # 0 means unknown
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
     def started_ms(self, epoch: int) -> int:
-        """Return when its process was started, in Unix time (ms); 0 if that is not known. See `update`."""
+        """Return when the upstream process was started, in Unix time (ms); 0 if unknown.
+
+        Args:
+            epoch: Monotonic time minus Unix time (us).
+        """
         return (self.started_at - epoch) // MICROSECONDS_PER_MILLISECOND if self.started_at else 0
 
     def take_idle_connection(self, now: int) -> ReusableConnection:
-        """Take an idle connection that is surely still open at the other end, if there is one."""
-        # A surplus response may come some milliseconds late and would be taken for the next request's. Where
-        # requests are frequent, many connections became idle after that time: they are not looked at singly.
-        idle_long_enough = now - self.resources.reuse_delay
-        position = bisect_right(self.idle_connections, idle_long_enough, key=_idle_since)
+        """Take an idle connection that can be reused safely, if there is one, and close unusable ones."""
+        # A surplus response may arrive some milliseconds late and would be taken for the response to the next
+        # request, so connections are reused only after a delay. At high request rates many connections became
+        # idle within that delay: the binary search skips them.
+        newest_reusable = now - self.resources.reuse_delay
+        position = bisect_right(self.idle_connections, newest_reusable, key=_idle_since)
         while position:
             position -= 1
             connection, idle_since = self.idle_connections.pop(position)
@@ -103,7 +110,7 @@
         return ReusableConnection(None, 0)
 
     def _is_reusable(self, connection: UpstreamConnection, idle_time: int) -> bool:
-        # Unread bytes would be taken for the start of the next response.
+        # Unread input would be taken for the start of the next response.
         return (
             not connection.closed
             and idle_time < self.resources.idle_timeout
@@ -111,7 +118,7 @@
         )
 
     def return_connection(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that has no request any more, or close it where nothing more is sent."""
+        """Keep a connection as idle after its request, or close it if the endpoint is disabled."""
         if not self.enabled:
             connection.abort()
         elif not connection.closed:
@@ -120,7 +127,7 @@
             self.resources.descriptors.mark_idle(connection.handle, now)
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has been closed."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         for position, idle in enumerate(self.idle_connections):
             if idle.connection is connection:
@@ -128,21 +135,21 @@
                 return
 
     def close_idle(self, since: int) -> None:
-        """Close the connections that have been idle since `since` or longer."""
+        """Close the connections that became idle at `since` (us) or earlier."""
         while self.idle_connections and self.idle_connections[0].idle_since <= since:
             self.idle_connections.pop(0).connection.abort()
 
     def disable(self) -> None:
-        """Send nothing more: it is draining, removed or excluded."""
+        """Stop sending requests and close idle connections: the endpoint is draining, removed or excluded."""
         self.enabled = False
         self.close_idle(clock())
 
     def enable(self) -> None:
-        """Let requests be sent."""
+        """Allow requests to be sent."""
         self.enabled = True
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Connect to `address` from now on. Requests on connections to the former address are completed."""
+        """Connect to `address` from now on; requests on connections to the previous address are completed."""
         if address != self.address:
             self.address = address
             for connection in self.connections:
--- a/dahliabend/proxy/endpoint_resources.py
+++ b/dahliabend/proxy/endpoint_resources.py
@@ -1,4 +1,4 @@
-"""What the endpoints of one pool share."""
+"""Resources shared by the endpoints of a pool."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,18 +6,19 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
 
-REUSE_DELAY_DIVISOR = 8  # of the connect timeout
+REUSE_DELAY_DIVISOR = 8  # the reuse delay is the connect timeout divided by this
 
 
 @dataclass(slots=True)
 class EndpointResources:
-    """What the endpoints of a pool, their connections and their requests are given to work with.
+    """Resources shared by the endpoints of a pool, their connections and their requests.
 
     Attributes:
         timers: Timers of the process.
-        descriptors: The budget of descriptors that connections are counted against.
-        connect_timeout: How long a connection may take to open (us).
-        idle_timeout: How long an idle connection is used again (us), beginning with `reuse_delay`.
+        descriptors: Budget of file descriptors that connections are counted against.
+        connect_timeout: How long opening a connection may take (us).
+        idle_timeout: How long a connection may have been idle when it is reused (us); `reuse_delay` is the
+            shortest idle time.
         log: Writes a line to the log at level debug.
     """
 
@@ -29,5 +30,5 @@
 
     @property
     def reuse_delay(self) -> int:
-        """How long after a response its connection isn't used again (us): a surplus one may still come."""
+        """How long a connection is not reused after a response (us): a surplus response may still arrive."""
         return self.connect_timeout // REUSE_DELAY_DIVISOR
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -5,21 +5,21 @@
 from dahliabend.proxy.endpoint_resources import EndpointResources
 from dahliabend.transport.timers import clock
 
-MAX_REMEMBERED_IDS = 4096  # an operator may exclude an endpoint that is not listed now
+MAX_REMEMBERED_IDS = 4096  # remembered because an operator may exclude an endpoint that is not listed now
 SWEEPS_PER_IDLE_TIMEOUT = 8
 
 
 class EndpointTable:
-    """The endpoints by id and by index.
+    """The endpoints of a pool by id and by index.
 
-    An index is never used again: a late event of a removed endpoint finds nothing, and a new endpoint
-    inherits nothing.
+    An index is never reused: a late event of a removed endpoint finds no endpoint, and a new endpoint
+    inherits no state.
 
     Attributes:
-        resources: What the endpoints share.
-        endpoints: The endpoints by index.
-        indices: Their indices by id.
-        known_ids: Ids that have been listed, the latest last, as keys.
+        resources: Resources shared by the endpoints.
+        endpoints: Endpoints by index.
+        indices: Indices by id.
+        known_ids: Ids that have ever been listed, as keys, the most recent last.
     """
 
     def __init__(self, resources: EndpointResources) -> None:
@@ -30,7 +30,7 @@
         self.next_index = 0
 
     def get_or_create(self, name: str) -> Endpoint:
-        """Return the endpoint with that id; a new one if there is none."""
+        """Return the endpoint with an id, creating it if there is none."""
         index = self.indices.get(name)
         if index is None:
             index = self.next_index
@@ -41,22 +41,22 @@
         return self.endpoints[index]
 
     def remember_id(self, name: str) -> None:
-        """Note that an endpoint with that id has been listed."""
+        """Record that an endpoint with an id has been listed; the oldest record over the limit is dropped."""
         self.known_ids.pop(name, None)
         self.known_ids[name] = None
         if len(self.known_ids) > MAX_REMEMBERED_IDS:
             del self.known_ids[next(iter(self.known_ids))]
 
     def remove(self, index: int) -> None:
-        """Remove an endpoint. Requests that are out keep its record until they end."""
+        """Remove an endpoint; requests in flight keep a reference to it until they end."""
         endpoint = self.endpoints.pop(index)
         del self.indices[endpoint.name]
         endpoint.disable()
 
     def close_expired_connections(self) -> None:
-        """Close, now and regularly, idle connections that the other end is about to close.
+        """Close expired idle connections, and schedule the next sweep.
 
-        A request written to such a connection would be lost.
+        The upstream is about to close them; a request written to one of them would be lost.
         """
         idle_timeout = self.resources.idle_timeout
         for connection in self.resources.descriptors.idle_since(clock() - idle_timeout):
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -12,14 +12,14 @@
 
 
 class HealthCheck(UpstreamRequest):
-    """A GET of the health path, or of the load path where fields of the load report are configured.
+    """A GET of the health path, or of the load path if fields of the load report are configured.
 
-    Either checks the health; the latter also writes the endpoint's load to the log.
+    Both check the endpoint's health; with the load path, the endpoint's load is logged as well.
 
     Args:
         endpoint: Endpoint to check.
         report_fields: Fields of the load report to log; empty for none.
-        timeout: How long it may take (us).
+        timeout: Timeout of the health check (us).
         on_result: Called with the endpoint's index and the outcome.
     """
 
@@ -38,10 +38,10 @@
         self.on_result = on_result
 
     def on_finished(self, outcome: Outcome, duration: int, response: UpstreamResponse | None) -> None:
-        """Log the result and pass it on."""
+        """Log the outcome and the load, and call `on_result`."""
         load = {}
         if response is not None:
-            # The body of an error is no load report.
+            # The body of an error response is not a load report.
             report = response.body if outcome is Outcome.SUCCEEDED else b""
             load = load_reports.parse(report or response.load_report, self.report_fields)
         self.endpoint.resources.log(
--- a/dahliabend/proxy/mirroring.py
+++ b/dahliabend/proxy/mirroring.py
@@ -1,4 +1,4 @@
-"""Copies of requests that are sent to a mirror pool, and whose responses are dropped."""
+"""Mirrored requests: copies that are sent to a mirror pool and whose responses are dropped."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 
 class DiscardingClient:
-    """The client of a mirrored request: nobody gets the response.
+    """The client of a mirrored request: drops the response.
 
     Args:
-        class_name: Name of the request's class.
+        class_name: Name of the request class.
     """
 
     __slots__ = ("class_name", "closed", "on_request_finished")
@@ -23,10 +23,10 @@
         self.on_request_finished: Callable[[], object] | None = None
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
-        """Drop a response."""
+        """Drop the response."""
 
     def send_error(self, status: int) -> None:
-        """Drop an error."""
+        """Drop the error response."""
 
     def start_response(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """Drop the head of a streamed response."""
@@ -42,9 +42,9 @@
 
 
 def mirror_headers(headers: bytes, trace_id: bytes) -> bytes:
-    r"""Return the header lines of a copy, with an id of its own.
+    r"""Return the header lines of a mirrored request, with a trace id of its own.
 
-    With the same id, an upstream that is in both pools would take the copy for a repeat.
+    With the same trace id, an upstream that is in both pools would take the copy for a repeat.
 
     >>> mirror_headers(b"Host: a\r\nx-trace-id: 7\r\n", b"7-m")
     b'Host: a\r\nX-Trace-Id: 7-m\r\nX-Mirror: 1\r\n'
--- a/dahliabend/proxy/policy_port.py
+++ b/dahliabend/proxy/policy_port.py
@@ -1,4 +1,4 @@
-"""The port of one policy: what its decisions act through, and the settings that they go by."""
+"""The port of a policy: carries out the decisions of its balancer and passes events back to it."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -15,14 +15,15 @@
 
 
 class PolicyOwner(Protocol):
-    """What a policy acts through; the methods are those of `model.Port`.
+    """Interface of the router that a policy acts through; the methods are those of `model.Port`.
 
     Attributes:
         timers: Timers of the process.
         table: The endpoints.
         excluded: Ids of endpoints that an operator has excluded.
-        policies: The policy in force, last, and those before it that still have requests.
-        health_check_delegate: Asked whether another balancer checks an endpoint for that policy.
+        policies: Replaced policies that still have open requests, followed by the current policy.
+        health_check_delegate: Called before a health check with the endpoint and the policy; returns whether
+            another balancer checks the endpoint and shares the result.
     """
 
     timers: TimerQueue
@@ -32,35 +33,35 @@
     health_check_delegate: Callable[[Endpoint, "PolicyPort"], bool] | None
 
     def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
-        """Start an attempt of a request, with a timeout (us)."""
+        """Start an attempt of a request at an endpoint, with a timeout (us)."""
 
     def reject(self, ref: int, retry_after: int) -> None:
-        """Answer 503: the client may send the request again, after `retry_after` (us; 0 for no advice)."""
+        """Answer 503: the client may send the request again, after `retry_after` (us; 0: not specified)."""
 
     def fail(self, ref: int) -> None:
-        """Answer 502: the request failed, and may have been executed."""
+        """Answer 502: the request has failed and may have been executed."""
 
     def cancel(self, ref: int, attempt_index: int) -> None:
-        """Give up an attempt."""
+        """Cancel an attempt."""
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list."""
+        """Request the endpoint list."""
 
     def close_idle_connections(self, endpoint_index: int, age: int) -> None:
-        """Close the connections to an endpoint that have been idle for `age` (us) or longer."""
+        """Close the connections to an endpoint that have been idle for at least `age` (us)."""
 
 
 class PolicyPort:
-    """One policy of a router, and the port that it acts through.
+    """A policy of a router: a balancer with its settings, and the port that it acts through.
 
-    A reload replaces the policy. One that has been replaced goes on until its last request has ended.
+    A reload replaces the policy. The replaced policy stays until its last request has ended.
 
     Attributes:
-        owner: The router that it decides for.
-        open_requests: How many requests it decides on.
-        request_classes: The request classes, by index.
-        zones: Index of each zone, by name.
-        balancer: The decisions.
+        owner: The router that the policy decides for.
+        open_requests: Number of open requests under this policy.
+        request_classes: Request classes by index.
+        zones: Zone indices by name.
+        balancer: Makes the decisions.
     """
 
     def __init__(self, owner: PolicyOwner, settings: ServerSettings) -> None:
@@ -70,7 +71,8 @@
         self.zones = settings.zone_indices
         self.health_check_timeout = settings.health_check_timeout
         self.report_fields = settings.report_fields
-        # What the router does for each of its policies in the same way, without a call in between.
+        # Methods that the router implements in the same way for all its policies, bound directly to save a
+        # call.
         self.send = owner.send
         self.reject = owner.reject
         self.fail = owner.fail
@@ -80,41 +82,46 @@
         self.balancer = Balancer(settings.settings, self, settings.seed)
 
     def endpoints_changed(self, endpoints: Iterable[tuple[Endpoint, EndpointState]], full: bool) -> None:
-        """Pass endpoints and their states on to the decisions; `full`: there are no others."""
+        """Pass endpoints and their states to the balancer.
+
+        Args:
+            endpoints: Endpoints, each with its state in the endpoint list.
+            full: Whether there are no other endpoints.
+        """
         excluded = self.owner.excluded
         rows = [_endpoint_row(endpoint, state, excluded, self.zones) for endpoint, state in endpoints]
         self.balancer.update_endpoints(clock(), rows, full)
 
-    # Health checks.
+    # Health checks
 
     def check_health(self, endpoint_index: int) -> None:
-        """Check an endpoint's health, unless another balancer does it and shares its result."""
+        """Check an endpoint's health, unless another balancer does so and shares the result."""
         endpoint = self.owner.table.endpoints[endpoint_index]
         delegate = self.owner.health_check_delegate
         if delegate is None or not delegate(endpoint, self):
             self.start_health_check(endpoint, self.health_check_finished)
 
     def start_health_check(self, endpoint: Endpoint, on_result: Callable[[int, Outcome], None]) -> None:
-        """Check an endpoint's health; `on_result` gets its index and the outcome."""
+        """Start a health check of an endpoint; `on_result` is called with its index and the outcome."""
         HealthCheck(endpoint, self.report_fields, self.health_check_timeout, on_result).start()
 
     def health_check_finished(self, endpoint_index: int, outcome: Outcome) -> None:
-        """Pass the outcome of a health check on to the decisions."""
+        """Report the outcome of a health check to the balancer."""
         self.balancer.health_check_finished(clock(), endpoint_index, outcome)
 
-    # Timers and peers.
+    # Timers and peers
 
     def set_timer(self, at: int, token: int) -> None:
-        """Call the decisions back at a time (us), with `token`."""
+        """Schedule a call of the balancer's `timer_fired` at a time (us), with `token`."""
         self.owner.timers.schedule(at, self.timer_fired, token)
 
     def timer_fired(self, token: int) -> None:
-        """Call the decisions back, unless the policy is not in force any more."""
+        """Report a timer to the balancer, unless the router has dropped this policy."""
         if self in self.owner.policies:
             self.balancer.timer_fired(clock(), token)
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
-        """Do nothing: balancers have no channel to each other here."""
+        """Do nothing: the proxy has no channel to other balancers."""
 
 
 def _endpoint_row(
--- a/dahliabend/proxy/pool.py
+++ b/dahliabend/proxy/pool.py
@@ -1,4 +1,4 @@
-"""A pool of endpoints as it runs, with its own policy."""
+"""A pool of endpoints at run time, with its own router and policy."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class Pool:
-    """One pool of an operator's file.
+    """A pool from an operator's file.
 
     Attributes:
-        name: Its name in the file.
-        number: Its number among the pools; never used again.
-        router: Serves its requests.
-        retired: Whether the file doesn't have it any more; it ends the requests that it has.
+        name: Name in the file.
+        number: Number of the pool; never reused.
+        router: The router that serves the pool's requests.
+        retired: Whether the pool has been removed from the file and only finishes its open requests.
     """
 
     name: str
@@ -23,6 +23,6 @@
 
     @property
     def ready_fraction(self) -> float:
-        """The fraction of its endpoints that requests can be sent to."""
+        """Fraction of the pool's endpoints that are ready and not ejected."""
         selection = self.router.balancer.selection
-        return sum(not known.is_ejected for known in selection.ready) / max(1, len(selection.endpoints))
+        return sum(not endpoint.is_ejected for endpoint in selection.ready) / max(1, len(selection.endpoints))
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of its pool: the endpoints, and the policies that decide on its requests."""
+"""State of a pool: its endpoints, the policies that decide on its requests, and snapshots of both."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol, TypedDict
@@ -17,19 +17,19 @@
 
 
 class EndpointSource(Protocol):
-    """Where the endpoint list comes from."""
+    """Interface of the source of the endpoint list."""
 
-    attempted: bool  # whether it has been asked for, with or without success
+    attempted: bool  # whether the list has been requested, successfully or not
 
     def poll(self) -> None:
-        """Ask for the list."""
+        """Request the list."""
 
     def stop(self) -> None:
-        """Ask for nothing more."""
+        """Stop requesting the list."""
 
 
 class EndpointEntry(TypedDict):
-    """An endpoint in the form of the discovery service; `started_ms` is Unix time."""
+    """An endpoint in the format of the discovery service; `started_ms` is in Unix time."""
 
     id: str
     addr: str
@@ -41,24 +41,25 @@
 
 
 class PoolTelemetry(TypedDict):
-    """Counts of endpoints, by the operators' names: all of them, and those that nothing is sent to now."""
+    """Counts of all endpoints and of those that currently receive no requests, by the names for operators."""
 
     registry_entries: int
     out_of_rotation: int
 
 
 class PoolState:
-    """The endpoints of a pool, as the endpoint list and operators change them, and the policies told of them.
+    """The endpoints of a pool and its policies, which are notified when the list or an operator changes them.
 
     Attributes:
         table: The endpoints.
-        epoch: Monotonic time less Unix time (us), by which starts of endpoints are converted.
+        epoch: Monotonic time minus Unix time (us); converts the start times of endpoints.
         excluded: Ids of endpoints that an operator has excluded.
-        discovery: Where the endpoint list comes from; None until that is known.
-        class_indices: Indices of the request classes in force, by name as on the wire.
-        policies: The policy in force, last, and those before it that still have requests.
+        discovery: Source of the endpoint list; None until it is set.
+        class_indices: Indices of the current request classes, by name as on the wire.
+        policies: Replaced policies that still have open requests, followed by the current policy.
         on_attempt_finished: Called with the endpoint's id and the outcome of each attempt.
-        health_check_delegate: Asked whether another balancer checks an endpoint for that policy.
+        health_check_delegate: Called before a health check with the endpoint and the policy; returns whether
+            another balancer checks the endpoint and shares the result.
     """
 
     def __init__(self, table: EndpointTable, epoch: int) -> None:
@@ -73,50 +74,51 @@
 
     @property
     def balancer(self) -> Balancer:
-        """The decisions in force."""
+        """The balancer of the current policy, which makes the decisions."""
         return self.policies[-1].balancer
 
-    # Endpoints.
+    # Endpoints
 
     def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
-        """Take rows of the endpoint list over.
+        """Apply rows of the endpoint list.
 
         Args:
-            rows: Endpoints.
-            full: What is not among them has been removed.
+            rows: Endpoints of the list.
+            full: Whether the rows are the complete list, so that all other endpoints have been removed.
         """
         changed: list[tuple[Endpoint, EndpointState]] = []
         for row in rows:
             if row.state is EndpointState.REMOVED and row.name not in self.table.indices:
                 continue
             endpoint = self.table.get_or_create(row.name)
-            # Where only draining binds, an endpoint that the list has lost is still sent to.
-            removal_binds = (
+            # With `only_draining_binds`, a ready endpoint that is missing from the list keeps receiving
+            # requests.
+            is_removal_applied = (
                 not self.balancer.settings.only_draining_binds or endpoint.state is not EndpointState.READY
             )
-            if row.state is not EndpointState.REMOVED or removal_binds:
+            if row.state is not EndpointState.REMOVED or is_removal_applied:
                 endpoint.state = row.state
             endpoint.update(row, self.epoch)
             self.update_connection_reuse(endpoint)
             changed.append((endpoint, row.state))
-        for policy in self.policies:  # a drain holds for the requests of replaced policies too
+        for policy in self.policies:  # draining also applies to open requests under replaced policies
             policy.endpoints_changed(changed, full)
         for index in tuple(self.table.endpoints):
             if not any(index in policy.balancer.selection.endpoints for policy in self.policies):
                 self.table.remove(index)
 
     def update_connection_reuse(self, endpoint: Endpoint) -> None:
-        """Let connections to an endpoint stay open if requests may be sent to it, else close them."""
+        """Keep connections to an endpoint open if requests may be sent to it, otherwise close them."""
         if endpoint.state is EndpointState.READY and endpoint.name not in self.excluded:
             endpoint.enable()
         else:
             endpoint.disable()
 
     def exclude(self, name: str, excluded: bool) -> bool:
-        """Exclude an endpoint, or include it again, whatever the endpoint list says.
+        """Exclude an endpoint, or include it again, whatever its state in the endpoint list.
 
         Returns:
-            False if an endpoint with that id has never been listed, or if too many are excluded already.
+            False if no endpoint with that id has ever been listed, or if too many are already excluded.
         """
         if name not in self.table.known_ids and name not in self.excluded:
             return False
@@ -124,15 +126,15 @@
             return True
         if excluded:
             if len(self.excluded) >= MAX_REMEMBERED_IDS:
-                return False  # the limit bounds memory
+                return False  # bounds memory
             self.excluded.add(name)
         else:
             self.excluded.discard(name)
         endpoint = self.table.endpoints.get(self.table.indices.get(name, NO_INDEX))
         if endpoint is not None:
             if not excluded:
-                # It may have been restarted without the list knowing yet. Taken for warmed up, it would be
-                # overloaded by all balancers at once.
+                # The endpoint may have been restarted meanwhile without the list saying so yet. Treated as
+                # warmed up, it would be overloaded by all balancers at once.
                 endpoint.included_at = clock()
             self.update_connection_reuse(endpoint)
             for policy in self.policies:
@@ -140,58 +142,70 @@
         return True
 
     def endpoint_poll_failed(self) -> None:
-        """Tell the policies that the endpoint list could not be had."""
+        """Report to the policies that requesting the endpoint list has failed."""
         for policy in self.policies:
             policy.balancer.endpoint_poll_failed(clock())
 
-    # What policies ask for; see `model.Port`.
+    # Methods of `model.Port`, called by policies
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list."""
+        """Request the endpoint list."""
         if self.discovery is not None:
             self.discovery.poll()
 
     def close_idle_connections(self, endpoint_index: int, age: int) -> None:
-        """Close the connections to an endpoint that have been idle for `age` (us) or longer."""
+        """Close the connections to an endpoint that have been idle for at least `age` (us)."""
         self.table.endpoints[endpoint_index].close_idle(clock() - age)
 
-    # State for a successor. Its keys are an interface between versions of this program.
+    # Snapshots for a successor process; their keys are an interface between versions of this program
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the state for a successor in another process, with names in place of indices."""
+        """Return the state for a successor process, with names in place of indices."""
         endpoints = self.table.endpoints
         state: dict[str, Any] = to_builtins(self.balancer.snapshot(ends=False))
-        state["upstreams"] = {endpoints[index].name: known for index, known in state["upstreams"].items()}
+        state["upstreams"] = {
+            endpoints[index].name: endpoint_state for index, endpoint_state in state["upstreams"].items()
+        }
         state["epoch"] = self.epoch
         state["profiles"] = {name.decode("latin-1"): index for name, index in self.class_indices.items()}
-        state["returned"] = {each.name: each.included_at for each in endpoints.values() if each.included_at}
+        state["returned"] = {
+            endpoint.name: endpoint.included_at for endpoint in endpoints.values() if endpoint.included_at
+        }
         state["once"] = list(self.table.known_ids)
         return state
 
     def restore(self, state: dict[str, Any]) -> int:
-        """Go on from a predecessor's state.
+        """Restore a predecessor's state.
 
         Returns:
-            Of how many endpoints anything is known by it.
+            The number of endpoints whose state has been restored.
         """
         indices = self.table.indices
-        upstreams = {indices[name]: known for name, known in state["upstreams"].items() if name in indices}
+        upstreams = {
+            indices[name]: endpoint_state
+            for name, endpoint_state in state["upstreams"].items()
+            if name in indices
+        }
         classes = {name.encode("latin-1"): index for name, index in state["profiles"].items()}
-        known = convert({**state, "upstreams": upstreams}, Snapshot)
-        return self.balancer.restore(known, self.class_index_pairs(classes))
+        snapshot = convert({**state, "upstreams": upstreams}, Snapshot)
+        return self.balancer.restore(snapshot, self.class_index_pairs(classes))
 
-    def class_index_pairs(self, before: dict[bytes, int]) -> list[tuple[int, int]]:
-        """Return the index now and the index before, for each class that both settings have."""
-        return [(index, before[name]) for name, index in self.class_indices.items() if name in before]
+    def class_index_pairs(self, previous: dict[bytes, int]) -> list[tuple[int, int]]:
+        """Return pairs of current and previous index, one for each class that both settings have.
 
-    # What operators see.
+        Args:
+            previous: Indices of the previous request classes, by name as on the wire.
+        """
+        return [(index, previous[name]) for name, index in self.class_indices.items() if name in previous]
+
+    # State for operators
 
     def attempts_in_flight(self) -> int:
-        """Return the number of attempts in flight, under all policies."""
+        """Return the number of attempts in flight under all policies."""
         return sum(policy.balancer.concurrency.in_flight for policy in self.policies)
 
     def endpoint_entries(self) -> list[EndpointEntry]:
-        """Return the endpoint list as it stands, in the form of the discovery service."""
+        """Return the current endpoint list in the format of the discovery service."""
         return [
             {
                 "id": endpoint.name,
@@ -206,9 +220,9 @@
         ]
 
     def telemetry(self) -> PoolTelemetry:
-        """Return how many endpoints there are, and to how many of them nothing is sent now."""
-        ejected = sum(
-            known.is_ejected or known.state is not EndpointState.READY
-            for known in self.balancer.selection.endpoints.values()
+        """Return the number of endpoints, and of those that currently receive no requests."""
+        out_of_rotation = sum(
+            endpoint.is_ejected or endpoint.state is not EndpointState.READY
+            for endpoint in self.balancer.selection.endpoints.values()
         )
-        return {"registry_entries": len(self.table.endpoints), "out_of_rotation": ejected}
+        return {"registry_entries": len(self.table.endpoints), "out_of_rotation": out_of_rotation}
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -1,4 +1,4 @@
-"""One request of a client, from its admission until the last of its attempts has ended."""
+"""A client's request, from its admission until its last attempt has ended."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -12,7 +12,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt that has ended, as it stands in the log."""
+    """An ended attempt, as it is logged."""
 
     endpoint_name: str
     outcome_name: str
@@ -20,34 +20,35 @@
 
 
 class RequestAttempt(Protocol):
-    """What a request needs of its attempts."""
+    """Interface of an attempt, as far as requests and the router use it."""
 
     def cancel_unsent(self) -> None:
-        """Give it up unless it has been written completely."""
+        """Cancel the attempt unless it has been written completely."""
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting for it."""
+        """Stop waiting for the attempt and finish it with an outcome."""
 
 
 class Request:
-    """A request that has been admitted: its state in the policy, and its attempts.
+    """A client's request with its attempts and its state in the policy.
 
     Attributes:
-        incoming: The request as it has been read from its client.
-        class_index: Index of its class in the settings.
-        class_name: Name of its class, as on the wire.
-        route_name: Name of the route that it came by; empty without an operator's file.
-        head: Its request line.
-        client_timeout: How long its client waits (us), less a margin.
-        admitted_at: When it was admitted (us).
-        handle: Its handle among the router's requests; `NO_HANDLE` before it has one.
-        is_admitted: Whether the policy has decided on its admission.
-        state: Its state in the policy, from then on.
-        policy: The policy that decides on it.
-        attempts: Its attempts, by their index in the policy.
-        attempt_records: Those of them that have ended, in that order.
-        answered: Whether it has its response, or its client has gone: nothing more is sent for it.
-        on_rejected: Called with its handle, in place of an answer, if it is rejected during its admission.
+        incoming: The request as read from the client.
+        class_index: Index of the request class in the settings.
+        class_name: Name of the request class, as on the wire.
+        route_name: Name of the route that the request matched; empty without an operator's file.
+        head: The request line.
+        client_timeout: How long the client waits (us), minus a margin.
+        admitted_at: When the request was created and handed to the policy (us).
+        handle: Handle in the router's table of requests; `NO_HANDLE` before it has one.
+        is_admitted: Whether the policy's decision on admission has been made, even if it was a rejection.
+        state: State of the request in the policy; set as soon as `is_admitted` is true.
+        policy: The policy that decides on the request.
+        attempts: Attempts by index, in the same order as in the policy.
+        attempt_records: The attempts that have ended, in order of their end.
+        answered: Whether a response has been sent or the client has disconnected, so that no further attempt
+            is needed.
+        on_rejected: Called with the handle, in place of an answer, if the request is rejected on admission.
     """
 
     __slots__ = (
@@ -88,14 +89,14 @@
         self.on_rejected: Callable[[int], None] | None = None
 
     def body_consumed(self) -> None:
-        """Handle that a part of the streamed body is gone: no further attempt could send it."""
+        """Report to the policy that a part of the streamed body is gone, so that no attempt can resend it."""
         self.state.body_consumed()
 
     def mark_answered(self, responding: RequestAttempt | None = None) -> None:
-        """Note that it has its response, or that its client has gone; attempts not sent yet are cancelled.
+        """Mark the request as answered, or its client as disconnected, and cancel unsent attempts.
 
         Args:
-            responding: The attempt whose response is being streamed to the client.
+            responding: The attempt whose response is being streamed to the client; it is not cancelled.
         """
         self.answered = True
         for attempt in tuple(self.attempts):
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -1,6 +1,6 @@
-"""How requests end: counts for operators, and lines of the log.
+"""Counters and log lines of how requests end.
 
-The keys of the counts, the names of the events and the keys of their fields are an interface for operators.
+The keys of the counters, the event names and the field names are an interface for operators.
 """
 
 from collections.abc import Callable
@@ -10,21 +10,21 @@
 from dahliabend.proxy.request import Request
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
-# How a request has ended, by the operators' names.
+# How a request has ended
 SUCCEEDED = "succeeded"
 REJECTED = "rejected"
 FAILED = "failed"
-TRUNCATED = "truncated"  # in the middle of a streamed response
+TRUNCATED = "truncated"  # failed in the middle of a streamed response
 CLIENT_DISCONNECTED = "client_disconnected"
-FORWARDED_TO_FALLBACK = "sent_to_fallback"  # rejected during its admission; another pool has it now
+FORWARDED_TO_FALLBACK = "sent_to_fallback"  # rejected on admission and offered to another pool
 
 
 class RequestLog:
     """Counts and logs how the requests of one router end.
 
     Attributes:
-        counts: Ended requests by the operators' names.
-        logs_access: Whether every request is logged; otherwise those that have not succeeded.
+        counts: Number of ended requests by ending.
+        logs_access: Whether every request is logged; otherwise only requests that have not succeeded.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -33,7 +33,7 @@
         self.logs_access = False
 
     def request_ended(self, ending: str, request: Request) -> None:
-        """Count and log the end of a request; `ending` is one of the names above."""
+        """Count and log the end of a request; `ending` is one of the constants of this module."""
         self.counts[ending] = self.counts.get(ending, 0) + 1
         if self.logs_access and ending != FORWARDED_TO_FALLBACK:
             self.log(
@@ -68,7 +68,7 @@
 
 
 def _attempt_rows(request: Request) -> list[tuple[object, ...]]:
-    # Plain tuples: the encoder of the log knows no other ones.
+    # Plain tuples, because the log's encoder does not accept named tuples.
     return [tuple(record) for record in request.attempt_records]
 
 
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -1,4 +1,4 @@
-"""The requests of one pool: their admission, their attempts, and the one response that each gets."""
+"""Router of one pool: admits requests, sends their attempts and answers each request exactly once."""
 
 from collections.abc import Callable
 
@@ -20,21 +20,21 @@
 from dahliabend.transport.handles import NO_HANDLE, HandleTable
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, TimerQueue, clock
 
-MARGIN_DIVISOR = 8  # the margin for the way back to the client is at most this part of its timeout
+MARGIN_DIVISOR = 8  # the deadline margin is at most the client's timeout divided by this
 
 
 class Router(BaseDispatcher, PoolState):
-    """Serves the requests of one pool as its policy decides.
+    """Serves the requests of one pool and carries out the decisions of its policy.
 
-    It takes requests from client connections where there is one pool only, from a `Dispatcher` otherwise, and
-    carries out what the policy asks its port for.
+    Where there is only one pool, requests come directly from client connections, otherwise from a
+    `Dispatcher`. The policy acts through the methods that its `PolicyPort` forwards to this class.
 
     Attributes:
-        methods: Request methods that are served.
+        methods: HTTP methods that are served.
         timers: Timers of the process.
-        requests: The requests that are open, by handle.
-        trace_ids: Their ids.
-        route_names: Names of the routes by class index, where routes have classes of their own.
+        requests: Open requests by handle.
+        trace_ids: Trace ids of the open requests.
+        route_names: Route names by class index, where every route has a class of its own; otherwise empty.
     """
 
     methods = frozenset((b"GET", b"POST"))
@@ -59,20 +59,20 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Ended requests by the operators' names of their ends."""
+        """Number of ended requests by ending, as named in `request_log`."""
         return self.request_log.counts
 
     @property
     def logs_access(self) -> bool:
-        """Whether every request is logged."""
+        """Whether every request is logged, successful ones included."""
         return self.request_log.logs_access
 
     @logs_access.setter
     def logs_access(self, value: bool) -> None:
-        """Set whether every request is logged."""
+        """Set whether every request is logged, successful ones included."""
         self.request_log.logs_access = value
 
-    # Settings.
+    # Settings
 
     def _install(self, settings: ServerSettings) -> None:
         self.class_indices = settings.class_indices
@@ -83,35 +83,39 @@
         self.policies.append(PolicyPort(self, settings))
 
     def apply_settings(self, settings: ServerSettings) -> int:
-        """Put other settings in force, with a fresh policy for the requests from now on.
+        """Apply new settings: a new policy serves the requests that are admitted from now on.
 
-        Open requests end under the policy that admitted them: under another they could get two responses, or
-        none.
+        Open requests stay with the policy that admitted them: another policy could answer them twice or not
+        at all.
 
         Returns:
-            Of how many endpoints the new policy goes on with what was known.
+            The number of endpoints whose state the new policy has taken over from the previous one.
         """
-        before = self.balancer
+        previous = self.balancer
         indices_before = self.class_indices
         self.policies = [policy for policy in self.policies if policy.open_requests]
         self._install(settings)
         endpoints = self.table.endpoints.values()
-        self.policies[-1].endpoints_changed([(each, each.state) for each in endpoints], full=True)
-        # Without this a request could be sent beside another of its key that is out under the policy before.
-        self.balancer.key_queues.take_over(before.key_queues)
-        return self.balancer.restore(before.snapshot(ends=True), self.class_index_pairs(indices_before))
+        self.policies[-1].endpoints_changed([(endpoint, endpoint.state) for endpoint in endpoints], full=True)
+        # Otherwise a request could be sent while another with the same ordering key is still in flight under
+        # the previous policy.
+        self.balancer.key_queues.take_over(previous.key_queues)
+        return self.balancer.restore(previous.snapshot(ends=True), self.class_index_pairs(indices_before))
 
     def ready(self) -> bool:
-        """Tell whether requests can be served: the list has been asked for, and some endpoint is ready."""
-        asked = self.discovery is not None and self.discovery.attempted
-        return asked and bool(self.balancer.selection.ready) and not self.closing()
+        """Return whether requests can be served.
 
-    # Requests from clients.
+        This needs an endpoint list that has been requested, an endpoint that is ready, and no shutdown.
+        """
+        is_list_requested = self.discovery is not None and self.discovery.attempted
+        return is_list_requested and bool(self.balancer.selection.ready) and not self.closing()
+
+    # Requests from clients
 
     def classify(self, method: bytes, path: bytes, headers: dict[bytes, bytes]) -> tuple[bytes, int] | None:
-        """Return name and index of a request's class, None if there is none.
+        """Return the name and index of a request's class, or None if the class is not configured.
 
-        The first segment of the path is the name.
+        The class name is the first segment of the path.
         """
         del method, headers
         name = path[1:].partition(b"/")[0]
@@ -119,25 +123,29 @@
         return None if index is None else (name, index)
 
     def identify(self, class_index: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
-        """Return a request's id and the milliseconds that its client waits; empty where they are missing."""
+        """Return the request's trace id and its client's timeout in milliseconds, as digits.
+
+        A missing header is returned as empty bytes.
+        """
         del class_index
         return headers.get(TRACE, b""), headers.get(EXPIRES, b"")
 
     def dispatch(
         self, incoming: IncomingRequest, class_index: int, on_rejected: Callable[[int], None] | None = None
     ) -> int:
-        """Let the policy decide on a request.
+        """Hand a request to the policy, which admits or rejects it.
 
         Args:
             incoming: The request.
             class_index: Index of its class.
-            on_rejected: Called in place of an answer if the request is rejected before this returns.
+            on_rejected: Called with the request's handle, in place of an answer, if the request is rejected
+                before this method returns.
 
         Returns:
-            The request's handle, or `NO_HANDLE` if it has its response already.
+            The request's handle, or `NO_HANDLE` if the request has already been answered.
         """
         if incoming.trace_id in self.trace_ids:
-            # An open request has this id: forwarded, this one would be taken for a repeat of that.
+            # An upstream would take it for a repeat of the open request that has the same id.
             incoming.client.send_error(409)
             return NO_HANDLE
         request = self._create(incoming, class_index)
@@ -156,8 +164,8 @@
 
     def _create(self, incoming: IncomingRequest, class_index: int) -> Request:
         timeout = min(incoming.client_timeout, self.class_deadlines[class_index])
-        # On a busy machine the request's bytes have lain unread for a while, and so will those of the
-        # response: one that is sent at the very limit comes too late.
+        # On a busy machine the request has been waiting in the socket buffer for a while, and so will the
+        # response: a response sent exactly at the client's timeout arrives too late.
         margin = min(self.deadline_margin, timeout // MARGIN_DIVISOR)
         request = Request(incoming, class_index, timeout - margin, self.policies[-1])
         if self.route_names:
@@ -165,7 +173,7 @@
         return request
 
     def _admit(self, request: Request) -> None:
-        """Hand a request to the policy in force."""
+        """Submit a request to the current policy, with its deadline."""
         incoming = request.incoming
         upload = incoming.upload
         if upload is not None:
@@ -191,11 +199,11 @@
             upload.observer = request
 
     def client_disconnected(self, handle: int) -> None:
-        """Handle that the client of a request has gone."""
+        """Handle the disconnection of a request's client."""
         request = self.requests.get(handle)
         if request is None:
             return
-        if request.answered:  # a response is being streamed to it
+        if request.answered:  # a response was being streamed to the client
             for attempt in tuple(request.attempts):
                 attempt.give_up(Outcome.CANCELLED)
             return
@@ -204,13 +212,13 @@
         request.state.client_disconnected(clock())
         self.forget_if_finished(request)
 
-    # What policies ask for; see `model.Port`.
+    # Methods of `model.Port`, called by policies
 
     def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
-        """Start an attempt.
+        """Start an attempt of a request at an endpoint, with a timeout (us).
 
         Raises:
-            StaleHandleError: The request has ended; policies send for open requests only.
+            StaleHandleError: The request has ended. Policies send attempts of open requests only.
         """
         request = self.requests.get(ref)
         if request is None:
@@ -218,12 +226,12 @@
         attempt = Attempt(self, request, self.table.endpoints[endpoint_index], timeout)
         request.attempts.append(attempt)
         if self.shutdown_deadline and clock() >= self.shutdown_deadline:
-            attempt.finish_soon(Outcome.NOT_SENT)  # the process ends before it could
+            attempt.finish_soon(Outcome.NOT_SENT)  # the process exits before the attempt could finish
         else:
             attempt.start()
 
     def reject(self, ref: int, retry_after: int) -> None:
-        """Answer a request with 503, and a Retry-After if `retry_after` (us) is not 0."""
+        """Answer a request with 503, and with a Retry-After header unless `retry_after` (us) is 0."""
         request = self.requests.get(ref)
         if request is None:
             return
@@ -232,10 +240,11 @@
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
             request.on_rejected(ref)
             return
-        advice = retry_after_header(retry_after)
-        self.respond(request, request_log.REJECTED, 503, advice, b"rolled back\n")
+        headers = retry_after_header(retry_after)
+        self.respond(request, request_log.REJECTED, 503, headers, b"rolled back\n")
         if request.is_admitted and not request.attempts:
-            self.forget_if_finished(request)  # it waited for its turn: no end of an attempt does this
+            # The request was queued by its ordering key: no attempt ends later and removes it.
+            self.forget_if_finished(request)
 
     def fail(self, ref: int) -> None:
         """Answer a request with 502."""
@@ -244,17 +253,17 @@
             self.respond(request, request_log.FAILED, 502, b"", b"abandoned\n")
 
     def cancel(self, ref: int, attempt_index: int) -> None:
-        """Give up an attempt."""
+        """Cancel an attempt of a request."""
         request = self.requests.get(ref)
         if request is not None:
             request.attempts[attempt_index].give_up(Outcome.CANCELLED)
 
-    # Ends of attempts and requests.
+    # Completion of attempts and requests
 
     def attempt_finished(
         self, attempt: Attempt, outcome: Outcome, duration: int, response: UpstreamResponse | None
     ) -> None:
-        """Handle the end of an attempt: answer the client, or let the policy decide on another attempt."""
+        """Handle the outcome of an attempt: answer the client, or let the policy send another attempt."""
         request = attempt.request
         endpoint_name = attempt.endpoint.name
         request.attempt_records.append(
@@ -275,7 +284,7 @@
         self.forget_if_finished(request)
 
     def _end_stream(self, request: Request, outcome: Outcome) -> None:
-        """End a response that has been streamed, complete or not."""
+        """Finish a streamed response, or abort it if the attempt has not succeeded."""
         if outcome is Outcome.SUCCEEDED:
             self.request_log.request_ended(request_log.SUCCEEDED, request)
             request.incoming.client.finish_response()
@@ -284,14 +293,14 @@
             request.incoming.client.abort_response()
 
     def respond(self, request: Request, ending: str, status: int, headers: bytes, body: bytes) -> None:
-        """Send a request's one response; whatever comes later is dropped.
+        """Send the response to a request; do nothing if the request has been answered already.
 
         Args:
             request: The request.
-            ending: How it has ended, one of the names of `request_log`.
-            status: Status of the response.
-            headers: Further header lines.
-            body: The body.
+            ending: How the request has ended, one of the constants in `request_log`.
+            status: HTTP status.
+            headers: Additional header lines.
+            body: Response body.
         """
         if request.answered:
             return
@@ -300,7 +309,7 @@
         request.incoming.client.send_response(status, headers, body)
 
     def forget_if_finished(self, request: Request) -> None:
-        """Remove a request that has been answered and has no attempt out."""
+        """Remove a request that has been answered and has no attempt in flight."""
         if not request.state.is_finished:
             return
         request.policy.open_requests -= 1
@@ -308,21 +317,22 @@
             self.policies.remove(request.policy)
         self.requests.remove(request.handle)
         self.trace_ids.discard(request.incoming.trace_id)
-        # Attempts refer to their request: without this it and its body would wait for the garbage collector.
+        # Breaks the reference cycle between request and attempts: otherwise the request and its body would
+        # stay in memory until the garbage collector runs.
         request.attempts.clear()
 
-    # Shutdown.
+    # Shutdown
 
     def shut_down_by(self, deadline: int) -> None:
         """End every request that is still open at `deadline` (us, clock time)."""
         super().shut_down_by(deadline)
         for request in self.requests:
-            if not request.attempts:  # it waits for its turn: no end of an attempt would end it in time
+            if not request.attempts:  # queued by its ordering key: it has no attempt that could be timed out
                 request.state.deadline = min(request.state.deadline, deadline)
-        self.timers.schedule(deadline, self.give_up_all)
+        self.timers.schedule(deadline, self.time_out_all_attempts)
 
-    def give_up_all(self) -> None:
-        """Time out all attempts: the process is killed soon, and every request is to have its response."""
+    def time_out_all_attempts(self) -> None:
+        """Time out all attempts so that every request is answered before the process is killed."""
         for request in self.requests:
             for attempt in request.attempts:
                 attempt.give_up(Outcome.TIMED_OUT)
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -1,4 +1,4 @@
-"""One request to an upstream, from its creation until its outcome is known."""
+"""A request to an upstream, from its creation until its outcome is known."""
 
 import asyncio
 from enum import IntEnum
@@ -11,40 +11,43 @@
 from dahliabend.transport.timers import Timer, clock
 
 _STATUS_OK = 200
-_REJECTING_STATUSES = (503, 504)  # with these an upstream may say that it has not executed the request
+_REJECTING_STATUSES = (503, 504)  # statuses whose responses may declare the request as not executed
 
 
 class Phase(IntEnum):
-    """Progress of a request to an upstream. It only grows; every phase may lead to FINISHED directly."""
+    """Progress of a request to an upstream.
+
+    The phase only increases; every phase may be followed by FINISHED directly.
+    """
 
     CREATED = 0  # no connection yet
-    CONNECTING = 1  # a connection for it is being opened
-    SENT = 2  # handed to a connection, which has written some or all of it
-    FINISHED = 3  # its outcome is known
+    CONNECTING = 1  # a connection is being opened
+    SENT = 2  # handed to a connection, which has written the request partly or completely
+    FINISHED = 3  # the outcome is known
 
 
-# Bound once: on Python 3.11, reading a member of an enum costs a function call.
+# A module constant because on Python 3.11 each access to an enum member costs a function call.
 _FINISHED = Phase.FINISHED
 
 
 class UpstreamRequest:
-    """A request to one endpoint, with a deadline of its own. It handles the events of its connection.
+    """A request to one endpoint, with a deadline of its own, that handles the events of its connection.
 
-    Exactly one call of `on_finished` ends it, and never from within `start`. All times are microseconds.
+    `on_finished` is called exactly once, and never from within `start`. All times are in microseconds.
 
     Attributes:
-        endpoint: Where it goes.
-        head: The request line and the header lines, as far as they don't depend on the time left.
-        body: The body, unless it is streamed.
-        upload: A body that is still being received; it is streamed.
-        started_at: When it was created, or when the last byte of a streamed body was sent.
-        expires_at: When it times out.
-        send_deadline: It isn't handed to a connection from then on.
-        phase: How far it is.
-        connection: The connection that it is on, while SENT.
-        connect_task: Opens a connection for it, while CONNECTING.
-        connection_idle_time: How long its connection had been idle; 0 for a new one.
-        failure_reason: Why it failed, for the log; empty if there is nothing to say.
+        endpoint: The endpoint that the request is sent to.
+        head: Request line and those header lines that don't depend on the remaining time.
+        body: Request body, unless it is streamed.
+        upload: Streamed body that is still being received from the client; None if the body is complete.
+        started_at: When the request was created, or when the last byte of a streamed body was sent.
+        expires_at: When the request times out.
+        send_deadline: From this time on, the request is not handed to a connection.
+        phase: Progress of the request.
+        connection: The connection that carries the request, in phase SENT.
+        connect_task: The task that opens a connection, in phase CONNECTING.
+        connection_idle_time: How long the connection had been idle before; 0 for a new connection.
+        failure_reason: Reason of a failure for the log; empty if there is nothing to add to the outcome.
     """
 
     upload: StreamingBody | None = None
@@ -63,22 +66,28 @@
         self.failure_reason = ""
         self.timeout_timer: Timer | None = None
 
-    # What a subclass decides.
+    # Methods for subclasses to override
 
     def on_finished(self, outcome: Outcome, duration: int, response: UpstreamResponse | None) -> None:
-        """Called once, when the outcome is known. `response` is None if none has been received completely."""
+        """Handle the outcome; called exactly once.
+
+        Args:
+            outcome: The outcome.
+            duration: Time since `started_at` (us).
+            response: The response; None if it has not been received completely.
+        """
         raise NotImplementedError
 
     def is_awaited(self) -> bool:
-        """Tell whether anybody still waits for the outcome."""
+        """Return whether the outcome is still needed."""
         return True
 
     def build_head(self, time_left: int) -> bytes:
-        """Return what is sent ahead of the body when `time_left` remains until the deadline."""
+        """Return the request head when `time_left` (us) remains until the deadline."""
         del time_left
         return self.head
 
-    # From the creation until it is on a connection.
+    # Connecting and sending
 
     @property
     def is_finished(self) -> bool:
@@ -86,94 +95,95 @@
         return self.phase is _FINISHED
 
     def start(self) -> None:
-        """Send it on an idle connection, or open a connection for it."""
+        """Send the request on an idle connection, or open a new connection for it."""
         resources = self.endpoint.resources
         self.timeout_timer = resources.timers.schedule(self.expires_at, self.timed_out)
         connection, self.connection_idle_time = self.endpoint.take_idle_connection(self.started_at)
         if connection is not None:
             self.send_on_connection(connection)
         elif resources.descriptors.is_full(self.started_at):
-            self.finish_soon(Outcome.NOT_SENT)  # no descriptor left: the upstream is not to blame
+            self.finish_soon(Outcome.NOT_SENT)  # no file descriptor left: not a fault of the upstream
         else:
             self.begin_connecting()
 
     def begin_connecting(self) -> None:
-        """Enter CONNECTING: open a connection in a task of its own."""
+        """Enter the CONNECTING phase and open a connection in a new task."""
         resources = self.endpoint.resources
-        # The connection takes its descriptor here. If it did so only when the task runs, on the loop's next
-        # turn, all requests started in one turn would find the same descriptor free and exceed the budget.
+        # Reserves the connection's descriptor before the task runs in the next iteration of the event loop:
+        # otherwise all requests started in one iteration would see the same descriptor as free and exceed the
+        # budget.
         connection = UpstreamConnection(resources.descriptors, self.endpoint)
         self.phase = Phase.CONNECTING
         self.connect_task = resources.timers.loop.create_task(self.connect(connection))
         self.connect_task.add_done_callback(lambda _: connection.dial_cancelled())
 
     async def connect(self, connection: UpstreamConnection) -> None:
-        """Open `connection` within the connect timeout and the deadline, then send on it."""
+        """Open `connection` within the connect timeout and the send deadline, then send the request on it."""
         resources = self.endpoint.resources
         connect_deadline = min(self.send_deadline, self.started_at + resources.connect_timeout)
-        limit = resources.timers.schedule(connect_deadline, self.stop_connecting)
+        connect_timer = resources.timers.schedule(connect_deadline, self.stop_connecting)
         try:
             await dial(resources.timers.loop, self.endpoint.address, connection)
         except (OSError, asyncio.CancelledError) as error:
             self.failure_reason = f"connect: {error or 'no answer'}"
-            # Where its own deadline came before the connect timeout, the upstream is not to blame.
-            out_of_time = self.send_deadline <= min(clock(), self.started_at + resources.connect_timeout)
-            self.finish(Outcome.NOT_SENT if out_of_time else Outcome.UNREACHABLE)
+            # If the send deadline passed before the connect timeout, it is not a fault of the upstream.
+            is_out_of_time = self.send_deadline <= min(clock(), self.started_at + resources.connect_timeout)
+            self.finish(Outcome.NOT_SENT if is_out_of_time else Outcome.UNREACHABLE)
             return
         finally:
-            resources.timers.cancel(limit)
+            resources.timers.cancel(connect_timer)
             self.connect_task = None
         self.endpoint.connections.add(connection)
         self.send_on_connection(connection)
 
     def stop_connecting(self) -> None:
-        """Cancel the opening of a connection, if one is being opened."""
+        """Cancel the task that opens a connection, if there is one."""
         if self.connect_task is not None:
             self.connect_task.cancel()
 
     def send_on_connection(self, connection: UpstreamConnection) -> None:
-        """Hand it to a connection, unless it must not be sent any more; then the connection becomes idle.
+        """Send the request on a connection, or return the connection as idle if it must not be sent any more.
 
-        This is the only way onto a connection. Much time may have passed since the endpoint was chosen.
+        Every request passes through this check: much time may have passed since the endpoint was selected.
         """
         now = clock()
-        unsent = self.outcome_if_unsent(now)
-        if self.phase is _FINISHED or unsent is not None:
+        unsent_outcome = self.outcome_if_unsent(now)
+        if self.phase is _FINISHED or unsent_outcome is not None:
             self.endpoint.return_connection(connection)
-            if unsent is not None:
-                self.finish_soon(unsent)
+            if unsent_outcome is not None:
+                self.finish_soon(unsent_outcome)
             return
         self.phase = Phase.SENT
         self.connection = connection
         connection.send_request(self, self.build_head(self.expires_at - now), self.body, self.upload)
 
     def outcome_if_unsent(self, now: int) -> Outcome | None:
-        """Return the outcome if it must not be sent at `now`, None if it may be."""
+        """Return the outcome if the request must not be sent at `now`, or None if it may be sent."""
         if not self.is_awaited():
             return Outcome.CANCELLED
         if now >= self.send_deadline:
             return Outcome.NOT_SENT
         if not self.endpoint.enabled:
-            self.failure_reason = "not to be sent to any more"
+            self.failure_reason = "endpoint is draining, removed or excluded"
             return Outcome.UNREACHABLE
         return None
 
-    # Events of its connection.
+    # Connection events
 
     def request_written(self) -> None:
-        """Handle that all of it has been written: from now on it may be executed."""
+        """Handle that the request has been written completely: from now on it may be executed."""
 
     def unsized_response_started(self, connection: UpstreamConnection) -> None:
-        """Handle the start of a response whose length is not known."""
+        """Handle the start of a response of unknown length."""
 
     def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Handle the head of a response that is streamed."""
+        """Handle the head of a streamed response."""
 
     def response_part(self, part: bytes) -> None:
-        """Handle a part of the body of a response that is streamed."""
+        """Handle a part of the body of a streamed response."""
 
     def response_complete(self, response: UpstreamResponse) -> None:
-        """Handle the end of a response; what has been streamed of it is not in its body."""
+        """Handle the end of a response; its body does not contain the parts that have been streamed."""
         if response.status == _STATUS_OK:
             self.finish(Outcome.SUCCEEDED, response)
         elif response.not_executed and response.status in _REJECTING_STATUSES:
@@ -182,21 +192,22 @@
             self.finish(Outcome.FAILED, response)
 
     def connection_failed(self, request_written: bool) -> None:
-        """Handle the loss of the connection. Only a request that was written completely may be executed."""
+        """Handle the loss of the connection; only a request written completely may have been executed."""
         self.failure_reason = self.connection.parse_error if self.connection is not None else ""
         self.finish(Outcome.RESET if request_written else Outcome.UNREACHABLE)
 
-    # Its end.
+    # Completion
 
     def timed_out(self) -> None:
-        """Handle the deadline. While connecting, `connect` has a limit of its own."""
+        """Give up at the deadline; while connecting, the timer in `connect` applies instead."""
         if self.connect_task is None:
             self.give_up(Outcome.TIMED_OUT)
 
     def cancel_unsent(self) -> None:
-        """Give it up unless it has been written completely: nobody waits for it any more.
+        """Cancel the request unless it has been written completely, as its outcome is not needed any more.
 
-        Nothing has been executed yet, so this is done also where cancellations are not allowed.
+        A request that is not written completely cannot have been executed, so this is done even where
+        cancelling attempts is not allowed.
         """
         if self.phase is _FINISHED:
             return
@@ -204,9 +215,10 @@
             self.give_up(Outcome.CANCELLED)
 
     def give_up(self, outcome: Outcome) -> None:
-        """End it with `outcome`, or with UNREACHABLE if it was not written completely.
+        """Finish with `outcome`, or with UNREACHABLE if the request was not written completely.
 
-        A cancellation stays one. The connection is closed before this returns: nothing is sent beside it.
+        The outcome CANCELLED is kept in either case. The connection is closed before this method returns, so
+        that no other attempt is sent while this one is still being written.
         """
         if self.phase is _FINISHED:
             return
@@ -215,9 +227,9 @@
         self.finish_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
 
     def finish_soon(self, outcome: Outcome) -> None:
-        """Finish without a response; `on_finished` is called on the loop's next turn.
+        """Finish without a response, and call `on_finished` in the next iteration of the event loop.
 
-        The policy may be in the middle of the call that has led here.
+        The call that led here may come from the policy, which must not be re-entered before it returns.
         """
         if self.phase is not _FINISHED:
             self.mark_finished()
@@ -225,13 +237,13 @@
             self.endpoint.resources.timers.loop.call_soon(self.on_finished, outcome, duration, None)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
-        """Finish now."""
+        """Finish and call `on_finished` at once."""
         if self.phase is not _FINISHED:
             self.mark_finished()
             self.on_finished(outcome, clock() - self.started_at, response)
 
     def mark_finished(self) -> None:
-        """Enter the last phase and release what belongs to it."""
+        """Enter the FINISHED phase, detach from the connection and cancel the timeout."""
         self.phase = _FINISHED
         self.connection = None
         self.endpoint.resources.timers.cancel(self.timeout_timer)
