--- a/dahliabend/routing_rules/__init__.py
+++ b/dahliabend/routing_rules/__init__.py
@@ -1,4 +1,4 @@
-"""From a request's head to its route, class, pool and limits. Decisions of their own, free of I/O.
+"""Routing rules of an operator's file: finds a request's route, class, pool and limits, without I/O.
 
-Which upstream of the pool, whether to retry, what to reject: that stays with `dahliabend.policy.balancer`.
+Choosing an endpoint of the pool, retrying and rejecting by load are decided by `dahliabend.policy.balancer`.
 """
--- a/dahliabend/routing_rules/checks/__init__.py
+++ b/dahliabend/routing_rules/checks/__init__.py
@@ -1,6 +1,6 @@
-"""Rules for a file whose keys are all well formed, and settings that could never take effect.
+"""Checks of a decoded operator's file for contradictions and for settings that can never take effect.
 
-Every check adds its faults to the source, with the place of the key that has to change.
+Every check adds its faults to the source, with the place of the key that has to be changed.
 """
 
 from dahliabend.config.operator_file.schema import OperatorFile
@@ -15,7 +15,7 @@
 
 
 def check_file(file: OperatorFile, source: Source) -> None:
-    """Run all checks; faults go to the source."""
+    """Run all checks and add their faults to the source."""
     check_listeners(file, source)
     if file.members is not None:
         check_membership(file.members, source)
--- a/dahliabend/routing_rules/checks/classes.py
+++ b/dahliabend/routing_rules/checks/classes.py
@@ -6,7 +6,7 @@
 
 
 def check_classes(file: OperatorFile, source: Source) -> None:
-    """The defaults and every class of requests."""
+    """Check the defaults and every request class."""
     check_treatment_values(file.defaults, ("defaults",), source)
     for name, request_class in file.classes.items():
         _check_class(request_class, ("classes", name), source)
--- a/dahliabend/routing_rules/checks/common.py
+++ b/dahliabend/routing_rules/checks/common.py
@@ -1,4 +1,4 @@
-"""Checks of single values that several tables share."""
+"""Checks of single values, used for several tables."""
 
 from collections.abc import Iterable
 
@@ -20,7 +20,7 @@
 
 
 def check_address(text: str, key: Key, source: Source) -> None:
-    """An address and port."""
+    """Check that a value is an address with a port."""
     try:
         parse_address(text)
     except ValueError as error:
@@ -28,7 +28,7 @@
 
 
 def check_positive(table: object, fields: Iterable[str], key: Key, source: Source) -> None:
-    """Fields that are left out or above 0."""
+    """Check that fields of a table are above 0 if they are set."""
     for name in fields:
         value = getattr(table, name)
         if value is not None and value <= 0:
@@ -36,7 +36,7 @@
 
 
 def check_treatment_values(table: TreatmentSettings, key: Key, source: Source) -> None:
-    """Bounds that hold in every table with a treatment of requests."""
+    """Check the bounds of timeouts, retries and limits that hold in every table that can set them."""
     check_positive(table, POSITIVE_TREATMENT_FIELDS, key, source)
     if table.attempts is not None and not 1 <= table.attempts <= MAX_ATTEMPTS:
         source.fault((*key, "attempts"), f"{table.attempts} is not between 1 and {MAX_ATTEMPTS}")
@@ -44,18 +44,21 @@
         source.fault((*key, "replays"), f"{table.replays} is below 0")
 
 
-def is_known(name: str, known: Iterable[str], what: str, key: Key, source: Source) -> bool:
-    """Whether a name is one of those that the file has; if not, that is a fault.
+def check_reference(name: str, defined: Iterable[str], noun: str, key: Key, source: Source) -> bool:
+    """Check that a name refers to something that the file defines; if not, add a fault.
 
     Args:
-        name: The value of the key.
-        known: All names that exist.
-        what: What is named, for the fault.
-        key: Of the name, for the fault.
-        source: For the fault.
+        name: The name, which is the value of the key.
+        defined: All names that the file defines.
+        noun: What the name refers to, for the message of the fault.
+        key: The key that the fault is added at.
+        source: The source that the fault is added to.
+
+    Returns:
+        Whether the name is defined.
     """
-    names = list(known)
+    names = list(defined)
     if name in names:
         return True
-    source.fault(key, f"there is no {what} {name!r}{nearest(name, names)}")
+    source.fault(key, f"there is no {noun} {name!r}{nearest(name, names)}")
     return False
--- a/dahliabend/routing_rules/checks/listeners.py
+++ b/dahliabend/routing_rules/checks/listeners.py
@@ -6,7 +6,7 @@
 
 
 def check_listeners(file: OperatorFile, source: Source) -> None:
-    """Addresses that are well formed, each used once."""
+    """Check that the addresses of listeners are well formed and unique."""
     names: dict[str, str] = {}
     for name, listener in file.listeners.items():
         key = ("listeners", name, "address")
--- a/dahliabend/routing_rules/checks/membership.py
+++ b/dahliabend/routing_rules/checks/membership.py
@@ -1,4 +1,4 @@
-"""Checks of `[members]`: the balancers among themselves."""
+"""Checks of `[members]`, the settings of the cluster of balancers."""
 
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.operator_file.source import Key, Source
@@ -10,15 +10,15 @@
 MAX_WEIGHT = 1e6
 MIN_PERIOD = Duration(20_000)
 MAX_PERIOD = Duration(60_000_000)
-MIN_CHECK_INTERVAL = Duration(4_000_000)  # eight intervals of gossip: a result has to reach all
+MIN_CHECK_INTERVAL = Duration(4_000_000)  # eight gossip intervals, so that a result reaches all balancers
 MIN_FORGET_PERIODS = 100
-MAX_KEY_FILES = 2  # one, or two while a key is replaced
+MAX_KEY_FILES = 2  # a second one only while a key is being replaced
 
-_KEY: Key = ("members",)
+_TABLE_KEY: Key = ("members",)
 
 
 def check_membership(members: MembershipSettings, source: Source) -> None:
-    """Check the complete table."""
+    """Check the whole table."""
     _check_addresses(members, source)
     _check_names(members, source)
     _check_numbers(members, source)
@@ -34,34 +34,36 @@
     }
     for name, text in addresses.items():
         if text is not None:
-            check_address(text, (*_KEY, name), source)
+            check_address(text, (*_TABLE_KEY, name), source)
     for number, seed in enumerate(members.seeds):
-        check_address(seed, (*_KEY, "seeds", number), source)
+        check_address(seed, (*_TABLE_KEY, "seeds", number), source)
 
 
 def _check_names(members: MembershipSettings, source: Source) -> None:
     reason = f"is not between 1 and {MAX_NAME_BYTES} bytes long"
     if members.name is not None and not 1 <= len(members.name.encode()) <= MAX_NAME_BYTES:
-        source.fault((*_KEY, "name"), f"{members.name!r} {reason}")
+        source.fault((*_TABLE_KEY, "name"), f"{members.name!r} {reason}")
     if len(members.zone.encode()) > MAX_NAME_BYTES:
-        source.fault((*_KEY, "zone"), f"{members.zone!r} {reason}")
+        source.fault((*_TABLE_KEY, "zone"), f"{members.zone!r} {reason}")
 
 
 def _check_numbers(members: MembershipSettings, source: Source) -> None:
     if not 0 < members.weight < MAX_WEIGHT:
-        source.fault((*_KEY, "weight"), f"{members.weight:g} is not between 0 and {MAX_WEIGHT:g}")
+        source.fault((*_TABLE_KEY, "weight"), f"{members.weight:g} is not between 0 and {MAX_WEIGHT:g}")
     if not MIN_PERIOD <= members.period <= MAX_PERIOD:
-        source.fault((*_KEY, "period"), f"{members.period} is not between {MIN_PERIOD} and {MAX_PERIOD}")
+        source.fault(
+            (*_TABLE_KEY, "period"), f"{members.period} is not between {MIN_PERIOD} and {MAX_PERIOD}"
+        )
     if members.forget < MIN_FORGET_PERIODS * members.period:
-        source.fault((*_KEY, "forget"), f"{members.forget} is less than a hundred periods")
+        source.fault((*_TABLE_KEY, "forget"), f"{members.forget} is less than a hundred periods")
     if not 0 < members.cut < 1:
-        source.fault((*_KEY, "cut"), f"{members.cut} is not between 0 and 1")
+        source.fault((*_TABLE_KEY, "cut"), f"{members.cut} is not between 0 and 1")
 
 
 def _check_shared_health_checks(members: MembershipSettings, source: Source) -> None:
     if not members.probing:
         return
-    key = (*_KEY, "probing")
+    key = (*_TABLE_KEY, "probing")
     if not members.signals:
         source.fault(key, "wants signals = true: by these the others hear what came of it")
     if not MIN_CHECK_INTERVAL <= members.probing <= MAX_PERIOD:
@@ -69,7 +71,7 @@
 
 
 def _check_key_files(members: MembershipSettings, source: Source) -> None:
-    key = (*_KEY, "key-files")
+    key = (*_TABLE_KEY, "key-files")
     count = len(members.key_files)
     if not 1 <= count <= MAX_KEY_FILES:
         source.fault(key, f"names {count} files: one, or two while a key is replaced")
--- a/dahliabend/routing_rules/checks/pools.py
+++ b/dahliabend/routing_rules/checks/pools.py
@@ -2,13 +2,13 @@
 
 from dahliabend.config.operator_file.schema import EndpointSettings, OperatorFile, PoolSettings
 from dahliabend.config.operator_file.source import Key, Source
-from dahliabend.routing_rules.checks.common import check_address, check_positive, is_known
+from dahliabend.routing_rules.checks.common import check_address, check_positive, check_reference
 
-MEMBER_SOURCES = ("discovery", "members", "file")  # a pool has exactly one of them
+MEMBER_SOURCES = ("discovery", "members", "file")  # keys of a pool, exactly one of which has to be set
 
 
 def check_pools(file: OperatorFile, source: Source) -> None:
-    """Every pool."""
+    """Check every pool."""
     own_addresses = {listener.address for listener in file.listeners.values()}
     for name, pool in file.pools.items():
         key = ("pools", name)
@@ -25,11 +25,11 @@
 
 
 def _check_member_source(pool: PoolSettings, key: Key, source: Source) -> None:
-    given = [name for name in MEMBER_SOURCES if getattr(pool, name) is not None]
-    if not given:
+    set_keys = [name for name in MEMBER_SOURCES if getattr(pool, name) is not None]
+    if not set_keys:
         source.fault(key, "has no members: discovery, members or file is missing")
-    elif len(given) > 1:
-        source.fault((*key, given[1]), f"{given[0]} says already who its members are")
+    elif len(set_keys) > 1:
+        source.fault((*key, set_keys[1]), f"{set_keys[0]} says already who its members are")
     if pool.discovery is not None:
         check_address(pool.discovery, (*key, "discovery"), source)
     if pool.file is not None and not pool.file:
@@ -57,7 +57,7 @@
 def _check_fallback(file: OperatorFile, name: str, source: Source) -> None:
     fallback = file.pools[name].fallback
     key = ("pools", name, "fallback")
-    if fallback is None or not is_known(fallback, file.pools, "pool", key, source):
+    if fallback is None or not check_reference(fallback, file.pools, "pool", key, source):
         return
     cycle = _fallback_cycle(file, name)
     if cycle:
@@ -65,13 +65,13 @@
 
 
 def _fallback_cycle(file: OperatorFile, name: str) -> list[str]:
-    """The pools from this one to itself by their fallbacks; empty where these don't come back to it."""
-    seen = [name]
+    """Return the chain of fallbacks from a pool back to itself; empty if there is no such cycle."""
+    chain = [name]
     fallback = file.pools[name].fallback
-    while fallback in file.pools and fallback not in seen:
-        seen.append(fallback)
+    while fallback in file.pools and fallback not in chain:
+        chain.append(fallback)
         fallback = file.pools[fallback].fallback
-    return [*seen, name] if fallback == name else []
+    return [*chain, name] if fallback == name else []
 
 
 def _check_subset(file: OperatorFile, pool: PoolSettings, pool_key: Key, source: Source) -> None:
--- a/dahliabend/routing_rules/checks/routes.py
+++ b/dahliabend/routing_rules/checks/routes.py
@@ -1,17 +1,17 @@
-"""Checks of `[[routes]]`: what each names, and whether a request can reach it."""
+"""Checks of `[[routes]]`: the names that each route refers to, and whether any request can reach it."""
 
 from dahliabend.config.operator_file.decoder import nearest
 from dahliabend.config.operator_file.schema import OperatorFile, RouteSettings
 from dahliabend.config.operator_file.source import Key, Source
-from dahliabend.routing_rules.checks.common import check_treatment_values, is_known
+from dahliabend.routing_rules.checks.common import check_reference, check_treatment_values
 from dahliabend.routing_rules.checks.treatments import check_treatment
 from dahliabend.routing_rules.route_table import HTTP_METHODS, RouteTable
 from dahliabend.routing_rules.treatment import target_pools
 
 
 def check_routes(file: OperatorFile, source: Source) -> None:
-    """Every route, and all together."""
-    if not file.routes:  # an empty file, or one cut short, would reject every request
+    """Check every route, and all routes together."""
+    if not file.routes:  # with an empty or truncated file, every request would be rejected
         source.fault(("routes",), "there are none")
     _check_names(file, source)
     for number, route in enumerate(file.routes):
@@ -21,10 +21,10 @@
         _check_split(file, route, key, source)
         _check_fallback(file, route, key, source)
         _check_mirror(file, route, key, source)
-        if is_known(route.class_, file.classes, "class", (*key, "class"), source):
+        if check_reference(route.class_, file.classes, "class", (*key, "class"), source):
             check_treatment(file, number, source)
-    for number, other in RouteTable(file.routes).shadowed():
-        reason = f"is never reached: {file.routes[other].name!r} takes the same requests before it"
+    for number, shadowed_by in RouteTable(file.routes).shadowed():
+        reason = f"is never reached: {file.routes[shadowed_by].name!r} takes the same requests before it"
         source.fault(("routes", number, "path"), reason)
 
 
@@ -50,9 +50,9 @@
     if (route.pool is None) == (route.pools is None):
         source.fault(key, "needs either pool or pools")
     if route.pool is not None:
-        is_known(route.pool, file.pools, "pool", (*key, "pool"), source)
+        check_reference(route.pool, file.pools, "pool", (*key, "pool"), source)
     for name, weight in (route.pools or {}).items():
-        is_known(name, file.pools, "pool", (*key, "pools", name), source)
+        check_reference(name, file.pools, "pool", (*key, "pools", name), source)
         if weight < 0:
             source.fault((*key, "pools", name), f"{weight:g} is below 0")
     if route.pools is not None and sum(route.pools.values()) <= 0:
@@ -64,7 +64,7 @@
 def _check_fallback(file: OperatorFile, route: RouteSettings, route_key: Key, source: Source) -> None:
     key = (*route_key, "fallback")
     fallback = route.fallback
-    if fallback is None or not is_known(fallback, file.pools, "pool", key, source):
+    if fallback is None or not check_reference(fallback, file.pools, "pool", key, source):
         return
     next_fallback = file.pools[fallback].fallback
     targets = set(target_pools(route))
@@ -77,7 +77,7 @@
 def _check_mirror(file: OperatorFile, route: RouteSettings, route_key: Key, source: Source) -> None:
     key = (*route_key, "mirror")
     mirror = route.mirror
-    if mirror is None or not is_known(mirror, file.pools, "pool", key, source):
+    if mirror is None or not check_reference(mirror, file.pools, "pool", key, source):
         return
     request_class = file.classes.get(route.class_)
     if request_class is not None and request_class.effect != "idempotent":
--- a/dahliabend/routing_rules/comparison.py
+++ b/dahliabend/routing_rules/comparison.py
@@ -1,16 +1,17 @@
-"""What a reload from one file to another would change, and what becomes of each change."""
+"""Comparison of two operator's files: the settings that a reload would change, and what each change does."""
 
 from enum import StrEnum
 from typing import TypedDict
 
 from dahliabend.routing_rules.loaded_file import LoadedFile, settings
 
-RESTART_TABLES = ("listeners", "members")  # a reload does not put their changes in force,
-RELOADED_MEMBER_KEYS = {"zone", "weight", "seeds", "seeds-file", "seeds-discovery", "key-files"}  # but these
+RESTART_TABLES = ("listeners", "members")  # a reload does not apply changes in these tables,
+# except for these keys of `[members]`.
+RELOADABLE_MEMBER_KEYS = {"zone", "weight", "seeds", "seeds-file", "seeds-discovery", "key-files"}
 
 
 class ChangeKind(StrEnum):
-    """How a setting differs; shown by its word."""
+    """How a setting differs; printed by its value."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -18,39 +19,39 @@
 
 
 class Change(TypedDict):
-    """One setting that differs, as it is shown."""
+    """A setting that differs, as it is printed."""
 
-    key: str  # of the setting; a route is identified by its name
+    key: str  # key of the setting; routes are identified by name
     how: ChangeKind
-    old: object  # None where it was added
-    new: object  # None where it was removed
-    effect: str  # what becomes of it, in words
+    old: object  # None if the setting was added
+    new: object  # None if the setting was removed
+    effect: str  # when and how a reload applies the change, in words
 
 
 def diff(old: LoadedFile, new: LoadedFile) -> list[Change]:
-    """Compare two files without faults, by the keys of their settings in order."""
-    before = _settings_by_name(old)
-    after = _settings_by_name(new)
+    """Return the settings that differ between two files without faults, sorted by key."""
+    old_values = _values_by_stable_key(old)
+    new_values = _values_by_stable_key(new)
     changes = []
-    for key in sorted(before.keys() | after.keys()):
-        old_value = before.get(key)
-        new_value = after.get(key)
+    for key in sorted(old_values.keys() | new_values.keys()):
+        old_value = old_values.get(key)
+        new_value = new_values.get(key)
         if old_value != new_value:
-            kind = _kind_of_change(old_value, new_value)
+            kind = _change_kind(old_value, new_value)
             effect = _effect(key, kind, new)
             changes.append(Change(key=key, how=kind, old=old_value, new=new_value, effect=effect))
     return changes
 
 
 def needs_restart(key: str) -> bool:
-    """Whether a change of this key waits for a restart."""
+    """Return whether a change of a setting, given by its key, takes effect only after a restart."""
     table, _, rest = key.partition(".")
-    is_reloaded = table == "members" and rest.partition("[")[0] in RELOADED_MEMBER_KEYS
-    return table in RESTART_TABLES and not is_reloaded
+    is_reloadable = table == "members" and rest.partition("[")[0] in RELOADABLE_MEMBER_KEYS
+    return table in RESTART_TABLES and not is_reloadable
 
 
-def _settings_by_name(loaded: LoadedFile) -> dict[str, object]:
-    """Values of settings by keys that hold when routes change their order."""
+def _values_by_stable_key(loaded: LoadedFile) -> dict[str, object]:
+    """Return the values of settings by keys that do not depend on the order of routes."""
     names = [route.name for route in loaded.usable_file.routes]
     values = {}
     for key, setting in settings(loaded).items():
@@ -61,7 +62,7 @@
     return values
 
 
-def _kind_of_change(old: object, new: object) -> ChangeKind:
+def _change_kind(old: object, new: object) -> ChangeKind:
     if old is None:
         return ChangeKind.ADDED
     return ChangeKind.REMOVED if new is None else ChangeKind.CHANGED
--- a/dahliabend/routing_rules/compiled_route.py
+++ b/dahliabend/routing_rules/compiled_route.py
@@ -1,4 +1,4 @@
-"""A route prepared for decisions: its pools by weight and fallback, its limit, its times. Free of I/O."""
+"""A route prepared for dispatching requests: its pools by weight and fallback, its limit and timeout."""
 
 from collections.abc import Callable, Mapping
 
@@ -7,23 +7,23 @@
 from dahliabend.routing_rules.treatment import EffectiveTreatment, pool_weights, target_pools
 from dahliabend.routing_rules.weighted_split import WeightedSplit
 
-MAX_FALLBACK_CHAIN = 8  # pools, the first included
+MAX_FALLBACK_CHAIN = 8  # number of pools, including the first
 
 
 class CompiledRoute:
-    """One route.
+    """A route of an operator's file, compiled for dispatching requests; free of I/O.
 
     Attributes:
-        name: Of the route.
-        class_name: Of its requests' class, as it stands on the wire.
-        treatment: How its requests are treated.
-        limit: How many are admitted.
-        total_timeout: Of all attempts together, in microseconds.
-        split: Its own pools, by weight.
-        split_by: Name of the header by which requests are split; empty: in turn.
-        mirror: The pool that gets copies; None: none does.
-        mirror_share: Of requests, that are copied.
-        reachable_pools: All pools that its requests may go to.
+        name: Name of the route.
+        class_name: Name of the request class, as on the wire.
+        treatment: Timeouts, retries and limits in force for the route's requests.
+        limit: Limit on the requests that are admitted.
+        total_timeout: Timeout of all attempts together, in microseconds.
+        split: Splits requests among the route's own pools by weight.
+        split_by: Lower-case name of the header by whose value requests are split; empty for round robin.
+        mirror: Name of the pool that receives mirrored requests; None for no mirroring.
+        mirror_share: Fraction of requests that are mirrored.
+        reachable_pools: Names of all pools that the route's requests may go to, including fallbacks.
     """
 
     __slots__ = (
@@ -43,7 +43,13 @@
     )
 
     def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
-        """Compile one route of a file without faults, by its number from 0."""
+        """Compile a route of a file without faults.
+
+        Args:
+            file: The complete file.
+            route: The route.
+            number: Position of the route in the file, from 0.
+        """
         treatment = EffectiveTreatment(file, route, number)
         weights = pool_weights(route)
         self.name = route.name
@@ -66,7 +72,7 @@
         self.reachable_pools = tuple(dict.fromkeys(name for chain in all_chains for name in chain))
 
     def _fallback_chain(self, name: str) -> list[str]:
-        """A pool, and those that it falls back to, in order."""
+        """Return a pool and the pools that it falls back to, in order."""
         chain = [name]
         while len(chain) < MAX_FALLBACK_CHAIN:
             fallback = self._fallbacks.get(chain[-1])
@@ -76,39 +82,40 @@
         return chain
 
     def candidate_pools(self, key: bytes, ready_share: Callable[[str], float]) -> list[str]:
-        """The pools that a request is offered to, in order: if one rejects it, the next is tried.
+        """Return the pools that a request is offered to, in order: if one rejects it, the next is tried.
 
-        A pool of which too little is ready is left out. If that holds for all, the first one is used: then
-        its own failure is reported, and not that of the last one.
+        A pool with too small a fraction of ready endpoints is left out. If this applies to all pools, the
+        first one is used, so that its failure is reported and not that of the last fallback.
 
         Args:
-            key: The header's value by which requests are split; empty: in turn.
-            ready_share: Which part of a pool is ready, by its name.
+            key: Value of the header by which requests are split; empty for round robin.
+            ready_share: Returns the fraction of a pool's endpoints that are ready, by the pool's name.
         """
         first = self.split.pool_for_key(key) if key else self.split.next_pool()
         chain = self._fallback_chains[first]
         thresholds = self._fallback_thresholds
         return [name for name in chain if ready_share(name) > thresholds[name]] or chain[:1]
 
-    def inherit_state(self, before: "CompiledRoute") -> None:
-        """Take over the state of the route so far, after a reload.
+    def inherit_state(self, previous: "CompiledRoute") -> None:
+        """Take over the state of the previous route of the same name, after a reload.
 
-        Requests in flight still count, and the round robin continues, so that a canary keeps its share.
+        Requests in flight still count against the limit, and the round robin continues, so that a canary
+        keeps its share.
         """
-        before.limit.update(self.limit)
-        self.limit = before.limit
-        self.split.inherit_credits(before.split)
+        previous.limit.update(self.limit)
+        self.limit = previous.limit
+        self.split.inherit_credits(previous.split)
 
 
-def compile_routes(file: OperatorFile, before: Mapping[str, CompiledRoute]) -> list[CompiledRoute]:
-    """Compile all routes of a file without faults, in its order.
+def compile_routes(file: OperatorFile, previous: Mapping[str, CompiledRoute]) -> list[CompiledRoute]:
+    """Compile all routes of a file without faults, in the order of the file.
 
     Args:
         file: The complete file.
-        before: The routes so far, by name; those of the same name keep their state.
+        previous: The routes before the reload, by name; a new route of the same name takes over their state.
     """
     routes = [CompiledRoute(file, route, number) for number, route in enumerate(file.routes)]
     for route in routes:
-        if route.name in before:
-            route.inherit_state(before[route.name])
+        if route.name in previous:
+            route.inherit_state(previous[route.name])
     return routes
--- a/dahliabend/routing_rules/explanation.py
+++ b/dahliabend/routing_rules/explanation.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, why, which attempts are made and for how long, in words."""
+"""Explains to operators which route a request takes and why, and which attempts are made for how long."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from dahliabend.config.operator_file.schema import Effect, OperatorFile, RouteSettings
 from dahliabend.config.operator_file.source import format_key
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.routing_rules.loaded_file import LoadedFile, as_written, format_place
+from dahliabend.routing_rules.loaded_file import LoadedFile, format_place, format_value
 from dahliabend.routing_rules.route_table import RouteTable
 from dahliabend.routing_rules.treatment import (
     TREATMENT_FIELDS,
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainedValue:
-    """A value of the treatment in force, and the key that sets it."""
+    """A value in force for a route's requests, and the key that sets it."""
 
     value: object
     key: str
@@ -28,20 +28,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """The route that a request takes.
+    """The route that a request takes. The field names are part of the printed output.
 
     Attributes:
-        route: Its name.
-        place: Where the file defines it.
-        reason: Why this one.
-        request_class: The name of its class.
-        effect: Of requests of this class.
-        pools: The share of the requests of each, as a percentage.
-        split: How requests are divided among the pools.
-        fallback: The route's, or the fallback of each of its pools that has one.
-        mirror: Which part is copied to which pool; None: nothing is.
-        treatment: The values in force, by key.
-        steps: What will be tried, in order.
+        route: Name of the route.
+        place: File and line that define the route.
+        reason: The conditions of the route that the request meets.
+        request_class: Name of the request class.
+        effect: Idempotency of the request class, in the notation of the file.
+        pools: For each pool by name, its share of the requests as a percentage.
+        split: How requests are split among the pools.
+        fallback: The route's fallback pool or, without one, the fallback of each of its pools that has one.
+        mirror: Fraction of requests that are mirrored, and the mirror pool; None for no mirroring.
+        treatment: The values in force for the route's requests, by key.
+        steps: The attempts that will be made, in order and in words.
     """
 
     route: str
@@ -58,20 +58,20 @@
 
 
 def explain(loaded: LoadedFile, method: str, path: str, headers: Mapping[str, str]) -> Explanation | None:
-    """Explain what becomes of a request.
+    """Explain how a request would be routed and which attempts would be made.
 
     Args:
         loaded: A file without faults.
-        method: Of the request, in capitals.
-        path: With or without a query.
-        headers: By names in any case.
+        method: HTTP method, in capitals.
+        path: Path of the request, with or without a query.
+        headers: Headers by name, in any case.
 
     Returns:
-        None if no route takes it.
+        The explanation, or None if no route matches the request.
     """
     file = loaded.usable_file
-    lower_case = {name.lower(): value for name, value in headers.items()}
-    number = RouteTable(file.routes).find(method, path, lower_case)
+    lower_case_headers = {name.lower(): value for name, value in headers.items()}
+    number = RouteTable(file.routes).find(method, path, lower_case_headers)
     if number is None:
         return None
     route = file.routes[number]
@@ -119,12 +119,12 @@
         value = treatment.value(name)
         if value is not None:
             key = format_key(treatment.keys[name])
-            explained[key_of_field(name)] = ExplainedValue(as_written(value), key)
+            explained[key_of_field(name)] = ExplainedValue(format_value(value), key)
     return explained
 
 
 def _steps(treatment: EffectiveTreatment, effect: Effect) -> list[str]:
-    """What will be tried, in words."""
+    """Describe the attempts that will be made, in order."""
     attempt_time = treatment.attempt_timeout or treatment.total_time
     steps = [f"one hop of up to {Duration(attempt_time)}"]
     if treatment.second_copy_after is not None:
--- a/dahliabend/routing_rules/limits.py
+++ b/dahliabend/routing_rules/limits.py
@@ -1,24 +1,24 @@
-"""How many requests of a route are admitted: at once, and by time; all of a limit, or a fraction of it."""
+"""Limits of a route on concurrent requests and on the request rate, applied in full or by a fraction."""
 
 from typing import NamedTuple
 
-MIN_PARTIAL_BURST = 3.0  # that a fraction of a limit admits at once, if the complete limit does
-BURSTS_PER_SECOND = 10  # a default burst is a tenth of a second at the rate
+MIN_PARTIAL_BURST = 3.0  # tokens; minimum burst of a fraction of a limit, unless the full burst is smaller
+BURSTS_PER_SECOND = 10  # the default burst is a tenth of a second at the rate
 MICROSECONDS_PER_SECOND = 1e6
 
 
-class LimitTerms(NamedTuple):
-    """A limit as the file has it."""
+class LimitSettings(NamedTuple):
+    """The settings of a limit in the operator's file."""
 
-    concurrency: int | None  # requests in flight; None: any number
-    rate: float  # requests a second; 0: any number
+    concurrency: int | None  # requests in flight; None for no limit
+    rate: float  # requests per second; 0 for no limit
     burst: float  # requests at once above the rate
 
 
 class Limit:
-    """A token bucket that fills at the rate up to the burst, and a count of requests in flight.
+    """A token bucket that fills at the rate up to the burst, and a limit on the requests in flight.
 
-    Times are integer microseconds.
+    Times are in integer microseconds.
 
     >>> limit = Limit(concurrency=2, rate=10.0, burst=1)
     >>> limit.try_acquire(0), limit.try_acquire(0), limit.time_until_token(0)
@@ -27,14 +27,14 @@
     (True, False, None, True)
 
     Attributes:
-        configured: The complete limit.
-        fraction: Of it, that is in force here.
-        concurrency: Requests in flight that this fraction allows; None: any number.
-        rate: Tokens a microsecond of this fraction; 0: any number.
-        burst: Tokens that the bucket holds.
-        tokens: That are in it.
-        filled_at: When it was last filled.
-        in_flight: Requests admitted and not yet released.
+        configured: Settings of the full limit.
+        fraction: Fraction of the full limit that this balancer applies.
+        concurrency: Number of requests in flight that this fraction allows; None for no limit.
+        rate: Tokens per microsecond at this fraction; 0 for no limit.
+        burst: Capacity of the bucket in tokens.
+        tokens: Tokens in the bucket.
+        filled_at: When the bucket was last filled.
+        in_flight: Number of requests that have been admitted and not released.
         requested: Requests since demand was last taken.
         rejected: Of these, the ones without a place.
     """
@@ -58,13 +58,14 @@
         """Start with a full bucket and nothing in flight.
 
         Args:
-            concurrency: Requests in flight; None: any number.
-            rate: Requests a second; None: any number.
-            burst: Requests at once above the rate; None: a tenth of a second's, and one at least.
+            concurrency: Maximum number of requests in flight; None for no limit.
+            rate: Requests per second; None for no limit.
+            burst: Requests at once above the rate; None for a tenth of a second at the rate. The bucket holds
+                at least one token, and never less than that default.
         """
         rate = rate or 0.0
         configured_burst = float(max(1, burst or 0, round(rate / BURSTS_PER_SECOND)))
-        self.configured = LimitTerms(concurrency, rate, configured_burst)
+        self.configured = LimitSettings(concurrency, rate, configured_burst)
         self.in_flight = 0
         self.filled_at = 0
         self.requested = 0
@@ -73,33 +74,33 @@
         self.set_fraction(1.0)
 
     def set_fraction(self, fraction: float) -> None:
-        """Apply only a fraction of the complete limit; requests in flight are not affected."""
+        """Apply only a fraction of the full limit; requests in flight are not affected."""
         concurrency, rate, burst = self.configured
         self.fraction = fraction
         self.rate = rate * fraction / MICROSECONDS_PER_SECOND
-        # A bucket of one token is often empty when requests arrive at random: a third of the rate would
-        # be lost.
+        # When requests arrive at random, a bucket of one token is often empty: a third of the rate would be
+        # lost.
         self.burst = max(min(burst, MIN_PARTIAL_BURST), burst * fraction)
         self.concurrency = concurrency and max(1, int(concurrency * fraction))
         self.tokens = min(self.tokens, self.burst)
 
-    def take_demand(self, span: int) -> float:
-        """What was requested since this was last called, as a fraction of the complete limit; 1 at the most.
+    def take_demand(self, elapsed: int) -> float:
+        """Return the demand since the previous call, as a fraction of the full limit and at most 1.
 
         Args:
-            span: Microseconds since then.
+            elapsed: Microseconds since the previous call.
         """
         requested = self.requested
         rejected = self.rejected
         self.requested = 0
         self.rejected = 0
         concurrency, rate, _ = self.configured
-        by_rate = requested * MICROSECONDS_PER_SECOND / (span * rate) if rate and span > 0 else 0.0
+        by_rate = requested * MICROSECONDS_PER_SECOND / (elapsed * rate) if rate and elapsed > 0 else 0.0
         by_concurrency = (self.in_flight + rejected) / concurrency if concurrency else 0.0
         return min(1.0, max(by_rate, by_concurrency))
 
     def try_acquire(self, now: int) -> bool:
-        """Take a place, to be given back by `release`; false where there is none."""
+        """Admit a request, to be released by `release`; return False if the limit is exhausted."""
         self.requested += 1
         if self._is_exhausted(now):
             self.rejected += 1
@@ -108,26 +109,26 @@
         return True
 
     def release(self) -> None:
-        """Give back a place."""
+        """Release an admitted request."""
         self.in_flight -= 1
 
     def time_until_token(self, now: int) -> int:
-        """Microseconds until the bucket has a token again, for the answer to a rejected request.
+        """Return the microseconds until the bucket has a token, for the response to a rejected request.
 
-        0 where it has one, or where only the requests in flight decide.
+        0 if the bucket has a token, or if there is no rate limit.
         """
         if not self.rate:
             return 0
         self._refill(now)
         return max(0, round((1 - self.tokens) / self.rate)) if self.tokens < 1 else 0
 
-    def update(self, other: "Limit") -> None:
-        """Apply the terms of another limit; requests in flight are not affected."""
-        self.configured = other.configured
+    def update(self, replacement: "Limit") -> None:
+        """Apply the settings of another limit; requests in flight are not affected."""
+        self.configured = replacement.configured
         self.set_fraction(self.fraction)
 
     def _is_exhausted(self, now: int) -> bool:
-        """Whether there is no place; else a token is taken."""
+        """Return whether the limit is exhausted; if not, take a token."""
         if self.concurrency is not None and self.in_flight >= self.concurrency:
             return True
         if self.rate:
--- a/dahliabend/routing_rules/loaded_file.py
+++ b/dahliabend/routing_rules/loaded_file.py
@@ -1,4 +1,4 @@
-"""An operator's file, loaded: its settings, unless it has faults of form, and all of its faults."""
+"""Loading of an operator's file: its settings, with the place of each, and all of its faults."""
 
 import os
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -15,17 +15,17 @@
 from dahliabend.routing_rules.checks import check_file
 
 DEFAULT_PLACE = "default"
-LOG_SAMPLES: Key = ("log", "sample")  # shown as one setting
+LOG_SAMPLE_KEY: Key = ("log", "sample")  # a table that is shown as a single setting
 
 
 @dataclass(slots=True)
 class LoadedFile:
-    """What came of a file.
+    """The result of loading a file.
 
     Attributes:
-        source: The merged tree, with the place of each key.
-        file: Its settings; None if it has faults of form.
-        faults: All of its faults, by place.
+        source: The merged tree of the file and those it includes, with the place of each key.
+        file: The settings; None if the file could not be decoded because of faults.
+        faults: All faults of the file, sorted by place.
     """
 
     source: Source
@@ -34,15 +34,15 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether there are no faults."""
+        """Whether the file has no faults."""
         return self.file is not None and not self.faults
 
     @property
     def usable_file(self) -> OperatorFile:
-        """The settings.
+        """The settings of a file that could be decoded.
 
         Raises:
-            ValueError: There are faults of form.
+            ValueError: The file could not be decoded.
         """
         if self.file is None:
             raise ValueError("; ".join(map(str, self.faults)))
@@ -52,19 +52,19 @@
 class Setting(NamedTuple):
     """A setting in force."""
 
-    value: object  # as the file writes it
+    value: object  # in the notation of the file
     place: str  # "file:line", or "default"
 
 
 def load_file(
     path: str, environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_bytes
 ) -> LoadedFile:
-    """Read a file and check it; nothing is raised for what is in it.
+    """Load and check a file; faults in its content are returned, not raised.
 
     Args:
-        path: The top file.
-        environment: Variables that it may name.
-        read: How a file is read; it may raise OSError.
+        path: Path of the top-level file.
+        environment: Environment variables that the file may refer to.
+        read: Returns the content of a file; may raise OSError.
     """
     source = load_source(path, environment, read)
     file = decode_file(source)
@@ -73,41 +73,41 @@
     return LoadedFile(source, file, sorted(set(source.faults)))
 
 
-def as_written(value: object) -> object:
-    """A value as the file writes it, with its unit."""
+def format_value(value: object) -> object:
+    """Return a value in the notation of the file, with its unit."""
     return str(value) if isinstance(value, UNITS) else value
 
 
 def format_place(place: Place) -> str:
-    """A place as editors and compilers write it."""
+    """Return a place in the "file:line" notation of editors and compilers."""
     return f"{place.file}:{place.line}"
 
 
 def settings(loaded: LoadedFile) -> dict[str, Setting]:
-    """Every setting in force of a file without faults, by its key as it is written."""
-    found = {}
+    """Return every setting in force of a file without faults, by its key in the notation of the file."""
+    settings_by_key = {}
     for key, value in _leaves(loaded.file, ()):
         place = loaded.source.places.get(key)
         shown_place = format_place(place) if place else DEFAULT_PLACE
-        found[format_key(key)] = Setting(as_written(value), shown_place)
-    return found
+        settings_by_key[format_key(key)] = Setting(format_value(value), shown_place)
+    return settings_by_key
 
 
 def _leaves(value: object, key: Key) -> Iterator[tuple[Key, object]]:
-    """All values below a key that are shown as one setting each; none for what is left out."""
+    """Yield all values below a key that are shown as one setting each; settings that are None are omitted."""
     children = _children(value, key)
     if children is not None:
-        for part, child in children:
-            yield from _leaves(child, (*key, part))
+        for child_key, child in children:
+            yield from _leaves(child, (*key, child_key))
     elif value is not None:
         yield key, value
 
 
 def _children(value: object, key: Key) -> Iterable[tuple[str | int, object]] | None:
-    """The parts of a table or of a list of tables; None for what is shown as one setting."""
+    """Return the entries of a table or a list of tables; None for a value that is shown as one setting."""
     if isinstance(value, msgspec.Struct):
         return [(entry.encode_name, getattr(value, entry.name)) for entry in msgspec.structs.fields(value)]
-    if isinstance(value, dict) and key != LOG_SAMPLES:
+    if isinstance(value, dict) and key != LOG_SAMPLE_KEY:
         return value.items()
     if isinstance(value, list) and value and isinstance(value[0], msgspec.Struct):
         return enumerate(value)
--- a/dahliabend/routing_rules/route_table.py
+++ b/dahliabend/routing_rules/route_table.py
@@ -1,7 +1,8 @@
-"""The table of routes: a look-up whose cost does not grow with their number.
+"""Route table: finds the route of a request at a cost that does not grow with the number of routes.
 
-A tree by path segments; at each node the routes that end there, by the kind of their further conditions. A
-look-up walks the request's own segments and asks, from the deepest node up, once for each kind there.
+The table is a tree by path segments. Each node holds the routes whose path ends there, grouped by the kind of
+their further conditions. A lookup walks down the segments of the request's path and then, from the deepest
+node up, makes one dictionary lookup for each kind of conditions there.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -13,52 +14,52 @@
 ANY_METHOD = ""
 
 
-class Condition(NamedTuple):
-    """What kind of conditions a route has beyond its path."""
+class ConditionKind(NamedTuple):
+    """The kind of conditions that a route has besides its path: whether a method, and which headers."""
 
     has_method: bool
     header_names: tuple[str, ...]  # lower case, sorted
 
 
 class ShadowedRoute(NamedTuple):
-    """A route that no request reaches, by number, and the first that takes its requests before it."""
+    """A route that no request reaches, and the route that matches its requests first, by number."""
 
     number: int
-    winner: int
+    shadowed_by: int
 
 
-RouteNumbers = dict[tuple[str, tuple[str, ...]], int]  # by method and the values of the headers
+RouteNumbers = dict[tuple[str, tuple[str, ...]], int]  # by method and header values
 
 
 class _Node:
-    """A path, with the routes that end there and the paths below it."""
+    """A path in the tree, with the routes that end there and the paths below it."""
 
     __slots__ = ("children", "conditions")
 
     def __init__(self) -> None:
         self.children: dict[str, _Node] = {}
-        self.conditions: dict[Condition, RouteNumbers] = {}  # the most specific first
+        self.conditions: dict[ConditionKind, RouteNumbers] = {}  # most specific kind first
 
 
 def path_segments(path: str) -> list[str]:
-    """Split a path; empty segments don't count.
+    """Split a path into segments, without empty ones.
 
     >>> path_segments("/a/b/"), path_segments("/")
     (['a', 'b'], [])
     """
-    return [part for part in path.split("/") if part]
+    return [segment for segment in path.split("/") if segment]
 
 
-def specificity(condition: Condition) -> tuple[int, int]:
-    """A sort key: more headers go before a method, and that before none."""
-    return len(condition.header_names), int(condition.has_method)
+def specificity(kind: ConditionKind) -> tuple[int, int]:
+    """Return the sort key of a kind of conditions: the number of headers, then whether there is a method."""
+    return len(kind.header_names), int(kind.has_method)
 
 
 class RouteTable:
-    """Routes by number.
+    """Finds the route of a request. Routes are identified by their number in the file.
 
-    Longer paths go before shorter ones, then more headers, then a method, then the order of the file. Paths
-    match by complete segments.
+    Longer paths take precedence over shorter ones, then more headers over fewer, then a method over none,
+    then the order in the file. Paths match by complete segments.
     """
 
     def __init__(self, routes: Sequence[RouteSettings]) -> None:
@@ -76,33 +77,33 @@
         headers = sorted((name.lower(), value) for name, value in route.headers.items())
         names = tuple(name for name, _ in headers)
         values = tuple(value for _, value in headers)
-        numbers = node.conditions.setdefault(Condition(bool(route.methods), names), {})
+        numbers = node.conditions.setdefault(ConditionKind(bool(route.methods), names), {})
         methods = route.methods or [ANY_METHOD]
-        earlier = [numbers.get((method, values)) for method in methods]
+        earlier_routes = [numbers.get((method, values)) for method in methods]
         for method in methods:
             numbers.setdefault((method, values), number)
-        first = earlier[0]
-        if first is not None and None not in earlier:
+        first = earlier_routes[0]
+        if first is not None and None not in earlier_routes:
             self._shadowed.append(ShadowedRoute(number, first))
 
     def _sort_conditions(self) -> None:
-        waiting = [self.root]
-        while waiting:
-            node = waiting.pop()
-            ordered = sorted(node.conditions, key=specificity, reverse=True)
-            node.conditions = {condition: node.conditions[condition] for condition in ordered}
-            waiting.extend(node.children.values())
+        pending_nodes = [self.root]
+        while pending_nodes:
+            node = pending_nodes.pop()
+            sorted_kinds = sorted(node.conditions, key=specificity, reverse=True)
+            node.conditions = {kind: node.conditions[kind] for kind in sorted_kinds}
+            pending_nodes.extend(node.children.values())
 
     def find(self, method: str, path: str, headers: Mapping[str, str]) -> int | None:
-        """The number of the route that takes a request.
+        """Find the route of a request.
 
         Args:
-            method: As it is sent.
-            path: With or without a query.
-            headers: By names in lower case.
+            method: HTTP method, as sent.
+            path: Path of the request, with or without a query.
+            headers: Headers by lower-case name.
 
         Returns:
-            None where no route takes it.
+            The number of the route, or None if no route matches.
         """
         node = self.root
         nodes = [node]
@@ -121,5 +122,5 @@
         return None
 
     def shadowed(self) -> Iterator[ShadowedRoute]:
-        """Routes that no request reaches."""
+        """Yield the routes that no request reaches."""
         yield from self._shadowed
--- a/dahliabend/routing_rules/treatment.py
+++ b/dahliabend/routing_rules/treatment.py
@@ -1,4 +1,4 @@
-"""How the requests of a route are treated: the values in force, and the key that sets each."""
+"""Timeouts, retries and limits in force for the requests of a route, and the key that sets each of them."""
 
 from collections.abc import Iterator
 
@@ -25,7 +25,7 @@
     "concurrency",
     "rate",
     "burst",
-)  # of `TreatmentSettings`, in the order in which they are shown
+)  # fields of `TreatmentSettings`, in the order in which they are printed
 DEFAULT_ATTEMPTS = 3
 
 _KEYS_BY_FIELD = {
@@ -36,7 +36,7 @@
 
 
 def key_of_field(name: str) -> str:
-    """A field's name as the file writes it.
+    """Return the key under which the file sets a field.
 
     >>> key_of_field("class_"), key_of_field("attempt_timeout")
     ('class', 'hop-time')
@@ -45,33 +45,33 @@
 
 
 def target_pools(route: RouteSettings) -> Iterator[str]:
-    """The pools that a route names for its own requests, without fallbacks and mirrors."""
+    """Yield the names of the pools that a route sends requests to, without fallbacks and mirrors."""
     if route.pool is not None:
         yield route.pool
     yield from route.pools or {}
 
 
 def pool_weights(route: RouteSettings) -> dict[str, float]:
-    """The weight of each pool that a route names; one pool has all."""
+    """Return the weight of each pool that a route sends requests to; a single pool has weight 1."""
     return route.pools or dict.fromkeys(target_pools(route), 1.0)
 
 
 class EffectiveTreatment:
-    """The values in force for one route: its own, else its class's, else the file's defaults.
+    """The values in force for a route: its own, otherwise those of its class, otherwise the file's defaults.
 
-    Times are microseconds.
+    Times are in microseconds.
 
     Attributes:
-        attempt_timeout: That one attempt may take; None: what is left of the total.
-        total_time: That all attempts may take together.
-        attempts: At the most.
-        replays: Of these, after one that may have run.
-        second_copy_after: From an attempt's start until a hedged one; None: never.
-        retry_share: Of first attempts, what may be spent on retries after ones that may have run.
-        concurrency: Requests in flight at once.
-        rate: Requests a second.
-        burst: Requests that may come at once above the rate.
-        keys: The key that sets each value, by the field's name; for a default, the route's.
+        attempt_timeout: Timeout of a single attempt; None for the time left of the total.
+        total_time: Timeout of all attempts together.
+        attempts: Maximum number of attempts.
+        replays: Maximum number of these that may follow an attempt that may have been executed.
+        second_copy_after: Time from the start of an attempt until it is hedged; None for no hedging.
+        retry_share: Retries after attempts that may have been executed, as a fraction of first attempts.
+        concurrency: Maximum number of requests in flight; None for no limit.
+        rate: Requests per second; None for no limit.
+        burst: Requests that may arrive at once above the rate; None for the default.
+        keys: The key that sets each value, by field name; the key of the route for a value that no key sets.
     """
 
     attempt_timeout: Duration | None
@@ -85,12 +85,12 @@
     burst: int | None
 
     def __init__(self, file: OperatorFile, route: RouteSettings, number: int) -> None:
-        """Find the values in force.
+        """Determine the values in force.
 
         Args:
             file: The complete file.
-            route: One of its routes, whose class is in the file.
-            number: The route's, from 0.
+            route: A route of the file, whose class is in the file.
+            number: Position of the route in the file, from 0.
         """
         request_class = file.classes[route.class_]
         levels: tuple[tuple[TreatmentSettings, Key], ...] = (
@@ -100,7 +100,7 @@
         )
         self.keys: dict[str, Key] = {}
         for name in TREATMENT_FIELDS:
-            self._find(name, levels)
+            self._resolve(name, levels)
         if self.attempts is None:
             self.attempts = DEFAULT_ATTEMPTS
         if self.total_time is None:
@@ -109,7 +109,8 @@
         if self.replays is None:
             self.replays = 0 if request_class.effect == "non-idempotent" else self.attempts - 1
 
-    def _find(self, name: str, levels: tuple[tuple[TreatmentSettings, Key], ...]) -> None:
+    def _resolve(self, name: str, levels: tuple[tuple[TreatmentSettings, Key], ...]) -> None:
+        """Set a field from the first level that has a value, and record the key that sets it."""
         for settings, key in levels:
             value = getattr(settings, name)
             if value is not None:
@@ -120,5 +121,5 @@
         self.keys[name] = levels[0][1]
 
     def value(self, name: str) -> object:
-        """The value in force of a field, by its name; None if it is not set."""
+        """Return the value in force of a field, by its name; None if it is not set."""
         return getattr(self, name)
--- a/dahliabend/routing_rules/weighted_split.py
+++ b/dahliabend/routing_rules/weighted_split.py
@@ -1,4 +1,4 @@
-"""Which pool of several by weight: by a stable hash where the file names a header, else by round robin."""
+"""Weighted choice among pools: by a stable hash of a key, or by round robin."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -7,11 +7,11 @@
 
 _HASH_BYTES = 8
 _HASH_RANGE = 1 << (8 * _HASH_BYTES)
-_MAX_SALT_BYTES = 64  # of the key that blake2b takes
+_MAX_SALT_BYTES = 64  # maximum key length of blake2b
 
 
 class WeightedSplit:
-    """Pools by weight.
+    """Splits requests among pools by weight.
 
     The same key always selects the same pool; when weights change, only that share of the keys moves.
 
@@ -26,33 +26,33 @@
         """Start with no credit for any pool.
 
         Args:
-            names: Of the pools.
-            weights: As many, none below 0 and one above it.
-            salt: Mixed into the hash, so that the same key may go elsewhere in another split.
+            names: Names of the pools.
+            weights: Weight of each pool; none is negative, and at least one is positive.
+            salt: Mixed into the hash, so that another split may select another pool for the same key.
 
         Raises:
-            ValueError: The weights are not so.
+            ValueError: A weight is negative, or none is positive.
         """
         total = sum(weights)
         if total <= 0 or min(weights) < 0:
-            raise ValueError("the weights sum to nothing, or one is below 0")
+            raise ValueError(f"weights {list(weights)}: expected no negative weight and a sum above 0")
         self.names = tuple(names)
         self._salt = salt[:_MAX_SALT_BYTES]
         self._shares = [weight / total for weight in weights]
         self._cumulative_shares = [end / total for end in accumulate(weights)]
-        self._credits = [0.0] * len(self.names)  # requests that each pool is owed
+        self._credits = [0.0] * len(self.names)  # requests that each pool is owed by the round robin
 
     def pool_for_key(self, key: bytes) -> str:
-        """The pool of a key, by its hash."""
+        """Return the pool that a key selects by its hash."""
         digest = blake2b(key, digest_size=_HASH_BYTES, key=self._salt).digest()
         point = int.from_bytes(digest) / _HASH_RANGE
         index = bisect_right(self._cumulative_shares, point)
         return self.names[min(index, len(self.names) - 1)]
 
     def next_pool(self) -> str:
-        """The next pool in turn, by smooth weighted round robin.
+        """Return the next pool by smooth weighted round robin.
 
-        Over any run of calls each pool has its share, to one.
+        Over any sequence of calls, each pool receives its share to within one request.
         """
         for index, share in enumerate(self._shares):
             self._credits[index] += share
@@ -60,8 +60,8 @@
         self._credits[best] -= 1
         return self.names[best]
 
-    def inherit_credits(self, before: "WeightedSplit") -> None:
-        """Continue the round robin of another split, if it has the same pools."""
-        credit_by_name = dict(zip(before.names, before._credits, strict=True))
+    def inherit_credits(self, previous: "WeightedSplit") -> None:
+        """Continue the round robin of a previous split, if it has the same pools."""
+        credit_by_name = dict(zip(previous.names, previous._credits, strict=True))
         if credit_by_name.keys() == set(self.names):
             self._credits = [credit_by_name[name] for name in self.names]
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -97,7 +97,7 @@
         counts = Counter(turns[start : start + 100])
         assert all(abs(counts[name] - want) <= 2 for name, want in (("a", 70), ("b", 20), ("c", 10)))
     assert "c" not in {one for one, other in pairwise(turns) if one == other}
-    with pytest.raises(ValueError, match="sum to nothing"):
+    with pytest.raises(ValueError, match=r"weights \[0\]: expected no negative weight and a sum above 0"):
         WeightedSplit(["a"], [0])
 
 
