--- a/tests/proxy/test_base_dispatcher.py
+++ b/tests/proxy/test_base_dispatcher.py
@@ -1,4 +1,4 @@
-"""What every dispatcher counts, and when it sends clients elsewhere."""
+"""Open requests and the closing state of a dispatcher."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
     return BaseDispatcher(SimpleNamespace(open_requests=0, count_response=lambda name, status: None))
 
 
-def test_clients_go_elsewhere_while_evacuated_and_from_the_shutdown_on():
+def test_a_dispatcher_is_closing_while_evacuated_and_from_shutdown_on():
     dispatcher = base_dispatcher()
     assert not dispatcher.closing()
     dispatcher.evacuated = True
@@ -21,7 +21,7 @@
     assert dispatcher.shutdown_deadline == 5
 
 
-def test_open_requests_are_those_whose_response_has_not_been_sent():
+def test_open_requests_are_those_opened_and_not_yet_closed():
     dispatcher = base_dispatcher()
     dispatcher.request_opened()
     dispatcher.request_opened()
--- a/tests/proxy/test_key_order_over_sockets.py
+++ b/tests/proxy/test_key_order_over_sockets.py
@@ -1,4 +1,4 @@
-"""Order for each key, over sockets: one of a key at an upstream at a time, through a switch and an end."""
+"""Ordering keys over sockets: at most one request per key is in flight, also across reload and shutdown."""
 
 import copy
 import signal
@@ -11,20 +11,20 @@
     {"name": "amend", "service-goal": 1000.0, "hard-limit": 3000.0, "semantics": "deduplicated",
      "dedup-window": 4000.0, "in-order": True}
 )  # fmt: skip
-LONG_EXPIRES = "60000"  # milliseconds; more than PATIENCE
+LONG_TIMEOUT_MS = "60000"  # longer than PATIENCE
 ORDERED["contract"]["order-pause"] = 100.0
 # On a busy machine a request that the test holds back must neither reach its deadline nor be retried early.
-UNHURRIED = copy.deepcopy(ORDERED)
-UNHURRIED["profiles"][-1].update({"service-goal": 30_000.0, "hard-limit": 60_000.0})
+ORDERED_WITH_LONG_DEADLINES = copy.deepcopy(ORDERED)
+ORDERED_WITH_LONG_DEADLINES["profiles"][-1].update({"service-goal": 30_000.0, "hard-limit": 60_000.0})
 
 
 TRACE_IDS = ("a", "b", "c", "d", "e")
 
 
 class HoldingUpstream:
-    """An upstream that answers each request once it is released, by its trace id.
+    """An upstream that answers a request only after its trace id has been released.
 
-    With one queue of releases for all, a request that arrives late could take the release of an earlier one.
+    With a single queue of releases, a request that arrives late could take the release of an earlier one.
     """
 
     def __init__(self):
@@ -35,10 +35,11 @@
         try:
             self.releases[request[1]["x-trace-id"]].get(timeout=PATIENCE)
         except Empty:
-            return False  # the test is over
+            return False  # the test has ended
         return conn.sendall(answer()) is None
 
-    def came(self):
+    def next_trace_id(self):
+        """Return the trace id of the next request that arrives."""
         return self.upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"]
 
     def release(self, *trace_ids):
@@ -46,58 +47,59 @@
             self.releases[trace_id].put(True)
 
 
-def amend(address, trace, key="9", expires=LONG_EXPIRES):
+def send_ordered_request(address, trace_id, key="9", timeout_ms=LONG_TIMEOUT_MS):
     caller = Caller(address)
-    caller.send("amend", "POST", expires=expires, trace=trace, extra=f"X-Item: {key}\r\n")
+    caller.send("amend", "POST", expires=timeout_ms, trace=trace_id, extra=f"X-Item: {key}\r\n")
     return caller
 
 
-def test_one_of_a_key_is_sent_at_a_time_also_across_a_switch_of_settings():
-    held = HoldingUpstream()
-    with program(held.upstream, conf=UNHURRIED) as (address, process, _):
-        first = amend(address, "a")
-        assert held.came() == "a"
-        second, other = amend(address, "b"), amend(address, "c", key="8")
-        assert held.came() == "c"
-        changed = copy.deepcopy(process.conf["settings"])
-        changed["caps"]["most-hops"] = 3
-        replace(process, settings=changed)
+def test_one_request_per_key_is_sent_at_a_time_even_across_a_reload():
+    holding = HoldingUpstream()
+    with program(holding.upstream, conf=ORDERED_WITH_LONG_DEADLINES) as (address, process, _):
+        first = send_ordered_request(address, "a")
+        assert holding.next_trace_id() == "a"
+        second = send_ordered_request(address, "b")
+        with_key_8 = send_ordered_request(address, "c", key="8")
+        assert holding.next_trace_id() == "c"
+        new_settings = copy.deepcopy(process.conf["settings"])
+        new_settings["caps"]["most-hops"] = 3
+        replace(process, settings=new_settings)
         logged(process, "reload.applied")
-        third = amend(address, "d")
-        other2 = amend(address, "e", key="7")
-        assert held.came() == "e"  # those of key 9 wait, before the switch and after it
-        held.release("a", "c", "e")
-        assert {caller.read()[0] for caller in (first, other, other2)} == {200}
-        assert held.came() == "b"
-        held.release("b")
+        third = send_ordered_request(address, "d")
+        with_key_7 = send_ordered_request(address, "e", key="7")
+        assert holding.next_trace_id() == "e"  # requests with key 9 are queued, before and after the reload
+        holding.release("a", "c", "e")
+        assert {caller.read()[0] for caller in (first, with_key_8, with_key_7)} == {200}
+        assert holding.next_trace_id() == "b"
+        holding.release("b")
         assert second.read()[0] == 200
-        assert held.came() == "d"
-        held.release("d")
+        assert holding.next_trace_id() == "d"
+        holding.release("d")
         assert third.read()[0] == 200
 
 
-def test_one_whose_limit_comes_in_line_is_answered_and_leaves_nothing_open():
-    held = HoldingUpstream()
-    with program(held.upstream, conf=UNHURRIED) as (address, _, _):
-        first = amend(address, "a")
-        assert held.came() == "a"
-        second = amend(address, "b", expires="1000")
-        status, headers, _ = second.read()
+def test_a_queued_request_is_rejected_at_its_deadline_and_its_trace_id_can_be_used_again():
+    holding = HoldingUpstream()
+    with program(holding.upstream, conf=ORDERED_WITH_LONG_DEADLINES) as (address, _, _):
+        first = send_ordered_request(address, "a")
+        assert holding.next_trace_id() == "a"
+        queued = send_ordered_request(address, "b", timeout_ms="1000")
+        status, headers, _ = queued.read()
         assert status == 503
         assert float(headers["retry-after"]) > 0
-        again = amend(address, "b", key="8")  # its id is free once more
-        assert held.came() == "b"
-        held.release("a", "b")
-        assert first.read()[0] == again.read()[0] == 200
-
-
-def test_sigterm_leaves_nothing_in_line_unanswered():
-    held = HoldingUpstream()
-    with program(held.upstream, conf=ORDERED) as (address, process, _):
-        first = amend(address, "a")
-        assert held.came() == "a"
-        second = amend(address, "b")
+        with_same_trace_id = send_ordered_request(address, "b", key="8")
+        assert holding.next_trace_id() == "b"
+        holding.release("a", "b")
+        assert first.read()[0] == with_same_trace_id.read()[0] == 200
+
+
+def test_sigterm_answers_queued_requests_before_the_process_exits():
+    holding = HoldingUpstream()
+    with program(holding.upstream, conf=ORDERED) as (address, process, _):
+        first = send_ordered_request(address, "a")
+        assert holding.next_trace_id() == "a"
+        queued = send_ordered_request(address, "b")
         process.send_signal(signal.SIGTERM)
         assert first.read()[0] in (502, 503)
-        assert second.read()[0] == 503
+        assert queued.read()[0] == 503
         assert process.wait(PATIENCE) == 0
--- a/tests/proxy/test_request_log.py
+++ b/tests/proxy/test_request_log.py
@@ -1,4 +1,4 @@
-"""How requests end, in the counts and in the log: keys and events are an interface for operators."""
+"""Counters and log lines of how requests end; their keys and event names are an interface for operators."""
 
 import orjson
 import pytest
@@ -11,7 +11,7 @@
 
 
 class LogLines(list):
-    """Keeps the lines of a log as they would be written."""
+    """Records log lines as they would be encoded."""
 
     def __call__(self, event, **fields):
         self.append(orjson.loads(orjson.dumps({"event": event, **fields})))
@@ -20,7 +20,7 @@
 def request_with_attempts(*records):
     request = Request(incoming_request(trace_id=b"t1"), 3, 0, None)
     request.attempt_records.extend(records)
-    request.attempts.extend([None] * (len(records) + 1))  # one is still in flight
+    request.attempts.extend([None] * (len(records) + 1))  # one more attempt is in flight
     return request
 
 
@@ -43,7 +43,7 @@
     assert log.counts == {"rejected": 1}
 
 
-def test_a_request_of_a_route_is_logged_by_the_route_in_place_of_its_class():
+def test_a_request_with_a_route_is_logged_with_the_route_instead_of_its_class():
     log = RequestLog(lines := LogLines())
     request = request_with_attempts()
     request.route_name = "orders"
@@ -52,7 +52,7 @@
     assert "request_class" not in lines[0]
 
 
-def test_a_success_is_counted_and_logged_only_where_every_request_is():
+def test_a_success_is_always_counted_but_logged_only_with_the_access_log():
     log = RequestLog(lines := LogLines())
     log.request_ended(request_log.SUCCEEDED, request_with_attempts())
     assert not lines
@@ -70,7 +70,7 @@
         (request_log.FORWARDED_TO_FALLBACK, ["request.sent_to_fallback"]),
     ],
 )
-def test_every_request_has_one_access_line_though_several_pools_may_have_been_offered_it(ending, events):
+def test_a_request_has_one_access_log_line_even_if_it_was_offered_to_several_pools(ending, events):
     log = RequestLog(lines := LogLines())
     log.logs_access = True
     log.request_ended(ending, request_with_attempts())
