--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -55,7 +55,7 @@
         self.requests: HandleTable[Request] = HandleTable(settings.max_in_flight)
         self.trace_ids: set[bytes] = set()
         self.route_names: list[str] = []
-        self._install(settings)
+        self._install_policy(settings)
 
     @property
     def counts(self) -> dict[str, int]:
@@ -74,7 +74,7 @@
 
     # Settings
 
-    def _install(self, settings: ServerSettings) -> None:
+    def _install_policy(self, settings: ServerSettings) -> None:
         self.class_indices = settings.class_indices
         self.tenant_indices = settings.tenant_indices
         self.class_deadlines = settings.class_deadlines
@@ -94,7 +94,7 @@
         previous = self.balancer
         indices_before = self.class_indices
         self.policies = [policy for policy in self.policies if policy.open_requests]
-        self._install(settings)
+        self._install_policy(settings)
         endpoints = self.table.endpoints.values()
         self.policies[-1].endpoints_changed([(endpoint, endpoint.state) for endpoint in endpoints], full=True)
         # Otherwise a request could be sent while another with the same ordering key is still in flight under
@@ -105,7 +105,8 @@
     def ready(self) -> bool:
         """Return whether requests can be served.
 
-        This needs an endpoint list that has been requested, an endpoint that is ready, and no shutdown.
+        The endpoint list has to have been requested, with or without success, at least one endpoint has to be
+        ready, and clients must not be directed to other balancers.
         """
         is_list_requested = self.discovery is not None and self.discovery.attempted
         return is_list_requested and bool(self.balancer.selection.ready) and not self.closing()
@@ -148,7 +149,7 @@
             # An upstream would take it for a repeat of the open request that has the same id.
             incoming.client.send_error(409)
             return NO_HANDLE
-        request = self._create(incoming, class_index)
+        request = self._create_request(incoming, class_index)
         request.handle = self.requests.add(request)
         if request.handle == NO_HANDLE:
             self.log("request_table.exhausted", requests=len(self.requests))
@@ -162,7 +163,7 @@
         self.forget_if_finished(request)
         return NO_HANDLE
 
-    def _create(self, incoming: IncomingRequest, class_index: int) -> Request:
+    def _create_request(self, incoming: IncomingRequest, class_index: int) -> Request:
         timeout = min(incoming.client_timeout, self.class_deadlines[class_index])
         # On a busy machine the request has been waiting in the socket buffer for a while, and so will the
         # response: a response sent exactly at the client's timeout arrives too late.
--- a/dahliabend/routing_rules/comparison.py
+++ b/dahliabend/routing_rules/comparison.py
@@ -37,9 +37,9 @@
         old_value = old_values.get(key)
         new_value = new_values.get(key)
         if old_value != new_value:
-            kind = _change_kind(old_value, new_value)
-            effect = _effect(key, kind, new)
-            changes.append(Change(key=key, how=kind, old=old_value, new=new_value, effect=effect))
+            change_kind = _change_kind(old_value, new_value)
+            effect = _effect(key, change_kind, new)
+            changes.append(Change(key=key, how=change_kind, old=old_value, new=new_value, effect=effect))
     return changes
 
 
@@ -68,14 +68,15 @@
     return ChangeKind.REMOVED if new is None else ChangeKind.CHANGED
 
 
-def _effect(key: str, kind: ChangeKind, new: LoadedFile) -> str:
+def _effect(key: str, change_kind: ChangeKind, new: LoadedFile) -> str:
     table, _, rest = key.partition(".")
     name = rest.partition(".")[0]
     file = new.usable_file
     if needs_restart(key):
         return "wants a restart; a reload passes it over"
-    if table == "pools" and kind is ChangeKind.REMOVED and name not in file.pools:
+    is_removed = change_kind is ChangeKind.REMOVED
+    if table == "pools" and is_removed and name not in file.pools:
         return "the pool goes once what is open there has ended"
-    if table == "routes" and kind is ChangeKind.REMOVED and name not in [route.name for route in file.routes]:
+    if table == "routes" and is_removed and name not in [route.name for route in file.routes]:
         return "the route takes nothing new; what is open ends as it was taken"
     return "from the reload on, for what is taken then"
--- a/dahliabend/routing_rules/route_table.py
+++ b/dahliabend/routing_rules/route_table.py
@@ -50,9 +50,9 @@
     return [segment for segment in path.split("/") if segment]
 
 
-def specificity(kind: ConditionKind) -> tuple[int, int]:
+def specificity(condition_kind: ConditionKind) -> tuple[int, int]:
     """Return the sort key of a kind of conditions: the number of headers, then whether there is a method."""
-    return len(kind.header_names), int(kind.has_method)
+    return len(condition_kind.header_names), int(condition_kind.has_method)
 
 
 class RouteTable:
--- a/tests/proxy/test_removed_endpoints.py
+++ b/tests/proxy/test_removed_endpoints.py
@@ -22,10 +22,10 @@
         agent.tell(3, False, {**first_entry, "state": "draining"})
 
         def only_second_serves():
-            before = first.came.qsize()
+            first_count_before = first.came.qsize()
             statuses = [caller.ask(trace=f"b{next(trace_numbers)}")[0] for n in range(8)]
             assert statuses == [200] * 8
-            return first.came.qsize() == before
+            return first.came.qsize() == first_count_before
 
         until(only_second_serves)  # once the drain is applied, all requests go to the unlisted endpoint
         agent.tell(4, False, {**second_entry, "state": "draining"})
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -82,12 +82,15 @@
 
 def test_a_key_stays_in_its_pool_and_a_changed_weight_moves_only_its_share_of_keys():
     keys = [b"customer %d" % n for n in range(20_000)]
-    before, after = WeightedSplit(["main", "canary"], [90, 10]), WeightedSplit(["main", "canary"], [80, 20])
-    canary_fraction = sum(before.pool_for_key(key) == "canary" for key in keys) / len(keys)
-    moved_fraction = sum(before.pool_for_key(key) != after.pool_for_key(key) for key in keys) / len(keys)
+    old_split = WeightedSplit(["main", "canary"], [90, 10])
+    new_split = WeightedSplit(["main", "canary"], [80, 20])
+    old_pools = [old_split.pool_for_key(key) for key in keys]
+    new_pools = [new_split.pool_for_key(key) for key in keys]
+    canary_fraction = sum(pool == "canary" for pool in old_pools) / len(keys)
+    moved_fraction = sum(old != new for old, new in zip(old_pools, new_pools, strict=True)) / len(keys)
     assert abs(canary_fraction - 0.1) < 0.01
     assert abs(moved_fraction - 0.1) < 0.01
-    assert all(after.pool_for_key(key) == "canary" for key in keys if before.pool_for_key(key) == "canary")
+    assert all(new == "canary" for old, new in zip(old_pools, new_pools, strict=True) if old == "canary")
 
 
 def test_round_robin_keeps_the_share_of_each_pool_over_any_sequence_of_calls():
@@ -169,13 +172,13 @@
 
 def test_a_reload_keeps_round_robin_state_and_requests_in_flight_of_routes_with_the_same_name():
     file = usable_file(FILE.replace('split-by = "X-Customer"\n', ""))
-    before = CompiledRoute(file, file.routes[0], 0)
-    selected_pools = [before.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
-    before.limit.try_acquire(0)
-    (after,) = compile_routes(file, {"split": before})
-    selected_pools += [after.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
+    previous = CompiledRoute(file, file.routes[0], 0)
+    selected_pools = [previous.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
+    previous.limit.try_acquire(0)
+    (recompiled,) = compile_routes(file, {"split": previous})
+    selected_pools += [recompiled.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
     assert Counter(selected_pools) == {"main": 3, "next": 1}
-    assert after.limit.in_flight == 1
+    assert recompiled.limit.in_flight == 1
 
 
 def test_the_cost_of_a_lookup_does_not_grow_with_the_number_of_routes():
