--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -4,7 +4,7 @@
 
 from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
-from dahliabend.model import Effect, Outcome
+from dahliabend.model import Idempotency, Outcome
 from dahliabend.policy.records import RequestState
 from dahliabend.proxy.base_dispatcher import RequestMetrics
 from dahliabend.proxy.endpoint import Endpoint
@@ -24,7 +24,7 @@
     deduplication window. The window keeps running while a connection is being opened. Without such an attempt
     there is no deadline.
     """
-    if state.request_class.effect is not Effect.DEDUPLICATED:
+    if state.request_class.effect is not Idempotency.DEDUPLICATED:
         return NO_DEADLINE
     first = state.first_possibly_executed()
     if first is None or first is state.attempts[-1]:
@@ -135,7 +135,7 @@
         must not count against the endpoint.
         """
         timers = self.endpoint.resources.timers
-        deadline = upload.ended_at + self.request.client_timeout
+        deadline = upload.completed_at + self.request.client_timeout
         timeout = self.request.state.body_received(self.last_progress, deadline)
         self.started_at = self.last_progress
         self.expires_at = self.last_progress + timeout
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -6,7 +6,7 @@
 
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.dispatch import Client, IncomingRequest
-from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.headers import TIMEOUT_HEADER, TRACE_ID_HEADER
 from dahliabend.http.responses import retry_after_header
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
@@ -45,7 +45,7 @@
 
     file: OperatorFile
     table: RouteTable
-    choices: list[CompiledRoute]
+    compiled_routes: list[CompiledRoute]
     matched_headers: tuple[str, ...] = ()
     class_indices: dict[str, dict[int, int]] = field(default_factory=dict)
 
@@ -110,7 +110,7 @@
             class_indices: For each pool by name, the request class index in that pool by route number.
         """
         current = getattr(self, "routes", None)
-        previous = {route.name: route for route in current.choices} if current is not None else {}
+        previous = {route.name: route for route in current.compiled_routes} if current is not None else {}
         compiled = compile_routes(file, previous)
         headers = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
         matched_headers = tuple(sorted(headers - {""}))
@@ -124,17 +124,19 @@
         routes = self.routes
         matched = {name: headers.get(name.encode(), b"").decode("latin-1") for name in routes.matched_headers}
         number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), matched)
-        return None if number is None else (routes.choices[number].class_name, number)
+        return None if number is None else (routes.compiled_routes[number].class_name, number)
 
-    def identify(self, route_number: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(
+        self, route_number: int, headers: dict[bytes, bytes]
+    ) -> tuple[bytes, bytes]:
         """Return a request's trace id and its client's timeout in milliseconds, as digits.
 
         Where the client sends no such header, the trace id is generated at random and the timeout is the
         route's.
         """
-        trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
-        timeout_ms = self.routes.choices[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
-        return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
+        trace_id = headers.get(TRACE_ID_HEADER) or b"%032x" % self.random.getrandbits(128)
+        timeout_ms = self.routes.compiled_routes[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
+        return trace_id, headers.get(TIMEOUT_HEADER) or b"%d" % timeout_ms
 
     def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
         """Hand a request to the pools of its route, unless the route's limit rejects it.
@@ -143,14 +145,14 @@
             The request's handle, or `NO_HANDLE` if the request has already been answered.
         """
         now = clock()
-        route = self.routes.choices[route_number]
+        route = self.routes.compiled_routes[route_number]
         if not route.limit.try_acquire(now):
             self._reject_by_limit(incoming.client, route, now)
             return NO_HANDLE
         incoming.client.on_request_finished = route.limit.release
         split_key = incoming.fields.get(route.split_by, b"") if route.split_by else b""
         candidates = route.candidate_pools(split_key, self.ready_fraction)
-        if not incoming.fields.get(TRACE):
+        if not incoming.fields.get(TRACE_ID_HEADER):
             headers = incoming.headers + b"X-Trace-Id: %b\r\n" % incoming.trace_id
             incoming = incoming._replace(headers=headers)
         if route.mirror and incoming.upload is None and self.random.random() < route.mirror_share:
@@ -205,7 +207,7 @@
         """Return whether every route has a pool, fallbacks included, with an endpoint that is ready."""
         return not self.closing() and all(
             any(self.ready_fraction(name) > 0 for name in route.reachable_pools)
-            for route in self.routes.choices
+            for route in self.routes.compiled_routes
         )
 
     def exclude(self, name: str, excluded: bool) -> bool:
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -5,7 +5,7 @@
 
 from msgspec import convert, to_builtins
 
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.model import EndpointState, Outcome, Snapshot
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.endpoint import Endpoint
@@ -19,7 +19,7 @@
 class EndpointSource(Protocol):
     """Interface of the source of the endpoint list."""
 
-    attempted: bool  # whether the list has been requested, successfully or not
+    first_attempt_finished: bool  # whether the list has been requested, successfully or not
 
     def poll(self) -> None:
         """Request the list."""
@@ -62,9 +62,9 @@
             another balancer checks the endpoint and shares the result.
     """
 
-    def __init__(self, table: EndpointTable, epoch: int) -> None:
+    def __init__(self, table: EndpointTable, monotonic_offset: int) -> None:
         self.table = table
-        self.epoch = epoch
+        self.monotonic_offset = monotonic_offset
         self.excluded: set[str] = set()
         self.discovery: EndpointSource | None = None
         self.class_indices: dict[bytes, int] = {}
@@ -79,7 +79,7 @@
 
     # Endpoints
 
-    def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, rows: Iterable[EndpointListEntry], full: bool) -> None:
         """Apply rows of the endpoint list.
 
         Args:
@@ -94,11 +94,12 @@
             # With `only_draining_binds`, a ready endpoint that is missing from the list keeps receiving
             # requests.
             is_removal_applied = (
-                not self.balancer.settings.only_draining_binds or endpoint.state is not EndpointState.READY
+                not self.balancer.settings.can_use_removed_endpoints
+                or endpoint.state is not EndpointState.READY
             )
             if row.state is not EndpointState.REMOVED or is_removal_applied:
                 endpoint.state = row.state
-            endpoint.update(row, self.epoch)
+            endpoint.update(row, self.monotonic_offset)
             self.update_connection_reuse(endpoint)
             changed.append((endpoint, row.state))
         for policy in self.policies:  # draining also applies to open requests under replaced policies
@@ -166,7 +167,7 @@
         state["upstreams"] = {
             endpoints[index].name: endpoint_state for index, endpoint_state in state["upstreams"].items()
         }
-        state["epoch"] = self.epoch
+        state["epoch"] = self.monotonic_offset
         state["profiles"] = {name.decode("latin-1"): index for name, index in self.class_indices.items()}
         state["returned"] = {
             endpoint.name: endpoint.included_at for endpoint in endpoints.values() if endpoint.included_at
@@ -214,7 +215,7 @@
                 "cell": endpoint.cell,
                 "weight": endpoint.weight,
                 "state": "up" if endpoint.state is EndpointState.READY else "draining",
-                "started_ms": endpoint.started_ms(self.epoch),
+                "started_ms": endpoint.started_ms(self.monotonic_offset),
             }
             for endpoint in self.table.endpoints.values()
         ]
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -5,7 +5,7 @@
 from dahliabend.config.server_settings import ServerSettings
 from dahliabend.errors import StaleHandleError
 from dahliabend.http.dispatch import IncomingRequest
-from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.headers import TIMEOUT_HEADER, TRACE_ID_HEADER
 from dahliabend.http.responses import retry_after_header
 from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
@@ -108,7 +108,7 @@
         The endpoint list has to have been requested, with or without success, at least one endpoint has to be
         ready, and clients must not be directed to other balancers.
         """
-        is_list_requested = self.discovery is not None and self.discovery.attempted
+        is_list_requested = self.discovery is not None and self.discovery.first_attempt_finished
         return is_list_requested and bool(self.balancer.selection.ready) and not self.closing()
 
     # Requests from clients
@@ -123,13 +123,13 @@
         index = self.class_indices.get(name) if path[:1] == b"/" else None
         return None if index is None else (name, index)
 
-    def identify(self, class_index: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(self, class_index: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """Return the request's trace id and its client's timeout in milliseconds, as digits.
 
         A missing header is returned as empty bytes.
         """
         del class_index
-        return headers.get(TRACE, b""), headers.get(EXPIRES, b"")
+        return headers.get(TRACE_ID_HEADER, b""), headers.get(TIMEOUT_HEADER, b"")
 
     def dispatch(
         self, incoming: IncomingRequest, class_index: int, on_rejected: Callable[[int], None] | None = None
@@ -215,15 +215,15 @@
 
     # Methods of `model.Port`, called by policies
 
-    def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
+    def send(self, request_id: int, endpoint_index: int, timeout: int) -> None:
         """Start an attempt of a request at an endpoint, with a timeout (us).
 
         Raises:
             StaleHandleError: The request has ended. Policies send attempts of open requests only.
         """
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None:
-            raise StaleHandleError(ref)
+            raise StaleHandleError(request_id)
         attempt = Attempt(self, request, self.table.endpoints[endpoint_index], timeout)
         request.attempts.append(attempt)
         if self.shutdown_deadline and clock() >= self.shutdown_deadline:
@@ -231,15 +231,15 @@
         else:
             attempt.start()
 
-    def reject(self, ref: int, retry_after: int) -> None:
+    def reject(self, request_id: int, retry_after: int) -> None:
         """Answer a request with 503, and with a Retry-After header unless `retry_after` (us) is 0."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None:
             return
         if request.on_rejected is not None and not request.is_admitted and not request.attempts:
             request.mark_answered()
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
-            request.on_rejected(ref)
+            request.on_rejected(request_id)
             return
         headers = retry_after_header(retry_after)
         self.respond(request, request_log.REJECTED, 503, headers, b"rolled back\n")
@@ -247,15 +247,15 @@
             # The request was queued by its ordering key: no attempt ends later and removes it.
             self.forget_if_finished(request)
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Answer a request with 502."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is not None:
             self.respond(request, request_log.FAILED, 502, b"", b"abandoned\n")
 
-    def cancel(self, ref: int, attempt_index: int) -> None:
+    def cancel(self, request_id: int, attempt_index: int) -> None:
         """Cancel an attempt of a request."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is not None:
             request.attempts[attempt_index].give_up(Outcome.CANCELLED)
 
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -13,7 +13,7 @@
 from fake_transport import feed
 from helpers import S
 
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.policy_port import PolicyPort
@@ -75,7 +75,7 @@
 def test_a_removed_endpoint_loses_its_connections_and_its_index_is_not_reused():
     class RecordingPolicyPort(RecordingPort):
         balancer = SimpleNamespace(
-            settings=SimpleNamespace(only_draining_binds=False), selection=SimpleNamespace()
+            settings=SimpleNamespace(can_use_removed_endpoints=False), selection=SimpleNamespace()
         )
 
         def endpoints_changed(self, rows, full):
@@ -87,10 +87,10 @@
     policy = RecordingPolicyPort()
     table = endpoint_table()
     router = SimpleNamespace(
-        table=table, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer
+        table=table, monotonic_offset=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
     router.update_connection_reuse = lambda upstream: Router.update_connection_reuse(router, upstream)
-    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
+    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(router, [row], True)
     upstream = table.get_or_create("s-1")
     busy, idle = (UpstreamConnection(table.resources.descriptors, upstream) for _ in range(2))
@@ -128,16 +128,16 @@
         balancer=SimpleNamespace(
             update_endpoints=lambda now, rows, full: updates.append(rows[0]),
             selection=SimpleNamespace(endpoints=table.endpoints),
-            settings=SimpleNamespace(only_draining_binds=False),
+            settings=SimpleNamespace(can_use_removed_endpoints=False),
         ),
     )
     router = SimpleNamespace(
-        table=table, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer
+        table=table, monotonic_offset=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
     policy.owner = router
     policy.endpoints_changed = lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full)
     router.update_connection_reuse = lambda upstream: Router.update_connection_reuse(router, upstream)
-    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
+    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
     Router.endpoints_changed(router, [row], True)
     assert Router.exclude(router, "s-1", True)
     assert not Router.exclude(router, "s-2", True)
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -214,7 +214,7 @@
 
     run_under_load(saturated, 20, 8 * S, schedule_hang)
     assert saturated.invariants.counts["refused"] > 20
-    assert saturated.program.dispatcher.routes.choices[0].limit.in_flight == 0
+    assert saturated.program.dispatcher.routes.compiled_routes[0].limit.in_flight == 0
 
 
 def test_each_route_has_its_own_attempt_timeout_and_number_of_attempts():
