--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -99,7 +99,7 @@
     """What one balancer hands over; the stored keys are older than the names here.
 
     Attributes:
-        shape: Settings that the limit depends on: it fits only where they are the same.
+        limit_settings: Settings that the limit depends on: it fits only where they are the same.
         mean_latencies: By request class (us).
         fatal_idle_time: How long connections had been idle that swallowed a request (us).
         endpoints: By index.
@@ -178,7 +178,7 @@
 
 
 class Port(Protocol):
-    """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
+    """What the decisions act through. `request_id` is whatever the driver gave to `Balancer.admit`."""
 
     def send(self, request_id: int, endpoint: int, timeout: int) -> None:
         """Sends an attempt of a request to an endpoint; it is to be ended after the time-out."""
@@ -231,7 +231,7 @@
             now: The time.
             number: The place of the attempt among those of the request.
             outcome: How it ended.
-            took: How long it took.
+            duration: How long it took.
             complete: Whether the client has its answer.
             idle: How long its connection had been idle before, where the driver can tell.
         """
@@ -269,7 +269,7 @@
 
         Args:
             now: The time.
-            ref: By which the `Port` is told of the request.
+            request_id: By which the `Port` is told of the request.
             class_index: Its request class.
             tenant: Its tenant; one beyond the quotas has none.
             deadline: When an answer is worth nothing.
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -19,7 +19,7 @@
     discovery client.
 
     Attributes:
-        attempted: Always true: unlike a discovery service, a file need not be waited for.
+        first_attempt_finished: Always true: unlike a discovery service, a file need not be waited for.
     """
 
     def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: EventLog) -> None:
--- a/dahliabend/simulation/observed_run.py
+++ b/dahliabend/simulation/observed_run.py
@@ -129,7 +129,7 @@
             scheduler: of the run.
             classes: of requests, by name.
             drain_time: microseconds for which an endpoint may still be used after it drains.
-            key_rest: microseconds between an attempt that may go on and the next request of its key.
+            key_pause: microseconds between an attempt that may go on and the next request of its key.
         """
         self.scheduler = scheduler
         self.classes = classes
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -22,7 +22,7 @@
     sys.path.insert(0, str(folder))
 
 import orjson  # noqa: E402
-from corpus import make  # noqa: E402
+from corpus import generate_operator_files  # noqa: E402
 from helpers import free_addresses  # noqa: E402
 
 from dahliabend.routing_rules.loaded_file import load_file  # noqa: E402
--- a/tests/routing_rules/play.py
+++ b/tests/routing_rules/play.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1] / "config"))
 
-from corpus import make
+from corpus import generate_operator_files
 
 from dahliabend.simulation.operator_file_simulation import FAULT_KINDS, OperatorFileSimulation
 
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from corpus import make
+from corpus import generate_operator_files
 from helpers import free_addresses
 
 from dahliabend.routing_rules.weighted_split import WeightedSplit
