--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -38,7 +38,7 @@
     Attributes:
         file: The operator's file that defines the routes.
         table: Finds the route of a request.
-        choices: The compiled routes, in the order of the file.
+        compiled_routes: The compiled routes, in the order of the file.
         matched_headers: Lower-case names of the headers that any route matches or splits by.
         class_indices: For each pool by name, the request class index in that pool by route number.
     """
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -67,28 +67,28 @@
         self.connections: set[UpstreamConnection] = set()
         self.idle_connections: list[IdleConnection] = []
 
-    def update(self, row: EndpointListEntry, monotonic_offset: int) -> None:
-        """Apply a row of the endpoint list, except for the state.
+    def update(self, entry: EndpointListEntry, monotonic_offset: int) -> None:
+        """Apply an entry of the endpoint list, except for the state.
 
         Args:
-            row: The row.
-            epoch: Monotonic time minus Unix time (us).
+            entry: The entry.
+            monotonic_offset: Monotonic time minus Unix time (us).
         """
-        self.weight = row.weight
-        self.cell = row.cell
-        self.zone = row.zone
+        self.weight = entry.weight
+        self.cell = entry.cell
+        self.zone = entry.zone
         self.started_at = 0
-        if row.started_ms:
-            started_at = row.started_ms * MICROSECONDS_PER_MILLISECOND + monotonic_offset
+        if entry.started_ms:
+            started_at = entry.started_ms * MICROSECONDS_PER_MILLISECOND + monotonic_offset
             self.started_at = started_at or 1  # 0 means unknown
-        if row.state is not EndpointState.REMOVED:
-            self.set_address(row.address)
+        if entry.state is not EndpointState.REMOVED:
+            self.set_address(entry.address)
 
     def started_ms(self, monotonic_offset: int) -> int:
         """Return when the upstream process was started, in Unix time (ms); 0 if unknown.
 
         Args:
-            epoch: Monotonic time minus Unix time (us).
+            monotonic_offset: Monotonic time minus Unix time (us).
         """
         return (self.started_at - monotonic_offset) // MICROSECONDS_PER_MILLISECOND if self.started_at else 0
 
--- a/dahliabend/proxy/policy_port.py
+++ b/dahliabend/proxy/policy_port.py
@@ -89,8 +89,8 @@
             full: Whether there are no other endpoints.
         """
         excluded = self.owner.excluded
-        rows = [_endpoint_row(endpoint, state, excluded, self.zones) for endpoint, state in endpoints]
-        self.balancer.update_endpoints(clock(), rows, full)
+        updates = [_endpoint_update(endpoint, state, excluded, self.zones) for endpoint, state in endpoints]
+        self.balancer.update_endpoints(clock(), updates, full)
 
     # Health checks
 
@@ -124,7 +124,7 @@
         """Do nothing: the proxy has no channel to other balancers."""
 
 
-def _endpoint_row(
+def _endpoint_update(
     endpoint: Endpoint, state: EndpointState, excluded: set[str], zones: dict[str, int]
 ) -> EndpointUpdate:
     if endpoint.name in excluded and state is not EndpointState.REMOVED:
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -19,7 +19,7 @@
 class EndpointSource(Protocol):
     """Interface of the source of the endpoint list."""
 
-    first_attempt_finished: bool  # whether the list has been requested, successfully or not
+    first_attempt_finished: bool  # whether the first request for the list has ended, successfully or not
 
     def poll(self) -> None:
         """Request the list."""
@@ -52,7 +52,7 @@
 
     Attributes:
         table: The endpoints.
-        epoch: Monotonic time minus Unix time (us); converts the start times of endpoints.
+        monotonic_offset: Monotonic time minus Unix time (us); converts the start times of endpoints.
         excluded: Ids of endpoints that an operator has excluded.
         discovery: Source of the endpoint list; None until it is set.
         class_indices: Indices of the current request classes, by name as on the wire.
@@ -79,29 +79,29 @@
 
     # Endpoints
 
-    def endpoints_changed(self, rows: Iterable[EndpointListEntry], full: bool) -> None:
-        """Apply rows of the endpoint list.
+    def endpoints_changed(self, entries: Iterable[EndpointListEntry], full: bool) -> None:
+        """Apply entries of the endpoint list.
 
         Args:
-            rows: Endpoints of the list.
-            full: Whether the rows are the complete list, so that all other endpoints have been removed.
+            entries: Entries of the list.
+            full: Whether these are all entries of the list, so that all other endpoints have been removed.
         """
         changed: list[tuple[Endpoint, EndpointState]] = []
-        for row in rows:
-            if row.state is EndpointState.REMOVED and row.name not in self.table.indices:
+        for entry in entries:
+            if entry.state is EndpointState.REMOVED and entry.name not in self.table.indices:
                 continue
-            endpoint = self.table.get_or_create(row.name)
-            # With `only_draining_binds`, a ready endpoint that is missing from the list keeps receiving
-            # requests.
+            endpoint = self.table.get_or_create(entry.name)
+            # With `can_use_removed_endpoints`, a ready endpoint that has been removed from the list keeps
+            # receiving requests until it is draining.
             is_removal_applied = (
                 not self.balancer.settings.can_use_removed_endpoints
                 or endpoint.state is not EndpointState.READY
             )
-            if row.state is not EndpointState.REMOVED or is_removal_applied:
-                endpoint.state = row.state
-            endpoint.update(row, self.monotonic_offset)
+            if entry.state is not EndpointState.REMOVED or is_removal_applied:
+                endpoint.state = entry.state
+            endpoint.update(entry, self.monotonic_offset)
             self.update_connection_reuse(endpoint)
-            changed.append((endpoint, row.state))
+            changed.append((endpoint, entry.state))
         for policy in self.policies:  # draining also applies to open requests under replaced policies
             policy.endpoints_changed(changed, full)
         for index in tuple(self.table.endpoints):
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -105,11 +105,11 @@
     def ready(self) -> bool:
         """Return whether requests can be served.
 
-        The endpoint list has to have been requested, with or without success, at least one endpoint has to be
-        ready, and clients must not be directed to other balancers.
+        The first request for the endpoint list has to have ended, successfully or not, at least one endpoint
+        has to be ready, and clients must not be directed to other balancers.
         """
-        is_list_requested = self.discovery is not None and self.discovery.first_attempt_finished
-        return is_list_requested and bool(self.balancer.selection.ready) and not self.closing()
+        has_requested_list = self.discovery is not None and self.discovery.first_attempt_finished
+        return has_requested_list and bool(self.balancer.selection.ready) and not self.closing()
 
     # Requests from clients
 
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -78,10 +78,10 @@
             settings=SimpleNamespace(can_use_removed_endpoints=False), selection=SimpleNamespace()
         )
 
-        def endpoints_changed(self, rows, full):
-            self[:] = [(endpoint.index, endpoint.name) for endpoint, _ in rows]
+        def endpoints_changed(self, endpoints, full):
+            self[:] = [(endpoint.index, endpoint.name) for endpoint, _ in endpoints]
             self.balancer.selection.endpoints = {
-                endpoint.index for endpoint, state in rows if state is not EndpointState.REMOVED
+                endpoint.index for endpoint, state in endpoints if state is not EndpointState.REMOVED
             }
 
     policy = RecordingPolicyPort()
@@ -90,23 +90,23 @@
         table=table, monotonic_offset=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
     router.update_connection_reuse = lambda upstream: Router.update_connection_reuse(router, upstream)
-    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
-    Router.endpoints_changed(router, [row], True)
+    entry = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
+    Router.endpoints_changed(router, [entry], True)
     upstream = table.get_or_create("s-1")
     busy, idle = (UpstreamConnection(table.resources.descriptors, upstream) for _ in range(2))
     upstream.return_connection(idle)
-    Router.endpoints_changed(router, [row._replace(address=("", 0), state=EndpointState.REMOVED)], False)
+    Router.endpoints_changed(router, [entry._replace(address=("", 0), state=EndpointState.REMOVED)], False)
     upstream.return_connection(busy)  # its response is complete only after the removal
     assert idle.closed
     assert busy.closed
     assert not table.endpoints
     assert not table.indices
-    Router.endpoints_changed(router, [row._replace(name="s-2")], True)  # a new endpoint at the same address
+    Router.endpoints_changed(router, [entry._replace(name="s-2")], True)  # a new endpoint at the same address
     new = table.get_or_create("s-2")
     assert policy == [(new.index, "s-2")]
     assert new.index != upstream.index
     assert not new.idle_connections
-    Router.endpoints_changed(router, [row], True)
+    Router.endpoints_changed(router, [entry], True)
     assert list(table.indices) == ["s-1"]
     assert table.get_or_create("s-1") is not upstream
 
@@ -126,7 +126,7 @@
     policy = SimpleNamespace(
         zones={},
         balancer=SimpleNamespace(
-            update_endpoints=lambda now, rows, full: updates.append(rows[0]),
+            update_endpoints=lambda now, endpoint_updates, full: updates.append(endpoint_updates[0]),
             selection=SimpleNamespace(endpoints=table.endpoints),
             settings=SimpleNamespace(can_use_removed_endpoints=False),
         ),
@@ -135,10 +135,10 @@
         table=table, monotonic_offset=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
     policy.owner = router
-    policy.endpoints_changed = lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full)
+    policy.endpoints_changed = lambda endpoints, full: PolicyPort.endpoints_changed(policy, endpoints, full)
     router.update_connection_reuse = lambda upstream: Router.update_connection_reuse(router, upstream)
-    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
-    Router.endpoints_changed(router, [row], True)
+    entry = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
+    Router.endpoints_changed(router, [entry], True)
     assert Router.exclude(router, "s-1", True)
     assert not Router.exclude(router, "s-2", True)
     assert [update[1] for update in updates] == [EndpointState.READY, EndpointState.EXCLUDED]
@@ -146,9 +146,9 @@
     before_inclusion = clock()
     assert Router.exclude(router, "s-1", False)
     assert table.get_or_create("s-1").enabled
-    Router.endpoints_changed(router, [row], False)  # the list does not report a restart yet
+    Router.endpoints_changed(router, [entry], False)  # the list does not report a restart yet
     assert [update[1] for update in updates[2:]] == [EndpointState.READY] * 2
     assert updates[2][2] == updates[3][2] >= before_inclusion
-    row = row._replace(started_ms=(clock() + S) // 1000)
-    Router.endpoints_changed(router, [row], False)
-    assert updates[4][2] == row.started_ms * 1000
+    entry = entry._replace(started_ms=(clock() + S) // 1000)
+    Router.endpoints_changed(router, [entry], False)
+    assert updates[4][2] == entry.started_ms * 1000
--- a/tests/routing_rules/loopback.py
+++ b/tests/routing_rules/loopback.py
@@ -70,7 +70,7 @@
 
     async def prepare(self, folder: Path) -> None:
         """Write the file with all addresses replaced by ones on loopback; start upstreams and discovery."""
-        text = make(self.seed).files["file.toml"]
+        text = generate_operator_files(self.seed).files["file.toml"]
         addresses = sorted(set(re.findall(r"\d+\.\d+\.\d+\.\d+:\d+", text)))
         replacements = dict(zip(addresses, free_addresses(len(addresses)), strict=True))
         for address in sorted(addresses, key=len, reverse=True):
--- a/tests/routing_rules/play.py
+++ b/tests/routing_rules/play.py
@@ -29,7 +29,7 @@
 
     Returns the seed, the counts of requests, the violations and the number of steps of the scheduler.
     """
-    simulation = OperatorFileSimulation(make(seed).files, seed)
+    simulation = OperatorFileSimulation(generate_operator_files(seed).files, seed)
     rng = Random(seed)
 
     def start(simulation: OperatorFileSimulation) -> None:
@@ -60,7 +60,7 @@
     total_counts = Counter()
     total_steps = 0
     failed_files = 0
-    seeds = [seed for seed in range(options.files) if not make(seed).kind]
+    seeds = [seed for seed in range(options.files) if not generate_operator_files(seed).kind]
     with ProcessPoolExecutor(options.jobs) as pool:
         durations = [round(options.minutes * 60 * S)] * len(seeds)
         for seed, counts, violations, steps in pool.map(simulate, seeds, durations):
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -365,7 +365,7 @@
 def test_files_without_faults_are_served_through_upstream_faults_without_a_violation(seed):
     """Some files of the corpus for 30 s each; tests/routing_rules/play.py runs all of them for 5 minutes."""
     rng = Random(seed)
-    simulation = OperatorFileSimulation(make(seed).files, seed)
+    simulation = OperatorFileSimulation(generate_operator_files(seed).files, seed)
 
     def schedule_faults(simulation):
         for second in range(0, 30, 5):
