--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -28,7 +28,7 @@
         """Stop requesting the list."""
 
 
-class EndpointEntry(TypedDict):
+class DiscoveryEntry(TypedDict):
     """An endpoint in the format of the discovery service; `started_ms` is in Unix time."""
 
     id: str
@@ -205,7 +205,7 @@
         """Return the number of attempts in flight under all policies."""
         return sum(policy.balancer.concurrency.in_flight for policy in self.policies)
 
-    def endpoint_entries(self) -> list[EndpointEntry]:
+    def endpoint_entries(self) -> list[DiscoveryEntry]:
         """Return the current endpoint list in the format of the discovery service."""
         return [
             {
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -92,7 +92,7 @@
             The number of endpoints whose state the new policy has taken over from the previous one.
         """
         previous = self.balancer
-        indices_before = self.class_indices
+        previous_indices = self.class_indices
         self.policies = [policy for policy in self.policies if policy.open_requests]
         self._install_policy(settings)
         endpoints = self.table.endpoints.values()
@@ -100,7 +100,7 @@
         # Otherwise a request could be sent while another with the same ordering key is still in flight under
         # the previous policy.
         self.balancer.key_queues.take_over(previous.key_queues)
-        return self.balancer.restore(previous.snapshot(ends=True), self.class_index_pairs(indices_before))
+        return self.balancer.restore(previous.snapshot(ends=True), self.class_index_pairs(previous_indices))
 
     def ready(self) -> bool:
         """Return whether requests can be served.
--- a/dahliabend/routing_rules/limits.py
+++ b/dahliabend/routing_rules/limits.py
@@ -35,8 +35,8 @@
         tokens: Tokens in the bucket.
         filled_at: When the bucket was last filled.
         in_flight: Number of requests that have been admitted and not released.
-        requested: Requests since demand was last taken.
-        rejected: Of these, the ones without a place.
+        requested: Number of requests since the previous call of `take_demand`.
+        rejected: Number of these that the limit has rejected.
     """
 
     __slots__ = (
--- a/dahliabend/routing_rules/weighted_split.py
+++ b/dahliabend/routing_rules/weighted_split.py
@@ -1,4 +1,4 @@
-"""Weighted choice among pools: by a stable hash of a key, or by round robin."""
+"""Weighted choice among pools: by a stable hash if a route splits by a header, otherwise by round robin."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
