--- a/dahliabend/membership/anti_entropy.py
+++ b/dahliabend/membership/anti_entropy.py
@@ -51,7 +51,7 @@
         for seed in self._sample(self.seeds, 2 * self._config.indirect_probes):
             self._request(seed)
 
-    def knows_enough(self, member_count: int) -> bool:
+    def has_sufficient_table(self, member_count: int) -> bool:
         """Tell whether this table is as good as complete beside one of so many members."""
         return self._table.cluster_size >= SUFFICIENT_TABLE_RATIO * member_count
 
@@ -111,17 +111,17 @@
             asked: Names of the members that its datagram was about; they go first.
         """
         reply = self._sync_message(reply_requested=False)
-        knows_enough = request.member_count >= SUFFICIENT_TABLE_RATIO * self._table.cluster_size
-        if asked and knows_enough:
-            self._disseminator.send(address, reply, self._own_and(asked))
+        has_sufficient_table = request.member_count >= SUFFICIENT_TABLE_RATIO * self._table.cluster_size
+        if asked and has_sufficient_table:
+            self._disseminator.send(address, reply, self._encode_self_and(asked))
             return
         updates = self._encode_table(asked)
-        for _ in range(1 if knows_enough else MAX_SYNC_DATAGRAMS):
+        for _ in range(1 if has_sufficient_table else MAX_SYNC_DATAGRAMS):
             if updates:
                 carried = self._disseminator.send(address, reply, updates)
                 del updates[: max(1, carried)]
 
-    def announce_to_some(self) -> None:
+    def announce_to_sample(self) -> None:
         """Send this member's own update to some members at once."""
         for name in self._sample(self._table.present, 2 * self._config.indirect_probes):
             self.announce(self._table.members[name].address)
@@ -162,9 +162,9 @@
         names += self._sample(list(self._table.departed), MAX_SYNC_DEPARTED)
         self._random.shuffle(names)
         others = [member.encoded_update for member in self._table.members_named(names)]
-        return [*self._own_and(first), *others]
+        return [*self._encode_self_and(first), *others]
 
-    def _own_and(self, names: Sequence[str]) -> list[bytes]:
+    def _encode_self_and(self, names: Sequence[str]) -> list[bytes]:
         """Return this member's update, and those about the members of these names that are known."""
         members = self._table.members
         own = encode_update(self._local.update)
--- a/dahliabend/membership/parts.py
+++ b/dahliabend/membership/components.py
@@ -21,7 +21,7 @@
 from dahliabend.membership.view_builder import ViewBuilder
 
 
-class Parts:
+class ProtocolComponents:
     """The parts of one member.
 
     Attributes:
@@ -80,9 +80,9 @@
         )  # fmt: skip
         self.views = ViewBuilder(config, local, self.table, self.health, self.schedule, self.receiver)
 
-    def duplicate(self) -> "Parts":
+    def duplicate(self) -> "ProtocolComponents":
         """Return parts in the same state that go on independently; both share the source of chance."""
-        duplicate = Parts(self._config, self._random, replace(self.local), first_probe_number=0)
+        duplicate = ProtocolComponents(self._config, self._random, replace(self.local), first_probe_number=0)
         duplicate.events.pending = self.events.pending.copy()
         duplicate.health.score = self.health.score
         duplicate.schedule.copy_state(self.schedule)
--- a/dahliabend/membership/failure_detector.py
+++ b/dahliabend/membership/failure_detector.py
@@ -15,7 +15,7 @@
 from dahliabend.membership.schedule import Schedule
 from dahliabend.membership.swim_config import SwimConfig
 
-RELAYED_PER_MEMBER = 4  # bound of pings under way for others, times the members known
+MAX_RELAYED_PINGS_PER_MEMBER = 4  # bound of pings under way for others, times the members known
 
 
 @dataclass(slots=True)
@@ -145,7 +145,7 @@
             request: The request.
             requester: Address of the member that sent it.
         """
-        if len(self._relayed) >= RELAYED_PER_MEMBER * len(self._table):
+        if len(self._relayed) >= MAX_RELAYED_PINGS_PER_MEMBER * len(self._table):
             return
         number = self._next_probe_number()
         deadline = now + self._health.timeout(self._config.ping_timeout_ratio)
--- a/dahliabend/membership/local_member.py
+++ b/dahliabend/membership/local_member.py
@@ -39,6 +39,6 @@
         """Incarnation of this member."""
         return self.update.incarnation
 
-    def change(self, **fields: object) -> None:
+    def update_fields(self, **fields: object) -> None:
         """Replace fields of the update; those of `Update`."""
         self.update = replace(self.update, **fields)
--- a/dahliabend/membership/member_table.py
+++ b/dahliabend/membership/member_table.py
@@ -60,7 +60,7 @@
         return self.update, self.suspected_at, self.expired_once, confirmations, self.indirect_only_score
 
 
-class Transition(Enum):
+class PresenceChange(Enum):
     """What an update has changed of a member's presence."""
 
     ARRIVED = auto()  # present, and was not
@@ -133,7 +133,7 @@
         """Return the members of these names; all of them have to be known."""
         return [self.members[name] for name in names]
 
-    def put(self, now: int, update: Update) -> Transition:
+    def put(self, now: int, update: Update) -> PresenceChange:
         """Replace what is known of a member.
 
         Args:
@@ -147,7 +147,7 @@
         known = self.members.get(name)
         previous = known.update if known is not None else None
         self.count_unreachable_reports(previous, update)
-        self.members[name] = _successor(now, known, update)
+        self.members[name] = _updated_member(now, known, update)
         if update.status is MemberStatus.SUSPECT:
             self.suspects[name] = None
         else:
@@ -155,10 +155,10 @@
         if previous is None or _visible_fields(previous) != _visible_fields(update):
             self.version += 1
         if update.status in PRESENT_STATUSES:
-            return self._list(name)
-        transition = self._delist(name)
+            return self._add_to_present(name)
+        transition = self._remove_from_present(name)
         died = update.status is MemberStatus.DEAD and known is not None and known.is_present
-        if died and transition is Transition.DEPARTED:
+        if died and transition is PresenceChange.DEPARTED:
             self.partitions.record_loss(now, name, self.cluster_size)
         return transition
 
@@ -203,18 +203,18 @@
             if not reports[name]:
                 del reports[name]
 
-    def _list(self, name: str) -> Transition:
+    def _add_to_present(self, name: str) -> PresenceChange:
         self.departed.pop(name, None)
         if name in self._positions:
-            return Transition.UNCHANGED
+            return PresenceChange.UNCHANGED
         self.partitions.forget(name)
         self._positions[name] = len(self.present)
         self.present.append(name)
-        return Transition.ARRIVED
+        return PresenceChange.ARRIVED
 
-    def _delist(self, name: str) -> Transition:
+    def _remove_from_present(self, name: str) -> PresenceChange:
         if name in self.departed:
-            return Transition.UNCHANGED
+            return PresenceChange.UNCHANGED
         self.departed[name] = None
         position = self._positions.pop(name, None)
         if position is not None:
@@ -222,10 +222,10 @@
             if last != name:
                 self.present[position] = last
                 self._positions[last] = position
-        return Transition.DEPARTED
+        return PresenceChange.DEPARTED
 
 
-def _successor(now: int, known: Member | None, update: Update) -> Member:
+def _updated_member(now: int, known: Member | None, update: Update) -> Member:
     """Return the member as this update leaves it."""
     member = Member(update, encode_update(update), now)
     if known is not None and known.update.generation == update.generation:
--- a/dahliabend/membership/partition_detector.py
+++ b/dahliabend/membership/partition_detector.py
@@ -25,7 +25,7 @@
         since = now - 2 * self._config.max_suspicion_time
         self._recent_losses = {other: at for other, at in self._recent_losses.items() if at > since}
         self._recent_losses[name] = now
-        if self._are_many(len(self._recent_losses), cluster_size):
+        if self._exceeds_partition_ratio(len(self._recent_losses), cluster_size):
             self._partitioned.update(self._recent_losses)
 
     def forget(self, name: str) -> None:
@@ -39,12 +39,12 @@
 
     def is_partitioned(self, cluster_size: int) -> bool:
         """Tell whether this member may be cut off from a large part of the cluster."""
-        return self._are_many(len(self._partitioned), cluster_size)
+        return self._exceeds_partition_ratio(len(self._partitioned), cluster_size)
 
     def copy_state(self, other: "PartitionDetector") -> None:
         """Take over a copy of another one's state."""
         self._recent_losses = other._recent_losses.copy()
         self._partitioned = other._partitioned.copy()
 
-    def _are_many(self, lost: int, cluster_size: int) -> bool:
+    def _exceeds_partition_ratio(self, lost: int, cluster_size: int) -> bool:
         return lost > self._config.partition_ratio * (cluster_size + lost)
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -13,13 +13,13 @@
 from msgspec.structs import replace
 
 from dahliabend.membership.codec import DropReason
+from dahliabend.membership.components import ProtocolComponents
 from dahliabend.membership.dissemination import Datagram
 from dahliabend.membership.events import Event, EventKind
 from dahliabend.membership.local_member import LocalMember
 from dahliabend.membership.member_table import Member
 from dahliabend.membership.message_handler import MessageHandler
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Message, Update, UserMessage
-from dahliabend.membership.parts import Parts
 from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.membership.view import Exclusion, MembershipView
@@ -60,39 +60,43 @@
         self.config = config
         self._random = random
         local = LocalMember.create(name, generation, address, zone, weight)
-        self._adopt(Parts(config, random, local, first_probe_number=random.getrandbits(PROBE_NUMBER_BITS)))
+        self._set_components(
+            ProtocolComponents(
+                config, random, local, first_probe_number=random.getrandbits(PROBE_NUMBER_BITS)
+            )
+        )
 
-    def _adopt(self, parts: Parts) -> None:
-        self._parts = parts
-        self._schedule = parts.schedule
-        self._messages = MessageHandler(parts)
+    def _set_components(self, components: ProtocolComponents) -> None:
+        self._components = components
+        self._schedule = components.schedule
+        self._messages = MessageHandler(components)
 
     # What the owner sees.
 
     @property
     def generation(self) -> int:
         """Generation of this member."""
-        return self._parts.local.generation
+        return self._components.local.generation
 
     @property
     def self_update(self) -> Update:
         """The newest update about this member."""
-        return self._parts.local.update
+        return self._components.local.update
 
     @property
     def exclusion(self) -> Exclusion:
         """Why others may not count this member, as far as they have said so; empty if they do."""
-        return self._parts.local.exclusion
+        return self._components.local.exclusion
 
     @property
     def sequence_number(self) -> int:
         """Number of the last datagram of this generation."""
-        return self._parts.disseminator.sequence_number
+        return self._components.disseminator.sequence_number
 
     @property
     def health_score(self) -> int:
         """Local health score; 0 is healthy."""
-        return self._parts.health.score
+        return self._components.health.score
 
     @property
     def timer_due(self) -> int:
@@ -107,37 +111,37 @@
     @property
     def seeds(self) -> list[str]:
         """Addresses of members that may be there."""
-        return self._parts.anti_entropy.seeds
+        return self._components.anti_entropy.seeds
 
     @property
     def members(self) -> dict[str, Member]:
         """The other members by name, departed ones included."""
-        return self._parts.table.members
+        return self._components.table.members
 
     @property
     def suspects(self) -> dict[str, None]:
         """Names of the members that are suspected, the oldest first."""
-        return self._parts.table.suspects
+        return self._components.table.suspects
 
     @property
     def departed(self) -> dict[str, None]:
         """Names of the members that are dead or have left, the oldest first."""
-        return self._parts.table.departed
+        return self._components.table.departed
 
     @property
     def dropped_datagrams(self) -> Counter[str]:
         """Datagrams dropped, by reason."""
-        return self._parts.receiver.dropped
+        return self._components.receiver.dropped
 
     @property
     def outgoing(self) -> list[Datagram]:
         """Datagrams that have not been taken."""
-        return self._parts.disseminator.outgoing
+        return self._components.disseminator.outgoing
 
     @property
     def events(self) -> list[Event]:
         """Events that have not been taken."""
-        return self._parts.events.pending
+        return self._components.events.pending
 
     @property
     def user_messages(self) -> list[bytes]:
@@ -146,11 +150,11 @@
 
     def take_outgoing(self) -> list[Datagram]:
         """Return the datagrams to send since the last call."""
-        return self._parts.disseminator.take_outgoing()
+        return self._components.disseminator.take_outgoing()
 
     def take_events(self) -> list[Event]:
         """Return the events since the last call."""
-        return self._parts.events.take()
+        return self._components.events.take()
 
     def take_user_messages(self) -> list[bytes]:
         """Return the payloads of user messages since the last call."""
@@ -158,11 +162,11 @@
 
     def view(self, now: int) -> MembershipView:
         """Return the view at this time."""
-        return self._parts.views.latest(now)
+        return self._components.views.latest(now)
 
     def last_stable_view(self, now: int) -> MembershipView | None:
         """Return the last stable view; one is looked for now and in each protocol period."""
-        return self._parts.views.last_stable(now)
+        return self._components.views.last_stable(now)
 
     # What the owner asks for.
 
@@ -173,47 +177,47 @@
             now: The time.
             seeds: Addresses of members that may be there; this member's own does no harm.
         """
-        self._parts.receiver.last_received_at = now
+        self._components.receiver.last_received_at = now
         self._schedule.restart(now + self._random.randrange(self.config.period))
-        self._parts.anti_entropy.set_seeds(seeds)
+        self._components.anti_entropy.set_seeds(seeds)
         if self.seeds:
             self._schedule.unsettled_until = now + self.config.max_suspicion_time
-        self._parts.disseminator.enqueue(self._parts.local.update)
-        self._parts.anti_entropy.contact_seeds()
+        self._components.disseminator.enqueue(self._components.local.update)
+        self._components.anti_entropy.contact_seeds()
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
         """Replace the seeds while running."""
-        self._parts.anti_entropy.set_seeds(seeds)
+        self._components.anti_entropy.set_seeds(seeds)
 
     def leave(self, _now: int) -> None:
         """Tell the others that this member leaves; the process may end one protocol period later."""
-        self._parts.local.is_leaving = True
-        self._parts.announcer.announce(status=MemberStatus.LEFT)
-        self._parts.anti_entropy.announce_to_some()
+        self._components.local.is_leaving = True
+        self._components.announcer.announce(status=MemberStatus.LEFT)
+        self._components.anti_entropy.announce_to_sample()
 
     def update_self(self, _now: int, **fields: object) -> None:
         """Disseminate other values of these fields of this member's `Update`: `zone`, `weight`."""
-        self._parts.announcer.announce(**fields)
+        self._components.announcer.announce(**fields)
 
     def send_user_message(self, name: str, data: bytes) -> None:
         """Send a payload of another component to a member; dropped if it is not present."""
         member = self.members.get(name)
         if member is not None and member.is_present:
-            self._parts.disseminator.send(member.address, UserMessage(data), [])
+            self._components.disseminator.send(member.address, UserMessage(data), [])
 
     def send(self, address: str, message: Message, updates: Sequence[bytes]) -> None:
         """Send a message with these encoded updates."""
-        self._parts.disseminator.send(address, message, updates)
+        self._components.disseminator.send(address, message, updates)
 
     def record_dropped(self, reason: DropReason) -> None:
         """Count a datagram that the owner has dropped."""
-        self._parts.receiver.dropped[reason] += 1
+        self._components.receiver.dropped[reason] += 1
 
     def snapshot(self) -> MembershipSnapshot:
         """Return what a successor process in the same place needs, so that nobody sees a change."""
         return MembershipSnapshot(
             generation=self.generation,
-            incarnation=self._parts.local.incarnation,
+            incarnation=self._components.local.incarnation,
             sequence_number=self.sequence_number,
             members=[member.update for member in self.members.values()],
         )
@@ -227,12 +231,12 @@
             now: The time.
             state: What the predecessor left.
         """
-        self._parts.local.change(generation=state.generation, incarnation=state.incarnation + 1)
-        self._parts.disseminator.sequence_number = state.sequence_number
+        self._components.local.update_fields(generation=state.generation, incarnation=state.incarnation + 1)
+        self._components.disseminator.sequence_number = state.sequence_number
         for update in state.members:
             if update.name != self.name and update.status in PRESENT_STATUSES:
                 self.store_update(now, replace(update, status=MemberStatus.ALIVE), None)
-        self._parts.disseminator.clear_unsent()
+        self._components.disseminator.clear_unsent()
 
     # Datagrams.
 
@@ -246,10 +250,10 @@
         """
         if now - self.timer_due > self.config.period:
             self.recover_from_pause(now)  # what has waited in the socket may be read before the timer fires
-        packet = self._parts.receiver.receive(now, data, source)
+        packet = self._components.receiver.receive(now, data, source)
         if packet is None:
             return
-        for update in self._parts.receiver.credible_updates(packet):
+        for update in self._components.receiver.credible_updates(packet):
             self.apply_update(now, update)
         self._messages.handle(now, packet, source)
 
@@ -258,20 +262,20 @@
     def apply_update(self, now: int, update: Update) -> None:
         """Apply an update about any member, this one included, if it says something new."""
         if update.name == self.name:
-            self._parts.refuter.receive(now, update)
+            self._components.refuter.receive(now, update)
         else:
-            self._parts.rules.apply(now, update)
+            self._components.rules.apply(now, update)
 
     def store_update(self, now: int, update: Update, event: EventKind | None) -> None:
         """Store an update about another member whatever was known before; report the event, if any."""
-        self._parts.rules.store(now, update, event or None)
+        self._components.rules.store(now, update, event or None)
 
     def suspect_member(self, now: int, name: str) -> None:
         """Suspect a member that did not answer, unless this member has itself lost touch."""
         member = self.members.get(name)
         if member is None or not member.is_present:
             return
-        if self._schedule.is_settled(now) and not self._parts.table.is_unreachable(self.name):
+        if self._schedule.is_settled(now) and not self._components.table.is_unreachable(self.name):
             update = replace(member.update, status=MemberStatus.SUSPECT, reported_by=self.name)
             self.apply_update(now, update)
 
@@ -284,22 +288,22 @@
 
     def timer_fired(self, now: int) -> None:
         """Do what is due at this time."""
-        self._check_punctuality(now)
-        self._parts.detector.expire_relayed(now)
-        failed = self._parts.detector.check_probe(now)
+        self._check_timer_lateness(now)
+        self._components.detector.expire_relayed(now)
+        failed = self._components.detector.check_probe(now)
         if failed is not None:
             # Had the members that were asked been there, their nacks would have come: this member hears
             # badly.
-            self._parts.health.worsen(max(1, failed.pending_nacks))
+            self._components.health.worsen(max(1, failed.pending_nacks))
             self.suspect_member(now, failed.name)
-        for member in self._parts.suspicions.expire(now):
+        for member in self._components.suspicions.expire(now):
             self.declare_dead(now, member)
         if now >= self._schedule.period_due:
             self._begin_period(now)
         deadlines = [
             self._schedule.period_due,
-            *self._parts.suspicions.deadlines(),
-            *self._parts.detector.deadlines(),
+            *self._components.suspicions.deadlines(),
+            *self._components.detector.deadlines(),
         ]
         self._schedule.timer_due = max(now + 1, min(deadlines))
 
@@ -313,38 +317,40 @@
         Args:
             now: The time.
         """
-        self._parts.detector.abort()
-        self._parts.health.set_worst()
-        self._parts.suspicions.restart(now)
-        self._parts.table.partitions.forget_recent()
-        self._parts.events.record(now, EventKind.PAUSED, self.name, self.name)
-        if self._parts.table.present or self.seeds:
+        self._components.detector.abort()
+        self._components.health.set_worst()
+        self._components.suspicions.restart(now)
+        self._components.table.partitions.forget_recent()
+        self._components.events.record(now, EventKind.PAUSED, self.name, self.name)
+        if self._components.table.present or self.seeds:
             self._schedule.unsettled_until = now + self.config.max_suspicion_time
         self._schedule.restart(now)
-        self._parts.anti_entropy.sync_periodically()
+        self._components.anti_entropy.sync_periodically()
 
-    def _check_punctuality(self, now: int) -> None:
+    def _check_timer_lateness(self, now: int) -> None:
         """Take a late timer for a sign that this process is slow, or was stopped."""
         late = now - self.timer_due
         tolerance = self.config.late_timer_ratio * self.config.period
         if late > self.config.period:
             self.recover_from_pause(now)
         elif late > tolerance:
-            self._parts.health.worsen()
+            self._components.health.worsen()
             self._schedule.unsettled_until = max(self.unsettled_until, now + round(tolerance))
 
     def _begin_period(self, now: int) -> None:
         self._schedule.begin_period(now)
-        self._parts.table.remove_expired(now)
+        self._components.table.remove_expired(now)
         if (
-            self._parts.detector.probe is None
-            and not self._parts.local.is_leaving
-            and not self._parts.detector.begin_probe(now)
+            self._components.detector.probe is None
+            and not self._components.local.is_leaving
+            and not self._components.detector.begin_probe(now)
         ):
-            self._parts.anti_entropy.sync_without_members()
-        self._parts.anti_entropy.sync(self._schedule.period_count, is_settled=self._schedule.is_settled(now))
-        self._parts.anti_entropy.query_suspects()
-        self._parts.views.last_stable(now)
+            self._components.anti_entropy.sync_without_members()
+        self._components.anti_entropy.sync(
+            self._schedule.period_count, is_settled=self._schedule.is_settled(now)
+        )
+        self._components.anti_entropy.query_suspects()
+        self._components.views.last_stable(now)
 
     # Simulations and the model checker.
 
@@ -356,11 +362,11 @@
             updates: The newest update of each member; that of this member is passed over.
             encoded: The same, encoded, by name; may be shared.
         """
-        self._parts.table.replace_all(
+        self._components.table.replace_all(
             now, [update for update in updates if update.name != self.name], encoded
         )
-        self._parts.disseminator.clear_unsent()
-        self._parts.detector.probe_round.clear()
+        self._components.disseminator.clear_unsent()
+        self._components.detector.probe_round.clear()
         self._schedule.unsettled_until = 0
 
     def start_with_members(self, now: int, updates: Iterable[Update], first_period_at: int) -> None:
@@ -375,17 +381,17 @@
         for update in updates:
             if update.name != self.name:
                 self.store_update(now, update, None)
-        self._parts.disseminator.clear_unsent()
-        self._parts.events.take()
+        self._components.disseminator.clear_unsent()
+        self._components.events.take()
         self._schedule.restart(first_period_at)
 
     def duplicate(self) -> "MembershipProtocol":
         """Return a member in the same state that goes on independently; both share the source of chance."""
         duplicate = copy(self)
-        duplicate._adopt(self._parts.duplicate())
+        duplicate._set_components(self._components.duplicate())
         duplicate._messages.user_messages = self.user_messages.copy()
         return duplicate
 
     def state_key(self) -> tuple[object, ...]:
         """Return all that later behaviour depends on: neither events nor counts of dropped datagrams."""
-        return self._parts.state_key()
+        return self._components.state_key()
--- a/dahliabend/membership/receiver.py
+++ b/dahliabend/membership/receiver.py
@@ -11,7 +11,7 @@
 from dahliabend.membership.messages import MemberStatus, Packet, Update
 from dahliabend.membership.replay_window import ReplayFilter
 
-ACCUSATIONS = (MemberStatus.SUSPECT, MemberStatus.DEAD)
+FAILURE_STATUSES = (MemberStatus.SUSPECT, MemberStatus.DEAD)
 
 
 class PacketReceiver:
@@ -67,7 +67,9 @@
         if sender is None or (sender.is_present and not self._table.is_unreachable(packet.sender)):
             return packet.updates
         own_name = self._local.name
-        return [each for each in packet.updates if each.name == own_name or each.status not in ACCUSATIONS]
+        return [
+            each for each in packet.updates if each.name == own_name or each.status not in FAILURE_STATUSES
+        ]
 
     def copy_state(self, other: "PacketReceiver") -> None:
         """Take over a copy of another one's state."""
@@ -78,12 +80,12 @@
     def _check_freshness(self, packet: Packet, source: str) -> None:
         origin = f"{packet.sender} {source}"  # a process elsewhere that uses the same name is another sender
         if self.replay_filter.is_stale_generation(origin, packet.generation):
-            self._correct(packet.sender, source)
+            self._send_known_generation(packet.sender, source)
             raise DatagramError(DropReason.STALE_GENERATION)
         if not self.replay_filter.accept(origin, packet.generation, packet.sequence_number):
             raise DatagramError(DropReason.REPLAYED)
 
-    def _correct(self, name: str, source: str) -> None:
+    def _send_known_generation(self, name: str, source: str) -> None:
         """Tell a sender of an earlier generation which one is known: its clock may have been set back."""
         member = self._table.members.get(name)
         if member is not None and source == member.address:
--- a/dahliabend/membership/self_updates.py
+++ b/dahliabend/membership/self_updates.py
@@ -30,7 +30,7 @@
     def announce(self, **fields: object) -> None:
         """Disseminate a new incarnation in which these fields of `Update` have other values."""
         before = self._local.update
-        self._local.change(incarnation=before.incarnation + 1, **fields)
+        self._local.update_fields(incarnation=before.incarnation + 1, **fields)
         self._table.count_unreachable_reports(before, self._local.update)
         self._table.version += 1
         self._disseminator.enqueue(self._local.update)
@@ -121,16 +121,16 @@
                 local.exclusion = Exclusion.CONFLICT
                 self._conflicts.report(now, update)
         elif update.generation > local.generation:
-            self._overtake(update.generation)
+            self._raise_generation(update.generation)
         elif self._needs_refutation(update):
             self._refute(now, update)
 
-    def _overtake(self, generation: int) -> None:
+    def _raise_generation(self, generation: int) -> None:
         """Take a generation above that of an earlier process in this place.
 
         The clock was set back since. Else all that this member says would be taken for the earlier one's.
         """
-        self._local.change(generation=generation + 1, incarnation=0)
+        self._local.update_fields(generation=generation + 1, incarnation=0)
         self._disseminator.enqueue(self._local.update)
 
     def _needs_refutation(self, update: Update) -> bool:
@@ -144,7 +144,7 @@
         if update.status is MemberStatus.DEAD and local.exclusion is not Exclusion.DEAD:
             local.exclusion = Exclusion.DEAD
             self._events.record(now, EventKind.EXCLUDED, local.name, update.reported_by)
-        local.change(incarnation=update.incarnation + 1)
+        local.update_fields(incarnation=update.incarnation + 1)
         self._health.worsen()
         self._disseminator.enqueue(local.update)
         reporter = self._table.members.get(update.reported_by)
--- a/dahliabend/membership/update_rules.py
+++ b/dahliabend/membership/update_rules.py
@@ -5,7 +5,7 @@
 from dahliabend.membership.conflicts import ConflictReporter
 from dahliabend.membership.dissemination import Disseminator
 from dahliabend.membership.events import EventKind, EventLog
-from dahliabend.membership.member_table import Member, MemberTable, Transition
+from dahliabend.membership.member_table import Member, MemberTable, PresenceChange
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Update
 from dahliabend.membership.probe_round import ProbeRound
 from dahliabend.membership.replay_window import ReplayFilter
@@ -13,8 +13,8 @@
 from dahliabend.membership.suspicion import SuspicionTimers
 
 # Senders whose datagrams are checked for replays; a member may be heard from several addresses.
-MIN_SENDERS = 64
-SENDERS_PER_MEMBER = 4
+MIN_REPLAY_SENDERS = 64
+REPLAY_SENDERS_PER_MEMBER = 4
 
 
 class UpdateRules:
@@ -59,11 +59,11 @@
             return
         known = member.update
         if update.generation != known.generation:
-            self._apply_of_other_process(now, member, update)
+            self._apply_from_other_generation(now, member, update)
         elif update.incarnation > known.incarnation:
-            self._apply_to_known(now, member, update, is_newer=True)
+            self._apply_to_known_member(now, member, update, is_newer=True)
         elif update.incarnation == known.incarnation and update.status is not MemberStatus.ALIVE:
-            self._apply_to_known(now, member, update, is_newer=False)
+            self._apply_to_known_member(now, member, update, is_newer=False)
 
     def store(self, now: int, update: Update, event: EventKind | None) -> None:
         """Store an update whatever was known before, and disseminate it.
@@ -75,24 +75,24 @@
         """
         name = update.name
         transition = self._table.put(now, update)
-        if transition is Transition.ARRIVED:
+        if transition is PresenceChange.ARRIVED:
             self._probe_round.insert(name)
-        elif transition is Transition.DEPARTED:
+        elif transition is PresenceChange.DEPARTED:
             self._announcer.announce_not_unreachable(name)
-        self._replay_filter.max_senders = MIN_SENDERS + SENDERS_PER_MEMBER * len(self._table)
+        self._replay_filter.max_senders = MIN_REPLAY_SENDERS + REPLAY_SENDERS_PER_MEMBER * len(self._table)
         if event is not None:
             self._events.record(now, event, name, update.reported_by, update.incarnation)
         self._disseminator.enqueue(update, self._table.members[name].encoded_update)
 
-    def _apply_of_other_process(self, now: int, member: Member, update: Update) -> None:
+    def _apply_from_other_generation(self, now: int, member: Member, update: Update) -> None:
         """Apply an update about another process of a known member's name."""
         if member.is_present and update.address != member.address:
             if update.status in PRESENT_STATUSES:
                 self._conflicts.report(now, update)
         elif update.generation > member.update.generation:
-            self._apply_to_known(now, member, update, is_newer=True)
+            self._apply_to_known_member(now, member, update, is_newer=True)
 
-    def _apply_to_known(self, now: int, member: Member, update: Update, *, is_newer: bool) -> None:
+    def _apply_to_known_member(self, now: int, member: Member, update: Update, *, is_newer: bool) -> None:
         """Apply an update about a known member; `is_newer`: of a later generation or incarnation."""
         if update.status is MemberStatus.DEAD and member.is_present:
             # Nobody is declared dead by hearsay: after a partition the word of the other side would kill
@@ -103,7 +103,7 @@
         elif update.status is MemberStatus.SUSPECT and not is_newer and member.is_present:
             self._confirm_suspicion(now, member, update, 1)
         elif is_newer or (update.status > member.update.status and update.status is not MemberStatus.SUSPECT):
-            self.store(now, update, _event_of(member, update))
+            self.store(now, update, _event_kind(member, update))
 
     def _confirm_suspicion(self, now: int, member: Member, update: Update, confirmations: int) -> None:
         """Apply that one more member suspects this one, and how many confirmations that is worth."""
@@ -116,7 +116,7 @@
         self._suspicions.shorten(now, member, update.reported_by, confirmations)
 
 
-def _event_of(member: Member, update: Update) -> EventKind | None:
+def _event_kind(member: Member, update: Update) -> EventKind | None:
     """Return the event that a new status of a known member is."""
     known = member.update
     if update.status is MemberStatus.SUSPECT:
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -12,7 +12,7 @@
 from dahliabend.membership.view import Exclusion, MembershipView, MemberState, MemberView, checksum
 
 
-class _Members(NamedTuple):
+class _MemberList(NamedTuple):
     version: int
     members: tuple[MemberView, ...]
     checksum: str
@@ -47,12 +47,12 @@
         self._health = health
         self._schedule = schedule
         self._receiver = receiver
-        self._members: _Members | None = None
+        self._members: _MemberList | None = None
         self._last_stable: MembershipView | None = None
 
     def latest(self, now: int) -> MembershipView:
         """Return the view at this time, in microseconds."""
-        version, members, digest = self._listed_members()
+        version, members, digest = self._cached_members()
         table = self._table
         silence = now - self._receiver.last_received_at
         is_alone = bool(table.present) and silence > self._config.max_suspicion_time
@@ -86,15 +86,15 @@
         is_unreachable = self._table.is_unreachable(self._local.name)
         return Exclusion.UNREACHABLE if is_unreachable else Exclusion.NONE
 
-    def _listed_members(self) -> _Members:
+    def _cached_members(self) -> _MemberList:
         listed = self._members
         if listed is None or listed.version != self._table.version:
-            members = self._list_members()
-            listed = _Members(self._table.version, members, checksum(members))
+            members = self._build_members()
+            listed = _MemberList(self._table.version, members, checksum(members))
             self._members = listed
         return listed
 
-    def _list_members(self) -> tuple[MemberView, ...]:
+    def _build_members(self) -> tuple[MemberView, ...]:
         present = [member.update for member in self._table.members_named(self._table.present)]
         return tuple(self._view_of(update) for update in sorted([self._local.update, *present], key=_name))
 
--- a/tests/membership/polling.py
+++ b/tests/membership/polling.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-async def until(check):
+async def wait_until(check):
     """Return the first true value of the check; the bound is far off."""
     for _ in range(3_000):
         if value := check():
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -7,7 +7,7 @@
 import msgspec
 import orjson
 import pytest
-from polling import until
+from polling import wait_until
 
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.operator_file.units import Duration
@@ -87,9 +87,9 @@
             table, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
         )
         await member.open()
-        await until(lambda: member.failure_detector.seeds == ["127.0.0.1:7"])
+        await wait_until(lambda: member.failure_detector.seeds == ["127.0.0.1:7"])
         registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "removed", "zone": "a"})
-        await until(lambda: member.failure_detector.seeds == [])
+        await wait_until(lambda: member.failure_detector.seeds == [])
         member.close()
         for server in agent.servers:
             server.close()
--- a/tests/membership/test_fuzz.py
+++ b/tests/membership/test_fuzz.py
@@ -92,16 +92,16 @@
         assert protocol.view(self.now).members
 
     def check_bounds(self):
-        protocol, parts = self.protocol, self.protocol._parts
+        protocol, components = self.protocol, self.protocol._components
         assert len(protocol.members) <= MAX_MEMBERS
-        assert parts.detector.relayed_count <= 4 * MAX_MEMBERS
-        assert len(parts.detector.probe_round.queue) <= 4 * MAX_MEMBERS
-        assert len(parts.receiver.replay_filter) <= 64 + 4 * MAX_MEMBERS + 1
-        assert len(parts.conflicts) <= MAX_MEMBERS + 2
+        assert components.detector.relayed_count <= 4 * MAX_MEMBERS
+        assert len(components.detector.probe_round.queue) <= 4 * MAX_MEMBERS
+        assert len(components.receiver.replay_filter) <= 64 + 4 * MAX_MEMBERS + 1
+        assert len(components.conflicts) <= MAX_MEMBERS + 2
         assert len(protocol.dropped_datagrams) <= 6
-        assert len(parts.disseminator.unsent) + len(parts.disseminator.sent) <= 2 * MAX_MEMBERS + 2
-        assert {*parts.table.present} == {*parts.table._positions}
-        assert not protocol.suspects.keys() - parts.table._positions.keys()
+        assert len(components.disseminator.unsent) + len(components.disseminator.sent) <= 2 * MAX_MEMBERS + 2
+        assert {*components.table.present} == {*components.table._positions}
+        assert not protocol.suspects.keys() - components.table._positions.keys()
 
 
 def fuzz(examples):
--- a/tests/membership/test_members_table.py
+++ b/tests/membership/test_members_table.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "says"),
+    ("more", "expected_fault"),
     [
         ('seeds = ["nowhere"]', "file.toml:6: members.seeds[0]: 'nowhere' is not an IPv4 address and port"),
         ('advertise = "1.2.3.4"', "file.toml:6: members.advertise: '1.2.3.4' is not"),
@@ -53,9 +53,9 @@
         ("zones = 3", "file.toml:6: members.zones: is no key here; is 'zone' meant?"),
     ],
 )
-def test_a_fault_of_the_table_names_file_line_key_and_reason(tmp_path, more, says):
+def test_a_fault_of_the_table_names_file_line_key_and_reason(tmp_path, more, expected_fault):
     (fault,) = load(tmp_path, more).faults
-    assert str(fault).removeprefix(f"{tmp_path}/").startswith(says)
+    assert str(fault).removeprefix(f"{tmp_path}/").startswith(expected_fault)
 
 
 def test_missing_and_short_keys_are_faults_of_the_file(tmp_path):
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -280,6 +280,6 @@
 def test_datagrams_keep_within_their_size_in_a_large_cluster():
     cluster = SimulatedCluster(120).run(5 * SECOND)
     for name in cluster.machines:
-        cluster.machines[name]._parts.anti_entropy.sync_periodically()
+        cluster.machines[name]._components.anti_entropy.sync_periodically()
         assert all(len(data) <= codec.MAX_DATAGRAM_BYTES for _, data in cluster.machines[name].outgoing)
         cluster.machines[name].outgoing.clear()
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from polling import until
+from polling import wait_until
 
 from dahliabend.membership import codec
 from dahliabend.membership.authentication import DatagramAuthenticator
@@ -40,12 +40,12 @@
         one_port, other_port = free_ports(2)
         one = await open_transport(one_port, [])
         other = await open_transport(other_port, [f"127.0.0.1:{one_port}"])
-        await until(lambda: len(names(one)) == len(names(other)) == 2)
+        await wait_until(lambda: len(names(one)) == len(names(other)) == 2)
         for keys in ([OLD_KEY, NEW_KEY], [NEW_KEY, OLD_KEY], [NEW_KEY]):
             for each in (one, other):
                 each.authenticator = DatagramAuthenticator(keys)
                 received = [each.received for each in (one, other)]
-                await until(
+                await wait_until(
                     lambda received=received: (
                         one.received > received[0] + 2 and other.received > received[1] + 2
                     )
