--- a/dahliabend/membership/anti_entropy.py
+++ b/dahliabend/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: members exchange their tables now and then, against updates that gossip has lost."""
+"""Anti-entropy: members exchange their tables periodically, to recover updates that gossip has lost."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
@@ -11,18 +11,19 @@
 from dahliabend.membership.sampling import sample_up_to
 from dahliabend.membership.swim_config import SwimConfig
 
-MAX_SYNC_DATAGRAMS = 4  # for one request
-MAX_SYNC_UPDATES = MAX_SYNC_DATAGRAMS * 48  # that may find room in them
-MAX_SYNC_DEPARTED = MAX_SYNC_UPDATES // 8
-SUFFICIENT_TABLE_RATIO = 9 / 10  # of the other's members: a joining member with as many knows enough
-DEAD_SYNCS_PER_INTERVAL = 6  # syncs with a dead member for one periodic sync
+MAX_SYNC_DATAGRAMS = 4  # reply to one request
+UPDATES_PER_SYNC_DATAGRAM = 48  # upper estimate of the updates that fit into one datagram
+MAX_SYNC_UPDATES = MAX_SYNC_DATAGRAMS * UPDATES_PER_SYNC_DATAGRAM
+MAX_SYNC_DEPARTED = MAX_SYNC_UPDATES // 8  # updates about departed members among them
+SUFFICIENT_TABLE_RATIO = 9 / 10  # a table with this part of the other member's count needs no further sync
+DEAD_SYNCS_PER_INTERVAL = 6  # syncs with a dead member per periodic sync
 
 
 class AntiEntropy:
-    """Requests the tables of other members, and sends this member's on request.
+    """Requests the tables of other members, and sends this member's table on request.
 
     Attributes:
-        seeds: Addresses of members that may be there, this member's own left out.
+        seeds: Configured addresses at which other members may listen, without this member's own address.
     """
 
     __slots__ = ("_config", "_disseminator", "_local", "_random", "_table", "seeds")
@@ -43,24 +44,25 @@
         self.seeds: list[str] = []
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """Replace the seeds; this member's own address among them does no harm."""
+        """Replace the seeds; this member's own address is filtered out."""
         self.seeds = [seed for seed in seeds if seed != self._local.update.address]
 
     def contact_seeds(self) -> None:
-        """Ask some seeds for their tables: this member joins."""
+        """Join the cluster: request the tables of some randomly chosen seeds."""
         for seed in self._sample(self.seeds, 2 * self._config.indirect_probes):
             self._request(seed)
 
     def has_sufficient_table(self, member_count: int) -> bool:
-        """Tell whether this table is as good as complete beside one of so many members."""
+        """Return whether this table has most of the members that a table of `member_count` members has."""
         return self._table.cluster_size >= SUFFICIENT_TABLE_RATIO * member_count
 
     def sync(self, period_count: int, *, is_settled: bool) -> None:
-        """Do what is due in a protocol period.
+        """Send the sync that is due in this protocol period, if any.
 
         Args:
-            period_count: Protocol periods until now.
-            is_settled: What this member knows is to be trusted; if not, it asks in every period.
+            period_count: Number of protocol periods that have begun.
+            is_settled: Whether the table is up to date after a start or a pause of this process. While it is
+                not, this member requests a table in every period.
         """
         if period_count % self._config.sync_interval == 0:
             self.sync_periodically()
@@ -72,28 +74,35 @@
     def sync_periodically(self) -> None:
         """Sync with a present member, a dead one, and a seed that is not present.
 
-        After a partition each side takes the other for dead. And where all members start at once and the
-        first datagrams are lost, separate clusters would stay.
+        The dead member: after a partition each side has declared the other dead, and only a sync between the
+        sides merges them again. The seed: if all members start at once and the first datagrams are lost, they
+        would otherwise remain separate clusters.
         """
         for name in self._sample(self._table.present, 1):
             self._request(self._table.members[name].address)
         self._sync_with_dead_member()
         if self.seeds:
             # Seeds that left and came back at the same time know only each other.
-            known = {member.address for member in self._table.members_named(self._table.present)}
-            for seed in self._sample([seed for seed in self.seeds if seed not in known], 1):
+            present_addresses = {member.address for member in self._table.members_named(self._table.present)}
+            for seed in self._sample([seed for seed in self.seeds if seed not in present_addresses], 1):
                 self._request(seed)
         if not self._table.present:
             self.sync_without_members()
 
     def sync_without_members(self) -> None:
-        """Sync with seeds and departed members: nobody is present, and they may take this one for dead."""
+        """Sync with seeds and departed members, for use while no other member is present.
+
+        They may have declared this member dead.
+        """
         addresses = self.seeds + [member.address for member in self._table.members.values()]
         for address in self._sample(addresses, self._config.indirect_probes):
             self._request(address)
 
     def query_suspects(self) -> None:
-        """Ask some members about those suspected: only this member may have missed a refutation."""
+        """Ask some members for their updates about suspected members.
+
+        This member alone may have missed a refutation.
+        """
         if not self._table.suspects:
             return
         suspected = [member.encoded_update for member in self._table.suspected_members()]
@@ -102,36 +111,40 @@
             updates = [encode_update(self._local.update), *suspected]
             self._disseminator.send(self._table.members[name].address, request, updates)
 
-    def answer(self, address: str, request: Sync, asked: Sequence[str]) -> None:
-        """Send the table, in several datagrams to a member that knows few; it asks again for the rest.
+    def reply(self, address: str, request: Sync, requested_names: Sequence[str]) -> None:
+        """Reply to a request for this member's table.
+
+        A requester that knows most members gets one datagram. One that knows few gets up to
+        `MAX_SYNC_DATAGRAMS`, and requests the rest again.
 
         Args:
-            address: Host and port of the member that asked.
-            request: Its request.
-            asked: Names of the members that its datagram was about; they go first.
+            address: Host and port of the requester.
+            request: The request.
+            requested_names: Names of the members that the request's datagram carried updates about; the
+                updates about them are sent first.
         """
         reply = self._sync_message(reply_requested=False)
-        has_sufficient_table = request.member_count >= SUFFICIENT_TABLE_RATIO * self._table.cluster_size
-        if asked and has_sufficient_table:
-            self._disseminator.send(address, reply, self._encode_self_and(asked))
+        knows_most = request.member_count >= SUFFICIENT_TABLE_RATIO * self._table.cluster_size
+        if requested_names and knows_most:
+            self._disseminator.send(address, reply, self._encode_self_and(requested_names))
             return
-        updates = self._encode_table(asked)
-        for _ in range(1 if has_sufficient_table else MAX_SYNC_DATAGRAMS):
+        updates = self._encode_table(requested_names)
+        for _ in range(1 if knows_most else MAX_SYNC_DATAGRAMS):
             if updates:
                 carried = self._disseminator.send(address, reply, updates)
                 del updates[: max(1, carried)]
 
     def announce_to_sample(self) -> None:
-        """Send this member's own update to some members at once."""
+        """Send this member's own update to some randomly chosen members immediately."""
         for name in self._sample(self._table.present, 2 * self._config.indirect_probes):
             self.announce(self._table.members[name].address)
 
     def announce(self, address: str) -> None:
-        """Send this member's own update at once."""
+        """Send this member's own update to one address immediately."""
         self.send_updates(address, [encode_update(self._local.update)])
 
     def send_updates(self, address: str, updates: Sequence[bytes]) -> None:
-        """Send these encoded updates and no others."""
+        """Send these encoded updates in a sync message, with no piggybacked ones."""
         self._disseminator.send(address, self._sync_message(reply_requested=False), updates)
 
     def _sync_message(self, *, reply_requested: bool) -> Sync:
@@ -157,7 +170,7 @@
         return max(1, self._config.sync_interval // DEAD_SYNCS_PER_INTERVAL)
 
     def _encode_table(self, first: Sequence[str] = ()) -> list[bytes]:
-        """Return this member's update, those asked about, then others in random order."""
+        """Return encoded updates: this member's, those about the members in `first`, then a random sample."""
         names = self._sample(self._table.present, MAX_SYNC_UPDATES)
         names += self._sample(list(self._table.departed), MAX_SYNC_DEPARTED)
         self._random.shuffle(names)
@@ -165,7 +178,7 @@
         return [*self._encode_self_and(first), *others]
 
     def _encode_self_and(self, names: Sequence[str]) -> list[bytes]:
-        """Return this member's update, and those about the members of these names that are known."""
+        """Return encoded updates about this member and about those of the named members that are known."""
         members = self._table.members
         own = encode_update(self._local.update)
         return [own, *(members[name].encoded_update for name in names if name in members)]
--- a/dahliabend/membership/authentication.py
+++ b/dahliabend/membership/authentication.py
@@ -1,7 +1,8 @@
 """Authentication of datagrams by a shared key: HMAC-SHA-256 (RFC 2104), truncated to `TAG_BYTES`.
 
-Two keys are valid while one is replaced: the first signs, each verifies. The content is readable to whoever
-listens in, but only who has a key can make it. A tag holds no time: replays are dropped by sequence number.
+While a key is replaced two keys are valid: the first one signs, both verify. Datagrams are not encrypted:
+anybody on the network can read them, but only a holder of a key can create them. A tag contains no time;
+replayed datagrams are detected by their sequence number.
 """
 
 from collections.abc import Sequence
@@ -11,7 +12,7 @@
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, TAG_BYTES
 
 MIN_KEY_BYTES = 32
-# Goes into each tag before the data: a key that is used elsewhere too gives no tag that is valid here.
+# Authenticated before the data, so that a tag made with the same key for another purpose is not valid here.
 DOMAIN_SEPARATOR = b"dahliabend members 1\0"
 
 
@@ -30,13 +31,13 @@
             context.update(DOMAIN_SEPARATOR)
 
     def sign(self, data: bytes) -> bytes:
-        """Return the datagram with the tag of the first key behind it."""
+        """Return the datagram with the tag of the first key appended."""
         return data + _tag(self._contexts[0], data)
 
     def verify(self, data: bytes) -> bytes | None:
-        """Return the datagram without its tag; None if no key gives this tag.
+        """Return the datagram without its tag, or None if the tag matches no key.
 
-        The size is checked first, so that the cost is bounded.
+        The size is checked first, which bounds the cost of an arbitrary datagram.
         """
         if not TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return None
@@ -55,10 +56,10 @@
 
 
 def parse_key(raw: bytes) -> bytes:
-    """Return a key as its file has it, without the white space around it.
+    """Return the key in the content of a key file: the content without surrounding white space.
 
     Raises:
-        ValueError: It is too short.
+        ValueError: The key is too short.
     """
     key = raw.strip()
     if len(key) < MIN_KEY_BYTES:
--- a/dahliabend/membership/codec.py
+++ b/dahliabend/membership/codec.py
@@ -1,4 +1,4 @@
-"""Datagrams as bytes: msgpack with a version and a sequence number, at most `MAX_DATAGRAM_BYTES` each."""
+"""Encoding of datagrams: msgpack with a version and a sequence number, at most `MAX_DATAGRAM_BYTES` each."""
 
 from collections.abc import Sequence
 from enum import StrEnum
@@ -10,14 +10,14 @@
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM_BYTES = 1_400  # authentication tag included
-TAG_BYTES = 16  # of the authentication tag at the end of a datagram
+TAG_BYTES = 16  # authentication tag at the end of a datagram
 MAX_TEXT_LENGTH = 64  # characters of a name, a zone or an address
 MAX_UNREACHABLE_PEERS = 8  # names in one update
 MAX_WEIGHT = 1e9
-ARRAY_HEADER_GROWTH = 4  # bytes by which the array header of the updates may grow
+ARRAY_HEADER_GROWTH = 4  # bytes by which the msgpack header of the array of updates grows with its length
 
-# A packet of another version can't be decoded, but its version can be read: msgpack has an array of up to 15
-# items as one byte 0x90 to 0x9F, and an integer below 128 as itself.
+# A packet of another version cannot be decoded, but its version can be read: msgpack encodes the header of an
+# array of up to 15 items as one byte from 0x90 to 0x9F, and an integer below 128 as one byte of that value.
 FIXARRAY_MIN = 0x90
 FIXARRAY_MAX = 0x9F
 FIXINT_LIMIT = 0x80
@@ -25,7 +25,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram is dropped; operators see the word beside a count."""
+    """Why a datagram is dropped; the values are the keys of the drop counters shown to operators."""
 
     OVERSIZED = "oversized"
     UNREADABLE = "unreadable"
@@ -36,7 +36,7 @@
 
 
 class _EncodedPacket(msgspec.Struct, array_like=True):
-    """A `Packet` whose updates are encoded already."""
+    """A `Packet` with its updates already encoded."""
 
     version: int
     sender: str
@@ -51,7 +51,7 @@
 
 
 def encode_update(update: Update) -> bytes:
-    """Return an update as it stands in a datagram."""
+    """Encode an update as a datagram contains it."""
     return _encode(update)
 
 
@@ -62,10 +62,10 @@
 
     Args:
         sender: Name of the sender.
-        generation: Its generation.
+        generation: Generation of the sender.
         sequence_number: Number of this datagram.
         message: The message.
-        updates: Updates that `encode_update` has encoded.
+        updates: Updates encoded by `encode_update`.
 
     Returns:
         The datagram without its authentication tag, and how many updates it carries.
@@ -81,16 +81,16 @@
 
 
 def decode_packet(data: bytes) -> Packet:
-    """Decode and check a datagram without its authentication tag.
+    """Decode and validate a datagram.
 
     Args:
-        data: The datagram.
+        data: The datagram without its authentication tag.
 
     Returns:
-        The packet; its texts, counts and numbers are within their bounds.
+        The packet; all lengths and numbers in it are within their bounds.
 
     Raises:
-        DatagramError: It is oversized, unreadable, or of a newer version.
+        DatagramError: The datagram is oversized, unreadable, or of a newer protocol version.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramError(DropReason.OVERSIZED)
@@ -110,7 +110,7 @@
 
 
 def _read_version(data: bytes) -> int:
-    """Return the version of a datagram of another format; 0 if there is none."""
+    """Return the protocol version of a datagram that cannot be decoded, or 0 if it has none."""
     if len(data) < VERSION_PREFIX_BYTES:
         return 0
     header = data[0]
--- a/dahliabend/membership/components.py
+++ b/dahliabend/membership/components.py
@@ -1,4 +1,4 @@
-"""The parts of the protocol, each with its own state, and how they are put together."""
+"""The components of the protocol, each with its own state, and their wiring."""
 
 from dataclasses import replace
 from random import Random
@@ -22,25 +22,25 @@
 
 
 class ProtocolComponents:
-    """The parts of one member.
+    """The components of one member's protocol.
 
     Attributes:
-        local: This member.
+        local: The local member.
         events: Events for the owner.
         health: Local health score.
-        schedule: Due times.
+        schedule: Times at which the protocol acts next.
         table: The other members.
-        disseminator: Outgoing datagrams and the updates on them.
-        announcer: New updates about this member.
-        anti_entropy: Exchange of whole tables.
-        conflicts: Reports of names used twice.
-        reachability: Whom this member can reach directly.
-        refuter: Answers to what others say of this member.
-        detector: Pings.
+        disseminator: Encodes outgoing datagrams and the updates piggybacked on them.
+        announcer: Creates new updates about the local member.
+        anti_entropy: Exchanges member tables.
+        conflicts: Reports names that two processes use.
+        reachability: Tracks which members can be reached directly.
+        refuter: Handles updates of others about the local member.
+        detector: Sends pings and handles their answers.
         suspicions: Deadlines of suspicions.
-        receiver: Checks of incoming datagrams.
-        rules: Which update overrides which.
-        views: Views for the owner.
+        receiver: Checks incoming datagrams.
+        rules: Decides which update about another member overrides which.
+        views: Builds views for the owner.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.views = ViewBuilder(config, local, self.table, self.health, self.schedule, self.receiver)
 
     def duplicate(self) -> "ProtocolComponents":
-        """Return parts in the same state that go on independently; both share the source of chance."""
+        """Return an independent copy of all components; both share the random number generator."""
         duplicate = ProtocolComponents(self._config, self._random, replace(self.local), first_probe_number=0)
         duplicate.events.pending = self.events.pending.copy()
         duplicate.health.score = self.health.score
@@ -96,7 +96,10 @@
         return duplicate
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that later behaviour depends on: neither events nor counts of dropped datagrams."""
+        """Return everything that later behaviour depends on, as a hashable value.
+
+        Events and counts of dropped datagrams are not part of it.
+        """
         return (
             self.local.update,
             self.local.exclusion,
--- a/dahliabend/membership/conflicts.py
+++ b/dahliabend/membership/conflicts.py
@@ -1,4 +1,4 @@
-"""Two processes that use one name at the same time."""
+"""Reports of name conflicts: two processes that use the same member name at the same time."""
 
 from dahliabend.membership.events import EventKind, EventLog
 from dahliabend.membership.member_table import MemberTable
@@ -7,7 +7,10 @@
 
 
 class ConflictReporter:
-    """Reports conflicts, so that neither process wins silently; each name once in the longest suspicion."""
+    """Reports name conflicts as events, each name at most once per `SwimConfig.max_suspicion_time`.
+
+    Without the event one of the two processes would replace the other unnoticed.
+    """
 
     __slots__ = ("_config", "_events", "_reported_at", "_table")
 
@@ -18,15 +21,15 @@
         self._reported_at: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return the number of names that are remembered."""
+        """Return the number of names whose last report is remembered."""
         return len(self._reported_at)
 
     def report(self, now: int, update: Update) -> None:
-        """Report that an update comes from a second process of a name.
+        """Report that a second process uses the name of a member.
 
         Args:
-            now: Microseconds.
-            update: The update.
+            now: Current time in microseconds.
+            update: The update about the second process.
         """
         interval = self._config.max_suspicion_time
         if now - self._reported_at.get(update.name, -interval) < interval:
@@ -37,5 +40,5 @@
         self._events.record(now, EventKind.CONFLICT, update.name, update.reported_by)
 
     def copy_state(self, other: "ConflictReporter") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another reporter into this one."""
         self._reported_at = other._reported_at.copy()
--- a/dahliabend/membership/dissemination.py
+++ b/dahliabend/membership/dissemination.py
@@ -9,17 +9,17 @@
 from dahliabend.membership.messages import Message, Update
 from dahliabend.membership.swim_config import SwimConfig
 
-Datagram = tuple[str, bytes]  # address of the receiver, and the datagram without its authentication tag
+Datagram = tuple[str, bytes]  # address of the receiver, datagram without its authentication tag
 
 
 class Disseminator:
-    """Encodes outgoing datagrams and chooses the updates that travel with them.
+    """Encodes outgoing datagrams and chooses the updates that are piggybacked on them.
 
     Attributes:
         sequence_number: Number of the last datagram.
         outgoing: Datagrams that the owner has not taken yet.
-        unsent: Updates that have not been sent yet, encoded, by name of the member.
-        sent: Updates to be sent again, encoded, by name of the member, the least sent first.
+        unsent: Encoded updates that have not been sent yet, by name of the member.
+        sent: Encoded updates that are to be sent again, by name of the member, the least sent ones first.
     """
 
     __slots__ = (
@@ -41,25 +41,25 @@
         self.outgoing: list[Datagram] = []
         self.unsent: dict[str, bytes] = {}
         self.sent: dict[str, bytes] = {}
-        self._transmissions: dict[str, int] = {}  # of each of `sent`
+        self._transmissions: dict[str, int] = {}  # how often each update of `sent` was sent
 
     def enqueue(self, update: Update, encoded: bytes = b"") -> None:
-        """Disseminate an update in place of the one about the same member.
+        """Start to disseminate an update; it replaces an earlier one about the same member.
 
         Args:
             update: The update.
-            encoded: The same, encoded, if the caller has it.
+            encoded: The encoded update, if the caller has it.
         """
         self.sent.pop(update.name, None)
         self._transmissions.pop(update.name, None)
         self.unsent[update.name] = encoded or encode_update(update)
 
     def clear_unsent(self) -> None:
-        """Forget the updates that have not been sent yet."""
+        """Discard the updates that have not been sent yet."""
         self.unsent.clear()
 
     def send(self, address: str, message: Message, updates: Sequence[bytes]) -> int:
-        """Send a message with chosen updates.
+        """Send a message with updates that the caller has chosen.
 
         Args:
             address: Host and port of the receiver.
@@ -67,7 +67,7 @@
             updates: Encoded updates, the most important first.
 
         Returns:
-            How many of the updates the datagram carries.
+            How many of the updates fit into the datagram.
         """
         local = self._local.update
         self.sequence_number += 1
@@ -88,13 +88,13 @@
         self._count_transmissions(names[:carried], updates)
 
     def take_outgoing(self) -> list[Datagram]:
-        """Return the datagrams since the last call."""
+        """Return the datagrams queued since the last call."""
         outgoing = self.outgoing
         self.outgoing = []
         return outgoing
 
     def copy_state(self, other: "Disseminator") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another disseminator into this one."""
         self.sequence_number = other.sequence_number
         self.outgoing = other.outgoing.copy()
         self.unsent = other.unsent.copy()
@@ -102,7 +102,7 @@
         self._transmissions = other._transmissions.copy()
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that later behaviour depends on."""
+        """Return everything that later behaviour depends on, as a hashable value."""
         return (
             self.sequence_number,
             tuple(self.unsent.items()),
--- a/dahliabend/membership/events.py
+++ b/dahliabend/membership/events.py
@@ -5,32 +5,32 @@
 
 
 class EventKind(StrEnum):
-    """What has happened; operators see the word in the log."""
+    """What has happened; the values appear in the log."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     REFUTED = "refuted"
     LEFT = "left"
     DIED = "died"
-    RETURNED = "returned"  # a member that was dead or had left, or a new process in its place
-    CONFLICT = "conflict"  # two processes use one name
-    UNREACHABLE = "unreached"  # this member cannot reach that one directly any more
-    REACHABLE = "reached"  # and can again
-    PAUSED = "paused"  # this process was stopped for longer than a period
-    EXCLUDED = "outcast"  # others took this member for dead
-    READMITTED = "counted"  # and no longer do
+    RETURNED = "returned"  # a dead or departed member is back, or a new process has taken a member's place
+    CONFLICT = "conflict"  # two processes use the same name
+    UNREACHABLE = "unreached"  # this member can no longer reach the named member directly
+    REACHABLE = "reached"  # this member can reach the named member directly again
+    PAUSED = "paused"  # this process was stopped for longer than a protocol period
+    EXCLUDED = "outcast"  # others have declared this member dead
+    READMITTED = "counted"  # others count this member as present again
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A change that this member has seen.
+    """A change that this member has observed or learned of.
 
     Attributes:
-        at: When, in microseconds of the protocol's clock.
+        at: Time of the event in microseconds of the protocol's clock.
         kind: What has happened.
-        name: The member that it is about.
-        reported_by: The member that reported it.
-        incarnation: Incarnation of the member that it is about; 0 where it plays no part.
+        name: Name of the member that the event is about.
+        reported_by: Name of the member that reported the change.
+        incarnation: Incarnation of the member that the event is about; 0 if it is irrelevant.
     """
 
     at: int
@@ -41,7 +41,7 @@
 
 
 class EventLog:
-    """Events that the owner has not taken yet."""
+    """Queue of the events that the owner has not taken yet."""
 
     __slots__ = ("pending",)
 
@@ -51,11 +51,11 @@
     def record(
         self, now: int, kind: EventKind, name: str, reported_by: str = "", incarnation: int = 0
     ) -> None:
-        """Append an event; the arguments are those of `Event`."""
+        """Append an event; the arguments are the fields of `Event`."""
         self.pending.append(Event(now, kind, name, reported_by, incarnation))
 
     def take(self) -> list[Event]:
-        """Return the events since the last call."""
+        """Return the events recorded since the last call."""
         pending = self.pending
         self.pending = []
         return pending
--- a/dahliabend/membership/failure_detector.py
+++ b/dahliabend/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector of SWIM: direct and indirect pings."""
+"""The failure detector of SWIM, with direct and indirect pings."""
 
 from dataclasses import dataclass, replace
 from random import Random
@@ -15,19 +15,20 @@
 from dahliabend.membership.schedule import Schedule
 from dahliabend.membership.swim_config import SwimConfig
 
-MAX_RELAYED_PINGS_PER_MEMBER = 4  # bound of pings under way for others, times the members known
+MAX_RELAYED_PINGS_PER_MEMBER = 4  # bound of the pings in flight for others, per known member
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this protocol period.
+    """The probe of the current protocol period.
 
     Attributes:
-        name: The member that is probed.
-        probe_number: Number of its ping.
-        deadline: Microseconds; without an answer by then it has failed.
-        indirect_at: Microseconds; when others are asked to ping too. None: they have been.
-        pending_nacks: Members that were asked and have not sent a `Nack`.
+        name: Name of the probed member.
+        probe_number: Number of the ping.
+        deadline: Time in microseconds by which an ack has to arrive; the probe has failed afterwards.
+        indirect_at: Time in microseconds at which other members are asked for indirect pings; None once they
+            have been asked.
+        pending_nacks: Number of members that were asked for an indirect ping and have not sent a `Nack`.
     """
 
     name: str
@@ -38,12 +39,12 @@
 
 
 class RelayedProbe(NamedTuple):
-    """A ping on behalf of another member.
+    """A ping sent on behalf of another member.
 
     Attributes:
-        requester: Address of the member that asked for it.
-        probe_number: Number of its request.
-        deadline: Microseconds; when it is told that there was no answer.
+        requester: Address of the member that requested the ping.
+        probe_number: Number of the request.
+        deadline: Time in microseconds at which the requester is sent a `Nack`, unless an ack has arrived.
     """
 
     requester: str
@@ -55,7 +56,8 @@
     """Probes one member in each protocol period, and pings on behalf of others.
 
     Attributes:
-        probe: The probe under way, if there is one.
+        probe: The probe in flight, if there is one.
+        probe_round: The order in which members are probed.
     """
 
     __slots__ = (
@@ -82,23 +84,23 @@
         self._schedule = schedule
         self._disseminator = disseminator
         self._last_probe_number = first_probe_number
-        self._relayed: dict[int, RelayedProbe] = {}  # by the number of the ping
+        self._relayed: dict[int, RelayedProbe] = {}  # by number of the ping that this member sent
         self.probe: Probe | None = None
         self.probe_round = ProbeRound(random, table)
 
     @property
     def relayed_count(self) -> int:
-        """Pings under way on behalf of others."""
+        """Number of pings in flight on behalf of other members."""
         return len(self._relayed)
 
     def begin_probe(self, now: int) -> bool:
-        """Ping the next member of the round.
+        """Ping the next member of the probe round.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
 
         Returns:
-            Whether there is one.
+            Whether there is a member to probe.
         """
         name = self.probe_round.next()
         if name is None:
@@ -109,23 +111,25 @@
         member = self._table.members[name]
         ping = Ping(number, name)
         if member.update.status is MemberStatus.SUSPECT:
-            # It hears of the suspicion from whoever pings it: by chance alone it might hear too late.
+            # The ping always carries the suspicion, so that the member can refute it: piggybacked by chance
+            # alone, the suspicion might reach the member too late.
             updates = [member.encoded_update, encode_update(self._local.update)]
             self._disseminator.send(member.address, ping, updates)
         else:
             self._disseminator.send_piggybacked(member.address, ping)
-        if name in self._local.update.unreachable_peers:  # the others have all of the period
+        if name in self._local.update.unreachable_peers:
+            # No direct ack is expected: the indirect pings start at once and have the whole period.
             self._request_pings(self.probe)
         return True
 
     def check_probe(self, now: int) -> Probe | None:
-        """Send the indirect pings of the probe if they are due.
+        """Request the indirect pings of the probe if they are due, and end the probe at its deadline.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
 
         Returns:
-            The probe if it has failed; it is over then.
+            The probe if it has just failed, else None.
         """
         probe = self.probe
         if probe is None:
@@ -138,12 +142,12 @@
         return probe
 
     def relay_ping(self, now: int, request: PingRequest, requester: str) -> None:
-        """Ping a member on behalf of another one.
+        """Ping a member on behalf of another one; ignored if too many such pings are in flight.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             request: The request.
-            requester: Address of the member that sent it.
+            requester: Address of the member that sent the request.
         """
         if len(self._relayed) >= MAX_RELAYED_PINGS_PER_MEMBER * len(self._table):
             return
@@ -154,10 +158,10 @@
         self._schedule.bring_forward(deadline)
 
     def receive_ack(self, ack: Ack) -> str | None:
-        """End the probe that an ack belongs to, or pass the ack on.
+        """End the probe that an ack belongs to, or forward the ack to the member that requested the ping.
 
         Returns:
-            Name of the member that this one has probed; None if the ack does not belong to its probe.
+            Name of the probed member; None if the ack does not belong to this member's own probe.
         """
         probe = self.probe
         if probe is not None and probe.probe_number == ack.probe_number:
@@ -169,12 +173,16 @@
         return None
 
     def receive_nack(self, nack: Nack) -> None:
-        """Record that a member which was asked for an indirect ping is there."""
+        """Record that a member which was asked for an indirect ping has responded."""
         if self.probe is not None and self.probe.probe_number == nack.probe_number:
             self.probe.pending_nacks -= 1
 
     def expire_relayed(self, now: int) -> None:
-        """Send a nack for each unanswered ping on behalf of another member; `now` is in microseconds."""
+        """Send a nack for each ping on behalf of another member that has passed its deadline.
+
+        Args:
+            now: Current time in microseconds.
+        """
         if not self._relayed:
             return
         expired = [number for number, relayed in self._relayed.items() if relayed.deadline <= now]
@@ -183,12 +191,12 @@
             self._disseminator.send_piggybacked(relayed.requester, Nack(relayed.probe_number))
 
     def abort(self) -> None:
-        """Forget the probe and the pings on behalf of others: this process was stopped."""
+        """Discard the probe and the pings on behalf of others, after a pause of this process."""
         self.probe = None
         self._relayed.clear()
 
     def deadlines(self) -> list[int]:
-        """Return when there is something to do next, in microseconds."""
+        """Return the times, in microseconds, at which the probe or a relayed ping needs attention."""
         deadlines = [relayed.deadline for relayed in self._relayed.values()]
         if self.probe is not None:
             deadlines.append(self.probe.deadline)
@@ -197,14 +205,14 @@
         return deadlines
 
     def copy_state(self, other: "FailureDetector") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another detector into this one."""
         self.probe = replace(other.probe) if other.probe is not None else None
         self.probe_round.queue = other.probe_round.queue.copy()
         self._relayed = other._relayed.copy()
         self._last_probe_number = other._last_probe_number
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that later behaviour depends on."""
+        """Return everything that later behaviour depends on, as a hashable value."""
         probe = self.probe
         probing = (
             (probe.name, probe.probe_number, probe.deadline, probe.indirect_at, probe.pending_nacks)
@@ -218,7 +226,7 @@
         return self._last_probe_number
 
     def _request_pings(self, probe: Probe) -> None:
-        """Ask other members to ping the one that is probed."""
+        """Ask other members to ping the probed member."""
         probe.indirect_at = None
         member = self._table.members.get(probe.name)
         if member is None:
@@ -229,16 +237,16 @@
             self._disseminator.send_piggybacked(self._table.members[name].address, request)
 
     def _choose_helpers(self, name: str) -> list[str]:
-        """Return some members that do not report that they cannot reach this one either.
+        """Return some members that may be able to reach the named member.
 
-        If such members were asked too, a member that only a few still reach would be suspected and refuted
-        without end.
+        Members that report it as unreachable are left out: if they were asked too, a member that only a few
+        can still reach would be suspected and would refute the suspicion again and again.
         """
         count = self._config.indirect_probes
         chosen = sample_up_to(self._random, self._table.present, count + 1)
         if not all(self._can_help(other, name) for other in chosen if other != name):
-            able = [other for other in self._table.present if other != name and self._can_help(other, name)]
-            chosen = sample_up_to(self._random, able, count)
+            peers = [other for other in self._table.present if other != name and self._can_help(other, name)]
+            chosen = sample_up_to(self._random, peers, count)
         return [other for other in chosen if other != name][:count]
 
     def _can_help(self, helper: str, name: str) -> bool:
--- a/dahliabend/membership/local_health.py
+++ b/dahliabend/membership/local_health.py
@@ -1,10 +1,10 @@
-"""Local health awareness (Lifeguard, 2017): a member that may itself be slow gives others more time."""
+"""Local health awareness (Lifeguard, 2017): a member that may itself be slow uses longer timeouts."""
 
 from dahliabend.membership.swim_config import SwimConfig
 
 
 class LocalHealth:
-    """The local health score: 0 is healthy, and each point makes timeouts one time longer.
+    """The local health score: 0 is healthy, and each point adds the base timeout once more.
 
     Attributes:
         score: The score, up to `SwimConfig.max_health_score`.
@@ -18,11 +18,11 @@
 
     @property
     def confidence(self) -> float:
-        """From 1, healthy, down towards 0."""
+        """Confidence in this member's own observations: 1 if it is healthy, falling towards 0."""
         return 1 - self.score / (self._config.max_health_score + 1)
 
     def timeout(self, periods: float) -> int:
-        """Return a timeout of so many protocol periods in microseconds, stretched by the score."""
+        """Return a timeout in microseconds: the number of protocol periods, extended by the score."""
         return round(self._config.period * periods * (1 + self.score))
 
     def worsen(self, points: int = 1) -> None:
@@ -30,9 +30,9 @@
         self.score = min(self._config.max_health_score, self.score + points)
 
     def improve(self) -> None:
-        """Record a probe that was answered."""
+        """Record that a probe was answered."""
         self.score = max(0, self.score - 1)
 
     def set_worst(self) -> None:
-        """Record that this process was stopped."""
+        """Set the maximum score, after a pause of this process."""
         self.score = self._config.max_health_score
--- a/dahliabend/membership/local_member.py
+++ b/dahliabend/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This member itself."""
+"""The local member: what this process announces about itself."""
 
 from dataclasses import dataclass
 
@@ -10,13 +10,13 @@
 
 @dataclass(slots=True)
 class LocalMember:
-    """This member.
+    """The local member.
 
     Attributes:
-        name: Its name.
-        update: The newest update of it, made by itself.
-        is_leaving: It has announced that it leaves.
-        exclusion: Why others may not count it as a member; empty if they do.
+        name: Name of this member.
+        update: Its newest update about itself.
+        is_leaving: Whether it has announced that it leaves.
+        exclusion: Why the other members may not count it as present; empty if they do.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
     @classmethod
     def create(cls, name: str, generation: int, address: str, zone: str, weight: float) -> "LocalMember":
-        """Return a member that starts; the arguments are those of `Update`."""
+        """Create the local member with incarnation 0; the arguments are fields of `Update`."""
         return cls(name, Update(name, generation, 0, MemberStatus.ALIVE, address, zone, weight, name))
 
     @property
@@ -40,5 +40,5 @@
         return self.update.incarnation
 
     def update_fields(self, **fields: object) -> None:
-        """Replace fields of the update; those of `Update`."""
+        """Replace fields of this member's `Update`."""
         self.update = replace(self.update, **fields)
--- a/dahliabend/membership/member_table.py
+++ b/dahliabend/membership/member_table.py
@@ -1,4 +1,4 @@
-"""What this member knows of the others."""
+"""The table of the other members, as this member knows them."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -15,13 +15,14 @@
     """Another member.
 
     Attributes:
-        update: The newest update about it.
-        encoded_update: The same, as it stands in a datagram.
-        since: Microseconds; when it came to this status in this generation.
-        suspected_at: Microseconds; when its suspicion began.
-        confirmations: Who has reported the suspicion independently.
-        expired_once: Its suspicion has ended once; the next time it is declared dead.
-        indirect_only_score: Grows with each probe that was answered only by way of others.
+        update: The newest update about the member.
+        encoded_update: The same update, encoded for a datagram.
+        since: Time in microseconds at which the member took its status in its generation.
+        suspected_at: Time in microseconds at which the suspicion began.
+        confirmations: Names of the members that have reported the suspicion independently.
+        expired_once: Whether the suspicion was found expired once; the second time the member is declared
+            dead.
+        indirect_only_score: Score that rises with each probe that was answered only through other members.
     """
 
     update: Update
@@ -34,16 +35,16 @@
 
     @property
     def is_present(self) -> bool:
-        """Alive or suspected."""
+        """Whether the member is alive or suspected."""
         return self.update.status in PRESENT_STATUSES
 
     @property
     def address(self) -> str:
-        """Host and port that it listens on."""
+        """Host and port that the member listens on."""
         return self.update.address
 
     def copy(self) -> "Member":
-        """Return a member with the same state that changes on its own."""
+        """Return an independent copy."""
         return Member(
             self.update,
             self.encoded_update,
@@ -55,29 +56,29 @@
         )
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that later behaviour depends on."""
+        """Return everything that later behaviour depends on, as a hashable value."""
         confirmations = tuple(sorted(self.confirmations))
         return self.update, self.suspected_at, self.expired_once, confirmations, self.indirect_only_score
 
 
 class PresenceChange(Enum):
-    """What an update has changed of a member's presence."""
+    """How an update has changed whether a member is present."""
 
-    ARRIVED = auto()  # present, and was not
-    DEPARTED = auto()  # dead or left, and was not
+    ARRIVED = auto()  # the member was not present, and is now
+    DEPARTED = auto()  # the member was not dead or left, and is now
     UNCHANGED = auto()
 
 
 class MemberTable:
-    """The other members by name, and who of them is present, suspected or departed.
+    """The other members by name, with indexes of those that are present, suspected or departed.
 
     Attributes:
-        members: All of them, departed ones included.
-        present: Names of those alive or suspected, in no order.
-        suspects: Names of those suspected, the oldest first.
-        departed: Names of those dead or left, the oldest first.
-        version: Counts the changes that a view shows; this member's own updates included.
-        partitions: Watches the losses.
+        members: All other members by name, departed ones included.
+        present: Names of the alive and suspected members, in no particular order.
+        suspects: Names of the suspected members, the oldest suspicion first.
+        departed: Names of the members that are dead or have left, the earliest departure first.
+        version: Number of changes that are visible in a view, those of this member's own update included.
+        partitions: Detects network partitions from simultaneous losses.
     """
 
     __slots__ = (
@@ -93,25 +94,25 @@
         self.suspects: dict[str, None] = {}
         self.departed: dict[str, None] = {}
         self.version = 0
-        self._positions: dict[str, int] = {}  # in `present`
-        self._unreachable_reports: dict[str, int] = {}  # by name: members that cannot reach it
+        self._positions: dict[str, int] = {}  # index of each name in `present`
+        self._unreachable_reports: dict[str, int] = {}  # by name: number of members that cannot reach it
 
     def __len__(self) -> int:
-        """Return the number of other members known, departed ones included."""
+        """Return the number of other known members, departed ones included."""
         return len(self.members)
 
     @property
     def cluster_size(self) -> int:
-        """Members present, this one included."""
+        """Number of present members, this one included."""
         return len(self.present) + 1
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no further member will be remembered."""
+        """Whether the table has no room for another member."""
         return len(self.members) >= self._config.max_members
 
     def copy_state(self, other: "MemberTable") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another table into this one."""
         self.members = {name: member.copy() for name, member in other.members.items()}
         self.present = other.present.copy()
         self.suspects = other.suspects.copy()
@@ -122,32 +123,32 @@
         self._unreachable_reports = other._unreachable_reports.copy()
 
     def is_present(self, name: str) -> bool:
-        """Tell whether a member of this name is present."""
+        """Return whether a member of this name is present."""
         return name in self._positions
 
     def suspected_members(self) -> list[Member]:
-        """Return the members that are suspected, the oldest suspicion first."""
+        """Return the suspected members, the oldest suspicion first."""
         return [self.members[name] for name in self.suspects]
 
     def members_named(self, names: Iterable[str]) -> list[Member]:
-        """Return the members of these names; all of them have to be known."""
+        """Return the members of these names, all of which must be in the table."""
         return [self.members[name] for name in names]
 
     def put(self, now: int, update: Update) -> PresenceChange:
-        """Replace what is known of a member.
+        """Store the newest update about a member.
 
         Args:
-            now: Microseconds.
-            update: The newest update about it.
+            now: Current time in microseconds.
+            update: The update.
 
         Returns:
-            What it has changed of the member's presence.
+            How the update has changed whether the member is present.
         """
         name = update.name
-        known = self.members.get(name)
-        previous = known.update if known is not None else None
+        member = self.members.get(name)
+        previous = member.update if member is not None else None
         self.count_unreachable_reports(previous, update)
-        self.members[name] = _updated_member(now, known, update)
+        self.members[name] = _updated_member(now, member, update)
         if update.status is MemberStatus.SUSPECT:
             self.suspects[name] = None
         else:
@@ -156,19 +157,19 @@
             self.version += 1
         if update.status in PRESENT_STATUSES:
             return self._add_to_present(name)
-        transition = self._remove_from_present(name)
-        died = update.status is MemberStatus.DEAD and known is not None and known.is_present
-        if died and transition is PresenceChange.DEPARTED:
+        change = self._remove_from_present(name)
+        died = update.status is MemberStatus.DEAD and member is not None and member.is_present
+        if died and change is PresenceChange.DEPARTED:
             self.partitions.record_loss(now, name, self.cluster_size)
-        return transition
+        return change
 
     def replace_all(self, now: int, updates: Iterable[Update], encoded: Mapping[str, bytes]) -> None:
-        """Forget all members and know these ones as present.
+        """Replace all members by these, all of them present.
 
         Args:
-            now: Microseconds.
-            updates: The newest update about each.
-            encoded: The same, encoded, by name.
+            now: Current time in microseconds.
+            updates: The newest update about each member.
+            encoded: The encoded updates by name.
         """
         self.members = {update.name: Member(update, encoded[update.name], now) for update in updates}
         self.present = list(self.members)
@@ -176,23 +177,32 @@
         self.version += 1
 
     def remove_expired(self, now: int) -> None:
-        """Forget members that departed `SwimConfig.dead_retention` ago; `now` is in microseconds."""
+        """Remove the members that departed more than `SwimConfig.dead_retention` ago.
+
+        Args:
+            now: Current time in microseconds.
+        """
         for name in list(self.departed):
             if now - self.members[name].since <= self._config.dead_retention:
-                break  # the others departed later
+                break  # the remaining members departed later
             del self.members[name]
             del self.departed[name]
             self.partitions.forget(name)
 
     def count_unreachable_reports(self, before: Update | None, after: Update) -> None:
-        """Keep the number of members that cannot reach a member up to date, as one of them reports anew."""
+        """Update, by a member's new update, how many members report each name as unreachable.
+
+        Args:
+            before: The previous update about the reporting member; None if there was none.
+            after: Its new update.
+        """
         if before is not None and before.status in PRESENT_STATUSES:
             self._add_unreachable_reports(before.unreachable_peers, -1)
         if after.status in PRESENT_STATUSES:
             self._add_unreachable_reports(after.unreachable_peers, 1)
 
     def is_unreachable(self, name: str) -> bool:
-        """Tell whether more than half of the others report that they cannot reach this member."""
+        """Return whether more than half of the other members report that they cannot reach this one."""
         others = len(self.present)
         return others > 1 and self._unreachable_reports.get(name, 0) > others / 2
 
@@ -225,13 +235,13 @@
         return PresenceChange.DEPARTED
 
 
-def _updated_member(now: int, known: Member | None, update: Update) -> Member:
-    """Return the member as this update leaves it."""
+def _updated_member(now: int, previous: Member | None, update: Update) -> Member:
+    """Return the table entry of a member after an update, given the entry before it."""
     member = Member(update, encode_update(update), now)
-    if known is not None and known.update.generation == update.generation:
-        member.indirect_only_score = known.indirect_only_score
-        if known.update.status is update.status:
-            member.since = known.since
+    if previous is not None and previous.update.generation == update.generation:
+        member.indirect_only_score = previous.indirect_only_score
+        if previous.update.status is update.status:
+            member.since = previous.since
     if update.status is MemberStatus.SUSPECT:
         member.suspected_at = now
         member.confirmations = {update.reported_by}
@@ -239,5 +249,5 @@
 
 
 def _visible_fields(update: Update) -> tuple[object, ...]:
-    """Return what a view shows of a member."""
+    """Return the fields of an update that a change of `MemberTable.version` reports."""
     return update.status, update.generation, update.zone, update.weight, update.unreachable_peers
--- a/dahliabend/membership/message_handler.py
+++ b/dahliabend/membership/message_handler.py
@@ -1,11 +1,11 @@
-"""What a member does about each kind of message."""
+"""Handling of received messages by their type."""
 
 from dahliabend.membership.components import ProtocolComponents
 from dahliabend.membership.events import EventKind
 from dahliabend.membership.messages import Ack, Nack, Packet, Ping, PingRequest, Sync, UserMessage
 from dahliabend.membership.view import Exclusion
 
-MAX_PENDING_USER_MESSAGES = 64  # that wait for the owner
+MAX_PENDING_USER_MESSAGES = 64  # further ones are dropped until the owner takes them
 
 
 class MessageHandler:
@@ -22,7 +22,7 @@
         self.user_messages: list[bytes] = []
 
     def take_user_messages(self) -> list[bytes]:
-        """Return the payloads of user messages since the last call."""
+        """Return the payloads of user messages received since the last call."""
         user_messages = self.user_messages
         self.user_messages = []
         return user_messages
@@ -32,7 +32,7 @@
 
         Args:
             now: Microseconds.
-            packet: The packet that it came in.
+            packet: The packet that contains it.
             source: Address of the sender.
         """
         match packet.message:
@@ -50,7 +50,8 @@
                 self._handle_sync(packet, sync, source)
 
     def _handle_ping(self, ping: Ping, source: str) -> None:
-        if ping.name == self._components.local.name:  # else it is meant for a member that had this address
+        # A ping with another name is meant for an earlier member at this address.
+        if ping.name == self._components.local.name:
             self._components.disseminator.send_piggybacked(source, Ack(ping.probe_number))
 
     def _handle_ack(self, now: int, ack: Ack) -> None:
@@ -65,7 +66,7 @@
         components.reachability.record_ack(now, probed, direct=ack.direct)
 
     def _handle_user_message(self, packet: Packet, message: UserMessage) -> None:
-        """Keep a payload for the owner; not from a departed member, nor from an earlier generation."""
+        """Store a payload for the owner, unless the sender has departed or is of another generation."""
         member = self._components.table.members.get(packet.sender)
         if member is None or not member.is_present or member.update.generation != packet.generation:
             return
@@ -75,6 +76,6 @@
     def _handle_sync(self, packet: Packet, sync: Sync, source: str) -> None:
         anti_entropy = self._components.anti_entropy
         if sync.reply_requested:
-            anti_entropy.answer(source, sync, [update.name for update in packet.updates])
+            anti_entropy.reply(source, sync, [update.name for update in packet.updates])
         elif anti_entropy.has_sufficient_table(sync.member_count):
             self._components.schedule.unsettled_until = 0
--- a/dahliabend/membership/messages.py
+++ b/dahliabend/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members, as types.
+"""Messages between members.
 
-All of them are encoded as arrays: a field is told by its position, so its name may change and its place may
-not.
+All of them are encoded as arrays: a field is identified by its position, so that its name may change but its
+position may not.
 """
 
 from enum import IntEnum
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(IntEnum):
-    """Status of a member in an update; of one incarnation, a higher status overrides a lower one."""
+    """Status of a member in an update; within one incarnation a higher status overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,18 +22,18 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """The status of one member, as one member reported it.
+    """The status of one member, as reported by that member or by another one.
 
     Attributes:
-        name: The member it is about.
-        generation: Tells the processes of one name apart; a later process has a higher one.
-        incarnation: Counts what the member has said of itself, refutations included.
-        status: Its status.
-        address: Host and port that it listens on.
-        zone: Zone that it runs in.
-        weight: Its share of the work, relative to the other members.
-        reported_by: The member whose observation this is.
-        unreachable_peers: Members that it cannot reach itself, by name.
+        name: Name of the member that the update is about.
+        generation: Distinguishes successive processes of the same name; a later process has a higher one.
+        incarnation: Number of the member's updates about itself in this generation, refutations included.
+        status: Status of the member.
+        address: Host and port that the member listens on.
+        zone: Zone that the member runs in.
+        weight: The member's share of the work, relative to the other members.
+        reported_by: Name of the member whose observation this is.
+        unreachable_peers: Names of the members that the member cannot reach directly.
     """
 
     name: str
@@ -51,8 +51,8 @@
     """Asks a member for an `Ack`.
 
     Attributes:
-        probe_number: Number that the answer repeats.
-        name: The member that is meant; another may have its address by now.
+        probe_number: Number that the `Ack` repeats.
+        name: Name of the pinged member; the address may by now belong to another one.
     """
 
     probe_number: int
@@ -63,9 +63,9 @@
     """Asks a member to ping another one on behalf of the sender: an indirect ping.
 
     Attributes:
-        probe_number: Number that the answer repeats.
-        name: The member to ping.
-        address: Its host and port.
+        probe_number: Number that the `Ack` or `Nack` repeats.
+        name: Name of the member to ping.
+        address: Host and port of that member.
     """
 
     probe_number: int
@@ -78,7 +78,7 @@
 
     Attributes:
         probe_number: Number of the ping or of the ping request.
-        direct: Sent by the member that was pinged, not by one that pinged it on request.
+        direct: Whether it comes from the pinged member itself, not from a member that pinged it on request.
     """
 
     probe_number: int
@@ -86,7 +86,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    """The answer to a ping request whose ping had no answer: the sender itself is reachable.
+    """The answer to a ping request whose ping was not answered; it shows that the sender itself is reachable.
 
     Attributes:
         probe_number: Number of the ping request.
@@ -96,11 +96,11 @@
 
 
 class Sync(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """A part of the member table as updates: anti-entropy, and what a joining member begins with.
+    """Anti-entropy: marks a packet whose updates are a part of the sender's member table.
 
     Attributes:
-        reply_requested: The receiver is asked for its table.
-        member_count: Members that the sender knows to be present, itself included.
+        reply_requested: Whether the receiver is asked to send its table.
+        member_count: Number of members that are present according to the sender, itself included.
     """
 
     reply_requested: bool
@@ -108,7 +108,7 @@
 
 
 class UserMessage(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """A payload of another component; membership carries it and does not read it.
+    """A payload of another component, which membership transports without reading it.
 
     Attributes:
         data: The payload.
@@ -127,9 +127,9 @@
         version: Version of this format.
         sender: Name of the sender.
         generation: Generation of the sender.
-        sequence_number: Counts the datagrams of one generation of the sender.
+        sequence_number: Number of the datagram within the sender's generation.
         message: The message.
-        updates: Updates that travel with it.
+        updates: The piggybacked updates.
     """
 
     version: int
--- a/dahliabend/membership/partition_detector.py
+++ b/dahliabend/membership/partition_detector.py
@@ -1,27 +1,30 @@
-"""Detection of network partitions by the number of simultaneous losses."""
+"""Detection of network partitions by the number of members lost at the same time."""
 
 from dahliabend.membership.swim_config import SwimConfig
 
 
 class PartitionDetector:
-    """Takes many simultaneous losses for a network partition that this member may be on the small side of."""
+    """Takes many simultaneous losses for a network partition.
+
+    This member may be on the smaller side of it.
+    """
 
     __slots__ = ("_config", "_partitioned", "_recent_losses")
 
     def __init__(self, config: SwimConfig) -> None:
         self._config = config
-        self._recent_losses: dict[str, int] = {}  # by name: microseconds
-        self._partitioned: set[str] = set()  # lost at once with many others, and not back
+        self._recent_losses: dict[str, int] = {}  # by name: time of the loss in microseconds
+        self._partitioned: set[str] = set()  # names lost together with many others, and not back yet
 
     def record_loss(self, now: int, name: str, cluster_size: int) -> None:
         """Record that a member was declared dead.
 
         Args:
-            now: Microseconds.
-            name: The member.
-            cluster_size: Members still present, this one included.
+            now: Current time in microseconds.
+            name: Name of the member.
+            cluster_size: Number of members still present, this one included.
         """
-        # Twice the time of a suspicion: a member with a bad health score takes longer.
+        # Twice the longest suspicion: a member with a bad health score takes longer to declare others dead.
         since = now - 2 * self._config.max_suspicion_time
         self._recent_losses = {other: at for other, at in self._recent_losses.items() if at > since}
         self._recent_losses[name] = now
@@ -29,20 +32,20 @@
             self._partitioned.update(self._recent_losses)
 
     def forget(self, name: str) -> None:
-        """Record that a member is back, or forgotten."""
+        """Remove a member that has returned or that the table no longer has."""
         self._recent_losses.pop(name, None)
         self._partitioned.discard(name)
 
     def forget_recent(self) -> None:
-        """Forget the losses that have not been taken for a partition."""
+        """Discard the recent losses, except those already taken for a partition."""
         self._recent_losses.clear()
 
     def is_partitioned(self, cluster_size: int) -> bool:
-        """Tell whether this member may be cut off from a large part of the cluster."""
+        """Return whether this member may be cut off from a large part of the cluster."""
         return self._exceeds_partition_ratio(len(self._partitioned), cluster_size)
 
     def copy_state(self, other: "PartitionDetector") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another detector into this one."""
         self._recent_losses = other._recent_losses.copy()
         self._partitioned = other._partitioned.copy()
 
--- a/dahliabend/membership/probe_round.py
+++ b/dahliabend/membership/probe_round.py
@@ -1,4 +1,4 @@
-"""The order in which members are probed: each once a round, the order of a round is random."""
+"""The order in which members are probed: each once per round, in random order."""
 
 from random import Random
 
@@ -6,10 +6,10 @@
 
 
 class ProbeRound:
-    """Members to probe in this round.
+    """The members still to be probed in the current round.
 
     Attributes:
-        queue: Their names, the next one last; some may have departed.
+        queue: Names of these members, the next one last; some may have departed since.
     """
 
     __slots__ = ("_random", "_table", "queue")
@@ -20,11 +20,14 @@
         self.queue: list[str] = []
 
     def insert(self, name: str) -> None:
-        """Put a new member somewhere among those still to be probed."""
+        """Insert a new member at a random position of the current round."""
         self.queue.insert(self._random.randrange(len(self.queue) + 1), name)
 
     def next(self) -> str | None:
-        """Take the next member, from a new round if need be; None if nobody is present."""
+        """Return the next member to probe, or None if no member is present.
+
+        A new round is begun when the current one is over.
+        """
         while self.queue and not self._table.is_present(self.queue[-1]):
             self.queue.pop()
         if not self.queue:
@@ -33,5 +36,5 @@
         return self.queue.pop() if self.queue else None
 
     def clear(self) -> None:
-        """Begin a new round with the next probe."""
+        """Discard the current round, so that the next probe begins a new one."""
         self.queue = []
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -1,8 +1,8 @@
-"""The membership protocol of one member: SWIM (2002), with what Lifeguard (2017) adds to it.
+"""The membership protocol of one member: SWIM (2002) with the extensions of Lifeguard (2017).
 
-It is free of I/O. Its owner calls `receive_datagram` and `timer_fired` with the time, takes datagrams, events
-and user messages after each call, and calls `timer_fired` again at `timer_due`. Time is that of a clock which
-only moves forward; all chance comes from one source, so that a seed replays a run.
+The protocol does no I/O. Its owner calls `receive_datagram` and `timer_fired` with the current time, takes
+datagrams, events and user messages after each call, and calls `timer_fired` again at `timer_due`. Times are
+those of a monotonic clock. All random choices come from one generator, so that a seed replays a run.
 """
 
 from collections import Counter
@@ -49,12 +49,12 @@
 
         Args:
             name: Name of this member.
-            generation: Higher than that of earlier processes of this name.
-            address: Host and port that the others send to.
+            generation: Number of this process; higher than those of earlier processes of this name.
+            address: Host and port that the other members send to.
             config: Parameters of the protocol.
-            random: Source of all random choices.
-            zone: Zone that it runs in.
-            weight: Its share of the work, relative to the other members.
+            random: Generator of all random choices.
+            zone: Zone that this member runs in.
+            weight: This member's share of the work, relative to the other members.
         """
         self.name = name
         self.config = config
@@ -71,7 +71,7 @@
         self._schedule = components.schedule
         self._messages = MessageHandler(components)
 
-    # What the owner sees.
+    # State and output for the owner
 
     @property
     def generation(self) -> int:
@@ -85,7 +85,7 @@
 
     @property
     def exclusion(self) -> Exclusion:
-        """Why others may not count this member, as far as they have said so; empty if they do."""
+        """Why other members may not count this one as present, as far as known; empty if they do."""
         return self._components.local.exclusion
 
     @property
@@ -95,22 +95,22 @@
 
     @property
     def health_score(self) -> int:
-        """Local health score; 0 is healthy."""
+        """The local health score; 0 is healthy."""
         return self._components.health.score
 
     @property
     def timer_due(self) -> int:
-        """When `timer_fired` is to be called next."""
+        """Time at which `timer_fired` has to be called next."""
         return self._schedule.timer_due
 
     @property
     def unsettled_until(self) -> int:
-        """Until then this member trusts nothing that it knows: it has just started or was stopped."""
+        """Time until which the member table is not trusted, after a start or a pause of this process."""
         return self._schedule.unsettled_until
 
     @property
     def seeds(self) -> list[str]:
-        """Addresses of members that may be there."""
+        """Configured addresses at which other members may listen."""
         return self._components.anti_entropy.seeds
 
     @property
@@ -120,62 +120,65 @@
 
     @property
     def suspects(self) -> dict[str, None]:
-        """Names of the members that are suspected, the oldest first."""
+        """Names of the suspected members, the oldest suspicion first."""
         return self._components.table.suspects
 
     @property
     def departed(self) -> dict[str, None]:
-        """Names of the members that are dead or have left, the oldest first."""
+        """Names of the members that are dead or have left, the earliest departure first."""
         return self._components.table.departed
 
     @property
     def dropped_datagrams(self) -> Counter[str]:
-        """Datagrams dropped, by reason."""
+        """Number of dropped datagrams by reason."""
         return self._components.receiver.dropped
 
     @property
     def outgoing(self) -> list[Datagram]:
-        """Datagrams that have not been taken."""
+        """Datagrams that the owner has not taken yet."""
         return self._components.disseminator.outgoing
 
     @property
     def events(self) -> list[Event]:
-        """Events that have not been taken."""
+        """Events that the owner has not taken yet."""
         return self._components.events.pending
 
     @property
     def user_messages(self) -> list[bytes]:
-        """Payloads of user messages that have not been taken."""
+        """Payloads of user messages that the owner has not taken yet."""
         return self._messages.user_messages
 
     def take_outgoing(self) -> list[Datagram]:
-        """Return the datagrams to send since the last call."""
+        """Return the datagrams to send that were queued since the last call."""
         return self._components.disseminator.take_outgoing()
 
     def take_events(self) -> list[Event]:
-        """Return the events since the last call."""
+        """Return the events recorded since the last call."""
         return self._components.events.take()
 
     def take_user_messages(self) -> list[bytes]:
-        """Return the payloads of user messages since the last call."""
+        """Return the payloads of user messages received since the last call."""
         return self._messages.take_user_messages()
 
     def view(self, now: int) -> MembershipView:
-        """Return the view at this time."""
+        """Return the view of the membership at this time."""
         return self._components.views.latest(now)
 
     def last_stable_view(self, now: int) -> MembershipView | None:
-        """Return the last stable view; one is looked for now and in each protocol period."""
+        """Return the last stable view, or None if there was none.
+
+        Views are checked for stability at each call and at the start of each protocol period.
+        """
         return self._components.views.last_stable(now)
 
-    # What the owner asks for.
+    # Commands of the owner
 
     def start(self, now: int, seeds: Iterable[str]) -> None:
         """Join the cluster.
 
         Args:
-            now: The time.
-            seeds: Addresses of members that may be there; this member's own does no harm.
+            now: Current time.
+            seeds: Addresses at which other members may listen; this member's own address is filtered out.
         """
         self._components.receiver.last_received_at = now
         self._schedule.restart(now + self._random.randrange(self.config.period))
@@ -190,23 +193,23 @@
         self._components.anti_entropy.set_seeds(seeds)
 
     def leave(self, _now: int) -> None:
-        """Tell the others that this member leaves; the process may end one protocol period later."""
+        """Announce that this member leaves; the process may end one protocol period later."""
         self._components.local.is_leaving = True
         self._components.announcer.announce(status=MemberStatus.LEFT)
         self._components.anti_entropy.announce_to_sample()
 
     def update_self(self, _now: int, **fields: object) -> None:
-        """Disseminate other values of these fields of this member's `Update`: `zone`, `weight`."""
+        """Disseminate new values of fields of this member's `Update`, for instance `zone` or `weight`."""
         self._components.announcer.announce(**fields)
 
     def send_user_message(self, name: str, data: bytes) -> None:
-        """Send a payload of another component to a member; dropped if it is not present."""
+        """Send a payload of another component to a member; it is dropped if the member is not present."""
         member = self.members.get(name)
         if member is not None and member.is_present:
             self._components.disseminator.send(member.address, UserMessage(data), [])
 
     def send(self, address: str, message: Message, updates: Sequence[bytes]) -> None:
-        """Send a message with these encoded updates."""
+        """Send a message with these encoded updates, and with no others."""
         self._components.disseminator.send(address, message, updates)
 
     def record_dropped(self, reason: DropReason) -> None:
@@ -214,7 +217,7 @@
         self._components.receiver.dropped[reason] += 1
 
     def snapshot(self) -> MembershipSnapshot:
-        """Return what a successor process in the same place needs, so that nobody sees a change."""
+        """Return the state that lets a successor process continue without a visible change."""
         return MembershipSnapshot(
             generation=self.generation,
             incarnation=self._components.local.incarnation,
@@ -223,13 +226,13 @@
         )
 
     def restore(self, now: int, state: MembershipSnapshot) -> None:
-        """Go on as a predecessor of the same name and place; before `start`.
+        """Continue in place of a predecessor process of the same name and address; call it before `start`.
 
-        What it knew of others is asked about before it counts.
+        What the predecessor knew about other members is not trusted until they have been asked.
 
         Args:
-            now: The time.
-            state: What the predecessor left.
+            now: Current time.
+            state: Snapshot of the predecessor.
         """
         self._components.local.update_fields(generation=state.generation, incarnation=state.incarnation + 1)
         self._components.disseminator.sequence_number = state.sequence_number
@@ -238,18 +241,18 @@
                 self.store_update(now, replace(update, status=MemberStatus.ALIVE), None)
         self._components.disseminator.clear_unsent()
 
-    # Datagrams.
+    # Datagrams
 
     def receive_datagram(self, now: int, data: bytes, source: str) -> None:
         """Process a datagram.
 
         Args:
-            now: The time.
+            now: Current time.
             data: The datagram without its authentication tag.
             source: Address of its sender.
         """
         if now - self.timer_due > self.config.period:
-            self.recover_from_pause(now)  # what has waited in the socket may be read before the timer fires
+            self.recover_from_pause(now)  # the socket may be read before the overdue timer fires
         packet = self._components.receiver.receive(now, data, source)
         if packet is None:
             return
@@ -257,21 +260,25 @@
             self.apply_update(now, update)
         self._messages.handle(now, packet, source)
 
-    # Updates.
+    # Updates
 
     def apply_update(self, now: int, update: Update) -> None:
-        """Apply an update about any member, this one included, if it says something new."""
+        """Apply an update about any member, this one included, if it is news."""
         if update.name == self.name:
             self._components.refuter.receive(now, update)
         else:
             self._components.rules.apply(now, update)
 
     def store_update(self, now: int, update: Update, event: EventKind | None) -> None:
-        """Store an update about another member whatever was known before; report the event, if any."""
+        """Store an update about another member, overriding what is known, and record the event, if any."""
         self._components.rules.store(now, update, event or None)
 
     def suspect_member(self, now: int, name: str) -> None:
-        """Suspect a member that did not answer, unless this member has itself lost touch."""
+        """Suspect a member that did not answer a probe.
+
+        Ignored while this member itself may have lost contact: after a start or a pause, and while most
+        others cannot reach it.
+        """
         member = self.members.get(name)
         if member is None or not member.is_present:
             return
@@ -280,20 +287,20 @@
             self.apply_update(now, update)
 
     def declare_dead(self, now: int, member: Member) -> None:
-        """Store that a member is dead, by this member's own observation."""
+        """Store and disseminate that a member is dead, as this member's own observation."""
         update = replace(member.update, status=MemberStatus.DEAD, reported_by=self.name)
         self.store_update(now, update, EventKind.DIED)
 
-    # Time.
+    # Timer
 
     def timer_fired(self, now: int) -> None:
-        """Do what is due at this time."""
+        """Perform the actions that are due at this time."""
         self._check_timer_lateness(now)
         self._components.detector.expire_relayed(now)
         failed = self._components.detector.check_probe(now)
         if failed is not None:
-            # Had the members that were asked been there, their nacks would have come: this member hears
-            # badly.
+            # Each member asked for an indirect ping that has sent no nack is a sign that this member itself
+            # receives datagrams badly.
             self._components.health.worsen(max(1, failed.pending_nacks))
             self.suspect_member(now, failed.name)
         for member in self._components.suspicions.expire(now):
@@ -308,14 +315,14 @@
         self._schedule.timer_due = max(now + 1, min(deadlines))
 
     def recover_from_pause(self, now: int) -> None:
-        """Begin anew after this process was stopped for longer than a protocol period.
+        """Reset all timeouts after this process was stopped for longer than a protocol period.
 
-        The probe of then suspects nobody, suspicions begin anew, and nobody is declared dead before the
-        others have been asked. Else whoever was suspected when the process was stopped would be declared
-        dead.
+        The probe in flight is discarded, suspicions start again, and no member is declared dead before this
+        member has requested the tables of others. Otherwise every member that was suspected when the process
+        was stopped would be declared dead.
 
         Args:
-            now: The time.
+            now: Current time.
         """
         self._components.detector.abort()
         self._components.health.set_worst()
@@ -328,7 +335,7 @@
         self._components.anti_entropy.sync_periodically()
 
     def _check_timer_lateness(self, now: int) -> None:
-        """Take a late timer for a sign that this process is slow, or was stopped."""
+        """Treat a late timer as a sign that this process is slow or was stopped."""
         late = now - self.timer_due
         tolerance = self.config.late_timer_ratio * self.config.period
         if late > self.config.period:
@@ -352,15 +359,15 @@
         self._components.anti_entropy.query_suspects()
         self._components.views.last_stable(now)
 
-    # Simulations and the model checker.
+    # Simulations and the model checker
 
     def assume_members(self, now: int, updates: Iterable[Update], encoded: Mapping[str, bytes]) -> None:
-        """Know these members and no others, as after a long time: all settled, nothing to disseminate.
+        """Replace the member table as if the cluster had run for long: settled, with nothing to disseminate.
 
         Args:
-            now: The time.
-            updates: The newest update of each member; that of this member is passed over.
-            encoded: The same, encoded, by name; may be shared.
+            now: Current time.
+            updates: The newest update about each member; one about this member is skipped.
+            encoded: The encoded updates by name; the mapping may be shared between members.
         """
         self._components.table.replace_all(
             now, [update for update in updates if update.name != self.name], encoded
@@ -370,12 +377,12 @@
         self._schedule.unsettled_until = 0
 
     def start_with_members(self, now: int, updates: Iterable[Update], first_period_at: int) -> None:
-        """Start with members that are known, and with nothing to disseminate.
+        """Start with known members and with nothing to disseminate.
 
         Args:
-            now: The time.
-            updates: The newest update of each member; that of this member is passed over.
-            first_period_at: Microseconds; when the first protocol period begins.
+            now: Current time.
+            updates: The newest update about each member; one about this member is skipped.
+            first_period_at: Time at which the first protocol period begins.
         """
         self.start(now, [])
         for update in updates:
@@ -386,12 +393,15 @@
         self._schedule.restart(first_period_at)
 
     def duplicate(self) -> "MembershipProtocol":
-        """Return a member in the same state that goes on independently; both share the source of chance."""
+        """Return an independent copy of this member; both share the random number generator."""
         duplicate = copy(self)
         duplicate._set_components(self._components.duplicate())
         duplicate._messages.user_messages = self.user_messages.copy()
         return duplicate
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that later behaviour depends on: neither events nor counts of dropped datagrams."""
+        """Return everything that later behaviour depends on, as a hashable value.
+
+        Events and counts of dropped datagrams are not part of it.
+        """
         return self._components.state_key()
--- a/dahliabend/membership/receiver.py
+++ b/dahliabend/membership/receiver.py
@@ -1,4 +1,4 @@
-"""Checks of incoming datagrams, before the protocol reads them."""
+"""Decoding and checks of incoming datagrams before the protocol processes them."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -18,9 +18,9 @@
     """Decodes datagrams and drops those that are unreadable, replayed or of an earlier generation.
 
     Attributes:
-        dropped: Datagrams dropped, by reason.
-        last_received_at: Microseconds; when the last datagram was accepted.
-        replay_filter: Windows of sequence numbers, by sender.
+        dropped: Number of dropped datagrams by reason.
+        last_received_at: Time in microseconds at which the last datagram was accepted.
+        replay_filter: Windows of received sequence numbers by sender.
     """
 
     __slots__ = ("_anti_entropy", "_local", "_table", "dropped", "last_received_at", "replay_filter")
@@ -39,17 +39,17 @@
         """Decode a datagram.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             data: The datagram without its authentication tag.
             source: Address of its sender.
 
         Returns:
-            The packet; None if it is dropped.
+            The packet, or None if the datagram is dropped.
         """
         try:
             packet = decode_packet(data)
             if packet.sender == self._local.name and packet.generation == self._local.generation:
-                return None  # this member's own datagram has come back
+                return None  # a datagram of this member itself, sent back to it
             self._check_freshness(packet, source)
         except DatagramError as error:
             self.dropped[error.reason] += 1
@@ -58,27 +58,29 @@
         return packet
 
     def credible_updates(self, packet: Packet) -> Sequence[Update]:
-        """Return the updates of a packet without those that its sender is in no position to report.
+        """Return the updates of a packet without those that its sender cannot know reliably.
 
-        A member that is taken for dead, or that few can reach, may itself have lost touch: its suspicions of
-        others do not count.
+        A sender that counts as dead, or that most members cannot reach, may itself have lost contact: its
+        reports that other members are suspected or dead are ignored.
         """
         sender = self._table.members.get(packet.sender)
         if sender is None or (sender.is_present and not self._table.is_unreachable(packet.sender)):
             return packet.updates
-        own_name = self._local.name
+        local_name = self._local.name
         return [
-            each for each in packet.updates if each.name == own_name or each.status not in FAILURE_STATUSES
+            update
+            for update in packet.updates
+            if update.name == local_name or update.status not in FAILURE_STATUSES
         ]
 
     def copy_state(self, other: "PacketReceiver") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another receiver into this one."""
         self.replay_filter.copy_state(other.replay_filter)
         self.dropped = other.dropped.copy()
         self.last_received_at = other.last_received_at
 
     def _check_freshness(self, packet: Packet, source: str) -> None:
-        origin = f"{packet.sender} {source}"  # a process elsewhere that uses the same name is another sender
+        origin = f"{packet.sender} {source}"  # a process of the same name elsewhere counts as another sender
         if self.replay_filter.is_stale_generation(origin, packet.generation):
             self._send_known_generation(packet.sender, source)
             raise DatagramError(DropReason.STALE_GENERATION)
@@ -86,7 +88,10 @@
             raise DatagramError(DropReason.REPLAYED)
 
     def _send_known_generation(self, name: str, source: str) -> None:
-        """Tell a sender of an earlier generation which one is known: its clock may have been set back."""
+        """Send the known update about a member to a sender of an earlier generation of it.
+
+        The sender may be a new process whose generation is too low because its clock was set back.
+        """
         member = self._table.members.get(name)
         if member is not None and source == member.address:
             self._anti_entropy.send_updates(source, [member.encoded_update])
--- a/dahliabend/membership/replay_window.py
+++ b/dahliabend/membership/replay_window.py
@@ -1,4 +1,4 @@
-"""Detection of replayed datagrams, by a sliding window of sequence numbers for each sender."""
+"""Detection of replayed datagrams by a sliding window of sequence numbers for each sender."""
 
 from dataclasses import dataclass, replace
 
@@ -8,34 +8,36 @@
 
 @dataclass(slots=True)
 class _Window:
-    """What has been received of one sender.
+    """The sequence numbers received from one sender.
 
     Attributes:
-        generation: Its generation.
-        highest: The highest sequence number.
-        seen: Bit n stands for the sequence number `highest - n`.
+        generation: Generation of the sender.
+        highest: The highest sequence number received.
+        received_bits: Bit n is set if the sequence number `highest - n` has been received.
     """
 
     generation: int
     highest: int
-    seen: int
+    received_bits: int
 
     def accept(self, sequence_number: int) -> bool:
-        """Record a number; False if it is recorded already, or before the window."""
+        """Record a sequence number; return False if it is recorded already or lies before the window."""
         ahead = sequence_number - self.highest
         if ahead > 0:
             self.highest = sequence_number
-            self.seen = (self.seen << ahead | 1) & WINDOW_MASK if ahead < WINDOW_SIZE else 1
+            self.received_bits = (self.received_bits << ahead | 1) & WINDOW_MASK if ahead < WINDOW_SIZE else 1
             return True
         behind = -ahead
-        if behind >= WINDOW_SIZE or self.seen >> behind & 1:
+        if behind >= WINDOW_SIZE or self.received_bits >> behind & 1:
             return False
-        self.seen |= 1 << behind
+        self.received_bits |= 1 << behind
         return True
 
 
 class ReplayFilter:
-    """One window a sender, as in IPsec (RFC 4303, 3.4.3); the oldest sender gives way to a new one.
+    """One window per sender, as in IPsec (RFC 4303, 3.4.3).
+
+    At `max_senders` windows, a new sender evicts the one that was added first.
 
     >>> replay_filter = ReplayFilter()
     >>> [replay_filter.accept("a", 1, n) for n in (5, 3, 5, 4, 3)]
@@ -57,12 +59,12 @@
         return len(self._windows)
 
     def copy_state(self, other: "ReplayFilter") -> None:
-        """Take over a copy of another one's state."""
+        """Copy the state of another filter into this one."""
         self.max_senders = other.max_senders
         self._windows = {sender: replace(window) for sender, window in other._windows.items()}
 
     def is_stale_generation(self, sender: str, generation: int) -> bool:
-        """Tell whether a later generation of this sender has been accepted."""
+        """Return whether a later generation of this sender has been accepted."""
         window = self._windows.get(sender)
         return window is not None and generation < window.generation
 
@@ -75,7 +77,8 @@
             sequence_number: Number of the datagram, from 1.
 
         Returns:
-            Whether it is new: neither replayed, nor too old to tell, nor of a stale generation.
+            Whether the datagram is new: neither replayed, nor older than the window, nor of a stale
+            generation.
         """
         if generation < 0 or sequence_number <= 0:
             return False
--- a/dahliabend/membership/schedule.py
+++ b/dahliabend/membership/schedule.py
@@ -1,4 +1,4 @@
-"""When the protocol acts next, and from when on it trusts what it knows."""
+"""The times at which the protocol acts next, and from which it trusts its member table."""
 
 from dahliabend.membership.swim_config import SwimConfig
 
@@ -7,11 +7,11 @@
     """Due times of one member, in microseconds of its clock.
 
     Attributes:
-        timer_due: When the owner has to call `timer_fired`.
-        period_due: When the next protocol period begins.
-        period_count: Protocol periods that have begun.
-        unsettled_until: Until then nobody is suspected or declared dead: this member has just started or was
-            stopped, and asks the others first.
+        timer_due: Time at which the owner has to call `timer_fired`.
+        period_due: Time at which the next protocol period begins.
+        period_count: Number of protocol periods that have begun.
+        unsettled_until: Time before which no member is suspected or declared dead: this member has just
+            started or was stopped, and first requests the tables of others.
     """
 
     __slots__ = ("_period", "period_count", "period_due", "timer_due", "unsettled_until")
@@ -24,7 +24,7 @@
         self.unsettled_until = 0
 
     def restart(self, at: int) -> None:
-        """Begin the next protocol period at this time, and ask for the timer then."""
+        """Let the next protocol period begin at this time, with the timer due at the same time."""
         self.period_due = at
         self.timer_due = at
 
@@ -34,20 +34,20 @@
         self.period_count += 1
 
     def is_settled(self, now: int) -> bool:
-        """Tell whether what this member knows is to be trusted."""
+        """Return whether the member table can be trusted at this time."""
         return now >= self.unsettled_until
 
     def bring_forward(self, at: int) -> None:
-        """Ask for the timer at this time at the latest."""
+        """Make the timer due at this time at the latest."""
         self.timer_due = min(self.timer_due, at)
 
     def copy_state(self, other: "Schedule") -> None:
-        """Take over another one's state."""
+        """Copy the state of another schedule into this one."""
         self.timer_due = other.timer_due
         self.period_due = other.period_due
         self.period_count = other.period_count
         self.unsettled_until = other.unsettled_until
 
     def state_key(self) -> tuple[int, ...]:
-        """Return all that later behaviour depends on."""
+        """Return everything that later behaviour depends on, as a hashable value."""
         return self.unsettled_until, self.period_due, self.period_count, self.timer_due
--- a/dahliabend/membership/self_updates.py
+++ b/dahliabend/membership/self_updates.py
@@ -1,4 +1,4 @@
-"""What this member says of itself: changes, refutations, and whom it cannot reach."""
+"""This member's updates about itself: changed fields, refutations, and which members it cannot reach."""
 
 from dahliabend.membership.anti_entropy import AntiEntropy
 from dahliabend.membership.codec import MAX_UNREACHABLE_PEERS
@@ -11,14 +11,14 @@
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Update
 from dahliabend.membership.view import Exclusion
 
-UNREACHABLE_SCORE = 8  # probes answered only by way of others, until a member is reported as unreachable
-# A direct answer takes back two: with three in ten datagrams lost, when half of the probes need help, the
-# score stays low.
+UNREACHABLE_SCORE = 8  # a member with this many probes answered only indirectly is reported as unreachable
+# A direct ack lowers the score by two, which keeps it low at a datagram loss of 30%, where half of the probes
+# need indirect pings.
 DIRECT_ACK_CREDIT = 2
 
 
 class SelfAnnouncer:
-    """Makes new updates about this member and disseminates them."""
+    """Creates new updates about this member and disseminates them."""
 
     __slots__ = ("_disseminator", "_local", "_table")
 
@@ -28,7 +28,7 @@
         self._disseminator = disseminator
 
     def announce(self, **fields: object) -> None:
-        """Disseminate a new incarnation in which these fields of `Update` have other values."""
+        """Disseminate a new incarnation of this member with new values of these fields of `Update`."""
         before = self._local.update
         self._local.update_fields(incarnation=before.incarnation + 1, **fields)
         self._table.count_unreachable_reports(before, self._local.update)
@@ -36,7 +36,7 @@
         self._disseminator.enqueue(self._local.update)
 
     def announce_not_unreachable(self, name: str) -> None:
-        """Take a member off the list of those that this one cannot reach, if it is on it."""
+        """Withdraw the report, if there is one, that this member cannot reach the named one."""
         unreachable = self._local.update.unreachable_peers
         if name not in unreachable:
             return
@@ -44,10 +44,11 @@
 
 
 class Reachability:
-    """Finds out which members this one can reach directly.
+    """Tracks which members this one can reach directly.
 
-    Whether another can be reached is a relation between two, and reported as such: a one-way loss of
-    connection must neither kill a member nor make it suspected and refuted again and again.
+    Unreachability is reported as a relation between two members, separately from their status: a loss of
+    connection in one direction must neither get a member declared dead nor make it suspected, and refuting
+    the suspicion, again and again.
     """
 
     __slots__ = ("_announcer", "_events", "_local", "_table")
@@ -64,9 +65,9 @@
         """Record that a probe was answered.
 
         Args:
-            now: Microseconds.
-            name: The member that was probed.
-            direct: It answered itself, not by way of another member.
+            now: Current time in microseconds.
+            name: Name of the probed member.
+            direct: Whether it answered the direct ping, not only an indirect one.
         """
         member = self._table.members.get(name)
         if member is None:
@@ -86,7 +87,7 @@
 
 
 class Refuter:
-    """Answers what others say of this member."""
+    """Handles updates of other members about this one, and refutes wrong ones."""
 
     __slots__ = ("_anti_entropy", "_conflicts", "_disseminator", "_events", "_health", "_local", "_table")
 
@@ -112,7 +113,7 @@
         """Apply an update about this member, and refute it if it is wrong.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             update: The update.
         """
         local = self._local
@@ -126,9 +127,10 @@
             self._refute(now, update)
 
     def _raise_generation(self, generation: int) -> None:
-        """Take a generation above that of an earlier process in this place.
+        """Take a generation above that of an earlier process of this name and address.
 
-        The clock was set back since. Else all that this member says would be taken for the earlier one's.
+        The clock was set back since that process started. Otherwise the other members would treat this
+        member's updates as outdated ones of the earlier process.
         """
         self._local.update_fields(generation=generation + 1, incarnation=0)
         self._disseminator.enqueue(self._local.update)
--- a/dahliabend/membership/snapshot.py
+++ b/dahliabend/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""State that one process hands over to its successor."""
+"""The membership state that one process hands over to its successor."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSnapshot:
-    """What a successor process in the same place needs, so that nobody sees a change.
+    """The state that lets a successor process continue without a change visible to the other members.
 
     Attributes:
         generation: Generation of the member.
-        incarnation: Its last incarnation number.
-        sequence_number: Number of its last datagram.
-        members: The newest update of each other member, departed ones included.
+        incarnation: Last incarnation number of the member.
+        sequence_number: Number of the last datagram sent.
+        members: The newest update about each other member, departed ones included.
     """
 
     generation: int
--- a/dahliabend/membership/suspicion.py
+++ b/dahliabend/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion lasts before the member is declared dead."""
+"""Timeouts of suspicions: how long a member stays suspected before it is declared dead."""
 
 from math import log, log10
 
@@ -8,7 +8,7 @@
 
 
 class SuspicionTimers:
-    """Deadlines of suspicions (Lifeguard, 2017): the more members confirm one, the sooner it ends."""
+    """Deadlines of suspicions (Lifeguard, 2017): the more members confirm a suspicion, the sooner it ends."""
 
     __slots__ = ("_config", "_schedule", "_table")
 
@@ -19,11 +19,11 @@
 
     @property
     def confirmations_needed(self) -> int:
-        """Independent confirmations that make a suspicion the shortest."""
+        """Number of independent confirmations at which a suspicion is the shortest."""
         return max(1, min(self._config.indirect_probes, len(self._table) - 1))
 
     def deadline(self, member: Member) -> int:
-        """Return when the suspicion of this member ends, in microseconds."""
+        """Return the time, in microseconds, at which the suspicion of this member ends."""
         config = self._config
         scale = max(1.0, log10(len(self._table) + 1))
         shortest = config.suspicion_multiplier * scale * config.period
@@ -32,7 +32,7 @@
         return member.suspected_at + round(shortest * factor)
 
     def deadlines(self) -> list[int]:
-        """Return when each suspicion is to be looked at next, in microseconds."""
+        """Return the time, in microseconds, at which each suspicion has to be checked for expiry."""
         if not self._table.suspects:
             return []
         unsettled_until = self._schedule.unsettled_until
@@ -41,8 +41,8 @@
     def expire(self, now: int) -> list[Member]:
         """Return the members to declare dead.
 
-        What kept this process from its timer kept it from its socket too, where a refutation may be unread: a
-        suspicion has to be found expired twice, with a look at the socket in between.
+        A suspicion has to be found expired twice, with the socket read in between: a delay that made this
+        timer late also kept the process from reading the socket, where a refutation may be waiting.
         """
         expired: list[Member] = []
         if not self._table.suspects:
@@ -55,10 +55,10 @@
         return expired
 
     def add_confirmation(self, member: Member, reported_by: str) -> bool:
-        """Record that one more member suspects this one.
+        """Record that one more member suspects the given one.
 
         Returns:
-            Whether it is worth disseminating: new, and not more than are needed.
+            Whether the confirmation should be disseminated: it is new, and more of them are still useful.
         """
         if reported_by in member.confirmations or len(member.confirmations) > self._config.indirect_probes:
             return False
@@ -66,20 +66,20 @@
         return True
 
     def shorten(self, now: int, member: Member, reported_by: str, confirmations: int) -> None:
-        """Let a suspicion end as its confirmations have it.
+        """Shorten a suspicion to match its confirmations.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             member: The suspected member.
-            reported_by: Who confirms it.
-            confirmations: How many confirmations that is worth at least, all in all.
+            reported_by: Name of the member that confirms the suspicion.
+            confirmations: Number of confirmations that the suspicion has at least from now on.
         """
         for number in range(len(member.confirmations), confirmations):
             member.confirmations.add(f"{reported_by}/{number}")
         self._schedule.bring_forward(max(now, self.deadline(member)))
 
     def restart(self, now: int) -> None:
-        """Begin all suspicions anew: this process was stopped, and refutations may have passed it by."""
+        """Restart all suspicions after a pause of this process, which may have missed refutations."""
         for member in self._table.suspected_members():
             member.suspected_at = now
             member.confirmations = set()
--- a/dahliabend/membership/swim_config.py
+++ b/dahliabend/membership/swim_config.py
@@ -1,4 +1,4 @@
-"""Parameters of the protocol."""
+"""Parameters of the membership protocol."""
 
 from dataclasses import dataclass
 
@@ -8,19 +8,22 @@
     """Parameters of the protocol; all members of a cluster should have the same.
 
     Attributes:
-        period: Protocol period in microseconds: one member is probed in each.
-        ping_timeout_ratio: Part of the period after which a ping is unanswered and indirect pings are sent.
-        indirect_probes: Members that are asked to ping for this one.
-        suspicion_multiplier: Periods that a suspicion lasts at least, times the logarithm of the cluster
+        period: Protocol period in microseconds; one member is probed in each period.
+        ping_timeout_ratio: Fraction of the period after which a ping counts as unanswered and indirect pings
+            are requested.
+        indirect_probes: Number of members that are asked for an indirect ping.
+        suspicion_multiplier: Minimum duration of a suspicion in periods, multiplied by the decimal logarithm
+            of the cluster size.
+        max_suspicion_factor: Factor by which a suspicion lasts longer if no other member has confirmed it.
+        max_health_score: Upper bound of the local health score, which extends timeouts; 0: they never grow.
+        late_timer_ratio: Fraction of the period by which a timer may be late before the local health score
+            rises.
+        retransmit_multiplier: How often an update is sent, multiplied by the decimal logarithm of the cluster
             size.
-        max_suspicion_factor: By how much longer a suspicion lasts that no other member has confirmed.
-        max_health_score: Upper bound of the local health score, by which timeouts grow; 0: they never do.
-        late_timer_ratio: Part of the period by which a timer may be late before local health suffers.
-        retransmit_multiplier: How often an update is sent, times the logarithm of the cluster size.
-        sync_interval: Periods between two anti-entropy syncs.
-        dead_retention: Microseconds for which dead members and those that left are remembered.
-        partition_ratio: Part of the cluster which, lost within a short time, is taken for a partition.
-        max_members: Members that are remembered at the most.
+        sync_interval: Number of periods between two anti-entropy syncs.
+        dead_retention: Time in microseconds for which dead members and those that left are remembered.
+        partition_ratio: Fraction of the cluster whose loss within a short time counts as a partition.
+        max_members: Maximum number of members that are remembered.
     """
 
     period: int = 1_000_000
@@ -38,5 +41,5 @@
 
     @property
     def max_suspicion_time(self) -> int:
-        """The longest suspicion in a small cluster, in microseconds; losses within it are simultaneous."""
+        """The longest suspicion in a small cluster, in microseconds."""
         return round(self.suspicion_multiplier * self.max_suspicion_factor * self.period)
--- a/dahliabend/membership/udp_transport.py
+++ b/dahliabend/membership/udp_transport.py
@@ -1,4 +1,4 @@
-"""The membership protocol on a UDP socket, with one timer."""
+"""The membership protocol on a UDP socket, driven by the event loop."""
 
 import asyncio
 import contextlib
@@ -14,22 +14,22 @@
 
 MAX_CACHED_ADDRESSES = 20_000
 
-Address = tuple[str, int]  # host and port, as sockets have them
+Address = tuple[str, int]  # host and port, as the socket module represents them
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """Carries datagrams, time and events between a `MembershipProtocol` and the event loop.
+    """Connects a `MembershipProtocol` to a UDP socket, to a timer and to the receivers of its events.
 
-    It owns the socket and the timer from `open` until `close`.
+    The socket and the timer belong to the transport from `open` until `close`.
 
     Attributes:
         membership: The protocol.
-        authenticator: Signs and verifies the datagrams; may be replaced while running.
-        on_user_messages: Called with payloads of other components; None: they are dropped.
-        sent: Datagrams sent.
-        sent_bytes: Their bytes, authentication tags included.
-        received: Datagrams received, dropped ones included.
-        received_bytes: Their bytes.
+        authenticator: Signs and verifies the datagrams; may be replaced while the transport is open.
+        on_user_messages: Called with received payloads of other components; if None, they are dropped.
+        sent: Number of datagrams sent.
+        sent_bytes: Bytes of the datagrams sent, authentication tags included.
+        received: Number of datagrams received, dropped ones included.
+        received_bytes: Bytes of the datagrams received.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         timers: TimerQueue,
         on_event: Callable[[Event], None],
     ) -> None:
-        """Create a transport that is not open.
+        """Create a transport that is not open yet.
 
         Args:
             membership: The protocol.
             authenticator: Signs and verifies the datagrams.
-            timers: Where the timer is scheduled.
-            on_event: Called with each event.
+            timers: Queue in which the timer of the protocol is scheduled.
+            on_event: Called with each event of the protocol.
         """
         self.membership = membership
         self.authenticator = authenticator
@@ -59,14 +59,14 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: Timer | None = None
         self._timer_due = 0
-        self._addresses: dict[str, Address | None] = {}  # None: not an address
+        self._addresses: dict[str, Address | None] = {}  # parsed addresses by text; None: not an address
 
     async def open(self, address: Address, seeds: Iterable[str]) -> None:
         """Bind the socket and join the cluster.
 
         Args:
             address: Host and port to listen on.
-            seeds: Addresses of members that may be there.
+            seeds: Addresses at which other members may listen.
 
         Raises:
             OSError: The address cannot be bound.
@@ -83,7 +83,7 @@
         self.flush()
 
     def close(self) -> None:
-        """Release the socket and the timer; may be called again."""
+        """Close the socket and cancel the timer; further calls have no effect."""
         self._timers.cancel(self._timer)
         self._timer = None
         if self._transport is not None:
@@ -91,15 +91,15 @@
             self._transport = None
 
     def leave(self) -> None:
-        """Tell the others that this member leaves."""
+        """Announce that this member leaves the cluster."""
         self.membership.leave(clock())
         self.flush()
 
     def connection_made(
         self,
-        transport: asyncio.DatagramTransport,  # type: ignore[override]  # a datagram endpoint has no other
+        transport: asyncio.DatagramTransport,  # type: ignore[override]  # always this class for datagrams
     ) -> None:
-        """Take the transport of the socket."""
+        """Store the asyncio transport of the socket."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, source: Address) -> None:
@@ -116,10 +116,13 @@
         self.flush()
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that nobody listens at some address: the failure detector finds it out by itself."""
+        """Ignore errors of the socket, such as an address where nobody listens.
+
+        The failure detector notices members that do not answer.
+        """
 
     def flush(self) -> None:
-        """Carry out what the protocol has left to do."""
+        """Send the datagrams, pass on the events and messages of the protocol, and schedule its timer."""
         for address, data in self.membership.take_outgoing():
             self._send(address, data)
         for event in self.membership.take_events():
@@ -136,7 +139,8 @@
         datagram = self.authenticator.sign(data)
         self.sent += 1
         self.sent_bytes += len(datagram)
-        with contextlib.suppress(OSError):  # the buffer is full, or there is no route: as if lost on the way
+        # A full send buffer or a missing route is treated like a datagram lost in the network.
+        with contextlib.suppress(OSError):
             self._transport.sendto(datagram, destination)
 
     def _schedule_timer(self) -> None:
@@ -153,7 +157,7 @@
         self.flush()
 
     def _parse_address(self, text: str) -> Address | None:
-        """Return an address that a peer has reported; None if it is none. Names are not resolved."""
+        """Parse an address reported by a peer; return None if it is invalid. Host names are not resolved."""
         if text not in self._addresses:
             if len(self._addresses) >= MAX_CACHED_ADDRESSES:
                 self._addresses.clear()
--- a/dahliabend/membership/update_rules.py
+++ b/dahliabend/membership/update_rules.py
@@ -1,4 +1,4 @@
-"""Which update about a member overrides which, and what follows from it."""
+"""Rules by which a received update about another member overrides what is known about it."""
 
 from msgspec.structs import replace
 
@@ -12,7 +12,7 @@
 from dahliabend.membership.self_updates import SelfAnnouncer
 from dahliabend.membership.suspicion import SuspicionTimers
 
-# Senders whose datagrams are checked for replays; a member may be heard from several addresses.
+# Number of senders for which replay windows are kept; a member may send from several addresses.
 MIN_REPLAY_SENDERS = 64
 REPLAY_SENDERS_PER_MEMBER = 4
 
@@ -46,10 +46,10 @@
         self._replay_filter = replay_filter
 
     def apply(self, now: int, update: Update) -> None:
-        """Apply an update about another member if it says something new.
+        """Apply an update about another member if it is news.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             update: The update.
         """
         member = self._table.members.get(update.name)
@@ -57,21 +57,21 @@
             if update.status in PRESENT_STATUSES and not self._table.is_full:
                 self.store(now, update, EventKind.JOINED)
             return
-        known = member.update
-        if update.generation != known.generation:
+        current = member.update
+        if update.generation != current.generation:
             self._apply_from_other_generation(now, member, update)
-        elif update.incarnation > known.incarnation:
+        elif update.incarnation > current.incarnation:
             self._apply_to_known_member(now, member, update, is_newer=True)
-        elif update.incarnation == known.incarnation and update.status is not MemberStatus.ALIVE:
+        elif update.incarnation == current.incarnation and update.status is not MemberStatus.ALIVE:
             self._apply_to_known_member(now, member, update, is_newer=False)
 
     def store(self, now: int, update: Update, event: EventKind | None) -> None:
-        """Store an update whatever was known before, and disseminate it.
+        """Store an update, overriding what is known about the member, and disseminate it.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             update: The update.
-            event: The event to report; None for none.
+            event: Kind of the event to record; None to record none.
         """
         name = update.name
         transition = self._table.put(now, update)
@@ -85,7 +85,7 @@
         self._disseminator.enqueue(update, self._table.members[name].encoded_update)
 
     def _apply_from_other_generation(self, now: int, member: Member, update: Update) -> None:
-        """Apply an update about another process of a known member's name."""
+        """Apply an update about another process with the name of a known member."""
         if member.is_present and update.address != member.address:
             if update.status in PRESENT_STATUSES:
                 self._conflicts.report(now, update)
@@ -93,11 +93,18 @@
             self._apply_to_known_member(now, member, update, is_newer=True)
 
     def _apply_to_known_member(self, now: int, member: Member, update: Update, *, is_newer: bool) -> None:
-        """Apply an update about a known member; `is_newer`: of a later generation or incarnation."""
+        """Apply an update about a known member.
+
+        Args:
+            now: Current time in microseconds.
+            member: The member.
+            update: The update.
+            is_newer: Whether the update is of a later generation or incarnation than the known one.
+        """
         if update.status is MemberStatus.DEAD and member.is_present:
-            # Nobody is declared dead by hearsay: after a partition the word of the other side would kill
-            # members that were reachable here all the time. It counts as a suspicion that everybody has
-            # confirmed.
+            # A report by others that a member is dead is not stored as such, but counts as a suspicion with
+            # all confirmations. Otherwise, after a partition, the reports of one side would remove members
+            # that the other side could reach all the time.
             suspicion = replace(update, status=MemberStatus.SUSPECT)
             self._confirm_suspicion(now, member, suspicion, self._suspicions.confirmations_needed + 1)
         elif update.status is MemberStatus.SUSPECT and not is_newer and member.is_present:
@@ -106,9 +113,9 @@
             self.store(now, update, _event_kind(member, update))
 
     def _confirm_suspicion(self, now: int, member: Member, update: Update, confirmations: int) -> None:
-        """Apply that one more member suspects this one, and how many confirmations that is worth."""
-        known = member.update
-        if known.status is not MemberStatus.SUSPECT or update.incarnation > known.incarnation:
+        """Apply a report that a member is suspected, counting it as `confirmations` confirmations."""
+        current = member.update
+        if current.status is not MemberStatus.SUSPECT or update.incarnation > current.incarnation:
             self.store(now, update, EventKind.SUSPECTED)
             member = self._table.members[update.name]
         elif self._suspicions.add_confirmation(member, update.reported_by):
@@ -117,14 +124,14 @@
 
 
 def _event_kind(member: Member, update: Update) -> EventKind | None:
-    """Return the event that a new status of a known member is."""
-    known = member.update
+    """Return the kind of event to record when an update changes a known member; None for no event."""
+    current = member.update
     if update.status is MemberStatus.SUSPECT:
         return EventKind.SUSPECTED
     if update.status is MemberStatus.LEFT:
         return EventKind.LEFT
     if update.status is MemberStatus.DEAD:
-        return None  # it was departed before
-    if not member.is_present or update.generation > known.generation:
+        return None  # the member had departed already
+    if not member.is_present or update.generation > current.generation:
         return EventKind.RETURNED
-    return EventKind.REFUTED if known.status is MemberStatus.SUSPECT else None
+    return EventKind.REFUTED if current.status is MemberStatus.SUSPECT else None
--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -1,4 +1,4 @@
-"""The membership as one instance sees it at one time, for the components that build on it. Immutable."""
+"""Immutable views of the membership, as one instance sees it at one time, for other components."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class MemberState(StrEnum):
-    """How a present member is seen; operators see the word."""
+    """State of a present member in a view; the values are shown to operators."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -15,12 +15,15 @@
 
 
 class Exclusion(StrEnum):
-    """Why the others may not count a member; operators see the word. `NONE` is false."""
+    """Why other members may not count this one as present; the values are shown to operators.
+
+    `NONE` is falsy.
+    """
 
     NONE = ""
-    DEAD = "dead"  # it was declared dead
+    DEAD = "dead"  # others have declared it dead
     UNREACHABLE = "unreached"  # more than half of the others cannot reach it
-    CONFLICT = "conflict"  # its name is used elsewhere
+    CONFLICT = "conflict"  # another process uses its name
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,17 +31,18 @@
     """A present member.
 
     Attributes:
-        name: Its name.
+        name: Name of the member.
         address: Host and port that it listens on.
         zone: Zone that it runs in.
         weight: Its share of the work, relative to the other members.
-        generation: Tells the processes of one name apart.
-        incarnation: Counts what it has said of itself.
-        state: `UNREACHABLE`: more than half of the others cannot reach it. It is not dead, as its datagrams
-            still arrive, and nothing should be sent to it.
-        since: Microseconds of the viewer's clock; when the viewer first saw it so. 0 for the viewer itself.
-        reported_by: The member that reported it.
-        unreachable_peers: Members that it cannot reach itself.
+        generation: Distinguishes successive processes of the same name.
+        incarnation: Number of the member's updates about itself in this generation.
+        state: State of the member. `UNREACHABLE` means that more than half of the others cannot reach it: it
+            is not dead, as its datagrams still arrive, but nothing should be sent to it.
+        since: Time at which the viewing instance first saw the member in this status, in microseconds of that
+            instance's clock; 0 for the instance itself.
+        reported_by: Name of the member that reported this status.
+        unreachable_peers: Names of the members that it cannot reach directly.
     """
 
     name: str
@@ -54,25 +58,27 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether something may be sent to it."""
+        """Whether datagrams may be sent to the member."""
         return self.state is not MemberState.UNREACHABLE
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """All present members.
+    """All present members at one time.
 
     Attributes:
-        version: Counts the changes that this instance has seen.
-        at: Microseconds; when the view was made.
-        members: The members by name, this instance included.
-        checksum: The same wherever the same members are in the same states.
-        stable: Nobody is suspected, and this instance has asked the others since it started or was stopped.
-        possibly_partitioned: So many were lost at once that this instance may be cut off from them.
-        exclusion: Why the others may not count this instance as a member; empty if they do.
+        version: Number of changes that this instance has seen.
+        at: Time of the view in microseconds.
+        members: The members sorted by name, this instance included.
+        checksum: Checksum of the members and their states; equal in instances with equal views.
+        stable: Whether no member is suspected, and this instance has requested the tables of others since it
+            started or was stopped.
+        possibly_partitioned: Whether this instance may be cut off from the others: many members were lost at
+            the same time, or no datagram has arrived for as long as a suspicion lasts at most.
+        exclusion: Why the other members may not count this instance as present; empty if they do.
         time_since_contact: Microseconds since a datagram of any member arrived.
-        confidence: From 0 to 1: the part of the members not suspected, lowered by this instance's health
-            score.
+        confidence: From 0 to 1: the fraction of the members that is not suspected, lowered by this instance's
+            local health score.
     """
 
     version: int
@@ -91,7 +97,7 @@
 
 
 def checksum(members: Sequence[MemberView]) -> str:
-    """Return eight hexadecimal digits for names, generations, states, zones and weights.
+    """Return a checksum, of eight hexadecimal digits, of names, generations, states, zones and weights.
 
     >>> member = MemberView("a", "h:1", "z", 1.0, 1, 0, MemberState.ALIVE, 5, "a", ())
     >>> checksum(()), checksum((member,))
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -1,4 +1,4 @@
-"""Makes views of the member table."""
+"""Builds views of the membership from the member table."""
 
 from typing import NamedTuple
 
@@ -19,7 +19,10 @@
 
 
 class ViewBuilder:
-    """Makes views, and remembers the last stable one. The members are listed anew only after a change."""
+    """Builds views and remembers the last stable one.
+
+    The list of members is cached until the member table changes.
+    """
 
     __slots__ = (
         "_config",
@@ -51,7 +54,7 @@
         self._last_stable: MembershipView | None = None
 
     def latest(self, now: int) -> MembershipView:
-        """Return the view at this time, in microseconds."""
+        """Return the view at this time; `now` is in microseconds."""
         version, members, digest = self._cached_members()
         table = self._table
         silence = now - self._receiver.last_received_at
@@ -69,14 +72,14 @@
         )
 
     def last_stable(self, now: int) -> MembershipView | None:
-        """Return the view at this time if it is stable, else the last stable one; None if there was none."""
+        """Return the view at this time if it is stable, else the last stable one, or None."""
         latest = self.latest(now)
         if latest.stable:
             self._last_stable = latest
         return self._last_stable
 
     def copy_state(self, other: "ViewBuilder") -> None:
-        """Take over another one's state; it is immutable."""
+        """Share the state of another builder, which is immutable."""
         self._members = other._members
         self._last_stable = other._last_stable
 
@@ -105,7 +108,7 @@
         elif self._table.is_unreachable(update.name):
             state = MemberState.UNREACHABLE
         member = self._table.members.get(update.name)
-        # By position: this is the costliest part of a view in a large cluster.
+        # Positional arguments: this call is the costliest part of building a view of a large cluster.
         return MemberView(
             update.name,
             update.address,
