--- a/tests/membership/polling.py
+++ b/tests/membership/polling.py
@@ -2,11 +2,14 @@
 
 import asyncio
 
+MAX_POLLS = 3_000
+POLL_INTERVAL = 0.005  # seconds
 
-async def wait_until(check):
-    """Return the first true value of the check; the bound is far off."""
-    for _ in range(3_000):
-        if value := check():
+
+async def wait_until(condition):
+    """Return the first true value of the condition; fails after fifteen seconds of polling."""
+    for _ in range(MAX_POLLS):
+        if value := condition():
             return value
-        await asyncio.sleep(0.005)
-    raise AssertionError("the condition never held")
+        await asyncio.sleep(POLL_INTERVAL)
+    raise AssertionError(f"the condition did not become true within {MAX_POLLS} polls")
--- a/tests/membership/simulated_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of membership protocols on a simulated network, as these tests use it."""
+"""A cluster of membership protocols on a simulated network: names for the tests of this folder."""
 
 from dahliabend.simulation.cluster.simulated_cluster import S as SECOND
 from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -1,4 +1,4 @@
-"""A member as the server runs it: the snapshot that it leaves for a successor, and its sources of seeds."""
+"""A member as the server runs it: the snapshot stored for a successor process, and the sources of seeds."""
 
 import asyncio
 import json
@@ -23,10 +23,11 @@
 from dahliabend.transport.timers import TimerQueue
 
 
-def cluster_member(directory, **more):
+def cluster_member(directory, **extra_settings):
+    """Return a member that has not been opened, and the list to which its log events are appended."""
     (directory / "key").write_text("k" * 32)
     settings = MembershipSettings(
-        address="127.0.0.1:7946", name="b1", key_files=["key"], keep="b1.keep", **more
+        address="127.0.0.1:7946", name="b1", key_files=["key"], keep="b1.keep", **extra_settings
     )
     lines = []
     loop = asyncio.new_event_loop()
@@ -40,13 +41,16 @@
 
 def test_a_successor_restores_a_recent_snapshot_and_takes_only_seeds_from_an_old_one(tmp_path):
     before, _ = cluster_member(tmp_path)
-    known = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
-    before.failure_detector.store_update(1, known, "joined")
+    peer = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
+    before.failure_detector.store_update(1, peer, "joined")
     before.store(handed_over=True)
     after, _ = cluster_member(tmp_path)
     assert after.stored.handed_over
     assert after.seeds() == ["127.0.0.1:7947"]
-    for step in (-3_600_000_000, 3_600_000_000):  # a wall clock that was set by an hour, either way
+    for step in (
+        -3_600_000_000,
+        3_600_000_000,
+    ):  # microseconds; the wall clock was set by an hour, either way
         snapshot = json.loads((tmp_path / "b1.keep").read_text())
         snapshot["at"] = host_info.time_ns() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
@@ -75,16 +79,19 @@
 def test_seeds_follow_the_discovery_list(tmp_path):
     async def run():
         loop = asyncio.get_running_loop()
-        registry, (port, own) = Registry(), free_ports(2)
+        registry, (discovery_port, member_port) = Registry(), free_ports(2)
         registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "up", "zone": "a"})
         agent = Agent(registry, loop, lambda *_: None, Random(1), 1_000)
-        await agent.open("127.0.0.1", port)
+        await agent.open("127.0.0.1", discovery_port)
         (tmp_path / "key").write_text("k" * 32)
-        table = MembershipSettings(
-            address=f"127.0.0.1:{own}", name="b1", key_files=["key"], seeds_discovery=f"127.0.0.1:{port}"
+        settings = MembershipSettings(
+            address=f"127.0.0.1:{member_port}",
+            name="b1",
+            key_files=["key"],
+            seeds_discovery=f"127.0.0.1:{discovery_port}",
         )
         member = ClusterMember(
-            table, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
+            settings, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
         )
         await member.open()
         await wait_until(lambda: member.failure_detector.seeds == ["127.0.0.1:7"])
@@ -108,11 +115,11 @@
 
 
 def test_metrics_with_dropped_datagrams_can_be_logged(tmp_path):
-    """Guards against keys that the log's encoder refuses: its lines would fail from the first drop on."""
+    """Guards against dictionary keys that the log's encoder rejects, which would fail each later line."""
     member, _ = cluster_member(tmp_path)
     member.failure_detector.record_dropped(DropReason.REPLAYED)
     metrics = member.metrics()
-    line = orjson.dumps(msgspec.structs.asdict(metrics))  # by the fields' names, as the log writes them
+    line = orjson.dumps(msgspec.structs.asdict(metrics))  # with the field names, as in the log
     assert orjson.loads(line)["datagrams_dropped"] == {"replayed": 1}
-    answer = orjson.dumps(msgspec.to_builtins(metrics))  # by the names of the admin call
+    answer = orjson.dumps(msgspec.to_builtins(metrics))  # with the names of the admin call
     assert orjson.loads(answer)["dropped"] == {"replayed": 1}
--- a/tests/membership/test_fuzz.py
+++ b/tests/membership/test_fuzz.py
@@ -1,6 +1,6 @@
-"""Arbitrary datagrams: the protocol raises nothing, and nothing that it stores grows without bound.
+"""Arbitrary datagrams: the protocol raises no exception, and its stored state stays bounded.
 
-A million: `PYTHONPATH=. python tests/membership/test_fuzz.py`.
+To run a million datagrams: `PYTHONPATH=. python tests/membership/test_fuzz.py`.
 """
 
 import sys
@@ -22,18 +22,18 @@
 NAMES = ("a", "b", "c", "d", "e", "é" * 30, "x" * 70, "", "127.0.0.1:1")
 
 
-def number(random):
+def random_number(random):
     return random.choice((0, 1, 2, 5, random.randrange(10_000), -1, 2**62, random.getrandbits(63)))
 
 
-def update(random):
+def random_update(random):
     name = random.choice(NAMES) if random.random() < 0.5 else f"n{random.randrange(200)}"
     unreachable_peers = tuple(random.choice(NAMES) for _ in range(random.choice((0, 0, 1, 9))))
     weight = random.choice((1.0, 1.0, 0.0, -1.0, float("nan"), float("inf"), 3.5))
     return Update(
         name,
-        number(random),
-        number(random),
+        random_number(random),
+        random_number(random),
         random.choice(list(MemberStatus)),
         random.choice(NAMES),
         random.choice(NAMES),
@@ -43,32 +43,32 @@
     )
 
 
-def message(random):
-    name, count = random.choice(NAMES), number(random)
-    kinds = Ping(count, name), PingRequest(count, name, random.choice(NAMES)), Ack(count), Nack(count)
-    return random.choice((*kinds, Sync(random.random() < 0.5, count)))
+def random_message(random):
+    name, number = random.choice(NAMES), random_number(random)
+    messages = Ping(number, name), PingRequest(number, name, random.choice(NAMES)), Ack(number), Nack(number)
+    return random.choice((*messages, Sync(random.random() < 0.5, number)))
 
 
-def datagram(random):
-    """Valid, with one byte changed, truncated, or random bytes."""
-    kind = random.randrange(5)
-    if kind == 0:
+def random_datagram(random):
+    """A well-formed datagram, one with a changed byte, a truncated one, or random bytes."""
+    variant = random.randrange(5)
+    if variant == 0:
         return random.randbytes(random.randrange(200))
-    updates = [update(random) for _ in range(random.randrange(4))]
+    updates = [random_update(random) for _ in range(random.randrange(4))]
     version = random.choice((1, 1, 1, 2, 0))
-    name, generation, sequence_number = random.choice(NAMES), number(random), number(random)
-    packet = Packet(version, name, generation, sequence_number, message(random), updates)
+    name, generation, sequence_number = random.choice(NAMES), random_number(random), random_number(random)
+    packet = Packet(version, name, generation, sequence_number, random_message(random), updates)
     data = msgspec.msgpack.encode(packet)
-    if kind == 1:
+    if variant == 1:
         position = random.randrange(len(data))
         data = data[:position] + random.randbytes(1) + data[position + 1 :]
-    elif kind == 2:
+    elif variant == 2:
         data = data[: random.randrange(len(data) + 1)]
     return data
 
 
 class FuzzedMember:
-    """One member that receives everything; what it stores is checked after each datagram."""
+    """A member that receives the datagrams; the bounds of its state are checked after each one."""
 
     def __init__(self):
         self.protocol = MembershipProtocol("a", 5, "a", SwimConfig(max_members=MAX_MEMBERS), Random(1))
@@ -109,16 +109,16 @@
 
     @settings(max_examples=examples, database=None, deadline=None, derandomize=True)
     @given(st.integers(0, 2**62))
-    def receive_some(seed):
+    def receive_datagrams(seed):
         random = Random(seed)
         for _ in range(DATAGRAMS_PER_EXAMPLE):
-            member.receive(datagram(random), random.choice(("b", "c", "elsewhere")))
+            member.receive(random_datagram(random), random.choice(("b", "c", "elsewhere")))
 
-    receive_some()
+    receive_datagrams()
     return member.protocol
 
 
-def test_arbitrary_datagrams_raise_nothing_and_grow_nothing():
+def test_arbitrary_datagrams_raise_no_exception_and_leave_state_bounded():
     protocol = fuzz(100)
     assert protocol.dropped_datagrams["unreadable"] > 1_000
     assert len(protocol.members) > 5
--- a/tests/membership/test_members_table.py
+++ b/tests/membership/test_members_table.py
@@ -27,10 +27,10 @@
 """
 
 
-def load(directory, more="", secret="k" * 32):
-    (directory / "key").write_text(secret + "\n")
+def load(directory, members_settings="", key="k" * 32):
+    (directory / "key").write_text(key + "\n")
     path = directory / "file.toml"
-    path.write_text(OPERATOR_FILE.format(more))
+    path.write_text(OPERATOR_FILE.format(members_settings))
     return load_file(str(path))
 
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "expected_fault"),
+    ("members_settings", "expected_fault"),
     [
         ('seeds = ["nowhere"]', "file.toml:6: members.seeds[0]: 'nowhere' is not an IPv4 address and port"),
         ('advertise = "1.2.3.4"', "file.toml:6: members.advertise: '1.2.3.4' is not"),
@@ -53,13 +53,13 @@
         ("zones = 3", "file.toml:6: members.zones: is no key here; is 'zone' meant?"),
     ],
 )
-def test_a_fault_of_the_table_names_file_line_key_and_reason(tmp_path, more, expected_fault):
-    (fault,) = load(tmp_path, more).faults
+def test_a_fault_of_the_table_names_file_line_key_and_reason(tmp_path, members_settings, expected_fault):
+    (fault,) = load(tmp_path, members_settings).faults
     assert str(fault).removeprefix(f"{tmp_path}/").startswith(expected_fault)
 
 
 def test_missing_and_short_keys_are_faults_of_the_file(tmp_path):
-    (fault,) = load(tmp_path, secret="short").faults
+    (fault,) = load(tmp_path, key="short").faults
     assert "members.key-files[0]: key: 5 bytes; a key has 32 at least" in str(fault)
     (tmp_path / "key").unlink()
     (fault,) = load_file(str(tmp_path / "file.toml")).faults
@@ -68,7 +68,7 @@
         parse_key(b"k" * 31)
 
 
-def test_a_reload_applies_seeds_weight_and_keys_and_the_rest_needs_a_restart():
+def test_a_reload_applies_zone_weight_seeds_and_keys_and_other_settings_need_a_restart():
     assert not any(
         needs_restart(f"members.{name}") for name in ("zone", "weight", "seeds[1]", "key-files[0]")
     )
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol on a simulated network: deaths, pauses, losses, partitions, returns, one name used twice."""
+"""The protocol on a simulated network: deaths, pauses, loss, partitions, restarts and name conflicts."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
     assert all(m.view(cluster.now).stable for m in cluster.machines.values())
 
 
-def test_a_killed_member_and_no_other_leaves_all_views():
+def test_a_killed_member_and_no_other_is_removed_from_all_views():
     cluster = SimulatedCluster(5).run(10 * SECOND)
     del cluster.machines["b3"]
     cluster.run(30 * SECOND)
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_nobody_is_declared_dead_with_three_in_ten_datagrams_lost(seed):
+def test_with_30_percent_datagram_loss_no_member_is_declared_dead(seed):
     cluster = SimulatedCluster(5, seed, loss=0.3).run(300 * SECOND)
     assert not cluster.declared_dead()
     assert cluster.agrees()
@@ -52,16 +52,16 @@
     assert cluster.run(60 * SECOND).agrees()
 
 
-@pytest.mark.parametrize("span", [200_000, 4 * SECOND])
-def test_a_pause_shorter_than_a_suspicion_causes_no_death(span):
+@pytest.mark.parametrize("duration", [200_000, 4 * SECOND])
+def test_a_pause_shorter_than_a_suspicion_causes_no_death(duration):
     cluster = SimulatedCluster(5).run(10 * SECOND)
-    cluster.pause("b2", span)
+    cluster.pause("b2", duration)
     cluster.run(60 * SECOND)
     assert not cluster.declared_dead()
     assert cluster.agrees()
 
 
-def test_a_member_stopped_for_a_minute_suspects_nobody_and_returns():
+def test_a_member_paused_for_a_minute_declares_no_other_dead_and_returns():
     cluster = SimulatedCluster(5).run(10 * SECOND)
     cluster.pause("b2", 60 * SECOND)
     cluster.run(59 * SECOND)
@@ -72,17 +72,17 @@
     assert any(event.kind == "paused" for event in cluster.machines["b2"].events)
 
 
-def test_half_a_cluster_stopped_at_once_does_not_declare_the_other_half_dead():
+def test_half_a_cluster_paused_together_does_not_declare_the_other_half_dead():
     cluster = SimulatedCluster(10).run(15 * SECOND)
-    half = {f"b{n}" for n in range(5)}
-    for name in half:
+    paused = {f"b{n}" for n in range(5)}
+    for name in paused:
         cluster.pause(name, 30 * SECOND)
     cluster.run(120 * SECOND)
-    assert cluster.declared_dead() <= half
+    assert cluster.declared_dead() <= paused
     assert cluster.agrees()
 
 
-def test_both_sides_of_a_partition_report_it_and_merge_after_it():
+def test_both_sides_of_a_partition_report_it_and_merge_once_it_heals():
     cluster = SimulatedCluster(5).run(10 * SECOND)
     small, large = {"b0", "b1"}, {"b2", "b3", "b4"}
     cluster.blocked_links = {(a, b) for a in small for b in large} | {(b, a) for a in small for b in large}
@@ -117,9 +117,9 @@
 
 def test_two_processes_with_one_name_are_reported_as_a_conflict():
     cluster = SimulatedCluster(3).run(10 * SECOND)
-    other = MembershipProtocol("b1", 9, "elsewhere", cluster.config, Random(4))
-    other.start(cluster.now, ["b0"])
-    cluster.machines["elsewhere"] = other
+    second_process = MembershipProtocol("b1", 9, "elsewhere", cluster.config, Random(4))
+    second_process.start(cluster.now, ["b0"])
+    cluster.machines["elsewhere"] = second_process
     cluster.transmit("elsewhere")
     cluster.run(30 * SECOND)
     reporting = [m for n, m in cluster.machines.items() if any(e.kind == "conflict" for e in m.events)]
@@ -131,9 +131,9 @@
     cluster = SimulatedCluster(5).run(10 * SECOND)
     cluster.blocked_links.add(("b1", "b2"))
     cluster.run(240 * SECOND)
-    seen = {m.name: m.unreachable_peers for m in cluster.machines["b4"].view(cluster.now).members}
-    assert seen["b1"] == ("b2",)
-    assert seen["b2"] == ("b1",)
+    unreachable = {m.name: m.unreachable_peers for m in cluster.machines["b4"].view(cluster.now).members}
+    assert unreachable["b1"] == ("b2",)
+    assert unreachable["b2"] == ("b1",)
     assert not cluster.declared_dead()
     assert all(m.view(cluster.now).stable for m in cluster.machines.values())
     cluster.blocked_links.clear()
@@ -144,8 +144,8 @@
     assert sorted(reported) == ["reached"] * 2 + ["unreached"] * 2
 
 
-def test_a_member_that_most_cannot_reach_is_unreached_in_all_views():
-    """Its datagrams still arrive through one member; it must not die and return in turns."""
+def test_a_member_that_most_cannot_reach_is_unreachable_in_all_views():
+    """It still answers through one member, and must not be declared dead and return again and again."""
     cluster = SimulatedCluster(7).run(10 * SECOND)
     cluster.blocked_links = {(f"b{n}", "b3") for n in range(7) if n != 5}
     cluster.run(240 * SECOND)
@@ -154,11 +154,11 @@
     before = sum(len(protocol.events) for protocol in cluster.machines.values())
     cluster.run(120 * SECOND)
     after = sum(len(protocol.events) for protocol in cluster.machines.values())
-    assert after - before < 60  # a member that dies and returns in turns gives some 170 a minute
+    assert after - before < 60  # a member that dies and returns repeatedly causes some 170 events a minute
 
 
-def test_nobody_is_declared_dead_by_hearsay():
-    """Else, after a partition, one side would kill members that the other had reached all along."""
+def test_a_report_that_a_member_is_dead_only_makes_it_suspected():
+    """Otherwise, after a partition, reports of one side would remove members that the other can reach."""
     cluster = SimulatedCluster(3).run(10 * SECOND)
     protocol = cluster.machines["b0"]
     dead = replace(protocol.members["b1"].update, status=MemberStatus.DEAD, reported_by="b2")
@@ -175,10 +175,10 @@
     protocol.store_update(
         cluster.now, replace(protocol.members["b4"].update, status=MemberStatus.DEAD), "died"
     )
-    against = replace(protocol.members["b1"].update, status=MemberStatus.SUSPECT, reported_by="b4")
+    suspicion = replace(protocol.members["b1"].update, status=MemberStatus.SUSPECT, reported_by="b4")
     sender = cluster.machines["b4"]
     data, _ = codec.encode_packet(
-        "b4", 1, sender.sequence_number + 1, Sync(False), [codec.encode_update(against)]
+        "b4", 1, sender.sequence_number + 1, Sync(False), [codec.encode_update(suspicion)]
     )
     protocol.receive_datagram(cluster.now, data, "b4")
     assert not protocol.suspects
@@ -216,10 +216,10 @@
     assert len(protocol.outgoing) == 1
 
 
-def test_a_successor_keeps_generation_and_incarnation_and_nobody_sees_a_change():
+def test_a_successor_keeps_its_generation_and_causes_no_event_in_other_members():
     cluster = SimulatedCluster(4).run(20 * SECOND)
     before = cluster.machines["b1"]
-    seen = len(cluster.machines["b0"].events)
+    event_count = len(cluster.machines["b0"].events)
     successor = MembershipProtocol("b1", 99, "b1", cluster.config, Random(5))
     successor.restore(cluster.now, before.snapshot())
     cluster.machines["b1"] = successor
@@ -229,10 +229,11 @@
     assert cluster.agrees()
     assert successor.generation == before.generation
     assert successor.sequence_number > before.sequence_number
-    assert not [e for e in cluster.machines["b0"].events[seen:] if e.kind in ("died", "left", "returned")]
+    new_events = cluster.machines["b0"].events[event_count:]
+    assert not [e for e in new_events if e.kind in ("died", "left", "returned")]
 
 
-def test_a_resumed_member_suspects_nobody_and_has_no_stable_view_before_it_has_asked():
+def test_a_resumed_member_suspects_no_other_and_has_no_stable_view_until_it_has_settled():
     cluster = SimulatedCluster(5).run(10 * SECOND)
     cluster.pause("b2", 60 * SECOND)
     cluster.run(59 * SECOND)
@@ -266,18 +267,18 @@
 def test_unreadable_datagrams_are_counted_and_dropped():
     protocol = MembershipProtocol("a", 1, "a", SwimConfig(), Random(1))
     protocol.start(0, [])
-    good, _ = codec.encode_packet("b", 1, 1, Ping(1, "a"), [])
+    valid, _ = codec.encode_packet("b", 1, 1, Ping(1, "a"), [])
     random = Random(2)
-    bad = [b"", b"\x00" * 2_000, good[:-1], good.replace(b"\x96\x01", b"\x96\x02", 1)]
-    bad += [bytes(random.randrange(256) for _ in range(random.randrange(60))) for _ in range(2_000)]
-    for data in bad:
+    invalid = [b"", b"\x00" * 2_000, valid[:-1], valid.replace(b"\x96\x01", b"\x96\x02", 1)]
+    invalid += [bytes(random.randrange(256) for _ in range(random.randrange(60))) for _ in range(2_000)]
+    for data in invalid:
         protocol.receive_datagram(0, data, "b")
-    assert protocol.dropped_datagrams.total() == len(bad)
+    assert protocol.dropped_datagrams.total() == len(invalid)
     assert not protocol.members
     assert not protocol.outgoing
 
 
-def test_datagrams_keep_within_their_size_in_a_large_cluster():
+def test_datagrams_stay_within_their_maximum_size_in_a_large_cluster():
     cluster = SimulatedCluster(120).run(5 * SECOND)
     for name in cluster.machines:
         cluster.machines[name]._components.anti_entropy.sync_periodically()
--- a/tests/membership/test_udp_transport.py
+++ b/tests/membership/test_udp_transport.py
@@ -31,30 +31,30 @@
     return transport
 
 
-def names(transport):
+def member_names(transport):
     return transport.membership.view(0).names()
 
 
 def test_a_key_is_replaced_without_members_losing_each_other():
     async def run():
-        one_port, other_port = free_ports(2)
-        one = await open_transport(one_port, [])
-        other = await open_transport(other_port, [f"127.0.0.1:{one_port}"])
-        await wait_until(lambda: len(names(one)) == len(names(other)) == 2)
+        first_port, second_port = free_ports(2)
+        first = await open_transport(first_port, [])
+        second = await open_transport(second_port, [f"127.0.0.1:{first_port}"])
+        await wait_until(lambda: len(member_names(first)) == len(member_names(second)) == 2)
         for keys in ([OLD_KEY, NEW_KEY], [NEW_KEY, OLD_KEY], [NEW_KEY]):
-            for each in (one, other):
-                each.authenticator = DatagramAuthenticator(keys)
-                received = [each.received for each in (one, other)]
+            for transport in (first, second):
+                transport.authenticator = DatagramAuthenticator(keys)
+                received = [transport.received for transport in (first, second)]
                 await wait_until(
                     lambda received=received: (
-                        one.received > received[0] + 2 and other.received > received[1] + 2
+                        first.received > received[0] + 2 and second.received > received[1] + 2
                     )
                 )
-        assert not one.membership.dropped_datagrams["foreign"]
-        assert len(names(one)) == len(names(other)) == 2
-        one.close()
-        other.close()
-        assert not one._timers.heap or all(entry[2] is None for entry in one._timers.heap)
+        assert not first.membership.dropped_datagrams["foreign"]
+        assert len(member_names(first)) == len(member_names(second)) == 2
+        first.close()
+        second.close()
+        assert not first._timers.heap or all(entry[2] is None for entry in first._timers.heap)
 
     asyncio.run(run())
 
@@ -64,15 +64,15 @@
         (port,) = free_ports(1)
         transport = await open_transport(port, [])
         ping, _ = codec.encode_packet("x", 1, 1, Ping(1, transport.membership.name), [])
-        own, other = DatagramAuthenticator([OLD_KEY]), DatagramAuthenticator([NEW_KEY])
+        right_key, wrong_key = DatagramAuthenticator([OLD_KEY]), DatagramAuthenticator([NEW_KEY])
         source = ("127.0.0.1", 9)
-        for data in (b"", b"junk", other.sign(ping), ping, own.sign(ping) + b"x"):
+        for data in (b"", b"junk", wrong_key.sign(ping), ping, right_key.sign(ping) + b"x"):
             transport.datagram_received(data, source)
         transport.datagram_received(b"x" * 1_401, source)
-        transport.datagram_received(own.sign(ping[:1] + b"\x05" + ping[2:]), source)
-        transport.datagram_received(own.sign(b"\x00"), source)
+        transport.datagram_received(right_key.sign(ping[:1] + b"\x05" + ping[2:]), source)
+        transport.datagram_received(right_key.sign(b"\x00"), source)
         for _ in range(3):
-            transport.datagram_received(own.sign(ping), source)
+            transport.datagram_received(right_key.sign(ping), source)
         dropped = transport.membership.dropped_datagrams
         assert dropped == {"foreign": 5, "oversized": 1, "newer": 1, "unreadable": 1, "replayed": 2}
         transport.close()
