--- a/dahliabend/leases/candidate_order.py
+++ b/dahliabend/leases/candidate_order.py
@@ -1,4 +1,4 @@
-"""The order in which members become holder of a task's lease: rendezvous hashing, the task's zone first."""
+"""The order of the candidates for a task's lease: rendezvous hashing, with the task's zone first."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -11,8 +11,8 @@
     """A member that may hold a lease.
 
     Attributes:
-        name: Its name.
-        zone: Zone that it runs in; empty if it has none.
+        name: Name of the member.
+        zone: Zone that the member runs in; empty if it has none.
     """
 
     name: str
@@ -20,12 +20,14 @@
 
 
 def rank_candidates(task: str, members: Iterable[Candidate], zone: str = "") -> list[str]:
-    """Return the names of the members in their order for a task; the same wherever the view is the same.
+    """Return the names of the members in the order in which they may take a task's lease.
+
+    Instances with the same view get the same order.
 
     Args:
         task: Name of the leased task.
         members: All members.
-        zone: Zone of the task; its members come first.
+        zone: Zone of the task; members of this zone come first.
 
     >>> members = [Candidate("b0", "a"), Candidate("b1", "b"), Candidate("b2", "b")]
     >>> rank_candidates("probe u1", members, "a")[0]
@@ -33,7 +35,7 @@
     """
 
     def rank(member: Candidate) -> tuple[bool, bytes]:
-        """Return the sort key of a member; the highest comes first."""
+        """Return the sort key of a member; the member with the highest key comes first."""
         digest = blake2b(f"{task}\0{member.name}".encode(), digest_size=HASH_BYTES).digest()
         return member.zone == zone, digest
 
--- a/dahliabend/leases/election.py
+++ b/dahliabend/leases/election.py
@@ -1,10 +1,10 @@
-"""Who holds the lease of each periodic task: every task is done about once a period by one member.
+"""Election of the lease holder of each periodic task: one member runs the task about once per period.
 
-A completed run is announced with its fencing token, and the announcement renews the lease: a later token
-overrides an earlier one. If the holder falls silent, the next candidate claims the lease under a new token
-some time before the task is due, and works only if nobody has overridden the claim by then. A silent holder
-is followed within one period. After a pause, and while the view is not settled, an instance does nothing: it
-first hears what the others did meanwhile.
+The holder announces each completed run with its fencing token, which renews the lease; a higher token
+overrides a lower one. If the holder's announcements stop, the next candidate claims the lease with a new
+token some time before the task is due, and runs the task only if no other member has overridden the claim by
+then. A holder that has stopped is replaced within one period. After a pause, and while the view is not
+settled, an instance claims and runs nothing, so that it first receives what the others have announced.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,35 +13,36 @@
 from dahliabend.leases.fencing import next_fencing_token
 from dahliabend.leases.lease import MICROSECONDS_PER_MS, DueTask, Lease, LeaseAnnouncement
 
-# Delays and times below are in periods.
+# The delays and times below are in task periods.
 
-# After the last run the task is due for the first candidate, the second, and so on. Between the run of one
-# and the claim of the next there is time for an announcement to arrive, or the claim would override it.
+# Delay from the last run until the task is due for the first candidate, the second, and so on. Between the
+# run of one candidate and the claim of the next an announcement has time to arrive; otherwise the claim would
+# override the run.
 RUN_DELAYS = (1.0, 1.5, 1.9, 2.3)
-CLAIM_LEAD = 1 / 5  # how long before the task is due a lease is claimed
-# How long another's claim is left alone. If all candidates are overdue at once, two would otherwise override
-# each other for ever, and nobody would work.
+CLAIM_LEAD = 1 / 5  # time from the claim of a lease until the task is due
+# Time for which another member's claim is not overridden. Without it, if the task were overdue for all
+# candidates, two of them would override each other forever and neither would run the task.
 CLAIM_TIMEOUT = 1 / 2
-LISTEN_TIME = 3 / 10  # how long to hear the others after a pause: longer than an announcement travels
-PAUSE_THRESHOLD = 1 / 4  # a tick that comes later than that follows a pause
+LISTEN_TIME = 3 / 10  # quiet time after a pause; longer than the delay of an announcement
+PAUSE_THRESHOLD = 1 / 4  # a longer gap between two ticks counts as a pause of this instance
 MAX_TASKS = 4_096
 NOT_A_CANDIDATE = -1
 
 
 class LeaseElection:
-    """Leases as one instance sees them. Times are microseconds.
+    """The leases as one instance sees them. Times are in microseconds.
 
     Attributes:
         own_name: Name of this instance among the members.
-        period: Time in which each task is done once.
+        period: Time in which each task is run once.
         task_zones: Zone of each task.
         leases: Lease of each task.
         members: All members, sorted.
-        ranks: This instance's place among the candidates of a task, as far as computed.
-        view_settled: Whether the members are known and this instance has heard from them.
-        last_tick_at: Time of the last tick; 0 before the first.
-        quiet_until: Nothing is claimed or done before.
-        rejected: Announcements that were not valid.
+        ranks: Cache of this instance's rank among the candidates of each task.
+        view_settled: Whether the members are known and this instance has received datagrams from them.
+        last_tick_at: Time of the last tick; 0 before the first one.
+        quiet_until: Time before which this instance claims no lease and runs no task.
+        rejected: Number of invalid announcements received.
     """
 
     def __init__(self, own_name: str, period: int) -> None:
@@ -58,16 +59,16 @@
         self._run_delays = tuple(round(delay * period) for delay in RUN_DELAYS)
         self._claim_lead = CLAIM_LEAD * period
 
-    # Input.
+    # Input
 
     def update_members(self, now: int, members: Iterable[Candidate], settled: bool) -> None:
-        """Take the last settled view of the fleet.
+        """Set the members from the last settled view of the fleet.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             members: All members.
-            settled: Whether the view holds; not before this instance has heard from anybody since it started
-                or paused.
+            settled: Whether the view is reliable; false until this instance has received datagrams from
+                another member since it started or was paused.
         """
         view = tuple(sorted(members))
         if view != self.members:
@@ -78,7 +79,7 @@
         self.view_settled = settled
 
     def update_tasks(self, now: int, task_zones: Mapping[str, str]) -> None:
-        """Take the names of all tasks, with the zone of each; others are forgotten."""
+        """Set the tasks, each with its zone; leases of other tasks are removed."""
         if task_zones == self.task_zones:
             return
         self.task_zones = dict(task_zones)
@@ -90,10 +91,10 @@
                 self.leases[task] = Lease(fencing_token=0, holder="", completed_runs=0, last_run_at=now)
 
     def apply_announcement(self, now: int, announcement: LeaseAnnouncement) -> bool:
-        """Take what another member announced; of a task that is unknown here nothing is kept.
+        """Apply the announcement of another member; ignored if the task is unknown to this instance.
 
         Returns:
-            Whether it was news.
+            Whether the announcement changed the lease.
         """
         if not announcement.is_valid:
             self.rejected += 1
@@ -107,20 +108,20 @@
         return True
 
     def enter_quiet_period(self, now: int) -> None:
-        """Give up all leases and do nothing for a while.
+        """Release this instance's leases, and neither claim leases nor run tasks for `LISTEN_TIME`.
 
-        While this instance was stopped another may have taken a lease, with the announcement still on its
-        way or unread. It claims its leases anew, like any other candidate.
+        While this instance was paused another one may have taken a lease, and its announcement may not have
+        been read yet. This instance then has to claim the leases again, like any other candidate.
         """
         self.quiet_until = max(self.quiet_until, now + round(LISTEN_TIME * self.period))
         for lease in self.leases.values():
             if lease.holder == self.own_name:
                 lease.release()
 
-    # Output.
+    # Output
 
     def rank(self, task: str) -> int:
-        """Return this instance's place among the candidates of a task.
+        """Return this instance's rank among the candidates of a task.
 
         Returns:
             0 for the first candidate; `NOT_A_CANDIDATE` if this instance is not in the view.
@@ -131,9 +132,10 @@
         return self.ranks[task]
 
     def tick(self, now: int) -> list[DueTask]:
-        """Claim leases, and return the tasks to be done now; `complete` is to be called for each.
+        """Claim leases and return the tasks to run now; the caller calls `complete` after each run.
 
-        Call it several times a period: a gap is taken for a pause of this instance.
+        To be called several times per period: a gap of more than `PAUSE_THRESHOLD` counts as a pause of this
+        instance.
         """
         if self.last_tick_at and now - self.last_tick_at > PAUSE_THRESHOLD * self.period:
             self.enter_quiet_period(now)
@@ -147,34 +149,34 @@
                 continue
             due_at = lease.last_run_at + self._run_delays[min(rank, len(self._run_delays) - 1)]
             if lease.holder != self.own_name:
-                # A new claim has to be known to the others for a while before it is worked under.
-                if self._may_claim(now, lease, due_at):
+                # The task is run only by a later tick, once the claim has had time to reach the others.
+                if self._can_claim(now, lease, due_at):
                     lease.claim(now, self.own_name, next_fencing_token(lease.fencing_token, self.own_name))
-            elif self._may_run(now, lease, due_at):
+            elif self._can_run(now, lease, due_at):
                 due_tasks.append(DueTask(task, lease.fencing_token))
         return due_tasks
 
     def complete(self, now: int, due: DueTask, result: int) -> bool:
-        """Count a run of a due task.
+        """Record a completed run of a due task.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             due: The task, as `tick` returned it.
-            result: What came of it, as the task defines it.
+            result: Result of the run, as the task defines it.
 
         Returns:
-            Whether it counts; not if the lease has changed hands meanwhile.
+            Whether the run counts; it does not if the lease has changed its holder meanwhile.
         """
         lease = self.leases.get(due.task)
         if lease is None or lease.fencing_token != due.fencing_token or lease.holder != self.own_name:
             return False
-        lease.run_completed(now, result)
+        lease.record_run(now, result)
         return True
 
     def announcements(self, now: int) -> list[LeaseAnnouncement]:
-        """Return an announcement of each lease that this instance holds or claims, the last run first."""
-        own = [(task, lease) for task, lease in self.leases.items() if lease.holder == self.own_name]
-        own.sort(key=lambda item: (-item[1].last_run_at, item[0]))
+        """Return an announcement of each lease that this instance holds or claims, the latest run first."""
+        own_leases = [(task, lease) for task, lease in self.leases.items() if lease.holder == self.own_name]
+        own_leases.sort(key=lambda item: (-item[1].last_run_at, item[0]))
         return [
             LeaseAnnouncement(
                 task=task,
@@ -184,16 +186,16 @@
                 age_ms=max(0, now - lease.last_run_at) // MICROSECONDS_PER_MS,
                 result=lease.result,
             )
-            for task, lease in own
+            for task, lease in own_leases
         ]
 
-    def _may_claim(self, now: int, lease: Lease, due_at: int) -> bool:
+    def _can_claim(self, now: int, lease: Lease, due_at: int) -> bool:
         if now < due_at - self._claim_lead:
             return False
         is_claim = bool(lease.holder) and not lease.completed_runs
         return not is_claim or now - lease.heard_at >= CLAIM_TIMEOUT * self.period
 
-    def _may_run(self, now: int, lease: Lease, due_at: int) -> bool:
+    def _can_run(self, now: int, lease: Lease, due_at: int) -> bool:
         if now < due_at:
             return False
         return lease.completed_runs > 0 or now - lease.heard_at >= self._claim_lead / 2
--- a/dahliabend/leases/fencing.py
+++ b/dahliabend/leases/fencing.py
@@ -1,7 +1,7 @@
-"""Fencing tokens: numbers that rise each time a lease changes hands.
+"""Fencing tokens: numbers that rise each time a lease changes its holder.
 
-The upper bits count the changes. The lower ones are derived from the holder's name, so that two members that
-claim a lease at the same time do not work under the same number.
+The upper bits count the changes. The lower bits are derived from the holder's name, so that two members that
+claim a lease at the same time do so with different tokens.
 """
 
 from zlib import crc32
@@ -13,8 +13,8 @@
     """Return the token with which an instance claims a lease.
 
     Args:
-        current: Token under which the lease was held last.
-        instance_name: Name of the member that claims it.
+        current: The current token of the lease.
+        instance_name: Name of the instance that claims the lease.
 
     >>> next_fencing_token(0, "a") >> TOKEN_SUFFIX_BITS
     1
--- a/dahliabend/leases/lease.py
+++ b/dahliabend/leases/lease.py
@@ -1,4 +1,4 @@
-"""A lease on a periodic task, and the announcement by which its holder renews it."""
+"""A lease of a periodic task, and the announcement by which its holder renews it."""
 
 from dataclasses import dataclass
 
@@ -8,20 +8,20 @@
 MICROSECONDS_PER_MS = 1_000
 MAX_TASK_LENGTH = 160  # characters
 MAX_HOLDER_LENGTH = 64  # characters
-INTEGER_LIMIT = 1 << 53  # beyond it JSON readers lose digits
+INTEGER_LIMIT = 1 << 53  # JSON readers that use floating point lose digits from here on
 
 
 class LeaseAnnouncement(msgspec.Struct, array_like=True, frozen=True):
-    """What the holder of a lease tells the others about it.
+    """The state of a lease as its holder announces it to the other members.
 
     Encoded as an array of the fields in this order; their names are not on the wire.
 
     Attributes:
         task: Name of the leased task.
-        fencing_token: Number under which the holder works.
+        fencing_token: Fencing token of the holder.
         holder: Name of the member that holds or claims the lease.
-        completed_runs: Runs under this token so far; 0 for a claim.
-        age_ms: Milliseconds since the last run, when this was sent.
+        completed_runs: Number of runs under this token so far; 0 for a claim.
+        age_ms: Milliseconds from the last run until the announcement was sent.
         result: Result of the last run, as the task defines it.
     """
 
@@ -45,15 +45,16 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One lease as this instance knows it. Times are microseconds of its own clock.
+    """One lease as this instance knows it. Times are in microseconds of this instance's clock.
 
     Attributes:
-        fencing_token: Number under which the holder works.
-        holder: Name of the member that holds or claims the lease; empty if nobody does.
-        completed_runs: Runs of the holder under this token; 0 while it only claims the lease.
-        last_run_at: When the task was last done by any member, or when it became known here.
+        fencing_token: Fencing token of the holder.
+        holder: Name of the member that holds or claims the lease; empty if no member does.
+        completed_runs: Number of runs by the holder under this token; 0 while it only claims the lease.
+        last_run_at: Time of the last run by any member; before the first, the time at which this instance
+            learned of the task.
         result: Result of the last run, as the task defines it.
-        heard_at: When the last change of holder, token or runs came to be known here.
+        heard_at: Time at which this instance learned of the last claim or announcement.
     """
 
     fencing_token: int
@@ -64,9 +65,9 @@
     heard_at: int = 0
 
     def is_older_than(self, announcement: LeaseAnnouncement) -> bool:
-        """Whether an announcement is news: a later token, or more runs of the same holder under this one.
+        """Whether an announcement is news: a higher token, or more runs of the same holder and token.
 
-        Of two holders of one token the one whose name sorts last counts, so that all come to the same one.
+        Of two holders with the same token the one whose name sorts last wins, so that all instances agree.
         """
         if announcement.fencing_token != self.fencing_token:
             return announcement.fencing_token > self.fencing_token
@@ -75,12 +76,14 @@
         return announcement.completed_runs > self.completed_runs
 
     def apply(self, now: int, announcement: LeaseAnnouncement) -> None:
-        """Take over what another member announced.
+        """Apply an announcement of another member.
+
+        Only ages are compared between instances, never clocks. The time of the last run is never in the
+        future and never goes back.
 
         Args:
-            now: Microseconds.
-            announcement: News by `is_older_than`. Clocks are not compared between instances, only ages; the
-                time of the last run is never in the future and never goes back.
+            now: Current time in microseconds.
+            announcement: An announcement for which `is_older_than` is true.
         """
         self.fencing_token = announcement.fencing_token
         self.holder = announcement.holder
@@ -92,18 +95,18 @@
             self.result = announcement.result
 
     def claim(self, now: int, holder: str, fencing_token: int) -> None:
-        """Make a member claim the lease under a new token; it has not worked under it yet."""
+        """Record that a member claims the lease with a new token, under which it has completed no run yet."""
         self.fencing_token = fencing_token
         self.holder = holder
         self.completed_runs = 0
         self.heard_at = now
 
     def release(self) -> None:
-        """Forget the holder."""
+        """Remove the holder."""
         self.holder = NO_HOLDER
 
-    def run_completed(self, now: int, result: int) -> None:
-        """Count one more run of the holder."""
+    def record_run(self, now: int, result: int) -> None:
+        """Record a completed run of the holder."""
         self.completed_runs += 1
         self.last_run_at = now
         self.result = result
@@ -111,11 +114,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DueTask:
-    """A task that the holder of its lease has to do now.
+    """A task that the holder of its lease has to run now.
 
     Attributes:
         task: Name of the leased task.
-        fencing_token: Number under which it is done.
+        fencing_token: Fencing token under which the task is run.
     """
 
     task: str
--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks done by one instance for all: the results are announced with the leases.
+"""Health checks that one instance performs for all; the results are announced with the leases.
 
-Free of I/O: the driver starts a check when asked to, and reports its outcome later. It also names the tasks.
+The module does no I/O: its owner starts each check, reports the outcome later, and chooses the task names.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -12,14 +12,14 @@
 from dahliabend.leases.lease import DueTask, LeaseAnnouncement
 from dahliabend.model import Outcome
 
-MAX_WAIT_PERIODS = 2  # how long to wait for another's result before this instance checks itself
-MIN_MEMBERS = 2  # with fewer there is nobody to share checks with
+MAX_WAIT_PERIODS = 2  # time to wait for another instance's result before this instance runs the check itself
+MIN_MEMBERS = 2  # with fewer members there is no other instance to share checks with
 REPORTABLE_RESULTS = frozenset(
     int(outcome) for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT)
 )
 
-ResultCallback = Callable[[int, Outcome], None]  # time in microseconds, and how the check ended
-StartCheck = Callable[[str, ResultCallback], None]  # task, and whom to call with its result
+ResultCallback = Callable[[int, Outcome], None]  # time in microseconds, outcome of the check
+StartCheck = Callable[[str, ResultCallback], None]  # name of the task, callback for its result
 
 
 class PendingRequest(NamedTuple):
@@ -30,14 +30,14 @@
 
 
 class LeasedHealthChecks:
-    """Health checks of one instance, shared with the others by leases. Times are microseconds.
+    """Health checks that one instance shares with the others by leases. Times are in microseconds.
 
     Attributes:
-        election: Leases of the tasks.
-        pending: Checks by task that the policy waits for.
+        election: The leases of the tasks.
+        pending: Checks that the policy waits for, by task.
         last_failure_reporter: By task, the member whose failed check was last delivered to the policy.
-        last_tokens: By task, the fencing token under which this instance last worked.
-        checks_run: Checks started by this instance.
+        last_tokens: Fencing token under which this instance last ran the check, by task.
+        checks_run: Number of checks started by this instance.
         log: Writes a structured event.
     """
 
@@ -46,8 +46,8 @@
 
         Args:
             own_name: Name of this instance among the members.
-            period: Time in which each task is done once, in microseconds.
-            run_check: Starts the check of a task.
+            period: Time in which each task is run once, in microseconds.
+            run_check: Starts the health check of a task.
             log: Writes a structured event.
         """
         self.election = LeaseElection(own_name, period)
@@ -59,10 +59,10 @@
         self.log = log
 
     def request_check(self, now: int, task: str, on_result: ResultCallback) -> bool:
-        """Ask for the next result of a task.
+        """Request the next result of a task.
 
         Returns:
-            False if the check is not shared with anybody: the caller has to check by itself.
+            False if the check is not shared with another instance; the caller then has to run it itself.
         """
         if task not in self.election.leases or len(self.election.members) < MIN_MEMBERS:
             return False
@@ -72,13 +72,13 @@
     def tick(
         self, now: int, members: Iterable[Candidate], settled: bool, task_zones: Mapping[str, str]
     ) -> None:
-        """Start the checks that are due here and deliver the results that have come.
+        """Start the checks that are due in this instance, and deliver the results that have arrived.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             members: All members.
-            settled: Whether the view holds, as for `LeaseElection.update_members`.
-            task_zones: All tasks, with the zone of each.
+            settled: Whether the view is reliable, as for `LeaseElection.update_members`.
+            task_zones: All tasks, each with its zone.
         """
         self.election.update_members(now, members, settled)
         self.election.update_tasks(now, task_zones)
@@ -92,16 +92,16 @@
         self._forget_removed_tasks()
 
     def apply_announcement(self, now: int, announcement: LeaseAnnouncement) -> None:
-        """Take what another member announced; a result that no health check has is rejected."""
+        """Apply an announcement of another member; a result that no health check can have is rejected."""
         if announcement.completed_runs and announcement.result not in REPORTABLE_RESULTS:
             self.election.rejected += 1
         else:
             self.election.apply_announcement(now, announcement)
 
     def deliver_results(self, now: int) -> None:
-        """Answer the pending requests whose result has come since they were made.
+        """Answer the pending requests for which a check has been run since they were made.
 
-        Without a result for too long this instance checks by itself.
+        A request that has waited longer than `MAX_WAIT_PERIODS` is answered by a check of this instance.
         """
         for task, request in list(self.pending.items()):
             lease = self.election.leases.get(task)
@@ -117,9 +117,9 @@
     def _deliver(
         self, now: int, task: str, on_result: ResultCallback, outcome: Outcome, reporter: str
     ) -> None:
-        """Answer a request; but a second failure in a row from the same member is checked here.
+        """Answer a request, but repeat the check here at the second failure in a row from the same member.
 
-        A member that cannot reach an upstream would otherwise keep it out of use everywhere.
+        Otherwise a member that cannot reach an upstream would keep it out of use in all instances.
         """
         previous_reporter = self.last_failure_reporter.pop(task, None)
         if outcome is not Outcome.SUCCEEDED and reporter != self.election.own_name:
--- a/tests/leases/lease_cluster.py
+++ b/tests/leases/lease_cluster.py
@@ -1,4 +1,4 @@
-"""Instances with a lease election each, and a network between them that delays, drops and cuts off."""
+"""Instances with a lease election each, on a simulated network that delays, drops and blocks messages."""
 
 from random import Random
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Run(NamedTuple):
-    """A task done by an instance."""
+    """A run of a task by an instance."""
 
     at: int
     instance: str
@@ -24,7 +24,7 @@
 
 
 class Message(NamedTuple):
-    """Announcements on their way."""
+    """Announcements in transit."""
 
     arrives_at: int
     to: str
@@ -32,7 +32,7 @@
 
 
 class LeaseCluster:
-    """Instances that tick every quarter of a second and send each other all announcements."""
+    """Instances that tick every quarter of a second and send each other all their announcements."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.now = SECOND
@@ -41,8 +41,8 @@
         self.instances = {name: self.start(name) for name in self.names}
         self.views = {name: list(self.names) for name in self.names}
         self.messages: list[Message] = []
-        self.stopped: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()  # sender and receiver
+        self.paused: set[str] = set()
+        self.blocked_links: set[tuple[str, str]] = set()  # sender and receiver
         self.loss = 0.0
         self.delay = 2 * TICK
         self.runs: list[Run] = []
@@ -52,13 +52,13 @@
         instance.update_tasks(self.now, TASKS)
         return instance
 
-    def run(self, span: int) -> "LeaseCluster":
-        end = self.now + span
+    def run(self, duration: int) -> "LeaseCluster":
+        end = self.now + duration
         while self.now < end:
             self.now += TICK
             self.deliver()
             for name, instance in self.instances.items():
-                if name not in self.stopped:
+                if name not in self.paused:
                     self.tick(name, instance)
         return self
 
@@ -66,13 +66,14 @@
         due = [message for message in self.messages if message.arrives_at <= self.now]
         self.messages = [message for message in self.messages if message.arrives_at > self.now]
         for message in due:
-            if message.to in self.stopped:
+            if message.to in self.paused:
                 self.messages.append(message._replace(arrives_at=message.arrives_at + TICK))
             elif message.to in self.instances:
+                receiver = self.instances[message.to]
                 for announcement in message.announcements:
-                    self.instances[message.to].apply_announcement(self.now, self.aged(announcement))
+                    receiver.apply_announcement(self.now, self.with_network_delay(announcement))
 
-    def aged(self, announcement: LeaseAnnouncement) -> LeaseAnnouncement:
+    def with_network_delay(self, announcement: LeaseAnnouncement) -> LeaseAnnouncement:
         return LeaseAnnouncement(
             task=announcement.task,
             fencing_token=announcement.fencing_token,
@@ -90,7 +91,7 @@
             self.runs.append(Run(self.now, name, due.task, due.fencing_token))
             instance.complete(self.now, due, 1)
         for other in self.instances:
-            if (name, other) not in self.cut and self.random.random() >= self.loss:
+            if (name, other) not in self.blocked_links and self.random.random() >= self.loss:
                 message = Message(self.now + self.delay, other, instance.announcements(self.now))
                 self.messages.append(message)
 
@@ -101,20 +102,20 @@
         return {run.instance for run in self.runs if run.task == task and run.at >= since}
 
     def gaps(self, task: str, since: int) -> list[int]:
-        """Time between two runs, and before the first and after the last."""
+        """The times between successive runs, before the first one and after the last one."""
         times = self.run_times(task, since)
         return [end - start for start, end in zip([since, *times], [*times, self.now], strict=True)]
 
-    def check(self, since: int, max_gap: float = 2.0) -> None:
-        """Never more than two runs in a period, no long gap, and one instance for each fencing token."""
+    def assert_tasks_are_done(self, since: int, max_gap: float = 2.0) -> None:
+        """Check for each task: at most two runs in a period, no long gap, one instance per fencing token."""
         for task in TASKS:
             times = self.run_times(task, since)
             assert all(sum(at <= t < at + PERIOD for t in times) <= 2 for at in times), task
             assert all(gap <= max_gap * PERIOD for gap in self.gaps(task, since)), (task, times)
-        if not self.cut and not self.loss:
-            self.check_fencing_tokens()
+        if not self.blocked_links and not self.loss:
+            self.assert_tokens_are_unique()
 
-    def check_fencing_tokens(self) -> None:
+    def assert_tokens_are_unique(self) -> None:
         by_token: dict[tuple[str, int], set[str]] = {}
         for run in self.runs:
             by_token.setdefault((run.task, run.fencing_token), set()).add(run.instance)
--- a/tests/leases/quota_cluster.py
+++ b/tests/leases/quota_cluster.py
@@ -1,4 +1,4 @@
-"""Instances that share one limit, and a network between them that partitions and drops announcements."""
+"""Instances that share one limit, on a simulated network with partitions and lost announcements."""
 
 from collections.abc import Collection, Iterable
 from random import Random
@@ -7,9 +7,9 @@
 
 
 class QuotaCluster:
-    """Shares that step together and hear each other one step late.
+    """Shares that step together, and receive each other's announcements one step later.
 
-    Views are set by the test, as late as membership notices partitions and deaths.
+    The test sets the views, with the delay after which membership notices partitions and deaths.
     """
 
     def __init__(self, count: int, seed: int) -> None:
@@ -19,7 +19,7 @@
         self.names = [f"b{n}" for n in range(count)]
         self.shares = {name: QuotaShare(name, count) for name in self.names}
         self.demands = {name: self.random.uniform(0, 2 / count) for name in self.names}
-        self.side = dict.fromkeys(self.names, 0)  # of a partition
+        self.side = dict.fromkeys(self.names, 0)  # side of the partition on which each instance is
         self.loss = 0.0
         self.highest_total = 0.0
         self.update_views(self.names, self.names, partitioned=False)
--- a/tests/leases/test_election.py
+++ b/tests/leases/test_election.py
@@ -1,4 +1,4 @@
-"""Leases: a task is done about once a period by one member, taken over, and never by two under one token."""
+"""Leases: one member runs a task about once per period; others take over; no two run it with one token."""
 
 import pytest
 from lease_cluster import PERIOD, SECOND, TASKS, TICK, LeaseCluster
@@ -9,9 +9,9 @@
 from dahliabend.leases.lease import LeaseAnnouncement
 
 
-def test_without_faults_each_task_is_done_once_a_period_by_its_first_candidate():
+def test_without_faults_the_first_candidate_runs_each_task_once_per_period():
     cluster = LeaseCluster(4).run(60 * SECOND)
-    cluster.check(20 * SECOND)
+    cluster.assert_tasks_are_done(20 * SECOND)
     for task in TASKS:
         first = rank_candidates(task, [Candidate(name, zone="") for name in cluster.names])[0]
         assert cluster.workers(task, 20 * SECOND + 1) == {first}
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_with_one_instance_killed_every_minute_no_task_is_left_undone(seed):
+def test_with_one_instance_killed_every_minute_no_task_misses_its_runs(seed):
     cluster = LeaseCluster(4, seed).run(20 * SECOND)
     start = cluster.now
     for round_number in range(10):
@@ -33,40 +33,40 @@
         for name in cluster.instances:
             cluster.views[name] = list(cluster.names)
         cluster.run(30 * SECOND)
-    cluster.check(start)
+    cluster.assert_tasks_are_done(start)
 
 
-def test_holder_that_resumes_after_a_pause_listens_before_it_works():
+def test_holder_that_resumes_after_a_pause_runs_no_task_before_the_quiet_period_ends():
     cluster = LeaseCluster(4).run(20 * SECOND)
     start = cluster.now
-    cluster.stopped = {"b1"}
+    cluster.paused = {"b1"}
     cluster.run(21 * SECOND)
-    held = [task for task, lease in cluster.instances["b1"].leases.items() if lease.holder == "b1"]
-    assert held
+    own_tasks = [task for task, lease in cluster.instances["b1"].leases.items() if lease.holder == "b1"]
+    assert own_tasks
     resumed = cluster.now
-    cluster.stopped = set()
+    cluster.paused = set()
     cluster.run(PERIOD)
     own_runs = [run.at for run in cluster.runs if run.instance == "b1" and run.at > resumed]
     assert min(own_runs, default=cluster.now) - resumed >= PERIOD // 4
     cluster.run(20 * SECOND)
-    cluster.check(start)
+    cluster.assert_tasks_are_done(start)
 
 
-def test_holder_and_next_candidate_die_within_one_period():
+def test_task_is_taken_over_when_its_holder_and_the_next_candidate_die_within_one_period():
     cluster = LeaseCluster(5).run(20 * SECOND)
     start = cluster.now
     task = "probe u3"
     for name in rank_candidates(task, [Candidate(name, zone="") for name in cluster.names])[:2]:
         del cluster.instances[name]
     cluster.run(20 * SECOND)
-    cluster.check(start)
+    cluster.assert_tasks_are_done(start)
     assert len(cluster.run_times(task, start)) >= 2
 
 
-def test_both_sides_of_a_partition_work_and_one_holder_is_left_after_it_heals():
+def test_both_sides_of_a_partition_run_the_tasks_and_one_holder_remains_once_it_heals():
     cluster = LeaseCluster(4).run(20 * SECOND)
     sides = cluster.names[:2], cluster.names[2:]
-    cluster.cut = {(a, b) for a in sides[0] for b in sides[1]} | {(b, a) for a in sides[0] for b in sides[1]}
+    cluster.blocked_links = {link for a in sides[0] for b in sides[1] for link in ((a, b), (b, a))}
     cluster.run(10 * SECOND)
     for side in sides:
         for name in side:
@@ -81,7 +81,7 @@
                 if run.task == task and run.instance in side and run.at >= start
             ]
             assert len(times) >= 4
-    cluster.cut = set()
+    cluster.blocked_links = set()
     cluster.views = {name: list(cluster.names) for name in cluster.names}
     cluster.run(12 * SECOND)
     healed = cluster.now
@@ -90,19 +90,19 @@
         assert len(cluster.workers(task, healed)) == 1
 
 
-def test_tasks_are_done_with_three_in_ten_messages_lost():
+def test_tasks_are_run_with_30_percent_of_messages_lost():
     cluster = LeaseCluster(4)
     cluster.loss = 0.3
     cluster.run(20 * SECOND)
     start = cluster.now
     cluster.run(60 * SECOND)
-    cluster.check(start)
+    cluster.assert_tasks_are_done(start)
 
 
-def test_tasks_are_done_with_one_direction_between_two_instances_cut():
+def test_tasks_are_run_with_one_direction_between_two_instances_blocked():
     cluster = LeaseCluster(4).run(20 * SECOND)
     start = cluster.now
-    cluster.cut = {("b0", "b1")}
+    cluster.blocked_links = {("b0", "b1")}
     cluster.run(40 * SECOND)
     for task in TASKS:
         assert all(gap <= 2 * PERIOD for gap in cluster.gaps(task, start))
@@ -138,11 +138,11 @@
     assert all(dict(members)[rank_candidates(f"d{n}", members, "b")[0]] == "b" for n in range(20))
 
 
-def test_candidates_that_are_all_overdue_do_not_override_each_others_claims_for_ever():
-    """Two that claim in alternation, each before it has heard of the other's claim, would never work."""
+def test_claims_of_candidates_that_are_all_overdue_settle_on_one_holder():
+    """Guards against two candidates that override each other's claims alternately and never run the task."""
     cluster = LeaseCluster(4).run(20 * SECOND)
     cluster.delay = TICK
-    cluster.views = {name: [] for name in cluster.names}  # nobody is in any view: all stop working
+    cluster.views = {name: [] for name in cluster.names}  # with empty views all instances stop running tasks
     cluster.run(30 * SECOND)
     start = cluster.now
     cluster.views = {name: list(cluster.names) for name in cluster.names}
--- a/tests/leases/test_leased_health_checks.py
+++ b/tests/leases/test_leased_health_checks.py
@@ -1,4 +1,4 @@
-"""Shared health checks: requests are answered by the next result, and no single member keeps a server out."""
+"""Shared health checks: the next result answers a request; no single member keeps an upstream out of use."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class Instance:
-    """Shared checks of one instance, with the checks that it starts itself and the answers it gives."""
+    """Shared checks of one instance; records the checks that it starts and the outcomes that it delivers."""
 
     def __init__(self) -> None:
         self.started: list[tuple[str, ResultCallback]] = []
@@ -28,7 +28,7 @@
         return self.checks.request_check(now, task, lambda _, outcome: self.answers.append(outcome))
 
     def announce(self, now: int, completed_runs: int, outcome: Outcome, age_ms: int = 0) -> None:
-        """Another member's result comes in."""
+        """Receive a result of another member."""
         announcement = LeaseAnnouncement("d", 50, "b1", completed_runs, age_ms, int(outcome))
         self.checks.apply_announcement(now, announcement)
         self.checks.deliver_results(now)
@@ -39,7 +39,7 @@
     return Instance()
 
 
-def test_request_is_answered_by_a_result_found_after_it_and_not_before(instance):
+def test_request_is_answered_by_a_later_run_and_not_by_an_earlier_one(instance):
     instance.announce(2 * SECOND, 1, Outcome.SUCCEEDED)
     assert instance.request(3 * SECOND)
     instance.checks.deliver_results(3 * SECOND)
@@ -49,13 +49,13 @@
     assert not instance.checks.pending
 
 
-def test_check_is_not_shared_without_other_members_or_for_an_unknown_task(instance):
+def test_check_is_not_shared_if_there_is_no_other_member_or_the_task_is_unknown(instance):
     assert not instance.request(SECOND, "other")
     instance.checks.tick(2 * SECOND, [Candidate("me", zone="")], settled=True, task_zones={"d": ""})
     assert not instance.request(2 * SECOND)
 
 
-def test_instance_checks_itself_without_a_result_for_two_periods(instance):
+def test_instance_runs_the_check_itself_after_two_periods_without_a_result(instance):
     instance.checks.election.view_settled = False
     instance.request(SECOND)
     instance.checks.deliver_results(SECOND + 2 * PERIOD)
@@ -65,8 +65,8 @@
     assert not instance.checks.pending
 
 
-def test_second_failure_in_a_row_from_one_member_is_checked_here(instance):
-    """A member with a fault of its own would otherwise keep out an upstream that serves."""
+def test_second_failure_in_a_row_from_one_member_is_checked_by_this_instance(instance):
+    """Otherwise a member with a fault of its own would keep a working upstream out of use."""
     for completed_runs in (1, 2, 3):
         instance.request(completed_runs * PERIOD)
         instance.announce(completed_runs * PERIOD + SECOND, completed_runs, Outcome.TIMED_OUT)
@@ -77,7 +77,7 @@
     assert instance.answers[-1] is Outcome.SUCCEEDED
 
 
-def test_results_that_no_check_has_are_rejected(instance):
+def test_results_that_no_check_can_have_are_rejected(instance):
     for result in (Outcome.CANCELLED, Outcome.NOT_SENT, 0, 99):
         announcement = LeaseAnnouncement("d", 50, "b1", 1, 0, int(result))
         instance.checks.apply_announcement(2 * SECOND, announcement)
@@ -85,7 +85,7 @@
     assert instance.checks.election.leases["d"].holder != "b1"
 
 
-def test_tasks_that_the_endpoint_list_has_lost_are_forgotten(instance):
+def test_tasks_removed_from_the_endpoint_list_leave_no_state(instance):
     instance.request(SECOND)
     instance.checks.tick(2 * SECOND, MEMBERS, settled=True, task_zones={})
     assert not instance.checks.pending
--- a/tests/leases/test_shared_limits.py
+++ b/tests/leases/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""A divided limit: all of it is used without faults, and never more than a tenth above it in a partition."""
+"""A divided limit: fully used without faults, and exceeded by at most a tenth during a partition."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 4, 8, 16])
-def test_without_faults_the_whole_limit_is_used_where_there_is_demand(count):
+def test_without_faults_the_whole_limit_goes_to_the_instances_with_demand(count):
     cluster = QuotaCluster(count, count).run(40)
     assert 0.95 <= cluster.total() <= 1.0 + 1e-9
     cluster.demands = dict.fromkeys(cluster.names, 0.1 / count) | {"b0": 0.8}
@@ -44,7 +44,7 @@
     cluster.run(random.randrange(10, 60))
     cluster.side = {name: random.randrange(2) for name in cluster.names}
     sides = [[name for name in cluster.names if cluster.side[name] == side] for side in (0, 1)]
-    cluster.run(random.randrange(8, 20))  # until membership notices
+    cluster.run(random.randrange(8, 20))  # delay until membership notices the partition
     for side in sides:
         cluster.update_views(side, side, partitioned=len(side) <= cluster.count * 2 / 3)
     cluster.run(random.randrange(10, 60))
@@ -55,7 +55,7 @@
         cluster.run(random.randrange(0, 2))
 
 
-def test_through_partitions_of_two_hundred_fleets_the_sum_never_exceeds_the_overcommit_limit():
+def test_in_partitions_of_200_random_fleets_the_sum_of_shares_stays_within_the_overcommit_limit():
     for seed in range(200):
         random = Random(f"cut {seed}")
         cluster = QuotaCluster(random.choice((2, 3, 4, 6, 8, 12)), seed)
@@ -66,19 +66,19 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "least"), [((), OVERCOMMIT_LIMIT - 1 / 8 - 0.05), (("b3",), 0.95)], ids=["died", "left"]
+    ("left", "min_total"), [((), OVERCOMMIT_LIMIT - 1 / 8 - 0.05), (("b3",), 0.95)], ids=["died", "left"]
 )
-def test_share_of_a_lost_member_is_freed_but_for_the_reserve_and_of_one_that_left_all_of_it(left, least):
+def test_share_of_a_dead_member_stays_partly_reserved_and_that_of_a_departed_one_is_freed(left, min_total):
     cluster = QuotaCluster(8, 1).run(40)
     del cluster.shares["b3"]
     cluster.run(10)
     members = [name for name in cluster.names if name != "b3"]
     cluster.update_views(cluster.names, members, partitioned=False, left=left)
     cluster.run(40)
-    assert cluster.total() >= least
+    assert cluster.total() >= min_total
 
 
-def test_fleet_that_grows_at_once_stays_within_the_overcommit_limit():
+def test_twelve_new_instances_unknown_to_the_first_four_stay_within_the_overcommit_limit():
     cluster = QuotaCluster(16, 3)
     cluster.update_views(cluster.names[:4], cluster.names[:4], partitioned=False)
     cluster.run(60)
@@ -90,7 +90,7 @@
     assert QuotaShare("b0", 8).step(STEP_INTERVAL, 1.0) == 1 / 8
 
 
-def test_limit_changed_in_half_of_the_fleet_is_divided_by_each_instances_own_value():
+def test_with_two_limit_values_in_the_fleet_the_sum_stays_within_a_tenth_above_the_larger():
     cluster = QuotaCluster(4, 5).run(40)
     limits = {name: 100 if n % 2 else 200 for n, name in enumerate(cluster.names)}
     used = sum(quota.share * limits[name] for name, quota in cluster.shares.items())
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -1,4 +1,4 @@
-"""Shared limits of routes: an equal share before others are heard, the whole limit once not shared."""
+"""Shared limits of routes: an equal share until others announce theirs, the whole limit if not shared."""
 
 from types import SimpleNamespace
 
@@ -11,35 +11,35 @@
 from dahliabend.server.operator_file_server import OperatorFileServer
 
 
-def service(shared, gossip=None, part=1.0):
+def server_with_route(shared, gossip=None, fraction=1.0):
     limit = Limit(rate=100.0)
-    limit.set_fraction(part)
+    limit.set_fraction(fraction)
     choice = SimpleNamespace(name="r", limit=limit)
     routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
-    made = OperatorFileServer.__new__(OperatorFileServer)
-    made.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, choices=[choice]))
-    made.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
-    return made, limit
+    server = OperatorFileServer.__new__(OperatorFileServer)
+    server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, choices=[choice]))
+    server.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
+    return server, limit
 
 
-def test_route_that_a_reload_no_longer_shares_has_its_whole_limit():
-    made, limit = service(False, part=0.25)
-    made.divide_shared_limits()
+def test_route_that_is_no_longer_shared_after_a_reload_has_its_whole_limit():
+    server, limit = server_with_route(False, fraction=0.25)
+    server.divide_shared_limits()
     assert limit.fraction == 1.0
 
 
 def test_route_has_an_equal_share_while_gossip_waits_for_a_restart():
-    made, limit = service(True)
-    made.divide_shared_limits()
+    server, limit = server_with_route(True)
+    server.divide_shared_limits()
     assert limit.fraction == 0.25
 
 
 def test_with_gossip_the_instances_divide_the_limit():
-    asked = []
-    made, _ = service(True, gossip=asked.append)
-    made.divide_shared_limits()
-    (choices,) = asked
+    passed_callbacks = []
+    server, _ = server_with_route(True, gossip=passed_callbacks.append)
+    server.divide_shared_limits()
+    (choices,) = passed_callbacks
     assert [(choice.name, balancers) for choice, balancers in choices()] == [("r", 4)]
 
 
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -47,10 +47,8 @@
     after, _ = cluster_member(tmp_path)
     assert after.stored.handed_over
     assert after.seeds() == ["127.0.0.1:7947"]
-    for step in (
-        -3_600_000_000,
-        3_600_000_000,
-    ):  # microseconds; the wall clock was set by an hour, either way
+    # Microseconds: the wall clock was set back or ahead by an hour.
+    for step in (-3_600_000_000, 3_600_000_000):
         snapshot = json.loads((tmp_path / "b1.keep").read_text())
         snapshot["at"] = host_info.time_ns() // 1000 + step
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
