--- a/dahliabend/health_gossip/__init__.py
+++ b/dahliabend/health_gossip/__init__.py
@@ -1,6 +1,6 @@
-"""What instances tell each other about the health of upstreams, and how they weigh it. Free of I/O.
+"""Exchange of reports about the health of upstreams between instances, and their evaluation. Free of I/O.
 
-`local_observations` counts outcomes seen by this instance, `reports` has the messages, `report_table` keeps
-the latest report of each origin, `aggregation` weighs them, and `gossip` exchanges them; a driver moves its
-datagrams.
+`local_observations` counts the outcomes of this instance's attempts, `reports` defines the messages,
+`report_table` keeps the latest report of each origin, and `aggregation` derives from them which upstreams are
+suspected. `gossip` exchanges the reports; its owner sends and receives the datagrams.
 """
--- a/dahliabend/health_gossip/aggregation.py
+++ b/dahliabend/health_gossip/aggregation.py
@@ -1,9 +1,9 @@
-"""Which upstreams are suspected on the word of other instances. Free of I/O.
+"""Aggregation of the reports of other instances: which upstreams are suspected. Free of I/O.
 
-A report is an observation, never a command. Of each origin only a few attempts count, so that one alone says
-little whatever it claims. A quorum of origins that agree, and are not outvoted, counts as evidence of one's
-own does. Own attempts that succeeded of late take precedence: an upstream that fails for some instances only
-stays in use at those that it serves.
+A report is an observation, never a command. Only a few attempts of each origin count, so that a single origin
+has little influence whatever it reports. If a quorum of origins reports an upstream as failing, and is not
+outvoted, this counts like failures seen by this instance. Recent successes of this instance take precedence:
+an upstream that fails only for some instances stays in use by those for which it works.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumSettings:
-    """When an upstream is suspected.
+    """Thresholds for suspecting an upstream.
 
     Attributes:
-        min_origins: Least number of origins that have to report it as failing.
-        min_origin_fraction: The same as a fraction of the origins that report on the pool.
-        max_attempts_per_origin: Attempts of one origin that count.
-        failure_threshold: Fraction of the counted attempts that have to have failed.
-        evidence_attempts: Own attempts that a suspicion counts for.
-        max_upstream_fraction: With more than this fraction of a pool suspected none is.
+        min_origins: Minimum number of origins that report the upstream as failing.
+        min_origin_fraction: Minimum number of these origins as a fraction of those that report on the pool.
+        max_attempts_per_origin: Maximum number of attempts that count for one origin.
+        failure_threshold: Minimum fraction of failures among the counted attempts.
+        evidence_attempts: Number of attempts of this instance that a suspicion counts like.
+        max_upstream_fraction: If more than this fraction of a pool would be suspected, no upstream is.
     """
 
     min_origins: int = 3
@@ -38,13 +38,13 @@
 
 
 class SuspectedUpstream(NamedTuple):
-    """An upstream that other instances find failing.
+    """An upstream that other instances report as failing.
 
     Attributes:
-        upstream: Its name.
-        attempts: Own attempts that the suspicion counts for.
-        failures: Failed attempts, out of these.
-        origins: Number of origins that report it as failing.
+        upstream: Name of the upstream.
+        attempts: Number of attempts of this instance that the suspicion counts like.
+        failures: Number of these attempts that count as failed.
+        origins: Number of origins that report the upstream as failing.
     """
 
     upstream: str
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Tally:
-    """Reports on one upstream, weighted."""
+    """Weighted sum of the reports on one upstream."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -69,33 +69,36 @@
     reports: Mapping[str, ReceivedReport],
     own_counts: Mapping[str, OutcomeCounts],
 ) -> list[SuspectedUpstream]:
-    """Return the upstreams of a pool that others find failing, the surest first.
+    """Return the upstreams of a pool that others report as failing, those with most evidence first.
 
     Args:
-        settings: What makes a quorum.
+        settings: Thresholds for suspecting an upstream.
         pool: Name of the pool.
         upstreams: Names of the upstreams in use.
-        reports: Latest report of each origin that counts.
-        own_counts: Attempts and failures of this instance by upstream; one that mostly succeeded here is not
-            suspected.
+        reports: Latest report of each origin whose reports count.
+        own_counts: Attempts and failures of this instance by upstream; an upstream at which most of them
+            succeeded is not suspected.
     """
-    reporting = sum(
-        1 for received in reports.values() if any(of_pool == pool for of_pool, _ in received.counts)
+    reporting_origins = sum(
+        1
+        for received in reports.values()
+        if any(reported_pool == pool for reported_pool, _ in received.counts)
     )
-    quorum = max(settings.min_origins, round(reporting * settings.min_origin_fraction))
+    quorum = max(settings.min_origins, round(reporting_origins * settings.min_origin_fraction))
     suspected = []
     for upstream, tally in _tally(settings, pool, upstreams, reports.values()).items():
         own_attempts, own_failures = own_counts.get(upstream, NO_OUTCOMES)
-        agreed = tally.failing_origins >= quorum
-        not_outvoted = tally.failures >= settings.failure_threshold * tally.attempts
-        serves_here = 2 * own_failures < own_attempts
-        if agreed and not_outvoted and not serves_here:
+        has_quorum = tally.failing_origins >= quorum
+        is_failing = tally.failures >= settings.failure_threshold * tally.attempts
+        works_here = 2 * own_failures < own_attempts
+        if has_quorum and is_failing and not works_here:
             failures = round(settings.evidence_attempts * tally.failures / tally.attempts)
             suspected.append(
                 SuspectedUpstream(upstream, settings.evidence_attempts, failures, tally.failing_origins)
             )
-    suspected.sort(key=lambda each: (-each.failures, -each.origins, each.upstream))
-    # So many at once are a fault of the whole tier, or a false report of many: left to own observations.
+    suspected.sort(key=lambda suspicion: (-suspicion.failures, -suspicion.origins, suspicion.upstream))
+    # More at the same time are a fault of the whole tier, or false reports; only this instance's own
+    # observations count then.
     return suspected if len(suspected) <= settings.max_upstream_fraction * len(upstreams) else []
 
 
@@ -104,15 +107,15 @@
 ) -> dict[str, _Tally]:
     tallies: dict[str, _Tally] = {}
     for received in reports:
-        for (of_pool, upstream), row in received.counts.items():
-            if of_pool != pool or upstream not in upstreams:
+        for (reported_pool, upstream), entry in received.counts.items():
+            if reported_pool != pool or upstream not in upstreams:
                 continue
             tally = tallies.get(upstream)
             if tally is None:
                 tally = _Tally()
                 tallies[upstream] = tally
-            attempts = row.attempts
-            failures = row.failures
+            attempts = entry.attempts
+            failures = entry.failures
             weight = min(attempts, settings.max_attempts_per_origin)
             tally.attempts += weight
             tally.failures += weight * failures / attempts
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -1,9 +1,9 @@
-"""Exchange of health reports: own reports go out, those of others are merged, weighed and passed on.
+"""Exchange of health reports: an instance sends its own, and merges, evaluates and forwards those of others.
 
-A driver feeds in outcomes, datagrams and the time, and sends what `outbox` holds. At each tick the own report
-and the newest reports of others go to a few members drawn at random, so that the bytes sent are bounded
-whatever the size of the fleet. Reported are upstreams that fail, and those that serve while another instance
-reports them as failing; if nothing fails, nothing is sent.
+The owner passes in outcomes, datagrams and the current time, and sends the datagrams in `outbox`. At each
+tick this instance's report and the newest reports of others are sent to a few random members, so that the
+bytes sent are bounded whatever the size of the fleet. A report lists upstreams that fail, and upstreams that
+work for this instance while another one reports them as failing. If nothing fails, nothing is sent.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,10 +14,15 @@
 
 from dahliabend.health_gossip.aggregation import QuorumSettings, SuspectedUpstream, aggregate
 from dahliabend.health_gossip.local_observations import LocalObservations
-from dahliabend.health_gossip.report_table import ReceivedReport, ReportTable, UpstreamKey
+from dahliabend.health_gossip.report_table import (
+    MICROSECONDS_PER_MS,
+    ReceivedReport,
+    ReportTable,
+    UpstreamKey,
+)
 from dahliabend.health_gossip.reports import (
     MAX_COUNT,
-    MAX_ROWS,
+    MAX_ENTRIES,
     HealthReport,
     QuotaAnnouncement,
     UpstreamCounts,
@@ -25,13 +30,12 @@
 from dahliabend.leases.lease import LeaseAnnouncement
 from dahliabend.model import Outcome
 
-MS = 1_000  # microseconds
-GOSSIP_INTERVAL = 500 * MS
-REPORT_WINDOW = 3_000 * MS  # what a report covers, and how long it counts
-FANOUT = 3  # members that get a datagram at each tick
-MAX_DATAGRAM_BYTES = 1_200  # of reports
-MAX_LIST_BYTES = MAX_DATAGRAM_BYTES // 2  # of one list in the own report
-MAX_FORWARDS = 2  # times that this instance passes another's report on
+GOSSIP_INTERVAL = 500 * MICROSECONDS_PER_MS
+REPORT_WINDOW = 3_000 * MICROSECONDS_PER_MS  # time that a report covers, and for which it counts
+FANOUT = 3  # members that are sent a datagram at each tick
+MAX_DATAGRAM_BYTES = 1_200  # bytes of encoded reports in one datagram
+MAX_LIST_BYTES = MAX_DATAGRAM_BYTES // 2  # bytes of one list in this instance's own report
+MAX_FORWARDS = 2  # how often this instance forwards the same report of another one
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(list[HealthReport]).decode
@@ -41,41 +45,41 @@
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram for a member."""
+    """A datagram to send, and the name of the member that it is for."""
 
     member: str
     payload: bytes
 
 
 class HealthGossip:
-    """Health reports of one instance. Times are microseconds.
+    """The health reports that one instance sends and receives. Times are in microseconds.
 
     Attributes:
         own_name: Name of this instance among the members.
-        generation: Start of this process; a later process of the same name has a later one.
+        generation: Start time of this process; later processes of the same name have higher values.
         observations: Outcomes of this instance's own attempts, by pool.
-        report_table: Latest reports of the others.
-        sequence: Number of the last own report.
-        outbox: Datagrams to be sent; the driver empties it.
-        last_reported: When an upstream was last reported to the policy as suspected.
-        undecodable: Datagrams that could not be decoded.
-        suspected_count: Suspected upstreams reported to the policy so far.
-        leases: Returns the leases to announce at a time; None if this instance takes part in none.
+        report_table: Latest reports of the other instances.
+        sequence: Number of this instance's last report.
+        outbox: Datagrams to send; the owner empties the list.
+        last_reported: Time at which each upstream was last reported to the policy as suspected.
+        undecodable: Number of datagrams that could not be decoded.
+        suspected_count: Number of suspected upstreams reported to the policy so far.
+        leases: Returns the leases to announce at a given time; None if this instance takes part in none.
         on_lease: Called with the time and each lease that another instance announces.
         quotas: Returns the shares of limits to announce; None if this instance has none.
         on_quota: Called with the time, the origin and each share that another instance announces.
     """
 
     def __init__(
-        self, own_name: str, generation: int, chance: Random, settings: QuorumSettings | None = None
+        self, own_name: str, generation: int, random: Random, settings: QuorumSettings | None = None
     ) -> None:
         """Create the gossip of one instance.
 
         Args:
             own_name: Name of this instance among the members.
-            generation: Start of this process; has to rise with each process of the same name.
-            chance: Source of randomness for the choice of members.
-            settings: When an upstream is suspected.
+            generation: Start time of this process; has to rise with each process of the same name.
+            random: Generator of the random choice of members.
+            settings: Thresholds for suspecting an upstream.
         """
         self.own_name = own_name
         self.generation = generation
@@ -90,14 +94,14 @@
         self.on_lease: Callable[[int, LeaseAnnouncement], object] | None = None
         self.quotas: Callable[[], list[QuotaAnnouncement]] | None = None
         self.on_quota: Callable[[int, str, QuotaAnnouncement], object] | None = None
-        self._chance = chance
+        self._random = random
         self._settings = settings or QuorumSettings()
         self._last_report_had_counts = False
 
-    # Input.
+    # Input
 
     def record_outcome(self, now: int, pool: str, upstream: str, outcome: Outcome) -> None:
-        """Count the end of an own attempt."""
+        """Record the outcome of an attempt of this instance."""
         observations = self.observations.get(pool)
         if observations is None:
             observations = LocalObservations(REPORT_WINDOW)
@@ -105,31 +109,31 @@
         observations.record_outcome(now, upstream, outcome)
 
     def receive(self, now: int, data: bytes) -> None:
-        """Merge the reports of a datagram from a member; its bytes need not make sense."""
+        """Merge the reports of a datagram from another member; the data may be arbitrary bytes."""
         try:
             reports = _decode(data)
         except (ValueError, RecursionError):  # msgspec's errors are ValueErrors
             self.undecodable += 1
             return
-        for report in reports[:MAX_ROWS]:
+        for report in reports[:MAX_ENTRIES]:
             if self.report_table.merge(now, report):
-                self._pass_to_listeners(now, report)
+                self._notify_listeners(now, report)
 
-    def _pass_to_listeners(self, now: int, report: HealthReport) -> None:
+    def _notify_listeners(self, now: int, report: HealthReport) -> None:
         if self.on_lease is not None:
             for lease in report.leases:
                 self.on_lease(now, msgspec.structs.replace(lease, age_ms=lease.age_ms + report.age_ms))
         if self.on_quota is not None:
             for quota in report.quotas:
-                self.on_quota(now - report.age_ms * MS, report.origin, quota)
+                self.on_quota(now - report.age_ms * MICROSECONDS_PER_MS, report.origin, quota)
 
-    # Output.
+    # Output
 
     def tick(self, now: int, members: Iterable[str]) -> None:
-        """Put the datagrams of one gossip interval into `outbox`.
+        """Append the datagrams of one gossip interval to `outbox`.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             members: Names of all members.
         """
         others = [name for name in members if name != self.own_name]
@@ -138,48 +142,49 @@
         own_report = self.report(now)
         packed = self._pack(now, own_report)
         nothing_to_report = not own_report.has_content and len(packed) == 1
+        # A report without counts is still sent once after one that had counts, to replace it.
         if nothing_to_report and not self._last_report_had_counts:
-            return  # and nothing to take back
+            return
         self._last_report_had_counts = bool(own_report.counts)
         payload = _encode(packed)
-        for name in self._chance.sample(others, min(FANOUT, len(others))):
+        for name in self._random.sample(others, min(FANOUT, len(others))):
             self.outbox.append(OutgoingDatagram(name, payload))
 
     def report(self, now: int) -> HealthReport:
-        """Make the next own report, with as much of each list as fits."""
+        """Create this instance's next report, with as many entries of each list as fit."""
         self.sequence += 1
-        leases = _take_fitting(self.leases(now)) if self.leases is not None else []
-        quotas = self.quotas()[:MAX_ROWS] if self.quotas is not None else []
+        leases = _fit_into_list(self.leases(now)) if self.leases is not None else []
+        quotas = self.quotas()[:MAX_ENTRIES] if self.quotas is not None else []
         return HealthReport(
             origin=self.own_name,
             generation=self.generation,
             sequence=self.sequence,
             age_ms=0,
             relays=0,
-            counts=_take_fitting(self.counts(now)),
+            counts=_fit_into_list(self.counts(now)),
             leases=leases,
             quotas=quotas,
         )
 
     def counts(self, now: int) -> list[UpstreamCounts]:
-        """Return what there is to report of upstreams: first those with most failures, then most attempts."""
+        """Return the upstreams to report, those with most failures first, then those with most attempts."""
         reported_failing = {
             key
             for received in self.report_table.origins.values()
-            for key, row in received.counts.items()
-            if row.failures
+            for key, entry in received.counts.items()
+            if entry.failures
         }
-        rows = [
+        entries = [
             UpstreamCounts(pool, upstream, min(attempts, MAX_COUNT), min(failures, MAX_COUNT))
             for pool, observations in self.observations.items()
             for upstream, (attempts, failures) in observations.counts(now).items()
             if failures or UpstreamKey(pool, upstream) in reported_failing
         ]
-        rows.sort(key=lambda row: (-row.failures, -row.attempts, row.upstream))
-        return rows
+        entries.sort(key=lambda entry: (-entry.failures, -entry.attempts, entry.upstream))
+        return entries
 
     def _pack(self, now: int, own_report: HealthReport) -> list[msgspec.Raw]:
-        """Encode the own report and the newest others, as many as fit a datagram."""
+        """Encode this instance's report, then those of others to forward, as many as fit into a datagram."""
         packed: list[msgspec.Raw] = []
         free = MAX_DATAGRAM_BYTES
         encoded = _encode(own_report)
@@ -187,7 +192,7 @@
             free -= len(encoded)
             packed.append(msgspec.Raw(encoded))
         for received in self._forwardable(now):
-            encoded = _encode(_relayed(now, received))
+            encoded = _encode(_forwarded_copy(now, received))
             if len(encoded) <= free:
                 free -= len(encoded)
                 packed.append(msgspec.Raw(encoded))
@@ -195,16 +200,18 @@
         return packed
 
     def _forwardable(self, now: int) -> list[ReceivedReport]:
-        """Return the reports to pass on: first those passed on least, here and on their way."""
+        """Return the reports to forward: first those forwarded least by this instance, then by all others."""
         candidates = [
             received
             for received in self.report_table.fresh(now).values()
             if received.forward_count < MAX_FORWARDS and received.report.has_content
         ]
-        candidates.sort(key=lambda each: (each.forward_count, each.report.relays, -each.created_at))
+        candidates.sort(
+            key=lambda received: (received.forward_count, received.report.relays, -received.created_at)
+        )
         return candidates
 
-    # Effect.
+    # Suspected upstreams
 
     def report_suspected(
         self,
@@ -214,17 +221,18 @@
         members: set[str],
         on_suspected: Callable[[str, int, int], object],
     ) -> list[SuspectedUpstream]:
-        """Report the suspected upstreams of a pool to its policy, each at most once in a window.
+        """Report the suspected upstreams of a pool to its policy, each at most once per `REPORT_WINDOW`.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             pool: Name of the pool.
             upstreams: Names of the upstreams in use.
             members: Names of the members whose reports count.
-            on_suspected: Called with an upstream's name, attempts and failures that the suspicion counts for.
+            on_suspected: Called with the name of an upstream, and with the attempts and failures that the
+                suspicion counts like.
 
         Returns:
-            What was reported.
+            The upstreams that were reported.
         """
         own_counts = self.observations[pool].counts(now) if pool in self.observations else {}
         reports = self.report_table.fresh(now, members - {self.own_name})
@@ -241,18 +249,18 @@
         return reported
 
 
-def _relayed(now: int, received: ReceivedReport) -> HealthReport:
-    """Return a report as this instance passes it on."""
+def _forwarded_copy(now: int, received: ReceivedReport) -> HealthReport:
+    """Return a report with its age and relay count updated for forwarding."""
     report = received.report
-    age_ms = (now - received.created_at) // MS
+    age_ms = (now - received.created_at) // MICROSECONDS_PER_MS
     return msgspec.structs.replace(report, age_ms=age_ms, relays=report.relays + 1)
 
 
-def _take_fitting(items: list[_Item]) -> list[_Item]:
-    """Return the first items, as many as fits."""
+def _fit_into_list(items: list[_Item]) -> list[_Item]:
+    """Return the first items, as many as fit into `MAX_LIST_BYTES`."""
     fitting: list[_Item] = []
     free = MAX_LIST_BYTES
-    for item in items[:MAX_ROWS]:
+    for item in items[:MAX_ENTRIES]:
         free -= len(_encode(item))
         if free < 0:
             break
--- a/dahliabend/health_gossip/local_observations.py
+++ b/dahliabend/health_gossip/local_observations.py
@@ -1,7 +1,7 @@
-"""Outcomes of this instance's own attempts at each upstream of a pool, within a sliding window.
+"""Outcomes of this instance's attempts at each upstream of a pool, within a sliding window.
 
-Counted are outcomes that say something about the upstream itself: an error, a reset, no connection, no answer
-in time. Rejections are not: how full an upstream is differs with what each instance sends it.
+Only outcomes that depend on the upstream itself count: a success, an error, a reset, no connection, no answer
+in time. Rejections do not count: how loaded an upstream is depends on what each instance sends to it.
 """
 
 from collections import deque
@@ -11,24 +11,25 @@
 
 FAILURE_OUTCOMES = frozenset({Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.RESET})
 COUNTED_OUTCOMES = FAILURE_OUTCOMES | {Outcome.SUCCEEDED}
-MAX_SAMPLES = 32  # latest outcomes kept of each upstream
+MAX_SAMPLES = 32  # latest outcomes kept per upstream
 
-Sample = tuple[int, bool]  # microseconds, and whether it failed; plain, as one is made for each attempt
+# Time in microseconds, and whether the attempt failed; a plain tuple for speed, as each attempt creates one.
+Sample = tuple[int, bool]
 
 
 class OutcomeCounts(NamedTuple):
-    """Attempts that ended, and how many of these failed."""
+    """Number of attempts that ended, and how many of them failed."""
 
     attempts: int
     failures: int
 
 
 class LocalObservations:
-    """Latest outcomes by upstream.
+    """The latest outcomes by upstream.
 
     Attributes:
-        window: Microseconds that an outcome counts.
-        samples: Latest outcomes of each upstream, the oldest first.
+        window: Time in microseconds for which an outcome counts.
+        samples: The latest outcomes of each upstream, the oldest first.
     """
 
     def __init__(self, window: int) -> None:
@@ -36,13 +37,13 @@
         self.samples: dict[str, deque[Sample]] = {}
 
     def record_outcome(self, now: int, upstream: str, outcome: Outcome) -> None:
-        """Count the end of an attempt, if its outcome says something about the upstream."""
+        """Record the outcome of an attempt if it is one of `COUNTED_OUTCOMES`."""
         if outcome in COUNTED_OUTCOMES:
             samples = self.samples.setdefault(upstream, deque(maxlen=MAX_SAMPLES))
             samples.append((now, outcome in FAILURE_OUTCOMES))
 
     def counts(self, now: int) -> dict[str, OutcomeCounts]:
-        """Forget expired outcomes and return the counts of each upstream that has any left."""
+        """Remove expired outcomes and return the counts of each upstream that has any left."""
         counts = {}
         for upstream, samples in list(self.samples.items()):
             while samples and samples[0][0] <= now - self.window:
--- a/dahliabend/health_gossip/report_table.py
+++ b/dahliabend/health_gossip/report_table.py
@@ -1,4 +1,4 @@
-"""The latest report of each origin: a map of last-writer-wins registers, a state-based CRDT.
+"""The latest report of each origin: a map of last-writer-wins registers, which is a state-based CRDT.
 
 Merging is commutative, associative and idempotent (Shapiro and others, 2011), so that the order and the
 repetition of datagrams do not matter.
@@ -14,7 +14,7 @@
 
 
 class UpstreamKey(NamedTuple):
-    """An upstream of a pool, by their names."""
+    """Key of an upstream: the name of its pool and its own name."""
 
     pool: str
     upstream: str
@@ -22,13 +22,13 @@
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """A report with what this instance knows of it.
+    """A received report with its local metadata.
 
     Attributes:
-        report: The report as it was received.
-        created_at: When its origin made it, in microseconds of this instance's clock.
-        forward_count: How often this instance has passed it on.
-        counts: Its entries by upstream.
+        report: The report as received.
+        created_at: Time at which the origin created the report, in microseconds of this instance's clock.
+        forward_count: How often this instance has forwarded the report.
+        counts: Entries of the report by upstream.
     """
 
     report: HealthReport
@@ -38,14 +38,14 @@
 
 
 class ReportTable:
-    """Reports of other instances that still count.
+    """The unexpired reports of other instances.
 
     Attributes:
-        own_name: Name of this instance; its own reports are not kept.
-        lifetime: Microseconds that a report counts after it was made.
-        capacity: Most origins that are kept.
+        own_name: Name of this instance, whose own reports are not stored.
+        lifetime: Time in microseconds for which a report counts after its creation.
+        capacity: Maximum number of origins.
         origins: Latest report of each origin.
-        rejected: Reports that were not valid.
+        rejected: Number of invalid reports received.
     """
 
     def __init__(self, own_name: str, lifetime: int, capacity: int = DEFAULT_CAPACITY) -> None:
@@ -56,10 +56,11 @@
         self.rejected = 0
 
     def merge(self, now: int, report: HealthReport) -> bool:
-        """Keep a report that is newer than the last one of its origin.
+        """Store a report if it is newer than the last one of its origin.
 
         Returns:
-            Whether it was news; not if it is this instance's own, outdated, expired or not valid.
+            Whether the report was stored. It is not if it is this instance's own, outdated, expired or
+            invalid, or if the table is full.
         """
         if report.origin == self.own_name:
             return False
@@ -73,16 +74,16 @@
         is_full = received is None and len(self.origins) >= self.capacity
         if age >= self.lifetime or is_full:
             return False
-        counts = {UpstreamKey(row.pool, row.upstream): row for row in report.counts}
+        counts = {UpstreamKey(entry.pool, entry.upstream): entry for entry in report.counts}
         self.origins[report.origin] = ReceivedReport(report, now - age, counts=counts)
         return True
 
     def fresh(self, now: int, members: set[str] | None = None) -> dict[str, ReceivedReport]:
-        """Forget expired reports and return the others by origin.
+        """Remove expired reports and return the others by origin.
 
         Args:
-            now: Microseconds.
-            members: Only reports of these are returned; None for all.
+            now: Current time in microseconds.
+            members: Names of the members whose reports are returned; None for all.
         """
         for origin in [
             name for name, received in self.origins.items() if now - received.created_at >= self.lifetime
--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -7,7 +7,7 @@
 
 from dahliabend.leases.lease import LeaseAnnouncement
 
-MAX_ROWS = 64  # entries of each kind in one report
+MAX_ENTRIES = 64  # length of each list in one report
 MAX_COUNT = 1_000  # attempts that one entry may report
 MAX_NAME_LENGTH = 64  # characters of an origin, a pool or an upstream
 
@@ -18,8 +18,8 @@
     Attributes:
         pool: Name of the upstream's pool.
         upstream: Name of the upstream in its endpoint list.
-        attempts: Attempts that ended.
-        failures: Attempts that failed, out of these.
+        attempts: Number of attempts that ended.
+        failures: Number of these attempts that failed.
     """
 
     pool: str
@@ -29,7 +29,7 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the counts are possible and the names short enough."""
+        """Whether the counts are within their bounds and the names are short enough."""
         return (
             0 < self.attempts <= MAX_COUNT
             and 0 <= self.failures <= self.attempts
@@ -39,12 +39,12 @@
 
 
 class QuotaAnnouncement(msgspec.Struct, array_like=True, frozen=True):
-    """The sender's share of one limit of the whole fleet.
+    """The sender's share of one fleet-wide limit.
 
     Attributes:
         limit: Name of the limit.
         share: Fraction of the limit that the sender holds.
-        demand: Fraction of the limit that the sender is asked for.
+        demand: Demand of the sender as a fraction of the limit.
     """
 
     limit: str
@@ -53,17 +53,18 @@
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance reports.
+    """The report of one instance about upstreams, leases and shares of limits.
 
     Attributes:
         origin: Name of the reporting instance.
-        generation: Start of the reporting process; with `sequence` it orders the reports of one origin.
+        generation: Start time of the reporting process; with `sequence` it orders the reports of one origin.
         sequence: Number of the report within the generation.
-        age_ms: Milliseconds since it was made, when it was sent: clocks are not compared between instances.
-        relays: How often it was passed on.
+        age_ms: Milliseconds from the creation of the report until it was sent; clocks are not compared
+            between instances.
+        relays: How often the report was forwarded.
         counts: Outcomes at upstreams.
         leases: Leases that the origin holds or claims.
-        quotas: Its shares of limits of the whole fleet.
+        quotas: Shares that the origin holds of fleet-wide limits.
     """
 
     origin: str
@@ -77,20 +78,20 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether all fields are within their bounds, and leases are the origin's own."""
+        """Whether all fields are within their bounds, and the origin is the holder of all leases."""
         return (
             0 < len(self.origin) <= MAX_NAME_LENGTH
             and min(self.generation, self.sequence, self.age_ms, self.relays) >= 0
-            and max(len(self.counts), len(self.leases), len(self.quotas)) <= MAX_ROWS
+            and max(len(self.counts), len(self.leases), len(self.quotas)) <= MAX_ENTRIES
             and all(lease.is_valid and lease.holder == self.origin for lease in self.leases)
-            and all(row.is_valid for row in self.counts)
+            and all(entry.is_valid for entry in self.counts)
         )
 
     @property
     def has_content(self) -> bool:
-        """Whether it reports anything."""
+        """Whether the report has any entries."""
         return bool(self.counts or self.leases or self.quotas)
 
     def is_newer_than(self, other: "HealthReport") -> bool:
-        """Whether it was made after another report of the same origin."""
+        """Whether this report was created after another report of the same origin."""
         return (self.generation, self.sequence) > (other.generation, other.sequence)
--- a/tests/health_gossip/gossip_cluster.py
+++ b/tests/health_gossip/gossip_cluster.py
@@ -1,11 +1,11 @@
-"""Instances that gossip over a network that delivers at once, or drops."""
+"""Instances that gossip over a network that delivers datagrams immediately or drops them."""
 
 from collections.abc import Callable
 from random import Random
 
 from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MAX_DATAGRAM_BYTES, HealthGossip
 
-FRAMING_BYTES = 50  # of a datagram, beside its reports
+FRAMING_BYTES = 50  # bytes of a datagram besides its reports
 
 
 class GossipCluster:
@@ -18,7 +18,7 @@
     def run(
         self, now: int, ticks: int, is_dropped: Callable[[str, str], bool] = lambda source, target: False
     ) -> int:
-        """Let all instances tick so many times, and return the bytes sent."""
+        """Let all instances tick `ticks` times, and return the number of bytes sent."""
         sent = 0
         for tick in range(ticks):
             at = now + tick * GOSSIP_INTERVAL
--- a/tests/health_gossip/test_aggregation.py
+++ b/tests/health_gossip/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Reports of others are weighed: a quorum is needed, and own successes take precedence."""
+"""Aggregation of the reports of others: a quorum is needed, and own successes take precedence."""
 
 from collections.abc import Iterable, Mapping
 
@@ -18,11 +18,11 @@
     table = ReportTable("me", REPORT_WINDOW)
     for report in reports:
         table.merge(SECOND, report)
-    found = aggregate(QuorumSettings(), POOL, UPSTREAMS, table.fresh(SECOND), own_counts)
-    return {each.upstream: each for each in found}
+    suspicions = aggregate(QuorumSettings(), POOL, UPSTREAMS, table.fresh(SECOND), own_counts)
+    return {suspicion.upstream: suspicion for suspicion in suspicions}
 
 
-def test_one_origin_is_never_enough_and_a_quorum_that_agrees_is():
+def test_an_upstream_is_suspected_by_a_quorum_of_origins_and_never_by_one():
     failing = [health_report(f"b{n}", 1, ("u1", 900, 900)) for n in range(3)]
     assert suspected(failing[:1]) == {}
     assert suspected(failing[:2]) == {}
@@ -39,7 +39,7 @@
 
 
 def test_own_successes_take_precedence_over_reports():
-    """An upstream that fails for some instances only stays in use at those that it serves."""
+    """An upstream that fails only for some instances stays in use by those for which it works."""
     failing = [health_report(f"b{n}", 1, ("u1", 3, 3)) for n in range(5)]
     assert suspected(failing, {"u1": (3, 1)}) == {}
     assert "u1" in suspected(failing, {"u1": (3, 2)})
@@ -50,10 +50,10 @@
     false_reports = [
         health_report(f"l{n}", 1, *((name, 900, 900) for name in sorted(UPSTREAMS))) for n in range(4)
     ]
-    assert suspected(false_reports) == {}, "so many at once are a fault of the tier, or a false report"
+    assert suspected(false_reports) == {}, "so many suspicions are a fault of the tier, or false reports"
 
 
 def test_false_reports_of_one_upstream_are_outvoted():
     false_reports = [health_report(f"l{n}", 1, ("u1", 900, 900)) for n in range(3)]
-    served = [health_report(f"b{n}", 1, ("u1", 3, 0)) for n in range(6)]
-    assert suspected(false_reports + served) == {}
+    successful = [health_report(f"b{n}", 1, ("u1", 3, 0)) for n in range(6)]
+    assert suspected(false_reports + successful) == {}
--- a/tests/health_gossip/test_local_observations.py
+++ b/tests/health_gossip/test_local_observations.py
@@ -1,4 +1,4 @@
-"""Own outcomes at upstreams: only the latest count, and only for a while."""
+"""Own outcomes at upstreams: only the latest ones count, and only within the window."""
 
 from dahliabend.health_gossip.local_observations import MAX_SAMPLES, LocalObservations
 from dahliabend.model import Outcome
--- a/tests/health_gossip/test_peer_reports_in_policy.py
+++ b/tests/health_gossip/test_peer_reports_in_policy.py
@@ -1,4 +1,4 @@
-"""What others report takes effect in the policy as own failures do."""
+"""Reports of other instances take effect in the policy like failures of own attempts."""
 
 from types import SimpleNamespace
 
@@ -11,13 +11,13 @@
 from dahliabend.simulation.cluster.workload_model import WorkloadModel
 
 
-def test_policy_ejects_an_upstream_by_peer_reports_as_by_own_attempts():
+def test_policy_ejects_an_upstream_that_peers_report_as_failing():
     port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
     balancer = Balancer(WorkloadModel(Fleet(instances=1), 1).settings(), port, 1)
     rows = [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)]
     balancer.update_endpoints(SECOND, rows, full=True)
     balancer.add_peer_report(1, MIN_SAMPLES, MIN_SAMPLES)
-    balancer.add_peer_report(7, MIN_SAMPLES, MIN_SAMPLES)  # not listed any more
+    balancer.add_peer_report(7, MIN_SAMPLES, MIN_SAMPLES)  # an endpoint that is not in the list
     for tick in range(WINDOW_TICKS):
         balancer.timer_fired(SECOND + (tick + 1) * balancer.tick, 0)
     ejected = [endpoint.is_ejected for _, endpoint in sorted(balancer.selection.endpoints.items())]
--- a/tests/health_gossip/test_report_table.py
+++ b/tests/health_gossip/test_report_table.py
@@ -1,4 +1,4 @@
-"""The latest report of each origin: the order of datagrams does not matter, and reports expire."""
+"""The table of the latest reports: the order of datagrams does not matter, and reports expire."""
 
 import pytest
 from fake_reports import SECOND, health_report
@@ -8,7 +8,7 @@
 from dahliabend.health_gossip.gossip import REPORT_WINDOW
 from dahliabend.health_gossip.report_table import ReportTable
 
-MS = 1_000
+MICROSECONDS_PER_MS = 1_000
 
 reports = st.lists(
     st.builds(
@@ -25,11 +25,11 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(reports, st.randoms(use_true_random=False))
-def test_merge_does_not_depend_on_order_or_repetition(drawn, random):
-    first_of_each_number = {}  # under one number an origin reports one thing
-    for report in drawn:
-        first_of_each_number.setdefault((report.origin, report.generation, report.sequence), report)
-    sent = list(first_of_each_number.values())
+def test_merge_does_not_depend_on_order_or_repetition(generated_reports, random):
+    reports_by_number = {}  # an origin never sends two different reports with the same number
+    for report in generated_reports:
+        reports_by_number.setdefault((report.origin, report.generation, report.sequence), report)
+    sent = list(reports_by_number.values())
     shuffled = sent + random.sample(sent, len(sent) // 2)
     random.shuffle(shuffled)
     in_order, out_of_order = ReportTable("me", REPORT_WINDOW), ReportTable("me", REPORT_WINDOW)
@@ -42,16 +42,18 @@
     }
 
 
-def test_expired_reports_and_those_of_an_earlier_generation_do_not_count():
+def test_expired_reports_and_those_of_an_earlier_generation_are_not_stored():
     table = ReportTable("me", REPORT_WINDOW)
     assert table.merge(SECOND, health_report("a", 5, ("u1", 1, 1), generation=2))
     assert not table.merge(SECOND, health_report("a", 9, ("u1", 1, 1), generation=1))
-    assert not table.merge(SECOND, health_report("b", 1, ("u1", 1, 1), age_ms=REPORT_WINDOW // MS))
+    assert not table.merge(
+        SECOND, health_report("b", 1, ("u1", 1, 1), age_ms=REPORT_WINDOW // MICROSECONDS_PER_MS)
+    )
     assert set(table.fresh(SECOND + REPORT_WINDOW - 1)) == {"a"}
     assert table.fresh(SECOND + REPORT_WINDOW) == {}
 
 
-def test_origin_with_a_clock_set_back_counts_again_once_its_reports_have_expired():
+def test_reports_of_an_origin_with_a_clock_set_back_count_again_once_earlier_ones_have_expired():
     table = ReportTable("me", REPORT_WINDOW)
     assert table.merge(SECOND, health_report("a", 5, ("u1", 1, 1), generation=2))
     assert table.fresh(SECOND + REPORT_WINDOW) == {}
