--- a/dahliabend/subsetting/__init__.py
+++ b/dahliabend/subsetting/__init__.py
@@ -1,7 +1,8 @@
-"""Which upstreams of a pool each of many balancers uses. Free of I/O.
+"""Subsetting: which upstreams of a pool each balancer of a large fleet uses. Free of I/O.
 
-`selection` computes the whole assignment from the view of the fleet and the endpoint list, with `rendezvous`
-for the pairs, `fitting` for the weights and `zones` for what crosses zones. `controller` moves one balancer's
-subset there step by step, with `fleet_view`, `target`, `flap_damping` and `usable_endpoints`. `demand`
-estimates what a balancer is asked, and `baselines` has other strategies to compare with.
+`selection` computes the assignment for the whole fleet from the view of the fleet and the endpoint list, with
+`rendezvous` for the choice of pairs, `fitting` for their weights and `zones` for the traffic between zones.
+`controller` moves one balancer's subset towards its part of the assignment step by step, with `fleet_view`,
+`target`, `flap_damping` and `usable_endpoints`. `demand` estimates the request rate of a balancer, and
+`baselines` implements other strategies for comparison.
 """
--- a/dahliabend/subsetting/baselines.py
+++ b/dahliabend/subsetting/baselines.py
@@ -1,6 +1,6 @@
-"""Other strategies of subsetting, to be measured beside `selection`.
+"""Other strategies of subsetting, for comparison with `selection`.
 
-Unless a strategy says otherwise, a balancer sends the same to each upstream that it uses.
+Unless stated otherwise, a balancer divides its demand evenly among the upstreams that it uses.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,8 +22,8 @@
 
 def subset_size(balancers: int, upstreams: int) -> int:
     """Return the size of every subset, given the number of balancers and of upstreams."""
-    for_degree = -(-MIN_BALANCERS_PER_UPSTREAM * upstreams // balancers)  # rounded up
-    return min(upstreams, max(MIN_SUBSET_SIZE, for_degree))
+    size_for_degree = -(-MIN_BALANCERS_PER_UPSTREAM * upstreams // balancers)  # rounded up
+    return min(upstreams, max(MIN_SUBSET_SIZE, size_for_degree))
 
 
 def assign_equally(
@@ -35,8 +35,8 @@
     return Assignment(_names(balancers), _names(upstreams), shares)
 
 
-def random(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Every balancer draws its subset at random, anew when the length of the list changes."""
+def random_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Let every balancer choose its subset at random, and again when the number of upstreams changes."""
     size = subset_size(len(balancers), len(upstreams))
     used = np.zeros((len(balancers), len(upstreams)), dtype=bool)
     for row, balancer in enumerate(balancers):
@@ -45,15 +45,15 @@
     return assign_equally(balancers, upstreams, used)
 
 
-def rendezvous(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Every balancer uses its highest ranks by rendezvous hashing."""
+def rendezvous_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Let every balancer use the upstreams with the highest ranks by rendezvous hashing."""
     sizes = np.full(len(balancers), subset_size(len(balancers), len(upstreams)))
     ranks = pair_ranks(_names(balancers), _names(upstreams))
     return assign_equally(balancers, upstreams, top_ranked(ranks, sizes))
 
 
-def rounds(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Deterministic subsetting: each round of balancers shuffles the list and divides it into subsets."""
+def shuffled_round_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Apply deterministic subsetting: each round of balancers divides one shuffled list into subsets."""
     size = subset_size(len(balancers), len(upstreams))
     balancers_per_round = max(1, len(upstreams) // size)
     used = np.zeros((len(balancers), len(upstreams)), dtype=bool)
@@ -65,11 +65,12 @@
     return assign_equally(balancers, upstreams, used)
 
 
-def aperture(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Deterministic aperture: arcs of a ring, with fractions of upstreams at their ends.
+def aperture_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Apply deterministic aperture: each balancer uses an arc of a ring of upstreams.
 
-    Balancers and upstreams stand on a ring in the order given. The arcs of the balancers, by demand, lie end
-    to end and cover the ring a whole number of times.
+    Upstreams are placed on the ring in the given order, and balancers take consecutive arcs with lengths in
+    proportion to their demand. Together the arcs cover the ring an integer number of times. At the ends of an
+    arc a balancer uses a fraction of an upstream.
     """
     count = len(balancers)
     laps = max(1, -(-subset_size(count, len(upstreams)) * count // len(upstreams)))
@@ -79,7 +80,7 @@
     for row, demand in enumerate(normalized_weights(balancers)):
         arc = min(1.0, demand * laps)
         start = position % 1.0
-        for lap in (0.0, 1.0):  # an arc may run past the end of the ring
+        for lap in (0.0, 1.0):  # an arc may extend past the end of the ring
             low = np.maximum(ends[:-1] + lap, start)
             high = np.minimum(ends[1:] + lap, start + arc)
             shares[row] += np.maximum(0.0, high - low) * demand / arc
@@ -87,8 +88,8 @@
     return Assignment(_names(balancers), _names(upstreams), shares)
 
 
-def everyone(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Every balancer uses all upstreams."""
+def full_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
+    """Let every balancer use all upstreams."""
     used = np.ones((len(balancers), len(upstreams)), dtype=bool)
     return assign_equally(balancers, upstreams, used)
 
@@ -98,9 +99,9 @@
 
 
 STRATEGIES: dict[str, Strategy] = {
-    "random": random,
-    "rendezvous": rendezvous,
-    "rounds": rounds,
-    "aperture": aperture,
-    "everyone": everyone,
+    "random": random_subsets,
+    "rendezvous": rendezvous_subsets,
+    "rounds": shuffled_round_subsets,
+    "aperture": aperture_subsets,
+    "everyone": full_subsets,
 }
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -1,23 +1,26 @@
-"""One balancer's subset over time: it moves towards its target in bounded steps. Free of I/O.
+"""Control of one balancer's subset over time: it moves towards its target in bounded steps. Free of I/O.
 
-A doubtful view of the fleet narrows nothing: for a while the target is the union by it and the last trusted
-view. New upstreams are added at a bounded rate, and old ones dropped only once as many new ones have been in
-use for a while. Those that the endpoint list has lost are dropped and replaced at once.
+A doubtful view of the fleet does not shrink the subset: for some time the target is the union of the subsets
+by this view and by the last trusted one. New upstreams are added at a bounded rate, and old ones are dropped
+only once as many new ones have been in use for some time. Upstreams that are removed from the endpoint list
+are dropped and replaced immediately.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from dahliabend.subsetting.flap_damping import FlapDamping
-from dahliabend.subsetting.fleet_view import FleetView, Membership
+from dahliabend.subsetting.fleet_view import FleetView, MembershipInfo
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
 from dahliabend.subsetting.target import TargetSubset, compute_target
 
-MAX_FLAPPING_FRACTION = 1 / 2  # of the list: if more go at once, the list has changed and nobody flaps
-WEIGHT_TOLERANCE = 1 / 50  # of a weight: a smaller change alone is not published
-SMALLEST_SHARE = 1e-9  # in place of 0 as a divisor
-UNREACHED = "unreached"  # state of a member that most others cannot reach
+# Fraction of the endpoint list: if as many upstreams disappear at once, the list was replaced, and their
+# departures do not count for flap damping.
+MAX_FLAPPING_FRACTION = 1 / 2
+WEIGHT_TOLERANCE = 1 / 50  # of a weight: smaller changes are not published by themselves
+SMALLEST_SHARE = 1e-9  # divisor in place of 0
+UNREACHABLE_STATE = "unreached"  # state of a member that most other members cannot reach
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,9 +31,10 @@
         weights: Weight of each upstream; they sum to the number of upstreams.
         added: Upstreams added by the last step.
         dropped: Upstreams dropped by the last step.
-        source: What the target was computed from.
+        source: Source of the data from which the target was computed.
         balancers: Number of balancers in the fleet.
-        balancers_per_upstream: Balancers that share each upstream, on average, by this one's part of demand.
+        balancers_per_upstream: Average number of balancers that share an upstream, estimated from this
+            balancer's share of the demand.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -42,22 +46,22 @@
 
 
 class SubsetController:
-    """Keeps one balancer's subset of a pool. Times are microseconds.
+    """Maintains one balancer's subset of a pool. Times are in microseconds.
 
     Attributes:
-        own: This balancer.
-        settings: Size and pace.
+        balancer: This balancer.
+        settings: Size of the subset and rate of its changes.
         listed: Upstreams of the endpoint list, by name.
-        eligible: Those of them that flap damping does not suppress.
-        flap_damping: Penalties of upstreams that come and go.
+        eligible: Those of the listed upstreams that flap damping does not suppress.
+        flap_damping: Penalties of upstreams that repeatedly leave the list and return.
         view: Views of the fleet.
-        active: Upstreams in use, with the time since when.
-        target: What the subset is to become.
-        extra: Upstreams used beyond the target, while too few of it are usable.
+        active: Upstreams in use, with the time at which each was added.
+        target: The subset to move to.
+        extra: Number of upstreams used beyond the target while too few of the target are usable.
     """
 
-    def __init__(self, own: Participant, settings: SubsetSettings) -> None:
-        self.own = own
+    def __init__(self, balancer: Participant, settings: SubsetSettings) -> None:
+        self.balancer = balancer
         self.settings = settings
         self.listed: dict[str, Participant] = {}
         self.eligible: dict[str, Participant] = {}
@@ -68,49 +72,56 @@
         self.extra = 0
         self._target_stale = True
         self._next_step_at = 0
-        self._published: dict[str, float] = {}  # weights
+        self._published: dict[str, float] = {}  # weights of the subset returned last
 
-    # Input.
+    # Input
 
     def update_view(self, now: int, balancers: Sequence[Participant], *, trusted: bool) -> None:
-        """Take the settled view of the fleet.
+        """Set the settled view of the fleet.
 
         Args:
-            now: Microseconds.
+            now: Current time in microseconds.
             balancers: All balancers, this one among them.
             trusted: False if the view may be that of one side of a partition, or outdated.
         """
         if self.view.update(now, balancers, trusted=trusted):
             self._target_stale = True
 
-    def follow_membership(self, now: int, settled: Membership, latest: Membership) -> None:
-        """Take the settled view of membership; the latest one tells whether it is to be doubted."""
+    def follow_membership(self, now: int, settled: MembershipInfo, latest: MembershipInfo) -> None:
+        """Set the view of the fleet from the settled view of membership.
+
+        Args:
+            now: Current time in microseconds.
+            settled: The last settled view.
+            latest: The latest view; like the settled one it can make the view of the fleet doubtful.
+        """
         balancers = [
             Participant(member.name, member.zone, member.weight)
             for member in settled.members
-            if member.state != UNREACHED
+            if member.state != UNREACHABLE_STATE
         ]
         doubtful = settled.possibly_partitioned or latest.possibly_partitioned or latest.exclusion
         self.update_view(now, balancers, trusted=not doubtful)
 
     def update_upstreams(self, now: int, upstreams: Sequence[Participant]) -> None:
-        """Take all upstreams of the endpoint list that can be used."""
+        """Set the upstreams of the endpoint list that can be used."""
         listed = {upstream.name: upstream for upstream in upstreams}
         if listed == self.listed:
             return
-        gone = [name for name in self.listed if name not in listed]
-        if len(gone) < len(self.listed) * MAX_FLAPPING_FRACTION:
-            self.flap_damping.record_departures(now, gone)
+        departed = [name for name in self.listed if name not in listed]
+        if len(departed) < len(self.listed) * MAX_FLAPPING_FRACTION:
+            self.flap_damping.record_departures(now, departed)
         self.listed = listed
         self._apply_flap_damping(now)
 
     def adjust_width(self, usable: int) -> None:
         """Widen the subset while too few of its upstreams are usable, and narrow it again afterwards.
 
-        Each balancer widens along its own ranks, so that not all use the same few.
+        Each balancer adds upstreams in the order of its own ranks, so that the balancers do not all add the
+        same ones.
 
         Args:
-            usable: Upstreams in use that requests can be sent to.
+            usable: Number of upstreams in use to which requests can be sent.
         """
         size = max(1, len(self.target.weights))
         max_extra = round(size * (self.settings.max_widening - 1))
@@ -120,33 +131,34 @@
         elif self.extra and usable >= size + self.extra - 1:
             self.extra -= 1
 
-    # Output.
+    # Output
 
     def step(self, now: int, pinned: frozenset[str] = frozenset()) -> ActiveSubset | None:
         """Move the subset towards its target.
 
         Args:
-            now: Microseconds.
-            pinned: Upstreams that are not dropped, as an operator has excluded them from traffic.
+            now: Current time in microseconds.
+            pinned: Names of upstreams that are not dropped because an operator has excluded them from
+                traffic.
 
         Returns:
-            The subset if it has changed, None otherwise.
+            The subset if it has changed, else None.
         """
         self._refresh_target(now)
-        wanted = self._widened_target()
+        desired = self._widened_target()
         lost = [name for name in self.active if name not in self.eligible]
-        enough = min(len(wanted), self.settings.min_size)
-        if not lost and now < self._next_step_at and len(self.active) >= enough:
+        min_active = min(len(desired), self.settings.min_size)
+        if not lost and now < self._next_step_at and len(self.active) >= min_active:
             return None
         self._next_step_at = now + self.settings.step_interval
         for name in lost:
             del self.active[name]
-        bound = max(1, round(len(wanted) * self.settings.move_fraction))
-        missing = [name for name in wanted if name not in self.active]
-        added = self._add(now, wanted, missing, bound)
+        max_changes = max(1, round(len(desired) * self.settings.move_fraction))
+        missing = [name for name in desired if name not in self.active]
+        added = self._add(now, desired, missing, max_changes)
         dropped: list[str] = []
-        if not missing or len(self.active) > len(wanted):
-            dropped = self._drop(now, wanted, pinned, bound)
+        if not missing or len(self.active) > len(desired):
+            dropped = self._drop(now, desired, pinned, max_changes)
         return self._publish(added, lost + dropped)
 
     def _apply_flap_damping(self, now: int) -> None:
@@ -163,38 +175,38 @@
             self._apply_flap_damping(now)
         if self._target_stale:
             self._target_stale = False
-            views = self.view.containing(self.own.name)
-            self.target = compute_target(self.own, self.settings, views, self.eligible)
+            views = self.view.views_containing(self.balancer.name)
+            self.target = compute_target(self.balancer, self.settings, views, self.eligible)
 
     def _widened_target(self) -> list[str]:
-        """Return the target's upstreams, and the next ones by this balancer's ranks."""
+        """Return the upstreams of the target, followed by the `extra` next ones of the ranking."""
         others = [name for name in self.target.ranking if name not in self.target.weights]
         return [*self.target.weights, *others[: self.extra]]
 
-    def _add(self, now: int, wanted: list[str], missing: list[str], bound: int) -> list[str]:
-        """Put missing upstreams to use: `bound` of them, or as many as the subset lacks in size."""
-        lacking = len(wanted) - len(self.active)
-        added = missing[: max(bound, lacking)]
+    def _add(self, now: int, desired: list[str], missing: list[str], max_changes: int) -> list[str]:
+        """Add missing upstreams: `max_changes` of them, or more if the subset is smaller than desired."""
+        missing_count = len(desired) - len(self.active)
+        added = missing[: max(max_changes, missing_count)]
         self.active.update(dict.fromkeys(added, now))
         return added
 
-    def _drop(self, now: int, wanted: list[str], pinned: frozenset[str], bound: int) -> list[str]:
-        """Drop unwanted upstreams: at most `bound`, and as many as settled ones replace."""
-        leaving = [name for name in self.active if name not in wanted and name not in pinned]
+    def _drop(self, now: int, desired: list[str], pinned: frozenset[str], max_changes: int) -> list[str]:
+        """Drop unwanted upstreams: at most `max_changes`, and only as many as settled ones replace."""
+        unwanted = [name for name in self.active if name not in desired and name not in pinned]
         unsettled = sum(now - since < self.settings.settle_time for since in self.active.values())
-        least = len(wanted) - bound
-        spare = max(0, min(bound, len(self.active) - unsettled - least))
-        dropped = leaving[:spare]
+        min_remaining = len(desired) - max_changes
+        max_dropped = max(0, min(max_changes, len(self.active) - unsettled - min_remaining))
+        dropped = unwanted[:max_dropped]
         for name in dropped:
             del self.active[name]
         return dropped
 
     def _publish(self, added: list[str], dropped: list[str]) -> ActiveSubset | None:
-        """Return the subset, unless it differs from the last one by small changes of weights alone."""
+        """Return the subset, or None if it differs from the last one only by small changes of weights."""
         weights = self._active_weights()
-        before = self._published
-        if weights.keys() == before.keys() and all(
-            abs(weight - before[name]) <= WEIGHT_TOLERANCE * weight for name, weight in weights.items()
+        previous = self._published
+        if weights.keys() == previous.keys() and all(
+            abs(weight - previous[name]) <= WEIGHT_TOLERANCE * weight for name, weight in weights.items()
         ):
             return None
         self._published = weights
--- a/dahliabend/subsetting/demand.py
+++ b/dahliabend/subsetting/demand.py
@@ -1,28 +1,28 @@
-"""How much a balancer is asked, as it announces it to the others by its weight in the view. Free of I/O.
+"""Estimate of a balancer's demand, which it announces as its weight in the membership. Free of I/O.
 
-Only changes that make a difference are announced: growth at once, so that the balancer gets more upstreams
-while it needs them; a decrease only once it has lasted, so that a lull moves nobody's connections.
+Only significant changes are announced: an increase immediately, so that the balancer gets more upstreams
+while it needs them; a decrease only once it has lasted, so that a lull does not move connections.
 """
 
 from dataclasses import dataclass
 
 SECOND = 1_000_000  # microseconds
-MIN_DEMAND = 1.0  # requests per second that a balancer without any counts for
-UNKNOWN_DEMAND = 1e-3  # weights up to this say nothing yet: the balancer counts as the mean of the others
-NOISE_DEVIATIONS = 4.0  # standard deviations of a count; a smaller change may be chance
+MIN_DEMAND = 1.0  # requests per second with which a balancer without requests is counted
+UNKNOWN_DEMAND = 1e-3  # a balancer with a weight up to this is counted with the mean weight of the others
+NOISE_DEVIATIONS = 4.0  # standard deviations of a request count; a smaller change may be random
 ANNOUNCED_DECIMALS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class DemandSettings:
-    """When a change of demand is announced. Times are microseconds.
+    """When a change of demand is announced. Times are in microseconds.
 
     Attributes:
-        averaging_time: Time over which the rate is averaged.
-        rise: Multiple of the announced demand from which growth is announced.
+        averaging_time: Time over which the request rate is averaged.
+        rise: Multiple of the announced demand above which an increase is announced.
         fall: Fraction of the announced demand below which demand is low.
-        low_time: How long demand has to be low before the decrease is announced.
-        min_interval: Least time between two announcements: each is an update for the whole fleet.
+        low_time: Time for which demand has to be low before the decrease is announced.
+        min_interval: Minimum time between two announcements, as each is an update to the whole fleet.
     """
 
     averaging_time: int = 10 * SECOND
@@ -33,15 +33,15 @@
 
 
 class DemandEstimator:
-    """Demand of one balancer. Times are microseconds, rates requests per second.
+    """Estimates the demand of one balancer. Times are in microseconds, rates in requests per second.
 
     Attributes:
         settings: When a change is announced.
         rate: Average rate of requests.
-        announced: Demand as it was last announced; 0 before.
-        announced_at: When it was.
-        low_since: Since when demand is low; 0 while it is not.
-        peak_since_low: Highest rate since then.
+        announced: The demand announced last; 0 before the first announcement.
+        announced_at: Time of the last announcement; at first, the time of the first count.
+        low_since: Time since which demand is low; 0 while it is not.
+        peak_since_low: Highest rate since `low_since`.
     """
 
     def __init__(self, settings: DemandSettings | None = None) -> None:
@@ -56,10 +56,10 @@
         self._counted_at = 0
 
     def update(self, now: int, count: int) -> float | None:
-        """Take the number of requests that have come in all.
+        """Update the estimate with the total number of requests received so far.
 
         Returns:
-            The demand to be announced as this balancer's weight, or None if none is.
+            The demand to announce as this balancer's weight, or None if there is nothing to announce.
         """
         if not self._counted_at:
             self._started_at = now
@@ -81,13 +81,13 @@
         return None
 
     def _update_rate(self, now: int, count: int) -> None:
-        """Move the average towards the rate since the last count."""
-        span = now - self._counted_at
-        arrived = count - self._count
+        """Update the moving average with the rate since the last count."""
+        elapsed = now - self._counted_at
+        new_requests = count - self._count
         self._count = count
         self._counted_at = now
-        averaging_time = min(max(span, self.settings.averaging_time), now - self._started_at)
-        self.rate += (arrived * SECOND / span - self.rate) * span / averaging_time
+        averaging_time = min(max(elapsed, self.settings.averaging_time), now - self._started_at)
+        self.rate += (new_requests * SECOND / elapsed - self.rate) * elapsed / averaging_time
 
     def _track_low(self, now: int, rate: float) -> None:
         if rate >= self.announced * self.settings.fall:
@@ -101,7 +101,7 @@
         self.peak_since_low = 0.0
 
     def _has_risen(self, rate: float) -> bool:
-        """Whether the rate is above the announced one by more than chance."""
+        """Return whether the rate exceeds the announced one by more than random variation explains."""
         expected_count = max(self.announced, MIN_DEMAND) * SECOND / self.settings.averaging_time
         noise = NOISE_DEVIATIONS * float(expected_count**0.5)
         return rate > max(self.announced * self.settings.rise, self.announced + noise)
--- a/dahliabend/subsetting/fitting.py
+++ b/dahliabend/subsetting/fitting.py
@@ -1,4 +1,4 @@
-"""Iterative proportional fitting of the weights of given pairs (Deming and Stephan, 1940)."""
+"""Iterative proportional fitting (Deming and Stephan, 1940) of the weights of chosen pairs."""
 
 import numpy as np
 
@@ -6,16 +6,16 @@
 
 MAX_FITTING_ROUNDS = 60
 FITTING_TOLERANCE = 1e-3  # of a column's capacity
-SMALLEST_SUM = 1e-300  # in place of 0 as a divisor
+SMALLEST_SUM = 1e-300  # divisor in place of 0
 
 
 def fit_shares(start: FloatArray, demand: FloatArray, capacity: FloatArray) -> FloatArray:
-    """Fit a matrix of shares; pairs without a share keep none.
+    """Fit a matrix of shares to its row and column sums; pairs with a share of 0 keep it.
 
     Args:
-        start: A share for each pair in use, 0 for the others.
-        demand: What each row has to sum to.
-        capacity: What each column has to sum to, as nearly as the pairs allow.
+        start: Initial share of each pair in use, 0 for the others.
+        demand: Sum of each row.
+        capacity: Sum of each column, reached as closely as the pairs in use allow.
     """
     rows, columns = np.nonzero(start)
     fitted = np.zeros(start.shape)
@@ -26,10 +26,10 @@
 def fit_pair_shares(
     rows: IntArray, columns: IntArray, shares: FloatArray, demand: FloatArray, capacity: FloatArray
 ) -> FloatArray:
-    """Fit the shares of single pairs, given by row and column; otherwise as `fit_shares`."""
+    """Fit the shares of the listed pairs, given by row and column, in the way of `fit_shares`."""
 
     def row_factors() -> FloatArray:
-        """Return what the shares of each row have to be multiplied by."""
+        """Return the factor of each row that brings its sum to the demand."""
         factors: FloatArray = demand / np.maximum(np.bincount(rows, shares, len(demand)), SMALLEST_SUM)
         return factors
 
--- a/dahliabend/subsetting/flap_damping.py
+++ b/dahliabend/subsetting/flap_damping.py
@@ -1,7 +1,8 @@
-"""Flap damping: upstreams that come and go again and again stay unused for a while after each return.
+"""Flap damping: upstreams that repeatedly leave the endpoint list stay unused for a while after each return.
 
-As for routes (RFC 2439), each departure adds a penalty that decays. Without it every departure and return
-would each move two fair shares of the fleet's pairs.
+As for routes in RFC 2439, each departure adds a penalty that decays over time. Without damping, each
+departure and each return would change two fair shares of the fleet's pairs, a fair share being the average
+number of pairs of one upstream.
 """
 
 from collections.abc import Iterable
@@ -10,26 +11,26 @@
 SECOND = 1_000_000  # microseconds
 PENALTY_HALF_TIME = 20 * SECOND
 DEPARTURE_PENALTY = 1.0
-SUPPRESS_THRESHOLD = 2.5  # reached by the third departure close together
-REUSE_THRESHOLD = 1.0  # a suppressed upstream is used again below
-MAX_PENALTY = 4.0  # two half-times above the reuse threshold
-FORGET_THRESHOLD = 1 / 4
+SUPPRESS_THRESHOLD = 2.5  # reached by the third departure within a short time
+REUSE_THRESHOLD = 1.0  # a suppressed upstream is used again below this penalty
+MAX_PENALTY = 4.0  # decays to the reuse threshold within two half-times
+FORGET_THRESHOLD = 1 / 4  # a penalty is removed at or below this value
 MAX_SUPPRESSED_FRACTION = 1 / 8  # of the pool
 
 
 class Penalty(NamedTuple):
-    """A penalty at the time when it was last changed, in microseconds."""
+    """The value of a penalty at its last change, and the time of the change in microseconds."""
 
     value: float
     at: int
 
 
 class FlapDamping:
-    """Penalties of the upstreams of one pool. Times are microseconds.
+    """The penalties of the upstreams of one pool. Times are in microseconds.
 
     Attributes:
-        penalties: Penalty of each upstream that departed lately.
-        suppressed: Upstreams that are not to be used now.
+        penalties: Penalty of each upstream that departed recently.
+        suppressed: Names of the upstreams that must not be used now.
     """
 
     def __init__(self) -> None:
@@ -37,7 +38,7 @@
         self.suppressed: set[str] = set()
 
     def penalty(self, name: str, now: int) -> float:
-        """Return what is left of an upstream's penalty."""
+        """Return the current, decayed penalty of an upstream."""
         penalty = self.penalties.get(name)
         if penalty is None:
             return 0.0
@@ -50,9 +51,10 @@
             self.penalties[name] = Penalty(value, now)
 
     def suppress(self, now: int, listed: Iterable[str]) -> set[str]:
-        """Return which listed upstreams are not to be used yet: the worst, and never too many at once.
+        """Return the listed upstreams that must not be used now.
 
-        Penalties that have decayed are forgotten.
+        At most `MAX_SUPPRESSED_FRACTION` of the list is suppressed, those with the highest penalties.
+        Penalties that have decayed to `FORGET_THRESHOLD` are removed.
         """
         for name in [name for name in self.penalties if self.penalty(name, now) <= FORGET_THRESHOLD]:
             del self.penalties[name]
--- a/dahliabend/subsetting/fleet_view.py
+++ b/dahliabend/subsetting/fleet_view.py
@@ -1,7 +1,7 @@
-"""The balancers of the fleet: the last view that was trusted, and beside it one that may be wrong.
+"""The views of the balancer fleet: the last trusted one, and a doubtful one if there is one.
 
-A view is doubtful while it may be that of one side of a network partition, or while the others do not count
-this balancer as a member. For some time both are used.
+A view is doubtful while it may be that of one side of a network partition, or while the other members do not
+count this balancer as present. For some time both views are used.
 """
 
 from collections.abc import Sequence
@@ -11,57 +11,57 @@
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND
 from dahliabend.subsetting.selection import Participant
 
-DEFAULT_DEMAND = 1.0  # of all, if none has announced any
+DEFAULT_DEMAND = 1.0  # demand of every balancer if none has announced any
 
 Balancers = tuple[Participant, ...]
 
 
-class Member(Protocol):
-    """What is read of a member of the fleet."""
+class MemberInfo(Protocol):
+    """The attributes of a fleet member that subsetting reads."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the member."""
 
     @property
     def zone(self) -> str:
-        """Its zone."""
+        """Zone of the member."""
 
     @property
     def weight(self) -> float:
-        """Its demand, as announced."""
+        """Announced demand of the member."""
 
     @property
     def state(self) -> str:
-        """Its state; `unreached` if most others cannot reach it."""
+        """State of the member; `unreached` if most other members cannot reach it."""
 
 
-class Membership(Protocol):
-    """What is read of a view of membership."""
+class MembershipInfo(Protocol):
+    """The attributes of a membership view that subsetting reads."""
 
     @property
-    def members(self) -> Sequence[Member]:
+    def members(self) -> Sequence[MemberInfo]:
         """All members."""
 
     @property
     def possibly_partitioned(self) -> bool:
-        """Whether so many were lost at once that this side may be cut off."""
+        """Whether this balancer may be cut off from the others."""
 
     @property
     def exclusion(self) -> str:
-        """Why others may not count this balancer as a member; empty if they do."""
+        """Why the other members may not count this balancer as present; empty if they do."""
 
 
 def fill_unknown_demand(balancers: Sequence[Participant]) -> Sequence[Participant]:
-    """Give balancers that have not announced their demand yet the mean of the others.
+    """Return the balancers, with the mean demand for those that have not announced theirs yet.
 
-    While the fleet or a balancer starts, those that announce first would otherwise be taken for the only ones
-    with clients.
+    Otherwise, while the fleet or a balancer starts, those that announce first would appear to have all the
+    demand.
     """
-    known = [balancer.weight for balancer in balancers if balancer.weight > UNKNOWN_DEMAND]
-    if len(known) == len(balancers):
+    known_weights = [balancer.weight for balancer in balancers if balancer.weight > UNKNOWN_DEMAND]
+    if len(known_weights) == len(balancers):
         return balancers
-    mean = sum(known) / len(known) if known else DEFAULT_DEMAND
+    mean = sum(known_weights) / len(known_weights) if known_weights else DEFAULT_DEMAND
     return [
         balancer if balancer.weight > UNKNOWN_DEMAND else replace(balancer, weight=mean)
         for balancer in balancers
@@ -69,12 +69,12 @@
 
 
 class FleetView:
-    """The views that one balancer goes by.
+    """The views of the fleet that one balancer uses.
 
     Attributes:
-        trusted: Balancers of the last trusted view, sorted by name; empty before the first.
+        trusted: Balancers of the last trusted view, sorted by name; empty before the first one.
         doubtful: Balancers of the doubtful view; empty while the last view is trusted.
-        doubtful_since: When views began to be doubtful, in microseconds.
+        doubtful_since: Time in microseconds since which views have been doubtful.
     """
 
     def __init__(self) -> None:
@@ -83,40 +83,40 @@
         self.doubtful_since = 0
 
     def update(self, now: int, balancers: Sequence[Participant], *, trusted: bool) -> bool:
-        """Take a settled view.
+        """Set the trusted or the doubtful view from a settled view.
 
         Returns:
             Whether the views have changed.
         """
         view = tuple(sorted(fill_unknown_demand(balancers), key=lambda balancer: balancer.name))
         if trusted:
-            return self._trust(view)
-        return self._distrust(now, view)
+            return self._set_trusted(view)
+        return self._set_doubtful(now, view)
 
-    def trust_after(self, now: int, hold: int) -> bool:
-        """Trust a doubtful view once views have been doubtful for `hold` microseconds.
+    def trust_after(self, now: int, hold_time: int) -> bool:
+        """Trust the doubtful view once views have been doubtful for `hold_time` microseconds.
 
         Returns:
             Whether the views have changed.
         """
-        if not self.doubtful or now < self.doubtful_since + hold:
+        if not self.doubtful or now < self.doubtful_since + hold_time:
             return False
         self.trusted = self.doubtful
         self.doubtful = ()
         return True
 
-    def containing(self, name: str) -> list[Balancers]:
-        """Return the views that have a balancer of that name: none, one or two."""
+    def views_containing(self, name: str) -> list[Balancers]:
+        """Return the views, of the trusted and the doubtful one, that contain a balancer of this name."""
         views = (self.trusted, self.doubtful)
         return [view for view in views if any(balancer.name == name for balancer in view)]
 
-    def _trust(self, view: Balancers) -> bool:
+    def _set_trusted(self, view: Balancers) -> bool:
         changed = view != self.trusted or bool(self.doubtful)
         self.trusted = view
         self.doubtful = ()
         return changed
 
-    def _distrust(self, now: int, view: Balancers) -> bool:
+    def _set_doubtful(self, now: int, view: Balancers) -> bool:
         if view == self.doubtful:
             return False
         if not self.doubtful:
--- a/dahliabend/subsetting/rendezvous.py
+++ b/dahliabend/subsetting/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which pairs of balancer and upstream are used.
+"""Rendezvous hashing (Thaler and Ravishankar, 1998): which pairs of balancer and upstream are used.
 
-Every pair has a rank drawn from both names (Thaler and Ravishankar, 1998), so that a balancer or an upstream
-that joins or leaves moves few pairs besides its own.
+The rank of a pair is a hash of both names, so that a balancer or an upstream that joins or leaves changes few
+pairs besides its own.
 """
 
 from collections.abc import Sequence
@@ -11,10 +11,10 @@
 from numpy.typing import NDArray
 
 HASH_BYTES = 8
-GUARANTEED_BALANCERS = 2  # of each upstream: those for which it ranks highest use it in any case
-PAIRS_PER_BLOCK = 1 << 16  # ranked at a time, so that a block fits a processor's cache
+GUARANTEED_BALANCERS = 2  # per upstream: the balancers with its highest ranks always use it
+PAIRS_PER_BLOCK = 1 << 16  # pairs ranked at a time, so that a block fits into a processor's cache
 
-# The constants of splitmix64, after Steele and others, 2014.
+# Constants of splitmix64 (Steele and others, 2014).
 GOLDEN_GAMMA = 0x9E3779B97F4A7C15
 MIX_STEPS = ((30, 0xBF58476D1CE4E5B9), (27, 0x94D049BB133111EB), (31, 1))  # shift, multiplier
 MANTISSA_SHIFT = 11
@@ -33,7 +33,7 @@
 
 
 def pair_ranks(balancers: Sequence[str], upstreams: Sequence[str]) -> FloatArray:
-    """Return the rank of each pair, from 0 to 1: a row for each balancer, a column for each upstream."""
+    """Return the ranks of all pairs, from 0 to 1: a row for each balancer, a column for each upstream."""
     row_hashes = name_hashes(balancers)
     ranks = np.empty((len(balancers), len(upstreams)))
     rows_per_block = max(1, PAIRS_PER_BLOCK // max(1, len(upstreams)))
@@ -54,15 +54,16 @@
 ) -> IntArray:
     """Return how many upstreams each balancer uses.
 
-    A fraction of one is rounded by the balancer's name: if the number moves a little, few balancers change
-    their size by one.
+    Whether a fractional size is rounded up or down depends on a hash of the balancer's name. If the sizes
+    change a little, only few balancers therefore change theirs by one.
 
     Args:
         names: Names of the balancers.
-        demand: Demand of each, as a fraction of the whole; one with more uses more upstreams.
+        demand: Demand of each balancer as a fraction of the whole; a balancer with more than the average
+            uses more upstreams.
         upstreams: Number of upstreams.
-        min_size: Least number of upstreams of a balancer.
-        degree: Balancers of an upstream, on average.
+        min_size: Minimum number of upstreams per balancer.
+        degree: Average number of balancers per upstream.
     """
     count = len(names)
     sizes = np.maximum(min_size, degree * upstreams / count * np.maximum(1.0, demand * count))
@@ -71,7 +72,7 @@
 
 
 def top_ranked(ranks: FloatArray, sizes: IntArray) -> BoolArray:
-    """Return which pairs are among the highest ranks of their row, as many as the row's size."""
+    """Return a mask of the highest ranks of each row, as many as the size of the row."""
     first_used = ranks.shape[1] - sizes
     ordered = np.partition(ranks, np.unique(first_used), axis=1)
     thresholds = ordered[np.arange(len(sizes)), first_used]
@@ -80,9 +81,9 @@
 
 
 def guaranteed_pairs(ranks: FloatArray) -> BoolArray:
-    """Return which pairs are among the `GUARANTEED_BALANCERS` highest ranks of their column.
+    """Return a mask of the `GUARANTEED_BALANCERS` highest ranks of each column.
 
-    Few balancers with small subsets would otherwise leave some upstream unused.
+    Without these pairs, a small number of balancers with small subsets could leave some upstreams unused.
     """
     thresholds = ranks.max(axis=0)
     for _ in range(min(GUARANTEED_BALANCERS, ranks.shape[0]) - 1):
--- a/dahliabend/subsetting/selection.py
+++ b/dahliabend/subsetting/selection.py
@@ -1,8 +1,8 @@
-"""Which balancer uses which upstreams, and with which weight: a pure function of the view and the list.
+"""Assignment of upstreams to balancers with weights: a pure function of fleet view and endpoint list.
 
-Every balancer computes the whole assignment; those with the same view of the fleet and the same endpoint list
-come to the same one. Pairs are chosen by rendezvous hashing. Their weights are then fitted, so that every
-upstream gets its part of the whole demand.
+Every balancer computes the assignment of the whole fleet; balancers with the same view of the fleet and the
+same endpoint list compute the same one. Pairs are chosen by rendezvous hashing. Their weights are then
+fitted, so that every upstream gets a part of the whole demand in proportion to its capacity.
 """
 
 from collections.abc import Sequence
@@ -22,8 +22,8 @@
 )
 from dahliabend.subsetting.zones import ZonePair, sum_by_zone, zone_flows, zone_indices
 
-MIN_SUBSET_SIZE = 12  # upstreams of a balancer, if there are as many
-MIN_BALANCERS_PER_UPSTREAM = 12  # on average, if there are as many
+MIN_SUBSET_SIZE = 12  # upstreams per balancer, if there are as many
+MIN_BALANCERS_PER_UPSTREAM = 12  # average number of balancers per upstream, if there are as many
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,9 +53,10 @@
     """The upstreams of all balancers.
 
     Attributes:
-        balancers: Names of the rows.
-        upstreams: Names of the columns.
-        shares: What each balancer sends to each upstream, as a fraction of all demand; sums to 1.
+        balancers: Names of the balancers, one for each row.
+        upstreams: Names of the upstreams, one for each column.
+        shares: Demand that each balancer sends to each upstream, as a fraction of the whole demand; the
+            matrix sums to 1.
     """
 
     balancers: tuple[str, ...]
@@ -63,7 +64,7 @@
     shares: FloatArray
 
     def subset_of(self, balancer: str) -> dict[str, float]:
-        """Return the upstreams of a balancer, with the fraction of its own demand that each gets."""
+        """Return the upstreams of a balancer, with the fraction of the balancer's demand that each gets."""
         row = self.shares[self.balancers.index(balancer)]
         total = row.sum() or 1.0
         return {
@@ -80,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Side:
+class _SortedParticipants:
     """The balancers or the upstreams, sorted by name, with their fractions of the whole weight."""
 
     names: tuple[str, ...]
@@ -88,7 +89,7 @@
     weights: FloatArray
 
     @classmethod
-    def from_participants(cls, participants: Sequence[Participant]) -> "_Side":
+    def from_participants(cls, participants: Sequence[Participant]) -> "_SortedParticipants":
         """Sort the participants and normalize their weights."""
         ordered = sorted(participants, key=lambda participant: participant.name)
         return cls(
@@ -105,17 +106,18 @@
     zones: bool = False,
     degree: int = MIN_BALANCERS_PER_UPSTREAM,
 ) -> Assignment:
-    """Assign upstreams to all balancers; the order of either side does not matter.
+    """Assign upstreams to all balancers; the order of the balancers and of the upstreams does not matter.
 
     Args:
         balancers: All balancers.
-        upstreams: All upstreams; if there is any, no balancer is left without.
-        min_size: Least number of upstreams of a balancer.
-        zones: Whether a balancer uses upstreams of its own zone, and others only for what these cannot bear.
-        degree: Balancers of an upstream, on average.
+        upstreams: All upstreams; if there is any, every balancer gets at least one.
+        min_size: Minimum number of upstreams per balancer.
+        zones: Whether a balancer uses upstreams of its own zone, and those of other zones only for demand
+            that exceeds the capacity of its zone.
+        degree: Average number of balancers per upstream.
     """
-    rows = _Side.from_participants(balancers)
-    columns = _Side.from_participants(upstreams)
+    rows = _SortedParticipants.from_participants(balancers)
+    columns = _SortedParticipants.from_participants(upstreams)
     if not rows.names or not columns.names:
         shares = np.zeros((len(rows.names), len(columns.names)))
     elif zones:
@@ -126,7 +128,7 @@
 
 
 def normalized_weights(participants: Sequence[Participant]) -> FloatArray:
-    """Return each participant's fraction of the whole weight; one without a positive weight counts as 1."""
+    """Return each participant's fraction of the total weight; a weight that is not positive counts as 1."""
     weights = np.array(
         [participant.weight if participant.weight > 0 else 1.0 for participant in participants], dtype=float
     )
@@ -134,8 +136,10 @@
     return normalized
 
 
-def _assign_block(rows: _Side, columns: _Side, min_size: int, degree: int) -> FloatArray:
-    """Return the shares of pairs without regard to zones."""
+def _assign_block(
+    rows: _SortedParticipants, columns: _SortedParticipants, min_size: int, degree: int
+) -> FloatArray:
+    """Return the shares of all pairs without regard to zones."""
     ranks = pair_ranks(rows.names, columns.names)
     sizes = subset_sizes(rows.names, rows.weights, len(columns.names), min_size, degree)
     used_rows, used_columns = np.nonzero(top_ranked(ranks, sizes) | guaranteed_pairs(ranks))
@@ -147,8 +151,10 @@
     return shares
 
 
-def _assign_by_zone(rows: _Side, columns: _Side, min_size: int, degree: int) -> FloatArray:
-    """Return the shares of pairs, in blocks of a zone of balancers and a zone of upstreams."""
+def _assign_by_zone(
+    rows: _SortedParticipants, columns: _SortedParticipants, min_size: int, degree: int
+) -> FloatArray:
+    """Return the shares of all pairs, computed in blocks of one zone of balancers and one of upstreams."""
     zone_demand = sum_by_zone(rows.zones, rows.weights)
     zone_capacity = sum_by_zone(columns.zones, columns.weights)
     flows = zone_flows(zone_demand, zone_capacity)
@@ -156,7 +162,8 @@
     for pair, flow in flows.items():
         row_indices = zone_indices(rows.zones, pair.source)
         column_indices = zone_indices(columns.zones, pair.target)
-        # What crosses zones is a fraction of each balancer's demand, and needs that fraction of connections.
+        # Demand sent to another zone is a fraction of each balancer's demand, and needs that fraction of the
+        # connections.
         fraction = 1.0 if pair.source == pair.target else flow / zone_demand[pair.source]
         block = _assign_block(
             _restrict(rows, row_indices),
@@ -165,27 +172,30 @@
             max(GUARANTEED_BALANCERS, round(degree * fraction)),
         )
         shares[np.ix_(row_indices, column_indices)] += flow * block
-    # Fitted once more over all zones: what comes from elsewhere, by few pairs, is evened out at home.
+    # The shares are fitted once more over all zones: demand from other zones arrives unevenly, as it uses few
+    # pairs, and the pairs within a zone compensate for it.
     targets = _column_targets(columns, flows, zone_capacity)
     used = targets > 0
     shares[:, used] = fit_shares(shares[:, used], rows.weights, targets[used])
     return shares
 
 
-def _restrict(side: _Side, indices: np.ndarray[tuple[int], np.dtype[np.int_]]) -> _Side:
-    """Return a part of one side, its weights normalized anew."""
-    weights = side.weights[indices]
-    return _Side(
-        names=tuple(side.names[index] for index in indices),
-        zones=[side.zones[index] for index in indices],
+def _restrict(
+    participants: _SortedParticipants, indices: np.ndarray[tuple[int], np.dtype[np.int_]]
+) -> _SortedParticipants:
+    """Return the participants at these indices, with their weights normalized again."""
+    weights = participants.weights[indices]
+    return _SortedParticipants(
+        names=tuple(participants.names[index] for index in indices),
+        zones=[participants.zones[index] for index in indices],
         weights=weights / weights.sum(),
     )
 
 
 def _column_targets(
-    columns: _Side, flows: dict[ZonePair, float], zone_capacity: dict[str, float]
+    columns: _SortedParticipants, flows: dict[ZonePair, float], zone_capacity: dict[str, float]
 ) -> FloatArray:
-    """Return what each upstream has to get: its part of what flows into its zone."""
+    """Return the demand that each upstream has to get: its part of the flows into its zone."""
     inflow = dict.fromkeys(columns.zones, 0.0)
     for pair, flow in flows.items():
         inflow[pair.target] += flow
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -7,30 +7,30 @@
 
 
 class SubsetSource(StrEnum):
-    """Where a subset comes from; operators see the word."""
+    """The data from which a subset is computed; the values are shown to operators."""
 
     MEMBERSHIP = "members"  # the view of membership
-    INDEX = "index"  # the configured numbers
+    INDEX = "index"  # the configured index of the balancer and number of balancers
     TWO_VIEWS = "both"  # the last trusted view and a doubtful one
     NAME = "name"  # the balancer's own name, without a view
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSettings:
-    """How large a subset is and how fast it changes. Times are microseconds.
+    """Size of a subset and rate of its changes. Times are in microseconds.
 
     Attributes:
-        min_size: Least number of upstreams.
-        degree: Balancers of an upstream, on average.
-        by_zone: Whether upstreams of the own zone come first.
-        source: What gives the view, `MEMBERSHIP` or `INDEX`.
-        balancers: Number of balancers while there is no view.
-        hold_time: How long a doubtful view does not narrow the subset.
+        min_size: Minimum number of upstreams in the subset.
+        degree: Average number of balancers per upstream.
+        by_zone: Whether upstreams of the balancer's zone are preferred.
+        source: Source of the view, `MEMBERSHIP` or `INDEX`.
+        balancers: Number of balancers, used while there is no view.
+        hold_time: Time for which a doubtful view does not shrink the subset.
         step_interval: Time between two steps.
-        settle_time: How long new upstreams are in use before old ones are dropped.
-        move_fraction: Fraction of the subset that may be added, and dropped, in a step.
-        max_widening: The most that a subset is widened to, as a multiple of its size.
-        widen_threshold: Fraction of the subset; with fewer usable upstreams it is widened.
+        settle_time: Time for which new upstreams are in use before old ones are dropped.
+        move_fraction: Fraction of the subset that may be added, and dropped, in one step.
+        max_widening: Maximum size of a widened subset, as a multiple of its normal size.
+        widen_threshold: Fraction of the subset; with fewer usable upstreams the subset is widened.
     """
 
     min_size: int = MIN_SUBSET_SIZE
--- a/dahliabend/subsetting/target.py
+++ b/dahliabend/subsetting/target.py
@@ -1,4 +1,4 @@
-"""The subset that one balancer is to have, by the views of the fleet and the endpoint list."""
+"""The target subset of one balancer, computed from the views of the fleet and the endpoint list."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSubset:
-    """What a subset is to become.
+    """The subset that a balancer moves to.
 
     Attributes:
-        weights: Weight of each upstream to be used, in any unit.
+        weights: Weight of each upstream in the subset, in any unit.
         ranking: All upstreams by this balancer's ranks, the highest first.
-        source: What it was computed from.
+        source: Source of the data from which the target was computed.
         balancers: Number of balancers in the fleet.
         demand_share: This balancer's fraction of the demand of the fleet.
     """
@@ -29,36 +29,37 @@
 
 
 def compute_target(
-    own: Participant,
+    balancer: Participant,
     settings: SubsetSettings,
     views: Sequence[Balancers],
     upstreams: Mapping[str, Participant],
 ) -> TargetSubset:
-    """Compute a balancer's subset.
+    """Compute the target subset of a balancer.
 
     Args:
-        own: The balancer.
-        settings: Its settings.
-        views: Views of the fleet that have this balancer in them: none, one, or a trusted and a doubtful one.
+        balancer: The balancer.
+        settings: Settings of its subset.
+        views: Views of the fleet that contain the balancer: none, one, or a trusted and a doubtful one.
         upstreams: Upstreams that may be used, by name.
     """
-    ranking = _ranking(own.name, sorted(upstreams))
+    ranking = _ranking(balancer.name, sorted(upstreams))
     pool = list(upstreams.values())
     if not views:
         return TargetSubset(
-            weights=_weights_without_view(own, settings, pool, ranking),
+            weights=_weights_without_view(balancer, settings, pool, ranking),
             ranking=ranking,
             source=SubsetSource.NAME,
             balancers=settings.balancers,
             demand_share=1.0 / settings.balancers,
         )
     return TargetSubset(
-        weights=_weights_by_views(own, settings, views, pool),
+        weights=_weights_by_views(balancer, settings, views, pool),
         ranking=ranking,
         source=settings.source if len(views) == 1 else SubsetSource.TWO_VIEWS,
         balancers=max(len(view) for view in views),
-        # In doubt the smaller share: with the larger this balancer would admit what others may still send.
-        demand_share=min(_demand_share(own.name, view) for view in views),
+        # The smaller share of two views: with the larger one this balancer could admit requests on capacity
+        # that others still use.
+        demand_share=min(_demand_share(balancer.name, view) for view in views),
     )
 
 
@@ -70,33 +71,33 @@
 
 
 def _demand_share(name: str, view: Balancers) -> float:
-    own = sum(balancer.weight for balancer in view if balancer.name == name)
-    return own / sum(balancer.weight for balancer in view)
+    own_weight = sum(balancer.weight for balancer in view if balancer.name == name)
+    return own_weight / sum(balancer.weight for balancer in view)
 
 
 def _weights_by_views(
-    own: Participant, settings: SubsetSettings, views: Sequence[Balancers], pool: list[Participant]
+    balancer: Participant, settings: SubsetSettings, views: Sequence[Balancers], pool: list[Participant]
 ) -> dict[str, float]:
-    """Return the weights of this balancer's upstreams by all views, averaged."""
+    """Return the weights of the balancer's upstreams, averaged over all views."""
     weights: dict[str, float] = {}
     for view in views:
         assignment = assign_subsets(view, pool, settings.min_size, settings.by_zone, settings.degree)
-        for upstream, share in assignment.subset_of(own.name).items():
+        for upstream, share in assignment.subset_of(balancer.name).items():
             weights[upstream] = weights.get(upstream, 0.0) + share / len(views)
     return weights
 
 
 def _weights_without_view(
-    own: Participant, settings: SubsetSettings, pool: list[Participant], ranking: list[str]
+    balancer: Participant, settings: SubsetSettings, pool: list[Participant], ranking: list[str]
 ) -> dict[str, float]:
-    """Return weights by the own name and the configured number of balancers.
+    """Return weights computed from the balancer's name and the configured number of balancers.
 
-    The size is that of an assignment with so many balancers, but the weights cannot be fitted to theirs: over
-    the fleet the load is as uneven as chance makes it.
+    The subset is as large as in an assignment with that many balancers. But the names of the others are
+    unknown, so that the weights cannot be fitted to theirs and the load over the fleet varies randomly.
     """
-    others = [Participant(f"{own.name} {number}") for number in range(1, settings.balancers)]
-    assignment = assign_subsets([own, *others], pool, settings.min_size, degree=settings.degree)
-    size = len(assignment.subset_of(own.name))
+    others = [Participant(f"{balancer.name} {number}") for number in range(1, settings.balancers)]
+    assignment = assign_subsets([balancer, *others], pool, settings.min_size, degree=settings.degree)
+    size = len(assignment.subset_of(balancer.name))
     capacity = {upstream.name: upstream.weight for upstream in pool}
     chosen = ranking[:size]
     total = sum(capacity[name] for name in chosen) or 1.0
--- a/dahliabend/subsetting/usable_endpoints.py
+++ b/dahliabend/subsetting/usable_endpoints.py
@@ -1,38 +1,44 @@
-"""How many upstreams of a subset the policy can send requests to."""
+"""The number of upstreams of a subset to which the policy can send requests."""
 
 from collections.abc import Sequence
 from typing import Protocol
 
-MIN_SILENT = 3  # upstreams without an answer since anybody answered: the whole subset counts as silent
+# Number of upstreams with unanswered attempts, since any upstream last answered, at which the whole subset
+# counts as silent.
+MIN_SILENT = 3
 
 
 class EndpointHealth(Protocol):
-    """What is read of one endpoint of the policy. Times are in microseconds."""
+    """The attributes of an endpoint of the policy that subsetting reads. Times are in microseconds."""
 
     @property
     def last_ended_at(self) -> int:
-        """When an attempt last ended there, with or without an answer."""
+        """Time at which an attempt at the endpoint last ended, with or without an answer."""
 
     @property
     def budget_filled_at(self) -> int:
-        """When its slow-start budget was last filled: as it became known, or was last considered."""
+        """Time at which the slow-start budget was last filled.
+
+        This happens when the endpoint becomes known and each time it is considered for an attempt.
+        """
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it is out of use as an outlier."""
+        """Whether the endpoint is ejected as an outlier."""
 
 
 def count_usable(endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int) -> int:
-    """Return how many of the endpoints in use can be sent to.
+    """Return the number of endpoints in use to which requests can be sent.
 
-    While all are silent the policy ejects none, as a fault of the whole tier. But a subset is only a part of
-    the tier and the rest may answer, so that a silent subset counts as unusable here.
+    While all endpoints are silent the policy ejects none, as it assumes a fault of the whole tier. But a
+    subset is only a part of the tier, and the other endpoints of the tier may answer. A silent subset
+    therefore counts as unusable here.
 
     Args:
         endpoints: The endpoints in use.
-        last_answer_at: When any of them last answered, in microseconds.
-        window: How long outcomes count, in microseconds.
-        now: The time, in microseconds.
+        last_answer_at: Time in microseconds at which any of them last answered.
+        window: Time in microseconds for which outcomes count.
+        now: Current time in microseconds.
     """
     unanswered = sum(
         endpoint.last_ended_at > max(last_answer_at, endpoint.budget_filled_at) for endpoint in endpoints
--- a/tests/subsetting/fake_router.py
+++ b/tests/subsetting/fake_router.py
@@ -1,10 +1,10 @@
-"""A pool's router and timers, as far as a subset filter uses them."""
+"""Fakes of a pool's router and of timers, with what a subset filter uses of them."""
 
 from types import SimpleNamespace
 
 
 class FakeRouter:
-    """Keeps the endpoint lists that it is given, each as rows by name."""
+    """Records the endpoint lists that it is given, each as entries by name."""
 
     def __init__(self) -> None:
         self.lists = []
@@ -20,12 +20,12 @@
     def remember_id(self, name: str) -> None:
         self.table.known_ids[name] = None
 
-    def endpoints_changed(self, rows, full):
+    def endpoints_changed(self, entries, full):
         assert full
-        self.lists.append({row[0]: row for row in rows})
-        self.table.indices = dict.fromkeys(row[0] for row in rows)
+        self.lists.append({entry[0]: entry for entry in entries})
+        self.table.indices = dict.fromkeys(entry[0] for entry in entries)
         self.balancer.selection.ready = [
-            SimpleNamespace(is_ejected=False, last_ended_at=0, budget_filled_at=0) for row in rows
+            SimpleNamespace(is_ejected=False, last_ended_at=0, budget_filled_at=0) for entry in entries
         ]
 
     def endpoint_poll_failed(self):
@@ -35,8 +35,8 @@
 class FakeTimers:
     """Timers that never fire."""
 
-    def schedule(self, when, call):
-        return [when, 0, call, ()]
+    def schedule(self, due, callback):
+        return [due, 0, callback, ()]
 
     def cancel(self, entry):
         pass
--- a/tests/subsetting/participants.py
+++ b/tests/subsetting/participants.py
@@ -1,4 +1,4 @@
-"""Balancers and upstreams by number."""
+"""Balancers and upstreams named by a prefix and a number."""
 
 from collections.abc import Iterable
 
--- a/tests/subsetting/test_controller.py
+++ b/tests/subsetting/test_controller.py
@@ -1,4 +1,4 @@
-"""A subset over time: never too small, changed in small steps, widened while much of it is unusable."""
+"""A subset over time: never too small, changed in small steps, widened while few upstreams are usable."""
 
 from collections.abc import Iterable
 from random import Random
@@ -21,7 +21,7 @@
 def run(
     controller: SubsetController, now: int, steps: int, pinned: frozenset[str] = frozenset()
 ) -> list[ActiveSubset]:
-    """Step once a second, and return the subsets published."""
+    """Step once a second, and return the published subsets."""
     published = []
     for step in range(steps):
         subset = controller.step(now + step * SECOND, pinned)
@@ -30,7 +30,8 @@
     return published
 
 
-def subset_in_view(balancers: Iterable[int], upstreams: Iterable[int]) -> set[str]:
+def assigned_subset(balancers: Iterable[int], upstreams: Iterable[int]) -> set[str]:
+    """The subset of balancer b0 in the assignment of this fleet."""
     assignment = assign_subsets(participants("b", balancers), participants("u", upstreams))
     return set(assignment.subset_of("b0"))
 
@@ -38,7 +39,7 @@
 def test_first_subset_is_complete_with_the_weights_of_the_assignment():
     controller = controller_at_start()
     subset = controller.step(SECOND)
-    assert set(subset.weights) == subset_in_view(range(20), range(60))
+    assert set(subset.weights) == assigned_subset(range(20), range(60))
     assert subset.source == "members"
     assert sum(subset.weights.values()) == pytest.approx(len(subset.weights))
     assert controller.step(3 * SECOND) is None
@@ -50,15 +51,15 @@
     controller.update_view(2 * SECOND, participants("b", [0, *range(100, 119)]), trusted=True)
     controller.update_upstreams(2 * SECOND, participants("u", range(10, 75)))  # ten leave, fifteen join
     subsets = run(controller, 3 * SECOND, 60)
-    target = subset_in_view([0, *range(100, 119)], range(10, 75))
+    target = assigned_subset([0, *range(100, 119)], range(10, 75))
     assert set(controller.active) == target
-    for subset in subsets[1:]:  # the first replaces those that have left
+    for subset in subsets[1:]:  # the first one replaces the upstreams that have left
         assert len(subset.added) <= max(2, size // 8 + 1)
         assert len(subset.dropped) <= size // 8 + 1
         assert len(subset.weights) >= min(size, len(target)) - size // 8 - 1
 
 
-def test_pool_that_is_replaced_leaves_the_subset_large_enough_at_any_time():
+def test_pool_that_is_replaced_step_by_step_keeps_the_subset_large_enough():
     controller = controller_at_start(upstreams=40)
     size = len(controller.step(SECOND).weights)
     for second in range(7):
@@ -70,19 +71,19 @@
         assert set(controller.active) <= set(controller.eligible)
 
 
-def test_doubtful_view_narrows_nothing_until_it_has_lasted():
+def test_doubtful_view_does_not_shrink_the_subset_before_the_hold_time():
     controller = controller_at_start(balancers=40)
     before = set(controller.step(SECOND).weights)
     controller.update_view(2 * SECOND, participants("b", range(15)), trusted=False)
     run(controller, 3 * SECOND, 30)
     assert before <= set(controller.active)
-    assert subset_in_view(range(15), range(60)) <= set(controller.active)
+    assert assigned_subset(range(15), range(60)) <= set(controller.active)
     controller.update_view(40 * SECOND, participants("b", range(40)), trusted=True)
     run(controller, 41 * SECOND, 40)
     assert set(controller.active) == before
     controller.update_view(100 * SECOND, participants("b", range(15)), trusted=False)
     run(controller, 101 * SECOND, 120)
-    assert set(controller.active) == subset_in_view(range(15), range(60))
+    assert set(controller.active) == assigned_subset(range(15), range(60))
     assert controller.target.source == "members"
 
 
@@ -100,15 +101,17 @@
     for second in range(20):
         other.adjust_width(2)
         other.step((3 + second) * SECOND)
-    assert len(set(controller.active) & set(other.active)) < 1.6 * size, "not all along the same ranks"
+    assert len(set(controller.active) & set(other.active)) < 1.6 * size, (
+        "balancers widen by the same upstreams"
+    )
     for second in range(60):
         controller.adjust_width(len(controller.active))
         controller.step((30 + second) * SECOND)
-    assert set(controller.active) == subset_in_view(range(60), range(60))
+    assert set(controller.active) == assigned_subset(range(60), range(60))
 
 
-def test_changed_weights_alone_are_published_too():
-    """A fleet at rest would otherwise keep the weights of an earlier view for good."""
+def test_changed_weights_alone_are_published():
+    """Otherwise an unchanging fleet would keep the weights of an earlier view forever."""
     controller = controller_at_start()
     before = controller.step(SECOND).weights
     balancers = [Participant(f"b{n}", weight=5.0 if n == 3 else 1.0) for n in range(20)]
@@ -124,7 +127,7 @@
     assert all(weights[name] / total == pytest.approx(target[name], rel=0.05) for name in target)
 
 
-def test_without_a_view_the_subset_goes_by_the_own_name():
+def test_without_a_view_the_subset_is_computed_from_the_balancers_name():
     controller = SubsetController(Participant("b0"), SubsetSettings(balancers=20))
     controller.update_upstreams(SECOND, participants("u", range(60)))
     subset = controller.step(SECOND)
@@ -141,7 +144,7 @@
     assert pinned <= set(controller.active)
 
 
-def test_empty_list_is_followed():
+def test_empty_endpoint_list_gives_an_empty_subset_and_a_new_list_fills_it():
     controller = controller_at_start()
     pinned = frozenset([next(iter(controller.step(SECOND).weights))])
     controller.update_view(2 * SECOND, participants("b", [0, *range(200, 219)]), trusted=True)
@@ -153,7 +156,7 @@
     assert len(controller.step(105 * SECOND).weights) == 5
 
 
-def test_balancer_that_flaps_for_a_minute_moves_little():
+def test_balancer_that_flaps_for_a_minute_changes_few_pairs():
     controller, random = controller_at_start(balancers=40), Random(3)
     controller.step(SECOND)
     moved = 0
--- a/tests/subsetting/test_demand.py
+++ b/tests/subsetting/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand is announced: growth at once, a decrease once it lasts, chance never; unknown demand is the mean."""
+"""Announced demand: an increase immediately, a lasting decrease, no random variation; unknown is the mean."""
 
 from collections.abc import Iterable
 from random import Random
@@ -18,7 +18,7 @@
 
 
 def announcements(rates: Iterable[int], seed: int = 1) -> list[Announcement]:
-    """What is announced as requests arrive at random, at one rate in each second."""
+    """The announcements while requests arrive at random, with one of these rates in each second."""
     estimator, random = DemandEstimator(), Random(seed)
     count = 0
     announced = []
@@ -39,21 +39,21 @@
     assert announced[-1].weight == pytest.approx(20, rel=0.5)
 
 
-def test_growth_is_announced_at_once_and_a_lull_is_not():
+def test_increase_is_announced_immediately_and_a_lull_is_not():
     announced = announcements([10] * 60 + [60] * 20 + [2] * 40 + [60] * 40)
-    growth = next(each.second for each in announced if each.weight > 20)
-    assert 60 <= growth <= 70, "two announcements are ten seconds apart"
-    assert all(each.weight > 20 for each in announced if each.second > growth)
+    increase = next(announcement.second for announcement in announced if announcement.weight > 20)
+    assert 60 <= increase <= 70, "two announcements are ten seconds apart"
+    assert all(announcement.weight > 20 for announcement in announced if announcement.second > increase)
 
 
-def test_decrease_is_announced_once_it_has_lasted_with_the_peak_since():
+def test_decrease_is_announced_after_a_minute_with_the_peak_during_it():
     announced = announcements([60] * 40 + [8] * 120)
-    assert next(each.second for each in announced if each.weight < 40) >= 40 + 60
+    assert next(announcement.second for announcement in announced if announcement.weight < 40) >= 40 + 60
     assert announced[-1].weight < 40
 
 
 def test_unknown_demand_counts_as_the_mean_of_the_others():
     balancers = [Participant("a", weight=8.0), Participant("b", weight=4.0)]
     unknown = Participant("c", weight=UNKNOWN_DEMAND)
-    assert [each.weight for each in fill_unknown_demand([*balancers, unknown])] == [8.0, 4.0, 6.0]
-    assert [each.weight for each in fill_unknown_demand([unknown])] == [1.0]
+    assert [balancer.weight for balancer in fill_unknown_demand([*balancers, unknown])] == [8.0, 4.0, 6.0]
+    assert [balancer.weight for balancer in fill_unknown_demand([unknown])] == [1.0]
--- a/tests/subsetting/test_flap_damping.py
+++ b/tests/subsetting/test_flap_damping.py
@@ -1,4 +1,4 @@
-"""Upstreams that flap are suppressed at each return, and none for good."""
+"""Flap damping: upstreams that flap are suppressed at each return, and none forever."""
 
 from participants import SECOND, participants
 
@@ -10,7 +10,7 @@
 NAMES = [f"u{n}" for n in range(16)]
 
 
-def test_flapping_upstream_is_suppressed_and_used_again_once_it_has_stayed():
+def test_flapping_upstream_is_suppressed_and_used_again_once_it_has_stayed_listed():
     damping = FlapDamping()
     for flap in range(20):
         damping.record_departures(SECOND + 3 * flap * SECOND, ["u3"])
@@ -20,7 +20,7 @@
     assert damping.suppress(58 * SECOND + 45 * SECOND, NAMES) == set()
 
 
-def test_restarts_far_apart_are_not_suppressed_and_of_a_pool_only_a_fraction_is():
+def test_restarts_far_apart_are_not_suppressed_and_at_most_a_fraction_of_a_pool_is():
     damping = FlapDamping()
     for restart in range(4):
         damping.record_departures(SECOND + 60 * restart * SECOND, NAMES)
@@ -32,8 +32,8 @@
     assert not damping.penalties
 
 
-def test_flapping_upstream_moves_little_over_a_minute():
-    """Twenty flaps would otherwise move some forty fair shares of pairs over the fleet."""
+def test_upstream_that_flaps_for_a_minute_changes_few_pairs():
+    """Without damping, twenty flaps would change some forty fair shares of pairs over the fleet."""
     settings = SubsetSettings(min_size=8, degree=8)
     controllers = [SubsetController(Participant(f"b{n}"), settings) for n in range(20)]
     pool = participants("u", range(40))
@@ -54,7 +54,7 @@
     assert moved <= 3 * 4 * fair_share + 20
 
 
-def test_list_that_loses_half_at_once_counts_as_no_departures():
+def test_upstreams_of_a_list_that_loses_half_at_once_get_no_penalty():
     controller = SubsetController(Participant("b0"), SubsetSettings())
     for change in range(6):
         controller.update_upstreams((1 + change) * SECOND, participants("u", range(20 if change % 2 else 40)))
--- a/tests/subsetting/test_selection.py
+++ b/tests/subsetting/test_selection.py
@@ -1,4 +1,4 @@
-"""The assignment: even, never too small, changed little by an event, the same for all that see the same."""
+"""The assignment: even, never too small, changed little by one event, and the same for equal views."""
 
 from collections.abc import Callable
 
@@ -28,14 +28,14 @@
 
 
 def relative_load(assignment: Assignment, upstreams: list[Participant]) -> FloatArray:
-    """The load of each upstream over its capacity."""
+    """The load of each upstream divided by its capacity."""
     return assignment.shares.sum(axis=0) / normalized_weights(by_name(upstreams))
 
 
 @pytest.mark.parametrize(
     ("balancers", "pool"), [(1, 500), (500, 3), (200, 100), (7, 5), (100, 100), (40, 60)]
 )
-def test_equal_demand_loads_all_upstreams_alike(balancers, pool):
+def test_equal_demand_loads_all_upstreams_equally(balancers, pool):
     upstreams = fleet(pool, "u")
     assignment = assign_subsets(fleet(balancers), upstreams)
     assert relative_load(assignment, upstreams).max() <= 1.05
@@ -45,7 +45,7 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(st.integers(1, 60), st.integers(1, 60), st.integers(1, 4), st.integers(0, 2**32), st.booleans())
-def test_in_any_fleet_no_balancer_is_left_without_and_all_demand_is_assigned(
+def test_in_any_fleet_every_balancer_has_an_upstream_and_all_demand_is_assigned(
     count, pool, zones, seed, by_zone
 ):
     random = np.random.default_rng(seed)
@@ -64,7 +64,7 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.integers(2, 80), st.integers(2, 80), st.randoms(use_true_random=False))
-def test_order_does_not_matter_and_an_event_moves_about_two_fair_shares(count, pool, random):
+def test_order_does_not_matter_and_one_event_changes_about_two_fair_shares(count, pool, random):
     balancers, upstreams = fleet(count), fleet(pool, "u")
     pairs = assign_subsets(balancers, upstreams).pairs()
     random.shuffle(balancers)
@@ -79,7 +79,7 @@
         assert moved <= 2 * fair_share + 4 * fair_share**0.5 + 2
 
 
-def test_own_zone_comes_first_and_others_only_for_what_it_cannot_bear():
+def test_demand_goes_to_other_zones_only_beyond_the_capacity_of_its_own():
     upstreams = fleet(40, "u", 4)
     assignment = assign_subsets(fleet(40, "b", 4), upstreams, zones=True)
     assert all(
@@ -93,7 +93,7 @@
 
 
 def test_one_event_opens_no_flows_between_zones():
-    """With exact flows one balancer less would make its zone use upstreams of all other zones."""
+    """Without `HOME_OVERLOAD`, one balancer less would make zones use upstreams of all other zones."""
     balancers, upstreams = fleet(40, "b", 2), fleet(60, "u", 2)
     pairs = assign_subsets(balancers, upstreams, zones=True).pairs()
     for fewer_balancers, fewer_upstreams in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
@@ -101,18 +101,18 @@
         assert len(pairs ^ after) <= 4 * len(pairs) / 40
 
 
-def test_load_stays_even_while_half_of_the_balancers_know_of_an_event():
+def test_load_stays_even_while_only_half_of_the_balancers_know_of_an_event():
     balancers, upstreams = fleet(60), fleet(40, "u")
-    for known_balancers, known_upstreams in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
+    for remaining_balancers, remaining_upstreams in ((balancers[1:], upstreams), (balancers, upstreams[1:])):
         before = assign_subsets(balancers, upstreams)
-        after = assign_subsets(known_balancers, known_upstreams)
+        after = assign_subsets(remaining_balancers, remaining_upstreams)
         load = dict.fromkeys((upstream.name for upstream in upstreams), 0.0)
-        for number, balancer in enumerate(known_balancers):
+        for number, balancer in enumerate(remaining_balancers):
             assignment = before if number % 2 else after
             for name, share in assignment.subset_of(balancer.name).items():
-                load[name] += share / len(known_balancers)
-        known_to_all = {upstream.name for upstream in known_upstreams}
-        loads = [share for name, share in load.items() if name in known_to_all]
+                load[name] += share / len(remaining_balancers)
+        remaining_names = {upstream.name for upstream in remaining_upstreams}
+        loads = [share for name, share in load.items() if name in remaining_names]
         assert max(loads) / (sum(loads) / len(loads)) <= 1.25
 
 
@@ -129,7 +129,7 @@
     assert assignment.shares.sum() == pytest.approx(1)
 
 
-def test_an_empty_side_gives_an_empty_assignment():
+def test_no_balancers_or_no_upstreams_give_an_empty_assignment():
     upstreams = fleet(5, "u")
     assert assign_subsets([], upstreams).shares.shape == (0, 5)
     assert assign_subsets([Participant("b")], []).subset_of("b") == {}
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -1,4 +1,4 @@
-"""The endpoint list on its way to the policy: only the subset, drains at once, and faults in the settings."""
+"""The subset filter: the policy gets only the subset, and drains immediately; faults in the settings."""
 
 import pytest
 from fake_router import FakeRouter, FakeTimers
@@ -12,7 +12,7 @@
 NAMES = {f"u{n}" for n in range(30)}
 
 
-def rows(numbers, state=EndpointState.READY):
+def endpoint_entries(numbers, state=EndpointState.READY):
     return [EndpointRow(f"u{n}", ("127.0.0.1", 1 + n), state, 0, 1.0, 0, "a") for n in numbers]
 
 
@@ -27,9 +27,9 @@
 
 @pytest.fixture
 def listed():
-    """The same with a list of thirty upstreams."""
+    """A filter with a list of thirty upstreams, and its router."""
     subset_filter, router = filter_and_router(least=6, degree=4)
-    subset_filter.endpoints_changed(rows(range(30)), full=True)
+    subset_filter.endpoints_changed(endpoint_entries(range(30)), full=True)
     return subset_filter, router
 
 
@@ -47,11 +47,11 @@
     assert router.balancer.selection.instance_count == pytest.approx(len(router.lists[-1]) * 20 / 30)
 
 
-def test_balancers_with_configured_numbers_come_to_one_assignment_without_membership():
+def test_balancers_with_configured_indices_compute_one_assignment_without_membership():
     load, sizes = dict.fromkeys((f"u{n}" for n in range(30)), 0.0), set()
     for index in range(20):
         subset_filter, _ = filter_and_router(least=6, degree=4, self_index=index)
-        subset_filter.endpoints_changed(rows(range(30)), full=True)
+        subset_filter.endpoints_changed(endpoint_entries(range(30)), full=True)
         assert subset_filter.status()["by"] == "index"
         assert subset_filter.status()["balancers"] == 20
         sizes.add(subset_filter.status()["size"])
@@ -61,15 +61,15 @@
     assert max(sizes) <= 9
 
 
-def test_drain_is_passed_on_at_once_for_an_upstream_in_use_only(listed):
+def test_drain_is_passed_on_immediately_and_only_for_upstreams_in_use(listed):
     subset_filter, router = listed
     used = min(subset_filter.subset.weights)
-    other = min(NAMES - subset_filter.subset.weights.keys())
-    draining = rows([int(used[1:]), int(other[1:])], EndpointState.DRAINING)
+    unused = min(NAMES - subset_filter.subset.weights.keys())
+    draining = endpoint_entries([int(used[1:]), int(unused[1:])], EndpointState.DRAINING)
     subset_filter.endpoints_changed(draining, full=False)
     assert router.lists[-1][used][2] is EndpointState.DRAINING
-    assert other not in router.lists[-1]
-    subset_filter.endpoints_changed(rows([int(used[1:])], EndpointState.REMOVED), full=False)
+    assert unused not in router.lists[-1]
+    subset_filter.endpoints_changed(endpoint_entries([int(used[1:])], EndpointState.REMOVED), full=False)
     assert used not in router.lists[-1]
     assert len(router.lists[-1]) >= 6
 
@@ -78,7 +78,9 @@
     subset_filter, router = listed
     name = min(subset_filter.subset.weights)
     router.excluded.add(name)
-    subset_filter.endpoints_changed(rows(range(100, 130)) + rows([int(name[1:])]), full=True)
+    subset_filter.endpoints_changed(
+        endpoint_entries(range(100, 130)) + endpoint_entries([int(name[1:])]), full=True
+    )
     assert name in router.lists[-1]
 
 
@@ -89,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "expected_fault"),
     [
         ("least = 0", "pools.p.subset.least: 0 is not above 0"),
         ("degree = -1", "pools.p.subset.degree: -1 is not above 0"),
@@ -99,7 +101,7 @@
         ("self-index = 1", "pools.p.subset.self-index: 1 is not between 0 and 0: see balancers"),
     ],
 )
-def test_fault_in_the_settings_is_reported_with_its_line(tmp_path, text, says):
+def test_fault_in_the_settings_is_reported_with_its_line(tmp_path, text, expected_fault):
     path = tmp_path / "file.toml"
     path.write_text(f"""[listeners.callers]
 address = "127.0.0.1:8080"
@@ -117,4 +119,4 @@
 pool = "p"
 """)
     (fault,) = load_file(str(path)).faults
-    assert str(fault).startswith(f"{path}:6: {says}")
+    assert str(fault).startswith(f"{path}:6: {expected_fault}")
