--- a/dahliabend/membership/authentication.py
+++ b/dahliabend/membership/authentication.py
@@ -1,7 +1,7 @@
 """Authentication of datagrams by a shared key: HMAC-SHA-256 (RFC 2104), truncated to `TAG_BYTES`.
 
 While a key is replaced two keys are valid: the first one signs, both verify. Datagrams are not encrypted:
-anybody on the network can read them, but only a holder of a key can create them. A tag contains no time;
+their content can be read on the network, but only a holder of a key can create them. A tag contains no time;
 replayed datagrams are detected by their sequence number.
 """
 
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -165,10 +165,7 @@
         return self._components.views.latest(now)
 
     def last_stable_view(self, now: int) -> MembershipView | None:
-        """Return the last stable view, or None if there was none.
-
-        Views are checked for stability at each call and at the start of each protocol period.
-        """
+        """Return the last view that was stable at a call or at the start of a period; None if none was."""
         return self._components.views.last_stable(now)
 
     # Commands of the owner
@@ -274,11 +271,7 @@
         self._components.rules.store(now, update, event or None)
 
     def suspect_member(self, now: int, name: str) -> None:
-        """Suspect a member that did not answer a probe.
-
-        Ignored while this member itself may have lost contact: after a start or a pause, and while most
-        others cannot reach it.
-        """
+        """Suspect a member that did not answer, unless this member itself may have lost contact."""
         member = self.members.get(name)
         if member is None or not member.is_present:
             return
@@ -400,8 +393,5 @@
         return duplicate
 
     def state_key(self) -> tuple[object, ...]:
-        """Return everything that later behaviour depends on, as a hashable value.
-
-        Events and counts of dropped datagrams are not part of it.
-        """
+        """Return everything that later behaviour depends on; events and drop counts are not part of it."""
         return self._components.state_key()
