--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -160,7 +160,7 @@
             generation=self.generation,
             sequence=self.sequence,
             age_ms=0,
-            relays=0,
+            relay_count=0,
             counts=_fit_into_list(self.counts(now)),
             leases=leases,
             quotas=quotas,
@@ -207,7 +207,7 @@
             if received.forward_count < MAX_FORWARDS and received.report.has_content
         ]
         candidates.sort(
-            key=lambda received: (received.forward_count, received.report.relays, -received.created_at)
+            key=lambda received: (received.forward_count, received.report.relay_count, -received.created_at)
         )
         return candidates
 
@@ -253,7 +253,7 @@
     """Return a report with its age and relay count updated for forwarding."""
     report = received.report
     age_ms = (now - received.created_at) // MICROSECONDS_PER_MS
-    return msgspec.structs.replace(report, age_ms=age_ms, relays=report.relays + 1)
+    return msgspec.structs.replace(report, age_ms=age_ms, relay_count=report.relay_count + 1)
 
 
 def _fit_into_list(items: list[_Item]) -> list[_Item]:
--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -71,7 +71,7 @@
     generation: int
     sequence: int
     age_ms: int
-    relays: int
+    relay_count: int
     counts: list[UpstreamCounts]
     leases: list[LeaseAnnouncement] = []
     quotas: list[QuotaAnnouncement] = []
@@ -81,7 +81,7 @@
         """Whether all fields are within their bounds, and the origin is the holder of all leases."""
         return (
             0 < len(self.origin) <= MAX_NAME_LENGTH
-            and min(self.generation, self.sequence, self.age_ms, self.relays) >= 0
+            and min(self.generation, self.sequence, self.age_ms, self.relay_count) >= 0
             and max(len(self.counts), len(self.leases), len(self.quotas)) <= MAX_ENTRIES
             and all(lease.is_valid and lease.holder == self.origin for lease in self.leases)
             and all(entry.is_valid for entry in self.counts)
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -12,7 +12,7 @@
 from dahliabend.subsetting.flap_damping import FlapDamping
 from dahliabend.subsetting.fleet_view import FleetView, MembershipInfo
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 from dahliabend.subsetting.target import TargetSubset, compute_target
 
 # Fraction of the endpoint list: if as many upstreams disappear at once, the list was replaced, and their
@@ -60,7 +60,7 @@
         extra: Number of upstreams used beyond the target while too few of the target are usable.
     """
 
-    def __init__(self, balancer: Participant, settings: SubsetSettings) -> None:
+    def __init__(self, balancer: Participant, settings: SubsetControllerSettings) -> None:
         self.balancer = balancer
         self.settings = settings
         self.listed: dict[str, Participant] = {}
@@ -87,7 +87,7 @@
         if self.view.update(now, balancers, trusted=trusted):
             self._target_stale = True
 
-    def follow_membership(self, now: int, settled: MembershipInfo, latest: MembershipInfo) -> None:
+    def update_membership(self, now: int, settled: MembershipInfo, latest: MembershipInfo) -> None:
         """Set the view of the fleet from the settled view of membership.
 
         Args:
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubsetSettings:
+class SubsetControllerSettings:
     """Size of a subset and rate of its changes. Times are in microseconds.
 
     Attributes:
--- a/dahliabend/subsetting/target.py
+++ b/dahliabend/subsetting/target.py
@@ -6,7 +6,7 @@
 from dahliabend.subsetting.fleet_view import Balancers
 from dahliabend.subsetting.rendezvous import pair_ranks
 from dahliabend.subsetting.selection import Participant, assign_subsets
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 def compute_target(
     balancer: Participant,
-    settings: SubsetSettings,
+    settings: SubsetControllerSettings,
     views: Sequence[Balancers],
     upstreams: Mapping[str, Participant],
 ) -> TargetSubset:
@@ -76,7 +76,10 @@
 
 
 def _weights_by_views(
-    balancer: Participant, settings: SubsetSettings, views: Sequence[Balancers], pool: list[Participant]
+    balancer: Participant,
+    settings: SubsetControllerSettings,
+    views: Sequence[Balancers],
+    pool: list[Participant],
 ) -> dict[str, float]:
     """Return the weights of the balancer's upstreams, averaged over all views."""
     weights: dict[str, float] = {}
@@ -88,7 +91,7 @@
 
 
 def _weights_without_view(
-    balancer: Participant, settings: SubsetSettings, pool: list[Participant], ranking: list[str]
+    balancer: Participant, settings: SubsetControllerSettings, pool: list[Participant], ranking: list[str]
 ) -> dict[str, float]:
     """Return weights computed from the balancer's name and the configured number of balancers.
 
--- a/dahliabend/subsetting/usable_endpoints.py
+++ b/dahliabend/subsetting/usable_endpoints.py
@@ -27,7 +27,9 @@
         """Whether the endpoint is ejected as an outlier."""
 
 
-def count_usable(endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int) -> int:
+def count_usable_endpoints(
+    endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int
+) -> int:
     """Return the number of endpoints in use to which requests can be sent.
 
     While all endpoints are silent the policy ejects none, as it assumes a fault of the whole tier. But a
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -18,7 +18,7 @@
     routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
     server = OperatorFileServer.__new__(OperatorFileServer)
-    server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, choices=[choice]))
+    server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, compiled_routes=[choice]))
     server.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
     return server, limit
 
@@ -39,8 +39,8 @@
     passed_callbacks = []
     server, _ = server_with_route(True, gossip=passed_callbacks.append)
     server.divide_shared_limits()
-    (choices,) = passed_callbacks
-    assert [(choice.name, balancers) for choice, balancers in choices()] == [("r", 4)]
+    (compiled_routes,) = passed_callbacks
+    assert [(choice.name, balancers) for choice, balancers in compiled_routes()] == [("r", 4)]
 
 
 def test_shares_start_equal_follow_announcements_and_end_with_the_route():
--- a/tests/subsetting/test_flap_damping.py
+++ b/tests/subsetting/test_flap_damping.py
@@ -5,7 +5,7 @@
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.flap_damping import FlapDamping
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 NAMES = [f"u{n}" for n in range(16)]
 
@@ -34,7 +34,7 @@
 
 def test_upstream_that_flaps_for_a_minute_changes_few_pairs():
     """Without damping, twenty flaps would change some forty fair shares of pairs over the fleet."""
-    settings = SubsetSettings(min_size=8, degree=8)
+    settings = SubsetControllerSettings(min_size=8, degree=8)
     controllers = [SubsetController(Participant(f"b{n}"), settings) for n in range(20)]
     pool = participants("u", range(40))
     for controller in controllers:
@@ -55,7 +55,7 @@
 
 
 def test_upstreams_of_a_list_that_loses_half_at_once_get_no_penalty():
-    controller = SubsetController(Participant("b0"), SubsetSettings())
+    controller = SubsetController(Participant("b0"), SubsetControllerSettings())
     for change in range(6):
         controller.update_upstreams((1 + change) * SECOND, participants("u", range(20 if change % 2 else 40)))
     assert not controller.flap_damping.penalties
