--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -63,7 +63,7 @@
         faults: What is wrong, as it is found.
         files: Paths of all files that were read.
         top: Path of the file that includes the others.
-        reads: How files are read.
+        read_file: How files are read.
     """
 
     tree: dict[str, Any] = field(default_factory=dict)
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -59,7 +59,7 @@
         is_complete: All of it has come.
         is_discarded: Its beginning is not buffered any more.
         last_progress: Clock time at which bytes last came or went.
-        ended_at: Clock time at which its last byte came.
+        completed_at: Clock time at which its last byte came.
     """
 
     def __init__(self, source: BodySource, length: int | None, parts: list[bytes]) -> None:
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -162,7 +162,7 @@
     settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", instance_name: str
 ) -> SubsetController:
     index = settings.self_index
-    controller_settings = SubsetSettings(
+    controller_settings = SubsetControllerSettings(
         source=SubsetSource.MEMBERSHIP if index is None else SubsetSource.INDEX,
         min_size=settings.least,
         degree=settings.degree,
