--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -61,7 +61,7 @@
         sequence: Number of the report within the generation.
         age_ms: Milliseconds from the creation of the report until it was sent; clocks are not compared
             between instances.
-        relays: How often the report was forwarded.
+        relay_count: How often the report was forwarded.
         counts: Outcomes at upstreams.
         leases: Leases that the origin holds or claims.
         quotas: Shares that the origin holds of fleet-wide limits.
