--- a/dahliabend/leases/fencing.py
+++ b/dahliabend/leases/fencing.py
@@ -1,7 +1,7 @@
 """Fencing tokens: numbers that rise each time a lease changes its holder.
 
-The upper bits count the changes. The lower bits are derived from the holder's name, so that two members that
-claim a lease at the same time do so with different tokens.
+The upper bits count the changes. The lower bits are a hash of the holder's name, so that two members that
+claim a lease at the same time do so with different tokens, unless the hashes of their names collide.
 """
 
 from zlib import crc32
--- a/dahliabend/membership/anti_entropy.py
+++ b/dahliabend/membership/anti_entropy.py
@@ -180,8 +180,8 @@
     def _encode_self_and(self, names: Sequence[str]) -> list[bytes]:
         """Return encoded updates about this member and about those of the named members that are known."""
         members = self._table.members
-        own = encode_update(self._local.update)
-        return [own, *(members[name].encoded_update for name in names if name in members)]
+        local_update = encode_update(self._local.update)
+        return [local_update, *(members[name].encoded_update for name in names if name in members)]
 
     def _sample(self, population: Sequence[str], count: int) -> list[str]:
         return sample_up_to(self._random, population, count)
--- a/dahliabend/membership/conflicts.py
+++ b/dahliabend/membership/conflicts.py
@@ -39,6 +39,6 @@
         self._reported_at[update.name] = now
         self._events.record(now, EventKind.CONFLICT, update.name, update.reported_by)
 
-    def copy_state(self, other: "ConflictReporter") -> None:
+    def copy_state(self, original: "ConflictReporter") -> None:
         """Copy the state of another reporter into this one."""
-        self._reported_at = other._reported_at.copy()
+        self._reported_at = original._reported_at.copy()
--- a/dahliabend/membership/dissemination.py
+++ b/dahliabend/membership/dissemination.py
@@ -93,13 +93,13 @@
         self.outgoing = []
         return outgoing
 
-    def copy_state(self, other: "Disseminator") -> None:
+    def copy_state(self, original: "Disseminator") -> None:
         """Copy the state of another disseminator into this one."""
-        self.sequence_number = other.sequence_number
-        self.outgoing = other.outgoing.copy()
-        self.unsent = other.unsent.copy()
-        self.sent = other.sent.copy()
-        self._transmissions = other._transmissions.copy()
+        self.sequence_number = original.sequence_number
+        self.outgoing = original.outgoing.copy()
+        self.unsent = original.unsent.copy()
+        self.sent = original.sent.copy()
+        self._transmissions = original._transmissions.copy()
 
     def state_key(self) -> tuple[object, ...]:
         """Return everything that later behaviour depends on, as a hashable value."""
--- a/dahliabend/membership/failure_detector.py
+++ b/dahliabend/membership/failure_detector.py
@@ -204,12 +204,12 @@
                 deadlines.append(self.probe.indirect_at)
         return deadlines
 
-    def copy_state(self, other: "FailureDetector") -> None:
+    def copy_state(self, original: "FailureDetector") -> None:
         """Copy the state of another detector into this one."""
-        self.probe = replace(other.probe) if other.probe is not None else None
-        self.probe_round.queue = other.probe_round.queue.copy()
-        self._relayed = other._relayed.copy()
-        self._last_probe_number = other._last_probe_number
+        self.probe = replace(original.probe) if original.probe is not None else None
+        self.probe_round.queue = original.probe_round.queue.copy()
+        self._relayed = original._relayed.copy()
+        self._last_probe_number = original._last_probe_number
 
     def state_key(self) -> tuple[object, ...]:
         """Return everything that later behaviour depends on, as a hashable value."""
--- a/dahliabend/membership/member_table.py
+++ b/dahliabend/membership/member_table.py
@@ -111,16 +111,16 @@
         """Whether the table has no room for another member."""
         return len(self.members) >= self._config.max_members
 
-    def copy_state(self, other: "MemberTable") -> None:
+    def copy_state(self, original: "MemberTable") -> None:
         """Copy the state of another table into this one."""
-        self.members = {name: member.copy() for name, member in other.members.items()}
-        self.present = other.present.copy()
-        self.suspects = other.suspects.copy()
-        self.departed = other.departed.copy()
-        self.version = other.version
-        self.partitions.copy_state(other.partitions)
-        self._positions = other._positions.copy()
-        self._unreachable_reports = other._unreachable_reports.copy()
+        self.members = {name: member.copy() for name, member in original.members.items()}
+        self.present = original.present.copy()
+        self.suspects = original.suspects.copy()
+        self.departed = original.departed.copy()
+        self.version = original.version
+        self.partitions.copy_state(original.partitions)
+        self._positions = original._positions.copy()
+        self._unreachable_reports = original._unreachable_reports.copy()
 
     def is_present(self, name: str) -> bool:
         """Return whether a member of this name is present."""
--- a/dahliabend/membership/partition_detector.py
+++ b/dahliabend/membership/partition_detector.py
@@ -44,10 +44,10 @@
         """Return whether this member may be cut off from a large part of the cluster."""
         return self._exceeds_partition_ratio(len(self._partitioned), cluster_size)
 
-    def copy_state(self, other: "PartitionDetector") -> None:
+    def copy_state(self, original: "PartitionDetector") -> None:
         """Copy the state of another detector into this one."""
-        self._recent_losses = other._recent_losses.copy()
-        self._partitioned = other._partitioned.copy()
+        self._recent_losses = original._recent_losses.copy()
+        self._partitioned = original._partitioned.copy()
 
     def _exceeds_partition_ratio(self, lost: int, cluster_size: int) -> bool:
         return lost > self._config.partition_ratio * (cluster_size + lost)
--- a/dahliabend/membership/receiver.py
+++ b/dahliabend/membership/receiver.py
@@ -73,11 +73,11 @@
             if update.name == local_name or update.status not in FAILURE_STATUSES
         ]
 
-    def copy_state(self, other: "PacketReceiver") -> None:
+    def copy_state(self, original: "PacketReceiver") -> None:
         """Copy the state of another receiver into this one."""
-        self.replay_filter.copy_state(other.replay_filter)
-        self.dropped = other.dropped.copy()
-        self.last_received_at = other.last_received_at
+        self.replay_filter.copy_state(original.replay_filter)
+        self.dropped = original.dropped.copy()
+        self.last_received_at = original.last_received_at
 
     def _check_freshness(self, packet: Packet, source: str) -> None:
         origin = f"{packet.sender} {source}"  # a process of the same name elsewhere counts as another sender
--- a/dahliabend/membership/replay_window.py
+++ b/dahliabend/membership/replay_window.py
@@ -58,10 +58,10 @@
         """Return the number of senders that have a window."""
         return len(self._windows)
 
-    def copy_state(self, other: "ReplayFilter") -> None:
+    def copy_state(self, original: "ReplayFilter") -> None:
         """Copy the state of another filter into this one."""
-        self.max_senders = other.max_senders
-        self._windows = {sender: replace(window) for sender, window in other._windows.items()}
+        self.max_senders = original.max_senders
+        self._windows = {sender: replace(window) for sender, window in original._windows.items()}
 
     def is_stale_generation(self, sender: str, generation: int) -> bool:
         """Return whether a later generation of this sender has been accepted."""
--- a/dahliabend/membership/schedule.py
+++ b/dahliabend/membership/schedule.py
@@ -41,12 +41,12 @@
         """Make the timer due at this time at the latest."""
         self.timer_due = min(self.timer_due, at)
 
-    def copy_state(self, other: "Schedule") -> None:
+    def copy_state(self, original: "Schedule") -> None:
         """Copy the state of another schedule into this one."""
-        self.timer_due = other.timer_due
-        self.period_due = other.period_due
-        self.period_count = other.period_count
-        self.unsettled_until = other.unsettled_until
+        self.timer_due = original.timer_due
+        self.period_due = original.period_due
+        self.period_count = original.period_count
+        self.unsettled_until = original.unsettled_until
 
     def state_key(self) -> tuple[int, ...]:
         """Return everything that later behaviour depends on, as a hashable value."""
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -78,10 +78,10 @@
             self._last_stable = latest
         return self._last_stable
 
-    def copy_state(self, other: "ViewBuilder") -> None:
+    def copy_state(self, original: "ViewBuilder") -> None:
         """Share the state of another builder, which is immutable."""
-        self._members = other._members
-        self._last_stable = other._last_stable
+        self._members = original._members
+        self._last_stable = original._last_stable
 
     def _exclusion(self) -> Exclusion:
         if self._local.exclusion:
--- a/dahliabend/subsetting/demand.py
+++ b/dahliabend/subsetting/demand.py
@@ -8,9 +8,7 @@
 
 SECOND = 1_000_000  # microseconds
 MIN_DEMAND = 1.0  # requests per second with which a balancer without requests is counted
-UNKNOWN_DEMAND_WEIGHT = (
-    1e-3  # a balancer with a weight up to this is counted with the mean weight of the others
-)
+UNKNOWN_DEMAND_WEIGHT = 1e-3  # a balancer with at most this weight counts with the mean of the others
 NOISE_DEVIATIONS = 4.0  # standard deviations of a request count; a smaller change may be random
 ANNOUNCED_DECIMALS = 2
 
--- a/tests/health_gossip/test_peer_reports_in_policy.py
+++ b/tests/health_gossip/test_peer_reports_in_policy.py
@@ -14,8 +14,8 @@
 def test_policy_ejects_an_upstream_that_peers_report_as_failing():
     port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
     balancer = Balancer(WorkloadModel(Fleet(instances=1), 1).settings(), port, 1)
-    rows = [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)]
-    balancer.update_endpoints(SECOND, rows, full=True)
+    endpoint_updates = [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)]
+    balancer.update_endpoints(SECOND, endpoint_updates, full=True)
     balancer.add_peer_report(1, MIN_SAMPLES, MIN_SAMPLES)
     balancer.add_peer_report(7, MIN_SAMPLES, MIN_SAMPLES)  # an endpoint that is not in the list
     for tick in range(WINDOW_TICKS):
--- a/tests/leases/lease_cluster.py
+++ b/tests/leases/lease_cluster.py
@@ -85,14 +85,14 @@
 
     def tick(self, name: str, instance: LeaseElection) -> None:
         instance.update_members(
-            self.now, [Candidate(other, zone="") for other in self.views[name]], settled=True
+            self.now, [Candidate(member, zone="") for member in self.views[name]], settled=True
         )
         for due in instance.tick(self.now):
             self.runs.append(Run(self.now, name, due.task, due.fencing_token))
             instance.complete(self.now, due, 1)
-        for other in self.instances:
-            if (name, other) not in self.blocked_links and self.random.random() >= self.loss:
-                message = Message(self.now + self.delay, other, instance.announcements(self.now))
+        for receiver in self.instances:
+            if (name, receiver) not in self.blocked_links and self.random.random() >= self.loss:
+                message = Message(self.now + self.delay, receiver, instance.announcements(self.now))
                 self.messages.append(message)
 
     def run_times(self, task: str, since: int = 0) -> list[int]:
--- a/tests/leases/quota_cluster.py
+++ b/tests/leases/quota_cluster.py
@@ -46,8 +46,8 @@
                 announced.append((name, quota.share, quota.demand))
             self.highest_total = max(self.highest_total, self.total())
             for name, share, demand in announced:
-                for other, quota in self.shares.items():
-                    if self.side[name] == self.side[other] and self.random.random() >= self.loss:
+                for receiver, quota in self.shares.items():
+                    if self.side[name] == self.side[receiver] and self.random.random() >= self.loss:
                         quota.update_peer(self.now, name, share, demand)
         return self
 
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -14,11 +14,11 @@
 def server_with_route(shared, gossip=None, fraction=1.0):
     limit = Limit(rate=100.0)
     limit.set_fraction(fraction)
-    choice = SimpleNamespace(name="r", limit=limit)
+    route = SimpleNamespace(name="r", limit=limit)
     routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
     server = OperatorFileServer.__new__(OperatorFileServer)
-    server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, compiled_routes=[choice]))
+    server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, compiled_routes=[route]))
     server.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
     return server, limit
 
@@ -39,8 +39,8 @@
     passed_callbacks = []
     server, _ = server_with_route(True, gossip=passed_callbacks.append)
     server.divide_shared_limits()
-    (compiled_routes,) = passed_callbacks
-    assert [(choice.name, balancers) for choice, balancers in compiled_routes()] == [("r", 4)]
+    (shared_routes,) = passed_callbacks
+    assert [(route.name, balancers) for route, balancers in shared_routes()] == [("r", 4)]
 
 
 def test_shares_start_equal_follow_announcements_and_end_with_the_route():
--- a/tests/subsetting/test_controller.py
+++ b/tests/subsetting/test_controller.py
@@ -94,14 +94,14 @@
         controller.adjust_width(2)
         controller.step((3 + second) * SECOND)
     assert len(controller.active) == 2 * size
-    other = SubsetController(Participant("b1"), controller.settings)
-    other.update_view(SECOND, participants("b", range(60)), trusted=True)
-    other.update_upstreams(SECOND, participants("u", range(60)))
-    other.step(SECOND)
+    second_controller = SubsetController(Participant("b1"), controller.settings)
+    second_controller.update_view(SECOND, participants("b", range(60)), trusted=True)
+    second_controller.update_upstreams(SECOND, participants("u", range(60)))
+    second_controller.step(SECOND)
     for second in range(20):
-        other.adjust_width(2)
-        other.step((3 + second) * SECOND)
-    assert len(set(controller.active) & set(other.active)) < 1.6 * size, (
+        second_controller.adjust_width(2)
+        second_controller.step((3 + second) * SECOND)
+    assert len(set(controller.active) & set(second_controller.active)) < 1.6 * size, (
         "balancers widen by the same upstreams"
     )
     for second in range(60):
