--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -1,4 +1,4 @@
-"""Makes views of the member table."""
+"""Builds views of the membership from the member table."""
 
 from typing import NamedTuple
 
@@ -12,14 +12,17 @@
 from dahliabend.membership.view import Exclusion, MembershipView, MemberState, MemberView, checksum
 
 
-class _Members(NamedTuple):
+class _MemberList(NamedTuple):
     version: int
     members: tuple[MemberView, ...]
     checksum: str
 
 
 class ViewBuilder:
-    """Makes views, and remembers the last stable one. The members are listed anew only after a change."""
+    """Builds views and remembers the last stable one.
+
+    The list of members is cached until the member table changes.
+    """
 
     __slots__ = (
         "_config",
@@ -47,12 +50,12 @@
         self._health = health
         self._schedule = schedule
         self._receiver = receiver
-        self._members: _Members | None = None
+        self._members: _MemberList | None = None
         self._last_stable: MembershipView | None = None
 
     def latest(self, now: int) -> MembershipView:
-        """Return the view at this time, in microseconds."""
-        version, members, digest = self._listed_members()
+        """Return the view at this time; `now` is in microseconds."""
+        version, members, digest = self._cached_members()
         table = self._table
         silence = now - self._receiver.last_received_at
         is_alone = bool(table.present) and silence > self._config.max_suspicion_time
@@ -69,16 +72,16 @@
         )
 
     def last_stable(self, now: int) -> MembershipView | None:
-        """Return the view at this time if it is stable, else the last stable one; None if there was none."""
+        """Return the view at this time if it is stable, else the last stable one, or None."""
         latest = self.latest(now)
         if latest.stable:
             self._last_stable = latest
         return self._last_stable
 
-    def copy_state(self, other: "ViewBuilder") -> None:
-        """Take over another one's state; it is immutable."""
-        self._members = other._members
-        self._last_stable = other._last_stable
+    def copy_state(self, original: "ViewBuilder") -> None:
+        """Share the state of another builder, which is immutable."""
+        self._members = original._members
+        self._last_stable = original._last_stable
 
     def _exclusion(self) -> Exclusion:
         if self._local.exclusion:
@@ -86,15 +89,15 @@
         is_unreachable = self._table.is_unreachable(self._local.name)
         return Exclusion.UNREACHABLE if is_unreachable else Exclusion.NONE
 
-    def _listed_members(self) -> _Members:
+    def _cached_members(self) -> _MemberList:
         listed = self._members
         if listed is None or listed.version != self._table.version:
-            members = self._list_members()
-            listed = _Members(self._table.version, members, checksum(members))
+            members = self._build_members()
+            listed = _MemberList(self._table.version, members, checksum(members))
             self._members = listed
         return listed
 
-    def _list_members(self) -> tuple[MemberView, ...]:
+    def _build_members(self) -> tuple[MemberView, ...]:
         present = [member.update for member in self._table.members_named(self._table.present)]
         return tuple(self._view_of(update) for update in sorted([self._local.update, *present], key=_name))
 
@@ -105,7 +108,7 @@
         elif self._table.is_unreachable(update.name):
             state = MemberState.UNREACHABLE
         member = self._table.members.get(update.name)
-        # By position: this is the costliest part of a view in a large cluster.
+        # Positional arguments: this call is the costliest part of building a view of a large cluster.
         return MemberView(
             update.name,
             update.address,
