--- a/dahliabend/cli/serve.py
+++ b/dahliabend/cli/serve.py
@@ -39,4 +39,4 @@
         log("server.start_failed", reason=str(error))
         raise click.exceptions.Exit(EXIT_FAILED) from None
     finally:
-        log.end()
+        log.close()
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -100,7 +100,7 @@
 
     def members(self, _body: bytes) -> AdminResponse:
         """Answer with the other balancers."""
-        return _found(self.target.membership_status(), "there is no [members]")
+        return _respond_or_not_found(self.target.membership_status(), "there is no [members]")
 
     def subsets(self, _body: bytes) -> AdminResponse:
         """Answer with the subsets in use, by pool."""
@@ -108,11 +108,11 @@
 
     def gossip(self, _body: bytes) -> AdminResponse:
         """Answer with the health reports of all balancers."""
-        return _found(self.target.gossip_status(), "[members] has no signals")
+        return _respond_or_not_found(self.target.gossip_status(), "[members] has no signals")
 
     def leases(self, _body: bytes) -> AdminResponse:
         """Answer with the leases of shared health checks."""
-        return _found(self.target.lease_status(), "[members] has no probing")
+        return _respond_or_not_found(self.target.lease_status(), "[members] has no probing")
 
     def exclude(self, body: bytes) -> AdminResponse:
         """Take an upstream out of all pools."""
@@ -148,5 +148,5 @@
         return json_response(200, target=target, excluded=excluded)
 
 
-def _found(status: dict[str, Any] | None, error: str) -> AdminResponse:
+def _respond_or_not_found(status: dict[str, Any] | None, error: str) -> AdminResponse:
     return json_response(404, error=error) if status is None else json_response(200, **status)
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -77,7 +77,7 @@
         self._last_tick = now
         for route, _ in self.routes():
             share = self._shares[route.name]
-            demand = self._smoothed_demand(route, elapsed)
+            demand = self._update_demand(route, elapsed)
             share.update_members(members, left, partitioned)
             fraction = share.step(now, demand)
             route.limit.set_fraction(fraction)
@@ -98,7 +98,7 @@
             for name, share in sorted(self._shares.items())
         ]
 
-    def _smoothed_demand(self, route: CompiledRoute, elapsed: int) -> float:
+    def _update_demand(self, route: CompiledRoute, elapsed: int) -> float:
         newest = route.limit.take_demand(elapsed)
         before = self._demands.get(route.name, 0.0)
         demand = before * (1 - SMOOTHING) + newest * SMOOTHING
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -60,17 +60,17 @@
 
 
 def membership_status(
-    now: int, view: MembershipView, settled: MembershipView | None, protocol: MembershipProtocol
+    now: int, view: MembershipView, stable_view: MembershipView | None, protocol: MembershipProtocol
 ) -> dict[str, Any]:
     """Return the members that are present, those that have gone, and the last settled view."""
     return {
-        "here": [_present_member(now, member) for member in view.members],
-        "gone": list(_departed_members(now, protocol)),
-        "settled": None if settled is None else _settled_view(now, settled),
+        "here": [_present_member_fields(now, member) for member in view.members],
+        "gone": list(_departed_member_fields(now, protocol)),
+        "settled": None if stable_view is None else _stable_view_fields(now, stable_view),
     }
 
 
-def _present_member(now: int, member: MemberView) -> dict[str, Any]:
+def _present_member_fields(now: int, member: MemberView) -> dict[str, Any]:
     return {
         "name": member.name,
         "address": member.address,
@@ -85,7 +85,7 @@
     }
 
 
-def _departed_members(now: int, protocol: MembershipProtocol) -> Iterable[dict[str, Any]]:
+def _departed_member_fields(now: int, protocol: MembershipProtocol) -> Iterable[dict[str, Any]]:
     for name in protocol.departed:
         member = protocol.members[name]
         update = member.update
@@ -100,10 +100,10 @@
         }
 
 
-def _settled_view(now: int, settled: MembershipView) -> dict[str, Any]:
+def _stable_view_fields(now: int, stable_view: MembershipView) -> dict[str, Any]:
     return {
-        "version": settled.version,
-        "mark": settled.checksum,
-        "members": [member.name for member in settled.members],
-        "age_ms": (now - settled.at) // MICROSECONDS_PER_MILLISECOND,
+        "version": stable_view.version,
+        "mark": stable_view.checksum,
+        "members": [member.name for member in stable_view.members],
+        "age_ms": (now - stable_view.at) // MICROSECONDS_PER_MILLISECOND,
     }
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from dahliabend.server.cluster_limits import SharedRoutes
 
-NANOSECONDS = 1000  # in a microsecond
+NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
 
 
 class MemberState(Enum):
@@ -83,14 +83,14 @@
         self.name = settings.name or self.address
         self.state = MemberState.NEW
         random = Random(f"members {self.name} {seed}")
-        generation = host_info.time_ns() // NANOSECONDS
-        self._file = self._membership_file()
+        generation = host_info.time_ns() // NANOSECONDS_PER_MICROSECOND
+        self._file = self._create_membership_file()
         self.stored = self._file.read() if self._file is not None else None
         if self.stored is not None:  # a clock that was set back must not make it older than it was
             generation = max(generation, self.stored.generation + 1)
-        self.failure_detector = self._membership_protocol(generation, random)
+        self.failure_detector = self._create_membership_protocol(generation, random)
         self.transport = UdpTransport(
-            self.failure_detector, self._authenticator(settings), timers, self._log_event
+            self.failure_detector, self._create_authenticator(settings), timers, self._log_event
         )
         self.gossip: GossipExchange | None = None
         if settings.signals:
@@ -107,7 +107,7 @@
         self._seed_sources = SeedSources(self.seed_list, directory, timers, descriptors, random.random, log)
         self._store_timer: Any = None
 
-    def _membership_file(self) -> MembershipFile | None:
+    def _create_membership_file(self) -> MembershipFile | None:
         label = self.settings.keep
         if label is None:
             return None
@@ -120,7 +120,7 @@
             log=self.log,
         )
 
-    def _membership_protocol(self, generation: int, random: Random) -> MembershipProtocol:
+    def _create_membership_protocol(self, generation: int, random: Random) -> MembershipProtocol:
         settings = self.settings
         config = SwimConfig(
             period=settings.period, dead_retention=settings.forget, partition_ratio=float(settings.cut)
@@ -128,7 +128,7 @@
         weight = UNKNOWN_DEMAND if settings.demand else settings.weight
         return MembershipProtocol(self.name, generation, self.address, config, random, settings.zone, weight)
 
-    def _authenticator(self, settings: MembershipSettings) -> DatagramAuthenticator:
+    def _create_authenticator(self, settings: MembershipSettings) -> DatagramAuthenticator:
         paths = [os.path.join(self.directory, file_name) for file_name in settings.key_files]
         return DatagramAuthenticator([parse_key(host_info.read_file(path)) for path in paths])
 
@@ -220,7 +220,7 @@
             key_files=settings.key_files,
         )
         # The files may hold other keys under the same names.
-        self.transport.authenticator = self._authenticator(settings)
+        self.transport.authenticator = self._create_authenticator(settings)
         current_weight = self.failure_detector.self_update.weight
         weight = settings.weight if self.demand is None else current_weight
         if settings.zone != before.zone or weight != current_weight:
@@ -267,7 +267,7 @@
         """Return the newest view of the members."""
         return self.failure_detector.view(clock())
 
-    def settled(self) -> MembershipView | None:
+    def last_stable_view(self) -> MembershipView | None:
         """Return the last view in which nobody was suspected, if there was one."""
         return self.failure_detector.last_stable_view(clock())
 
@@ -281,5 +281,5 @@
         return {
             "name": self.name,
             **msgspec.to_builtins(self.metrics()),
-            **cluster_status.membership_status(clock(), self.view(), self.settled(), protocol),
+            **cluster_status.membership_status(clock(), self.view(), self.last_stable_view(), protocol),
         }
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -28,12 +28,12 @@
         self.log = log
         self.attempted = True
         self._path = ""
-        self._applied_text = b""
+        self._applied_content = b""
         self._read_timer: Any = None
 
-    def set_endpoints(self, rows: list[dict[str, Any]]) -> None:
+    def set_endpoints(self, entries: list[dict[str, Any]]) -> None:
         """Replace the whole list by these entries, in the discovery service's form."""
-        message = {"version": self.endpoint_list.version + 1, "full": True, "servers": rows}
+        message = {"version": self.endpoint_list.version + 1, "full": True, "servers": entries}
         self.endpoint_list.apply(message, first=True)
 
     def watch(self, path: str) -> None:
@@ -55,20 +55,20 @@
     def _read(self) -> None:
         self._read_timer = self.timers.schedule(clock() + READ_INTERVAL, self._read)
         try:
-            text = host_info.read_file(self._path)
-            if text == self._applied_text:
+            content = host_info.read_file(self._path)
+            if content == self._applied_content:
                 return
-            rows = _parse_rows(text)
+            entries = _parse_entries(content)
         except (OSError, ValueError, KeyError, TypeError) as error:
             # Half a file, or none for a moment: the list stays as it is, and nothing is taken out for it.
             self.log("endpoint_file.read_failed", file=self._path, reason=str(error))
             return
-        self._applied_text = text
-        self.set_endpoints(rows)
+        self._applied_content = content
+        self.set_endpoints(entries)
 
 
-def _parse_rows(text: bytes) -> list[dict[str, Any]]:
-    rows = orjson.loads(text)["servers"]
-    if not isinstance(rows, list):
+def _parse_entries(content: bytes) -> list[dict[str, Any]]:
+    entries = orjson.loads(content)["servers"]
+    if not isinstance(entries, list):
         raise TypeError("servers is no list")
-    return rows
+    return entries
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -122,12 +122,12 @@
         now = clock()
         self._timer = self.timers.schedule(now + GOSSIP_INTERVAL, self.tick)
         view = self.protocol.view(now)
-        settled = self.protocol.last_stable_view(now)
+        stable_view = self.protocol.last_stable_view(now)
         members = {member.name for member in view.members if member.is_reachable}
         for pool, router in self.pools():
             self._report_suspected(now, pool, router, members)
-        self._tick_health_checks(now, settled)
-        self._tick_limits(view, settled)
+        self._tick_health_checks(now, stable_view)
+        self._tick_limits(view, stable_view)
         self.gossip.tick(now, sorted(members))
         self._send_outbox()
 
@@ -143,15 +143,15 @@
                 "name": name,
                 "age_ms": (now - received.created_at) // MICROSECONDS_PER_MILLISECOND,
                 "hops": received.report.relays,
-                "rows": _shown_counts(received.report.counts),
+                "rows": _counts_as_dicts(received.report.counts),
             }
             for name, received in sorted(self.gossip.report_table.fresh(now).items())
         ]
         return {
             "name": self.protocol.name,
-            "own": _shown_counts(self.gossip.counts(now)),
+            "own": _counts_as_dicts(self.gossip.counts(now)),
             "origins": origins,
-            "believed": [self._shown_suspicion(suspicion, now) for suspicion in self._suspicions],
+            "believed": [self._suspicion_as_dict(suspicion, now) for suspicion in self._suspicions],
             "shares": self.limits.status() if self.limits is not None else [],
             "told": self.gossip.suspected_count,
             "unread": self.gossip.undecodable,
@@ -177,19 +177,19 @@
             self._suspicions = [*self._suspicions[1 - MAX_SHOWN_SUSPICIONS :], suspicion]
             self.log("upstream.suspected", pool=pool, upstream=suspected.upstream, origins=suspected.origins)
 
-    def _tick_health_checks(self, now: int, settled: MembershipView | None) -> None:
+    def _tick_health_checks(self, now: int, stable_view: MembershipView | None) -> None:
         if self.health_checks is None:
             return
-        members = settled.members if settled is not None else ()
+        members = stable_view.members if stable_view is not None else ()
         present = [Candidate(member.name, member.zone) for member in members if member.is_reachable]
         pools = [(pool, router) for pool, router in self.pools() if router.health_check_delegate is not None]
         is_member = now >= self.protocol.unsettled_until and self.protocol.exclusion is not Exclusion.DEAD
         self.health_checks.tick(present, bool(present) and is_member, pools)
 
-    def _tick_limits(self, view: MembershipView, settled: MembershipView | None) -> None:
+    def _tick_limits(self, view: MembershipView, stable_view: MembershipView | None) -> None:
         if self.limits is None:
             return
-        present = settled.names() if settled is not None else set()
+        present = stable_view.names() if stable_view is not None else set()
         protocol = self.protocol
         left = {
             name for name in protocol.departed if protocol.members[name].update.status is MemberStatus.LEFT
@@ -203,7 +203,7 @@
             self.protocol.send_user_message(member, message)
         self.transport.flush()
 
-    def _shown_suspicion(self, suspicion: Suspicion, now: int) -> dict[str, Any]:
+    def _suspicion_as_dict(self, suspicion: Suspicion, now: int) -> dict[str, Any]:
         return {
             "pool": suspicion.pool,
             "upstream": suspicion.upstream,
@@ -218,8 +218,8 @@
     balancer.add_peer_report(indices[upstream], attempts, failures)
 
 
-def _shown_counts(rows: Iterable[UpstreamCounts]) -> list[dict[str, Any]]:
+def _counts_as_dicts(counts_list: Iterable[UpstreamCounts]) -> list[dict[str, Any]]:
     return [
-        {"pool": row.pool, "upstream": row.upstream, "tried": row.attempts, "bad": row.failures}
-        for row in rows
+        {"pool": counts.pool, "upstream": counts.upstream, "tried": counts.attempts, "bad": counts.failures}
+        for counts in counts_list
     ]
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -70,7 +70,7 @@
 
     def live_processes(self) -> dict[ProcessKey, int]:
         """Return the others that hold their locks, oldest first, with their attempts in flight."""
-        found = {}
+        attempts_by_process = {}
         for name in self.directory.glob("alive-*-*"):
             generation, process_id = name.split("-")[1:]
             key = ProcessKey(int(generation), int(process_id))
@@ -78,12 +78,14 @@
                 continue
             in_flight = self.directory.read_locked(name)
             if in_flight is not None:
-                found[key] = int(in_flight) if in_flight.strip().isdigit() else 0
-        return dict(sorted(found.items()))
+                attempts_by_process[key] = int(in_flight) if in_flight.strip().isdigit() else 0
+        return dict(sorted(attempts_by_process.items()))
 
     # State for a successor.
 
-    def write_state_for(self, successor: tuple[int, int], state: Callable[[], dict[str, Any]]) -> None:
+    def write_state_for(
+        self, successor: tuple[int, int], capture_state: Callable[[], dict[str, Any]]
+    ) -> None:
         """Write the state for that process, once for each successor.
 
         Args:
@@ -93,7 +95,7 @@
         if successor == self._last_successor:
             return
         self._last_successor = successor
-        content = {"version": VERSION, **state()}
+        content = {"version": VERSION, **capture_state()}
         try:
             self.directory.write(f"for-{_file_suffix(successor)}", orjson.dumps(content))
         except OSError as error:
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -87,7 +87,7 @@
         self.state = ServerState.STARTING
         self.stopped: asyncio.Future[None] = loop.create_future()
 
-    def serving(self) -> None:
+    def mark_serving(self) -> None:
         """Clients are accepted, unless the server was told to stop while it started."""
         if self.state is ServerState.STARTING:
             self.state = ServerState.SERVING
--- a/dahliabend/server/log.py
+++ b/dahliabend/server/log.py
@@ -94,7 +94,7 @@
         except OSError:
             self.lines.clear()  # nobody reads any more
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Write what is left, without the event loop."""
         self.loop = None
         self.write()
--- a/dahliabend/server/metrics.py
+++ b/dahliabend/server/metrics.py
@@ -6,7 +6,7 @@
 MAX_CLASSES = 256  # class names kept, lest files with ever new ones make the table grow
 
 FULFILLED, THROTTLED, FAULTED, RELAYED = range(4)
-KINDS = ("fulfilled", "throttled", "faulted", "relayed")  # names of these in the telemetry
+COUNTER_NAMES = ("fulfilled", "throttled", "faulted", "relayed")  # names of these in the telemetry
 OK_STATUS = 200
 THROTTLED_STATUSES = (429, 503)
 
@@ -38,23 +38,23 @@
     def set_active_classes(self, names: Collection[bytes]) -> None:
         """Show these classes from now on, also at 0, and drop the oldest others beyond `MAX_CLASSES`."""
         for name in names:
-            self.classes.setdefault(name, [0] * len(KINDS))
+            self.classes.setdefault(name, [0] * len(COUNTER_NAMES))
         for name in list(self.classes):
             if len(self.classes) > MAX_CLASSES and name not in names:
                 del self.classes[name]
 
     def count_response(self, name: bytes, status: int) -> None:
         """Count a response to a client, by its HTTP status."""
-        kind = FULFILLED if status == OK_STATUS else THROTTLED if status in THROTTLED_STATUSES else FAULTED
-        self.classes.setdefault(name, [0] * len(KINDS))[kind] += 1
+        counter = FULFILLED if status == OK_STATUS else THROTTLED if status in THROTTLED_STATUSES else FAULTED
+        self.classes.setdefault(name, [0] * len(COUNTER_NAMES))[counter] += 1
 
     def count_attempt(self, name: bytes) -> None:
         """Count an attempt that was sent to an upstream."""
-        self.classes.setdefault(name, [0] * len(KINDS))[RELAYED] += 1
+        self.classes.setdefault(name, [0] * len(COUNTER_NAMES))[RELAYED] += 1
 
-    def total(self, kind: int) -> int:
+    def total(self, counter: int) -> int:
         """Return one kind of count over all classes."""
-        return sum(counts[kind] for counts in self.classes.values())
+        return sum(counts[counter] for counts in self.classes.values())
 
     def snapshot(self) -> dict[str, Any]:
         """Return all counts in the form of the telemetry."""
@@ -68,4 +68,4 @@
 
     def _operations(self) -> Iterable[tuple[str, dict[str, int]]]:
         for name, counts in self.classes.items():
-            yield name.decode("utf-8", "replace"), dict(zip(KINDS, counts, strict=True))
+            yield name.decode("utf-8", "replace"), dict(zip(COUNTER_NAMES, counts, strict=True))
--- a/dahliabend/server/operator_file_loading.py
+++ b/dahliabend/server/operator_file_loading.py
@@ -55,7 +55,7 @@
     loaded = load_file(path, environment=environment, read=host_info.read_file)
     if loaded.file is None or not loaded.is_usable:
         raise InvalidOperatorFileError(loaded.faults)
-    _check_libraries(loaded.file, loaded.source)
+    _check_required_libraries(loaded.file, loaded.source)
     return UsableFile(loaded, loaded.file)
 
 
@@ -81,9 +81,9 @@
     group: str
 
 
-def _check_libraries(file: OperatorFile, source: Source) -> None:
+def _check_required_libraries(file: OperatorFile, source: Source) -> None:
     """Refuse a file that wants a missing library: found later, the file would be half applied."""
-    for library in _wanted_libraries(file):
+    for library in _required_libraries(file):
         if find_spec(library.name) is None:
             place = source.place(library.key)
             command = f"pip install 'dahliabend[{library.group}]'"
@@ -93,7 +93,7 @@
             )
 
 
-def _wanted_libraries(file: OperatorFile) -> Iterator[_OptionalLibrary]:
+def _required_libraries(file: OperatorFile) -> Iterator[_OptionalLibrary]:
     if file.members is not None:
         yield _OptionalLibrary(("members",), "cryptography", "members")
     for name, pool in file.pools.items():
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -79,7 +79,7 @@
         )
         self.dispatcher = Dispatcher(self.metrics, log, seed)
         self.router = self.dispatcher
-        self.cluster = self._make_cluster_member(file, seed)
+        self.cluster = self._create_cluster_member(file, seed)
         resources = PoolResources(
             dispatcher=self.dispatcher,
             timers=self.timers,
@@ -95,7 +95,7 @@
             self.cluster.gossip.pools = self.pools.active_routers
         self._apply_file(self.configuration)
 
-    def _make_cluster_member(self, file: OperatorFile, seed: int) -> "ClusterMember | None":
+    def _create_cluster_member(self, file: OperatorFile, seed: int) -> "ClusterMember | None":
         """Return None where the file has no `[members]`: nothing of it is imported then."""
         if file.members is None:
             return None
@@ -122,7 +122,7 @@
     async def prepare(self) -> None:
         """Do nothing: the pools were opened when the file was applied."""
 
-    def listening_fields(self) -> dict[str, object]:
+    def started_event_fields(self) -> dict[str, object]:
         """Return the names of the pools."""
         return {"pools": list(self.dispatcher.pools_by_name)}
 
@@ -165,8 +165,8 @@
         self._apply_file(configuration)
         if self.cluster is not None and file.members is not None:
             self.cluster.apply_settings(file.members)
-        skipped = [change["key"] for change in changes if needs_restart(change["key"])]
-        return {"changes": len(changes), "restart_required": skipped}
+        restart_required = [change["key"] for change in changes if needs_restart(change["key"])]
+        return {"changes": len(changes), "restart_required": restart_required}
 
     def _apply_file(self, configuration: UsableFile) -> None:
         file = configuration.file
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -66,13 +66,13 @@
             settings.settings.polls_endpoints,
         )
         self.router.discovery = self.discovery
-        self.takeover = self._make_takeover(settings.shared_directory)
+        self.takeover = self._create_takeover(settings.shared_directory)
         self.log_unsupported(settings.unsupported_keys)
         if settings.known_endpoints:
             self.endpoint_list.apply(settings.known_endpoints, first=True)
         table.close_expired_connections()
 
-    def _make_takeover(self, shared_directory: str) -> ProcessTakeover | None:
+    def _create_takeover(self, shared_directory: str) -> ProcessTakeover | None:
         if not shared_directory:
             return None
         directory = HotRestart(shared_directory, self.log)
@@ -95,7 +95,7 @@
         else:
             self.listener.inherit(self._listener_descriptor)
 
-    def listening_fields(self) -> dict[str, object]:
+    def started_event_fields(self) -> dict[str, object]:
         """Return whether clients of the first tier come here."""
         return {"entry_tier": self.router.balancer.settings.is_entry_tier}
 
@@ -141,10 +141,10 @@
 
     def exclude(self, name: str, excluded: bool) -> bool:
         """Take an upstream out or put it back, in all processes; False if no list has ever had it."""
-        known = super().exclude(name, excluded)
-        if known and self.takeover is not None:
+        was_listed = super().exclude(name, excluded)
+        if was_listed and self.takeover is not None:
             self.takeover.set_excluded(name, excluded)
-        return known
+        return was_listed
 
     # Reload.
 
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -21,7 +21,7 @@
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import EventLog
 from dahliabend.server.metrics import Metrics
-from dahliabend.server.pool_settings import PoolSettings, endpoint_rows, pool_settings
+from dahliabend.server.pool_settings import PoolSettings, endpoint_entries, pool_settings
 from dahliabend.server.structured_log import bind_pool
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
@@ -70,7 +70,7 @@
     pool: Pool
     source: EndpointSource | None = None
     subset_filter: "SubsetFilter | None" = None
-    subset_terms: tuple[schema.SubsetSettings, int] | None = None
+    subset_inputs: tuple[schema.SubsetSettings, int] | None = None
 
     @property
     def observer(self) -> EndpointListObserver:
@@ -104,7 +104,7 @@
         """
         self.resources = resources
         self.cluster = cluster
-        self._running: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
+        self._running_pools: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
 
     def settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
         """Return the settings of each pool of a file."""
@@ -114,12 +114,12 @@
 
     def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
         """Open a pool of a file, or change it if it runs already."""
-        known = self.resources.dispatcher.pools_by_name.get(name)
-        if known is None:
-            running = self._open(name, settings.server)
+        pool = self.resources.dispatcher.pools_by_name.get(name)
+        if pool is None:
+            running = self._open_pool(name, settings.server)
         else:
-            running = self._running[known.number]
-            _change_router(known.router, settings.server)
+            running = self._running_pools[pool.number]
+            _update_router(pool.router, settings.server)
         router = running.pool.router
         router.logs_access = file.log.access
         router.route_names = [file.routes[number].name for number in settings.class_by_route]
@@ -135,7 +135,7 @@
     def close_finished(self) -> None:
         """Close the retired pools whose last request has ended."""
         for pool in self.resources.dispatcher.remove_finished_pools():
-            self._running.pop(pool.number).close()
+            self._running_pools.pop(pool.number).close()
             table = pool.router.table
             for index in tuple(table.endpoints):
                 table.remove(index)
@@ -143,7 +143,7 @@
 
     def close(self) -> None:
         """Stop watching for endpoints."""
-        for running in self._running.values():
+        for running in self._running_pools.values():
             running.close()
 
     def active_routers(self) -> list[tuple[str, Router]]:
@@ -154,7 +154,7 @@
         """Return, by pool, the subset in use, where there is one."""
         return {
             running.pool.name: running.subset_filter.status()
-            for running in self._running.values()
+            for running in self._running_pools.values()
             if running.subset_filter is not None
         }
 
@@ -162,11 +162,11 @@
         """Return the requests that pools with a subset have had until now."""
         return sum(
             sum(running.pool.router.counts.values())
-            for running in self._running.values()
+            for running in self._running_pools.values()
             if running.subset_filter is not None
         )
 
-    def _open(self, name: str, settings: ServerSettings) -> RunningPool:
+    def _open_pool(self, name: str, settings: ServerSettings) -> RunningPool:
         resources = self.resources
         log = bind_pool(resources.log, name)
         endpoint_resources = EndpointResources(
@@ -185,27 +185,27 @@
             if gossip.health_checks is not None:
                 router.health_check_delegate = partial(gossip.health_checks.request_check, name)
         running = RunningPool(resources.dispatcher.add_pool(name, router))
-        self._running[running.pool.number] = running
+        self._running_pools[running.pool.number] = running
         return running
 
     def _apply_subset(self, running: RunningPool, settings: schema.PoolSettings) -> None:
         """Use a subset of the upstreams, or all; if that changes, the endpoint list is read again."""
-        terms = (settings.subset, settings.balancers) if settings.subset is not None else None
-        if running.subset_terms == terms:
+        inputs = (settings.subset, settings.balancers) if settings.subset is not None else None
+        if running.subset_inputs == inputs:
             return
-        running.subset_terms = terms
+        running.subset_inputs = inputs
         if running.subset_filter is not None:
             running.subset_filter.stop()
             running.subset_filter = None
         if settings.subset is not None:
             # The balancer that is first to check an upstream may not use it.
             running.pool.router.health_check_delegate = None
-            running.subset_filter = self._make_subset_filter(
+            running.subset_filter = self._create_subset_filter(
                 running.pool, settings.subset, settings.balancers
             )
         running.set_source(None)
 
-    def _make_subset_filter(
+    def _create_subset_filter(
         self, pool: Pool, subset: schema.SubsetSettings, balancers: int
     ) -> "SubsetFilter":
         from dahliabend.server.subset_filter import SubsetFilter
@@ -254,13 +254,13 @@
             )
         if settings.members is not None:
             source.stop()
-            source.set_endpoints(endpoint_rows(settings.members))
+            source.set_endpoints(endpoint_entries(settings.members))
         elif settings.file is not None:
             source.watch(os.path.join(resources.directory, settings.file))
         running.set_source(source)
 
 
-def _change_router(router: Router, settings: ServerSettings) -> None:
+def _update_router(router: Router, settings: ServerSettings) -> None:
     router.table.resources.connect_timeout = settings.connect_timeout
     router.table.resources.idle_timeout = settings.idle_reuse_time
     router.apply_settings(settings)
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -14,7 +14,7 @@
 DEADLINE_SLACK = 20_000  # microseconds by which a client's deadline may be nearer than it seems
 MAX_RETRY_AFTER = 3_000_000  # microseconds
 DEFAULT_RETRY_RATIO = 0.1  # of a pool whose routes say nothing of retries
-NANOSECONDS = 1000  # in a microsecond
+NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
 
 _EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
@@ -84,12 +84,13 @@
         report_fields=(),
         unsupported_keys=(),
         named_keys=frozenset(),
-        monotonic_offset=host_info.monotonic_ns() // NANOSECONDS - host_info.time_ns() // NANOSECONDS,
+        monotonic_offset=host_info.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
+        - host_info.time_ns() // NANOSECONDS_PER_MICROSECOND,
     )
     return PoolSettings(server, {route: index for index, route in enumerate(routes)})
 
 
-def endpoint_rows(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
+def endpoint_entries(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
     """Return the endpoints that stand in the file, in the discovery service's form."""
     return [
         {
@@ -112,12 +113,12 @@
 def _reachable_pools(file: OperatorFile, route: schema.RouteSettings) -> set[str]:
     """Return the pools of a route, with its mirror and all fallbacks."""
     reachable: set[str] = set()
-    waiting = [*target_pools(route), route.mirror, route.fallback]
-    while waiting:
-        name = waiting.pop()
+    unvisited = [*target_pools(route), route.mirror, route.fallback]
+    while unvisited:
+        name = unvisited.pop()
         if name is not None and name not in reachable:
             reachable.add(name)
-            waiting.append(file.pools[name].fallback)
+            unvisited.append(file.pools[name].fallback)
     return reachable
 
 
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -88,9 +88,9 @@
             self.admin_listener.open(self.admin_address)
         await self.prepare()
         self.open_listener()
-        self.lifecycle.serving()
+        self.lifecycle.mark_serving()
         address = ":".join(map(str, self.listen_address))
-        self.log("server.started", address=address, **self.listening_fields())
+        self.log("server.started", address=address, **self.started_event_fields())
         self.log_metrics_periodically()
         self.close_idle_clients_periodically()
 
@@ -103,7 +103,7 @@
         self.listener.open(self.listen_address)
 
     @abstractmethod
-    def listening_fields(self) -> dict[str, object]:
+    def started_event_fields(self) -> dict[str, object]:
         """Return what is logged beside the address once clients are accepted."""
 
     def stop(self) -> None:
--- a/dahliabend/server/startup.py
+++ b/dahliabend/server/startup.py
@@ -32,5 +32,5 @@
         log("server.start_failed", reason=str(error))
         return EXIT_FAILED
     finally:
-        log.end()
+        log.close()
     return EXIT_OK
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -9,7 +9,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
-NANOSECONDS = 1000  # in a microsecond
+NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
 MAX_AGE_PERIODS = 30  # protocol periods for which a successor may go on as the member that wrote the file
 
 
@@ -106,4 +106,4 @@
 
 
 def _unix_microseconds() -> int:
-    return host_info.time_ns() // NANOSECONDS
+    return host_info.time_ns() // NANOSECONDS_PER_MICROSECOND
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -112,8 +112,8 @@
         sample_rate = self.sample_rates.get(event, 1.0)
         if sample_rate < 1.0 and self.random() >= sample_rate:
             return
-        known = EVENTS.get(event)
-        level = known.level if known is not None else DEFAULT_LEVEL
+        event_type = EVENTS.get(event)
+        level = event_type.level if event_type is not None else DEFAULT_LEVEL
         getattr(self.logger, level)(event, **fields)
 
     def debug(self, event: str, **fields: object) -> None:
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -58,7 +58,7 @@
         self.log = log
         self.subset = ActiveSubset()
         self._rows: dict[str, EndpointRow] = {}  # by name, the whole list
-        self._controller = _make_controller(settings, balancers, cluster, instance_name)
+        self._controller = _create_controller(settings, balancers, cluster, instance_name)
         self._timer: Any = None
         self._update_periodically()
 
@@ -111,9 +111,9 @@
         """Choose the upstreams anew; return whether the subset has changed."""
         now = clock()
         if self.cluster is not None:
-            settled = self.cluster.settled()
-            if settled is not None:
-                self._controller.follow_membership(now, settled, self.cluster.view())
+            stable_view = self.cluster.last_stable_view()
+            if stable_view is not None:
+                self._controller.follow_membership(now, stable_view, self.cluster.view())
         if self.subset.weights:
             balancer = self.router.balancer
             usable = count_usable(
@@ -144,13 +144,13 @@
 
         An upstream that leaves the subset counts as removed: it gets nothing new, and attempts end there.
         """
-        known = self.router.table.indices
+        indices = self.router.table.indices
         rows: list[EndpointRow] = []
         for name, row in self._rows.items():
             weight = self.subset.weights.get(name)
             if weight is not None:
                 rows.append(row._replace(weight=weight))
-            elif row.state is not EndpointState.READY and name in known:
+            elif row.state is not EndpointState.READY and name in indices:
                 rows.append(row)  # it is draining: kept until it is removed, for the attempts in flight there
         # Not all balancers send to these upstreams. Divided by all of them, the concurrency limit would be
         # too low, and clients be rejected while the upstreams idle.
@@ -158,7 +158,7 @@
         self.router.endpoints_changed(rows, full=True)
 
 
-def _make_controller(
+def _create_controller(
     settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", instance_name: str
 ) -> SubsetController:
     index = settings.self_index
--- a/tests/server/processes_on_one_listener.py
+++ b/tests/server/processes_on_one_listener.py
@@ -11,7 +11,7 @@
 
 
 @contextmanager
-def platform(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
+def start_processes(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
     """Yield a function that starts one more process: its address, the process and its discovery service."""
     agent = Agent(*(entry(f"s-{number}", upstream) for number, upstream in enumerate(upstreams)))
     with ExitStack() as stack:
@@ -20,8 +20,10 @@
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=512))
         directory = stack.enter_context(TemporaryDirectory())
 
-        def start(**more: object) -> tuple[str, Popen, Agent]:
-            return stack.enter_context(program(*upstreams, agent=agent, beside=(listener, directory), **more))
+        def start(**options: object) -> tuple[str, Popen, Agent]:
+            return stack.enter_context(
+                program(*upstreams, agent=agent, beside=(listener, directory), **options)
+            )
 
         yield start
 
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -5,7 +5,7 @@
 from threading import Event, Thread
 
 from helpers import PATIENCE, Caller, Upstream, call, logged, until
-from processes_on_one_listener import platform, set_excluded, telemetry_value
+from processes_on_one_listener import set_excluded, start_processes, telemetry_value
 
 from dahliabend.server.hot_restart import VERSION, HotRestart
 
@@ -13,31 +13,31 @@
 def test_two_restarts_in_a_row_under_load_lose_no_request():
     stop, statuses = Event(), []
 
-    def load(address, keeps_connection, number):
+    def send_requests(address, reuses_connection, number):
         client, n = None, 0
         while not stop.is_set():
             client, n = client or Caller(address), n + 1
-            answered = client.ask(trace=f"l{number}-{n}")
-            if answered is None and keeps_connection:  # closed between requests: a client asks once more
+            response = client.ask(trace=f"l{number}-{n}")
+            if response is None and reuses_connection:  # closed between requests: a client asks once more
                 client = Caller(address)
-                answered = client.ask(trace=f"l{number}-{n}")
-            statuses.append(answered and answered[0])
-            if not keeps_connection or answered is None or "connection" in answered[1]:
+                response = client.ask(trace=f"l{number}-{n}")
+            statuses.append(response and response[0])
+            if not reuses_connection or response is None or "connection" in response[1]:
                 client = None
 
-    with platform(Upstream(), Upstream()) as start:
-        address, before, _ = start()
+    with start_processes(Upstream(), Upstream()) as start:
+        address, old_process, _ = start()
         # Few enough that the crowd let in holds them all, even while both processes count the same ones.
-        threads = [Thread(target=load, args=(address, n % 2, n), daemon=True) for n in range(3)]
+        threads = [Thread(target=send_requests, args=(address, n % 2, n), daemon=True) for n in range(3)]
         for thread in threads:
             thread.start()
         try:
             for _ in range(2):
-                after = start()[1]
-                assert logged(after, "hot_restart.resumed")["restored"] == 2
-                before.send_signal(signal.SIGTERM)
-                assert before.wait(PATIENCE) == 0
-                count, before = len(statuses), after
+                new_process = start()[1]
+                assert logged(new_process, "hot_restart.resumed")["restored"] == 2
+                old_process.send_signal(signal.SIGTERM)
+                assert old_process.wait(PATIENCE) == 0
+                count, old_process = len(statuses), new_process
                 until(lambda count=count: len(statuses) > count + 50)
         finally:
             stop.set()
@@ -47,8 +47,8 @@
 
 
 def test_an_exclusion_holds_in_both_processes_and_over_the_restart():
-    one, two, three = Upstream(), Upstream(), Upstream()
-    with platform(one, two, three) as start:
+    first, second, third = Upstream(), Upstream(), Upstream()
+    with start_processes(first, second, third) as start:
         address, old, _ = start()
         assert set_excluded(old, True, "s-0") == 200
         new = start()[1]
@@ -63,15 +63,15 @@
         new.send_signal(signal.SIGTERM)
         assert new.wait(PATIENCE) == 0
         assert telemetry_value(last, "out_of_rotation") == 1
-        two.came.queue.clear()
+        second.came.queue.clear()
         assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9
-        assert two.came.empty()
+        assert second.came.empty()
         assert set_excluded(last, False, "s-1") == 200
         assert telemetry_value(last, "out_of_rotation") == 0
 
 
 def test_a_successor_that_dies_during_its_start_leaves_the_process_in_service_unchanged():
-    with platform(Upstream()) as start:
+    with start_processes(Upstream()) as start:
         address, old, _ = start()
         dying = start(ready=False)[1]
         dying.kill()
@@ -100,7 +100,7 @@
     assert hot_restart.read_state()["a"] == 1
 
 
-def test_dead_processes_are_recognized_by_their_missing_locks(tmp_path):
+def test_files_of_processes_without_a_lock_are_ignored_and_their_state_is_removed(tmp_path):
     hot_restart = HotRestart(str(tmp_path), print)
     (tmp_path / "alive-7-1").touch()  # nobody holds it
     (tmp_path / "for-7-1").touch()
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -9,13 +9,13 @@
 import dahliabend
 from dahliabend.config.operator_file.schema import LogSettings
 from dahliabend.config.operator_file.units import Fraction
-from dahliabend.server import log as plain
+from dahliabend.server import log as log_module
 from dahliabend.server.log_events import CONTEXT, EVENTS, EVENTS_BY_FORMER_NAME, REQUEST_FIELDS, page
 from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
-LOGGING = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
-OUTCOMES = {
+LOGGING_PACKAGES = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
+REQUEST_OUTCOME_EVENTS = {
     "request.succeeded",
     "request.truncated",
     "request.client_disconnected",
@@ -27,18 +27,18 @@
 
 def log_calls():
     """Each call of a log in the network code, or of turns, that names its event; its fields, the place."""
-    for path in sorted(path for package in LOGGING for path in (ROOT / package).rglob("*.py")):
+    for path in sorted(path for package in LOGGING_PACKAGES for path in (ROOT / package).rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
                 continue
             names = {part.attr if isinstance(part, ast.Attribute) else getattr(part, "id", "")
                      for part in ast.walk(node.func)}  # fmt: skip
-            first = node.args[0]
-            event_names = [first] if isinstance(first, ast.Constant) else []
-            if isinstance(first, ast.IfExp):
-                event_names = [first.body, first.orelse]
-            if "log" in names and all(isinstance(each.value, str) for each in event_names):
-                for each in event_names:
+            event_argument = node.args[0]
+            name_nodes = [event_argument] if isinstance(event_argument, ast.Constant) else []
+            if isinstance(event_argument, ast.IfExp):
+                name_nodes = [event_argument.body, event_argument.orelse]
+            if "log" in names and all(isinstance(each.value, str) for each in name_nodes):
+                for each in name_nodes:
                     yield (
                         each.value,
                         {keyword.arg for keyword in node.keywords if keyword.arg},
@@ -47,27 +47,27 @@
 
 
 def test_every_logged_event_is_in_the_table_with_its_fields():
-    seen = set(OUTCOMES)
+    seen = set(REQUEST_OUTCOME_EVENTS)
     for event, fields, place in log_calls():
         seen.add(event)
         assert event in EVENTS, (event, place)
         assert fields <= {*EVENTS[event].fields, *CONTEXT}, (event, place, fields)
     assert len(seen) > 30
     assert not EVENTS.keys() - seen - {"server.start_failed"}
-    assert all(EVENTS[event].fields == REQUEST_FIELDS for event in OUTCOMES)
+    assert all(EVENTS[event].fields == REQUEST_FIELDS for event in REQUEST_OUTCOME_EVENTS)
 
 
-def test_the_page_of_events_is_made_of_the_table():
+def test_the_page_of_events_is_generated_from_the_table():
     assert (ROOT.parent / "docs" / "events.md").read_text() == page()
 
 
-def lines(log):
+def take_lines(log):
     decoded = [json.loads(line) for line in bytes(log.lines).splitlines()]
     log.lines.clear()
     return decoded
 
 
-def quiet(**settings):
+def buffering_log(**settings):
     """One whose lines stay in its buffer."""
     log = StructuredLog("b", sink=-1)
     log.write = lambda: None
@@ -76,7 +76,7 @@
 
 
 def test_a_line_has_event_level_time_and_context():
-    log = quiet()
+    log = buffering_log()
     log.bind(pool="main")(
         "attempt.failed",
         trace_id="t",
@@ -86,7 +86,7 @@
         attempt_index=0,
         reason="",
     )
-    (line,) = lines(log)
+    (line,) = take_lines(log)
     assert line["event"] == "attempt.failed"
     assert line["level"] == "info"
     assert line["pool"] == "main"
@@ -96,21 +96,21 @@
 
 
 def test_an_event_is_logged_at_its_own_level_if_the_settings_want_that_level():
-    log = quiet(level="warning")
+    log = buffering_log(level="warning")
     for event in ("health_check.finished", "attempt.failed", "watch.timed_out", "exception.unhandled"):
         log(event)
-    assert [line["event"] for line in lines(log)] == ["watch.timed_out", "exception.unhandled"]
+    assert [line["event"] for line in take_lines(log)] == ["watch.timed_out", "exception.unhandled"]
     log.apply_settings(LogSettings(level="debug"))
     log.debug("health_check.finished")
-    assert [line["level"] for line in lines(log)] == ["debug"]
+    assert [line["level"] for line in take_lines(log)] == ["debug"]
 
 
 def test_sampling_drops_lines_of_the_sampled_event_only():
-    log = quiet(sample={"attempt.failed": Fraction(0.1)})
+    log = buffering_log(sample={"attempt.failed": Fraction(0.1)})
     for _ in range(2_000):
         log("attempt.failed")
         log("endpoint_list.applied")
-    counts = [line["event"] for line in lines(log)]
+    counts = [line["event"] for line in take_lines(log)]
     assert counts.count("endpoint_list.applied") == 2_000
     assert 140 < counts.count("attempt.failed") < 260
 
@@ -120,13 +120,13 @@
     assert len(set(EVENTS_BY_FORMER_NAME.values())) == len(EVENTS_BY_FORMER_NAME)
     assert set(EVENTS_BY_FORMER_NAME.values()) <= EVENTS.keys()
     for former, event in EVENTS_BY_FORMER_NAME.items():
-        log = quiet(level="debug", sample={former: Fraction(0.0)})
+        log = buffering_log(level="debug", sample={former: Fraction(0.0)})
         log(event)
         log("watch.ended")
-        assert [line["event"] for line in lines(log)] == ["watch.ended"]
+        assert [line["event"] for line in take_lines(log)] == ["watch.ended"]
 
 
-def test_the_page_for_on_call_has_each_former_name_of_an_event():
+def test_the_on_call_page_lists_every_former_event_name():
     page_text = (ROOT.parent / "docs" / "on-call.md").read_text()
     table = page_text.split("| event until 0.2 | event now |\n| --- | --- |\n")[1].split("\n\n")[0]
     rows = dict(re.findall(r"^\| `([^`]+)` \| `([^`]+)` \|$", table, re.MULTILINE))
@@ -134,7 +134,7 @@
 
 
 def test_secrets_are_redacted():
-    log = quiet()
+    log = buffering_log()
     log(
         "exception.unhandled",
         message={"Authorization": "Bearer x1", "deep": [{"password": "x2"}]},
@@ -147,7 +147,7 @@
 
 
 def test_lines_beyond_the_buffer_are_dropped_and_counted(monkeypatch):
-    monkeypatch.setattr(plain, "MAX_BUFFERED_BYTES", 2_000)
+    monkeypatch.setattr(log_module, "MAX_BUFFERED_BYTES", 2_000)
     reader, writer = os.pipe()
     log = StructuredLog("b", sink=writer)
     log.loop, log.write_scheduled = object(), True  # as if a write were due: nothing is written now
--- a/tests/server/test_server_forwarding.py
+++ b/tests/server/test_server_forwarding.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import pytest
-from fake_upstream_responses import NOT_EXECUTED, closes, never_ends, responds, truncates
+from fake_upstream_responses import NOT_EXECUTED, disconnect, respond_with, send_truncated, send_unframed
 from helpers import (
     CONF,
     PATIENCE,
@@ -49,26 +49,26 @@
 @pytest.mark.parametrize(
     ("respond", "retried"),
     [
-        (closes, False), (truncates, False), (never_ends, False), (responds("HTTP/1.1 500 No"), False),
-        (responds("HTTP/1.1 503 No"), False), (responds("HTTP/1.1 400 No", NOT_EXECUTED), False),
-        (responds("HTTP/1.1 200 OK", "Content-Length: 33554433\r\n"), False), (responds("rubbish"), False),
-        (responds("HTTP/1.1 503 No", NOT_EXECUTED), True), (responds("HTTP/1.1 504 No", NOT_EXECUTED), True),
+        (disconnect, False), (send_truncated, False), (send_unframed, False), (respond_with("HTTP/1.1 500 No"), False),
+        (respond_with("HTTP/1.1 503 No"), False), (respond_with("HTTP/1.1 400 No", NOT_EXECUTED), False),
+        (respond_with("HTTP/1.1 200 OK", "Content-Length: 33554433\r\n"), False), (respond_with("rubbish"), False),
+        (respond_with("HTTP/1.1 503 No", NOT_EXECUTED), True), (respond_with("HTTP/1.1 504 No", NOT_EXECUTED), True),
     ],
 )  # fmt: skip
 def test_only_requests_that_cannot_have_executed_are_retried(respond, retried):
-    asked = []
+    requests = []
 
-    def first_only(conn, request):
-        asked.append(request)
-        return respond(conn, request) if len(asked) == 1 else conn.sendall(answer()) is None
+    def respond_to_first(conn, request):
+        requests.append(request)
+        return respond(conn, request) if len(requests) == 1 else conn.sendall(answer()) is None
 
-    with program(Upstream(first_only), Upstream(first_only)) as (address, _, _):
+    with program(Upstream(respond_to_first), Upstream(respond_to_first)) as (address, _, _):
         status = Caller(address).ask("submit", "POST", b"x")[0]
-        assert (status, len(asked)) == ((200, 2) if retried else (502, 1))
+        assert (status, len(requests)) == ((200, 2) if retried else (502, 1))
 
 
 def test_a_response_longer_than_the_request_limit_passes_complete():
-    with program(Upstream(responds("HTTP/1.1 200 OK", body=b"x" * 380_000))) as (address, _, _):
+    with program(Upstream(respond_with("HTTP/1.1 200 OK", body=b"x" * 380_000))) as (address, _, _):
         assert Caller(address).ask("submit", "POST")[::2] == (200, b"x" * 380_000)
 
 
@@ -78,9 +78,9 @@
         program(upstream := Upstream(), ready=False, agent=Agent()) as (address, _, agent),
     ):
         bound.bind(("127.0.0.1", 0))  # and not listening: nobody else can get this port
-        dead = SimpleNamespace(address=f"127.0.0.1:{bound.getsockname()[1]}")
+        refusing = SimpleNamespace(address=f"127.0.0.1:{bound.getsockname()[1]}")
         agent.asked.get(timeout=PATIENCE)
-        agent.tell(2, True, entry("s-0", dead), entry("s-1", upstream))
+        agent.tell(2, True, entry("s-0", refusing), entry("s-1", upstream))
         assert until(lambda: is_ready(address) == 200)
         assert [Caller(address).ask("submit", "POST", trace=f"t{n}")[0] for n in range(4)] == [200] * 4
 
@@ -97,40 +97,40 @@
 
 
 def test_a_connection_that_is_never_established_times_out():
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as full, ExitStack() as stack:
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener, ExitStack() as stack:
         for _ in range(4):  # its queue is full: the system drops what comes now, and says nothing
-            waiting = stack.enter_context(socket.socket())
-            waiting.setblocking(False)
-            waiting.connect_ex(full.getsockname())
-        silent = SimpleNamespace(address=f"127.0.0.1:{full.getsockname()[1]}", close=lambda: None)
+            pending = stack.enter_context(socket.socket())
+            pending.setblocking(False)
+            pending.connect_ex(full_listener.getsockname())
+        silent = SimpleNamespace(address=f"127.0.0.1:{full_listener.getsockname()[1]}", close=lambda: None)
         with program(silent) as (address, _, _):
             assert Caller(address).ask("submit", "POST")[0] == 503
             assert Caller(address).ask("submit", "POST", expires="90")[0] == 503
 
 
-GOOD = "POST /submit HTTP/1.1\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 900\r\n"
+HEAD = "POST /submit HTTP/1.1\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 900\r\n"
 
 
 @pytest.mark.parametrize(
     ("raw", "status"),
     [
         ("rubbish\r\n\r\n", 400), ("\x16\x03\x01\x02\x00\x01\x00", 400),
-        (GOOD.replace("X-Trace-Id: t\r\n", "") + "\r\n", 400),
-        (GOOD.replace("submit", "other") + "\r\n", 404),
-        (GOOD.replace("900", "soon") + "\r\n", 400), (GOOD.replace("900", "0") + "\r\n", 400),
-        (GOOD.replace("900", "-5") + "\r\n", 400),
-        (GOOD.replace("X-Expires-In-Ms: 900\r\n", "") + "\r\n", 400),
-        (GOOD + "X-Expires-In-Ms: 800\r\n\r\n", 400), (GOOD + "Content-Length: 33554433\r\n\r\n", 413),
-        (GOOD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-        (GOOD + "Transfer-Encoding: chunked\r\n\r\n" + ("80000\r\n" + "x" * (1 << 19) + "\r\n") * 65, 413),
-        (GOOD + "X-Long: " + "x" * 20000 + "\r\n\r\n", 431), (GOOD + "X-Endless: " + "x" * 40000, 431),
-        (GOOD + "Upgrade: h2c\r\nConnection: upgrade\r\nContent-Length: 2\r\n\r\nok", 400),
-        ("DELETE" + GOOD[4:] + "\r\n", 405),
+        (HEAD.replace("X-Trace-Id: t\r\n", "") + "\r\n", 400),
+        (HEAD.replace("submit", "other") + "\r\n", 404),
+        (HEAD.replace("900", "soon") + "\r\n", 400), (HEAD.replace("900", "0") + "\r\n", 400),
+        (HEAD.replace("900", "-5") + "\r\n", 400),
+        (HEAD.replace("X-Expires-In-Ms: 900\r\n", "") + "\r\n", 400),
+        (HEAD + "X-Expires-In-Ms: 800\r\n\r\n", 400), (HEAD + "Content-Length: 33554433\r\n\r\n", 413),
+        (HEAD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (HEAD + "Transfer-Encoding: chunked\r\n\r\n" + ("80000\r\n" + "x" * (1 << 19) + "\r\n") * 65, 413),
+        (HEAD + "X-Long: " + "x" * 20000 + "\r\n\r\n", 431), (HEAD + "X-Endless: " + "x" * 40000, 431),
+        (HEAD + "Upgrade: h2c\r\nConnection: upgrade\r\nContent-Length: 2\r\n\r\nok", 400),
+        ("DELETE" + HEAD[4:] + "\r\n", 405),
         ("GET /-/other HTTP/1.1\r\n\r\n", 404), ("GET " + "/x" * 20000 + " HTTP/1.1\r\n\r\n", 431),
     ],
 )  # fmt: skip
-def test_malformed_requests_get_an_error_and_disturb_no_other_client(served, raw, status):
-    address, upstream = served
+def test_malformed_requests_get_an_error_and_disturb_no_other_client(running_balancer, raw, status):
+    address, upstream = running_balancer
     other, bad = Caller(address), Caller(address)
     bad.sock.sendall(raw.encode("latin-1"))
     response = bad.read()
@@ -140,16 +140,16 @@
 
 
 @pytest.fixture(scope="module")
-def served():
+def running_balancer():
     upstream = Upstream()
     with program(upstream) as (address, _, _):
         yield address, upstream
 
 
-def test_pipelined_and_trickled_requests_are_answered_in_order(served):
-    address, upstream = served
+def test_pipelined_and_trickled_requests_are_answered_in_order(running_balancer):
+    address, upstream = running_balancer
     client = Caller(address)
-    raw = (GOOD + "Content-Length: 1\r\n\r\n%d").encode()
+    raw = (HEAD + "Content-Length: 1\r\n\r\n%d").encode()
     client.sock.sendall(b"".join(raw % n for n in range(5)))
     assert [client.read()[2] for _ in range(5)] == [b"%d" % n for n in range(5)]
     for n in raw % 7:
@@ -175,10 +175,10 @@
         assert other.ask("submit", "POST")[0] == 200
 
 
-def test_an_idle_client_connection_is_closed(served):
-    client = Caller(served[0])
+def test_an_idle_client_connection_is_closed(running_balancer):
+    client = Caller(running_balancer[0])
     assert client.ask()[0] == 200
-    assert served[1].came.get(timeout=PATIENCE)
+    assert running_balancer[1].came.get(timeout=PATIENCE)
     assert client.read() is None
 
 
--- a/tests/server/test_server_lifecycle.py
+++ b/tests/server/test_server_lifecycle.py
@@ -22,16 +22,16 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_it_starts_from_the_configured_list_when_discovery_is_down(silent):
+def test_a_server_starts_from_the_configured_list_when_discovery_is_down(silent):
     upstream, agent = Upstream(), SilentDiscovery()
     if not silent:
         agent.close()
-    known = {"version": 41, "full": True, "servers": [entry("s-1", upstream)]}
-    with program(upstream, agent=agent, known=known) as (address, _, _):
+    known_endpoints = {"version": 41, "full": True, "servers": [entry("s-1", upstream)]}
+    with program(upstream, agent=agent, known=known_endpoints) as (address, _, _):
         assert Caller(address).ask()[0] == 200
 
 
-def test_it_is_not_ready_without_upstreams():
+def test_a_server_without_upstreams_is_not_ready():
     with program(ready=False) as (address, _, _):
         assert is_ready(address) == 503
         assert Caller(address).ask()[0] == 503
@@ -54,11 +54,11 @@
         upstream.came.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
         assert idle.read() is None  # closed between requests
-        late = Caller(address)
-        late.send(trace="t2", expires="3000")
+        late_client = Caller(address)
+        late_client.send(trace="t2", expires="3000")
         upstream.came.get(timeout=PATIENCE)
         proceed.set()
-        for client in (busy, late):
+        for client in (busy, late_client):
             response = client.read()
             assert response[0] == 200
             assert response[1]["connection"] == "close"
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "key"),
+    ("overrides", "key"),
     [
         ({"settings": None}, "settings"), ({"seed": "xyz"}, "seed"), ({"listen": "localhost:80"}, "listen"),
         ({"discovery": "127.0.0.1:99999"}, "discovery"), ({"limits": {"sockets": 3}}, "limits.sockets"),
@@ -98,9 +98,9 @@
         ({"settings": {**CONF, "caps": {"most-hops": 4, "may-tell": "no"}}}, "settings.caps.may-tell"),
     ],
 )  # fmt: skip
-def test_an_invalid_configuration_ends_the_start_with_one_line_that_names_the_key(tmp_path, raw, key):
+def test_an_invalid_configuration_ends_the_start_with_one_line_that_names_the_key(tmp_path, overrides, key):
     path = tmp_path / "config.json"
-    configuration = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": CONF, **raw}
+    configuration = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": CONF, **overrides}
     path.write_text(json.dumps(configuration))
     finished = subprocess.run(
         [sys.executable, "-m", "dahliabend"],
--- a/tests/server/test_server_reload.py
+++ b/tests/server/test_server_reload.py
@@ -24,9 +24,9 @@
 
 
 def test_list_changes_take_effect_and_a_lost_watch_catches_up():
-    one, two, three = Upstream(), Upstream(), Upstream()
-    agent = Agent(entry("s-1", one))
-    with program(one, two, three, agent=agent) as (address, _, _):
+    first, second, third = Upstream(), Upstream(), Upstream()
+    agent = Agent(entry("s-1", first))
+    with program(first, second, third, agent=agent) as (address, _, _):
         client = Caller(address)
         assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1"
 
@@ -40,18 +40,18 @@
                     continue
             return False
 
-        assert reaches(one)
-        agent.tell(2, False, entry("s-2", two), entry("s-1", one, "draining"))
-        assert reaches(two)
-        one.came.queue.clear()
+        assert reaches(first)
+        agent.tell(2, False, entry("s-2", second), entry("s-1", first, "draining"))
+        assert reaches(second)
+        first.came.queue.clear()
         assert [client.ask()[0] for _ in range(6)] == [200] * 6
-        assert one.came.empty()
-        agent.tell(3, False, entry("s-2", three))  # the same upstream at another address
-        assert reaches(three)
+        assert first.came.empty()
+        agent.tell(3, False, entry("s-2", third))  # the same upstream at another address
+        assert reaches(third)
         agent.watches[-1].shutdown(2)
         assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=3"
-        agent.tell(4, True, entry("s-1", one))  # left out of a full list is gone
-        assert reaches(one)
+        agent.tell(4, True, entry("s-1", first))  # left out of a full list is gone
+        assert reaches(first)
         agent.tell(5, False, {"id": "s-1", "state": "removed"}, {"id": 7}, {"state": "up"})
         for _ in range(1000):
             if is_ready(address) == 503:
@@ -61,20 +61,23 @@
 
 
 def test_reload_moves_the_watch_and_a_faulty_file_changes_nothing():
-    one, two, other = Upstream(), Upstream(), Agent()
-    with program(one, two, agent=Agent(entry("s-1", one))) as (address, process, agent), closing(other):
+    first, second, other = Upstream(), Upstream(), Agent()
+    with (
+        program(first, second, agent=Agent(entry("s-1", first))) as (address, process, agent),
+        closing(other),
+    ):
         replace(process, discovery="127.0.0.1:70000")
         assert logged(process, "reload.rejected")["reason"].startswith(f"{process.path}: discovery: ")
         assert Caller(address).ask()[0] == 200
         assert len(agent.watches) == 1
-        other.servers = [entry("s-2", two)]
+        other.servers = [entry("s-2", second)]
         replace(process, discovery=other.address, log="debug")
         assert other.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=1"
-        other.tell(2, True, entry("s-2", two))
+        other.tell(2, True, entry("s-2", second))
         while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         assert Caller(address).ask(trace="t2")[0] == 200
-        assert two.came.get(timeout=PATIENCE)
+        assert second.came.get(timeout=PATIENCE)
         replace(process, log="info")  # a file that leaves out what the one in force names is turned down
         assert agent.asked.get(timeout=PATIENCE)
         assert agent.asked.get(timeout=PATIENCE)
@@ -92,39 +95,39 @@
 
 def test_settings_change_under_traffic_and_a_faulty_file_changes_nothing():
     proceed = Event()
-    one = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
-    with program(one, Upstream()) as (address, process, agent):
+    first = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
+    with program(first, Upstream()) as (address, process, agent):
         in_flight = [Caller(address) for _ in range(6)]
         for n, client in enumerate(in_flight):
             client.send("submit", "POST", trace=f"h{n}")
-        assert one.came.get(timeout=PATIENCE)[0].startswith("POST /submit")
+        assert first.came.get(timeout=PATIENCE)[0].startswith("POST /submit")
         replace(process, settings={**CHANGED_SETTINGS, "fees": {"cross-zone": -1}})
         assert "settings.fees.cross-zone" in logged(process, "reload.rejected")["reason"]
         replace(process, settings=CHANGED_SETTINGS)
-        switched = logged(process, "settings.applied")
-        assert switched["restored"] == 2
-        assert not switched["new"]
-        assert switched["requests_in_flight"] >= 1
+        applied = logged(process, "settings.applied")
+        assert applied["restored"] == 2
+        assert not applied["new"]
+        assert applied["requests_in_flight"] >= 1
         assert logged(process, "settings.ignored")["settings"] == ["caps.max-streams"]
-        agent.tell(2, False, entry("s-0", one, "draining"))
+        agent.tell(2, False, entry("s-0", first, "draining"))
         while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         assert Caller(address).ask("submit", trace="n1")[0] == 404  # dropped by the new file
-        answers = [Caller(address).ask("upload", "POST", trace=f"u{n}", expires="1500") for n in range(4)]
-        assert [a[0] for a in answers] == [200] * 4
-        assert not any("upload" in request[0] for request in one.came.queue)
+        responses = [Caller(address).ask("upload", "POST", trace=f"u{n}", expires="1500") for n in range(4)]
+        assert [a[0] for a in responses] == [200] * 4
+        assert not any("upload" in request[0] for request in first.came.queue)
         proceed.set()
         assert [client.read()[0] for client in in_flight] == [200] * 6  # each once: the connections go on
         assert [client.ask(trace=f"g{n}")[0] for n, client in enumerate(in_flight)] == [200] * 6
-        back = {
+        restored_settings = {
             **CHANGED_SETTINGS,
             **CONF,
             "fees": {"cross-zone": 0},
             "caps": {**CONF["caps"], "max-streams": 1},
         }
-        replace(process, settings={**back, "fees": {}})
+        replace(process, settings={**restored_settings, "fees": {}})
         assert "settings.fees.cross-zone" in logged(process, "reload.rejected")["reason"]
-        replace(process, settings=back)
+        replace(process, settings=restored_settings)
         assert logged(process, "settings.applied")["restored"] == 2
         assert Caller(address).ask("submit", "POST", trace="n2")[0] == 200
 
@@ -132,24 +135,24 @@
 def test_requests_in_flight_over_a_reload_go_to_no_draining_upstream():
     proceed = Event()
 
-    def closes(conn, request):
+    def close_when_released(conn, request):
         proceed.wait(PATIENCE)
 
-    one, two = Upstream(closes), Upstream()
-    with program(one, agent=Agent(entry("s-0", one))) as (address, process, agent):
+    first, second = Upstream(close_when_released), Upstream()
+    with program(first, agent=Agent(entry("s-0", first))) as (address, process, agent):
         client = Caller(address)
         client.send(trace="q1")
-        one.came.get(timeout=PATIENCE)
+        first.came.get(timeout=PATIENCE)
         replace(process, settings=CHANGED_SETTINGS)
         logged(process, "settings.applied")
-        agent.tell(2, False, entry("s-0", one, "draining"), entry("s-1", two))
+        agent.tell(2, False, entry("s-0", first, "draining"), entry("s-1", second))
         while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
         proceed.set()
         assert client.read()[0] == 200
-        assert two.came.get(timeout=PATIENCE)
-        assert one.came.empty()
-    two.close()
+        assert second.came.get(timeout=PATIENCE)
+        assert first.came.empty()
+    second.close()
 
 
 @pytest.mark.parametrize(
@@ -166,8 +169,8 @@
         ({"settings": {key: CONF[key] for key in CONF if key != "contract"}}, "contract"),
     ],
 )  # fmt: skip
-def test_an_invalid_file_is_refused_on_reload_and_counted(running, text, key):
-    address, process = running
+def test_an_invalid_file_is_rejected_on_reload_and_counted(running_balancer, text, key):
+    address, process = running_balancer
     invalid = call(process.admin, "/api/telemetry")[1]["cfg_invalid"]
     if isinstance(text, str):
         with open(f"{process.path}.new", "w") as file:
@@ -183,6 +186,6 @@
 
 
 @pytest.fixture(scope="module")
-def running():
+def running_balancer():
     with program(Upstream()) as (address, process, _):
         yield address, process
--- a/tests/server/test_server_states.py
+++ b/tests/server/test_server_states.py
@@ -28,42 +28,42 @@
 def test_a_server_serves_once_it_has_started(make_server):
     server = make_server(0)
     assert server.lifecycle.state is ServerState.STARTING
-    server.lifecycle.serving()
+    server.lifecycle.mark_serving()
     assert server.lifecycle.state is ServerState.SERVING
 
 
-def test_a_server_that_was_stopped_during_its_start_goes_on_draining(make_server):
+def test_a_server_that_was_stopped_during_its_start_keeps_draining(make_server):
     server = make_server(1)
     server.lifecycle.drain()
-    server.lifecycle.serving()
+    server.lifecycle.mark_serving()
     assert server.lifecycle.state is ServerState.DRAINING
 
 
 def test_draining_accepts_late_connections_and_stops_once_all_clients_have_gone(make_server):
     server = make_server(2)
-    server.lifecycle.serving()
+    server.lifecycle.mark_serving()
     server.lifecycle.drain()
-    begin = server.timers.now
-    server.timers.run_until(begin + ACCEPT_PERIOD - 1)
+    start_time = server.timers.now
+    server.timers.run_until(start_time + ACCEPT_PERIOD - 1)
     assert server.lifecycle.state is ServerState.DRAINING
     assert server.events == ["shutdown.started"]
-    server.timers.run_until(begin + ACCEPT_PERIOD)
+    server.timers.run_until(start_time + ACCEPT_PERIOD)
     assert server.lifecycle.state is ServerState.CLOSING
     assert server.events == ["shutdown.started", "listener closed"]
     server.clients = 0
-    server.timers.run_until(begin + 2 * ACCEPT_PERIOD)
+    server.timers.run_until(start_time + 2 * ACCEPT_PERIOD)
     assert server.lifecycle.state is ServerState.STOPPED
     assert server.lifecycle.stopped.done()
 
 
-def test_a_listener_that_another_process_has_too_is_closed_at_once(make_server):
+def test_an_inherited_listener_is_closed_at_once(make_server):
     server = make_server(1, shared_listener=True)
     server.lifecycle.drain()
     server.timers.run_until(server.timers.now)
     assert server.lifecycle.state is ServerState.CLOSING
 
 
-def test_clients_that_stay_are_not_waited_for_beyond_the_deadline(make_server):
+def test_the_server_stops_after_a_timeout_if_clients_stay_connected(make_server):
     server = make_server(1)
     server.lifecycle.drain()
     deadline = server.timers.now + server.max_request_time + KILL_MARGIN - ANSWER_MARGIN
