--- a/dahliabend/server/__init__.py
+++ b/dahliabend/server/__init__.py
@@ -1,1 +1,1 @@
-"""The running process: it owns all that runs, wires it together, and handles signals, reload and shutdown."""
+"""The server process: creates and wires its components, and handles signals, reloads and shutdown."""
--- a/dahliabend/server/admin.py
+++ b/dahliabend/server/admin.py
@@ -1,4 +1,4 @@
-"""The admin API: what each call of an operator does."""
+"""The admin API: the calls with which operators query and control a running server."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -9,50 +9,56 @@
 from dahliabend.server.log import EventLog
 
 FIRST_ERROR_STATUS = 400
-MAX_LOGGED_CHARACTERS = 100  # of a path or a name that an operator sent
+MAX_LOGGED_CHARACTERS = 100  # of a path or an upstream's name in an admin call
 _JSON_HEADER = b"Content-Type: application/json\r\n"
 
 AdminCall = Callable[[bytes], AdminResponse]
 
 
 class AdminTarget(Protocol):
-    """The server as admin calls see it."""
+    """The server, reduced to what admin calls need."""
 
     def ready(self) -> bool:
         """Return whether requests can be served."""
 
     def telemetry(self) -> dict[str, Any]:
-        """Return the counts."""
+        """Return the counters of requests, attempts and reloads."""
 
     def membership_status(self) -> dict[str, Any] | None:
-        """Return the other balancers; None if there is no membership."""
+        """Return the members of the cluster; None if the server is not a member of one."""
 
     def subset_status(self) -> dict[str, Any]:
-        """Return, by pool, the upstreams in use, where a pool uses a subset."""
+        """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
 
     def gossip_status(self) -> dict[str, Any] | None:
-        """Return the health reports exchanged with other balancers; None if there are none."""
+        """Return the health reports exchanged with other balancers; None without health gossip."""
 
     def lease_status(self) -> dict[str, Any] | None:
-        """Return the leases of shared health checks; None if they are not shared."""
+        """Return the leases of shared health checks; None if health checks are not shared."""
 
     def exclude(self, name: str, excluded: bool) -> bool:
-        """Take an upstream out or put it back; False if no list has ever had it."""
+        """Exclude an upstream or include it again; return whether an endpoint list has ever had it."""
 
     def evacuate(self) -> None:
-        """Send the clients to other balancers."""
+        """Close client connections, so that clients connect to other balancers, until `rejoin` is called."""
 
     def rejoin(self) -> None:
-        """Accept clients again."""
+        """End the evacuation."""
 
 
 def json_response(status: int, **fields: object) -> AdminResponse:
-    """Return a response with these fields as a JSON object."""
+    """Return a response whose body is a JSON object with these fields."""
     return AdminResponse(status, _JSON_HEADER, orjson.dumps(fields, option=orjson.OPT_APPEND_NEWLINE))
 
 
 class AdminApi:
-    """The admin calls by path, each with its method."""
+    """The handler of admin calls.
+
+    Attributes:
+        target: The server that the calls query and control.
+        log: The event log.
+        calls: The HTTP method and the handler of each call, by path.
+    """
 
     def __init__(self, target: AdminTarget, log: EventLog) -> None:
         self.target = target
@@ -71,7 +77,7 @@
         }
 
     def __call__(self, method: bytes, path: bytes, body: bytes) -> AdminResponse:
-        """Answer a call, and log it if it changed something or failed."""
+        """Handle a call, and log it unless it only read something and succeeded."""
         allowed_method, call = self.calls.get(path, (b"", None))
         if call is None:
             response = json_response(404, error="no such call")
@@ -90,45 +96,45 @@
         return response
 
     def ready(self, _body: bytes) -> AdminResponse:
-        """Answer whether requests can be served."""
+        """Respond with 200 if requests can be served, otherwise with 503."""
         ready = self.target.ready()
         return json_response(200 if ready else 503, ready=ready)
 
     def telemetry(self, _body: bytes) -> AdminResponse:
-        """Answer with the counts."""
+        """Respond with the counters."""
         return json_response(200, **self.target.telemetry())
 
     def members(self, _body: bytes) -> AdminResponse:
-        """Answer with the other balancers."""
+        """Respond with the members of the cluster."""
         return _respond_or_not_found(self.target.membership_status(), "there is no [members]")
 
     def subsets(self, _body: bytes) -> AdminResponse:
-        """Answer with the subsets in use, by pool."""
+        """Respond with the subsets in use, by pool."""
         return json_response(200, pools=self.target.subset_status())
 
     def gossip(self, _body: bytes) -> AdminResponse:
-        """Answer with the health reports of all balancers."""
+        """Respond with the health reports of all balancers."""
         return _respond_or_not_found(self.target.gossip_status(), "[members] has no signals")
 
     def leases(self, _body: bytes) -> AdminResponse:
-        """Answer with the leases of shared health checks."""
+        """Respond with the leases of shared health checks."""
         return _respond_or_not_found(self.target.lease_status(), "[members] has no probing")
 
     def exclude(self, body: bytes) -> AdminResponse:
-        """Take an upstream out of all pools."""
+        """Exclude an upstream from all pools."""
         return self._set_excluded(body, excluded=True)
 
     def include(self, body: bytes) -> AdminResponse:
-        """Put an upstream back that was taken out."""
+        """Include an excluded upstream again."""
         return self._set_excluded(body, excluded=False)
 
     def evacuate(self, _body: bytes) -> AdminResponse:
-        """Send the clients to other balancers."""
+        """Start the evacuation: client connections are closed until `rejoin` is called."""
         self.target.evacuate()
         return json_response(200, evacuated=True)
 
     def rejoin(self, _body: bytes) -> AdminResponse:
-        """Accept clients again."""
+        """End the evacuation."""
         self.target.rejoin()
         return json_response(200, evacuated=False)
 
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -1,6 +1,6 @@
-"""Limits of the whole cluster: each balancer admits its own share, adapted to its demand.
+"""Limits of the whole cluster: each balancer admits a share of them that follows its demand.
 
-Imported only where a route is `shared`: nothing else pays for it.
+Imported only if a route is `shared`, so that other configurations don't load its dependencies.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,35 +12,35 @@
 from dahliabend.server.log import EventLog
 from dahliabend.transport.timers import clock
 
-SMOOTHING = 1 / 4  # weight of the newest interval in the demand
-LOGGED_CHANGE = 1 / 10  # of the share that was logged last: a smaller change is not logged
-WIRE_DIGITS = 6  # decimal places of what others are told
-STATUS_DIGITS = 4  # decimal places of what operators are shown
+SMOOTHING = 1 / 4  # weight of the newest interval in the moving average of the demand
+LOGGED_CHANGE = 1 / 10  # relative change of a share below which it is not logged again
+WIRE_DIGITS = 6  # decimal places of shares and demand in messages
+STATUS_DIGITS = 4  # decimal places of shares and demand in the admin API and the log
 
 SharedRoutes = Callable[[], Iterable[tuple[CompiledRoute, int]]]
 
 
 class ClusterLimits:
-    """This balancer's share of each limit that routes have in common with other balancers."""
+    """This balancer's share of each limit that it shares with the other balancers."""
 
     def __init__(self, own_name: str, routes: SharedRoutes, log: EventLog) -> None:
-        """Make limits that are not divided yet.
+        """Create shared limits without routes; `update_routes` adds these.
 
         Args:
             own_name: This balancer's name.
-            routes: Returns the active routes with a shared limit, with the configured number of balancers.
+            routes: Returns the active routes with a shared limit and the configured number of balancers.
             log: The event log.
         """
         self.own_name = own_name
         self.routes = routes
         self.log = log
-        self._shares: dict[str, QuotaShare] = {}  # this and the following by route
+        self._shares: dict[str, QuotaShare] = {}  # by route name, as the following two
         self._demands: dict[str, float] = {}
         self._logged_shares: dict[str, float] = {}
-        self._last_tick = 0  # 0: there was none
+        self._last_tick = 0  # time of the last tick; 0 before the first one
 
     def update_routes(self) -> None:
-        """Begin with an equal share for new routes, before any other balancer is heard; drop removed ones."""
+        """Start new routes with an equal share, as no reports have been received yet; drop removed routes."""
         current = {route.name: (route, balancers) for route, balancers in self.routes()}
         for name, (route, balancers) in current.items():
             if name not in self._shares:
@@ -51,25 +51,25 @@
             self._demands.pop(name, None)
 
     def report_received(self, at: int, origin: str, announcement: QuotaAnnouncement) -> None:
-        """Take in what another balancer announces of its share."""
+        """Store the share and demand that another balancer announces."""
         share = self._shares.get(announcement.limit)
         if share is not None:
             share.update_peer(at, origin, announcement.share, announcement.demand)
 
     def reports(self) -> list[QuotaAnnouncement]:
-        """Return what the others are to be told."""
+        """Return the shares and demands to announce to the other balancers."""
         return [
             QuotaAnnouncement(name, round(share.share, WIRE_DIGITS), round(share.demand, WIRE_DIGITS))
             for name, share in sorted(self._shares.items())
         ]
 
     def tick(self, members: set[str], left: set[str], partitioned: bool) -> None:
-        """Adapt all shares to the demand since the last call.
+        """Adjust all shares to the demand since the last call.
 
         Args:
-            members: Names of the balancers that are present.
-            left: Names of those that have left in order.
-            partitioned: Whether this balancer may be cut off from others.
+            members: The names of the balancers that are present.
+            left: The names of the balancers that have left gracefully.
+            partitioned: Whether a network partition may separate this balancer from others.
         """
         self.update_routes()
         now = clock()
@@ -84,7 +84,7 @@
             self._log_share(route.name, fraction, demand)
 
     def status(self) -> list[dict[str, Any]]:
-        """Return all shares for operators."""
+        """Return all shares in the form of the admin call `/api/signals`."""
         return [
             {
                 "route": name,
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -1,6 +1,6 @@
-"""What operators are shown of a cluster: counts for the log, and all members for the admin call.
+"""The state of the cluster for operators: metrics for the log, and all members for the admin API.
 
-Times are in milliseconds, and count back from now.
+Times are ages in milliseconds.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,10 @@
 
 
 class MembershipMetrics(msgspec.Struct, frozen=True):
-    """The metrics of membership: fields as the log names them, encoded as the admin call does."""
+    """The metrics of the membership protocol.
+
+    The log uses the names of the fields; the admin API uses the names that they are encoded with.
+    """
 
     version: int
     checksum: str = msgspec.field(name="mark")
@@ -39,7 +42,7 @@
 def membership_metrics(
     view: MembershipView, protocol: MembershipProtocol, transport: UdpTransport
 ) -> MembershipMetrics:
-    """Return the metrics of membership."""
+    """Collect the metrics of the membership protocol."""
     return MembershipMetrics(
         version=view.version,
         checksum=view.checksum,
@@ -62,7 +65,7 @@
 def membership_status(
     now: int, view: MembershipView, stable_view: MembershipView | None, protocol: MembershipProtocol
 ) -> dict[str, Any]:
-    """Return the members that are present, those that have gone, and the last settled view."""
+    """Return the present and departed members and the last stable view, for `/api/members`."""
     return {
         "here": [_present_member_fields(now, member) for member in view.members],
         "gone": list(_departed_member_fields(now, protocol)),
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -1,6 +1,6 @@
-"""This balancer as a member of its cluster: membership, gossip, seeds and the file for a successor.
+"""This balancer as a member of its cluster: membership protocol, gossip, seeds and the file for a successor.
 
-Imported only where the operator's file has `[members]`: nothing else pays for it.
+Imported only if the operator's file has `[members]`, so that other configurations load no dependency of it.
 """
 
 import os
@@ -31,29 +31,29 @@
 if TYPE_CHECKING:
     from dahliabend.server.cluster_limits import SharedRoutes
 
-NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
+NANOSECONDS_PER_MICROSECOND = 1000
 
 
 class MemberState(Enum):
-    """Where this member stands between its start and its end."""
+    """The state of this member."""
 
-    NEW = auto()
-    OPEN = auto()  # it communicates with the others
-    LEFT = auto()  # it has left, or a successor goes on in its place
+    NEW = auto()  # not opened yet
+    OPEN = auto()  # exchanges datagrams with the other members
+    LEFT = auto()  # has left the cluster or handed over to a successor
 
 
 class ClusterMember:
-    """This balancer among the others.
+    """This balancer as a member of its cluster.
 
     Attributes:
-        settings: What the operator's file says of membership, as far as it is in force.
+        settings: The membership settings in force; after a reload, some wait for a restart.
         name: This member's name.
-        address: Where the others send to.
-        stored: What a predecessor has left, if anything.
-        failure_detector: The membership protocol, free of I/O.
-        gossip: What balancers tell each other of upstreams; None if they don't.
-        demand: An estimate of the requests to this balancer; None if its weight is a setting.
-        seed_list: The seeds that lists have.
+        address: The address that the other members send datagrams to.
+        stored: The membership state that a predecessor stored; None if there is none.
+        failure_detector: The membership protocol, without I/O.
+        gossip: The exchange of health reports with other members; None if it is not configured.
+        demand: The estimator of the requests to this balancer; None if its weight is configured.
+        seed_list: The seeds from endpoint lists.
     """
 
     def __init__(
@@ -65,14 +65,14 @@
         seed: int,
         log: EventLog,
     ) -> None:
-        """Make a member that is not open yet, and read what its predecessor has left.
+        """Create a member that is not open yet, and read the state that a predecessor stored.
 
         Args:
-            settings: What the operator's file says of membership.
-            directory: That relative paths start from.
+            settings: The membership settings of the operator's file.
+            directory: The directory that relative paths refer to.
             timers: The process's timers.
-            descriptors: The budget for connections to discovery services.
-            seed: Of this member's random numbers.
+            descriptors: The descriptor budget of connections to discovery services.
+            seed: The seed of this member's random number generator.
             log: The event log.
         """
         self.settings = settings
@@ -86,7 +86,7 @@
         generation = host_info.time_ns() // NANOSECONDS_PER_MICROSECOND
         self._file = self._create_membership_file()
         self.stored = self._file.read() if self._file is not None else None
-        if self.stored is not None:  # a clock that was set back must not make it older than it was
+        if self.stored is not None:  # the generation must increase even if the clock was set back
             generation = max(generation, self.stored.generation + 1)
         self.failure_detector = self._create_membership_protocol(generation, random)
         self.transport = UdpTransport(
@@ -132,18 +132,18 @@
         paths = [os.path.join(self.directory, file_name) for file_name in settings.key_files]
         return DatagramAuthenticator([parse_key(host_info.read_file(path)) for path in paths])
 
-    # Start and end.
+    # Start and shutdown
 
     @property
     def has_opened(self) -> bool:
-        """Return whether it has communicated with the others."""
+        """Whether the member has been opened, even if it has left since."""
         return self.state is not MemberState.NEW
 
     async def open(self) -> None:
-        """Communicate with the others from now on.
+        """Open the transport and start exchanging datagrams with the other members.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The member can't bind its address.
         """
         resumed = self.stored is not None and self.stored.handed_over
         if self.stored is not None and resumed:
@@ -165,20 +165,20 @@
             self.gossip.tick()
 
     def leave(self) -> None:
-        """Leave the cluster; the others know at once."""
+        """Leave the cluster and announce it, so that the others need not detect it."""
         if self.state is not MemberState.LEFT:
             self.state = MemberState.LEFT
             self.transport.leave()
 
     def hand_over(self) -> None:
-        """Fall silent for a successor, which goes on as this member: the others see no change."""
+        """Store the state and stop sending, so that a successor continues as this member unnoticed."""
         if self.state is not MemberState.LEFT:
             self.state = MemberState.LEFT
             self.store(handed_over=True)
             self.transport.close()
 
     def close(self) -> None:
-        """Release everything."""
+        """Stop all timers and sources, and close the transport."""
         self.timers.cancel(self._store_timer)
         if self.gossip is not None:
             self.gossip.stop()
@@ -186,10 +186,10 @@
         self.transport.close()
 
     def store(self, *, handed_over: bool = False) -> None:
-        """Write what a successor needs, and do so again after a while.
+        """Store the state for a successor, now and at intervals.
 
         Args:
-            handed_over: Whether the successor is to go on as this member; nothing is written after that.
+            handed_over: Whether the successor continues as this member; nothing is stored after that.
         """
         if self._file is None:
             return
@@ -199,16 +199,16 @@
             interval = MAX_AGE_PERIODS * self.settings.period
             self._store_timer = self.timers.schedule(clock() + interval, self.store)
 
-    # Changes.
+    # Settings, seeds and demand
 
     def seeds(self) -> list[str]:
-        """Return the addresses of all that may be members."""
+        """Return the addresses of possible members: configured ones, those of lists, and stored ones."""
         stored = [update.address for update in self.stored.members] if self.stored is not None else []
         addresses = [*self.settings.seeds, *self.seed_list.addresses.values(), *stored]
         return list(dict.fromkeys(addresses))
 
     def apply_settings(self, settings: MembershipSettings) -> None:
-        """Apply what a reload may change; the rest waits for a restart."""
+        """Apply the settings that can change at run time; the others wait for a restart."""
         before = self.settings
         self.settings = msgspec.structs.replace(
             before,
@@ -219,7 +219,7 @@
             seeds_discovery=settings.seeds_discovery,
             key_files=settings.key_files,
         )
-        # The files may hold other keys under the same names.
+        # The content of key files may have changed under the same names.
         self.transport.authenticator = self._create_authenticator(settings)
         current_weight = self.failure_detector.self_update.weight
         weight = settings.weight if self.demand is None else current_weight
@@ -232,15 +232,15 @@
         self._update_seeds()
 
     def share_limits(self, routes: "SharedRoutes") -> None:
-        """Share the limits of these routes with the other balancers; wants gossip."""
+        """Share the limits of these routes with the other balancers; does nothing without gossip."""
         if self.gossip is not None:
             self.gossip.share_limits(routes)
 
     def report_demand(self, request_count: int) -> None:
-        """Tell the others this balancer's demand if it has changed.
+        """Announce this balancer's demand to the other members if it has changed.
 
         Args:
-            request_count: All requests that have come until now.
+            request_count: The total number of requests so far.
         """
         if self.demand is None:
             return
@@ -261,14 +261,14 @@
             incarnation=event.incarnation,
         )
 
-    # Views.
+    # Views
 
     def view(self) -> MembershipView:
-        """Return the newest view of the members."""
+        """Return the current view of the cluster."""
         return self.failure_detector.view(clock())
 
     def last_stable_view(self) -> MembershipView | None:
-        """Return the last view in which nobody was suspected, if there was one."""
+        """Return the last view without suspected members; None if there was none."""
         return self.failure_detector.last_stable_view(clock())
 
     def metrics(self) -> cluster_status.MembershipMetrics:
@@ -276,7 +276,7 @@
         return cluster_status.membership_metrics(self.view(), self.failure_detector, self.transport)
 
     def status(self) -> dict[str, Any]:
-        """Return all that this member knows, for operators."""
+        """Return the members and metrics in the form of the admin call `/api/members`."""
         protocol = self.failure_detector
         return {
             "name": self.name,
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -1,4 +1,4 @@
-"""A list of endpoints that stands in a file: upstreams, or other balancers."""
+"""An endpoint list that is read from a file instead of a discovery service: upstreams or other balancers."""
 
 from typing import Any
 
@@ -9,17 +9,16 @@
 from dahliabend.transport import host_info
 from dahliabend.transport.timers import TimerQueue, clock
 
-READ_INTERVAL = 1_000_000  # microseconds between two readings of a watched file
+READ_INTERVAL = 1_000_000  # microseconds between two reads of a watched file
 
 
 class EndpointListFile:
-    """The source of a list that no discovery service keeps.
+    """The source of an endpoint list without a discovery service; used in place of a discovery client.
 
-    It stands in the operator's file itself, or in a file of its own that is watched. It takes the place of a
-    discovery client.
+    The list is part of the operator's file, or is in a separate file that is watched for changes.
 
     Attributes:
-        attempted: Always true: unlike a discovery service, a file need not be waited for.
+        attempted: Always true: a discovery client sets it after its first contact; a file is read at once.
     """
 
     def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: EventLog) -> None:
@@ -32,12 +31,12 @@
         self._read_timer: Any = None
 
     def set_endpoints(self, entries: list[dict[str, Any]]) -> None:
-        """Replace the whole list by these entries, in the discovery service's form."""
+        """Replace the whole list by these entries, which are in the discovery service's format."""
         message = {"version": self.endpoint_list.version + 1, "full": True, "servers": entries}
         self.endpoint_list.apply(message, first=True)
 
     def watch(self, path: str) -> None:
-        """Read the list from that file, now and whenever it changes."""
+        """Read the list from this file, now and whenever the file changes."""
         self.stop()
         self._path = path
         self._read()
@@ -46,7 +45,7 @@
         """Do nothing: there is no connection to open."""
 
     def poll(self) -> None:
-        """Do nothing: a watched file is read at intervals anyway."""
+        """Do nothing: a watched file is read at intervals."""
 
     def stop(self) -> None:
         """Stop watching the file."""
@@ -60,7 +59,7 @@
                 return
             entries = _parse_entries(content)
         except (OSError, ValueError, KeyError, TypeError) as error:
-            # Half a file, or none for a moment: the list stays as it is, and nothing is taken out for it.
+            # The file may be missing or half written for a moment: the list is kept, no endpoint is removed.
             self.log("endpoint_file.read_failed", file=self._path, reason=str(error))
             return
         self._applied_content = content
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -1,7 +1,7 @@
-"""What balancers tell each other of upstreams, exchanged at an interval with the members that are present.
+"""The exchange of health reports on upstreams with the other members of the cluster, at a fixed interval.
 
-The same messages carry leases of shared health checks, and shares of common limits. What implements these is
-imported only where the operator's file wants it.
+The same messages carry the leases of shared health checks and the shares of shared limits. The modules for
+these are imported only if the operator's file configures them.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -29,20 +29,20 @@
     from dahliabend.server.shared_health_checks import SharedHealthChecks
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_SHOWN_SUSPICIONS = 16  # the newest ones, kept for operators
+MAX_SHOWN_SUSPICIONS = 16  # newest suspicions kept for the admin API
 
 PoolRouters = Sequence[tuple[str, Router]]
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """An upstream that several other balancers have reported as failing, and that the policy was told of.
+    """An upstream reported as failing by several other balancers, whose reports the policy has counted.
 
     Attributes:
-        pool: Its pool.
-        upstream: Its name.
-        at: When the policy was told, in microseconds.
-        origins: How many balancers have reported it.
+        pool: The name of the upstream's pool.
+        upstream: The upstream's name.
+        at: The time in microseconds at which the policy counted the reports.
+        origins: The number of balancers that have reported the upstream.
     """
 
     pool: str
@@ -52,13 +52,13 @@
 
 
 class GossipExchange:
-    """The health gossip of this balancer, on the transport of its membership.
+    """The health gossip of this balancer, sent over the transport of the membership protocol.
 
     Attributes:
-        gossip: What is told and heard, free of I/O.
-        pools: Returns name and router of each pool that takes part.
-        health_checks: The checks shared with other balancers; None if they are not shared.
-        limits: The limits shared with other balancers; None until a route has one.
+        gossip: The gossip protocol, without I/O.
+        pools: Returns the name and router of each pool that takes part.
+        health_checks: The shared health checks; None if health checks are not shared.
+        limits: The shared limits; None until a route has one.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         *,
         health_check_period: int,
     ) -> None:
-        """Make an exchange that has not started.
+        """Create an exchange that has not started.
 
         Args:
-            protocol: Who the members are; it carries the messages.
-            transport: Its socket.
+            protocol: The membership protocol, which knows the members and carries the messages.
+            transport: The transport of the membership protocol.
             timers: The process's timers.
-            random: Draws the members that are told something.
+            random: The random number generator that selects the recipients of messages.
             log: The event log.
-            health_check_period: Microseconds between two shared checks of an upstream; 0: not shared.
+            health_check_period: Microseconds between two shared checks of an upstream; 0 to share none.
         """
         self.protocol = protocol
         self.transport = transport
@@ -104,7 +104,7 @@
         self.gossip.on_lease = leased.apply_announcement
 
     def share_limits(self, routes: "SharedRoutes") -> None:
-        """Share the limits of these routes from now on."""
+        """Start sharing the limits of these routes, or update them if limits are shared already."""
         if self.limits is None:
             from dahliabend.server.cluster_limits import ClusterLimits
 
@@ -114,11 +114,11 @@
         self.limits.update_routes()
 
     def record_outcome(self, pool: str, upstream: str, outcome: Outcome) -> None:
-        """Count the outcome of an attempt, to be told to the others."""
+        """Count the outcome of an attempt for this balancer's health reports."""
         self.gossip.record_outcome(clock(), pool, upstream, outcome)
 
     def tick(self) -> None:
-        """Act on what was heard, tell others what happened here, and do so again after an interval."""
+        """Apply received reports, send this balancer's own, and schedule the next tick."""
         now = clock()
         self._timer = self.timers.schedule(now + GOSSIP_INTERVAL, self.tick)
         view = self.protocol.view(now)
@@ -132,11 +132,11 @@
         self._send_outbox()
 
     def stop(self) -> None:
-        """Exchange nothing any more."""
+        """Stop the exchange."""
         self.timers.cancel(self._timer)
 
     def status(self) -> dict[str, Any]:
-        """Return, for operators, what this balancer tells, was told, and has told its policies."""
+        """Return sent and received reports and suspicions in the form of the admin call `/api/signals`."""
         now = clock()
         origins = [
             {
@@ -163,7 +163,7 @@
             self.gossip.receive(clock(), message)
 
     def _report_suspected(self, now: int, pool: str, router: Router, members: set[str]) -> None:
-        """Tell a pool's policy which of its upstreams several other balancers report as failing."""
+        """Pass to a pool's policy the reports on upstreams that several other balancers report as failing."""
         balancer = router.balancer
         endpoints = router.table.endpoints
         indices = {
--- a/dahliabend/server/handover_state.py
+++ b/dahliabend/server/handover_state.py
@@ -1,6 +1,6 @@
-"""The state that a process writes for its successor, and goes on from when it is the successor.
+"""Capturing the state that a process leaves for its successor, and restoring that of a predecessor.
 
-Its form is shared by two versions of the program during an upgrade: keys and their order stay as they are.
+During an upgrade two versions of the program share this format, so its keys and their order must not change.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def capture_state(router: Router, endpoint_list: EndpointList, discovery: DiscoveryClient) -> dict[str, Any]:
-    """Return the state that a successor goes on from."""
+    """Return the state of a running process, for a successor to restore."""
     endpoints = {
         "version": endpoint_list.version,
         "full": True,
@@ -23,15 +23,15 @@
 def restore_state(
     state: dict[str, Any], router: Router, endpoint_list: EndpointList, discovery: DiscoveryClient
 ) -> int:
-    """Go on from the state of a predecessor, before anything is served.
+    """Restore the state of a predecessor, before any request is served.
 
     Returns:
-        The number of upstreams whose statistics go on.
+        The number of upstreams whose statistics were restored.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: The state can't be read.
+        KeyError, TypeError, ValueError, AttributeError: The state is malformed.
     """
-    router.epoch = state["epoch"]  # else the same start of an upstream would look like another one
+    router.epoch = state["epoch"]  # with another epoch, start times of upstreams would appear to have changed
     for name in state["once"]:
         router.table.remember_id(name)
     for name, included_at in state["returned"].items():
@@ -39,5 +39,5 @@
     endpoint_list.apply(state["list"], first=True)
     restored = router.restore(state)
     discovery.change_address(tuple(state["discovery"]))
-    discovery.attempted = True  # the predecessor has asked it already
+    discovery.attempted = True  # the predecessor has already contacted the discovery service
     return restored
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -1,7 +1,8 @@
-"""The directory that two processes on one listening socket share, for a restart without an interruption.
+"""The directory that processes with one listening socket share, for a restart without an interruption.
 
-It holds small files, each written as a whole under another name and renamed. One that can't be read is
-skipped. In it stand: who lives, the state for a successor, and the upstreams that an operator has excluded.
+It holds three sorts of small files: a locked one for each live process, the state for a successor, and one
+for each upstream that an operator has excluded. Files are written under a temporary name and renamed; a file
+that can't be read is skipped.
 """
 
 from collections.abc import Callable
@@ -14,17 +15,17 @@
 from dahliabend.transport import host_info
 from dahliabend.transport.runtime_directory import LockedFile
 
-VERSION = 1  # of the files' form: what another version wrote is not read
+VERSION = 1  # of the state's format; state of another version is ignored
 EXCLUSIONS_DIRECTORY = "excluded"
-DIGEST_BYTES = 16  # of an upstream's name, in the name of its file
+DIGEST_BYTES = 16  # length of the digest of an upstream's name that names its file
 
 
 class ProcessKey(NamedTuple):
-    """A process among those that share the directory; an older one compares as less.
+    """The key of a process that uses the directory; keys sort by the start of their processes.
 
     Attributes:
-        generation: One more than that of the newest process at its start.
-        process_id: Its number in the system.
+        generation: One more than the highest generation among the processes that were alive at its start.
+        process_id: The operating system's process id.
     """
 
     generation: int
@@ -37,13 +38,13 @@
 
 
 class HotRestart:
-    """This process among those that share the directory.
+    """The shared directory, as one process reads and writes it.
 
-    The one in service writes its state for its successor. Exclusions are a file each, so that calls to either
-    process can't undo one another.
+    A running process writes its state for its successor. Each exclusion is a file of its own, so that admin
+    calls to two processes can't overwrite each other's changes.
 
     Attributes:
-        process_key: This process; (0, 0) until `open`.
+        process_key: The key of this process; (0, 0) before `open`.
     """
 
     def __init__(self, path: str, log: EventLog) -> None:
@@ -51,13 +52,13 @@
         self.log = log
         self.process_key = ProcessKey(0, 0)
         self._alive_file: LockedFile | None = None
-        self._last_successor: tuple[int, int] | None = None  # the state has been written for it
+        self._last_successor: tuple[int, int] | None = None  # the process that state was last written for
 
     def open(self) -> None:
-        """Register this process as the newest, and remove what dead ones have left.
+        """Register this process as the newest, and remove state written for processes that are dead.
 
         Raises:
-            OSError: The directory can't be used.
+            OSError: The directory can't be created or written to.
         """
         self.directory.make_directory(EXCLUSIONS_DIRECTORY)
         live = self.live_processes()
@@ -69,7 +70,10 @@
         self._alive_file = self.directory.create_locked(f"alive-{_file_suffix(self.process_key)}")
 
     def live_processes(self) -> dict[ProcessKey, int]:
-        """Return the others that hold their locks, oldest first, with their attempts in flight."""
+        """Return the other live processes, oldest first, with the number of their attempts in flight.
+
+        A process is live if it holds the lock on its file.
+        """
         attempts_by_process = {}
         for name in self.directory.glob("alive-*-*"):
             generation, process_id = name.split("-")[1:]
@@ -81,16 +85,16 @@
                 attempts_by_process[key] = int(in_flight) if in_flight.strip().isdigit() else 0
         return dict(sorted(attempts_by_process.items()))
 
-    # State for a successor.
+    # State for a successor
 
     def write_state_for(
         self, successor: tuple[int, int], capture_state: Callable[[], dict[str, Any]]
     ) -> None:
-        """Write the state for that process, once for each successor.
+        """Write the state for a successor; repeated calls for the same one do nothing.
 
         Args:
-            successor: The process that is to go on from it.
-            state: Called for the state if it has to be written.
+            successor: The key of the process that restores the state.
+            capture_state: Returns the state; called only if it has to be written.
         """
         if successor == self._last_successor:
             return
@@ -103,7 +107,7 @@
         self.log("hot_restart.state_written", successor=successor[1])
 
     def read_state(self) -> dict[str, Any] | None:
-        """Return the state that was written for this process, once; None if there is none to be read."""
+        """Return the state written for this process and remove its file; None without readable state."""
         name = f"for-{_file_suffix(self.process_key)}"
         raw = self.directory.read(name)
         if raw is None:
@@ -121,24 +125,24 @@
         return state
 
     def publish_in_flight(self, attempts: int) -> None:
-        """Tell the other processes how many attempts this one has in flight."""
+        """Write this process's number of attempts in flight to its file, for the other processes."""
         if self._alive_file is not None:
             self._alive_file.write(b"%8d" % attempts)
 
-    # Exclusions.
+    # Exclusions
 
     def exclusions(self) -> set[str]:
-        """Return the names of all excluded upstreams."""
+        """Return the names of the upstreams that are excluded in all processes."""
         names = set()
         for file_name in self.directory.glob(f"{EXCLUSIONS_DIRECTORY}/*"):
             try:
                 names.add((self.directory.read(file_name) or b"").decode())
             except ValueError:
                 continue
-        return names - {""}  # removed between the two calls
+        return names - {""}  # "": a file that was removed after the listing
 
     def set_excluded(self, name: str, excluded: bool) -> None:
-        """Exclude an upstream in all processes, or include it again."""
+        """Exclude an upstream in all processes that share the directory, or include it again."""
         digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=DIGEST_BYTES).hexdigest()
         path = f"{EXCLUSIONS_DIRECTORY}/{digest}"
         try:
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -1,16 +1,16 @@
-"""From start to end of a server; what happens at SIGTERM stands here whole.
+"""The states of a server and the complete sequence of its graceful shutdown.
 
-SIGTERM and SIGINT call `Server.stop`. A member of a cluster tells the others that it leaves (at SIGUSR2 it
-falls silent instead, for a successor that goes on as this member). Then `Lifecycle.drain`:
+SIGTERM and SIGINT call `Server.stop`. A member of a cluster announces to the others that it leaves. (On
+SIGUSR2 it stops sending instead, because its successor continues as the same member.) Then `Lifecycle.drain`:
 
-1. DRAINING, at once: the server is not ready any more. Connections of idle clients are closed, others behind
-   their next response. What is not answered `ANSWER_MARGIN` before SIGKILL is due is given up: rejected
-   (503) where the client may safely send it again, failed (502) otherwise. New connections are accepted for
+1. DRAINING, at once: the server is no longer ready. Idle client connections are closed, busy ones after their
+   next response. Requests without a response `ANSWER_MARGIN` before SIGKILL is due are given up: rejected
+   (503) if the client may safely send them again, failed (502) otherwise. New connections are accepted for
    `ACCEPT_PERIOD`; not at all if the listening socket is inherited, because a successor accepts from it.
-2. CLOSING: the connections that wait in the system's queue are accepted (not from an inherited socket), then
-   the listening socket is closed. Idle clients' connections are closed every `CLIENT_CHECK_INTERVAL`.
+2. CLOSING: the connections in the listening socket's backlog are accepted (not from an inherited socket), and
+   the socket is closed. Idle client connections are closed every `CLIENT_CHECK_INTERVAL`.
 3. STOPPED, once no client connection is left, and at the latest `CLIENT_CLOSE_TIMEOUT` after requests were
-   given up: the server releases what it has started, logs `server.stopped`, and the process ends (status 0).
+   given up: the server releases its resources, logs `server.stopped`, and the process exits with status 0.
 """
 
 import asyncio
@@ -23,43 +23,43 @@
 from dahliabend.transport.listener import Listener
 from dahliabend.transport.timers import TimerQueue, clock
 
-BLOCKED_SIGNALS = (signal.SIGHUP,)  # from the start of the process until they can be acted on
+BLOCKED_SIGNALS = (signal.SIGHUP,)  # from the start of the process until their handlers are installed
 
-# All in microseconds. The platform sends SIGKILL after SIGTERM, no sooner than the longest deadline of a
-# request, counted up to MAX_REQUEST_TIME, and KILL_MARGIN.
+# All times are in microseconds. The platform sends SIGKILL after SIGTERM, no sooner than the longest request
+# deadline (counted up to MAX_REQUEST_TIME) plus KILL_MARGIN.
 MAX_REQUEST_TIME = 3_000_000
 KILL_MARGIN = 700_000
-ANSWER_MARGIN = 300_000  # before SIGKILL is due: by then the last responses go out
-ACCEPT_PERIOD = 500_000  # after SIGTERM; the platform sends new connections for up to 0.4 s
-CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two looks whether all clients have gone
-CLIENT_CLOSE_TIMEOUT = ANSWER_MARGIN // 2  # after requests were given up, for their responses to be read
+ANSWER_MARGIN = 300_000  # the last responses are sent this long before SIGKILL is due
+ACCEPT_PERIOD = 500_000  # after SIGTERM; the platform opens new connections for up to 0.4 s
+CLIENT_CHECK_INTERVAL = ANSWER_MARGIN // 30  # between two checks whether all clients have disconnected
+CLIENT_CLOSE_TIMEOUT = ANSWER_MARGIN // 2  # for clients to read the responses to requests that were given up
 
 
 class ServerState(Enum):
-    """What a server does with clients."""
+    """A phase in the life of a server, by its treatment of client connections."""
 
-    STARTING = auto()  # no client is accepted yet
+    STARTING = auto()  # clients are not accepted yet
     SERVING = auto()
-    DRAINING = auto()  # it was told to stop: clients are answered and sent away, late ones still accepted
-    CLOSING = auto()  # no more clients are accepted; those with a request are still answered
+    DRAINING = auto()  # connections close after their response, new ones are still accepted
+    CLOSING = auto()  # clients are no longer accepted; requests in flight are still answered
     STOPPED = auto()
 
 
 class TrafficRouter(Protocol):
-    """Where requests go, as far as shutting down is concerned."""
+    """The router, reduced to what a shutdown needs."""
 
     shutdown_deadline: int
 
     @property
     def requests(self) -> Sized:
-        """Return the requests in flight."""
+        """The requests in flight."""
 
     def shut_down_by(self, when: int) -> None:
-        """Give up at that time what has not been answered by then."""
+        """Give up, at this time in microseconds, the requests without a response."""
 
 
 class StoppableServer(Protocol):
-    """The server as its lifecycle sees it."""
+    """The server, reduced to what its lifecycle needs."""
 
     log: Log
     timers: TimerQueue
@@ -68,18 +68,18 @@
 
     @property
     def router(self) -> TrafficRouter:
-        """Return where requests go."""
+        """The router of client requests."""
 
     def close_idle_clients(self) -> Sized:
-        """Close connections between two requests; return the client connections that there were."""
+        """Close client connections without a request; return all client connections from before."""
 
 
 class Lifecycle:
     """The state of a server, with one method for each transition.
 
     Attributes:
-        state: What the server does with clients.
-        stopped: Done when the server has stopped.
+        state: The server's current state.
+        stopped: A future that is done once the server has stopped.
     """
 
     def __init__(self, server: StoppableServer, loop: asyncio.AbstractEventLoop) -> None:
@@ -88,15 +88,16 @@
         self.stopped: asyncio.Future[None] = loop.create_future()
 
     def mark_serving(self) -> None:
-        """Clients are accepted, unless the server was told to stop while it started."""
+        """Enter SERVING, unless a shutdown has begun during the start."""
         if self.state is ServerState.STARTING:
             self.state = ServerState.SERVING
 
     def drain(self) -> None:
-        """Begin the graceful shutdown; told again, nothing changes.
+        """Begin the graceful shutdown; further calls change nothing.
 
-        Connections of idle clients are closed, so that they go to other balancers; those with a request are
-        answered first. New connections are accepted for a while, unless another process accepts them.
+        Idle client connections are closed, so that their clients connect to other balancers; connections with
+        a request in flight are closed after the response. New connections are accepted for `ACCEPT_PERIOD`,
+        unless another process accepts from the same listening socket.
         """
         if self.state not in (ServerState.STARTING, ServerState.SERVING):
             return
@@ -111,13 +112,13 @@
         server.timers.schedule(now + accept_period, self._close_listener)
 
     def _close_listener(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
         self.state = ServerState.CLOSING
         self.server.listener.close()
         self._check_clients()
 
     def _check_clients(self) -> None:
-        """Stop if no client is left or the time is over; else look again after a while."""
+        """Stop if no client is left or the timeout has passed; otherwise check again after an interval."""
         now = clock()
         clients = self.server.close_idle_clients()
         if not clients or now >= self.server.router.shutdown_deadline + CLIENT_CLOSE_TIMEOUT:
@@ -126,6 +127,6 @@
             self.server.timers.schedule(now + CLIENT_CHECK_INTERVAL, self._check_clients)
 
     def _stop(self) -> None:
-        """Have `Server.end` release everything."""
+        """Resume `Server.end`, which releases the server's resources."""
         self.state = ServerState.STOPPED
         self.stopped.set_result(None)
--- a/dahliabend/server/log.py
+++ b/dahliabend/server/log.py
@@ -1,4 +1,4 @@
-"""The event log: one JSON line for each event, on standard error."""
+"""The event log: one line of JSON for each event, on standard error."""
 
 import asyncio
 import os
@@ -7,40 +7,44 @@
 
 import orjson
 
-MAX_BUFFERED_BYTES = 1 << 20  # beyond that, lines are dropped until the reader has caught up
+MAX_BUFFERED_BYTES = 1 << 20  # while more is buffered, new lines are dropped
 WRITE_RETRY_DELAY = 0.1  # seconds until the next attempt to write to a full pipe
 STANDARD_ERROR = 2
 
 
 class EventLog(Protocol):
-    """What logs events: the process's log, or a part of it with more context."""
+    """A log of events: the process's log, or a view of it that adds context to each line."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Log an event with its fields."""
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event that is wanted only at the level `debug`."""
+        """Log an event that is only logged at the level `debug`."""
 
 
 class Log:
-    """The log of a balancer that is configured by the platform.
+    """The event log of a balancer that the platform's file configures.
 
-    Lines are buffered and written once in each iteration of the event loop. A reader that is too slow loses
-    lines, and the next line says how many: a full pipe must not stop the balancer.
+    Lines are buffered and written once in each iteration of the event loop. If the reader is too slow, lines
+    are dropped and the next line holds their number: a full pipe must not block the balancer.
 
     Attributes:
-        verbose: Whether `debug` logs anything.
+        name: The balancer's name, which is in each line.
+        verbose: Whether `debug` logs events.
+        sink: The file descriptor that lines are written to.
         lines: The lines that have not been written yet.
-        lost_lines: Lines dropped since the last one that was kept.
+        lost_lines: The number of lines dropped since the last one that was kept.
+        loop: The event loop that writes lines; None if they are written at once.
+        write_scheduled: Whether the event loop has a pending call of `write`.
     """
 
     def __init__(self, name: str, verbose: bool = False, sink: int = STANDARD_ERROR) -> None:
-        """Make a log that writes at once until `attach` is called.
+        """Create a log that writes each line at once until `attach` is called.
 
         Args:
-            name: The balancer's name, which stands in each line.
-            verbose: Whether `debug` logs anything.
-            sink: File descriptor to write to.
+            name: The balancer's name, which is in each line.
+            verbose: Whether `debug` logs events.
+            sink: The file descriptor to write to.
         """
         self.name = name
         self.verbose = verbose
@@ -51,7 +55,7 @@
         self.write_scheduled = False
 
     def attach(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Write from callbacks of that event loop from now on, without blocking."""
+        """Write lines from callbacks of this event loop, without blocking."""
         self.loop = loop
         blocking = False
         os.set_blocking(self.sink, blocking)
@@ -82,7 +86,7 @@
             self(event, **fields)
 
     def write(self) -> None:
-        """Write what is buffered, as far as the sink takes it."""
+        """Write as much of the buffer as the sink accepts; try again later if it is full."""
         self.write_scheduled = False
         try:
             while self.lines:
@@ -92,9 +96,9 @@
                 self.write_scheduled = True
                 self.loop.call_later(WRITE_RETRY_DELAY, self.write)
         except OSError:
-            self.lines.clear()  # nobody reads any more
+            self.lines.clear()  # the reader has closed the pipe
 
     def close(self) -> None:
-        """Write what is left, without the event loop."""
+        """Write the rest of the buffer, without the event loop."""
         self.loop = None
         self.write()
--- a/dahliabend/server/log_events.py
+++ b/dahliabend/server/log_events.py
@@ -1,16 +1,16 @@
-"""Every event that a balancer logs: its level, occasion and fields. `docs/events.md` is made of it."""
+"""The events that a balancer logs, with their levels and fields; `docs/events.md` is generated from them."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One kind of event.
+    """A type of event.
 
     Attributes:
         level: `debug`, `info`, `warning` or `error`.
-        when: The occasion on which it is logged, as the page of events describes it.
-        fields: Names of its fields, beside those of `CONTEXT`.
+        when: The condition under which the event is logged, as described in `docs/events.md`.
+        fields: The names of its fields, without those of `CONTEXT`.
     """
 
     level: str
@@ -25,7 +25,7 @@
     "attempts",
     "attempts_in_flight",
     "duration_ms",
-)  # of a request that has ended
+)  # of the events for a finished request
 EVENTS = {
     "admin.called": LogEvent(
         "info", "an operator called, and it changed something or failed", ("method", "path", "status")
@@ -176,7 +176,7 @@
     ),
     "watch.timed_out": LogEvent("warning", "the watch of the list sent nothing for too long", ("version",)),
 }
-# Names until version 0.2; settings that name events may still use them.
+# Event names until version 0.2; `log.sample` in operators' files still accepts them.
 EVENTS_BY_FORMER_NAME = {
     "abandoned": "request.failed",
     "access": "request.finished",
@@ -242,7 +242,7 @@
 
 
 def page() -> str:
-    """Return `docs/events.md`."""
+    """Return the text of `docs/events.md`."""
     rows = (
         f"| `{name}` | {event.level} | {event.when} | {', '.join(f'`{field}`' for field in event.fields)} |\n"
         for name, event in EVENTS.items()
--- a/dahliabend/server/metrics.py
+++ b/dahliabend/server/metrics.py
@@ -1,20 +1,20 @@
-"""The counts that operators see: incremented where something happens, for as long as the process runs."""
+"""The counters of requests, attempts and reloads since the start of the process, for `/api/telemetry`."""
 
 from collections.abc import Collection, Iterable
 from typing import Any
 
-MAX_CLASSES = 256  # class names kept, lest files with ever new ones make the table grow
+MAX_CLASSES = 256  # request classes kept; bounds the table when reloads keep introducing new names
 
-FULFILLED, THROTTLED, FAULTED, RELAYED = range(4)
-COUNTER_NAMES = ("fulfilled", "throttled", "faulted", "relayed")  # names of these in the telemetry
+FULFILLED, THROTTLED, FAULTED, RELAYED = range(4)  # indices into the counters of a class
+COUNTER_NAMES = ("fulfilled", "throttled", "faulted", "relayed")  # names of these counters in the telemetry
 OK_STATUS = 200
 THROTTLED_STATUSES = (429, 503)
 
 
 class Metrics:
-    """Counts by request class, named as on the wire, and of the whole process.
+    """Counters by request class (named as on the wire), and counters of the whole process.
 
-    A class that the settings no longer have keeps its counts.
+    A class keeps its counters after the settings have dropped it.
 
     >>> metrics = Metrics()
     >>> metrics.count_response(b"a", 200), metrics.count_response(b"a", 429), metrics.count_attempt(b"a")
@@ -23,10 +23,10 @@
     ([1, 1, 0, 1], 1)
 
     Attributes:
-        classes: By class name, a count for each of `KINDS`.
+        classes: By class name, a counter for each of `COUNTER_NAMES`.
         open_requests: Requests that have not been answered yet.
         configs_accepted: Reloads that were applied.
-        configs_rejected: Reloads that were refused.
+        configs_rejected: Reloads that were rejected.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self.configs_rejected = 0
 
     def set_active_classes(self, names: Collection[bytes]) -> None:
-        """Show these classes from now on, also at 0, and drop the oldest others beyond `MAX_CLASSES`."""
+        """Include these classes, even at 0, and drop the oldest other ones while above `MAX_CLASSES`."""
         for name in names:
             self.classes.setdefault(name, [0] * len(COUNTER_NAMES))
         for name in list(self.classes):
@@ -44,7 +44,7 @@
                 del self.classes[name]
 
     def count_response(self, name: bytes, status: int) -> None:
-        """Count a response to a client, by its HTTP status."""
+        """Count a response to a client as fulfilled, throttled or faulted, by its HTTP status."""
         counter = FULFILLED if status == OK_STATUS else THROTTLED if status in THROTTLED_STATUSES else FAULTED
         self.classes.setdefault(name, [0] * len(COUNTER_NAMES))[counter] += 1
 
@@ -53,11 +53,11 @@
         self.classes.setdefault(name, [0] * len(COUNTER_NAMES))[RELAYED] += 1
 
     def total(self, counter: int) -> int:
-        """Return one kind of count over all classes."""
+        """Return the sum of one counter, given by its index, over all classes."""
         return sum(counts[counter] for counts in self.classes.values())
 
     def snapshot(self) -> dict[str, Any]:
-        """Return all counts in the form of the telemetry."""
+        """Return all counters in the form of `/api/telemetry`."""
         return {
             "operations": dict(self._operations()),
             "relayed": self.total(RELAYED),
--- a/dahliabend/server/operator_file_loading.py
+++ b/dahliabend/server/operator_file_loading.py
@@ -1,4 +1,4 @@
-"""Reading an operator's file for a server: all of it is usable, or the file is refused."""
+"""Loading an operator's file for a server; a file with any fault is rejected as a whole."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 from dahliabend.server.server import Address
 from dahliabend.transport import host_info
 
-CLIENT_LISTENER = "callers"  # names of listeners in the file
+CLIENT_LISTENER = "callers"  # names of the listeners in the file
 ADMIN_LISTENER = "operators"
 
 
 class InvalidOperatorFileError(DahliabendError, ValueError):
-    """A file that can't be used.
+    """An operator's file has faults or requires a library that is not installed.
 
     Attributes:
-        faults: All that is wrong with it; each as text names file, line and key.
+        faults: All faults of the file; the text of each names the file, line and key.
     """
 
     def __init__(self, faults: Iterable[object]) -> None:
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UsableFile:
-    """A file without faults.
+    """An operator's file without faults.
 
     Attributes:
-        loaded: The file with the place of each key.
-        file: Its settings.
+        loaded: The loaded file, with the line of each key.
+        file: The file's settings.
     """
 
     loaded: LoadedFile
@@ -46,11 +46,11 @@
     """Read and check a file.
 
     Args:
-        path: Where it stands.
-        environment: The variables that it may refer to.
+        path: The path of the file.
+        environment: The environment variables that the file may refer to.
 
     Raises:
-        InvalidOperatorFileError: The file has faults, or wants a library that is missing.
+        InvalidOperatorFileError: The file has faults or requires a library that is not installed.
     """
     loaded = load_file(path, environment=environment, read=host_info.read_file)
     if loaded.file is None or not loaded.is_usable:
@@ -60,13 +60,13 @@
 
 
 def listener_address(file: OperatorFile, name: str) -> Address | None:
-    """Return the address of a listener, if the file has it."""
+    """Return the address of a listener; None if the file does not configure it."""
     listener = file.listeners.get(name)
     return parse_address(listener.address) if listener is not None else None
 
 
 def unsupported_keys(file: OperatorFile) -> Iterator[str]:
-    """Yield the settings that are read and not acted on."""
+    """Yield the keys of settings that are accepted but have no effect."""
     for name, request_class in file.classes.items():
         if request_class.longest_body != MAX_BODY_BYTES:
             yield f"classes.{name}.longest-body"
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OptionalLibrary:
-    """A library that a key of the file wants, and the group of dependencies that has it."""
+    """A library that a key of the file requires, and the optional dependency group that installs it."""
 
     key: Key
     name: str
@@ -82,7 +82,7 @@
 
 
 def _check_required_libraries(file: OperatorFile, source: Source) -> None:
-    """Refuse a file that wants a missing library: found later, the file would be half applied."""
+    """Reject a file that requires a missing library; a failed import later would leave it half applied."""
     for library in _required_libraries(file):
         if find_spec(library.name) is None:
             place = source.place(library.key)
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -1,4 +1,4 @@
-"""A balancer that is configured by an operator's file: routes to several pools, reloaded as a whole."""
+"""The server of a balancer that an operator's file configures: routes to several pools, reloaded together."""
 
 import asyncio
 import os
@@ -34,31 +34,32 @@
 if TYPE_CHECKING:
     from dahliabend.server.clustering import ClusterMember
 
-DEFAULT_DESCRIPTOR_LIMIT = 4096  # where the environment says nothing
-DEMAND_INTERVAL = 1_000_000  # microseconds between two looks how many requests come
+DEFAULT_DESCRIPTOR_LIMIT = 4096  # if DAHLIABEND_SOCKETS is not set
+DEMAND_INTERVAL = 1_000_000  # microseconds between two reports of this balancer's demand
 
 
 class OperatorFileServer(Server):
     """A server with the routes and pools of an operator's file.
 
     Attributes:
-        dispatcher: Sends requests to the pools by the active routes.
-        cluster: The other balancers; None if the file has no `[members]`.
+        dispatcher: Dispatches requests to the pools by the active routes.
+        cluster: This balancer's membership of its cluster; None if the file has no `[members]`.
         pools: The running pools.
     """
 
     router: Dispatcher
 
     def __init__(self, path: str, environment: Mapping[str, str], log: Log) -> None:
-        """Make a server that listens nowhere yet; the event loop has to be running.
+        """Create a server that does not listen yet; an event loop has to be running.
 
         Args:
-            path: Where the operator's file stands.
-            environment: The variables that the file may refer to, and those of the program itself.
+            path: The path of the operator's file.
+            environment: The environment variables that the file may refer to, and DAHLIABEND_SOCKETS and
+                DAHLIABEND_SEED.
             log: The event log.
 
         Raises:
-            InvalidOperatorFileError: The file can't be used.
+            InvalidOperatorFileError: The file has faults or requires a library that is not installed.
         """
         self.path = path
         self.environment = environment
@@ -96,7 +97,7 @@
         self._apply_file(self.configuration)
 
     def _create_cluster_member(self, file: OperatorFile, seed: int) -> "ClusterMember | None":
-        """Return None where the file has no `[members]`: nothing of it is imported then."""
+        """Create the cluster member; without `[members]`, return None and import none of its modules."""
         if file.members is None:
             return None
         from dahliabend.server.clustering import ClusterMember
@@ -104,13 +105,13 @@
         directory = os.path.dirname(os.path.abspath(self.path))
         return ClusterMember(file.members, directory, self.timers, self.descriptors, seed, self.log)
 
-    # Start and end.
+    # Start and shutdown
 
     async def start(self) -> None:
-        """Start everything, and communicate with the other balancers once clients are accepted.
+        """Start accepting clients, then join the cluster.
 
         Raises:
-            OSError: An address can't be had.
+            OSError: The server can't listen on one of its addresses.
         """
         await super().start()
         if self.cluster is not None:
@@ -123,7 +124,7 @@
         """Do nothing: the pools were opened when the file was applied."""
 
     def started_event_fields(self) -> dict[str, object]:
-        """Return the names of the pools."""
+        """Return the names of the pools, for the event `server.started`."""
         return {"pools": list(self.dispatcher.pools_by_name)}
 
     def stop(self) -> None:
@@ -133,21 +134,21 @@
         super().stop()
 
     def hand_over(self) -> None:
-        """Begin the graceful shutdown for a successor that goes on as this member of the cluster."""
+        """Begin the graceful shutdown, and let a successor continue as this member of the cluster."""
         if self.cluster is not None:
             self.cluster.hand_over()
         self.stop()
 
     def close(self) -> None:
-        """Stop the pools, and the exchange with other balancers."""
+        """Close the pools and the cluster member."""
         self.pools.close()
         if self.cluster is not None:
             self.cluster.close()
 
-    # Reload.
+    # Reload
 
     def reload(self) -> None:
-        """Apply the file as it is now. A faulty one changes nothing."""
+        """Read the file again and apply it; an invalid file changes nothing."""
         reload_configuration(
             lambda: load_usable_file(self.path, self.environment),
             self._apply_reloaded,
@@ -183,13 +184,13 @@
         self.log_unsupported(tuple(unsupported_keys(file)))
         self.configuration = configuration
 
-    # Limits that balancers share.
+    # Limits shared by balancers
 
     def divide_shared_limits(self) -> None:
-        """Give each shared limit the share of this balancer, and every other limit the whole.
+        """Reduce each shared limit to this balancer's share, and reset every other limit to its full value.
 
-        A limit may have been shared before a reload. Where gossip waits for a restart, shares are equal: no
-        balancer may admit as much as all together.
+        Limits that are not shared are reset because they may have been before a reload. Without gossip (after
+        a reload it may need a restart) shares are equal: no balancer may admit as much as all together.
         """
         active = self._active_routes()
         shared = [route.shared for route in active.file.routes]
@@ -217,10 +218,10 @@
         assert active is not None, "routes are applied before the server is used"
         return active
 
-    # Metrics and admin calls.
+    # Metrics and admin calls
 
     def log_metrics(self) -> None:
-        """Close pools that have ended, and log the metrics of the others and of the cluster."""
+        """Close retired pools without requests, and log the metrics of the other pools and of the cluster."""
         self.pools.close_finished()
         for pool in self.dispatcher:
             balancer = pool.router.balancer
@@ -239,26 +240,29 @@
             self.log("membership.metrics_reported", **msgspec.structs.asdict(self.cluster.metrics()))
 
     def membership_status(self) -> dict[str, Any] | None:
-        """Return the other balancers; None if there is no membership."""
+        """Return the members of the cluster; None if the server is not a member of one."""
         return self.cluster.status() if self.cluster is not None else None
 
     def subset_status(self) -> dict[str, Any]:
-        """Return, by pool, the upstreams in use, where a pool uses a subset."""
+        """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
         return self.pools.subset_status()
 
     def gossip_status(self) -> dict[str, Any] | None:
-        """Return the health reports exchanged with other balancers; None if there are none."""
+        """Return the health reports exchanged with other balancers; None without health gossip."""
         gossip = self.cluster.gossip if self.cluster is not None else None
         return gossip.status() if gossip is not None else None
 
     def lease_status(self) -> dict[str, Any] | None:
-        """Return the leases of shared health checks; None if they are not shared."""
+        """Return the leases of shared health checks; None if health checks are not shared."""
         gossip = self.cluster.gossip if self.cluster is not None else None
         checks = gossip.health_checks if gossip is not None else None
         return checks.status() if checks is not None else None
 
     def _report_demand_periodically(self, cluster: "ClusterMember") -> None:
-        """Tell the others how many requests pools with a subset get: their subsets leave room for these."""
+        """Report the demand of pools with a subset to the other balancers, now and at intervals.
+
+        The others choose their subsets so that the upstreams keep capacity for it.
+        """
         cluster.report_demand(self.pools.subset_request_count())
         self.timers.schedule(clock() + DEMAND_INTERVAL, self._report_demand_periodically, cluster)
 
@@ -269,10 +273,10 @@
 
 
 async def serve_operator_file(path: str, log: Log) -> None:
-    """Serve by an operator's file until the process is told to stop.
+    """Serve with the settings of an operator's file until a signal stops the process.
 
     Raises:
-        InvalidOperatorFileError: The file can't be used.
-        OSError: An address can't be had.
+        InvalidOperatorFileError: The file has faults or requires a library that is not installed.
+        OSError: The server can't listen on one of its addresses.
     """
     await run_server(lambda: OperatorFileServer(path, os.environ, log), log)
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -1,4 +1,4 @@
-"""A balancer that is configured by the platform's file: one router, one endpoint list."""
+"""The server of a balancer that the platform's file configures: one router and one endpoint list."""
 
 import os
 from collections.abc import Mapping
@@ -24,18 +24,18 @@
     """A server with the settings of the platform's file.
 
     Attributes:
-        endpoint_list: The upstreams, as the discovery service has them.
-        takeover: The other processes on the same listening socket; None if there can be none.
+        endpoint_list: The upstreams listed by the discovery service.
+        takeover: Coordination with other processes on the same listening socket; None if there can be none.
     """
 
     router: Router
 
     def __init__(self, settings: ServerSettings, environment: Mapping[str, str], log: Log) -> None:
-        """Make a server that listens nowhere yet; the event loop has to be running.
+        """Create a server that does not listen yet; an event loop has to be running.
 
         Args:
-            settings: What the file says.
-            environment: Names the file, for a reload.
+            settings: The settings of the platform's file.
+            environment: The environment variables; PROXY_CONFIG names the file that a reload reads.
             log: The event log.
         """
         super().__init__(
@@ -78,10 +78,10 @@
         directory = HotRestart(shared_directory, self.log)
         return ProcessTakeover(directory, self.router, self.descriptors, self.timers, self.log)
 
-    # Start and end.
+    # Start and shutdown
 
     async def prepare(self) -> None:
-        """Take over from the process in service, if there is one, and watch the endpoint list."""
+        """Take over from the running process, if there is one, and start watching the endpoint list."""
         if self.takeover is not None and not await self.takeover.take_over(
             self.handover_state, self.resume_from
         ):
@@ -89,14 +89,14 @@
         self.discovery.open()
 
     def open_listener(self) -> None:
-        """Accept clients, on the platform's socket if it has passed one."""
+        """Start accepting clients, on the listening socket inherited from the platform if there is one."""
         if self._listener_descriptor is None:
             super().open_listener()
         else:
             self.listener.inherit(self._listener_descriptor)
 
     def started_event_fields(self) -> dict[str, object]:
-        """Return whether clients of the first tier come here."""
+        """Return whether this balancer is in the entry tier."""
         return {"entry_tier": self.router.balancer.settings.is_entry_tier}
 
     def close(self) -> None:
@@ -124,32 +124,39 @@
             ],
         )
 
-    # Hot restart.
+    # Hot restart
 
     def resume_from(self, state: dict[str, Any]) -> None:
-        """Go on from the state of a predecessor.
+        """Restore the state of a predecessor.
 
         Raises:
-            KeyError, TypeError, ValueError, AttributeError: The state can't be read.
+            KeyError, TypeError, ValueError, AttributeError: The state is malformed.
         """
         restored = restore_state(state, self.router, self.endpoint_list, self.discovery)
         self.log("hot_restart.resumed", restored=restored, upstreams=len(self.router.table.endpoints))
 
     def handover_state(self) -> dict[str, Any]:
-        """Return the state that a successor goes on from."""
+        """Return the state of this process, for a successor to restore."""
         return capture_state(self.router, self.endpoint_list, self.discovery)
 
     def exclude(self, name: str, excluded: bool) -> bool:
-        """Take an upstream out or put it back, in all processes; False if no list has ever had it."""
+        """Exclude an upstream in all processes of this balancer, or include it again.
+
+        Returns:
+            Whether the upstream has ever been in an endpoint list.
+        """
         was_listed = super().exclude(name, excluded)
         if was_listed and self.takeover is not None:
             self.takeover.set_excluded(name, excluded)
         return was_listed
 
-    # Reload.
+    # Reload
 
     def reload(self) -> None:
-        """Apply what can change while the process runs. A faulty file changes nothing."""
+        """Read the file again and apply the settings that can change at run time.
+
+        An invalid file changes nothing.
+        """
         reload_configuration(
             lambda: reread_server_settings(self.environment, self._named_keys),
             self._apply,
@@ -167,8 +174,8 @@
         return {"discovery": ":".join(map(str, settings.discovery)), "debug": settings.verbose}
 
     def _apply_policy_inputs(self, settings: ServerSettings) -> None:
-        """Decide by other settings, without a moment in which nobody serves."""
-        # Clients that connected before wait as long as either settings allow.
+        """Replace the router's policy settings without interrupting service."""
+        # Requests of clients connected before the reload may last as long as either settings allow.
         self.max_request_time = max(self.max_request_time, *settings.class_deadlines)
         self._policy_inputs = settings.policy_inputs
         table = self.router.table
@@ -186,9 +193,9 @@
 
 
 async def serve_platform(settings: ServerSettings, log: Log) -> None:
-    """Serve by the platform's file until the process is told to stop.
+    """Serve with the settings of the platform's file until a signal stops the process.
 
     Raises:
-        OSError: An address can't be listened on.
+        OSError: The server can't listen on one of its addresses.
     """
     await run_server(lambda: PlatformServer(settings, os.environ, log), log)
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -1,4 +1,4 @@
-"""The pools of an operator's file as they run: each with its router, its endpoint list and its subset."""
+"""The running pools of an operator's file, each with its router, endpoint list and subset."""
 
 import os
 from collections.abc import Mapping
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolResources:
-    """What all pools of a process share.
+    """The components and parameters that all pools of a process share.
 
     Attributes:
-        dispatcher: Sends requests to the pools.
+        dispatcher: The dispatcher of requests to the pools.
         timers: The process's timers.
-        descriptors: The budget for connections.
-        metrics: The process's counts.
+        descriptors: The descriptor budget of client and upstream connections.
+        metrics: The process's counters.
         log: The event log.
-        directory: That relative paths in the operator's file start from.
-        seed: Of random numbers.
-        descriptor_limit: Descriptors that the process may have.
+        directory: The directory that relative paths in the operator's file refer to.
+        seed: The seed of the pools' random number generators.
+        descriptor_limit: The maximum number of descriptors that the process may have open.
     """
 
     dispatcher: Dispatcher
@@ -58,13 +58,13 @@
 
 @dataclass(slots=True)
 class RunningPool:
-    """A pool with what keeps its endpoint list.
+    """A pool with the source and the filter of its endpoint list.
 
     Attributes:
-        pool: The pool as the dispatcher has it.
-        source: Where its endpoints come from, once that is known.
-        subset_filter: Narrows the list, where this balancer uses a subset.
-        subset_terms: What the filter was made of: the subset's settings and the number of balancers.
+        pool: The pool in the dispatcher.
+        source: The source of its endpoint list; None until one is set.
+        subset_filter: Narrows the endpoint list to this balancer's subset; None if it uses all upstreams.
+        subset_inputs: The subset settings and the number of balancers that the filter was created from.
     """
 
     pool: Pool
@@ -74,18 +74,18 @@
 
     @property
     def observer(self) -> EndpointListObserver:
-        """Return what observes the endpoint list."""
+        """The observer of the endpoint list: the filter if there is one, otherwise the router."""
         return self.subset_filter or self.pool.router
 
     def set_source(self, source: EndpointSource | None) -> None:
-        """Take the endpoints from there, and from nowhere else."""
+        """Use this source for the endpoint list, and stop the one before."""
         if self.source is not None and self.source is not source:
             self.source.stop()
         self.source = source
         self.pool.router.discovery = source
 
     def close(self) -> None:
-        """Stop watching for endpoints."""
+        """Stop the source of the endpoint list and the subset filter."""
         if self.source is not None:
             self.source.stop()
         if self.subset_filter is not None:
@@ -93,14 +93,14 @@
 
 
 class PoolManager:
-    """Owns the pools from the first file that has them until their last request has ended."""
+    """The running pools: opens those that a file adds, and closes removed ones after their last request."""
 
     def __init__(self, resources: PoolResources, cluster: "ClusterMember | None") -> None:
-        """Make a manager without pools.
+        """Create a manager without pools.
 
         Args:
-            resources: What all pools share.
-            cluster: The other balancers, if there is membership.
+            resources: The components that all pools share.
+            cluster: This balancer's membership of its cluster; None without `[members]`.
         """
         self.resources = resources
         self.cluster = cluster
@@ -113,7 +113,7 @@
         return {name: pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools}
 
     def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
-        """Open a pool of a file, or change it if it runs already."""
+        """Open a pool of a file, or update it if it is already running."""
         pool = self.resources.dispatcher.pools_by_name.get(name)
         if pool is None:
             running = self._open_pool(name, settings.server)
@@ -127,13 +127,13 @@
         self._apply_source(running, file.pools[name])
 
     def retire_missing(self, pools: Mapping[str, object]) -> None:
-        """Give no new requests to the running pools that are not among these."""
+        """Stop dispatching new requests to the running pools that are not in this mapping."""
         dispatcher = self.resources.dispatcher
         for name in [name for name in dispatcher.pools_by_name if name not in pools]:
             dispatcher.retire_pool(name)
 
     def close_finished(self) -> None:
-        """Close the retired pools whose last request has ended."""
+        """Close the retired pools that have no requests left."""
         for pool in self.resources.dispatcher.remove_finished_pools():
             self._running_pools.pop(pool.number).close()
             table = pool.router.table
@@ -142,16 +142,16 @@
             self.resources.log("pool.removed", pool=pool.name)
 
     def close(self) -> None:
-        """Stop watching for endpoints."""
+        """Stop the endpoint list sources and subset filters of all pools."""
         for running in self._running_pools.values():
             running.close()
 
     def active_routers(self) -> list[tuple[str, Router]]:
-        """Return name and router of each pool that has not been retired."""
+        """Return the name and router of each pool that has not been retired."""
         return [(pool.name, pool.router) for pool in self.resources.dispatcher if not pool.retired]
 
     def subset_status(self) -> dict[str, Any]:
-        """Return, by pool, the subset in use, where there is one."""
+        """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
         return {
             running.pool.name: running.subset_filter.status()
             for running in self._running_pools.values()
@@ -159,7 +159,7 @@
         }
 
     def subset_request_count(self) -> int:
-        """Return the requests that pools with a subset have had until now."""
+        """Return the number of requests that pools with a subset have received so far."""
         return sum(
             sum(running.pool.router.counts.values())
             for running in self._running_pools.values()
@@ -189,7 +189,7 @@
         return running
 
     def _apply_subset(self, running: RunningPool, settings: schema.PoolSettings) -> None:
-        """Use a subset of the upstreams, or all; if that changes, the endpoint list is read again."""
+        """Create, replace or remove the subset filter; after a change, the endpoint list is read again."""
         inputs = (settings.subset, settings.balancers) if settings.subset is not None else None
         if running.subset_inputs == inputs:
             return
@@ -198,7 +198,7 @@
             running.subset_filter.stop()
             running.subset_filter = None
         if settings.subset is not None:
-            # The balancer that is first to check an upstream may not use it.
+            # No shared health checks: the holder of an upstream's lease may not have it in its subset.
             running.pool.router.health_check_delegate = None
             running.subset_filter = self._create_subset_filter(
                 running.pool, settings.subset, settings.balancers
@@ -222,7 +222,7 @@
         )
 
     def _apply_source(self, running: RunningPool, settings: schema.PoolSettings) -> None:
-        """Take a pool's endpoints from where its settings say. What is known of them stays."""
+        """Use the endpoint source named by a pool's settings; the state of known endpoints is kept."""
         if settings.discovery is None:
             self._apply_list_file(running, settings)
         elif isinstance(running.source, DiscoveryClient):
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of a pool, in the form that a router is configured by."""
+"""Conversion of a pool's settings in an operator's file to the settings of its router."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,10 +11,10 @@
 from dahliabend.transport import host_info
 
 MAX_IN_FLIGHT = 20_000  # requests of a pool
-DEADLINE_SLACK = 20_000  # microseconds by which a client's deadline may be nearer than it seems
+DEADLINE_SLACK = 20_000  # microseconds; a client's deadline may be that much nearer than it appears
 MAX_RETRY_AFTER = 3_000_000  # microseconds
-DEFAULT_RETRY_RATIO = 0.1  # of a pool whose routes say nothing of retries
-NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
+DEFAULT_RETRY_RATIO = 0.1  # for a pool whose routes set no `retry-share`
+NANOSECONDS_PER_MICROSECOND = 1000
 
 _EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
@@ -23,7 +23,7 @@
 }
 _SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
-_UNUSED_CLASS = RequestClass(  # of a pool without a route: a policy wants one class at least
+_UNUSED_CLASS = RequestClass(  # for a pool without routes: a policy requires at least one class
     effect=Effect.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.ALL,
     deduplication_window=0,
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """What a pool's router is configured by.
+    """The settings of a pool's router and the request classes of its routes.
 
     Attributes:
-        server: The settings of a router; those of a whole server are empty.
-        class_by_route: The index of each route's request class, by the route's number in the file.
+        server: The settings of the router; fields that concern a whole server are empty.
+        class_by_route: The index of each route's request class, by the route's position in the file.
     """
 
     server: ServerSettings
@@ -48,13 +48,13 @@
 
 
 def pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
-    """Return the settings of a pool's router.
+    """Convert the settings of a pool and its routes.
 
     Args:
         file: The operator's file.
-        name: The pool.
-        seed: Of the policy's random numbers.
-        descriptor_limit: Descriptors that the process may have.
+        name: The name of the pool.
+        seed: The seed of the policy's random number generator.
+        descriptor_limit: The maximum number of descriptors that the process may have open.
     """
     pool = file.pools[name]
     routes = _routes_to_pool(file, name)
@@ -91,7 +91,7 @@
 
 
 def endpoint_entries(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
-    """Return the endpoints that stand in the file, in the discovery service's form."""
+    """Return a pool's `members` as entries in the discovery service's format."""
     return [
         {
             "id": endpoint.id,
@@ -106,12 +106,12 @@
 
 
 def _routes_to_pool(file: OperatorFile, pool: str) -> list[int]:
-    """Return the numbers of the routes whose requests may come to a pool."""
+    """Return the positions of the routes whose requests may be sent to a pool."""
     return [number for number, route in enumerate(file.routes) if pool in _reachable_pools(file, route)]
 
 
 def _reachable_pools(file: OperatorFile, route: schema.RouteSettings) -> set[str]:
-    """Return the pools of a route, with its mirror and all fallbacks."""
+    """Return the names of a route's pools, its mirror, and the fallbacks of all of these."""
     reachable: set[str] = set()
     unvisited = [*target_pools(route), route.mirror, route.fallback]
     while unvisited:
@@ -123,7 +123,7 @@
 
 
 def _request_class(file: OperatorFile, number: int) -> RequestClass:
-    """Return the request class of a route: that of its settings, with its own times and counts."""
+    """Return a route's request class: that of its settings, with the route's timeouts and attempt counts."""
     route = file.routes[number]
     settings = file.classes[route.class_]
     treatment = EffectiveTreatment(file, route, number)
@@ -171,6 +171,6 @@
 
 
 def _retry_ratio(file: OperatorFile, routes: list[int]) -> float:
-    """Return the least share of retries that any of the routes allows."""
+    """Return the lowest `retry-share` of the routes, or `DEFAULT_RETRY_RATIO` if none sets one."""
     ratios = [EffectiveTreatment(file, file.routes[number], number).retry_share for number in routes]
     return float(min((ratio for ratio in ratios if ratio is not None), default=DEFAULT_RETRY_RATIO))
--- a/dahliabend/server/process_takeover.py
+++ b/dahliabend/server/process_takeover.py
@@ -1,4 +1,4 @@
-"""Taking over from another process on the same listening socket, and serving beside it until it has ended."""
+"""Takeover from an older process on the same listening socket, and operation beside it until it exits."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,19 +10,19 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue, clock
 
-CHECK_INTERVAL = 100_000  # microseconds between two looks for other processes
-STATE_TIMEOUT = 1_000_000  # microseconds that an older process is waited for to write its state
-STATE_CHECKS_PER_INTERVAL = 4  # while it is waited for
+CHECK_INTERVAL = 100_000  # microseconds between two checks for other processes
+STATE_TIMEOUT = 1_000_000  # microseconds to wait for an older process to write its state
+STATE_CHECKS_PER_INTERVAL = 4  # checks for the state in each CHECK_INTERVAL of that wait
 MICROSECONDS_PER_SECOND = 1e6
 FULL_SHARE = 1.0
-SHARE_BESIDE_ANOTHER = 1 / 2  # of the descriptors: to the system's limits both processes are one balancer
+SHARE_BESIDE_ANOTHER = 1 / 2  # of the descriptors: system limits count both processes as one balancer
 
 
 class ProcessTakeover:
-    """This process beside others on the same listening socket.
+    """Coordination of this process with the others on the same listening socket.
 
     Attributes:
-        directory: What the processes share.
+        directory: The directory that the processes share.
     """
 
     def __init__(
@@ -44,14 +44,15 @@
     async def take_over(
         self, capture_state: Callable[[], dict[str, Any]], restore_state: Callable[[dict[str, Any]], None]
     ) -> bool:
-        """Go on from the process in service, if there is one, and look for others from now on.
+        """Restore the state of the running process, if there is one, and start checking for other processes.
 
         Args:
             capture_state: Returns the state for a later successor.
-            restore_state: Goes on from the state of the predecessor.
+            restore_state: Restores the state of a predecessor.
 
         Returns:
-            False if there is no usable directory: it serves without one, and an upgrade loses the state.
+            False if the directory can't be used. The process then serves without it, and an upgrade loses the
+            state.
         """
         try:
             self.directory.open()
@@ -68,7 +69,7 @@
         return True
 
     def set_excluded(self, name: str, excluded: bool) -> None:
-        """Exclude an upstream in all processes, or include it again."""
+        """Exclude an upstream in all processes that share the directory, or include it again."""
         self.directory.set_excluded(name, excluded)
 
     async def _wait_for_state(self) -> dict[str, Any] | None:
@@ -90,10 +91,10 @@
             self.directory.write_state_for(newer[-1], capture_state)
 
     def _check_processes(self) -> list[ProcessKey]:
-        """Adapt to the processes that live now, and to what an operator has told another one.
+        """Adjust the descriptor share and attempt counts to the live processes, and apply their exclusions.
 
         Returns:
-            The processes newer than this one, oldest first.
+            The keys of the live processes newer than this one, oldest first.
         """
         live = self.directory.live_processes()
         own_key = self.directory.process_key
--- a/dahliabend/server/reload.py
+++ b/dahliabend/server/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP: applied as a whole, or refused with nothing changed."""
+"""Reload of the configuration on SIGHUP: it is applied as a whole, or rejected and nothing changes."""
 
 from collections.abc import Callable, Mapping
 from typing import TypeVar
@@ -17,18 +17,18 @@
     metrics: Metrics,
     log: EventLog,
 ) -> None:
-    """Read the configuration again and apply it, or count and log why it is refused.
+    """Read the configuration again and apply it, or count and log why it is rejected.
 
     Args:
-        read: Returns the new configuration; raises ValueError if it can't be used.
-        apply: Applies it; returns the fields of the line that is logged.
-        describe_fault: Returns the fields of the line that is logged if it is refused.
-        metrics: Counts reloads.
-        log: Where the result is logged.
+        read: Returns the new configuration; raises ValueError if it is invalid.
+        apply: Applies a configuration; returns the fields of the event `reload.applied`.
+        describe_fault: Returns the fields of the event `reload.rejected` for an error of `read`.
+        metrics: The counters of accepted and rejected configurations.
+        log: The event log.
     """
     try:
         configuration = read()
-    except ValueError as error:  # msgspec's errors are a kind of it
+    except ValueError as error:  # the base class of msgspec's errors, too
         metrics.configs_rejected += 1
         log("reload.rejected", **describe_fault(error))
         return
--- a/dahliabend/server/runner.py
+++ b/dahliabend/server/runner.py
@@ -1,4 +1,4 @@
-"""The run of one server on its event loop: made, started, waited for."""
+"""Running one server on its event loop, from its creation to the end of its shutdown."""
 
 import asyncio
 import gc
@@ -15,15 +15,15 @@
         """Start accepting clients."""
 
     async def end(self) -> None:
-        """Wait until it has stopped."""
+        """Wait until the server has stopped."""
 
 
 async def run_server(make_server: Callable[[], RunnableServer], log: Log) -> None:
-    """Make a server and run it until it has stopped.
+    """Create a server and run it until it has stopped.
 
     Args:
-        make_server: Called once the event loop and the log are ready.
-        log: Where faults of the program itself are logged.
+        make_server: Creates the server; called once the event loop and the log are ready.
+        log: The event log, which also gets unhandled exceptions.
     """
     loop = asyncio.get_running_loop()
     log.attach(loop)
@@ -33,8 +33,8 @@
         )
     )
     server = make_server()
-    # What was made by now stays: no later garbage collection need walk it. Done before anything is connected:
-    # a pause longer than the connect timeout would have connections given up.
+    # The objects created so far live as long as the process, so garbage collections need not traverse them.
+    # Collected before anything connects: a pause longer than the connect timeout would fail connections.
     gc.collect()
     gc.freeze()
     await server.start()
--- a/dahliabend/server/seed_list.py
+++ b/dahliabend/server/seed_list.py
@@ -1,4 +1,4 @@
-"""The seeds of a member: addresses of others, from its settings, from lists, and from what it has stored."""
+"""The seeds of a member that come from endpoint lists: a file or a discovery service."""
 
 import os
 from collections.abc import Callable, Iterable
@@ -13,18 +13,18 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
 
-CONNECT_TIMEOUT = 250_000  # microseconds, to the discovery service
+CONNECT_TIMEOUT = 250_000  # microseconds, for connections to the discovery service
 
 
 class SeedList:
-    """The addresses in a list of balancers; observes the list."""
+    """The addresses in an endpoint list of balancers, as an observer of that list."""
 
     def __init__(self, on_change: Callable[[], None]) -> None:
         self.on_change = on_change
         self.addresses: dict[str, str] = {}  # by the balancer's name
 
     def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
-        """Apply changes of the list, or the whole list."""
+        """Apply an update of the endpoint list: the whole list if `full`, otherwise the changed entries."""
         if full:
             self.addresses = {}
         for row in rows:
@@ -36,15 +36,15 @@
         self.on_change()
 
     def clear(self) -> None:
-        """Forget all seeds, without telling anyone."""
+        """Drop all seeds without calling `on_change`."""
         self.addresses = {}
 
     def endpoint_poll_failed(self) -> None:
-        """Keep the seeds that are known."""
+        """Keep the current seeds."""
 
 
 class SeedSources:
-    """The file and the discovery service that the settings name for seeds."""
+    """The file and the discovery service from which a seed list is filled."""
 
     def __init__(
         self,
@@ -55,14 +55,14 @@
         random: Callable[[], float],
         log: EventLog,
     ) -> None:
-        """Make sources that are not watched yet.
+        """Create a set of sources without any source; `watch` adds these.
 
         Args:
-            seed_list: Observes them.
-            directory: That relative paths start from.
+            seed_list: The list that the sources fill.
+            directory: The directory that relative paths refer to.
             timers: The process's timers.
-            descriptors: The budget for a connection to the discovery service.
-            random: Returns numbers from 0 to 1, for backoff.
+            descriptors: The descriptor budget of the connection to the discovery service.
+            random: Returns random numbers from 0 to 1, for backoff.
             log: The event log.
         """
         self.seed_list = seed_list
@@ -74,7 +74,7 @@
         self._sources: list[EndpointListFile | DiscoveryClient] = []
 
     def watch(self, settings: MembershipSettings) -> None:
-        """Watch what these settings name, and nothing else."""
+        """Watch the sources that these settings name, instead of the current ones."""
         self.stop()
         if settings.seeds_file is not None:
             file = EndpointListFile(EndpointList(self.seed_list, self.log), self.timers, self.log)
@@ -94,7 +94,7 @@
             client.open()
 
     def stop(self) -> None:
-        """Watch nothing any more."""
+        """Stop watching all sources."""
         for source in self._sources:
             source.stop()
         self._sources.clear()
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -1,4 +1,4 @@
-"""What all servers share: listeners, clients, the admin API, signals, and the way from start to end."""
+"""The base class of servers: listeners, client connections, the admin API, signals, start and shutdown."""
 
 import asyncio
 import signal
@@ -22,23 +22,23 @@
 
 Address = tuple[str, int]  # IPv4 address and port
 
-# All in microseconds.
-CLIENT_IDLE_TIMEOUT = 2_000_000  # a client connection that is idle for longer is closed
-IDLE_SWEEP_INTERVAL = CLIENT_IDLE_TIMEOUT // 4  # between two looks for such connections
-EVACUATION_INTERVAL = ANSWER_MARGIN // 3  # between two closings of idle clients while evacuated
+# All times are in microseconds.
+CLIENT_IDLE_TIMEOUT = 2_000_000  # client connections that are idle for longer are closed
+IDLE_SWEEP_INTERVAL = CLIENT_IDLE_TIMEOUT // 4  # between two sweeps for such connections
+EVACUATION_INTERVAL = ANSWER_MARGIN // 3  # between two sweeps that close idle clients during an evacuation
 METRICS_INTERVAL = 5_000_000  # between two log lines of metrics
 
 
 class Server(ABC):
-    """A balancer on sockets, whatever it is configured by.
+    """A balancer on sockets, independent of the form of its configuration.
 
     Attributes:
-        router: Where requests go; set by the subclass.
+        router: The router of client requests; set by the subclass.
         max_request_time: The longest deadline of any request class so far, in microseconds.
-        descriptors: Client and upstream connections, within the limit of descriptors.
-        admin_descriptors: Connections of operators, which clients can't crowd out.
-        operations: The admin calls.
-        lifecycle: Where the server stands between start and end.
+        descriptors: The descriptor budget of client and upstream connections.
+        admin_descriptors: The budget of admin connections; separate, so that clients can't use it up.
+        operations: The admin API.
+        lifecycle: The server's state and its transitions.
     """
 
     router: "Router | Dispatcher"
@@ -46,12 +46,12 @@
     def __init__(
         self, *, listen_address: Address, admin_address: Address | None, descriptor_limit: int, log: Log
     ) -> None:
-        """Make what all servers share; the event loop has to be running.
+        """Create a server that does not listen yet; an event loop has to be running.
 
         Args:
-            listen_address: Where clients connect.
-            admin_address: Where operators connect; None: nowhere.
-            descriptor_limit: Descriptors that the process may have.
+            listen_address: The address that clients connect to.
+            admin_address: The address that operators connect to; None for no admin API.
+            descriptor_limit: The maximum number of descriptors that the process may have open.
             log: The event log.
         """
         loop = asyncio.get_running_loop()
@@ -70,19 +70,19 @@
         self.lifecycle = Lifecycle(self, loop)
         self._evacuation_timer: Any = None
 
-    # Start and end.
+    # Start and shutdown
 
     async def start(self) -> None:
-        """Start everything, until clients are accepted.
+        """Install the signal handlers, open the listeners, and start accepting clients.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: The server can't listen on one of its addresses.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        # A SIGHUP that came during the start is acted on now.
+        # A SIGHUP that arrived during the start is handled now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
         if self.admin_address:
             self.admin_listener.open(self.admin_address)
@@ -96,125 +96,129 @@
 
     @abstractmethod
     async def prepare(self) -> None:
-        """Start what has to run before clients are accepted."""
+        """Start the components that have to run before clients are accepted."""
 
     def open_listener(self) -> None:
-        """Accept clients."""
+        """Start accepting clients."""
         self.listener.open(self.listen_address)
 
     @abstractmethod
     def started_event_fields(self) -> dict[str, object]:
-        """Return what is logged beside the address once clients are accepted."""
+        """Return the fields of `server.started` beside the address."""
 
     def stop(self) -> None:
         """Begin the graceful shutdown."""
         self.lifecycle.drain()
 
     async def end(self) -> None:
-        """Wait until the graceful shutdown is over, and release what is left."""
+        """Wait until the graceful shutdown is complete, then release the remaining resources."""
         await self.lifecycle.stopped
         self.close()
         self.log("server.stopped", counts=self.router.counts)
 
     @abstractmethod
     def close(self) -> None:
-        """Stop what the subclass has started."""
+        """Stop the components that the subclass has started."""
 
     @abstractmethod
     def reload(self) -> None:
-        """Read the configuration again and apply it."""
+        """Read the configuration file again and apply it."""
 
     def log_unsupported(self, keys: tuple[str, ...]) -> None:
-        """Log the settings that are read and not acted on, if there are any."""
+        """Log the keys of settings that are accepted but have no effect, if there are any."""
         if keys:
             self.log("settings.ignored", settings=keys)
 
-    # Clients.
+    # Clients
 
     def accept_client(self) -> ClientConnection:
-        """Return the protocol of a new client connection."""
+        """Create the protocol of a new client connection."""
         return ClientConnection(self.descriptors, self.timers, self.router, self.max_request_time)
 
     def accept_operator(self) -> AdminConnection:
-        """Return the protocol of a new admin connection."""
+        """Create the protocol of a new admin connection."""
         return AdminConnection(self.admin_descriptors, self.timers, self.operations)
 
     def client_connections(self, connections: Iterable[object]) -> list[ClientConnection]:
-        """Return those of the connections that are of clients."""
+        """Return the client connections among these connections."""
         return [connection for connection in connections if isinstance(connection, ClientConnection)]
 
     def close_idle_clients(self) -> list[ClientConnection]:
-        """Close client connections between two requests; return those that there were before."""
+        """Close client connections without a request; return all client connections from before."""
         clients = self.client_connections(self.descriptors.connections)
         for client in clients:
             client.close_if_idle(clock() - ACCEPT_PERIOD)
         return clients
 
     def close_idle_clients_periodically(self) -> None:
-        """Close connections that have been idle for long, now and from now on.
+        """Close client connections idle for longer than `CLIENT_IDLE_TIMEOUT`, now and at intervals.
 
-        Many clients send one request and stay: their connections would take all descriptors.
+        Many clients send one request and keep the connection open; these would use up all descriptors.
         """
         idle = self.descriptors.idle_since(clock() - CLIENT_IDLE_TIMEOUT)
         for client in self.client_connections(idle):
             client.close_if_idle(1)
         self.timers.schedule(clock() + IDLE_SWEEP_INTERVAL, self.close_idle_clients_periodically)
 
-    # Metrics.
+    # Metrics
 
     def log_metrics_periodically(self) -> None:
-        """Log the metrics that on-call looks for first, now and from now on."""
+        """Log the metrics that on-call engineers look at first, now and every `METRICS_INTERVAL`."""
         self.log_metrics()
         self.timers.schedule(clock() + METRICS_INTERVAL, self.log_metrics_periodically)
 
     @abstractmethod
     def log_metrics(self) -> None:
-        """Log the metrics."""
+        """Log the current metrics as `metrics.reported`."""
 
-    # Admin calls.
+    # Admin calls
 
     def ready(self) -> bool:
-        """Return whether requests can be served."""
+        """Return whether the server listens and its router can serve requests."""
         return self.listener.sock is not None and self.router.ready()
 
     def telemetry(self) -> dict[str, Any]:
-        """Return the counts that operators see."""
+        """Return the counters of the admin call `/api/telemetry`."""
         return {**self.metrics.snapshot(), **self.router.telemetry()}
 
     def membership_status(self) -> dict[str, Any] | None:
-        """Return the other balancers; None if there is no membership."""
+        """Return the members of the cluster; None if the server is not a member of one."""
         return None
 
     def subset_status(self) -> dict[str, Any]:
-        """Return, by pool, the upstreams in use, where a pool uses a subset."""
+        """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
         return {}
 
     def gossip_status(self) -> dict[str, Any] | None:
-        """Return the health reports exchanged with other balancers; None if there are none."""
+        """Return the health reports exchanged with other balancers; None without health gossip."""
         return None
 
     def lease_status(self) -> dict[str, Any] | None:
-        """Return the leases of shared health checks; None if they are not shared."""
+        """Return the leases of shared health checks; None if health checks are not shared."""
         return None
 
     def exclude(self, name: str, excluded: bool) -> bool:
-        """Take an upstream out or put it back; False if no list has ever had it."""
+        """Exclude an upstream from all pools or include it again.
+
+        Returns:
+            Whether the upstream has ever been in an endpoint list.
+        """
         return self.router.exclude(name, excluded)
 
     def evacuate(self) -> None:
-        """Send the clients to other balancers.
+        """Close client connections, so that clients connect to other balancers, until `rejoin` is called.
 
-        What they have asked for is answered first, and those who still come are served.
+        Requests in flight are answered first, and clients that still connect are served.
         """
         self.router.evacuated = True
         self._close_clients_while_evacuated()
 
     def rejoin(self) -> None:
-        """Keep clients again."""
+        """End the evacuation: client connections are kept open again."""
         self.router.evacuated = False
 
     def _close_clients_while_evacuated(self) -> None:
-        self.timers.cancel(self._evacuation_timer)  # the calls may come in any order, and often
+        self.timers.cancel(self._evacuation_timer)  # operators may evacuate repeatedly, or rejoin in between
         if self.router.evacuated:
             self.close_idle_clients()
             self._evacuation_timer = self.timers.schedule(
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks that balancers share: one of them checks an upstream, the others are told the result.
+"""Health checks shared by balancers: one balancer checks an upstream and announces the result to the others.
 
-Imported only where `[members]` has `probing`: nothing else pays for it.
+Imported only if `[members]` has `probing`, so that other configurations don't load its dependencies.
 """
 
 from collections.abc import Iterable, Sequence
@@ -19,19 +19,19 @@
 
 
 def health_check_task(pool: str, endpoint: Endpoint) -> str:
-    """Return the name under which balancers lease the check of an upstream; it stands on the wire."""
+    """Return the name of the lease for the health check of an upstream; it is part of the wire format."""
     return f"probe {pool} {endpoint.name}"
 
 
 class SharedHealthChecks:
-    """The leased health checks of this balancer, run by its routers.
+    """The health checks that this balancer runs under leases, and their results for its policies.
 
     Attributes:
-        leased: Who checks what, free of I/O.
+        leased: The leases of health checks, without I/O.
     """
 
     def __init__(self, own_name: str, period: int, log: EventLog) -> None:
-        """Make checks that nobody shares yet.
+        """Create shared health checks without targets; `tick` sets these.
 
         Args:
             own_name: This balancer's name.
@@ -42,10 +42,10 @@
         self._targets: dict[str, tuple[Router, Endpoint]] = {}  # by task
 
     def request_check(self, pool: str, endpoint: Endpoint, policy: PolicyPort) -> bool:
-        """Have an upstream checked for a policy, which is told the result.
+        """Request the shared check of an upstream; its result is passed to the policy.
 
         Returns:
-            False if nobody shares the check: the policy has to check the upstream itself.
+            False if the check is not shared, so that the policy has to check the upstream itself.
         """
         index = endpoint.index
         task = health_check_task(pool, endpoint)
@@ -54,12 +54,12 @@
         )
 
     def tick(self, members: Iterable[Candidate], settled: bool, pools: Sequence[tuple[str, Router]]) -> None:
-        """Run the checks that are due here.
+        """Run the checks that are due and leased by this balancer.
 
         Args:
-            members: Name and zone of each balancer that is present.
-            settled: Whether that is known for certain.
-            pools: Name and router of each pool whose checks are shared.
+            members: The name and zone of each balancer that is present.
+            settled: Whether the membership is stable enough to rely on `members`.
+            pools: The name and router of each pool with shared health checks.
         """
         self._targets = {
             health_check_task(pool, endpoint): (router, endpoint)
@@ -71,7 +71,7 @@
         self.leased.tick(clock(), members, settled, zones)
 
     def status(self) -> dict[str, Any]:
-        """Return, for operators, who ran each check last, with which fencing token, and how long ago."""
+        """Return the holder, fencing token and last result of each lease, for the admin call `/api/turns`."""
         now = clock()
         election = self.leased.election
         rows = [
@@ -98,6 +98,6 @@
 
     def _run_check(self, task: str, on_result: ResultCallback) -> None:
         if task not in self._targets:
-            return  # its upstream has gone since
+            return  # the upstream has been removed in the meantime
         router, endpoint = self._targets[task]
         router.policies[-1].start_health_check(endpoint, lambda _, outcome: on_result(clock(), outcome))
--- a/dahliabend/server/startup.py
+++ b/dahliabend/server/startup.py
@@ -1,4 +1,4 @@
-"""Start of the process that serves as the file at PROXY_CONFIG says."""
+"""Entry point of a server with the platform's configuration, the file at PROXY_CONFIG."""
 
 import os
 import signal
@@ -12,17 +12,17 @@
 from dahliabend.server.platform_server import serve_platform
 
 EXIT_OK = 0
-EXIT_FAILED = 1  # an address can't be listened on, or another failure of the system
+EXIT_FAILED = 1  # the server can't listen on an address, or another error of the operating system
 EXIT_INVALID_CONFIGURATION = 2
 
 
 def run() -> int:
-    """Serve until the process is told to stop; return its exit status."""
-    # By default the signal would end the process, and the file may be replaced just after it was read here.
+    """Serve until a signal stops the process; return its exit status."""
+    # SIGHUP ends the process by default, and a reload may be requested as soon as the file has been read.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         settings = read_server_settings(os.environ)
-    except ValueError as error:  # msgspec's errors are a kind of it
+    except ValueError as error:  # the base class of msgspec's errors, too
         print(f"dahliabend: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
     log = Log(settings.name, settings.verbose)
--- a/dahliabend/server/stored_membership.py
+++ b/dahliabend/server/stored_membership.py
@@ -1,4 +1,4 @@
-"""The file in which a member keeps whom it knows, for the next process in its place."""
+"""The file in which a member stores its membership state for the process that replaces it."""
 
 import os
 
@@ -9,21 +9,24 @@
 from dahliabend.server.log import EventLog
 from dahliabend.transport import host_info
 
-NANOSECONDS_PER_MICROSECOND = 1000  # in a microsecond
-MAX_AGE_PERIODS = 30  # protocol periods for which a successor may go on as the member that wrote the file
+NANOSECONDS_PER_MICROSECOND = 1000
+MAX_AGE_PERIODS = (
+    30  # protocol periods during which a successor may continue as the member that wrote the file
+)
 
 
 class StoredMembership(msgspec.Struct):
-    """What a process leaves for the next one in its place; the names that stand in the file are kept.
+    """The content of the file. The names of its keys are a file format and must not change.
 
     Attributes:
         name: The member's name.
-        address: Where the others send to.
-        handed_over: Whether the next process goes on as this one; else it only knows whom to ask.
-        written_at: In Unix microseconds.
+        address: The address that the other members send datagrams to.
+        handed_over: Whether the next process continues as this member; otherwise it only uses the addresses
+            in `members` as seeds.
+        written_at: The time of writing, in Unix microseconds.
         generation: The member's generation.
-        incarnation: Its last incarnation number.
-        sequence_number: The last one that it used.
+        incarnation: The member's last incarnation number.
+        sequence_number: The last sequence number that the member used.
         members: The last update of each other member.
     """
 
@@ -37,22 +40,22 @@
     members: list[Update]
 
     def snapshot(self) -> MembershipSnapshot:
-        """Return the part that the membership protocol goes on from."""
+        """Return the part that the membership protocol restores."""
         return MembershipSnapshot(self.generation, self.incarnation, self.sequence_number, self.members)
 
 
 class MembershipFile:
-    """One member's file."""
+    """The file of one member."""
 
     def __init__(self, path: str, *, label: str, name: str, address: str, period: int, log: EventLog) -> None:
-        """Name a file; nothing is read yet.
+        """Create an accessor of the file, which need not exist yet.
 
         Args:
-            path: Where it stands.
-            label: The path as the operator's file has it, for log lines.
+            path: The path of the file.
+            label: The path as written in the operator's file, for log lines.
             name: The member's name.
-            address: Its address, as the others send to it.
-            period: Its protocol period in microseconds.
+            address: The address that the other members send datagrams to.
+            period: The member's protocol period in microseconds.
             log: The event log.
         """
         self.path = path
@@ -63,7 +66,7 @@
         self.log = log
 
     def read(self) -> StoredMembership | None:
-        """Return what stands in the file; None if there is none, it is another member's, or unreadable."""
+        """Return the stored state; None if the file is missing, unreadable or of another member."""
         try:
             stored = msgspec.json.decode(host_info.read_file(self.path), type=StoredMembership)
         except FileNotFoundError:
@@ -76,17 +79,17 @@
                 "hot_restart.read_failed", reason=f"{self.label}: it is {stored.name}'s at {stored.address}"
             )
             return None
-        # Written too long ago, or by a clock that was set back: only whom to ask is taken from it.
+        # If the file is too old, or the clock was set back, only its addresses are used.
         age = _unix_microseconds() - stored.written_at
         stored.handed_over = stored.handed_over and 0 <= age < self.period * MAX_AGE_PERIODS
         return stored
 
     def write(self, state: MembershipSnapshot, *, handed_over: bool) -> None:
-        """Replace the file.
+        """Replace the file's content.
 
         Args:
             state: The member's state.
-            handed_over: Whether the next process is to go on as this one.
+            handed_over: Whether the next process continues as this member.
         """
         stored = StoredMembership(
             name=self.name,
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -1,6 +1,6 @@
-"""The log of a balancer with an operator's file: structlog with orjson, levels, sampling and context.
+"""The event log of a balancer with an operator's file: structlog with orjson, levels, sampling and context.
 
-Lines go into the same bounded buffer as those of the platform's log: a full pipe must not stop the balancer.
+Lines go into the bounded buffer of the base class: a full pipe must not block the balancer.
 """
 
 import logging
@@ -22,11 +22,11 @@
     )
 )  # fmt: skip
 REDACTED = "***"
-DEFAULT_LEVEL = "info"  # of an event that the table of events does not have
+DEFAULT_LEVEL = "info"  # of an event that is missing from `EVENTS`
 
 
 def redact_fields(fields: Mapping[str, object]) -> dict[str, object]:
-    """Return the fields with each secret replaced, at whatever depth one of them holds it."""
+    """Return the fields with the values of `SECRET_FIELDS` replaced, at any depth."""
     return {
         key: REDACTED if str(key).lower().replace("_", "-") in SECRET_FIELDS else redact(item)
         for key, item in fields.items()
@@ -34,7 +34,7 @@
 
 
 def redact(value: object) -> object:
-    """Return a field's value with each secret in it replaced."""
+    """Return a field's value with the secrets inside it replaced."""
     if isinstance(value, dict):
         return redact_fields(value)
     if isinstance(value, list | tuple):
@@ -43,17 +43,17 @@
 
 
 def redact_line(_logger: object, _method: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Redact a line; a processor of structlog."""
+    """Redact the secrets of a line, as a structlog processor."""
     return redact_fields(line)
 
 
 def render_json(line: object, **_options: object) -> bytes:
-    """Encode a line; a serializer of structlog."""
+    """Encode a line as JSON, as a structlog serializer."""
     return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
 
 
 class LineSink:
-    """The logger that structlog writes encoded lines to, with one method for each level."""
+    """The logger that structlog passes encoded lines to, with one method for each level."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
@@ -69,15 +69,15 @@
 
 
 class StructuredLog(Log):
-    """A log with levels, sampling and context, called as `Log` is."""
+    """An event log with levels, sampling and context, with the interface of `Log`."""
 
     def __init__(self, name: str, sink: int = STANDARD_ERROR, seed: int = 0) -> None:
-        """Make a log with the default settings.
+        """Create a log with the default settings.
 
         Args:
-            name: The balancer's name, which stands in each line.
-            sink: File descriptor to write to.
-            seed: Of the random numbers that sampling goes by.
+            name: The balancer's name, which is in each line.
+            sink: The file descriptor to write to.
+            seed: The seed of the random numbers for sampling.
         """
         super().__init__(name, sink=sink)
         self.random = Random(seed).random
@@ -86,7 +86,7 @@
         self.apply_settings(schema.LogSettings())
 
     def apply_settings(self, settings: schema.LogSettings) -> None:
-        """Log by these settings from now on."""
+        """Set the level and the sampling rates of the following events."""
         self.sample_rates = {
             EVENTS_BY_FORMER_NAME.get(event, event): float(rate) for event, rate in settings.sample.items()
         }
@@ -117,16 +117,16 @@
         getattr(self.logger, level)(event, **fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event; its own level decides whether it is wanted."""
+        """Log an event at its own level, which is not necessarily `debug`."""
         self.log_event(event, fields)
 
     def bind(self, **context: object) -> "BoundLog":
-        """Return a log into the same buffer, with these fields in each of its lines."""
+        """Return a log with the same buffer that adds these fields to each line."""
         return BoundLog(self, context)
 
 
 class BoundLog:
-    """A structured log with fields that stand in each of its lines."""
+    """A view of a structured log that adds context fields to each line."""
 
     def __init__(self, log: StructuredLog, context: dict[str, object]) -> None:
         self.log = log
@@ -137,10 +137,10 @@
         self.log.log_event(event, self.context | fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event with its fields and the context; its own level decides whether it is wanted."""
+        """Log an event with its fields and the context, at its own level."""
         self.log.log_event(event, self.context | fields)
 
 
 def bind_pool(log: EventLog, pool: str) -> EventLog:
-    """Return the log with the pool's name in each line, where the log can do that."""
+    """Return a log that adds the pool's name to each line; the same log if it has no context."""
     return log.bind(pool=pool) if isinstance(log, StructuredLog) else log
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -1,6 +1,6 @@
-"""A pool's endpoint list, narrowed to this balancer's subset before the policy sees it.
+"""The filter that narrows a pool's endpoint list to this balancer's subset before the router gets it.
 
-Imported only where a pool has `subset`: nothing else pays for it.
+Imported only if a pool has `subset`, so that other configurations don't load its dependencies.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -19,13 +19,13 @@
 if TYPE_CHECKING:
     from dahliabend.server.clustering import ClusterMember
 
-UPDATE_INTERVAL = 250_000  # microseconds between two looks whether the subset has to change
-MAX_LOGGED_NAMES = 20  # upstreams added and dropped, in a log line
-WEIGHT_DIGITS = 4  # decimal places of what operators are shown
+UPDATE_INTERVAL = 250_000  # microseconds between two checks whether the subset has to change
+MAX_LOGGED_NAMES = 20  # of added and of dropped upstreams in a log line
+WEIGHT_DIGITS = 4  # decimal places of the weights in the admin API
 
 
 class SubsetFilter:
-    """Stands between a pool's endpoint list and its router; observes the list.
+    """An observer of a pool's endpoint list that passes only the subset on to the pool's router.
 
     Attributes:
         subset: The upstreams in use, with their weights.
@@ -41,14 +41,14 @@
         timers: TimerQueue,
         log: EventLog,
     ) -> None:
-        """Make a filter, and look from now on whether the subset has to change.
+        """Create a filter and start checking at intervals whether the subset has to change.
 
         Args:
-            router: Gets the subset as its whole list.
-            settings: What the operator's file says of the subset.
+            router: The pool's router, which gets the subset as its whole list.
+            settings: The subset settings of the operator's file.
             balancers: The configured number of balancers.
-            cluster: Knows the other balancers, if any do.
-            instance_name: Names this balancer where it has neither a cluster nor an index.
+            cluster: This balancer's membership of its cluster; None without `[members]`.
+            instance_name: The name of this balancer if it has neither a cluster nor an index.
             timers: The process's timers.
             log: The event log.
         """
@@ -57,13 +57,13 @@
         self.timers = timers
         self.log = log
         self.subset = ActiveSubset()
-        self._rows: dict[str, EndpointRow] = {}  # by name, the whole list
+        self._rows: dict[str, EndpointRow] = {}  # the whole endpoint list, by name
         self._controller = _create_controller(settings, balancers, cluster, instance_name)
         self._timer: Any = None
         self._update_periodically()
 
     def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
-        """Apply changes of the list, or the whole list."""
+        """Apply an update of the endpoint list: the whole list if `full`, otherwise the changed entries."""
         if full:
             self._rows = {}
         for row in rows:
@@ -71,7 +71,7 @@
                 self._rows.pop(row.name, None)
             else:
                 self._rows[row.name] = row
-                self.router.table.remember_id(row.name)  # an operator may take it out before it is in use
+                self.router.table.remember_id(row.name)  # an operator may exclude it before it is in use
         ready = [
             Participant(row.name, row.zone, row.weight)
             for row in self._rows.values()
@@ -79,18 +79,18 @@
         ]
         self._controller.update_upstreams(clock(), ready)
         self._update_subset()
-        self._update_router()  # also if the subset stays: the router hears of draining upstreams at once
+        self._update_router()  # even if the subset stays the same, so that draining takes effect at once
 
     def endpoint_poll_failed(self) -> None:
-        """Tell the router that the list could not be had."""
+        """Notify the router that the endpoint list could not be fetched."""
         self.router.endpoint_poll_failed()
 
     def stop(self) -> None:
-        """Leave the subset as it is."""
+        """Stop changing the subset."""
         self.timers.cancel(self._timer)
 
     def status(self) -> dict[str, Any]:
-        """Return the subset for operators."""
+        """Return the subset in the form of the admin call `/api/subsets`."""
         subset = self.subset
         weights = {name: round(weight, WEIGHT_DIGITS) for name, weight in sorted(subset.weights.items())}
         return {
@@ -108,7 +108,7 @@
             self._update_router()
 
     def _update_subset(self) -> bool:
-        """Choose the upstreams anew; return whether the subset has changed."""
+        """Select the upstreams again; return whether the subset has changed."""
         now = clock()
         if self.cluster is not None:
             stable_view = self.cluster.last_stable_view()
@@ -140,9 +140,10 @@
         return True
 
     def _update_router(self) -> None:
-        """Give the router the subset as its whole list.
+        """Pass the subset to the router as its whole endpoint list.
 
-        An upstream that leaves the subset counts as removed: it gets nothing new, and attempts end there.
+        An upstream that leaves the subset is removed from that list: it gets no new requests, but attempts in
+        flight finish there.
         """
         indices = self.router.table.indices
         rows: list[EndpointRow] = []
@@ -151,9 +152,9 @@
             if weight is not None:
                 rows.append(row._replace(weight=weight))
             elif row.state is not EndpointState.READY and name in indices:
-                rows.append(row)  # it is draining: kept until it is removed, for the attempts in flight there
-        # Not all balancers send to these upstreams. Divided by all of them, the concurrency limit would be
-        # too low, and clients be rejected while the upstreams idle.
+                rows.append(row)  # draining: kept until it is removed, for its attempts in flight
+        # Only some of the balancers send to each of these upstreams. With the number of all balancers, the
+        # concurrency limit would be too low, and requests would be rejected while the upstreams are idle.
         self.router.balancer.selection.instance_count = self.subset.balancers_per_upstream
         self.router.endpoints_changed(rows, full=True)
 
@@ -171,7 +172,7 @@
         hold_time=settings.hold,
     )
     controller = SubsetController(_own_participant(index, cluster, instance_name), controller_settings)
-    if index is not None:  # all know how many balancers there are, and each its own place among them
+    if index is not None:  # the number of balancers and this one's index are configured: nothing to discover
         participants = [Participant(f"{number}") for number in range(balancers)]
         controller.update_view(clock(), participants, trusted=True)
     return controller
--- a/tests/server/fake_draining_server.py
+++ b/tests/server/fake_draining_server.py
@@ -1,4 +1,4 @@
-"""A server as its lifecycle sees it, with a clock that is moved by hand."""
+"""A fake of the server that a lifecycle drains, with a clock that tests advance."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,18 +8,18 @@
 
 
 class FakeTimers:
-    """Keeps scheduled calls until the time is moved past them."""
+    """A timer queue that keeps scheduled calls until the time is advanced past them."""
 
     def __init__(self) -> None:
         self.now = 1_000_000
         self.calls: list[tuple[int, Callable[[], None]]] = []
 
     def schedule(self, when: int, call: Callable[[], None]) -> None:
-        """Keep a call."""
+        """Keep a call until it is due."""
         self.calls.append((when, call))
 
     def run_until(self, when: int) -> None:
-        """Move the time, and make all calls that are due by then."""
+        """Advance the time, making all calls that are due by then in order."""
         while due := [each for each in self.calls if each[0] <= when]:
             first = min(due, key=lambda each: each[0])
             self.calls.remove(first)
@@ -29,7 +29,12 @@
 
 
 class FakeDrainingServer:
-    """Has clients and a router without requests; `clients` is the number of client connections left."""
+    """A server with client connections and a router without requests.
+
+    Attributes:
+        clients: The number of client connections that are still open.
+        events: The logged events, and "listener closed" when the listener is closed.
+    """
 
     def __init__(self, clients: int, *, shared_listener: bool = False) -> None:
         self.clients = clients
@@ -43,13 +48,13 @@
         self.lifecycle = Lifecycle(self, asyncio.new_event_loop())
 
     def log(self, event: str, **_fields: object) -> None:
-        """Remember an event."""
+        """Record an event."""
         self.events.append(event)
 
     def shut_down_by(self, when: int) -> None:
-        """Remember the deadline as the router does."""
+        """Store the deadline, as the router does."""
         self.router.shutdown_deadline = when
 
     def close_idle_clients(self) -> list[object]:
-        """Return the client connections that are left."""
+        """Return one object for each client connection that is still open."""
         return [object()] * self.clients
--- a/tests/server/fake_silent_discovery.py
+++ b/tests/server/fake_silent_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service that accepts connections and never answers."""
+"""A fake discovery service that accepts connections and never responds."""
 
 from socket import socket
 
@@ -6,9 +6,9 @@
 
 
 class SilentDiscovery(Server):
-    """Reads what is sent to it, and sends nothing."""
+    """A discovery service that reads requests and sends nothing."""
 
     def serve(self, conn: socket) -> None:
-        """Read until the connection ends."""
+        """Read until the client closes the connection."""
         while conn.recv(1024):
             pass
--- a/tests/server/fake_upstream_responses.py
+++ b/tests/server/fake_upstream_responses.py
@@ -1,6 +1,6 @@
-"""Ways in which a fake upstream answers a request; each is called with the connection and the request.
+"""Handlers with which a fake upstream responds to a request, called with the connection and the request.
 
-What they return says whether the connection goes on.
+The return value tells whether the upstream keeps the connection open.
 """
 
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 
 from helpers import answer
 
-Request = tuple[str, dict[str, str], bytes]  # first line, headers and body
+Request = tuple[str, dict[str, str], bytes]  # request line, headers and body
 
-NOT_EXECUTED = "X-Never-Ran: 1\r\n"  # header of a response that says that the request was not executed
+NOT_EXECUTED = "X-Never-Ran: 1\r\n"  # response header: the upstream has not executed the request
 
 
 def disconnect(conn: socket, request: Request) -> bool:
-    """Close the connection without an answer."""
+    """Close the connection without a response."""
     return False
 
 
@@ -24,10 +24,10 @@
 
 
 def send_unframed(conn: socket, request: Request) -> None:
-    """Send a response without a length, and close the connection."""
+    """Send a response that is not framed by a length or by chunks, and close the connection."""
     conn.sendall(b"HTTP/1.1 200 OK\r\n\r\nno length, so no end but the connection's")
 
 
 def respond_with(head: str, extra: str = "", body: bytes = b"") -> Callable[[socket, Request], bool]:
-    """Return a way that sends this response."""
+    """Return a handler that sends this response."""
     return lambda conn, request: conn.sendall(answer(body, head, extra)) is None
--- a/tests/server/processes_on_one_listener.py
+++ b/tests/server/processes_on_one_listener.py
@@ -12,7 +12,10 @@
 
 @contextmanager
 def start_processes(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
-    """Yield a function that starts one more process: its address, the process and its discovery service."""
+    """Yield a function that starts a process and returns its address, the process and its discovery service.
+
+    All processes use the same listening socket, runtime directory and discovery service.
+    """
     agent = Agent(*(entry(f"s-{number}", upstream) for number, upstream in enumerate(upstreams)))
     with ExitStack() as stack:
         for server in (agent, *upstreams):
@@ -29,11 +32,11 @@
 
 
 def set_excluded(process: Popen, excluded: bool, target: str = "s-0") -> int:
-    """Call a process to exclude or include an upstream; return the status."""
+    """Make the admin call that excludes or includes an upstream; return its HTTP status."""
     path = "/api/exclude" if excluded else "/api/include"
     return call(process.admin, path, "PUT", json.dumps({"target": target}).encode())[0]
 
 
 def telemetry_value(process: Popen, name: str) -> object:
-    """Return one value of a process's telemetry."""
+    """Return one counter of a process's telemetry."""
     return call(process.admin, "/api/telemetry")[1][name]
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -1,4 +1,4 @@
-"""Admin calls of operators, over sockets."""
+"""Admin calls to a running process, over sockets."""
 
 from threading import Event
 
@@ -55,7 +55,7 @@
     for client in silent[::2]:
         client.sock.sendall(b"PUT /api/evac")
     assert [call(admin_process[1].admin, "/api/ready")[0] for _ in range(5)] == [200] * 5
-    assert silent[-1].read() is None  # it ends after a while
+    assert silent[-1].read() is None  # closed by the idle timeout
 
 
 def test_a_call_that_arrives_byte_by_byte_is_answered(admin_process):
@@ -96,12 +96,12 @@
 
         send_requests(30, "query", "GET")
         send_requests(30, "submit", "POST")
-        send_requests(1, "submit", "POST", expires="never")  # refused before it is taken
+        send_requests(1, "submit", "POST", expires="never")  # rejected because of its invalid deadline
         waiting_client, leaving_client = Caller(address), Caller(address)
         for client, trace in ((waiting_client, "h"), (leaving_client, "g")):
             client.send("query", trace=trace, extra="X-Wait: 1\r\n")
         until(lambda: telemetry(process)["open_requests"] == 2)
-        send_requests(1, "query", "GET", trace="h")  # that id is open
+        send_requests(1, "query", "GET", trace="h")  # rejected: a request with this trace ID is open
         disconnect(leaving_client)
         until(lambda: telemetry(process)["open_requests"] == 1)
         profiles = process.conf["settings"]["profiles"]
@@ -181,7 +181,7 @@
         assert all_succeed()
         assert first.came.qsize()
         assert [call(process.admin, "/api/exclude", "PUT", target)[0] for _ in range(3)] == [200] * 3
-        assert first.ended.get(timeout=PATIENCE)  # its idle connections close
+        assert first.ended.get(timeout=PATIENCE)  # its idle connections are closed
         first.came.queue.clear()
         update_list(2, entry("s-1", first, "draining"))
         update_list(3, {"id": "s-1", "state": "removed"})
@@ -194,6 +194,6 @@
         assert all_succeed()
         assert first.came.empty()
         assert telemetry(process)["out_of_rotation"] == 1
-        assert call(process.admin, "/api/include", "PUT", target)[0] == 200  # once, however often it was out
+        assert call(process.admin, "/api/include", "PUT", target)[0] == 200  # undoes all three exclusions
         until(lambda: all_succeed() and not first.came.empty())
         assert telemetry(process)["out_of_rotation"] == 0
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes before the same clients: a replacement without a moment in which nobody serves."""
+"""Hot restart: a second process on the same listening socket takes over without interrupting service."""
 
 import os
 import signal
@@ -18,7 +18,7 @@
         while not stop.is_set():
             client, n = client or Caller(address), n + 1
             response = client.ask(trace=f"l{number}-{n}")
-            if response is None and reuses_connection:  # closed between requests: a client asks once more
+            if response is None and reuses_connection:  # closed between requests: clients retry once
                 client = Caller(address)
                 response = client.ask(trace=f"l{number}-{n}")
             statuses.append(response and response[0])
@@ -27,7 +27,7 @@
 
     with start_processes(Upstream(), Upstream()) as start:
         address, old_process, _ = start()
-        # Few enough that the crowd let in holds them all, even while both processes count the same ones.
+        # Few enough clients for the concurrency limit, even while both processes count the same attempts.
         threads = [Thread(target=send_requests, args=(address, n % 2, n), daemon=True) for n in range(3)]
         for thread in threads:
             thread.start()
@@ -58,7 +58,7 @@
         assert set_excluded(new, False, "s-0") == 200
         assert until(lambda: telemetry_value(old, "out_of_rotation") == 1)
         assert set_excluded(new, True, "s-9") == 404
-        old.kill()  # outright
+        old.kill()  # SIGKILL: no handover of state
         last = start()[1]
         new.send_signal(signal.SIGTERM)
         assert new.wait(PATIENCE) == 0
@@ -102,7 +102,7 @@
 
 def test_files_of_processes_without_a_lock_are_ignored_and_their_state_is_removed(tmp_path):
     hot_restart = HotRestart(str(tmp_path), print)
-    (tmp_path / "alive-7-1").touch()  # nobody holds it
+    (tmp_path / "alive-7-1").touch()  # not locked
     (tmp_path / "for-7-1").touch()
     hot_restart.open()
     assert hot_restart.process_key == (1, os.getpid())
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -1,4 +1,4 @@
-"""The log: every event stands in one table, and lines keep to it."""
+"""The event log: the table of events matches the calls in the code, and lines have the documented form."""
 
 import ast
 import json
@@ -14,7 +14,14 @@
 from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
-LOGGING_PACKAGES = ("transport", "http", "discovery", "proxy", "server", "leases")  # packages that log events
+LOGGING_PACKAGES = (
+    "transport",
+    "http",
+    "discovery",
+    "proxy",
+    "server",
+    "leases",
+)  # packages whose calls of the log are checked
 REQUEST_OUTCOME_EVENTS = {
     "request.succeeded",
     "request.truncated",
@@ -22,11 +29,11 @@
     "request.rejected",
     "request.failed",
     "request.sent_to_fallback",
-}  # of `RequestLog.request_ended`
+}  # logged by `RequestLog.request_ended`, which computes their names
 
 
 def log_calls():
-    """Each call of a log in the network code, or of turns, that names its event; its fields, the place."""
+    """Yield event name, field names and source line of each logging call with a literal event name."""
     for path in sorted(path for package in LOGGING_PACKAGES for path in (ROOT / package).rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
@@ -68,7 +75,7 @@
 
 
 def buffering_log(**settings):
-    """One whose lines stay in its buffer."""
+    """Return a structured log with these settings, whose lines stay in its buffer."""
     log = StructuredLog("b", sink=-1)
     log.write = lambda: None
     log.apply_settings(LogSettings(**settings))
@@ -150,7 +157,7 @@
     monkeypatch.setattr(log_module, "MAX_BUFFERED_BYTES", 2_000)
     reader, writer = os.pipe()
     log = StructuredLog("b", sink=writer)
-    log.loop, log.write_scheduled = object(), True  # as if a write were due: nothing is written now
+    log.loop, log.write_scheduled = object(), True  # a pending write: nothing is written at once
     for _ in range(100):
         log("endpoint_list.applied", version=1)
     assert log.lost_lines > 50
--- a/tests/server/test_server_forwarding.py
+++ b/tests/server/test_server_forwarding.py
@@ -8,7 +8,13 @@
 from types import SimpleNamespace
 
 import pytest
-from fake_upstream_responses import NOT_EXECUTED, disconnect, respond_with, send_truncated, send_unframed
+from fake_upstream_responses import (
+    NOT_EXECUTED,
+    disconnect,
+    respond_with,
+    send_truncated,
+    send_unframed,
+)
 from helpers import (
     CONF,
     PATIENCE,
@@ -22,7 +28,7 @@
     until,
 )
 
-SETTLE = CONF["caps"]["dial-timeout"] / 8 / 1000  # seconds in which a second answer may still come
+SETTLE = CONF["caps"]["dial-timeout"] / 8 / 1000  # seconds to wait for a possible second response
 
 
 def test_requests_and_responses_pass_unchanged_over_reused_connections():
@@ -49,10 +55,12 @@
 @pytest.mark.parametrize(
     ("respond", "retried"),
     [
-        (disconnect, False), (send_truncated, False), (send_unframed, False), (respond_with("HTTP/1.1 500 No"), False),
-        (respond_with("HTTP/1.1 503 No"), False), (respond_with("HTTP/1.1 400 No", NOT_EXECUTED), False),
-        (respond_with("HTTP/1.1 200 OK", "Content-Length: 33554433\r\n"), False), (respond_with("rubbish"), False),
-        (respond_with("HTTP/1.1 503 No", NOT_EXECUTED), True), (respond_with("HTTP/1.1 504 No", NOT_EXECUTED), True),
+        (disconnect, False), (send_truncated, False), (send_unframed, False),
+        (respond_with("HTTP/1.1 500 No"), False), (respond_with("HTTP/1.1 503 No"), False),
+        (respond_with("HTTP/1.1 400 No", NOT_EXECUTED), False),
+        (respond_with("HTTP/1.1 200 OK", "Content-Length: 33554433\r\n"), False),
+        (respond_with("rubbish"), False), (respond_with("HTTP/1.1 503 No", NOT_EXECUTED), True),
+        (respond_with("HTTP/1.1 504 No", NOT_EXECUTED), True),
     ],
 )  # fmt: skip
 def test_only_requests_that_cannot_have_executed_are_retried(respond, retried):
@@ -77,7 +85,7 @@
         socket.socket() as bound,
         program(upstream := Upstream(), ready=False, agent=Agent()) as (address, _, agent),
     ):
-        bound.bind(("127.0.0.1", 0))  # and not listening: nobody else can get this port
+        bound.bind(("127.0.0.1", 0))  # bound but not listening: reserves a port that refuses connections
         refusing = SimpleNamespace(address=f"127.0.0.1:{bound.getsockname()[1]}")
         agent.asked.get(timeout=PATIENCE)
         agent.tell(2, True, entry("s-0", refusing), entry("s-1", upstream))
@@ -98,7 +106,7 @@
 
 def test_a_connection_that_is_never_established_times_out():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener, ExitStack() as stack:
-        for _ in range(4):  # its queue is full: the system drops what comes now, and says nothing
+        for _ in range(4):  # fills the backlog, so that the kernel silently drops further connections
             pending = stack.enter_context(socket.socket())
             pending.setblocking(False)
             pending.connect_ex(full_listener.getsockname())
@@ -209,11 +217,11 @@
         proceed.set()
         assert [client.ask(trace="k")[0] for client in idle_clients] == [200] * 20
         proceed.clear()
-        # All have sent before the first is accepted: one that sends nothing for a while may be evicted.
+        # All clients send before the first is accepted: idle connections may be evicted.
         process.send_signal(signal.SIGSTOP)
         clients = [Caller(address) for _ in range(150)]
         for n, client in enumerate(clients):
-            client.send(trace=f"t{n}", expires="3000")  # the idle ones make room for these
+            client.send(trace=f"t{n}", expires="3000")  # the idle connections are evicted for these
         process.send_signal(signal.SIGCONT)
         upstream.came.get(timeout=PATIENCE)
         proceed.set()
--- a/tests/server/test_server_lifecycle.py
+++ b/tests/server/test_server_lifecycle.py
@@ -53,7 +53,7 @@
         busy.send(expires="3000")
         upstream.came.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
-        assert idle.read() is None  # closed between requests
+        assert idle.read() is None  # an idle connection is closed at once
         late_client = Caller(address)
         late_client.send(trace="t2", expires="3000")
         upstream.came.get(timeout=PATIENCE)
--- a/tests/server/test_server_reload.py
+++ b/tests/server/test_server_reload.py
@@ -31,7 +31,7 @@
         assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1"
 
         def reaches(upstream):
-            """The list arrives when it does: asked until it has."""
+            """Send requests until one reaches the upstream: when the list is applied is not observable."""
             for n in range(1000):
                 client.ask(trace=f"r{n}")
                 try:
@@ -50,7 +50,7 @@
         assert reaches(third)
         agent.watches[-1].shutdown(2)
         assert agent.asked.get(timeout=PATIENCE).split()[1] == "/api/targets?watch=1&after=3"
-        agent.tell(4, True, entry("s-1", first))  # left out of a full list is gone
+        agent.tell(4, True, entry("s-1", first))  # s-2 is missing from a full list: it is removed
         assert reaches(first)
         agent.tell(5, False, {"id": "s-1", "state": "removed"}, {"id": 7}, {"state": "up"})
         for _ in range(1000):
@@ -78,7 +78,9 @@
             pass
         assert Caller(address).ask(trace="t2")[0] == 200
         assert second.came.get(timeout=PATIENCE)
-        replace(process, log="info")  # a file that leaves out what the one in force names is turned down
+        replace(
+            process, log="info"
+        )  # the first address again; a file without the key `log` would be rejected
         assert agent.asked.get(timeout=PATIENCE)
         assert agent.asked.get(timeout=PATIENCE)
 
@@ -112,12 +114,12 @@
         agent.tell(2, False, entry("s-0", first, "draining"))
         while logged(process, "endpoint_list.applied")["version"] < 2:
             pass
-        assert Caller(address).ask("submit", trace="n1")[0] == 404  # dropped by the new file
+        assert Caller(address).ask("submit", trace="n1")[0] == 404  # the new file has no class `submit`
         responses = [Caller(address).ask("upload", "POST", trace=f"u{n}", expires="1500") for n in range(4)]
         assert [a[0] for a in responses] == [200] * 4
         assert not any("upload" in request[0] for request in first.came.queue)
         proceed.set()
-        assert [client.read()[0] for client in in_flight] == [200] * 6  # each once: the connections go on
+        assert [client.read()[0] for client in in_flight] == [200] * 6  # one each; connections stay open
         assert [client.ask(trace=f"g{n}")[0] for n, client in enumerate(in_flight)] == [200] * 6
         restored_settings = {
             **CHANGED_SETTINGS,
--- a/tests/server/test_server_states.py
+++ b/tests/server/test_server_states.py
@@ -1,4 +1,4 @@
-"""The states of a server from its start to its end, on a clock that is moved by hand."""
+"""The states of a server from its start to its shutdown, with a fake clock."""
 
 import pytest
 from fake_draining_server import FakeDrainingServer
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def make_server(monkeypatch):
-    """Makes servers whose clock is that of their timers."""
+    """Return a function that creates servers; the lifecycle's clock is that of the last one's timers."""
 
     def make(clients, **options):
         server = FakeDrainingServer(clients, **options)
--- a/tests/server/test_signals_and_shutdown.py
+++ b/tests/server/test_signals_and_shutdown.py
@@ -1,4 +1,4 @@
-"""Signals at bad moments, over sockets."""
+"""Signals during a reload of a bad file and during shutdown, in a running process."""
 
 import signal
 import time
@@ -61,9 +61,9 @@
         for n in range(100):
             clients.append(Caller(address))
             clients[-1].send("submit", "POST", b"x", trace=f"t{n}")
-        time.sleep(0.6)  # its time for accepting runs out meanwhile, so that the closing comes first
+        time.sleep(0.6)  # longer than ACCEPT_PERIOD: the listener's closing is due when the process continues
         process.send_signal(signal.SIGCONT)
-        responses = [client.read() for client in clients]  # None, or a reset, for one that was lost
-        assert {status for status, *_ in responses} <= {200, 503}  # some are beyond the first crowd
+        responses = [client.read() for client in clients]  # None, or a reset, for a lost connection
+        assert {status for status, *_ in responses} <= {200, 503}  # 503: above the concurrency limit
         assert process.wait(PATIENCE) == 0
         assert upstream.came.qsize() == [a[0] for a in responses].count(200) > 0
