--- a/dahliabend/config/operator_file/decoder.py
+++ b/dahliabend/config/operator_file/decoder.py
@@ -16,10 +16,10 @@
 MIN_SIMILARITY = 0.6  # of a name that a hint proposes, from 0 to 1
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def nearest(name: str, known_names: Iterable[str]) -> str:
     """A hint for a name that is not known; empty where no known name is similar."""
-    close = difflib.get_close_matches(name, list(known), 1, MIN_SIMILARITY)
-    return f"; is {close[0]!r} meant?" if close else ""
+    matches = difflib.get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
+    return f"; is {matches[0]!r} meant?" if matches else ""
 
 
 def decode_file(source: Source) -> OperatorFile | None:
@@ -66,10 +66,10 @@
     if origin is list and isinstance(value, list):
         item_kind = arguments[0]
         return [_decode_value(item_kind, each, (*key, number), source) for number, each in enumerate(value)]
-    return _decode_plain(kind, value, key, source)
+    return _decode_scalar(kind, value, key, source)
 
 
-def _decode_plain(kind: object, value: object, key: Key, source: Source) -> object:
+def _decode_scalar(kind: object, value: object, key: Key, source: Source) -> object:
     try:
         return msgspec.convert(value, kind, dec_hook=units.decode_unit)
     except ValueError as error:  # msgspec's errors are a kind of it
--- a/dahliabend/config/operator_file/key_lines.py
+++ b/dahliabend/config/operator_file/key_lines.py
@@ -17,51 +17,51 @@
     4
     """
     lines: dict[Key, int] = {}
-    item_numbers: dict[Key, int] = {}  # of the last item so far, by the key of its list of tables
+    item_indices: dict[Key, int] = {}  # of the last item so far, by the key of its list of tables
     root = tree_sitter.Parser(_GRAMMAR).parse(raw).root_node
     for node in root.children:
         if node.type == "pair":
             _add_pair(node, (), lines)
         elif node.type in ("table", "table_array_element"):
-            _add_table(node, lines, item_numbers)
+            _add_table(node, lines, item_indices)
     return lines
 
 
-def _add_table(node: tree_sitter.Node, lines: dict[Key, int], item_numbers: dict[Key, int]) -> None:
-    key = _resolve(_names(node.children[1]), item_numbers)
+def _add_table(node: tree_sitter.Node, lines: dict[Key, int], item_indices: dict[Key, int]) -> None:
+    key = _resolve_header(_key_parts(node.children[1]), item_indices)
     if node.type == "table_array_element":
-        item_numbers[key] = item_numbers.get(key, -1) + 1
+        item_indices[key] = item_indices.get(key, -1) + 1
         lines.setdefault(key, _line(node))
-        key = (*key, item_numbers[key])
+        key = (*key, item_indices[key])
     lines.setdefault(key, _line(node))
     for child in node.children:
         if child.type == "pair":
             _add_pair(child, key, lines)
 
 
-def _resolve(names: tuple[str, ...], item_numbers: dict[Key, int]) -> Key:
+def _resolve_header(names: tuple[str, ...], item_indices: dict[Key, int]) -> Key:
     """The key of a table's header: below a list of tables it belongs to the last of them."""
     key: Key = ()
     for number, name in enumerate(names):
         key = (*key, name)
-        if key in item_numbers and number < len(names) - 1:
-            key = (*key, item_numbers[key])
+        if key in item_indices and number < len(names) - 1:
+            key = (*key, item_indices[key])
     return key
 
 
-def _names(node: tree_sitter.Node) -> tuple[str, ...]:
+def _key_parts(node: tree_sitter.Node) -> tuple[str, ...]:
     """The parts of a key as it is written, without quotes."""
     if node.type == "dotted_key":
-        return tuple(name for child in node.children if child.type != "." for name in _names(child))
+        return tuple(name for child in node.children if child.type != "." for name in _key_parts(child))
     text = (node.text or b"").decode()
     if node.type == "quoted_key":
         return (tomllib.loads(f"key = {text}")["key"],)
     return (text,)
 
 
-def _add_pair(node: tree_sitter.Node, above: Key, lines: dict[Key, int]) -> None:
-    key = (*above, *_names(node.children[0]))
-    for end in range(len(above) + 1, len(key) + 1):
+def _add_pair(node: tree_sitter.Node, parent: Key, lines: dict[Key, int]) -> None:
+    key = (*parent, *_key_parts(node.children[0]))
+    for end in range(len(parent) + 1, len(key) + 1):
         lines.setdefault(key[:end], _line(node))
     _add_value(node.children[-1], key, lines)
 
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -104,8 +104,8 @@
         try:
             return tomllib.loads(text)
         except tomllib.TOMLDecodeError as error:
-            found = _TOML_ERROR_LINE.search(str(error))
-            line = int(found[1]) if found else text.count("\n") + 1
+            match = _TOML_ERROR_LINE.search(str(error))
+            line = int(match[1]) if match else text.count("\n") + 1
             self._fault(Place(path, line), "", f"is no TOML: {error}")
             return None
 
@@ -126,20 +126,20 @@
 
     def apply(self, tree: dict[str, Any]) -> dict[str, Any]:
         """A copy of the file's tree with `${NAME}` and `${NAME:-default}` replaced in each text."""
-        return {name: self._value(value, (name,)) for name, value in tree.items()}
+        return {name: self._substitute(value, (name,)) for name, value in tree.items()}
 
-    def _value(self, value: object, key: Key) -> object:
+    def _substitute(self, value: object, key: Key) -> object:
         if isinstance(value, dict):
-            return {name: self._value(each, (*key, name)) for name, each in value.items()}
+            return {name: self._substitute(each, (*key, name)) for name, each in value.items()}
         if isinstance(value, list):
-            return [self._value(each, (*key, number)) for number, each in enumerate(value)]
+            return [self._substitute(each, (*key, number)) for number, each in enumerate(value)]
         if isinstance(value, str):
-            return _VARIABLE.sub(lambda found: self._variable(found, key), value)
+            return _VARIABLE.sub(lambda match: self._variable_value(match, key), value)
         return value
 
-    def _variable(self, found: re.Match[str], key: Key) -> str:
-        name: str = found[1]
-        default: str | None = found[2]
+    def _variable_value(self, match: re.Match[str], key: Key) -> str:
+        name: str = match[1]
+        default: str | None = match[2]
         if name in self._environment:
             return self._environment[name]
         if default is not None:
@@ -160,23 +160,23 @@
         name: len(source.tree.get(name, [])) for name, value in tree.items() if isinstance(value, list)
     }
     for key, place in places.items():
-        source.places[_shifted(key, list_lengths)] = place
+        source.places[_shift_list_item(key, list_lengths)] = place
     _merge_table(source.tree, tree)
 
 
-def _shifted(key: Key, list_lengths: Mapping[str | int, int]) -> Key:
+def _shift_list_item(key: Key, list_lengths: Mapping[str | int, int]) -> Key:
     """The key of an item once its top-level list is appended to one of a length."""
     if len(key) > 1 and isinstance(key[1], int):
         return (key[0], key[1] + list_lengths.get(key[0], 0), *key[2:])
     return key
 
 
-def _merge_table(below: dict[str, Any], above: dict[str, Any]) -> None:
-    for name, value in above.items():
-        before = below.get(name)
-        if isinstance(before, dict) and isinstance(value, dict):
-            _merge_table(before, value)
-        elif isinstance(before, list) and isinstance(value, list):
-            before.extend(value)
+def _merge_table(base: dict[str, Any], update: dict[str, Any]) -> None:
+    for name, value in update.items():
+        earlier = base.get(name)
+        if isinstance(earlier, dict) and isinstance(value, dict):
+            _merge_table(earlier, value)
+        elif isinstance(earlier, list) and isinstance(value, list):
+            earlier.extend(value)
         else:
-            below[name] = value
+            base[name] = value
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -19,10 +19,10 @@
     if not isinstance(text, str):
         unit = next(unit for unit in _EXAMPLE_UNITS if unit in units)
         raise FormatError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
-    found = _QUANTITY.fullmatch(text.strip())
-    if found is None or found[2] not in units:
+    match = _QUANTITY.fullmatch(text.strip())
+    if match is None or match[2] not in units:
         raise FormatError(f"{text!r} is no {what}: a number and one of {', '.join(units)}")
-    return float(found[1]) * units[found[2]]
+    return float(match[1]) * units[match[2]]
 
 
 class Duration(int):
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -23,7 +23,7 @@
 MAX_DESCRIPTORS = 1 << 20
 MAX_SETTING = 1e9  # of a time in milliseconds, of requests in flight
 MAX_DESCRIPTOR_DIGITS = 9  # of PROXY_FD
-REPORTS_IN_HEALTH_CHECKS = "on_probe"
+HEALTH_CHECK_REPORT_SOURCE = "on_probe"
 
 
 def read_server_settings(
@@ -73,7 +73,7 @@
 def _parse_file(text: bytes, environment: Mapping[str, str], required_keys: frozenset[str]) -> ServerSettings:
     tree = msgspec.json.decode(text)
     file = msgspec.convert(tree, PlatformFile)
-    named_keys = _named_keys(tree)
+    named_keys = _contained_keys(tree)
     missing_keys = sorted(required_keys - named_keys)
     if missing_keys:
         raise ConfigurationError(missing_keys[0], "missing")
@@ -128,7 +128,7 @@
     return environment.get(variable) or text
 
 
-def _named_keys(tree: dict[str, Any]) -> frozenset[str]:
+def _contained_keys(tree: dict[str, Any]) -> frozenset[str]:
     """Dotted keys that a file names: its own, those in its settings, and those in their tables.
 
     >>> sorted(_named_keys({"listen": "", "settings": {"caps": {"most-hops": 1}, "fees": {}}}))
@@ -191,17 +191,17 @@
 
 def _report_fields(section: LoadReportSection) -> tuple[str, ...]:
     """The figures that health checks bring; load reports of other sources are not read."""
-    return tuple(section.fields) if section.source == REPORTS_IN_HEALTH_CHECKS else ()
+    return tuple(section.fields) if section.source == HEALTH_CHECK_REPORT_SOURCE else ()
 
 
 def _unsupported_keys(file: PlatformFile) -> tuple[str, ...]:
     """Keys of settings that allow what this program does not do on sockets."""
     capabilities = file.settings.capabilities
-    allowed = {
+    enabled = {
         "caps.max-streams": capabilities.max_streams > 1,
         "caps.may-tell": capabilities.sends_to_peers,
     }
-    return tuple(key for key, is_allowed in allowed.items() if is_allowed)
+    return tuple(key for key, is_enabled in enabled.items() if is_enabled)
 
 
 def _parse_address(key: str, text: str) -> tuple[str, int]:
--- a/dahliabend/config/policy_settings.py
+++ b/dahliabend/config/policy_settings.py
@@ -30,14 +30,14 @@
     return round(milliseconds * 1000)
 
 
-def check_range(key: str, value: float, least: float, most: float) -> None:
+def check_range(key: str, value: float, minimum: float, maximum: float) -> None:
     """Check a number against its bounds, both included.
 
     Raises:
         ConfigurationError: It is outside of them.
     """
-    if not least <= value <= most:
-        raise ConfigurationError(key, f"{value} is not between {least:g} and {most:g}")
+    if not minimum <= value <= maximum:
+        raise ConfigurationError(key, f"{value} is not between {minimum:g} and {maximum:g}")
 
 
 def read_policy_settings(text: bytes) -> Settings:
