--- a/dahliabend/config/__init__.py
+++ b/dahliabend/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's JSON file and the operator's TOML file, read, typed and checked."""
+"""Reading, decoding and checking of configuration: the platform's JSON file and the operator's TOML file."""
--- a/dahliabend/config/address.py
+++ b/dahliabend/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses as configurations and endpoint lists write them."""
+"""Parsing of the addresses in configuration files and endpoint lists."""
 
 from ipaddress import IPv4Address
 
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split host and port; host names are not resolved.
+    """Parse an IPv4 address and a port; host names are not supported.
 
     >>> parse_address("10.0.0.4:8080")
     ('10.0.0.4', 8080)
--- a/dahliabend/config/operator_file/__init__.py
+++ b/dahliabend/config/operator_file/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: read with its places, typed, checked against the rules, shown and compared.
+"""The operator's file: reading with line numbers, and decoding to the structs in `schema`.
 
-`docs/routes.md` is its page. It compiles to what stands in `schema`; another language could, too.
+`docs/routes.md` describes the file. Nothing beyond `schema` depends on its syntax, TOML.
 """
--- a/dahliabend/config/operator_file/decoder.py
+++ b/dahliabend/config/operator_file/decoder.py
@@ -1,4 +1,4 @@
-"""From a tree with places to typed settings: every fault of form, each with its place, in one pass."""
+"""Decoding of a parsed operator's file to typed settings; one pass finds all invalid keys and values."""
 
 import difflib
 import typing
@@ -13,20 +13,21 @@
 from dahliabend.config.operator_file.source import Key, Source
 
 StructT = TypeVar("StructT", bound=msgspec.Struct)
-MIN_SIMILARITY = 0.6  # of a name that a hint proposes, from 0 to 1
+MIN_SIMILARITY = 0.6  # between a name and the proposed one, from 0 to 1
 
 
 def nearest(name: str, known_names: Iterable[str]) -> str:
-    """A hint for a name that is not known; empty where no known name is similar."""
+    """Return a hint with the most similar known name for a misspelt one; empty if none is similar."""
     matches = difflib.get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
     return f"; is {matches[0]!r} meant?" if matches else ""
 
 
 def decode_file(source: Source) -> OperatorFile | None:
-    """Decode a tree into settings.
+    """Decode the merged tree of a source.
 
     Returns:
-        The settings; None if there are faults of form, which are added to the source.
+        The settings; None if keys are unknown or missing or values malformed. These faults are added to the
+        source, each with its place.
     """
     fault_count = len(source.faults)
     file = _decode_struct(OperatorFile, source.tree, (), source)
@@ -53,7 +54,7 @@
 
 
 def _decode_value(kind: object, value: object, key: Key, source: Source) -> object:
-    """Decode a value of an annotated type: a union with None, a struct, a dict, a list or a plain value."""
+    """Decode a value of a field's type: a union with None, a struct, a dict, a list or a scalar."""
     origin = typing.get_origin(kind)
     arguments = typing.get_args(kind)
     if origin in (UnionType, typing.Union):
@@ -72,7 +73,7 @@
 def _decode_scalar(kind: object, value: object, key: Key, source: Source) -> object:
     try:
         return msgspec.convert(value, kind, dec_hook=units.decode_unit)
-    except ValueError as error:  # msgspec's errors are a kind of it
+    except ValueError as error:  # the base class of msgspec's errors, too
         reason = str(error)
     if typing.get_origin(kind) is typing.Literal:
         choices = typing.get_args(kind)
--- a/dahliabend/config/operator_file/key_lines.py
+++ b/dahliabend/config/operator_file/key_lines.py
@@ -1,4 +1,4 @@
-"""On which line of a TOML file each key stands, from its concrete syntax tree."""
+"""The line number of each key in a TOML file, from its concrete syntax tree."""
 
 import tomllib
 
@@ -11,13 +11,13 @@
 
 
 def key_lines(raw: bytes) -> dict[Key, int]:
-    r"""Find the line, from 1, of each key and of each item of a list.
+    r"""Return the line number, from 1, of each key and each list item.
 
     >>> key_lines(b'a = 1\n[b]\nc.d = [1,\n2]\n[[e]]\nf = {g = 1}\n[[e]]\n')[("b", "c", "d", 1)]
     4
     """
     lines: dict[Key, int] = {}
-    item_indices: dict[Key, int] = {}  # of the last item so far, by the key of its list of tables
+    item_indices: dict[Key, int] = {}  # index of the last item so far, by the key of its array of tables
     root = tree_sitter.Parser(_GRAMMAR).parse(raw).root_node
     for node in root.children:
         if node.type == "pair":
@@ -40,7 +40,7 @@
 
 
 def _resolve_header(names: tuple[str, ...], item_indices: dict[Key, int]) -> Key:
-    """The key of a table's header: below a list of tables it belongs to the last of them."""
+    """Return the key of a table header; a header below an array of tables belongs to its last item."""
     key: Key = ()
     for number, name in enumerate(names):
         key = (*key, name)
@@ -50,7 +50,7 @@
 
 
 def _key_parts(node: tree_sitter.Node) -> tuple[str, ...]:
-    """The parts of a key as it is written, without quotes."""
+    """Return the parts of a key, without quotes."""
     if node.type == "dotted_key":
         return tuple(name for child in node.children if child.type != "." for name in _key_parts(child))
     text = (node.text or b"").decode()
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -1,4 +1,7 @@
-"""Reads the operator's file with all that it includes and puts the environment in. No meaning of keys yet."""
+"""Loading of the operator's file: reads and merges included files, and substitutes environment variables.
+
+The meaning of keys is not checked here.
+"""
 
 import os
 import re
@@ -19,18 +22,18 @@
 def load_source(
     path: str, environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_bytes
 ) -> Source:
-    """Read a file and all that it includes.
+    """Read a file and the files that it includes, and merge them.
 
-    Files are merged in order, included ones before the file that includes them: a later value replaces an
-    earlier one, lists are joined.
+    Included files come before the file that includes them, in order: a later value replaces an earlier one,
+    and lists are concatenated.
 
     Args:
-        path: The top file.
-        environment: Variables for `${NAME}` and `${NAME:-default}` in texts.
-        read: How a file is read; it may raise OSError.
+        path: The path of the top file.
+        environment: The variables for `${NAME}` and `${NAME:-default}` in strings.
+        read: Reads a file; may raise OSError.
 
     Returns:
-        The merged tree. Nothing is raised for what is in the files: the faults are in the source.
+        The merged tree with its faults; faults in the files raise nothing.
     """
     loader = _Loader(Source(top=path, reads=read), environment, read)
     loader.include(path, (), Place(path, 1))
@@ -38,7 +41,7 @@
 
 
 class _Loader:
-    """Merges files into one source."""
+    """The merging of files into one source."""
 
     def __init__(self, source: Source, environment: Mapping[str, str], read: Callable[[str], bytes]) -> None:
         self.source = source
@@ -46,12 +49,12 @@
         self._read = read
 
     def include(self, path: str, including: tuple[str, ...], place: Place) -> None:
-        """Merge one file, after those that it includes.
+        """Merge a file into the source, after the files that it includes.
 
         Args:
-            path: Of the file.
-            including: Normalized paths of the files through which it was included, from the top one.
-            place: Of the key that includes it.
+            path: The path of the file.
+            including: The normalized paths of the chain of files that include it, from the top file.
+            place: The place of the `include` item that names it.
         """
         normalized = os.path.normpath(path)
         if normalized in including:
@@ -114,7 +117,7 @@
 
 
 class _Substitution:
-    """Puts variables of the environment into the texts of one file."""
+    """The substitution of environment variables in the strings of one file."""
 
     def __init__(
         self, source: Source, path: str, places: dict[Key, Place], environment: Mapping[str, str]
@@ -125,7 +128,7 @@
         self._environment = environment
 
     def apply(self, tree: dict[str, Any]) -> dict[str, Any]:
-        """A copy of the file's tree with `${NAME}` and `${NAME:-default}` replaced in each text."""
+        """Return a copy of the file's tree with `${NAME}` and `${NAME:-default}` replaced in all strings."""
         return {name: self._substitute(value, (name,)) for name, value in tree.items()}
 
     def _substitute(self, value: object, key: Key) -> object:
@@ -155,7 +158,7 @@
 
 
 def _merge(source: Source, tree: dict[str, Any], places: dict[Key, Place]) -> None:
-    """Merge a file's tree into that of the files before it."""
+    """Merge a file's tree and places into those of the files before it."""
     list_lengths: dict[str | int, int] = {
         name: len(source.tree.get(name, [])) for name, value in tree.items() if isinstance(value, list)
     }
@@ -165,7 +168,12 @@
 
 
 def _shift_list_item(key: Key, list_lengths: Mapping[str | int, int]) -> Key:
-    """The key of an item once its top-level list is appended to one of a length."""
+    """Return the key that a list item has after its top-level list was appended to the earlier ones.
+
+    Args:
+        key: The key in the file's own tree.
+        list_lengths: The lengths of the top-level lists before the file was merged.
+    """
     if len(key) > 1 and isinstance(key[1], int):
         return (key[0], key[1] + list_lengths.get(key[0], 0), *key[2:])
     return key
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -1,6 +1,7 @@
-"""What an operator's file may say, with the defaults, in one place.
+"""The schema of an operator's file, with all defaults.
 
-A field's name is its key with `_` in place of `-`, in the operators' words. Times are microseconds once read.
+A field's name is its key with `_` in place of `-`, unless `field(name=)` gives the key. Decoded times are in
+microseconds.
 """
 
 from typing import Literal
@@ -15,56 +16,56 @@
 
 
 class FileTable(msgspec.Struct, rename="kebab", kw_only=True):
-    """A table of the file."""
+    """The base class of tables in the file; maps keys from kebab case."""
 
 
 class TreatmentSettings(FileTable, kw_only=True):
-    """How a request is treated.
+    """Timeouts, attempts and limits of requests.
 
-    A route's values go before its class's, and these before the file's defaults.
+    A route's values take precedence over those of its class, and these over `[defaults]`.
     """
 
     attempt_timeout: Duration | None = msgspec.field(name="hop-time", default=None)
-    total_time: Duration | None = None  # all attempts together; the class's hard limit, if left out
-    attempts: int | None = None  # at the most
-    replays: int | None = None  # of these, after an attempt that may have executed
-    second_copy_after: Duration | None = None  # until a hedged attempt beside a slow first one
-    retry_share: Fraction | None = None  # of first attempts: retries after ones that may have executed
-    concurrency: int | None = None  # requests in flight
+    total_time: Duration | None = None  # of all attempts together; default: the class's `hard-limit`
+    attempts: int | None = None  # maximum, including the first one
+    replays: int | None = None  # maximum of retries after an attempt that may have executed
+    second_copy_after: Duration | None = None  # delay before a slow first attempt is hedged
+    retry_share: Fraction | None = None  # retries after attempts that may have executed, per first attempt
+    concurrency: int | None = None  # maximum of requests in flight
     rate: Rate | None = None
-    burst: int | None = None  # requests that may come at once above the rate
+    burst: int | None = None  # requests that may arrive at once above the rate
 
 
 class DefaultSettings(TreatmentSettings, kw_only=True):
-    """`[defaults]`: for all routes."""
+    """`[defaults]`: defaults for all routes."""
 
-    most_retry_share: Fraction = Fraction(0.25)  # what a route's and its fallback's may come to together
+    most_retry_share: Fraction = Fraction(0.25)  # maximum of a route's share with that of its fallback
 
 
 class ListenerSettings(FileTable, kw_only=True):
-    """`[listeners.NAME]`: where clients or operators connect."""
+    """`[listeners.NAME]`: an address that clients or operators connect to."""
 
     address: str
 
 
 class LogSettings(FileTable, kw_only=True):
-    """`[log]`: what is logged."""
+    """`[log]`: settings of the event log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
-    access: bool = False  # a line for each request
-    sample: dict[str, Fraction] = {}  # by event: the share of lines that is written
+    access: bool = False  # whether each request is logged
+    sample: dict[str, Fraction] = {}  # fraction of the lines to write, by event
 
 
 class SlowStartSettings(FileTable, kw_only=True):
     """`[pools.NAME.cold]`: how a new upstream warms up."""
 
-    share: Fraction = Fraction(0.2)  # of its capacity that it has at its start
-    time: Duration = Duration(10 * SECOND)  # until it has all
+    share: Fraction = Fraction(0.2)  # of its capacity, at its start
+    time: Duration = Duration(10 * SECOND)  # until it reaches its full capacity
     multiple: float = 3.0  # of its capacity at which it fails
 
 
 class EndpointSettings(FileTable, kw_only=True):
-    """`[[pools.NAME.members]]`: one upstream."""
+    """`[[pools.NAME.members]]`: an upstream."""
 
     id: str
     address: str
@@ -74,29 +75,33 @@
 
 
 class SubsetSettings(FileTable, kw_only=True):
-    """`[pools.NAME.subset]`: this balancer uses some upstreams, so that the choices of all add up."""
+    """`[pools.NAME.subset]`: each balancer uses a subset of the upstreams; together they load all evenly."""
 
-    least: int = 12  # upstreams of each balancer
-    degree: int = 12  # balancers of each upstream, in the mean
-    zones: bool = False  # same zone first, others for what it has no capacity for
-    self_index: int | None = None  # among the pool's balancers, from 0; from the membership, if left out
-    hold: Duration = Duration(60 * SECOND)  # how long a view that may be partitioned narrows nothing
+    least: int = 12  # minimum of upstreams that a balancer uses
+    degree: int = 12  # mean number of balancers that use an upstream
+    zones: bool = False  # prefer upstreams in the same zone, and use others for what exceeds its capacity
+    self_index: int | None = (
+        None  # of this one among the pool's balancers, from 0; default: from the membership
+    )
+    hold: Duration = Duration(
+        60 * SECOND
+    )  # time during which a possibly partitioned view removes no upstream
 
 
 class PoolSettings(FileTable, kw_only=True):
-    """`[pools.NAME]`: upstreams with one set of decisions. One of the first three keys lists them."""
+    """`[pools.NAME]`: upstreams that share a policy. One of the first three keys lists them."""
 
     discovery: str | None = None
     members: list[EndpointSettings] | None = None
-    file: str | None = None  # in discovery's form, watched
+    file: str | None = None  # a watched file in the discovery service's format
     fallback: str | None = None
-    fallback_below: Fraction = Fraction(0.0)  # of its upstreams ready: from there on the fallback takes over
+    fallback_below: Fraction = Fraction(0.0)  # fraction of ready upstreams up to which the fallback is used
     balancers: int = 1
     probes: bool = False
     cancels: bool = True
-    idle: Duration = Duration(15 * SECOND)  # idle connections are closed after that
+    idle: Duration = Duration(15 * SECOND)  # idle timeout of connections to upstreams
     dial_time: Duration = Duration(250 * MILLISECOND)
-    drain_notice_time: Duration = msgspec.field(  # for an upstream that is known to drain
+    drain_notice_time: Duration = msgspec.field(  # grace period of an upstream that drains
         name="grace", default=Duration(1_500 * MILLISECOND)
     )
     slow_start: SlowStartSettings = msgspec.field(name="cold", default_factory=SlowStartSettings)
@@ -104,58 +109,60 @@
 
 
 class ClassSettings(TreatmentSettings, kw_only=True):
-    """`[classes.NAME]`: requests of one worth, with one objective."""
+    """`[classes.NAME]`: a request class, with its objectives and its priority."""
 
     effect: Effect
     service_goal: Duration
     hard_limit: Duration
-    revenue: float = 1.0
-    late_share: Fraction = Fraction(0.0)  # of the revenue, for an answer after the goal
+    revenue: float = 1.0  # priority weight
+    late_share: Fraction = Fraction(0.0)  # of the revenue, for a response after the service goal
     group: Literal["all", "zone", "cell"] = "all"
     repeat_window: Duration = Duration(0)
     longest_body: ByteSize = ByteSize(32 << 20)
 
 
 class RouteSettings(TreatmentSettings, kw_only=True):
-    """`[[routes]]`: which requests go to which pools."""
+    """`[[routes]]`: the requests that match a route, and the pools that they are sent to."""
 
     name: str
     class_: str = msgspec.field(name="class")
-    path: str = "/"  # a prefix, by complete segments
-    methods: list[str] = []  # none: all
-    headers: dict[str, str] = {}  # all have to be there, with that value
+    path: str = "/"  # a prefix of whole path segments
+    methods: list[str] = []  # empty for all methods
+    headers: dict[str, str] = {}  # header fields that the request must have, with these values
     pool: str | None = None
-    pools: dict[str, float] | None = None  # by weight
-    split_by: str | None = None  # a header; requests with the same value use the same pool
-    fallback: str | None = None  # in place of its pool's
-    shared: bool = False  # its rate and concurrency are those of all balancers, divided by their demand
-    mirror: str | None = None  # a pool that gets copies whose answers are dropped
+    pools: dict[str, float] | None = None  # weights, by pool
+    split_by: str | None = None  # a header field; requests with the same value use the same pool
+    fallback: str | None = None  # replaces the pool's fallback
+    shared: bool = False  # rate and concurrency are of the whole cluster, divided by the balancers' demand
+    mirror: str | None = None  # a pool that gets copies of requests; its responses are dropped
     mirror_share: Fraction = Fraction(1.0)
 
 
 class MembershipSettings(FileTable, kw_only=True):
-    """`[members]`: the balancers among themselves. Seeds are collected from all keys that name some."""
+    """`[members]`: the membership of this balancer in a cluster. Seeds from all keys are combined."""
 
-    address: str  # where their datagrams come in, UDP
-    advertise: str | None = None  # where the others send to; the address, if left out
-    name: str | None = None  # the same after a restart; where the others send to, if left out
+    address: str  # UDP address that this balancer receives datagrams on
+    advertise: str | None = None  # address that the others send to; default: `address`
+    name: str | None = None  # must not change in a restart; default: the address that the others send to
     zone: str = ""
     weight: float = 1.0
-    demand: bool = False  # its weight is its demand, requests a second, gossiped as it changes
-    signals: bool = False  # gossips which upstreams fail
-    probing: Duration = Duration(0)  # each upstream is checked once in it, by one of them; 0: each for itself
+    demand: bool = False  # the weight is this balancer's demand in requests per second, announced on changes
+    signals: bool = False  # exchange health reports on upstreams
+    probing: Duration = Duration(0)  # period in which one balancer checks an upstream for all; 0: not shared
     seeds: list[str] = []
-    seeds_file: str | None = None  # in discovery's form, watched
+    seeds_file: str | None = None  # a watched file in the discovery service's format
     seeds_discovery: str | None = None
-    key_files: list[str] = []  # the first signs datagrams, each of them verifies
-    keep: str | None = None  # a file: known members, and the state that a successor takes over
-    period: Duration = Duration(SECOND)
-    forget: Duration = Duration(3600 * SECOND)
-    cut: Fraction = Fraction(1 / 3)
+    key_files: list[str] = []  # the first key signs datagrams, all of them verify
+    keep: str | None = None  # file with the members and the state for a successor
+    period: Duration = Duration(SECOND)  # protocol period
+    forget: Duration = Duration(3600 * SECOND)  # time for which departed members are remembered
+    cut: Fraction = Fraction(
+        1 / 3
+    )  # fraction of the cluster whose loss in a short time is taken for a partition
 
 
 class OperatorFile(FileTable, kw_only=True):
-    """The complete file, with its includes."""
+    """The complete file, with its included files merged."""
 
     include: list[str] = []
     listeners: dict[str, ListenerSettings] = {}
--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -1,4 +1,4 @@
-"""The operator's file as a tree of plain values, with the place of every key and what is wrong so far."""
+"""The operator's file as a tree of TOML values, with the place of each key and the faults found so far."""
 
 import os
 from collections.abc import Callable
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import Any
 
-Key = tuple[str | int, ...]  # names of tables and numbers of items, from the top of the tree
+Key = tuple[str | int, ...]  # the path of a value: names in tables and indices in lists, from the root
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A line of a file, from 1."""
+    """A line of a file; lines are numbered from 1."""
 
     file: str
     line: int
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """What is wrong, and where. Faults are sorted by their place."""
+    """A mistake in a file, with its place. Faults sort by file and line."""
 
     file: str
     line: int
-    key: str  # as it is written; empty for what concerns the file
+    key: str  # formatted by `format_key`; empty if the fault concerns the whole file
     reason: str
 
     def __str__(self) -> str:
@@ -32,7 +32,7 @@
 
 
 def format_key(key: Key) -> str:
-    """Write a key as the file does.
+    """Format a key as a dotted path.
 
     >>> format_key(("routes", 2, "headers", "x-a"))
     'routes[2].headers.x-a'
@@ -49,21 +49,21 @@
 
 
 def read_bytes(path: str) -> bytes:
-    """Read a file of the machine."""
+    """Read a file from disk."""
     return Path(path).read_bytes()
 
 
 @dataclass(slots=True)
 class Source:
-    """One tree of the file and all that it includes.
+    """The merged tree of a file and the files that it includes.
 
     Attributes:
-        tree: What the files say, merged.
-        places: Where each key of the tree stands.
-        faults: What is wrong, as it is found.
-        files: Paths of all files that were read.
-        top: Path of the file that includes the others.
-        reads: How files are read.
+        tree: The merged tree.
+        places: The place of each key of the tree.
+        faults: The faults, in the order in which they were found.
+        files: The paths of all files that were read.
+        top: The path of the file that includes the others.
+        reads: Reads a file.
     """
 
     tree: dict[str, Any] = field(default_factory=dict)
@@ -74,13 +74,13 @@
     reads: Callable[[str], bytes] = read_bytes
 
     def place(self, key: Key) -> Place:
-        """Where a key stands, or else the nearest key above it."""
+        """Return the place of a key; if it is not in a file, that of its nearest ancestor."""
         while key and key not in self.places:
             key = key[:-1]
         return self.places.get(key, Place(self.top, 1))
 
     def beside(self, name: str) -> str:
-        """The path of a file that the settings name, relative to the top one."""
+        """Return the path of a file that the settings name relative to the top file."""
         return os.path.join(os.path.dirname(self.top), name)
 
     def fault(self, key: Key, reason: str) -> None:
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -1,4 +1,4 @@
-"""Values with a unit. A bare number where one is due is an error: "2000" may be 2 s or half an hour."""
+"""Quantities with units. A number without a unit is an error: "2000" may be 2 s or half an hour."""
 
 import re
 from collections.abc import Mapping
@@ -11,11 +11,20 @@
 _SIZE_UNITS = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "kB": 1_000, "MB": 1_000_000}
 _RATE_UNITS = {"/s": 1.0, "/min": 1 / 60, "/h": 1 / 3600}
 _FRACTION_UNITS = {"%": 0.01}
-_EXAMPLE_UNITS = ("ms", "KiB", "/s", "%")  # of the units above, the one that an error proposes
+_EXAMPLE_UNITS = ("ms", "KiB", "/s", "%")  # the unit of each table above that errors propose
 
 
 def _parse_quantity(text: object, units: Mapping[str, float], what: str) -> float:
-    """A number and its unit as a number of the smallest unit, or of the one that counts 1."""
+    """Convert a number with a unit to the unit whose factor is 1.
+
+    Args:
+        text: The number with its unit.
+        units: The factor of each unit.
+        what: The name of the quantity, for errors.
+
+    Raises:
+        FormatError: The text has another form, or a unit that is not in the table.
+    """
     if not isinstance(text, str):
         unit = next(unit for unit in _EXAMPLE_UNITS if unit in units)
         raise FormatError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
@@ -26,7 +35,7 @@
 
 
 class Duration(int):
-    """Microseconds.
+    """A duration in microseconds.
 
     >>> Duration.parse("1.5s"), Duration.parse("-1us"), str(Duration(2500)), str(Duration(2_000_000))
     (1500000, -1, '2500us', '2s')
@@ -37,10 +46,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Self:
-        """Read a number with one of the units us, ms, s, min, h.
+        """Parse a number with one of the units us, ms, s, min, h.
 
         Raises:
-            FormatError: It is none.
+            FormatError: The value is not such a number.
         """
         return cls(round(_parse_quantity(text, _DURATION_UNITS, "span of time")))
 
@@ -54,7 +63,7 @@
 
 
 class ByteSize(int):
-    """Bytes.
+    """A size in bytes.
 
     >>> ByteSize.parse("64KiB"), str(ByteSize(65536)), str(ByteSize(1000))
     (65536, '64KiB', '1000B')
@@ -62,10 +71,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Self:
-        """Read a number with one of the units B, KiB, MiB, kB, MB.
+        """Parse a number with one of the units B, KiB, MiB, kB, MB.
 
         Raises:
-            FormatError: It is none.
+            FormatError: The value is not such a number.
         """
         return cls(round(_parse_quantity(text, _SIZE_UNITS, "size")))
 
@@ -79,7 +88,7 @@
 
 
 class Rate(float):
-    """Requests a second.
+    """A rate in requests per second.
 
     >>> Rate.parse("30/min"), str(Rate(500))
     (0.5, '500/s')
@@ -87,10 +96,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Self:
-        """Read a number with one of the units /s, /min, /h.
+        """Parse a number with one of the units /s, /min, /h.
 
         Raises:
-            FormatError: It is none.
+            FormatError: The value is not such a number.
         """
         return cls(_parse_quantity(text, _RATE_UNITS, "rate"))
 
@@ -101,7 +110,7 @@
 
 
 class Fraction(float):
-    """A fraction of 1, written as "10%" or as a number from 0 to 1.
+    """A fraction from 0 to 1, written as a percentage such as "10%" or as a number.
 
     >>> Fraction.parse("10%"), Fraction.parse(0.25), str(Fraction(0.1))
     (0.1, 0.25, '10%')
@@ -109,10 +118,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Self:
-        """Read a percentage, or a number from 0 to 1.
+        """Parse a percentage or a number from 0 to 1.
 
         Raises:
-            FormatError: It is none, or outside of these bounds.
+            FormatError: The value is neither, or out of range.
         """
         if isinstance(text, str):
             value = _parse_quantity(text, _FRACTION_UNITS, "share")
@@ -134,11 +143,11 @@
 
 
 def decode_unit(kind: type, value: object) -> Duration | ByteSize | Rate | Fraction:
-    """Decode one of the types above, as msgspec's `dec_hook`.
+    """Decode a value of one of the types in `UNITS`, as msgspec's `dec_hook`.
 
     Raises:
-        FormatError: The value is none of this type.
-        NotImplementedError: The type is none of the above.
+        FormatError: The value does not have the type's form.
+        NotImplementedError: The type is not in `UNITS`.
     """
     for unit in UNITS:
         if kind is unit:
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's configuration of a balancer on sockets: a JSON file, overridden by the environment.
+"""Reading of the platform's configuration: a JSON file whose values environment variables override.
 
-Every error names the file and the key at fault in one line.
+Every error names the file and the invalid key in one line.
 """
 
 import os
@@ -21,8 +21,8 @@
 LOG_LEVELS = ("info", "debug")
 MIN_DESCRIPTORS = 64
 MAX_DESCRIPTORS = 1 << 20
-MAX_SETTING = 1e9  # of a time in milliseconds, of requests in flight
-MAX_DESCRIPTOR_DIGITS = 9  # of PROXY_FD
+MAX_SETTING = 1e9  # upper bound of times in milliseconds and of the number of requests in flight
+MAX_DESCRIPTOR_DIGITS = 9  # of the descriptor number in PROXY_FD
 HEALTH_CHECK_REPORT_SOURCE = "on_probe"
 
 
@@ -32,11 +32,11 @@
     """Read the file that PROXY_CONFIG names; environment variables override its values.
 
     Args:
-        environment: The variables of this process.
-        required_keys: Dotted keys that the file has to name.
+        environment: The environment variables of this process.
+        required_keys: Dotted keys that the file has to contain.
 
     Raises:
-        ConfigurationError: The file cannot be read, or a value cannot be used.
+        ConfigurationError: The file cannot be read, or a value is invalid.
     """
     path = environment.get("PROXY_CONFIG", "")
     if not path:
@@ -49,23 +49,23 @@
         return _parse_file(text, environment, required_keys)
     except ConfigurationError as error:
         raise ConfigurationError(error.key, error.reason, path) from None
-    except ValueError as error:  # of msgspec, which names the place in its text
+    except ValueError as error:  # of msgspec, whose message names the key
         raise ConfigurationError("", str(error), path) from None
 
 
 def reread_server_settings(environment: Mapping[str, str], required_keys: frozenset[str]) -> ServerSettings:
-    """Read the file once more, while running.
+    """Read the file again for a reload.
 
-    Its discovery address overrides the environment variable, which still names the one of the start. A key
-    that the file in force has may not be missing: if it was removed by mistake, its default would be applied
+    PROXY_DISCOVERY is ignored, because it still has the address from the start of the process. The file has
+    to contain every key of the file in force: if one was removed by mistake, its default would be applied
     unnoticed.
 
     Args:
-        environment: The variables of this process.
-        required_keys: Dotted keys that the file in force names.
+        environment: The environment variables of this process.
+        required_keys: Dotted keys that the file in force contains.
 
     Raises:
-        ConfigurationError: The file cannot be read, or a value cannot be used.
+        ConfigurationError: The file cannot be read, or a value is invalid.
     """
     return read_server_settings({**environment, "PROXY_DISCOVERY": ""}, required_keys)
 
@@ -124,14 +124,14 @@
 
 
 def _overridden(text: str, environment: Mapping[str, str], variable: str) -> str:
-    """The value of an environment variable, or else of the file."""
+    """Return the value of an environment variable, or the file's value if the variable is unset or empty."""
     return environment.get(variable) or text
 
 
 def _contained_keys(tree: dict[str, Any]) -> frozenset[str]:
-    """Dotted keys that a file names: its own, those in its settings, and those in their tables.
+    """Return the dotted keys that a file contains, down to the keys of the tables in `settings`.
 
-    >>> sorted(_named_keys({"listen": "", "settings": {"caps": {"most-hops": 1}, "fees": {}}}))
+    >>> sorted(_contained_keys({"listen": "", "settings": {"caps": {"most-hops": 1}, "fees": {}}}))
     ['listen', 'settings', 'settings.caps', 'settings.caps.most-hops', 'settings.fees']
     """
     settings = tree.get("settings") or {}
@@ -176,7 +176,7 @@
 
 
 def _inherited_descriptor(environment: Mapping[str, str]) -> int | None:
-    """The clients' listener, where the platform holds it."""
+    """Return the number of the clients' listening socket in PROXY_FD; None if the platform passes none."""
     text = environment.get("PROXY_FD", "")
     if not text:
         return None
@@ -190,12 +190,12 @@
 
 
 def _report_fields(section: LoadReportSection) -> tuple[str, ...]:
-    """The figures that health checks bring; load reports of other sources are not read."""
+    """Return the fields of load reports in health check responses; reports of other sources are ignored."""
     return tuple(section.fields) if section.source == HEALTH_CHECK_REPORT_SOURCE else ()
 
 
 def _unsupported_keys(file: PlatformFile) -> tuple[str, ...]:
-    """Keys of settings that allow what this program does not do on sockets."""
+    """Return the keys of settings that enable features this program does not have on sockets."""
     capabilities = file.settings.capabilities
     enabled = {
         "caps.max-streams": capabilities.max_streams > 1,
--- a/dahliabend/config/platform_schema.py
+++ b/dahliabend/config/platform_schema.py
@@ -1,7 +1,7 @@
-"""The platform's JSON file as msgspec structs: each key beside the standard name of what it holds.
+"""The schema of the platform's JSON file, as msgspec structs that map its keys to the code's names.
 
-Keys that are not known are skipped; keys that are left out take the defaults given here. Times are
-milliseconds. Nothing is checked here beyond the types: see `platform` and `policy_settings`.
+Unknown keys are ignored; missing keys take the defaults given here. Times are in milliseconds. Only types are
+checked here; `platform` and `policy_settings` check the values.
 """
 
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class ProfileSection(Struct):
-    """One class of requests."""
+    """A request class."""
 
     latency_objective: float = field(name="service-goal")
     deadline: float = field(name="hard-limit")
@@ -25,14 +25,14 @@
 
 
 class TenantSection(Struct):
-    """One tenant."""
+    """A tenant and its quota."""
 
     name: str = ""
-    quota: float = field(name="allowance-per-s", default=0.0)  # requests a second
+    quota: float = field(name="allowance-per-s", default=0.0)  # requests per second
 
 
 class CapabilitySection(Struct):
-    """What a balancer may do, and within which bounds."""
+    """The features that a balancer may use, and their limits."""
 
     max_attempts: int = field(name="most-hops")
     can_cancel: bool = field(name="may-cancel", default=False)
@@ -47,14 +47,14 @@
 
 
 class LoadReportSection(Struct):
-    """What upstreams report of their load."""
+    """The load reports of upstreams: their fields and how they are obtained."""
 
     fields: list[str] = []
     source: str = "off"
 
 
 class ContractSection(Struct):
-    """What upstreams and discovery promise."""
+    """The guarantees of upstreams and the discovery service."""
 
     initial_capacity: float = field(name="cold-share")
     warmup_time: float = field(name="cold")
@@ -66,7 +66,7 @@
 
 
 class ObjectiveSection(Struct):
-    """What a run is measured by."""
+    """The weights of the objective by which a simulation run is scored."""
 
     overall_weight: float = field(name="whole", default=1.0)
     worst_class_weight: float = field(name="worst-class", default=0.0)
@@ -75,13 +75,13 @@
 
 
 class CostSection(Struct):
-    """What requests cost."""
+    """The costs of requests."""
 
     cross_zone: float = field(name="cross-zone", default=0.0)
 
 
 class PolicySection(Struct):
-    """Settings of the policy: `settings` in the file of a process, the complete JSON of the simulator."""
+    """The settings of the policy: `settings` in the platform's file, or the whole JSON of the simulator."""
 
     instance_count: int = field(name="balancers")
     profiles: list[ProfileSection]
@@ -100,13 +100,13 @@
 
 
 class LimitSection(Struct):
-    """What the platform allots to the process."""
+    """The resource limits of the process."""
 
     descriptors: int = field(name="sockets", default=1024)
 
 
 class PlatformFile(Struct):
-    """The file that a balancer on sockets finds at PROXY_CONFIG."""
+    """The platform's file at PROXY_CONFIG."""
 
     settings: PolicySection
     listen: str = ""
--- a/dahliabend/config/policy_settings.py
+++ b/dahliabend/config/policy_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions, checked and in the policy's units, from the platform's JSON."""
+"""Conversion of the platform's JSON settings to the policy's: values are checked and units converted."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from dahliabend.errors import ConfigurationError
 from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
 
-MAX_COUNT = 1 << 16  # of attempts, of streams
+MAX_COUNT = 1 << 16  # of attempts or streams
 MAX_INSTANCES = 1 << 20
 MAX_MILLISECONDS = 1e9
 MIN_MILLISECONDS = 0.001  # one microsecond
@@ -26,26 +26,26 @@
 
 
 def to_microseconds(milliseconds: float) -> int:
-    """Convert a time of the wire or of a file to microseconds, rounded."""
+    """Convert a time in milliseconds, as in files and messages, to microseconds, rounded."""
     return round(milliseconds * 1000)
 
 
 def check_range(key: str, value: float, minimum: float, maximum: float) -> None:
-    """Check a number against its bounds, both included.
+    """Check that a number lies within inclusive bounds.
 
     Raises:
-        ConfigurationError: It is outside of them.
+        ConfigurationError: The number is out of bounds.
     """
     if not minimum <= value <= maximum:
         raise ConfigurationError(key, f"{value} is not between {minimum:g} and {maximum:g}")
 
 
 def read_policy_settings(text: bytes) -> Settings:
-    """Read the settings of the decisions from the simulator's JSON.
+    """Read the policy's settings from the simulator's JSON message.
 
     Raises:
-        ValueError: It is no JSON of the right types (msgspec's errors are of this kind).
-        ConfigurationError: A value cannot be used.
+        ValueError: The text is not valid JSON, or a type does not match (the base class of msgspec's errors).
+        ConfigurationError: A value is invalid.
     """
     return make_policy_settings(msgspec.json.decode(text, type=PolicySection))
 
@@ -54,11 +54,11 @@
     """Check decoded settings and convert them to the policy's units.
 
     Args:
-        section: As decoded.
-        prefix: What stands before its keys in the file, for errors.
+        section: The decoded settings.
+        prefix: The prefix of the section's dotted keys in error messages.
 
     Raises:
-        ConfigurationError: A value cannot be used.
+        ConfigurationError: A value is invalid.
     """
     _check_numbers(section, prefix)
     request_classes = tuple(
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -1,42 +1,45 @@
-"""What a balancer on sockets is run with, whichever file it came from."""
+"""The settings of a balancer on sockets, independent of the file they come from."""
 
 from dataclasses import dataclass
 from typing import Any
 
 from dahliabend.model import Settings
 
-IDLE_REUSE_RATIO = 7 / 8  # of the configured idle time: after it the other end may have closed
+IDLE_REUSE_RATIO = (
+    7 / 8
+)  # of the configured idle timeout, after which the peer may have closed the connection
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """Settings of one balancer on sockets. Times are microseconds.
+    """The settings of one balancer on sockets. Times are in microseconds.
 
     Attributes:
-        name: Of this balancer, in logs and among its peers.
-        listen: Where clients connect.
-        discovery: Where the discovery service listens.
-        admin: Where operators call; None if they can't.
-        listener_descriptor: Of the clients' listener, where the platform holds it; else None.
-        shared_directory: Of all processes that share this listener; empty if there is one process only.
-        seed: Of all random numbers.
-        descriptor_limit: How many descriptors may be open at once.
-        known_endpoints: The endpoint list as this balancer last had it, in discovery's form.
-        verbose: Whether debug lines are logged.
-        settings: Of the policy.
-        class_indices: Index of each request class, by its name on the wire.
-        tenant_indices: Index of each tenant, by its name on the wire.
-        zone_indices: Index of each zone, by its name.
-        class_deadlines: Deadline of each request class, by its index.
-        deadline_slack: How much nearer a deadline may be than it looks, as bytes wait for a busy machine.
-        connect_timeout: Until a connection to an upstream has to be up.
-        idle_reuse_time: For how long an idle connection is used again.
-        health_check_timeout: Until a health check has to be answered.
-        max_in_flight: Requests in flight at once.
-        report_fields: Names of the load figures that health checks bring.
-        unsupported_keys: Keys of settings that allow what this program does not do.
-        named_keys: Dotted keys that the file names.
-        monotonic_offset: Added to Unix time it gives the monotonic time of this machine.
+        name: The name of this balancer in logs and among its peers.
+        listen: The address that clients connect to.
+        discovery: The address of the discovery service.
+        admin: The address of the admin API; None if there is none.
+        listener_descriptor: The descriptor of an inherited listening socket for clients; None without one.
+        shared_directory: The directory shared by processes with the same listening socket; empty without one.
+        seed: The seed of all random number generators.
+        descriptor_limit: The maximum number of descriptors that may be open at once.
+        known_endpoints: The last endpoint list of this balancer, in the discovery service's format.
+        verbose: Whether debug events are logged.
+        settings: The settings of the policy.
+        class_indices: The index of each request class, by its name on the wire.
+        tenant_indices: The index of each tenant, by its name on the wire.
+        zone_indices: The index of each zone, by its name.
+        class_deadlines: The deadline of each request class, by its index.
+        deadline_slack: The time by which a client's deadline may be nearer than it appears, because received
+            bytes wait while the machine is busy.
+        connect_timeout: The timeout for establishing a connection to an upstream.
+        idle_reuse_time: The idle time up to which a connection is reused.
+        health_check_timeout: The timeout of a health check.
+        max_in_flight: The maximum number of requests in flight.
+        report_fields: The names of the load report fields in health check responses.
+        unsupported_keys: The keys of settings that enable features this program does not have.
+        named_keys: The dotted keys that the file contains.
+        monotonic_offset: The machine's monotonic time minus Unix time.
     """
 
     name: str
@@ -66,7 +69,7 @@
 
     @property
     def policy_inputs(self) -> tuple[object, ...]:
-        """All that the policy and its port depend on: if it differs after a reload, they are created anew."""
+        """The settings that the policy and its port depend on; if a reload changes any, both are replaced."""
         return (
             self.settings,
             self.class_indices,
--- a/tests/config/corpus.py
+++ b/tests/config/corpus.py
@@ -1,6 +1,6 @@
-"""Operators' files made from a seed: sound ones, and ones with a planted fault whose line is known.
+"""Operators' files generated from seeds: valid ones, and ones with a planted fault whose line is known.
 
-The planted line ends with a mark; a fault counts as found if that line and the reason given here are named.
+The planted line ends with a marker comment. The checker has to report that line, with the given reason.
 """
 
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
 @dataclass(frozen=True, slots=True)
 class GeneratedFiles:
     seed: int
-    files: dict[str, str]  # by name; the first is the one to be read
-    kind: str  # of the fault; empty where there is none
+    files: dict[str, str]  # text by name; the first is the top file
+    kind: str  # name of the function that planted the fault; empty for a valid file
     line: int = 0
     reason: str = ""
 
@@ -27,7 +27,7 @@
 
 
 def generate_sections(random: Random) -> dict[str, list[str]]:
-    """A file by sections, each a list of lines, in which faults are then planted."""
+    """Return the sections of a valid file, each a list of lines, in which faults can be planted."""
     pools = [f"p{n}" for n in range(random.randint(2, 5))]
     sections: dict[str, list[str]] = {
         "listen": ["[listeners.callers]", 'address = "127.0.0.1:8080"'],
@@ -92,7 +92,7 @@
 
 
 def _plant(lines: list[str], line: str) -> None:
-    """In place of the same key, or at the end."""
+    """Replace the line of the same key, or append the line, with the marker."""
     key = line.partition("=")[0]
     for number, before in enumerate(lines):
         if before.partition("=")[0] == key:
@@ -105,7 +105,8 @@
     lines[:] = [line for line in lines if line.partition(" =")[0] not in keys]
 
 
-# Each plants one fault and gives the reason to be named. Route 0 is a query, 1 a submit, 2 journalled.
+# Each function plants one fault and returns a part of the expected reason. Routes 0, 1 and 2 have the classes
+# `query`, `submit` and the journalled `mark`.
 
 
 def bare_number(sections):
@@ -215,8 +216,8 @@
 
 
 def fallback_cycle(sections):
-    sections["ring"] = ["[pools.one]", 'discovery = "10.3.0.1:80"', f'fallback = "two"  {MARK}', "[pools.two]",
-                 'discovery = "10.3.0.2:80"', 'fallback = "one"']  # fmt: skip
+    sections["ring"] = ["[pools.one]", 'discovery = "10.3.0.1:80"', f'fallback = "two"  {MARK}',
+                        "[pools.two]", 'discovery = "10.3.0.2:80"', 'fallback = "one"']  # fmt: skip
     return "goes round: one -> two -> one"
 
 
@@ -298,9 +299,8 @@
 
 def scalar_for_table(sections):
     sections["defaults"] = [f"defaults = 3  {MARK}"]
-    sections.update(
-        {name: sections.pop(name) for name in list(sections) if name != "defaults"}
-    )  # before all tables
+    # The other sections are moved behind it: the key has to come before all tables.
+    sections.update({name: sections.pop(name) for name in list(sections) if name != "defaults"})
     return "is no table"
 
 
@@ -327,16 +327,17 @@
 
 FAULTS = (
     bare_number, unknown_unit, misspelt_key, hedged_submit, hedged_journalled, replay_of_a_submit,
-    total_over_limit, attempt_timeout_over_limit, attempts_that_cannot_fit, shares_that_multiply, shadowed_route, zero_weights,
-    negative_weight, pool_without_members, empty_members, own_listener_as_member, duplicate_member, fallback_cycle, fallback_to_itself,
-    unknown_pool, unknown_class, mirrored_submit, rate_below_slow_start_budget, goal_over_limit, missing_repeat_window,
-    no_method, bad_address, duplicate_route, late_hedge, no_attempt, share_over_all, scalar_for_table, invalid_toml, unset_variable,
-    include_cycle, missing_include,
+    total_over_limit, attempt_timeout_over_limit, attempts_that_cannot_fit, shares_that_multiply,
+    shadowed_route, zero_weights, negative_weight, pool_without_members, empty_members,
+    own_listener_as_member, duplicate_member, fallback_cycle, fallback_to_itself, unknown_pool,
+    unknown_class, mirrored_submit, rate_below_slow_start_budget, goal_over_limit, missing_repeat_window,
+    no_method, bad_address, duplicate_route, late_hedge, no_attempt, share_over_all, scalar_for_table,
+    invalid_toml, unset_variable, include_cycle, missing_include,
 )  # fmt: skip
 
 
 def make(seed: int) -> GeneratedFiles:
-    """Even seeds are sound, odd ones hold a fault each, all kinds in turn."""
+    """Generate a valid file from an even seed, or one with a fault from an odd one, all kinds in turn."""
     random = Random(f"corpus {seed}")
     sections = generate_sections(random)
     plant = FAULTS[seed // 2 % len(FAULTS)] if seed % 2 else None
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: read with its places, refused by line and reason, shown, explained and compared."""
+"""Operators' files: loading with line numbers, faults by line and reason, and the commands that show them."""
 
 import json
 import subprocess
@@ -19,7 +19,7 @@
 
 
 def load_texts(**files):
-    """A plan of files given as text; the first is the one read."""
+    """Load files that are given as text by name; the first is the top file."""
     texts = {f"{name}.toml": text for name, text in files.items()}
 
     def read_text(name):
@@ -87,10 +87,7 @@
     shown_settings = settings(loaded)
     assert shown_settings["classes.query.revenue"] == (2.0, "below.toml:2")
     assert shown_settings["routes[0].path"] == ("/x", "below.toml:5")
-    assert shown_settings["routes[1].pool"] == (
-        "a",
-        "file.toml:12",
-    )
+    assert shown_settings["routes[1].pool"] == ("a", "file.toml:12")
 
 
 def test_an_include_cycle_is_reported_with_its_files():
