--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -35,7 +35,7 @@
     Returns:
         The merged tree with its faults; faults in the files raise nothing.
     """
-    loader = _Loader(Source(top=path, reads=read), environment, read)
+    loader = _Loader(Source(top=path, read_file=read), environment, read)
     loader.include(path, (), Place(path, 1))
     return loader.source
 
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -12,7 +12,7 @@
 
 MILLISECOND = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
-Effect = Literal["idempotent", "journalled", "non-idempotent"]
+Idempotency = Literal["idempotent", "journalled", "non-idempotent"]
 
 
 class FileTable(msgspec.Struct, rename="kebab", kw_only=True):
@@ -111,7 +111,7 @@
 class ClassSettings(TreatmentSettings, kw_only=True):
     """`[classes.NAME]`: a request class, with its objectives and its priority."""
 
-    effect: Effect
+    effect: Idempotency
     service_goal: Duration
     hard_limit: Duration
     revenue: float = 1.0  # priority weight
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines
 from dahliabend.policy.records import Endpoint, RequestState
@@ -13,7 +13,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 
 
-def class_priorities(settings: Settings) -> list[float]:
+def class_priorities(settings: PolicySettings) -> list[float]:
     """Returns the priority of each request class, 0 to 1.
 
     By priority weight, the less so the more the operators' goal weighs the worst-served class: served last, a
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         random: Callable[[], float],
         selection: EndpointSelection,
         deadlines: Deadlines,
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -5,7 +5,7 @@
 
 from random import Random
 
-from dahliabend.model import EndpointRow, Outcome, Port, Settings, Snapshot, TimerToken
+from dahliabend.model import EndpointUpdate, Outcome, PolicySettings, Port, Snapshot, TimerToken
 from dahliabend.policy.admission import Admission
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines, time_left
@@ -27,7 +27,7 @@
 class Balancer:
     """The events (`model.Decisions`), passed to the parts, whose public fields drivers may read."""
 
-    def __init__(self, settings: Settings, port: Port, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, port: Port, seed: int) -> None:
         self.settings = settings
         self.port = port
         self.random = Random(seed).random
@@ -38,7 +38,7 @@
         self.concurrency = ConcurrencyLimit(settings, self.throttling)
         self.sampling = Sampling(settings, self.throttling, self.concurrency)
         self.slow_start = SlowStart(settings, self.throttling.window)
-        self.key_queues = KeyQueues(settings.key_rest, port)
+        self.key_queues = KeyQueues(settings.key_pause, port)
         self.retries = Retries(settings)
         self.deadlines = Deadlines(settings, self.tick, self.retries, self.throttling)
         self.selection = EndpointSelection(
@@ -46,14 +46,14 @@
         )
         self.outliers = OutlierDetector(settings, port, self.random, self.selection, self.deadlines)
         self.admission = Admission(settings, self.random, self.selection, self.deadlines)
-        self.shape = [settings.instance_count, settings.tier, self.throttling.window]
+        self.limit_settings = [settings.instance_count, settings.tier, self.throttling.window]
         self.is_started = False
         backoff = settings.poll_deadline // POLL_BACKOFFS_PER_DEADLINE
         self.poll_backoff = backoff if settings.polls_endpoints else 0  # microseconds
 
     # Endpoints.
 
-    def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
+    def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
         """Takes over a list of endpoints, or (not `full`) changes of it."""
         if not self.is_started:
             self.is_started = True
@@ -90,7 +90,7 @@
         """Reports that a timer of `Port.set_timer` has come."""
         if token == TimerToken.TICK:
             self._tick(now)
-        elif token == TimerToken.KEY_REST:
+        elif token == TimerToken.KEY_PAUSE:
             self.key_queues.timer_fired(now)
         else:
             self.port.poll_endpoints()
@@ -126,7 +126,7 @@
     def snapshot(self, ends: bool) -> Snapshot:
         """Returns what is known; `ends`: this balancer admits nothing more."""
         return Snapshot(
-            shape=self.shape,
+            limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
             fatal_idle_time=self.outliers.fatal_idle_time,
             endpoints={
@@ -141,7 +141,7 @@
         for index, former in same_classes:
             self.deadlines.mean_latencies[index] = known.mean_latencies[former]
         self.outliers.fatal_idle_time = known.fatal_idle_time
-        if known.shape == self.shape:  # the limit would grow anew from its start
+        if known.limit_settings == self.limit_settings:  # the limit would grow anew from its start
             self.concurrency.restore(known.limit)
         restored = 0
         for index, stored in known.endpoints.items():
@@ -155,14 +155,14 @@
     # The way of a request.
 
     def admit(
-        self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
+        self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
         """Sends a request, queues it behind others of its key, or rejects it (`model.Decisions`)."""
         request_class = self.request_classes[class_index]
         key = key if request_class.is_ordered else 0
         priority = self.admission.priorities[class_index]
-        request = RequestState(self, ref, class_index, key, priority, body_pending=body_pending)
+        request = RequestState(self, request_id, class_index, key, priority, body_pending=body_pending)
         request.deadline = deadline
         if not body_pending:  # else once its body is there
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
@@ -175,9 +175,9 @@
         return request
 
     def _queue(self, request: RequestState, now: int) -> None:
-        ahead = self.key_queues.ahead(request.key)
-        wait = self.deadlines.queue_wait(request.class_index, ahead)
-        if ahead and not self.admission.may_queue(request, now, wait):
+        turns_ahead = self.key_queues.turns_ahead(request.key)
+        wait = self.deadlines.queue_wait(request.class_index, turns_ahead)
+        if turns_ahead and not self.admission.may_queue(request, now, wait):
             self.give_up(request, wait)
         elif self.key_queues.join(request):
             self.send(request, now)
@@ -213,7 +213,7 @@
             self.outliers.attempt_began(attempt)
             self.concurrency.attempt_began(request, attempt)
         request.attempt_sent(attempt)
-        self.port.send(request.ref, endpoint.index, self.deadlines.attempt_timeout(request, now))
+        self.port.send(request.request_id, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
         """The attempt in flight has the last byte of the body. Returns its time-out (us)."""
@@ -237,15 +237,15 @@
     # Its end.
 
     def attempt_ended(
-        self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, took: int
+        self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
         """An attempt has ended: learns from it, and goes on with the request."""
         if attempt.idle:
             mean_latency = self.deadlines.mean_latencies[request.class_index]
-            self.outliers.learn_idle(attempt, now, outcome, took, mean_latency)
+            self.outliers.learn_idle(attempt, now, outcome, duration, mean_latency)
         if request.key and self.key_queues.needs_rest(outcome):
-            self.key_queues.rest(request, now)
-        self._learn(request, attempt.endpoint, now, outcome, took)
+            self.key_queues.pause(request, now)
+        self._learn(request, attempt.endpoint, now, outcome, duration)
         if not request.is_answered and not request.in_flight:
             self._retry(request, now, outcome)
         elif request.is_answered and request.in_flight:
@@ -254,7 +254,7 @@
             self.key_queues.leave(request, now)
 
     def _learn(
-        self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, took: int
+        self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, duration: int
     ) -> None:
         """What the end of an attempt tells the parts, in the order in which it happens."""
         index = request.class_index
@@ -264,19 +264,19 @@
         self.outliers.attempt_ended(endpoint, now, outcome)
         if outcome in _TELLS_NOTHING:
             return
-        self.selection.learn_latency(endpoint, outcome, took, mean_latency)
+        self.selection.learn_latency(endpoint, outcome, duration, mean_latency)
         if not is_failed:
-            self.deadlines.learn_latency(index, took)
-            self.concurrency.learn_success(took)
+            self.deadlines.learn_latency(index, duration)
+            self.concurrency.learn_success(duration)
         self.throttling.add_class_sample(index, outcome)
         is_class_outlier = self.throttling.class_outliers[index]
         if endpoint.is_ejected and not (is_failed and is_class_outlier):
-            self.outliers.learn_trial(endpoint, now, took, is_failed=is_failed)
+            self.outliers.learn_trial(endpoint, now, duration, is_failed=is_failed)
         if is_class_outlier:  # no endpoint's fault, and no overload
             return
-        self.sampling.learn(request, endpoint, now, outcome, took)
+        self.sampling.learn(request, endpoint, now, outcome, duration)
         if is_failed:
-            self.outliers.eject_early(endpoint, now, outcome, took, mean_latency)
+            self.outliers.eject_early(endpoint, now, outcome, duration, mean_latency)
 
     def _retry(self, request: RequestState, now: int, outcome: Outcome) -> None:
         if not self.retries.may_retry(outcome):
@@ -294,9 +294,9 @@
         self.cancel(request)
         if is_retryable_by_client(request):
             retry_after = self.deadlines.retry_after(request.request_class, wait)
-            self.port.reject(request.ref, retry_after)
+            self.port.reject(request.request_id, retry_after)
         else:
-            self.port.fail(request.ref)
+            self.port.fail(request.request_id)
 
     def give_up_if_late(self, request: RequestState, now: int) -> None:
         """Gives up a request that waits for its turn, if too little time is left for it."""
@@ -313,7 +313,7 @@
         """Cancels the attempts of a request that are in flight, where the driver can."""
         if self.settings.can_cancel:
             for number in cancellable_attempts(request):
-                self.port.cancel(request.ref, number)
+                self.port.cancel(request.request_id, number)
 
     def _cancel_late_attempts(self, endpoint: Endpoint, now: int) -> None:
         for request, attempt in tuple(endpoint.in_flight.items()):
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -1,6 +1,6 @@
 """The adaptive concurrency limit: attempts in flight, by the latency of those that ended."""
 
-from dahliabend.model import Settings, StoredLimit
+from dahliabend.model import PolicySettings, StoredLimit
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.throttling import MIN_TIER_SAMPLES, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
@@ -38,7 +38,7 @@
         is_overloaded: Whether the last adjustment lowered the limit.
     """
 
-    def __init__(self, settings: Settings, throttling: Throttling) -> None:
+    def __init__(self, settings: PolicySettings, throttling: Throttling) -> None:
         self.throttling = throttling
         self.others_share = 1 - 1 / settings.instance_count
         self.in_flight = 0
@@ -153,9 +153,9 @@
         """Counts an endpoint's attempts again."""
         self.in_flight += len(endpoint.in_flight)
 
-    def learn_success(self, took: int) -> None:
+    def learn_success(self, duration: int) -> None:
         """Learns from a success that took so long (us)."""
-        self.mean_latency = ewma(self.mean_latency, took)
+        self.mean_latency = ewma(self.mean_latency, duration)
         self.succeeded += 1
 
     def learn_latency(self, ratio: float, relative_latency: float) -> None:
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -1,6 +1,6 @@
 """How much time a request has left, and what it is worth: deadlines, time-outs, Retry-After."""
 
-from dahliabend.model import RequestClass, Settings
+from dahliabend.model import PolicySettings, RequestClass
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, RequestState
 from dahliabend.policy.retries import Retries, is_retryable
@@ -25,7 +25,7 @@
         tick: Between two runs of the balancer's timer (us).
     """
 
-    def __init__(self, settings: Settings, tick: int, retries: Retries, throttling: Throttling) -> None:
+    def __init__(self, settings: PolicySettings, tick: int, retries: Retries, throttling: Throttling) -> None:
         self.is_entry_tier = settings.is_entry_tier
         self.max_retry_after = settings.max_retry_after if settings.sends_retry_after else 0
         self.tick = tick
@@ -50,12 +50,12 @@
         """
         return max(self.tick, round(self.mean_latencies[class_index]))
 
-    def queue_wait(self, class_index: int, ahead: int) -> int:
+    def queue_wait(self, class_index: int, turns_ahead: int) -> int:
         """Returns how long so many turns of a key take (us), all taken to be of this class.
 
         Without the wait, a request would be queued whose turn comes too late.
         """
-        return round(ahead * self.mean_latencies[class_index])
+        return round(turns_ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
         """Returns whether a request would still be sent after a wait (us) from now on.
@@ -102,6 +102,6 @@
         after = max(wait, round(request_class.latency_objective / RETRY_AFTERS_PER_LATENCY_OBJECTIVE))
         return min(self.max_retry_after, after)
 
-    def learn_latency(self, class_index: int, took: int) -> None:
+    def learn_latency(self, class_index: int, duration: int) -> None:
         """Learns from a success that took so long (us)."""
-        self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], took)
+        self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], duration)
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self.current: RequestState | None = None
-        self.rests_until = 0
+        self.paused_until = 0
         self.waiting: dict[RequestState, None] = {}
 
 
@@ -24,7 +24,7 @@
         self.rest_time = rest_time  # microseconds
         self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
-        self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
+        self.pauses: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
 
     def take_over(self, before: "KeyQueues") -> None:
         """Goes on with the queues of the decisions before, in the same process.
@@ -32,18 +32,18 @@
         Else a request could run beside another of its key that was admitted under other settings.
         """
         self.queues = before.queues
-        self.rests = before.rests
-        for until, _ in self.rests:
-            self.port.set_timer(until, TimerToken.KEY_REST)
+        self.pauses = before.pauses
+        for until, _ in self.pauses:
+            self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
-    def ahead(self, key: int | bytes) -> int:
+    def turns_ahead(self, key: int | bytes) -> int:
         """Returns how many turns of a key come before one that joins now; a rest counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
         """Queues a request behind all of its key. Returns whether it is its turn at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
-        if queue.current or queue.rests_until:
+        if queue.current or queue.paused_until:
             queue.waiting[request] = None
             return False
         queue.current = request
@@ -57,9 +57,9 @@
         """Returns whether a key rests after such an end: the next could overtake an attempt that goes on."""
         return outcome in _MAY_STILL_RUN
 
-    def rest(self, request: RequestState, now: int) -> None:
+    def pause(self, request: RequestState, now: int) -> None:
         """Lets the key of a request rest from a time (us) on."""
-        self.queues[request.key].rests_until = now + self.rest_time
+        self.queues[request.key].paused_until = now + self.rest_time
 
     def leave(self, request: RequestState, now: int) -> None:
         """Takes a request out if it is finished, whether its turn had come or not."""
@@ -72,16 +72,16 @@
 
     def timer_fired(self, now: int) -> None:
         """Ends the rests that are over at a time (us)."""
-        while self.rests and self.rests[0][0] <= now:
-            key = heappop(self.rests)[1]
+        while self.pauses and self.pauses[0][0] <= now:
+            key = heappop(self.pauses)[1]
             self._advance(key, self.queues[key], now)
 
     def _advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
-        if now < queue.rests_until:
-            heappush(self.rests, (queue.rests_until, key))
-            self.port.set_timer(queue.rests_until, TimerToken.KEY_REST)
+        if now < queue.paused_until:
+            heappush(self.pauses, (queue.paused_until, key))
+            self.port.set_timer(queue.paused_until, TimerToken.KEY_PAUSE)
             return
-        queue.rests_until = 0
+        queue.paused_until = 0
         while queue.waiting and not queue.current:
             request = next(iter(queue.waiting))
             queue.current = request
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.model import Effect, EndpointState, Outcome, Port, Settings
+from dahliabend.model import EndpointState, Idempotency, Outcome, PolicySettings, Port
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         port: Port,
         random: Callable[[], float],
         selection: EndpointSelection,
@@ -44,7 +44,7 @@
         self.selection = selection
         self.concurrency: ConcurrencyLimit = selection.concurrency
         self.throttling: Throttling = selection.throttling
-        self.can_try = any(each.effect is Effect.IDEMPOTENT for each in settings.request_classes)
+        self.can_try = any(each.effect is Idempotency.IDEMPOTENT for each in settings.request_classes)
         self.last_answer_at = 0
         self.awaiting_trial: dict[Endpoint, None] = {}
         self.fatal_idle_time = 0.0
@@ -126,14 +126,14 @@
         if self.is_hung(endpoint, now):
             self.eject(endpoint, now)
 
-    def eject_early(self, endpoint: Endpoint, now: int, outcome: Outcome, took: int, mean: float) -> None:
+    def eject_early(self, endpoint: Endpoint, now: int, outcome: Outcome, duration: int, mean: float) -> None:
         """Ejects an endpoint before its window ends, by the end of an attempt.
 
         Takes how long it took and the class's mean latency (us).
         """
         if outcome is Outcome.UNREACHABLE:
             is_outlier = self.is_gone(endpoint, now)
-        elif outcome is Outcome.FAILED and took < mean * QUICK_FAILURE_RATIO:
+        elif outcome is Outcome.FAILED and duration < mean * QUICK_FAILURE_RATIO:
             is_outlier = self.is_failing_quickly(endpoint)
         else:
             is_outlier = False
@@ -208,7 +208,7 @@
         if not self.awaiting_trial or request.attempts:
             return None
         is_known = self.deadlines.mean_latencies[request.class_index] > 0
-        if not is_known or request.request_class.effect is not Effect.IDEMPOTENT:
+        if not is_known or request.request_class.effect is not Idempotency.IDEMPOTENT:
             return None
         endpoint = self.awaiting_trial.popitem()[0]
         if not endpoint.is_ejected or endpoint.state is not EndpointState.READY or endpoint.in_flight:
@@ -216,12 +216,12 @@
         max_ready = self.selection.max_ready
         return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
 
-    def learn_trial(self, endpoint: Endpoint, now: int, took: int, *, is_failed: bool) -> None:
+    def learn_trial(self, endpoint: Endpoint, now: int, duration: int, *, is_failed: bool) -> None:
         """Takes an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
 
         One sent before says nothing new.
         """
-        if now - took > endpoint.ejected_since:
+        if now - duration > endpoint.ejected_since:
             self.trial_finished(endpoint, now, is_failed=is_failed)
 
     def trial_finished(self, endpoint: Endpoint, now: int, *, is_failed: bool) -> None:
@@ -251,20 +251,20 @@
 
     # Idle connections.
 
-    def idle_losses(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> int:
+    def idle_losses(self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean: float) -> int:
         """Returns as how many losses on an idle connection an attempt's end counts.
 
         Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
         connection swallows the request.
         """
-        if outcome is Outcome.RESET and took < mean * QUICK_FAILURE_RATIO:
+        if outcome is Outcome.RESET and duration < mean * QUICK_FAILURE_RATIO:
             return LOSSES_PER_QUICK_RESET
-        is_unheard = now - attempt.endpoint.silent_since >= took
+        is_unheard = now - attempt.endpoint.silent_since >= duration
         return int(is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
 
-    def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> None:
+    def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean: float) -> None:
         """Learns from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
-        lost = 0 if outcome is Outcome.SUCCEEDED else self.idle_losses(attempt, now, outcome, took, mean)
+        lost = 0 if outcome is Outcome.SUCCEEDED else self.idle_losses(attempt, now, outcome, duration, mean)
         if lost:
             self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_OF_FEW)
         if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART):
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -5,7 +5,7 @@
 
 from typing import Protocol
 
-from dahliabend.model import EndpointState, Outcome, RequestClass, Settings, StoredEndpoint
+from dahliabend.model import EndpointState, Outcome, PolicySettings, RequestClass, StoredEndpoint
 from dahliabend.policy.throttling import ThrottleEntry
 
 NOT_STARTED = -1  # of no process yet; lists give 0 where they don't tell when one started
@@ -96,7 +96,7 @@
 class RequestOwner(Protocol):
     """The balancer that admitted a request: what happens to the request is reported to it."""
 
-    settings: Settings
+    settings: PolicySettings
 
     def send(self, request: "RequestState", now: int) -> None:
         """The request's turn has come: sends an attempt or gives it up."""
@@ -105,7 +105,7 @@
         """Gives up a request that waits for its turn, if too little time is left for it."""
 
     def attempt_ended(
-        self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, took: int
+        self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
         """An attempt has ended, after so long (us)."""
 
@@ -143,7 +143,7 @@
     def __init__(
         self,
         balancer: RequestOwner,
-        ref: int,
+        request_id: int,
         class_index: int,
         key: int | bytes,
         priority: float,
@@ -151,7 +151,7 @@
         body_pending: bool,
     ) -> None:
         self.balancer = balancer
-        self.ref = ref
+        self.request_id = request_id
         self.key = key
         self.deadline = 0
         self.class_index = class_index
@@ -193,7 +193,7 @@
     # What the driver reports (`model.RequestHandle` has the arguments).
 
     def attempt_finished(
-        self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
+        self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
     ) -> None:
         """Reports how an attempt ended; another is sent where one may follow."""
         attempt = self.attempts[number]
@@ -204,7 +204,7 @@
         attempt.may_have_executed = not outcome.proves_not_executed
         self.in_flight -= 1
         self.is_answered = self.is_answered or complete
-        self.balancer.attempt_ended(self, attempt, now, outcome, took)
+        self.balancer.attempt_ended(self, attempt, now, outcome, duration)
 
     def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - the handle has it
         """Reports a streamed response: the client has a part of it, so the attempt is not cancelled."""
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -3,7 +3,14 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, Settings
+from dahliabend.model import (
+    DeduplicationScope,
+    EndpointState,
+    EndpointUpdate,
+    Idempotency,
+    Outcome,
+    PolicySettings,
+)
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
@@ -33,7 +40,7 @@
 
     Elsewhere a repeat would take effect a second time.
     """
-    if request.request_class.effect is not Effect.DEDUPLICATED:
+    if request.request_class.effect is not Idempotency.DEDUPLICATED:
         return endpoints
     executed = request.first_possibly_executed()
     if executed is None:
@@ -73,7 +80,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         random: Callable[[], float],
         throttling: Throttling,
         concurrency: ConcurrencyLimit,
@@ -94,7 +101,7 @@
 
     # The list.
 
-    def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
+    def update(self, now: int, rows: Sequence[EndpointUpdate], *, full: bool) -> None:
         """Takes over a list of endpoints, or (not `full`) changes of it."""
         gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         if full:
@@ -106,7 +113,7 @@
             self._unlist(self.endpoints[index])
         self._rank()
 
-    def _update_endpoint(self, now: int, row: EndpointRow) -> None:
+    def _update_endpoint(self, now: int, row: EndpointUpdate) -> None:
         index, state, started_at, weight, cell, zone, identity = row
         if index not in self.endpoints:
             instance = b"%d" % self.settings.instance_index
@@ -125,7 +132,7 @@
 
     def _unlist(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
-        if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
+        if not self.settings.can_use_removed_endpoints or endpoint.state is not EndpointState.READY:
             endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
 
     def remove_unlisted(self, now: int) -> None:
@@ -261,8 +268,8 @@
         """Returns whether any ready endpoint has started long enough before a time (us)."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
-    def learn_latency(self, endpoint: Endpoint, outcome: Outcome, took: int, mean_latency: float) -> None:
+    def learn_latency(self, endpoint: Endpoint, outcome: Outcome, duration: int, mean_latency: float) -> None:
         """Learns an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
         if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
-            ratio = min(took / mean_latency, MAX_LATENCY_RATIO)
+            ratio = min(duration / mean_latency, MAX_LATENCY_RATIO)
             endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_OF_FEW)
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: what a warming endpoint may get, and the rate of attempts by which its budget is filled."""
 
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.policy.records import Endpoint
 
 SEND_RATE_WEIGHT = 4  # a window's rate has one such part in the mean rate
@@ -15,7 +15,7 @@
         sent: Attempts in the open window.
     """
 
-    def __init__(self, settings: Settings, window: int) -> None:
+    def __init__(self, settings: PolicySettings, window: int) -> None:
         self.settings = settings
         self.window = window
         self.send_rate = 0.0
--- a/dahliabend/server/handover_state.py
+++ b/dahliabend/server/handover_state.py
@@ -31,7 +31,9 @@
     Raises:
         KeyError, TypeError, ValueError, AttributeError: The state is malformed.
     """
-    router.epoch = state["epoch"]  # with another epoch, start times of upstreams would appear to have changed
+    router.monotonic_offset = state[
+        "epoch"
+    ]  # with another epoch, start times of upstreams would appear to have changed
     for name in state["once"]:
         router.table.remember_id(name)
     for name, included_at in state["returned"].items():
@@ -39,5 +41,5 @@
     endpoint_list.apply(state["list"], first=True)
     restored = router.restore(state)
     discovery.change_address(tuple(state["discovery"]))
-    discovery.attempted = True  # the predecessor has already contacted the discovery service
+    discovery.first_attempt_finished = True  # the predecessor has already contacted the discovery service
     return restored
--- a/tests/config/corpus.py
+++ b/tests/config/corpus.py
@@ -336,7 +336,7 @@
 )  # fmt: skip
 
 
-def make(seed: int) -> GeneratedFiles:
+def generate_operator_files(seed: int) -> GeneratedFiles:
     """Generate a valid file from an even seed, or one with a fault from an odd one, all kinds in turn."""
     random = Random(f"corpus {seed}")
     sections = generate_sections(random)
