--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -60,7 +60,7 @@
         generation: Start of the reporting process; with `sequence` it orders the reports of one origin.
         sequence: Number of the report within the generation.
         age_ms: Milliseconds since it was made, when it was sent: clocks are not compared between instances.
-        relays: How often it was passed on.
+        relay_count: How often it was passed on.
         counts: Outcomes at upstreams.
         leases: Leases that the origin holds or claims.
         quotas: Its shares of limits of the whole fleet.
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -127,7 +127,7 @@
 
     Attributes:
         balancer: Where its events go.
-        ref: By which the driver knows it.
+        request_id: By which the driver knows it.
         key: By which requests are sent one at a time; 0: none.
         deadline: When its answer is worth nothing (us).
         priority: Between 0 and 1; lowered where its tenant is over quota.
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -70,7 +70,7 @@
 
         Args:
             row: The row.
-            epoch: Monotonic time less Unix time (us).
+            monotonic_offset: Monotonic time less Unix time (us).
         """
         self.weight = row.weight
         self.cell = row.cell
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from corpus import FAULTS, make
+from corpus import FAULTS, generate_operator_files
 
 from dahliabend.config.operator_file.key_lines import key_lines
 from dahliabend.config.operator_file.loader import load_source
