--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -63,7 +63,7 @@
         faults: The faults, in the order in which they were found.
         files: The paths of all files that were read.
         top: The path of the file that includes the others.
-        reads: Reads a file.
+        read_file: Reads a file.
     """
 
     tree: dict[str, Any] = field(default_factory=dict)
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -106,7 +106,7 @@
         limit: The concurrency limit.
     """
 
-    limit_settings: list[int]
+    limit_settings: list[int] = field(name="shape")
     mean_latencies: list[int | float] = field(name="usual")
     fatal_idle_time: int | float = field(name="gap")
     endpoints: dict[int, StoredEndpoint] = field(name="upstreams")
--- a/dahliabend/server/handover_state.py
+++ b/dahliabend/server/handover_state.py
@@ -31,9 +31,8 @@
     Raises:
         KeyError, TypeError, ValueError, AttributeError: The state is malformed.
     """
-    router.monotonic_offset = state[
-        "epoch"
-    ]  # with another epoch, start times of upstreams would appear to have changed
+    # With another offset, unchanged start times of upstreams would look changed.
+    router.monotonic_offset = state["epoch"]
     for name in state["once"]:
         router.table.remember_id(name)
     for name, included_at in state["returned"].items():
--- a/dahliabend/server/seed_list.py
+++ b/dahliabend/server/seed_list.py
@@ -23,16 +23,16 @@
         self.on_change = on_change
         self.addresses: dict[str, str] = {}  # by the balancer's name
 
-    def endpoints_changed(self, rows: Iterable[EndpointListEntry], full: bool) -> None:
+    def endpoints_changed(self, entries: Iterable[EndpointListEntry], full: bool) -> None:
         """Apply an update of the endpoint list: the whole list if `full`, otherwise the changed entries."""
         if full:
             self.addresses = {}
-        for row in rows:
-            if row.state is EndpointState.REMOVED:
-                self.addresses.pop(row.name, None)
+        for entry in entries:
+            if entry.state is EndpointState.REMOVED:
+                self.addresses.pop(entry.name, None)
             else:
-                host, port = row.address
-                self.addresses[row.name] = f"{host}:{port}"
+                host, port = entry.address
+                self.addresses[entry.name] = f"{host}:{port}"
         self.on_change()
 
     def clear(self) -> None:
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -37,7 +37,7 @@
         max_request_time: The longest deadline of any request class so far, in microseconds.
         descriptors: The descriptor budget of client and upstream connections.
         admin_descriptors: The budget of admin connections; separate, so that clients can't use it up.
-        operations: The admin API.
+        admin_api: The admin API.
         lifecycle: The server's state and its transitions.
     """
 
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -12,7 +12,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 from dahliabend.subsetting.usable_endpoints import count_usable_endpoints
 from dahliabend.transport.timers import TimerQueue, clock
 
@@ -57,25 +57,25 @@
         self.timers = timers
         self.log = log
         self.subset = ActiveSubset()
-        self._rows: dict[str, EndpointListEntry] = {}  # the whole endpoint list, by name
+        self._entries: dict[str, EndpointListEntry] = {}  # the whole endpoint list, by name
         self._controller = _create_controller(settings, balancers, cluster, instance_name)
         self._timer: Any = None
         self._update_periodically()
 
-    def endpoints_changed(self, rows: list[EndpointListEntry], full: bool) -> None:
+    def endpoints_changed(self, entries: list[EndpointListEntry], full: bool) -> None:
         """Apply an update of the endpoint list: the whole list if `full`, otherwise the changed entries."""
         if full:
-            self._rows = {}
-        for row in rows:
-            if row.state is EndpointState.REMOVED:
-                self._rows.pop(row.name, None)
+            self._entries = {}
+        for entry in entries:
+            if entry.state is EndpointState.REMOVED:
+                self._entries.pop(entry.name, None)
             else:
-                self._rows[row.name] = row
-                self.router.table.remember_id(row.name)  # an operator may exclude it before it is in use
+                self._entries[entry.name] = entry
+                self.router.table.remember_id(entry.name)  # an operator may exclude it before it is in use
         ready = [
-            Participant(row.name, row.zone, row.weight)
-            for row in self._rows.values()
-            if row.state is EndpointState.READY
+            Participant(entry.name, entry.zone, entry.weight)
+            for entry in self._entries.values()
+            if entry.state is EndpointState.READY
         ]
         self._controller.update_upstreams(clock(), ready)
         self._update_subset()
@@ -95,7 +95,7 @@
         weights = {name: round(weight, WEIGHT_DIGITS) for name, weight in sorted(subset.weights.items())}
         return {
             "size": len(subset.weights),
-            "of": len(self._rows),
+            "of": len(self._entries),
             "by": subset.source,
             "balancers": subset.balancers,
             "wider": self._controller.extra,
@@ -131,7 +131,7 @@
         self.log(
             "subset.changed",
             size=len(subset.weights),
-            listed=len(self._rows),
+            listed=len(self._entries),
             added=subset.added[:MAX_LOGGED_NAMES],
             dropped=subset.dropped[:MAX_LOGGED_NAMES],
             source=subset.source,
@@ -146,17 +146,17 @@
         flight finish there.
         """
         indices = self.router.table.indices
-        rows: list[EndpointListEntry] = []
-        for name, row in self._rows.items():
+        entries: list[EndpointListEntry] = []
+        for name, entry in self._entries.items():
             weight = self.subset.weights.get(name)
             if weight is not None:
-                rows.append(row._replace(weight=weight))
-            elif row.state is not EndpointState.READY and name in indices:
-                rows.append(row)  # draining: kept until it is removed, for its attempts in flight
+                entries.append(entry._replace(weight=weight))
+            elif entry.state is not EndpointState.READY and name in indices:
+                entries.append(entry)  # draining: kept until it is removed, for its attempts in flight
         # Only some of the balancers send to each of these upstreams. With the number of all balancers, the
         # concurrency limit would be too low, and requests would be rejected while the upstreams are idle.
         self.router.balancer.selection.instance_count = self.subset.balancers_per_upstream
-        self.router.endpoints_changed(rows, full=True)
+        self.router.endpoints_changed(entries, full=True)
 
 
 def _create_controller(
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -33,7 +33,7 @@
 def test_of_500_generated_files_only_faulty_ones_are_rejected_with_line_and_reason():
     kinds = set()
     for seed in range(CORPUS_SIZE):
-        generated = make(seed)
+        generated = generate_operator_files(seed)
         loaded_file = load_file("file.toml", environment={}, read=generated.read)
         if not generated.kind:
             assert loaded_file.is_usable, (seed, [str(fault) for fault in loaded_file.faults])
