--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -21,36 +21,40 @@
 
 LAZY_COMMANDS = {
     "check": LazyCommand(
-        "operator_file", "check", "Says all that is wrong with an operator's file, by line."
+        "operator_file", "check", "Report all faults of operators' files, with their lines."
     ),
-    "diff": LazyCommand("operator_file", "diff", "What a reload from one file to another would change."),
+    "diff": LazyCommand("operator_file", "diff", "Show what a reload from one file to another would change."),
     "explain": LazyCommand(
         "operator_file",
         "explain",
-        "Which route a request takes, why, what will be tried and for how long.",
+        "Show which route a request takes and why, and which attempts may be made with which timeouts.",
     ),
     "members": LazyCommand(
-        "membership", "members", "Who else balances: alive, suspected, gone, by whom and since when."
+        "membership", "members", "Show the members of a cluster with their states, as one balancer sees them."
     ),
     "process-test": LazyCommand(
         "process_tests",
         "process_tests",
-        "Real processes of the program on loopback, with faults between them.",
+        "Run a cluster of real processes on loopback, with faults between them.",
+    ),
+    "show": LazyCommand(
+        "operator_file", "show", "Show the settings of an operator's file, with their lines."
     ),
-    "show": LazyCommand("operator_file", "show", "Every setting in force, and the line that says it."),
     "signals": LazyCommand(
-        "peer_state", "signals", "What balancers tell each other of upstreams, and what is believed."
+        "peer_state",
+        "signals",
+        "Show the health reports that balancers exchange, and the suspected upstreams.",
     ),
     "simulate": LazyCommand(
-        "simulation", "simulate", "The network code on a virtual clock, against faults from seeds or files."
+        "simulation", "simulate", "Run the network code on a virtual clock, with faults from seeds or files."
     ),
     "subset": LazyCommand(
-        "subsetting", "subset", "Who of many balancers uses which upstreams, and what an event moves."
+        "subsetting", "subset", "Show which balancers use which upstreams, and what the loss of one changes."
     ),
     "turns": LazyCommand(
         "peer_state",
         "leases",
-        "What balancers do in turn: who does it, under which number, when last.",
+        "Show the leases of shared health checks: holder, fencing token and last result.",
     ),
 }
 
@@ -80,17 +84,17 @@
         """
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
-        lazy = LAZY_COMMANDS[cmd_name]
+        command_import = LAZY_COMMANDS[cmd_name]
         try:
-            module = importlib.import_module(f"dahliabend.cli.{lazy.module}")
+            module = importlib.import_module(f"dahliabend.cli.{command_import.module}")
         except ModuleNotFoundError as error:
             raise click.ClickException(f"{error.name} is missing: pip install 'dahliabend[tools]'") from None
-        command: click.Command = getattr(module, lazy.attribute)
+        command: click.Command = getattr(module, command_import.attribute)
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """Write each command's short help, without importing it."""
-        rows = {name: lazy.help for name, lazy in LAZY_COMMANDS.items()}
+        rows = {name: command_import.help for name, command_import in LAZY_COMMANDS.items()}
         for name in super().list_commands(ctx):
             command = super().get_command(ctx, name)
             if command is not None:
--- a/dahliabend/cli/membership.py
+++ b/dahliabend/cli/membership.py
@@ -27,7 +27,7 @@
         click.echo(secrets.token_hex(KEY_BYTES))
         return
     if where is None:
-        raise click.UsageError("FILE or HOST:PORT is missing: whom shall it ask?")
+        raise click.UsageError("FILE or HOST:PORT of the balancer to query is missing")
     view = fetch(where, "/api/members")
     is_healthy = view["stable"] and not view["cut"] and not view["outcast"]
     if as_json:
--- a/dahliabend/cli/operator_file.py
+++ b/dahliabend/cli/operator_file.py
@@ -13,7 +13,7 @@
 DIFF_TABLE_WIDTH = 180
 
 
-def load_usable_file(path: str) -> LoadedFile:
+def load_file_or_exit(path: str) -> LoadedFile:
     """Load a file without faults; else they are printed and the command ends."""
     loaded = load_file(path)
     if not loaded.is_usable:
@@ -60,16 +60,16 @@
 @json_option
 def show(file: str, *, with_defaults: bool, as_json: bool) -> None:
     """Every setting in force, and the line that says it."""
-    found = {
+    shown = {
         key: setting
-        for key, setting in settings(load_usable_file(file)).items()
+        for key, setting in settings(load_file_or_exit(file)).items()
         if with_defaults or setting.place != DEFAULT_PLACE
     }
     if as_json:
-        print_json({key: {"value": setting.value, "from": setting.place} for key, setting in found.items()})
+        print_json({key: {"value": setting.value, "from": setting.place} for key, setting in shown.items()})
         return
     table = Table("setting", "value", "from")
-    for key, setting in found.items():
+    for key, setting in shown.items():
         table.add_row(key, str(setting.value), setting.place)
     print_table(table, TABLE_WIDTH)
 
@@ -83,14 +83,14 @@
 def explain(file: str, method: str, path: str, headers: tuple[str, ...], *, as_json: bool) -> None:
     """Which route a request takes, why, what will be tried and for how long."""
     fields = _parse_headers(headers)
-    found = explanation.explain(load_usable_file(file), method.upper(), path, fields)
+    route_explanation = explanation.explain(load_file_or_exit(file), method.upper(), path, fields)
     if as_json:
-        print_json(_explanation_json(found))
-    elif found is None:
+        print_json(_explanation_json(route_explanation))
+    elif route_explanation is None:
         click.echo(NO_ROUTE_REASON)
     else:
-        _print_explanation(found)
-    raise click.exceptions.Exit(EXIT_FINDINGS if found is None else 0)
+        _print_explanation(route_explanation)
+    raise click.exceptions.Exit(EXIT_FINDINGS if route_explanation is None else 0)
 
 
 def _parse_headers(headers: tuple[str, ...]) -> dict[str, str]:
@@ -103,39 +103,39 @@
     return fields
 
 
-def _explanation_json(found: Explanation | None) -> dict[str, object]:
-    if found is None:
+def _explanation_json(route_explanation: Explanation | None) -> dict[str, object]:
+    if route_explanation is None:
         return {"route": None, "why": NO_ROUTE_REASON}
     return {
-        "route": found.route,
-        "at": found.place,
-        "why": found.reason,
-        "class": found.request_class,
-        "effect": found.effect,
-        "pools": found.pools,
-        "split": found.split,
-        "fallback": found.fallback,
-        "mirror": found.mirror,
+        "route": route_explanation.route,
+        "at": route_explanation.place,
+        "why": route_explanation.reason,
+        "class": route_explanation.request_class,
+        "effect": route_explanation.effect,
+        "pools": route_explanation.pools,
+        "split": route_explanation.split,
+        "fallback": route_explanation.fallback,
+        "mirror": route_explanation.mirror,
         "treatment": {
             name: {"value": explained.value, "from": explained.key}
-            for name, explained in found.treatment.items()
+            for name, explained in route_explanation.treatment.items()
         },
-        "tried": found.steps,
+        "tried": route_explanation.steps,
     }
 
 
-def _print_explanation(found: Explanation) -> None:
-    click.echo(f"route {found.route} ({found.place}): {found.reason}")
-    click.echo(f"class {found.request_class}, {found.effect}")
-    pools = ", ".join(f"{name} {share}" for name, share in found.pools.items())
-    click.echo(f"pool {pools} (split {found.split})")
-    if found.fallback:
-        click.echo(f"fallback {found.fallback}")
-    if found.mirror:
-        click.echo(f"mirror {found.mirror}")
-    for name, explained in found.treatment.items():
+def _print_explanation(route_explanation: Explanation) -> None:
+    click.echo(f"route {route_explanation.route} ({route_explanation.place}): {route_explanation.reason}")
+    click.echo(f"class {route_explanation.request_class}, {route_explanation.effect}")
+    pools = ", ".join(f"{name} {share}" for name, share in route_explanation.pools.items())
+    click.echo(f"pool {pools} (split {route_explanation.split})")
+    if route_explanation.fallback:
+        click.echo(f"fallback {route_explanation.fallback}")
+    if route_explanation.mirror:
+        click.echo(f"mirror {route_explanation.mirror}")
+    for name, explained in route_explanation.treatment.items():
         click.echo(f"  {name} = {explained.value}  ({explained.key})")
-    for step in found.steps:
+    for step in route_explanation.steps:
         click.echo(f"  - {step}")
 
 
@@ -145,7 +145,7 @@
 @json_option
 def diff(old: str, new: str, *, as_json: bool) -> None:
     """What a reload from OLD to NEW would change; exits with 1 if anything, or if NEW would be refused."""
-    before = load_usable_file(old)
+    before = load_file_or_exit(old)
     after = load_file(new)
     if not after.is_usable:
         for fault in after.faults:
--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/operators_api.py
@@ -16,7 +16,7 @@
 balancer_argument = click.argument("where", metavar="FILE|HOST:PORT")
 
 
-def operators_address(where: str) -> tuple[str, int]:
+def admin_address(where: str) -> tuple[str, int]:
     """The address of an operators' listener: given itself, or by an operator's file.
 
     Raises:
@@ -31,7 +31,9 @@
         raise click.ClickException("\n".join(map(str, loaded.faults)))
     listener = loaded.usable_file.listeners.get("operators")
     if listener is None:
-        raise click.ClickException(f"{where}:1: listeners.operators: is missing: nobody can be asked")
+        raise click.ClickException(
+            f"{where}:1: listeners.operators: is missing: there is no admin API to query"
+        )
     return parse_address(listener.address)
 
 
@@ -48,19 +50,19 @@
     Raises:
         click.ClickException: There is no answer, or it is an error.
     """
-    host, port = operators_address(where)
+    host, port = admin_address(where)
     connection = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
-        answer: dict[str, Any] = json.loads(response.read())
+        content: dict[str, Any] = json.loads(response.read())
     except (OSError, HTTPException, ValueError) as error:
         raise click.ClickException(f"{host}:{port}: {error}") from None
     finally:
         connection.close()
     if response.status != HTTP_OK:
-        raise click.ClickException(f"{host}:{port}: {answer.get('error', response.status)}")
-    return answer
+        raise click.ClickException(f"{host}:{port}: {content.get('error', response.status)}")
+    return content
 
 
 def format_age(milliseconds: int | None) -> str:
--- a/dahliabend/cli/peer_state.py
+++ b/dahliabend/cli/peer_state.py
@@ -20,8 +20,8 @@
         print_json(gossip)
         return
     table = Table("from", "told", "passed on", "upstream", "hops", "bad")
-    own = {"name": f"{gossip['name']} (this one)", "age_ms": 0, "hops": 0, "rows": gossip["own"]}
-    for origin in [own, *gossip["origins"]]:
+    own_reports = {"name": f"{gossip['name']} (this one)", "age_ms": 0, "hops": 0, "rows": gossip["own"]}
+    for origin in [own_reports, *gossip["origins"]]:
         sender = (origin["name"], format_age(origin["age_ms"]), str(origin["hops"]))
         for row in origin["rows"]:
             upstream = f"{row['pool']} {row['upstream']}"
@@ -29,9 +29,9 @@
         if not origin["rows"]:
             table.add_row(*sender, "nothing", "", "")
     print_table(table, TABLE_WIDTH)
-    for belief in gossip["believed"]:
-        age = format_age(belief["age_ms"])
-        click.echo(f"{age} ago: {belief['pool']} {belief['upstream']}, said by {belief['origins']}")
+    for suspicion in gossip["believed"]:
+        age = format_age(suspicion["age_ms"])
+        click.echo(f"{age} ago: {suspicion['pool']} {suspicion['upstream']}, said by {suspicion['origins']}")
     counts = f"{gossip['unread']} datagrams unread, {gossip['refused']} reports refused"
     click.echo(f"{gossip['told']} beliefs told to the decisions; {counts}")
 
@@ -41,19 +41,19 @@
 @json_option
 def leases(where: str, *, as_json: bool) -> None:
     """Who does what for all, under which fencing number, and what came of it last."""
-    answer = fetch(where, "/api/turns")
+    leases_status = fetch(where, "/api/turns")
     if as_json:
-        print_json(answer)
+        print_json(leases_status)
         return
     table = Table("duty", "done by", "number", "last", "result", "this one's place")
-    for row in answer["duties"]:
+    for row in leases_status["duties"]:
         age = "" if row["age_ms"] is None else f"{format_age(row['age_ms'])} ago"
         place = "none" if row["place"] < 0 else str(row["place"])
         epoch = str(row["fence"] >> TOKEN_SUFFIX_BITS)
         table.add_row(row["duty"], row["owner"], epoch, age, row["result"], place)
     print_table(table, TABLE_WIDTH)
-    state = "settled" if answer["settled"] else "not settled"
+    state = "settled" if leases_status["settled"] else "not settled"
     click.echo(
-        f"period {answer['period_ms'] / 1000:g} s; {state}; "
-        f"{answer['probes']} probes by this one; {answer['refused']} refused"
+        f"period {leases_status['period_ms'] / 1000:g} s; {state}; "
+        f"{leases_status['probes']} probes by this one; {leases_status['refused']} refused"
     )
--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -23,9 +23,9 @@
 instances_option = click.option(
     "--instances", type=click.IntRange(2, MAX_INSTANCES), default=5, show_default=True
 )
-period_option = click.option("--period", default="200ms", show_default=True, help="Of a drawn fleet.")
+period_option = click.option("--period", default="200ms", show_default=True, help="Of a generated cluster.")
 minutes_option = click.option(
-    "--minutes", type=float, default=2.0, show_default=True, help="Of a drawn fleet."
+    "--minutes", type=float, default=2.0, show_default=True, help="Of a generated cluster."
 )
 json_option = click.option(
     "--json", "as_json", is_flag=True, help="As JSON, for programs; without the time line."
@@ -35,25 +35,25 @@
 def _with_cluster(command: Callable[..., None]) -> Callable[..., None]:
     """Call a command with the cluster that an argument and options name, in place of these."""
 
-    @click.argument("what", metavar="FILE|SEED")
+    @click.argument("file_or_seed", metavar="FILE|SEED")
     @instances_option
     @period_option
     @minutes_option
     @functools.wraps(command)
     def call_with_cluster(
-        *, what: str, instances: int, period: str, minutes: float, **options: object
+        *, file_or_seed: str, instances: int, period: str, minutes: float, **options: object
     ) -> None:
         """Draw the cluster or read its file."""
-        command(_load_cluster(what, instances, period, minutes), **options)
+        command(_load_cluster(file_or_seed, instances, period, minutes), **options)
 
     return call_with_cluster
 
 
-def _load_cluster(what: str, instances: int, period: str, minutes: float) -> script.Fleet:
+def _load_cluster(file_or_seed: str, instances: int, period: str, minutes: float) -> script.Fleet:
     """A seed's, or a file's."""
-    if what.isascii() and what.isdigit():
-        return script.draw(int(what), instances, Duration.parse(period), minutes)
-    return script.SCRIPT_FILES.read(what)
+    if file_or_seed.isascii() and file_or_seed.isdigit():
+        return script.draw(int(file_or_seed), instances, Duration.parse(period), minutes)
+    return script.SCRIPT_FILES.read(file_or_seed)
 
 
 @click.group("process-test")
@@ -64,10 +64,12 @@
 @process_tests.command()
 @_with_cluster
 @json_option
-@click.option("--times", type=click.IntRange(1), default=1, show_default=True, help="One after the other.")
-@click.option("--traffic", type=float, default=0.0, help="Transactions a second over the fleet.")
+@click.option(
+    "--times", type=click.IntRange(1), default=1, show_default=True, help="Runs, one after the other."
+)
+@click.option("--traffic", type=float, default=0.0, help="Requests per second to the whole cluster.")
 @click.option("--upstreams", type=click.IntRange(1, MAX_UPSTREAMS), default=4, show_default=True)
-@click.option("--quiet", is_flag=True, help="Only what came of it.")
+@click.option("--quiet", is_flag=True, help="Only the results.")
 def run(
     cluster: script.Fleet, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
 ) -> None:
@@ -100,13 +102,13 @@
             outcomes.append(outcome)
             if not as_json:
                 _print_outcome(outcome)
-    broken = sum(bool(outcome.violations) for outcome in outcomes)
+    broken_runs = sum(bool(outcome.violations) for outcome in outcomes)
     if as_json:
         rows = list(map(_outcome_json, outcomes))
         click.echo(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
     elif times > 1:
-        click.echo(f"{times - broken} of {times} without a break")
-    raise click.exceptions.Exit(1 if broken else 0)
+        click.echo(f"{times - broken_runs} of {times} without a break")
+    raise click.exceptions.Exit(1 if broken_runs else 0)
 
 
 def _run_processes(
@@ -148,8 +150,8 @@
         "violations": outcome.violations,
         "counts": dict(outcome.counts),
         "hours": outcome.hours,
-        "first_ms": [span // MICROSECONDS_PER_MILLISECOND for span in outcome.first],
-        "full_ms": [span // MICROSECONDS_PER_MILLISECOND for span in outcome.full],
+        "first_ms": [duration // MICROSECONDS_PER_MILLISECOND for duration in outcome.first],
+        "full_ms": [duration // MICROSECONDS_PER_MILLISECOND for duration in outcome.full],
     }
 
 
@@ -158,13 +160,13 @@
         click.echo(f"BROKEN {text}")
     counts = " ".join(f"{name}={count}" for name, count in sorted(outcome.counts.items()))
     click.echo(f"{len(outcome.violations)} broken, {outcome.hours:.3f} instance-hours; {counts}")
-    for name, spans in (("first to know", outcome.first), ("all know", outcome.full)):
-        if spans:
-            median = _quantile(spans, 50) / MICROSECONDS_PER_SECOND
-            late = _quantile(spans, 99) / MICROSECONDS_PER_SECOND
-            click.echo(f"an end, {name}: p50 {median:.2f} s, p99 {late:.2f} s of {len(spans)}")
+    for name, durations in (("first to know", outcome.first), ("all know", outcome.full)):
+        if durations:
+            p50 = _quantile(durations, 50) / MICROSECONDS_PER_SECOND
+            p99 = _quantile(durations, 99) / MICROSECONDS_PER_SECOND
+            click.echo(f"an end, {name}: p50 {p50:.2f} s, p99 {p99:.2f} s of {len(durations)}")
 
 
-def _quantile(spans: list[int], percent: int) -> int:
-    ordered = sorted(spans)
+def _quantile(durations: list[int], percent: int) -> int:
+    ordered = sorted(durations)
     return ordered[min(len(ordered) - 1, len(ordered) * percent // 100)]
--- a/dahliabend/cli/simulation.py
+++ b/dahliabend/cli/simulation.py
@@ -55,7 +55,7 @@
 @simulate.command("sweep")
 @click.option("--seeds", callback=_parse_seeds, default="1000", show_default=True, help="How many, or A..B.")
 @click.option("--jobs", type=click.IntRange(1), default=os.cpu_count(), show_default=True)
-@click.option("--fault", multiple=True, help="Only these kinds of fault; may be given more than once.")
+@click.option("--fault", multiple=True, help="Only these kinds of fault; may be repeated.")
 @json_option
 def sweep_command(seeds: range, jobs: int, fault: tuple[str, ...], *, as_json: bool) -> None:
     """Runs many seeds; exits with 1 if a rule was broken."""
@@ -100,8 +100,8 @@
 
 @simulate.command()
 @click.argument("what")
-@click.option("--about", default="", help="Only what names this transaction, process or upstream.")
-@click.option("--quiet", is_flag=True, help="Only the digest and what was broken.")
+@click.option("--about", default="", help="Only lines about this request, process or upstream.")
+@click.option("--quiet", is_flag=True, help="Only the digest and the violations.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs; without the time line.")
 def replay(what: str, about: str, *, quiet: bool, as_json: bool) -> None:
     """Runs WHAT, a seed or a file, and prints its time line; exits with 1 if a rule was broken."""
@@ -128,7 +128,7 @@
 
 @simulate.command("shrink")
 @click.argument("what")
-@click.option("--rule", default="", help="The rule to keep broken; else the first that is.")
+@click.option("--rule", default="", help="The invariant to keep violated; default: the first one.")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), required=True)
 def shrink_command(what: str, rule: str, out: Path) -> None:
     """Takes WHAT, a seed or a file, down to the least run that still breaks the rule."""
@@ -146,7 +146,7 @@
 
 @simulate.command("script")
 @click.argument("seed", type=int)
-@click.option("--requests", type=int, help="As many transactions instead.")
+@click.option("--requests", type=int, help="Replace the number of requests.")
 def script_command(seed: int, requests: int | None) -> None:
     """Prints a seed's scenario as a file, to be changed by hand."""
     scenario = scenario_generator.draw(seed)
--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -25,7 +25,7 @@
 MAX_ZONES = 64
 TABLE_WIDTH = 140
 POOL_TABLE_WIDTH = 160
-SPANS = ("load", "upstreams a balancer", "balancers an upstream")  # shown as "least to most"
+RANGE_KEYS = ("load", "upstreams a balancer", "balancers an upstream")  # shown as "least to most"
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,13 +67,17 @@
     """Call a command with the scenario that options of its sizes name, in place of these."""
 
     @click.option(
-        "--balancers", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named b0 and on."
+        "--balancers",
+        type=click.IntRange(1, MAX_PARTICIPANTS),
+        help="Number of hypothetical balancers: b0, b1, ...",
     )
     @click.option(
-        "--upstreams", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named u0 and on."
+        "--upstreams",
+        type=click.IntRange(1, MAX_PARTICIPANTS),
+        help="Number of hypothetical upstreams: u0, u1, ...",
     )
     @click.option(
-        "--zones", type=click.IntRange(1, MAX_ZONES), default=1, show_default=True, help="Dealt in turn."
+        "--zones", type=click.IntRange(1, MAX_ZONES), default=1, show_default=True, help="Assigned in turn."
     )
     @click.option("--least", type=click.IntRange(1), default=MIN_SUBSET_SIZE, show_default=True)
     @click.option("--degree", type=click.IntRange(1), default=MIN_BALANCERS_PER_UPSTREAM, show_default=True)
@@ -105,14 +109,18 @@
 @click.command()
 @click.argument("where", metavar="[FILE|HOST:PORT]", required=False)
 @_with_scenario
-@click.option("--lose", "lost", multiple=True, help="What it moves if this one goes; may be repeated.")
-@click.option("--chart", type=click.Path(dir_okay=False, path_type=Path), help="An SVG of the relation.")
+@click.option(
+    "--lose", "lost_names", multiple=True, help="Show what the loss of this one changes; may be repeated."
+)
+@click.option(
+    "--chart", type=click.Path(dir_okay=False, path_type=Path), help="Write an SVG chart to this file."
+)
 @json_option
 def subset(
     where: str | None,
     *,
     scenario: Scenario | None,
-    lost: tuple[str, ...],
+    lost_names: tuple[str, ...],
     chart: Path | None,
     as_json: bool,
 ) -> None:
@@ -128,12 +136,12 @@
         raise click.UsageError("either FILE or HOST:PORT, or --balancers and --upstreams")
     assignment = scenario.assign()
     summary = _summarize(scenario, assignment)
-    for name in lost:
+    for name in lost_names:
         if not scenario.has(name):
-            raise click.BadParameter(f"{name!r} is none of them", param_hint="--lose")
+            raise click.BadParameter(f"{name!r} is no balancer and no upstream", param_hint="--lose")
         summary[f"without {name}"] = _summarize_loss(scenario, assignment, name)
     if chart is not None:
-        _draw(assignment, chart)
+        _write_chart(assignment, chart)
     if as_json:
         relation = {name: assignment.subset_of(name) for name in assignment.balancers}
         print_json(summary | {"relation": relation})
@@ -175,9 +183,9 @@
     rows = {"now": summary}
     rows |= {name: each for name, each in summary.items() if name.startswith("without")}
     for name, row in rows.items():
-        spans = [f"{row[key][0]} to {row[key][1]}" for key in SPANS]
+        ranges = [f"{row[key][0]} to {row[key][1]}" for key in RANGE_KEYS]
         moved = f"{row['moved']}, {row['fair shares']} of its own" if "moved" in row else ""
-        table.add_row(name, str(row["pairs"]), *spans, moved)
+        table.add_row(name, str(row["pairs"]), *ranges, moved)
     print_table(table, TABLE_WIDTH)
 
 
@@ -195,7 +203,7 @@
     print_table(table, POOL_TABLE_WIDTH)
 
 
-def _draw(assignment: Assignment, path: Path) -> None:
+def _write_chart(assignment: Assignment, path: Path) -> None:
     """Write the shares as a chart, a row a balancer and a column an upstream."""
     try:
         matplotlib = importlib.import_module("matplotlib")
@@ -203,8 +211,8 @@
         raise click.ClickException("matplotlib is missing: pip install 'dahliabend[lab]'") from None
     matplotlib.use("svg")
     pyplot = importlib.import_module("matplotlib.pyplot")
-    darkness = assignment.shares / assignment.shares.max()
-    pyplot.imshow(darkness, aspect="auto", interpolation="nearest", cmap="Greys")
+    intensities = assignment.shares / assignment.shares.max()
+    pyplot.imshow(intensities, aspect="auto", interpolation="nearest", cmap="Greys")
     pyplot.xlabel("upstreams")
     pyplot.ylabel("balancers")
     pyplot.savefig(path, metadata={"Date": None})
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -68,7 +68,7 @@
         listen_address = listener_address(file, CLIENT_LISTENER)
         if listen_address is None:
             raise InvalidOperatorFileError(
-                [f"{path}:1: listeners.callers: is missing: where do callers come?"]
+                [f"{path}:1: listeners.callers: is missing: there is no address to serve clients on"]
             )
         descriptor_limit = int(environment.get("DAHLIABEND_SOCKETS") or DEFAULT_DESCRIPTOR_LIMIT)
         seed = int(environment.get("DAHLIABEND_SEED") or "0", 16) or host_info.time_ns()
--- a/tests/cli/fake_balancer.py
+++ b/tests/cli/fake_balancer.py
@@ -47,7 +47,7 @@
         },
     }
 }
-ANSWERS = {
+RESPONSES = {
     "/api/members": MEMBERS,
     "/api/signals": SIGNALS,
     "/api/turns": TURNS,
@@ -56,9 +56,9 @@
 
 
 @contextmanager
-def balancer(answers: dict[str, object] | None = None, status: int = 200) -> Iterator[str]:
+def fake_balancer(responses: dict[str, object] | None = None, status: int = 200) -> Iterator[str]:
     """A balancer that gives these answers with this status; its address."""
-    bodies = {path: json.dumps(answer).encode() for path, answer in (answers or ANSWERS).items()}
+    bodies = {path: json.dumps(response).encode() for path, response in (responses or RESPONSES).items()}
 
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self) -> None:
--- a/tests/cli/test_operators_commands.py
+++ b/tests/cli/test_operators_commands.py
@@ -4,12 +4,12 @@
 
 import pytest
 from click.testing import CliRunner
-from fake_balancer import ANSWERS, MEMBERS, balancer
+from fake_balancer import MEMBERS, RESPONSES, fake_balancer
 
 from dahliabend.cli.commands import group
 
 
-def run(*arguments):
+def run_command(*arguments):
     """The exit status and the output of a command, with all errors in it."""
     result = CliRunner().invoke(group, arguments)
     return result.exit_code, result.output
@@ -18,16 +18,16 @@
 @pytest.mark.parametrize(
     ("command", "path"), [("members", "/api/members"), ("signals", "/api/signals"), ("turns", "/api/turns")]
 )
-def test_as_json_the_answer_is_printed_as_it_came(command, path):
-    with balancer() as address:
-        status, output = run(command, address, "--json")
+def test_json_output_is_the_unchanged_response(command, path):
+    with fake_balancer() as address:
+        status, output = run_command(command, address, "--json")
     assert status == 0
-    assert json.loads(output) == ANSWERS[path]
+    assert json.loads(output) == RESPONSES[path]
 
 
-def test_members_are_shown_with_their_state_and_the_view_with_its_confidence():
-    with balancer() as address:
-        status, output = run("members", address)
+def test_members_prints_each_member_and_the_confidence_of_the_view():
+    with fake_balancer() as address:
+        status, output = run_command("members", address)
     rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
     assert status == 0
     assert ["b1", "alive", "its start", "", "z", "1.5", "4", "b2", "10.0.0.1:7946"] in rows
@@ -37,18 +37,18 @@
     )
 
 
-def test_a_view_that_is_not_stable_is_shown_and_ends_with_a_failure():
+def test_members_prints_an_unstable_view_and_exits_with_1():
     view = {**MEMBERS, "stable": False, "cut": True, "outcast": "b9", "dropped": {}}
-    with balancer({"/api/members": view}) as address:
-        status, output = run("members", address)
+    with fake_balancer({"/api/members": view}) as address:
+        status, output = run_command("members", address)
     assert status == 1
     assert "not settled; it may be cut off; the others don't count it in: b9" in output
     assert output.endswith("datagrams dropped: none\n")
 
 
-def test_gossip_is_shown_by_origin_and_what_is_believed_of_it():
-    with balancer() as address:
-        status, output = run("signals", address)
+def test_signals_prints_reports_by_origin_and_the_suspected_upstreams():
+    with fake_balancer() as address:
+        status, output = run_command("signals", address)
     rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
     assert status == 0
     assert ["b1 (this one)", "0.0 s", "0", "p u1", "5", "2"] in rows
@@ -60,53 +60,53 @@
     ]
 
 
-def test_leases_are_shown_with_holder_age_and_this_ones_place():
-    with balancer() as address:
-        status, output = run("turns", address)
+def test_turns_prints_holder_age_and_own_rank_of_each_lease():
+    with fake_balancer() as address:
+        status, output = run_command("turns", address)
     rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
-    by_task = {row[0]: (row[1], *row[3:]) for row in rows}
+    cells_by_task = {row[0]: (row[1], *row[3:]) for row in rows}
     assert status == 0
-    assert by_task["probe p u1"] == ("b1", "", "ok", "none")
-    assert by_task["probe p u2"] == ("b2", "5.5 s ago", "bad", "0")
+    assert cells_by_task["probe p u1"] == ("b1", "", "ok", "none")
+    assert cells_by_task["probe p u2"] == ("b2", "5.5 s ago", "bad", "0")
     assert output.splitlines()[-1] == "period 2.5 s; not settled; 4 probes by this one; 5 refused"
 
 
-def test_subsets_of_a_running_balancer_are_shown_by_pool():
-    with balancer() as address:
-        status, output = run("subset", address)
+def test_subset_prints_the_subsets_of_a_running_balancer_by_pool():
+    with fake_balancer() as address:
+        status, output = run_command("subset", address)
     rows = [[cell.strip() for cell in line.split("│")[1:-1]] for line in output.splitlines() if "│" in line]
     assert status == 0
     assert ["p", "2", "5", "view", "3", "1", "u1 1, u2 0.25"] in rows
 
 
-def test_the_address_may_be_that_of_an_operators_file(tmp_path):
+def test_the_balancer_may_be_named_by_its_operators_file(tmp_path):
     path = tmp_path / "file.toml"
-    with balancer() as address:
+    with fake_balancer() as address:
         path.write_text(
             f'[listeners.operators]\naddress = "{address}"\n[pools.a]\ndiscovery = "10.2.0.1:8500"\n'
             '[classes.query]\neffect = "idempotent"\nservice-goal = "1s"\nhard-limit = "2s"\n'
             '[[routes]]\nname = "all"\nclass = "query"\npool = "a"\n'
         )
-        assert run("members", str(path))[0] == 0
+        assert run_command("members", str(path))[0] == 0
         path.write_text(path.read_text().replace("listeners.operators", "listeners.callers"))
-        status, output = run("members", str(path))
+        status, output = run_command("members", str(path))
     assert status == 1
     assert f"{path}:1: listeners.operators: is missing" in output
 
 
-def test_an_error_of_the_balancer_is_printed_with_its_address():
-    with balancer({"/api/members": {"error": "not a member"}}, status=404) as address:
-        assert run("members", address) == (1, f"Error: {address}: not a member\n")
+def test_an_error_response_is_printed_with_the_balancers_address():
+    with fake_balancer({"/api/members": {"error": "not a member"}}, status=404) as address:
+        assert run_command("members", address) == (1, f"Error: {address}: not a member\n")
 
 
-def test_a_key_is_printed_without_asking_anybody():
-    status, output = run("members", "--key")
+def test_a_new_key_is_printed_without_querying_a_balancer():
+    status, output = run_command("members", "--key")
     assert status == 0
     assert len(bytes.fromhex(output.strip())) == 32
 
 
 def test_every_command_is_listed_with_its_help():
-    status, output = run("--help")
+    status, output = run_command("--help")
     assert status == 0
     for name in ("check", "completion", "diff", "events", "explain", "members", "process-test", "serve",
                  "show", "signals", "simulate", "subset", "turns", "version"):  # fmt: skip
@@ -114,22 +114,22 @@
 
 
 @pytest.mark.parametrize(("former", "name"), [("emulate", "simulate"), ("rig", "process-test")])
-def test_a_former_name_of_a_command_works_and_is_listed_nowhere(former, name):
+def test_a_former_command_name_runs_the_same_command_and_is_not_listed(former, name):
     """A script that still calls a command by its former name gets the same command."""
-    _, listed = run("--help")
-    assert not any(line.split()[:1] == [former] for line in listed.splitlines())
-    assert run(former, "--help") == run(name, "--help")
-    assert run(former, "script", "7") == run(name, "script", "7")
-    assert run(former, "script", "7")[0] == 0
-    assert run(former, "script", "--help") == run(name, "script", "--help")
+    _, help_text = run_command("--help")
+    assert not any(line.split()[:1] == [former] for line in help_text.splitlines())
+    assert run_command(former, "--help") == run_command(name, "--help")
+    assert run_command(former, "script", "7") == run_command(name, "script", "7")
+    assert run_command(former, "script", "7")[0] == 0
+    assert run_command(former, "script", "--help") == run_command(name, "script", "--help")
 
 
 @pytest.mark.parametrize(
     ("name", "subcommands"),
     [("emulate", ("sweep", "replay", "shrink", "script")), ("rig", ("run", "model", "script"))],
 )
-def test_a_former_name_has_all_subcommands(name, subcommands):
+def test_a_former_command_name_has_all_subcommands(name, subcommands):
     for subcommand in subcommands:
-        status, output = run(name, subcommand, "--help")
+        status, output = run_command(name, subcommand, "--help")
         assert status == 0
         assert "Usage: " in output
