--- a/dahliabend/__main__.py
+++ b/dahliabend/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dahliabend`: serves as the file at PROXY_CONFIG says; with arguments, the command line."""
+"""`python -m dahliabend`: serves with the file at PROXY_CONFIG; with arguments, runs the command line."""
 
 import sys
 
@@ -6,7 +6,7 @@
 def main() -> int:
     """Run the program and return its exit status.
 
-    What serves and the command line import nothing of each other: only the one that is wanted is loaded.
+    The server and the command line don't import each other, so that only the one in use is loaded.
     """
     if len(sys.argv) > 1:
         from dahliabend.cli import main as run_command
--- a/dahliabend/cli/__init__.py
+++ b/dahliabend/cli/__init__.py
@@ -1,9 +1,9 @@
-"""The command line. `python -m dahliabend` without arguments serves and imports nothing of this."""
+"""The command line. `python -m dahliabend` without arguments serves and imports nothing from this package."""
 
 import sys
 
 EXIT_USAGE = 2
-EXIT_ABORTED = 130  # as a shell reports an interrupt
+EXIT_ABORTED = 130  # the exit status that a shell reports for an interrupt
 
 
 def main() -> int:
@@ -14,7 +14,7 @@
     """
     try:
         import click
-        import rich  # noqa: F401 - only whether it is there
+        import rich  # noqa: F401 - only to check that it is installed
     except ImportError as error:
         print(f"dahliabend: {error.name} is missing: pip install 'dahliabend[tools]'", file=sys.stderr)
         return EXIT_USAGE
--- a/dahliabend/cli/about.py
+++ b/dahliabend/cli/about.py
@@ -1,4 +1,4 @@
-"""`dahliabend version`, `completion` and `events`: facts about the program itself."""
+"""`dahliabend version`, `completion` and `events`: information about the program itself."""
 
 from importlib.metadata import PackageNotFoundError
 from importlib.metadata import version as installed_version
@@ -12,7 +12,7 @@
 @click.command()
 @click.option("--json", "as_json", is_flag=True)
 def version(*, as_json: bool) -> None:
-    """The version of this program."""
+    """Print the version of this program."""
     try:
         number = installed_version("dahliabend")
     except PackageNotFoundError:  # run from a checkout
@@ -24,7 +24,7 @@
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 @click.pass_context
 def completion(context: click.Context, shell: str) -> None:
-    """What SHELL has to read for completion: `source <(dahliabend completion bash)`."""
+    """Print a completion script for SHELL: `source <(dahliabend completion bash)`."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
@@ -37,7 +37,7 @@
 @click.command()
 @click.option("--json", "as_json", is_flag=True)
 def events(*, as_json: bool) -> None:
-    """Every event that a balancer logs, as docs/events.md has them."""
+    """Print every event that a balancer logs, as in docs/events.md."""
     from dahliabend.server.log_events import EVENTS, page
 
     if as_json:
--- a/dahliabend/cli/commands.py
+++ b/dahliabend/cli/commands.py
@@ -1,4 +1,4 @@
-"""The group of all commands; those that need libraries of their own are imported when they are called."""
+"""The group of all commands; commands that need optional libraries are imported only when they are called."""
 
 import importlib
 from typing import NamedTuple
@@ -14,8 +14,8 @@
 class LazyCommand(NamedTuple):
     """A command that is imported when it is called."""
 
-    module: str  # below this package
-    attribute: str  # of the module
+    module: str  # name of a module in this package
+    attribute: str  # name of the command in the module
     help: str
 
 
@@ -58,29 +58,29 @@
     ),
 }
 
-# Names that commands had before; they keep working, and no help shows them.
+# Former names of commands: they still work, but the help does not list them.
 FORMER_NAMES = {"emulate": "simulate", "rig": "process-test"}
 
 
 class LazyGroup(click.Group):
-    """A group in which one command's libraries are not loaded for another."""
+    """A group that imports the module of a command only when the command is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands, without those that they had before."""
+        """Return the names of all commands, without former names."""
         return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """The command that the arguments name, and its arguments; a former name stands for today's."""
+        """Return the command that the arguments name and its arguments; former names are replaced."""
         name = FORMER_NAMES.get(args[0], args[0])
         return super().resolve_command(ctx, [name, *args[1:]])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of a name; None if there is none.
+        """Return the command with this name; None if there is none.
 
         Raises:
-            click.ClickException: A library that it needs is not installed.
+            click.ClickException: A library that the command needs is not installed.
         """
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
@@ -93,7 +93,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write each command's short help, without importing it."""
+        """Write the short help of each command, without importing lazy commands."""
         rows = {name: command_import.help for name, command_import in LAZY_COMMANDS.items()}
         for name in super().list_commands(ctx):
             command = super().get_command(ctx, name)
@@ -105,9 +105,9 @@
 
 @click.group(cls=LazyGroup)
 def group() -> None:
-    """A load balancer for services that call services.
+    """Run and inspect a load balancer for services that call services.
 
-    Without arguments it serves, as the file at PROXY_CONFIG says.
+    Without arguments it serves with the settings of the file at PROXY_CONFIG.
     """
 
 
--- a/dahliabend/cli/membership.py
+++ b/dahliabend/cli/membership.py
@@ -1,4 +1,4 @@
-"""`dahliabend members`: who balances, as one running balancer sees it; and keys for them."""
+"""`dahliabend members`: the members of a cluster as one running balancer sees them, and keys for new ones."""
 
 import secrets
 from typing import Any
@@ -18,10 +18,10 @@
 @json_option
 @click.option("--key", is_flag=True, help="Print a new key instead, as `key-files` name them.")
 def members(where: str | None, *, as_json: bool, key: bool) -> None:
-    """Who is alive, suspected, gone, by whom and since when: as one balancer sees it.
+    """Show the members of a cluster as one balancer sees them: their state, its reporter and its age.
 
-    Asks the operators' door of that balancer; exits with 1 if its view is not stable, may be cut off, or the
-    others don't count it in.
+    Queries the admin API of that balancer. Exits with 1 if its view is not stable, if a partition may
+    separate it from others, or if the others have excluded it.
     """
     if key:
         click.echo(secrets.token_hex(KEY_BYTES))
--- a/dahliabend/cli/operator_file.py
+++ b/dahliabend/cli/operator_file.py
@@ -1,4 +1,4 @@
-"""`dahliabend check`, `show`, `explain` and `diff`: the operator's file, before it is loaded."""
+"""`dahliabend check`, `show`, `explain` and `diff`: operators' files before a balancer loads them."""
 
 import click
 from rich.table import Table
@@ -14,7 +14,7 @@
 
 
 def load_file_or_exit(path: str) -> LoadedFile:
-    """Load a file without faults; else they are printed and the command ends."""
+    """Load a file; if it has faults, print them and exit."""
     loaded = load_file(path)
     if not loaded.is_usable:
         for fault in loaded.faults:
@@ -27,9 +27,9 @@
 @click.argument("files", nargs=-1, required=True, metavar="FILE...")
 @json_option
 def check(files: tuple[str, ...], *, as_json: bool) -> None:
-    """Says all that is wrong with each FILE, by line; exits with 1 if anything is.
+    """Report all faults of each FILE, with their lines; exit with 1 if there are any.
 
-    Nothing is loaded, nothing is asked over the network.
+    No balancer is changed, and nothing is sent over the network.
     """
     loaded_files = {name: load_file(name) for name in files}
     faults = [fault for loaded in loaded_files.values() for fault in loaded.faults]
@@ -59,7 +59,7 @@
 @click.option("--all", "with_defaults", is_flag=True, help="Defaults too.")
 @json_option
 def show(file: str, *, with_defaults: bool, as_json: bool) -> None:
-    """Every setting in force, and the line that says it."""
+    """Show the settings of FILE, and the line that sets each of them."""
     shown = {
         key: setting
         for key, setting in settings(load_file_or_exit(file)).items()
@@ -81,7 +81,7 @@
 @click.option("-H", "--header", "headers", multiple=True, metavar="'NAME: VALUE'", help="May be repeated.")
 @json_option
 def explain(file: str, method: str, path: str, headers: tuple[str, ...], *, as_json: bool) -> None:
-    """Which route a request takes, why, what will be tried and for how long."""
+    """Show which route a request takes and why, and which attempts may be made with which timeouts."""
     fields = _parse_headers(headers)
     route_explanation = explanation.explain(load_file_or_exit(file), method.upper(), path, fields)
     if as_json:
@@ -144,7 +144,7 @@
 @click.argument("new")
 @json_option
 def diff(old: str, new: str, *, as_json: bool) -> None:
-    """What a reload from OLD to NEW would change; exits with 1 if anything, or if NEW would be refused."""
+    """Show what a reload from OLD to NEW would change; exit with 1 if anything or if NEW has faults."""
     before = load_file_or_exit(old)
     after = load_file(new)
     if not after.is_usable:
--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/operators_api.py
@@ -1,4 +1,4 @@
-"""Calls to a running balancer through its operators' listener."""
+"""Calls of the admin API of a running balancer."""
 
 import json
 from http.client import HTTPConnection, HTTPException
@@ -17,10 +17,13 @@
 
 
 def admin_address(where: str) -> tuple[str, int]:
-    """The address of an operators' listener: given itself, or by an operator's file.
+    """Return the address of a balancer's admin API.
+
+    Args:
+        where: The address itself, or the path of the balancer's operator's file.
 
     Raises:
-        click.ClickException: It is neither.
+        click.ClickException: The text is no address, and the file has faults or no listener for operators.
     """
     try:
         return parse_address(where)
@@ -38,17 +41,17 @@
 
 
 def fetch(where: str, path: str) -> dict[str, Any]:
-    """Call a running balancer.
+    """Make a GET call of the admin API of a running balancer.
 
     Args:
-        where: The address of its operators' listener, or its file.
-        path: Of the call.
+        where: The address of the admin API, or the path of the balancer's operator's file.
+        path: The path of the call.
 
     Returns:
-        Its answer.
+        The decoded JSON response.
 
     Raises:
-        click.ClickException: There is no answer, or it is an error.
+        click.ClickException: There is no response, or it is an error.
     """
     host, port = admin_address(where)
     connection = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT)
@@ -66,7 +69,7 @@
 
 
 def format_age(milliseconds: int | None) -> str:
-    """An age for people; None is that of the balancer itself."""
+    """Format an age for people; None stands for the age of the balancer itself."""
     if milliseconds is None:
         return "its start"
     seconds = milliseconds / 1000
--- a/dahliabend/cli/output.py
+++ b/dahliabend/cli/output.py
@@ -1,4 +1,4 @@
-"""Options and output that commands share."""
+"""The options and output functions that commands share."""
 
 import json
 import sys
@@ -11,10 +11,10 @@
 
 
 def print_json(value: object) -> None:
-    """Print a value for programs; what JSON has no form for is printed as text."""
+    """Print a value as JSON; values without a JSON form are printed as strings."""
     click.echo(json.dumps(value, indent=2, default=str))
 
 
 def print_table(table: Table, width: int) -> None:
-    """Print a table as wide as the terminal, or as this number of characters where there is none."""
+    """Print a table with the width of the terminal, or with this width in characters without a terminal."""
     Console(width=None if sys.stdout.isatty() else width).print(table)
--- a/dahliabend/cli/peer_state.py
+++ b/dahliabend/cli/peer_state.py
@@ -1,4 +1,4 @@
-"""`dahliabend signals` and `turns`: gossip and leases as one running balancer knows them."""
+"""`dahliabend signals` and `turns`: health gossip and leases as one running balancer sees them."""
 
 import click
 from rich.table import Table
@@ -14,7 +14,7 @@
 @balancer_argument
 @json_option
 def signals(where: str, *, as_json: bool) -> None:
-    """What a running balancer tells, what others told it, and what was believed of it."""
+    """Show the health reports that a running balancer sends and receives, and the upstreams it suspects."""
     gossip = fetch(where, "/api/signals")
     if as_json:
         print_json(gossip)
@@ -40,7 +40,7 @@
 @balancer_argument
 @json_option
 def leases(where: str, *, as_json: bool) -> None:
-    """Who does what for all, under which fencing number, and what came of it last."""
+    """Show the leases of shared health checks: holder, fencing token and last result."""
     leases_status = fetch(where, "/api/turns")
     if as_json:
         print_json(leases_status)
--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -1,4 +1,4 @@
-"""`dahliabend process-test`: a cluster with faults between its members, as real processes or as a model."""
+"""`dahliabend process-test`: runs a cluster with faults between its members, in processes or simulated."""
 
 import asyncio
 import functools
@@ -18,7 +18,7 @@
 MAX_UPSTREAMS = 64
 MICROSECONDS_PER_MILLISECOND = 1000
 MICROSECONDS_PER_SECOND = 1e6
-STEP_MARK = "STEP"  # in each line of the time line at which a step of the script begins
+STEP_MARK = "STEP"  # in the lines of the time line at which a step of the script begins
 
 instances_option = click.option(
     "--instances", type=click.IntRange(2, MAX_INSTANCES), default=5, show_default=True
@@ -33,7 +33,7 @@
 
 
 def _with_cluster(command: Callable[..., None]) -> Callable[..., None]:
-    """Call a command with the cluster that an argument and options name, in place of these."""
+    """Decorate a command so that it gets the cluster that its argument and options select."""
 
     @click.argument("file_or_seed", metavar="FILE|SEED")
     @instances_option
@@ -43,14 +43,14 @@
     def call_with_cluster(
         *, file_or_seed: str, instances: int, period: str, minutes: float, **options: object
     ) -> None:
-        """Draw the cluster or read its file."""
+        """Generate the cluster or read its file, and call the command with it."""
         command(_load_cluster(file_or_seed, instances, period, minutes), **options)
 
     return call_with_cluster
 
 
 def _load_cluster(file_or_seed: str, instances: int, period: str, minutes: float) -> script.Fleet:
-    """A seed's, or a file's."""
+    """Generate the cluster of a seed, or read that of a file."""
     if file_or_seed.isascii() and file_or_seed.isdigit():
         return script.draw(int(file_or_seed), instances, Duration.parse(period), minutes)
     return script.SCRIPT_FILES.read(file_or_seed)
@@ -58,7 +58,7 @@
 
 @click.group("process-test")
 def process_tests() -> None:
-    """Real processes of the program on loopback, with faults between them."""
+    """Run a cluster of real processes on loopback, with faults between them."""
 
 
 @process_tests.command()
@@ -73,9 +73,10 @@
 def run(
     cluster: script.Fleet, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
 ) -> None:
-    """Runs WHAT between real processes; exits with 1 if a rule was broken.
+    """Run a cluster of real processes; exit with 1 after a violation of an invariant.
 
-    Bounded by its script; everything stays on 127.0.0.1, and every process that it starts it ends.
+    The length of the run is bounded by its script. All traffic stays on 127.0.0.1, and all processes that the
+    run starts are ended by it.
     """
     prints_progress = not quiet and not as_json
     progress = Progress(
@@ -91,7 +92,7 @@
         task = progress.add_task("steps", total=len(cluster.steps) * times)
 
         def print_line(line: str) -> None:
-            """Show one line of the time line."""
+            """Print a line of the time line, and advance the progress bar at a new step."""
             if STEP_MARK in line:
                 progress.advance(task)
             if prints_progress:
@@ -123,7 +124,7 @@
 @_with_cluster
 @json_option
 def model_command(cluster: script.Fleet, *, as_json: bool) -> None:
-    """Runs WHAT on the modelled network and prints its time line; exits with 1 if a rule was broken."""
+    """Run a cluster on a simulated network and print its time line; exit with 1 after a violation."""
     outcome = model.run_script(cluster)
     if as_json:
         click.echo(orjson.dumps(_outcome_json(outcome), option=orjson.OPT_INDENT_2))
@@ -140,7 +141,7 @@
 @period_option
 @minutes_option
 def script_command(seed: int, instances: int, period: str, minutes: float) -> None:
-    """Prints a seed's script as a file, to be changed by hand."""
+    """Print the script of a seed as a file that can be edited."""
     cluster = script.draw(seed, instances, Duration.parse(period), minutes)
     click.echo(script.SCRIPT_FILES.encode(cluster).decode(), nl=False)
 
--- a/dahliabend/cli/serve.py
+++ b/dahliabend/cli/serve.py
@@ -1,4 +1,4 @@
-"""`dahliabend serve`: a balancer on sockets. Its libraries are imported when it is called."""
+"""`dahliabend serve`: runs a balancer; the server's libraries are imported only when it is called."""
 
 import click
 
@@ -9,7 +9,7 @@
 @click.command()
 @click.argument("file", required=False)
 def serve(file: str | None) -> None:
-    """Serves: by an operator's FILE, or without one as PROXY_CONFIG says."""
+    """Serve with an operator's FILE, by default with the file at PROXY_CONFIG."""
     if file is None:
         from dahliabend.server.startup import run
 
--- a/dahliabend/cli/simulation.py
+++ b/dahliabend/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`dahliabend simulate`: sweeps, replays and shrinking in the simulated network."""
+"""`dahliabend simulate`: sweeps, replays and shrinking of scenarios in the simulated network."""
 
 import dataclasses
 import os
@@ -17,12 +17,12 @@
 from dahliabend.simulation.scenario import GROUP_OF, SCENARIO_FILES, Scenario, check
 from dahliabend.simulation.world import Result, run_scenario
 
-MAX_RUNS_SHOWN = 20  # that broke a rule, in full
+MAX_RUNS_SHOWN = 20  # runs with violations that are printed
 MICROSECONDS_PER_SECOND = 1e6
 
 
 def _parse_seeds(_context: click.Context, _parameter: click.Parameter, text: str) -> range:
-    """A number of seeds, from 0, or the first and the last."""
+    """Parse a number of seeds, which start at 0, or the first and the last seed as `A..B`."""
     first, dots, last = text.partition("..")
     try:
         seeds = range(int(first), int(last) + 1) if dots else range(int(first))
@@ -34,7 +34,7 @@
 
 
 def _load_scenario(text: str) -> Scenario:
-    """A seed's, or a file's."""
+    """Generate the scenario of a seed, or read that of a file."""
     if text.isascii() and text.isdigit():
         return scenario_generator.draw(int(text))
     return SCENARIO_FILES.read(text)
@@ -49,7 +49,7 @@
 
 @click.group()
 def simulate() -> None:
-    """The network code on a virtual clock, against faults from seeds or files."""
+    """Run the network code on a virtual clock, with faults from seeds or files."""
 
 
 @simulate.command("sweep")
@@ -58,7 +58,7 @@
 @click.option("--fault", multiple=True, help="Only these kinds of fault; may be repeated.")
 @json_option
 def sweep_command(seeds: range, jobs: int, fault: tuple[str, ...], *, as_json: bool) -> None:
-    """Runs many seeds; exits with 1 if a rule was broken."""
+    """Run many seeds; exit with 1 after a violation of an invariant."""
     console = Console()
     progress = Progress(
         TextColumn("{task.description}"),
@@ -104,7 +104,7 @@
 @click.option("--quiet", is_flag=True, help="Only the digest and the violations.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs; without the time line.")
 def replay(what: str, about: str, *, quiet: bool, as_json: bool) -> None:
-    """Runs WHAT, a seed or a file, and prints its time line; exits with 1 if a rule was broken."""
+    """Run WHAT, a seed or a file, and print its time line; exit with 1 after a violation of an invariant."""
     result = run_scenario(_load_scenario(what))
     if as_json:
         result.lines.clear()
@@ -121,7 +121,7 @@
 
 
 def _result_json(result: Result) -> dict[str, object]:
-    """A run's result with the keys that are published."""
+    """Return the result of a run with the keys of the JSON output."""
     names = {field.name: field.name for field in dataclasses.fields(result)} | {"served_value": "worth"}
     return {key: getattr(result, name) for name, key in names.items()}
 
@@ -131,7 +131,7 @@
 @click.option("--rule", default="", help="The invariant to keep violated; default: the first one.")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), required=True)
 def shrink_command(what: str, rule: str, out: Path) -> None:
-    """Takes WHAT, a seed or a file, down to the least run that still breaks the rule."""
+    """Reduce WHAT, a seed or a file, to the smallest scenario that still violates the invariant."""
     scenario = _load_scenario(what)
     rules = run_scenario(scenario).rules
     if not rules:
@@ -148,7 +148,7 @@
 @click.argument("seed", type=int)
 @click.option("--requests", type=int, help="Replace the number of requests.")
 def script_command(seed: int, requests: int | None) -> None:
-    """Prints a seed's scenario as a file, to be changed by hand."""
+    """Print the scenario of a seed as a file that can be edited."""
     scenario = scenario_generator.draw(seed)
     if requests is not None:
         load = msgspec.structs.replace(scenario.load, requests=requests)
--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -1,4 +1,4 @@
-"""`dahliabend subset`: which balancer would use which upstreams, and what an event would move."""
+"""`dahliabend subset`: the upstreams that each balancer uses, and what the loss of one would change."""
 
 import functools
 import importlib
@@ -21,22 +21,26 @@
     normalized_weights,
 )
 
-MAX_PARTICIPANTS = 2_000  # of each kind
+MAX_PARTICIPANTS = 2_000  # balancers, and upstreams
 MAX_ZONES = 64
 TABLE_WIDTH = 140
 POOL_TABLE_WIDTH = 160
-RANGE_KEYS = ("load", "upstreams a balancer", "balancers an upstream")  # shown as "least to most"
+RANGE_KEYS = (
+    "load",
+    "upstreams a balancer",
+    "balancers an upstream",
+)  # keys of ranges, printed as "minimum to maximum"
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Made-up balancers and upstreams, and how each balancer chooses among them.
+    """A hypothetical set of balancers and upstreams, and the parameters of subset selection.
 
     Attributes:
-        balancers: All of them.
-        upstreams: All of them.
-        least: Upstreams that each balancer uses.
-        degree: Balancers that use each upstream, in the mean.
+        balancers: All balancers.
+        upstreams: All upstreams.
+        least: The minimum number of upstreams that each balancer uses.
+        degree: The mean number of balancers that use each upstream.
         has_zones: Whether upstreams of the same zone are preferred.
     """
 
@@ -47,15 +51,15 @@
     has_zones: bool
 
     def assign(self) -> Assignment:
-        """Choose the subsets."""
+        """Select the subsets of all balancers."""
         return assign_subsets(self.balancers, self.upstreams, self.least, self.has_zones, self.degree)
 
     def has(self, name: str) -> bool:
-        """Whether a balancer or an upstream has this name."""
+        """Return whether a balancer or an upstream has this name."""
         return any(each.name == name for each in (*self.balancers, *self.upstreams))
 
     def without(self, name: str) -> "Scenario":
-        """The same, but for one balancer or upstream."""
+        """Return a copy without the balancer or upstream of this name."""
         return replace(
             self,
             balancers=[each for each in self.balancers if each.name != name],
@@ -64,7 +68,7 @@
 
 
 def _with_scenario(command: Callable[..., None]) -> Callable[..., None]:
-    """Call a command with the scenario that options of its sizes name, in place of these."""
+    """Decorate a command so that it gets the scenario that its options describe."""
 
     @click.option(
         "--balancers",
@@ -91,7 +95,7 @@
         degree: int,
         **options: object,
     ) -> None:
-        """Make the scenario, if both sizes are given."""
+        """Create the scenario if both numbers are given, and call the command with it."""
         scenario = None
         if balancers is not None and upstreams is not None:
             scenario = Scenario(
@@ -124,10 +128,10 @@
     chart: Path | None,
     as_json: bool,
 ) -> None:
-    """Who uses whom: of a running balancer (the pools' subsets, by its operators' door), or of made-up sizes.
+    """Show the subsets of a running balancer's pools, or those of a hypothetical cluster of a given size.
 
-    Loads are over the mean of the capacity; moves are pairs that change, and how often the fair share of the
-    one that goes.
+    Loads are relative to the mean load per capacity. Moves are pairs of a balancer and an upstream that
+    change, also as a multiple of the pairs of the lost balancer or upstream.
     """
     if where is not None:
         _show_pools(where, as_json=as_json)
@@ -190,7 +194,7 @@
 
 
 def _show_pools(where: str, *, as_json: bool) -> None:
-    """The subsets of a running balancer's pools."""
+    """Print the subsets of a running balancer's pools."""
     pools = fetch(where, "/api/subsets")["pools"]
     if as_json:
         print_json(pools)
@@ -204,7 +208,7 @@
 
 
 def _write_chart(assignment: Assignment, path: Path) -> None:
-    """Write the shares as a chart, a row a balancer and a column an upstream."""
+    """Write the shares as a chart with a row for each balancer and a column for each upstream."""
     try:
         matplotlib = importlib.import_module("matplotlib")
     except ModuleNotFoundError:
--- a/tests/cli/fake_balancer.py
+++ b/tests/cli/fake_balancer.py
@@ -1,4 +1,4 @@
-"""A balancer's operators' listener with fixed answers, for commands that ask a running balancer."""
+"""A fake admin API with fixed responses, for commands that query a running balancer."""
 
 import json
 import threading
@@ -57,7 +57,7 @@
 
 @contextmanager
 def fake_balancer(responses: dict[str, object] | None = None, status: int = 200) -> Iterator[str]:
-    """A balancer that gives these answers with this status; its address."""
+    """Serve these responses, by path, with this HTTP status; yield the address of the admin API."""
     bodies = {path: json.dumps(response).encode() for path, response in (responses or RESPONSES).items()}
 
     class Handler(BaseHTTPRequestHandler):
--- a/tests/cli/test_operators_commands.py
+++ b/tests/cli/test_operators_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running balancer: what they print of its answers, and their exit status."""
+"""Commands that query a running balancer: their output and exit status; and the list of commands."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def run_command(*arguments):
-    """The exit status and the output of a command, with all errors in it."""
+    """Run a command; return its exit status and its output, including errors."""
     result = CliRunner().invoke(group, arguments)
     return result.exit_code, result.output
 
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize(("former", "name"), [("emulate", "simulate"), ("rig", "process-test")])
 def test_a_former_command_name_runs_the_same_command_and_is_not_listed(former, name):
-    """A script that still calls a command by its former name gets the same command."""
+    """Scripts may still call commands by their former names."""
     _, help_text = run_command("--help")
     assert not any(line.split()[:1] == [former] for line in help_text.splitlines())
     assert run_command(former, "--help") == run_command(name, "--help")
