--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -59,7 +59,7 @@
         normalized = os.path.normpath(path)
         if normalized in including:
             cycle = " -> ".join((*including[including.index(normalized) :], normalized))
-            self._fault(place, "include", f"goes round: {cycle}")
+            self._fault(place, "include", f"forms a cycle: {cycle}")
             return
         if len(self.source.files) >= MAX_FILES:
             self._fault(place, "include", f"more than {MAX_FILES} files")
--- a/tests/config/corpus.py
+++ b/tests/config/corpus.py
@@ -317,7 +317,7 @@
 
 def include_cycle(sections):
     sections["listen"].insert(0, f'include = ["file.toml"]  {MARK}')
-    return "goes round: file.toml -> file.toml"
+    return "forms a cycle: file.toml -> file.toml"
 
 
 def missing_include(sections):
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -93,7 +93,7 @@
 def test_an_include_cycle_is_reported_with_its_files():
     loaded = load_texts(one='include = ["two.toml"]\n' + MINIMAL_FILE, two='\ninclude = ["one.toml"]\n')
     assert [str(fault) for fault in loaded.faults] == [
-        "two.toml:2: include: goes round: one.toml -> two.toml -> one.toml"
+        "two.toml:2: include: forms a cycle: one.toml -> two.toml -> one.toml"
     ]
 
 
