--- a/dahliabend/config/operator_file/decoder.py
+++ b/dahliabend/config/operator_file/decoder.py
@@ -34,11 +34,11 @@
     return file if len(source.faults) == fault_count else None
 
 
-def _decode_struct(kind: type[StructT], value: object, key: Key, source: Source) -> StructT | None:
+def _decode_struct(struct_type: type[StructT], value: object, key: Key, source: Source) -> StructT | None:
     if not isinstance(value, dict):
         source.add_fault(key, f"{value!r} is no table")
         return None
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
+    fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
     for name in value:
         if name not in fields:
             source.add_fault((*key, name), f"is no key here{suggest_spelling(name, fields)}")
@@ -50,33 +50,33 @@
         elif field.required:
             source.add_fault(key, f"{name} is missing")
             is_complete = False
-    return kind(**arguments) if is_complete else None
+    return struct_type(**arguments) if is_complete else None
 
 
-def _decode_value(kind: object, value: object, key: Key, source: Source) -> object:
+def _decode_value(field_type: object, value: object, key: Key, source: Source) -> object:
     """Decode a value of a field's type: a union with None, a struct, a dict, a list or a scalar."""
-    origin = typing.get_origin(kind)
-    arguments = typing.get_args(kind)
+    origin = typing.get_origin(field_type)
+    arguments = typing.get_args(field_type)
     if origin in (UnionType, typing.Union):
-        kind = next(each for each in arguments if each is not NoneType)
-        return _decode_value(kind, value, key, source)
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return _decode_struct(kind, value, key, source)
+        field_type = next(item for item in arguments if item is not NoneType)
+        return _decode_value(field_type, value, key, source)
+    if isinstance(field_type, type) and issubclass(field_type, msgspec.Struct):
+        return _decode_struct(field_type, value, key, source)
     if origin is dict and isinstance(value, dict):
-        return {name: _decode_value(arguments[1], each, (*key, name), source) for name, each in value.items()}
+        return {name: _decode_value(arguments[1], item, (*key, name), source) for name, item in value.items()}
     if origin is list and isinstance(value, list):
-        item_kind = arguments[0]
-        return [_decode_value(item_kind, each, (*key, number), source) for number, each in enumerate(value)]
-    return _decode_scalar(kind, value, key, source)
+        item_type = arguments[0]
+        return [_decode_value(item_type, item, (*key, number), source) for number, item in enumerate(value)]
+    return _decode_scalar(field_type, value, key, source)
 
 
-def _decode_scalar(kind: object, value: object, key: Key, source: Source) -> object:
+def _decode_scalar(field_type: object, value: object, key: Key, source: Source) -> object:
     try:
-        return msgspec.convert(value, kind, dec_hook=units.decode_unit)
+        return msgspec.convert(value, field_type, dec_hook=units.decode_unit)
     except ValueError as error:  # the base class of msgspec's errors, too
         reason = str(error)
-    if typing.get_origin(kind) is typing.Literal:
-        choices = typing.get_args(kind)
+    if typing.get_origin(field_type) is typing.Literal:
+        choices = typing.get_args(field_type)
         reason = (
             f"{value!r} is none of {', '.join(map(repr, choices))}{suggest_spelling(str(value), choices)}"
         )
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -41,7 +41,7 @@
 
 
 class _Loader:
-    """The merging of files into one source."""
+    """A loader that merges files into one source."""
 
     def __init__(self, source: Source, environment: Mapping[str, str], read: Callable[[str], bytes]) -> None:
         self.source = source
@@ -117,7 +117,7 @@
 
 
 class _Substitution:
-    """The substitution of environment variables in the strings of one file."""
+    """A substitution of environment variables in the strings of one file."""
 
     def __init__(
         self, source: Source, path: str, places: dict[Key, Place], environment: Mapping[str, str]
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -171,7 +171,7 @@
 
     def _apply_file(self, configuration: UsableFile) -> None:
         file = configuration.file
-        settings = self.pools.settings(file)
+        settings = self.pools.make_settings(file)
         for name, pool_settings in settings.items():
             self.max_request_time = max(self.max_request_time, *pool_settings.server.class_deadlines)
             self.pools.apply_pool(file, name, pool_settings)
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -21,7 +21,7 @@
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import EventLog
 from dahliabend.server.metrics import Metrics
-from dahliabend.server.pool_settings import PoolSettings, endpoint_entries, pool_settings
+from dahliabend.server.pool_settings import PoolSettings, endpoint_entries, make_pool_settings
 from dahliabend.server.structured_log import bind_pool
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
@@ -106,25 +106,27 @@
         self.cluster = cluster
         self._running_pools: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
 
-    def settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
-        """Return the settings of each pool of a file."""
+    def make_settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
+        """Convert the settings of each pool of a file."""
         seed = self.resources.seed
         limit = self.resources.descriptor_limit
-        return {name: pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools}
+        return {
+            name: make_pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools
+        }
 
     def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
         """Open a pool of a file, or update it if it is already running."""
         pool = self.resources.dispatcher.pools_by_name.get(name)
         if pool is None:
-            running = self._open_pool(name, settings.server)
+            running_pool = self._open_pool(name, settings.server)
         else:
-            running = self._running_pools[pool.number]
+            running_pool = self._running_pools[pool.number]
             _update_router(pool.router, settings.server)
-        router = running.pool.router
+        router = running_pool.pool.router
         router.logs_access = file.log.access
         router.route_names = [file.routes[number].name for number in settings.class_by_route]
-        self._apply_subset(running, file.pools[name])
-        self._apply_source(running, file.pools[name])
+        self._apply_subset(running_pool, file.pools[name])
+        self._apply_source(running_pool, file.pools[name])
 
     def retire_missing(self, pools: Mapping[str, object]) -> None:
         """Stop dispatching new requests to the running pools that are not in this mapping."""
@@ -143,8 +145,8 @@
 
     def close(self) -> None:
         """Stop the endpoint list sources and subset filters of all pools."""
-        for running in self._running_pools.values():
-            running.close()
+        for running_pool in self._running_pools.values():
+            running_pool.close()
 
     def active_routers(self) -> list[tuple[str, Router]]:
         """Return the name and router of each pool that has not been retired."""
@@ -153,17 +155,17 @@
     def subset_status(self) -> dict[str, Any]:
         """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
         return {
-            running.pool.name: running.subset_filter.status()
-            for running in self._running_pools.values()
-            if running.subset_filter is not None
+            running_pool.pool.name: running_pool.subset_filter.status()
+            for running_pool in self._running_pools.values()
+            if running_pool.subset_filter is not None
         }
 
     def subset_request_count(self) -> int:
         """Return the number of requests that pools with a subset have received so far."""
         return sum(
-            sum(running.pool.router.counts.values())
-            for running in self._running_pools.values()
-            if running.subset_filter is not None
+            sum(running_pool.pool.router.counts.values())
+            for running_pool in self._running_pools.values()
+            if running_pool.subset_filter is not None
         )
 
     def _open_pool(self, name: str, settings: ServerSettings) -> RunningPool:
@@ -184,26 +186,26 @@
             router.on_attempt_finished = partial(gossip.record_outcome, name)
             if gossip.health_checks is not None:
                 router.health_check_delegate = partial(gossip.health_checks.request_check, name)
-        running = RunningPool(resources.dispatcher.add_pool(name, router))
-        self._running_pools[running.pool.number] = running
-        return running
+        running_pool = RunningPool(resources.dispatcher.add_pool(name, router))
+        self._running_pools[running_pool.pool.number] = running_pool
+        return running_pool
 
-    def _apply_subset(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+    def _apply_subset(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
         """Create, replace or remove the subset filter; after a change, the endpoint list is read again."""
         inputs = (settings.subset, settings.balancers) if settings.subset is not None else None
-        if running.subset_inputs == inputs:
+        if running_pool.subset_inputs == inputs:
             return
-        running.subset_inputs = inputs
-        if running.subset_filter is not None:
-            running.subset_filter.stop()
-            running.subset_filter = None
+        running_pool.subset_inputs = inputs
+        if running_pool.subset_filter is not None:
+            running_pool.subset_filter.stop()
+            running_pool.subset_filter = None
         if settings.subset is not None:
             # No shared health checks: the holder of an upstream's lease may not have it in its subset.
-            running.pool.router.health_check_delegate = None
-            running.subset_filter = self._create_subset_filter(
-                running.pool, settings.subset, settings.balancers
+            running_pool.pool.router.health_check_delegate = None
+            running_pool.subset_filter = self._create_subset_filter(
+                running_pool.pool, settings.subset, settings.balancers
             )
-        running.set_source(None)
+        running_pool.set_source(None)
 
     def _create_subset_filter(
         self, pool: Pool, subset: schema.SubsetSettings, balancers: int
@@ -221,21 +223,21 @@
             bind_pool(resources.log, pool.name),
         )
 
-    def _apply_source(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+    def _apply_source(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
         """Use the endpoint source named by a pool's settings; the state of known endpoints is kept."""
         if settings.discovery is None:
-            self._apply_list_file(running, settings)
-        elif isinstance(running.source, DiscoveryClient):
-            running.source.change_address(parse_address(settings.discovery))
+            self._apply_list_file(running_pool, settings)
+        elif isinstance(running_pool.source, DiscoveryClient):
+            running_pool.source.change_address(parse_address(settings.discovery))
         else:
-            self._open_discovery(running, settings.discovery)
+            self._open_discovery(running_pool, settings.discovery)
 
-    def _open_discovery(self, running: RunningPool, address: str) -> None:
+    def _open_discovery(self, running_pool: RunningPool, address: str) -> None:
         resources = self.resources
-        router = running.pool.router
+        router = running_pool.pool.router
         client = DiscoveryClient(
             parse_address(address),
-            EndpointList(running.observer, resources.log),
+            EndpointList(running_pool.observer, resources.log),
             resources.timers,
             resources.descriptors,
             router.table.resources.connect_timeout,
@@ -243,21 +245,21 @@
             resources.log,
         )
         resources.timers.loop.call_soon(client.open)
-        running.set_source(client)
+        running_pool.set_source(client)
 
-    def _apply_list_file(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+    def _apply_list_file(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
         resources = self.resources
-        source = running.source
+        source = running_pool.source
         if not isinstance(source, EndpointListFile):
             source = EndpointListFile(
-                EndpointList(running.observer, resources.log), resources.timers, resources.log
+                EndpointList(running_pool.observer, resources.log), resources.timers, resources.log
             )
         if settings.members is not None:
             source.stop()
             source.set_endpoints(endpoint_entries(settings.members))
         elif settings.file is not None:
             source.watch(os.path.join(resources.directory, settings.file))
-        running.set_source(source)
+        running_pool.set_source(source)
 
 
 def _update_router(router: Router, settings: ServerSettings) -> None:
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -47,7 +47,7 @@
     class_by_route: dict[int, int]
 
 
-def pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
+def make_pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
     """Convert the settings of a pool and its routes.
 
     Args:
