--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -25,11 +25,7 @@
 MAX_ZONES = 64
 TABLE_WIDTH = 140
 POOL_TABLE_WIDTH = 160
-RANGE_KEYS = (
-    "load",
-    "upstreams a balancer",
-    "balancers an upstream",
-)  # keys of ranges, printed as "minimum to maximum"
+RANGE_KEYS = ("load", "upstreams a balancer", "balancers an upstream")  # printed as "minimum to maximum"
 
 
 @dataclass(frozen=True, slots=True)
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -80,12 +80,8 @@
     least: int = 12  # minimum of upstreams that a balancer uses
     degree: int = 12  # mean number of balancers that use an upstream
     zones: bool = False  # prefer upstreams in the same zone, and use others for what exceeds its capacity
-    self_index: int | None = (
-        None  # of this one among the pool's balancers, from 0; default: from the membership
-    )
-    hold: Duration = Duration(
-        60 * SECOND
-    )  # time during which a possibly partitioned view removes no upstream
+    self_index: int | None = None  # of this one of the pool's balancers, from 0; default: from the membership
+    hold: Duration = Duration(60 * SECOND)  # for which a possibly partitioned view removes no upstream
 
 
 class PoolSettings(FileTable, kw_only=True):
@@ -96,9 +92,9 @@
     file: str | None = None  # a watched file in the discovery service's format
     fallback: str | None = None
     fallback_below: Fraction = Fraction(0.0)  # fraction of ready upstreams up to which the fallback is used
-    balancers: int = 1
-    probes: bool = False
-    cancels: bool = True
+    balancers: int = 1  # number of balancers that use the pool
+    probes: bool = False  # whether health checks may be sent
+    cancels: bool = True  # whether attempts may be cancelled
     idle: Duration = Duration(15 * SECOND)  # idle timeout of connections to upstreams
     dial_time: Duration = Duration(250 * MILLISECOND)
     drain_notice_time: Duration = msgspec.field(  # grace period of an upstream that drains
@@ -112,13 +108,13 @@
     """`[classes.NAME]`: a request class, with its objectives and its priority."""
 
     effect: Idempotency
-    service_goal: Duration
-    hard_limit: Duration
+    service_goal: Duration  # latency objective
+    hard_limit: Duration  # deadline
     revenue: float = 1.0  # priority weight
     late_share: Fraction = Fraction(0.0)  # of the revenue, for a response after the service goal
-    group: Literal["all", "zone", "cell"] = "all"
-    repeat_window: Duration = Duration(0)
-    longest_body: ByteSize = ByteSize(32 << 20)
+    group: Literal["all", "zone", "cell"] = "all"  # deduplication scope
+    repeat_window: Duration = Duration(0)  # deduplication window
+    longest_body: ByteSize = ByteSize(32 << 20)  # accepted, but another value has no effect
 
 
 class RouteSettings(TreatmentSettings, kw_only=True):
@@ -156,9 +152,7 @@
     keep: str | None = None  # file with the members and the state for a successor
     period: Duration = Duration(SECOND)  # protocol period
     forget: Duration = Duration(3600 * SECOND)  # time for which departed members are remembered
-    cut: Fraction = Fraction(
-        1 / 3
-    )  # fraction of the cluster whose loss in a short time is taken for a partition
+    cut: Fraction = Fraction(1 / 3)  # of the cluster: losing more in a short time is taken for a partition
 
 
 class OperatorFile(FileTable, kw_only=True):
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -5,9 +5,7 @@
 
 from dahliabend.model import PolicySettings
 
-IDLE_REUSE_RATIO = (
-    7 / 8
-)  # of the configured idle timeout, after which the peer may have closed the connection
+IDLE_REUSE_RATIO = 7 / 8  # of the configured idle timeout, after which the peer may have closed
 
 
 @dataclass(frozen=True, slots=True)
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -71,7 +71,7 @@
         """The router of client requests."""
 
     def close_idle_clients(self) -> Sized:
-        """Close client connections without a request; return all client connections from before."""
+        """Close idle client connections; return all client connections that were open before."""
 
 
 class Lifecycle:
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -144,7 +144,7 @@
         return [connection for connection in connections if isinstance(connection, ClientConnection)]
 
     def close_idle_clients(self) -> list[ClientConnection]:
-        """Close client connections without a request; return all client connections from before."""
+        """Close idle client connections; return all client connections that were open before."""
         clients = self.client_connections(self.descriptors.connections)
         for client in clients:
             client.close_if_idle(clock() - ACCEPT_PERIOD)
--- a/tests/server/test_logging.py
+++ b/tests/server/test_logging.py
@@ -14,14 +14,7 @@
 from dahliabend.server.structured_log import StructuredLog
 
 ROOT = Path(dahliabend.__file__).parent
-LOGGING_PACKAGES = (
-    "transport",
-    "http",
-    "discovery",
-    "proxy",
-    "server",
-    "leases",
-)  # packages whose calls of the log are checked
+LOGGING_PACKAGES = ("transport", "http", "discovery", "proxy", "server", "leases")  # whose calls are checked
 REQUEST_OUTCOME_EVENTS = {
     "request.succeeded",
     "request.truncated",
--- a/tests/server/test_server_reload.py
+++ b/tests/server/test_server_reload.py
@@ -78,9 +78,8 @@
             pass
         assert Caller(address).ask(trace="t2")[0] == 200
         assert second.came.get(timeout=PATIENCE)
-        replace(
-            process, log="info"
-        )  # the first address again; a file without the key `log` would be rejected
+        # The first address again; `log` stays, as a file without a key of the one in force is rejected.
+        replace(process, log="info")
         assert agent.asked.get(timeout=PATIENCE)
         assert agent.asked.get(timeout=PATIENCE)
 
