--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/operators_api.py
@@ -1,4 +1,4 @@
-"""Calls to a running balancer through its operators' listener."""
+"""Calls of the admin API of a running balancer."""
 
 import json
 from http.client import HTTPConnection, HTTPException
@@ -16,11 +16,14 @@
 balancer_argument = click.argument("where", metavar="FILE|HOST:PORT")
 
 
-def operators_address(where: str) -> tuple[str, int]:
-    """The address of an operators' listener: given itself, or by an operator's file.
+def admin_address(where: str) -> tuple[str, int]:
+    """Return the address of a balancer's admin API.
+
+    Args:
+        where: The address itself, or the path of the balancer's operator's file.
 
     Raises:
-        click.ClickException: It is neither.
+        click.ClickException: The text is no address, and the file has faults or no listener for operators.
     """
     try:
         return parse_address(where)
@@ -31,40 +34,42 @@
         raise click.ClickException("\n".join(map(str, loaded.faults)))
     listener = loaded.usable_file.listeners.get("operators")
     if listener is None:
-        raise click.ClickException(f"{where}:1: listeners.operators: is missing: nobody can be asked")
+        raise click.ClickException(
+            f"{where}:1: listeners.operators: is missing: there is no admin API to query"
+        )
     return parse_address(listener.address)
 
 
 def fetch(where: str, path: str) -> dict[str, Any]:
-    """Call a running balancer.
+    """Make a GET call of the admin API of a running balancer.
 
     Args:
-        where: The address of its operators' listener, or its file.
-        path: Of the call.
+        where: The address of the admin API, or the path of the balancer's operator's file.
+        path: The path of the call.
 
     Returns:
-        Its answer.
+        The decoded JSON response.
 
     Raises:
-        click.ClickException: There is no answer, or it is an error.
+        click.ClickException: There is no response, or it is an error.
     """
-    host, port = operators_address(where)
+    host, port = admin_address(where)
     connection = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
-        answer: dict[str, Any] = json.loads(response.read())
+        content: dict[str, Any] = json.loads(response.read())
     except (OSError, HTTPException, ValueError) as error:
         raise click.ClickException(f"{host}:{port}: {error}") from None
     finally:
         connection.close()
     if response.status != HTTP_OK:
-        raise click.ClickException(f"{host}:{port}: {answer.get('error', response.status)}")
-    return answer
+        raise click.ClickException(f"{host}:{port}: {content.get('error', response.status)}")
+    return content
 
 
 def format_age(milliseconds: int | None) -> str:
-    """An age for people; None is that of the balancer itself."""
+    """Format an age for people; None stands for the age of the balancer itself."""
     if milliseconds is None:
         return "its start"
     seconds = milliseconds / 1000
--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -1,4 +1,4 @@
-"""`dahliabend subset`: which balancer would use which upstreams, and what an event would move."""
+"""`dahliabend subset`: the upstreams that each balancer uses, and what the loss of one would change."""
 
 import functools
 import importlib
@@ -21,22 +21,22 @@
     normalized_weights,
 )
 
-MAX_PARTICIPANTS = 2_000  # of each kind
+MAX_PARTICIPANTS = 2_000  # balancers, and upstreams
 MAX_ZONES = 64
 TABLE_WIDTH = 140
 POOL_TABLE_WIDTH = 160
-SPANS = ("load", "upstreams a balancer", "balancers an upstream")  # shown as "least to most"
+RANGE_KEYS = ("load", "upstreams a balancer", "balancers an upstream")  # printed as "minimum to maximum"
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Made-up balancers and upstreams, and how each balancer chooses among them.
+    """A hypothetical set of balancers and upstreams, and the parameters of subset selection.
 
     Attributes:
-        balancers: All of them.
-        upstreams: All of them.
-        least: Upstreams that each balancer uses.
-        degree: Balancers that use each upstream, in the mean.
+        balancers: All balancers.
+        upstreams: All upstreams.
+        least: The minimum number of upstreams that each balancer uses.
+        degree: The mean number of balancers that use each upstream.
         has_zones: Whether upstreams of the same zone are preferred.
     """
 
@@ -47,15 +47,15 @@
     has_zones: bool
 
     def assign(self) -> Assignment:
-        """Choose the subsets."""
+        """Select the subsets of all balancers."""
         return assign_subsets(self.balancers, self.upstreams, self.least, self.has_zones, self.degree)
 
     def has(self, name: str) -> bool:
-        """Whether a balancer or an upstream has this name."""
+        """Return whether a balancer or an upstream has this name."""
         return any(each.name == name for each in (*self.balancers, *self.upstreams))
 
     def without(self, name: str) -> "Scenario":
-        """The same, but for one balancer or upstream."""
+        """Return a copy without the balancer or upstream of this name."""
         return replace(
             self,
             balancers=[each for each in self.balancers if each.name != name],
@@ -64,16 +64,20 @@
 
 
 def _with_scenario(command: Callable[..., None]) -> Callable[..., None]:
-    """Call a command with the scenario that options of its sizes name, in place of these."""
+    """Decorate a command so that it gets the scenario that its options describe."""
 
     @click.option(
-        "--balancers", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named b0 and on."
+        "--balancers",
+        type=click.IntRange(1, MAX_PARTICIPANTS),
+        help="Number of hypothetical balancers: b0, b1, ...",
     )
     @click.option(
-        "--upstreams", type=click.IntRange(1, MAX_PARTICIPANTS), help="So many instead, named u0 and on."
+        "--upstreams",
+        type=click.IntRange(1, MAX_PARTICIPANTS),
+        help="Number of hypothetical upstreams: u0, u1, ...",
     )
     @click.option(
-        "--zones", type=click.IntRange(1, MAX_ZONES), default=1, show_default=True, help="Dealt in turn."
+        "--zones", type=click.IntRange(1, MAX_ZONES), default=1, show_default=True, help="Assigned in turn."
     )
     @click.option("--least", type=click.IntRange(1), default=MIN_SUBSET_SIZE, show_default=True)
     @click.option("--degree", type=click.IntRange(1), default=MIN_BALANCERS_PER_UPSTREAM, show_default=True)
@@ -87,7 +91,7 @@
         degree: int,
         **options: object,
     ) -> None:
-        """Make the scenario, if both sizes are given."""
+        """Create the scenario if both numbers are given, and call the command with it."""
         scenario = None
         if balancers is not None and upstreams is not None:
             scenario = Scenario(
@@ -105,21 +109,25 @@
 @click.command()
 @click.argument("where", metavar="[FILE|HOST:PORT]", required=False)
 @_with_scenario
-@click.option("--lose", "lost", multiple=True, help="What it moves if this one goes; may be repeated.")
-@click.option("--chart", type=click.Path(dir_okay=False, path_type=Path), help="An SVG of the relation.")
+@click.option(
+    "--lose", "lost_names", multiple=True, help="Show what the loss of this one changes; may be repeated."
+)
+@click.option(
+    "--chart", type=click.Path(dir_okay=False, path_type=Path), help="Write an SVG chart to this file."
+)
 @json_option
 def subset(
     where: str | None,
     *,
     scenario: Scenario | None,
-    lost: tuple[str, ...],
+    lost_names: tuple[str, ...],
     chart: Path | None,
     as_json: bool,
 ) -> None:
-    """Who uses whom: of a running balancer (the pools' subsets, by its operators' door), or of made-up sizes.
+    """Show the subsets of a running balancer's pools, or those of a hypothetical cluster of a given size.
 
-    Loads are over the mean of the capacity; moves are pairs that change, and how often the fair share of the
-    one that goes.
+    Loads are relative to the mean load per capacity. Moves are pairs of a balancer and an upstream that
+    change, also as a multiple of the pairs of the lost balancer or upstream.
     """
     if where is not None:
         _show_pools(where, as_json=as_json)
@@ -128,12 +136,12 @@
         raise click.UsageError("either FILE or HOST:PORT, or --balancers and --upstreams")
     assignment = scenario.assign()
     summary = _summarize(scenario, assignment)
-    for name in lost:
+    for name in lost_names:
         if not scenario.has(name):
-            raise click.BadParameter(f"{name!r} is none of them", param_hint="--lose")
+            raise click.BadParameter(f"{name!r} is no balancer and no upstream", param_hint="--lose")
         summary[f"without {name}"] = _summarize_loss(scenario, assignment, name)
     if chart is not None:
-        _draw(assignment, chart)
+        _write_chart(assignment, chart)
     if as_json:
         relation = {name: assignment.subset_of(name) for name in assignment.balancers}
         print_json(summary | {"relation": relation})
@@ -175,14 +183,14 @@
     rows = {"now": summary}
     rows |= {name: each for name, each in summary.items() if name.startswith("without")}
     for name, row in rows.items():
-        spans = [f"{row[key][0]} to {row[key][1]}" for key in SPANS]
+        ranges = [f"{row[key][0]} to {row[key][1]}" for key in RANGE_KEYS]
         moved = f"{row['moved']}, {row['fair shares']} of its own" if "moved" in row else ""
-        table.add_row(name, str(row["pairs"]), *spans, moved)
+        table.add_row(name, str(row["pairs"]), *ranges, moved)
     print_table(table, TABLE_WIDTH)
 
 
 def _show_pools(where: str, *, as_json: bool) -> None:
-    """The subsets of a running balancer's pools."""
+    """Print the subsets of a running balancer's pools."""
     pools = fetch(where, "/api/subsets")["pools"]
     if as_json:
         print_json(pools)
@@ -195,16 +203,16 @@
     print_table(table, POOL_TABLE_WIDTH)
 
 
-def _draw(assignment: Assignment, path: Path) -> None:
-    """Write the shares as a chart, a row a balancer and a column an upstream."""
+def _write_chart(assignment: Assignment, path: Path) -> None:
+    """Write the shares as a chart with a row for each balancer and a column for each upstream."""
     try:
         matplotlib = importlib.import_module("matplotlib")
     except ModuleNotFoundError:
         raise click.ClickException("matplotlib is missing: pip install 'dahliabend[lab]'") from None
     matplotlib.use("svg")
     pyplot = importlib.import_module("matplotlib.pyplot")
-    darkness = assignment.shares / assignment.shares.max()
-    pyplot.imshow(darkness, aspect="auto", interpolation="nearest", cmap="Greys")
+    intensities = assignment.shares / assignment.shares.max()
+    pyplot.imshow(intensities, aspect="auto", interpolation="nearest", cmap="Greys")
     pyplot.xlabel("upstreams")
     pyplot.ylabel("balancers")
     pyplot.savefig(path, metadata={"Date": None})
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -1,4 +1,7 @@
-"""Reads the operator's file with all that it includes and puts the environment in. No meaning of keys yet."""
+"""Loading of the operator's file: reads and merges included files, and substitutes environment variables.
+
+The meaning of keys is not checked here.
+"""
 
 import os
 import re
@@ -19,18 +22,18 @@
 def load_source(
     path: str, environment: Mapping[str, str] = os.environ, read: Callable[[str], bytes] = read_bytes
 ) -> Source:
-    """Read a file and all that it includes.
+    """Read a file and the files that it includes, and merge them.
 
-    Files are merged in order, included ones before the file that includes them: a later value replaces an
-    earlier one, lists are joined.
+    Included files come before the file that includes them, in order: a later value replaces an earlier one,
+    and lists are concatenated.
 
     Args:
-        path: The top file.
-        environment: Variables for `${NAME}` and `${NAME:-default}` in texts.
-        read: How a file is read; it may raise OSError.
+        path: The path of the top file.
+        environment: The variables for `${NAME}` and `${NAME:-default}` in strings.
+        read: Reads a file; may raise OSError.
 
     Returns:
-        The merged tree. Nothing is raised for what is in the files: the faults are in the source.
+        The merged tree with its faults; faults in the files raise nothing.
     """
     loader = _Loader(Source(top=path, read_file=read), environment, read)
     loader.include(path, (), Place(path, 1))
@@ -38,7 +41,7 @@
 
 
 class _Loader:
-    """Merges files into one source."""
+    """A loader that merges files into one source."""
 
     def __init__(self, source: Source, environment: Mapping[str, str], read: Callable[[str], bytes]) -> None:
         self.source = source
@@ -46,17 +49,17 @@
         self._read = read
 
     def include(self, path: str, including: tuple[str, ...], place: Place) -> None:
-        """Merge one file, after those that it includes.
+        """Merge a file into the source, after the files that it includes.
 
         Args:
-            path: Of the file.
-            including: Normalized paths of the files through which it was included, from the top one.
-            place: Of the key that includes it.
+            path: The path of the file.
+            including: The normalized paths of the chain of files that include it, from the top file.
+            place: The place of the `include` item that names it.
         """
         normalized = os.path.normpath(path)
         if normalized in including:
             cycle = " -> ".join((*including[including.index(normalized) :], normalized))
-            self._fault(place, "include", f"goes round: {cycle}")
+            self._fault(place, "include", f"forms a cycle: {cycle}")
             return
         if len(self.source.files) >= MAX_FILES:
             self._fault(place, "include", f"more than {MAX_FILES} files")
@@ -104,8 +107,8 @@
         try:
             return tomllib.loads(text)
         except tomllib.TOMLDecodeError as error:
-            found = _TOML_ERROR_LINE.search(str(error))
-            line = int(found[1]) if found else text.count("\n") + 1
+            match = _TOML_ERROR_LINE.search(str(error))
+            line = int(match[1]) if match else text.count("\n") + 1
             self._fault(Place(path, line), "", f"is no TOML: {error}")
             return None
 
@@ -114,7 +117,7 @@
 
 
 class _Substitution:
-    """Puts variables of the environment into the texts of one file."""
+    """A substitution of environment variables in the strings of one file."""
 
     def __init__(
         self, source: Source, path: str, places: dict[Key, Place], environment: Mapping[str, str]
@@ -125,21 +128,21 @@
         self._environment = environment
 
     def apply(self, tree: dict[str, Any]) -> dict[str, Any]:
-        """A copy of the file's tree with `${NAME}` and `${NAME:-default}` replaced in each text."""
-        return {name: self._value(value, (name,)) for name, value in tree.items()}
+        """Return a copy of the file's tree with `${NAME}` and `${NAME:-default}` replaced in all strings."""
+        return {name: self._substitute(value, (name,)) for name, value in tree.items()}
 
-    def _value(self, value: object, key: Key) -> object:
+    def _substitute(self, value: object, key: Key) -> object:
         if isinstance(value, dict):
-            return {name: self._value(each, (*key, name)) for name, each in value.items()}
+            return {name: self._substitute(each, (*key, name)) for name, each in value.items()}
         if isinstance(value, list):
-            return [self._value(each, (*key, number)) for number, each in enumerate(value)]
+            return [self._substitute(each, (*key, number)) for number, each in enumerate(value)]
         if isinstance(value, str):
-            return _VARIABLE.sub(lambda found: self._variable(found, key), value)
+            return _VARIABLE.sub(lambda match: self._variable_value(match, key), value)
         return value
 
-    def _variable(self, found: re.Match[str], key: Key) -> str:
-        name: str = found[1]
-        default: str | None = found[2]
+    def _variable_value(self, match: re.Match[str], key: Key) -> str:
+        name: str = match[1]
+        default: str | None = match[2]
         if name in self._environment:
             return self._environment[name]
         if default is not None:
@@ -155,28 +158,33 @@
 
 
 def _merge(source: Source, tree: dict[str, Any], places: dict[Key, Place]) -> None:
-    """Merge a file's tree into that of the files before it."""
+    """Merge a file's tree and places into those of the files before it."""
     list_lengths: dict[str | int, int] = {
         name: len(source.tree.get(name, [])) for name, value in tree.items() if isinstance(value, list)
     }
     for key, place in places.items():
-        source.places[_shifted(key, list_lengths)] = place
+        source.places[_shift_list_item(key, list_lengths)] = place
     _merge_table(source.tree, tree)
 
 
-def _shifted(key: Key, list_lengths: Mapping[str | int, int]) -> Key:
-    """The key of an item once its top-level list is appended to one of a length."""
+def _shift_list_item(key: Key, list_lengths: Mapping[str | int, int]) -> Key:
+    """Return the key that a list item has after its top-level list was appended to the earlier ones.
+
+    Args:
+        key: The key in the file's own tree.
+        list_lengths: The lengths of the top-level lists before the file was merged.
+    """
     if len(key) > 1 and isinstance(key[1], int):
         return (key[0], key[1] + list_lengths.get(key[0], 0), *key[2:])
     return key
 
 
-def _merge_table(below: dict[str, Any], above: dict[str, Any]) -> None:
-    for name, value in above.items():
-        before = below.get(name)
-        if isinstance(before, dict) and isinstance(value, dict):
-            _merge_table(before, value)
-        elif isinstance(before, list) and isinstance(value, list):
-            before.extend(value)
+def _merge_table(base: dict[str, Any], update: dict[str, Any]) -> None:
+    for name, value in update.items():
+        earlier = base.get(name)
+        if isinstance(earlier, dict) and isinstance(value, dict):
+            _merge_table(earlier, value)
+        elif isinstance(earlier, list) and isinstance(value, list):
+            earlier.extend(value)
         else:
-            below[name] = value
+            base[name] = value
--- a/dahliabend/server/cluster_status.py
+++ b/dahliabend/server/cluster_status.py
@@ -1,6 +1,6 @@
-"""What operators are shown of a cluster: counts for the log, and all members for the admin call.
+"""The state of the cluster for operators: metrics for the log, and all members for the admin API.
 
-Times are in milliseconds, and count back from now.
+Times are ages in milliseconds.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,10 @@
 
 
 class MembershipMetrics(msgspec.Struct, frozen=True):
-    """The metrics of membership: fields as the log names them, encoded as the admin call does."""
+    """The metrics of the membership protocol.
+
+    The log uses the names of the fields; the admin API uses the names that they are encoded with.
+    """
 
     version: int
     checksum: str = msgspec.field(name="mark")
@@ -39,7 +42,7 @@
 def membership_metrics(
     view: MembershipView, protocol: MembershipProtocol, transport: UdpTransport
 ) -> MembershipMetrics:
-    """Return the metrics of membership."""
+    """Collect the metrics of the membership protocol."""
     return MembershipMetrics(
         version=view.version,
         checksum=view.checksum,
@@ -60,17 +63,17 @@
 
 
 def membership_status(
-    now: int, view: MembershipView, settled: MembershipView | None, protocol: MembershipProtocol
+    now: int, view: MembershipView, stable_view: MembershipView | None, protocol: MembershipProtocol
 ) -> dict[str, Any]:
-    """Return the members that are present, those that have gone, and the last settled view."""
+    """Return the present and departed members and the last stable view, for `/api/members`."""
     return {
-        "here": [_present_member(now, member) for member in view.members],
-        "gone": list(_departed_members(now, protocol)),
-        "settled": None if settled is None else _settled_view(now, settled),
+        "here": [_present_member_fields(now, member) for member in view.members],
+        "gone": list(_departed_member_fields(now, protocol)),
+        "settled": None if stable_view is None else _stable_view_fields(now, stable_view),
     }
 
 
-def _present_member(now: int, member: MemberView) -> dict[str, Any]:
+def _present_member_fields(now: int, member: MemberView) -> dict[str, Any]:
     return {
         "name": member.name,
         "address": member.address,
@@ -85,7 +88,7 @@
     }
 
 
-def _departed_members(now: int, protocol: MembershipProtocol) -> Iterable[dict[str, Any]]:
+def _departed_member_fields(now: int, protocol: MembershipProtocol) -> Iterable[dict[str, Any]]:
     for name in protocol.departed:
         member = protocol.members[name]
         update = member.update
@@ -100,10 +103,10 @@
         }
 
 
-def _settled_view(now: int, settled: MembershipView) -> dict[str, Any]:
+def _stable_view_fields(now: int, stable_view: MembershipView) -> dict[str, Any]:
     return {
-        "version": settled.version,
-        "mark": settled.checksum,
-        "members": [member.name for member in settled.members],
-        "age_ms": (now - settled.at) // MICROSECONDS_PER_MILLISECOND,
+        "version": stable_view.version,
+        "mark": stable_view.checksum,
+        "members": [member.name for member in stable_view.members],
+        "age_ms": (now - stable_view.at) // MICROSECONDS_PER_MILLISECOND,
     }
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -1,4 +1,4 @@
-"""The pools of an operator's file as they run: each with its router, its endpoint list and its subset."""
+"""The running pools of an operator's file, each with its router, endpoint list and subset."""
 
 import os
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 from dahliabend.server.endpoint_list_file import EndpointListFile
 from dahliabend.server.log import EventLog
 from dahliabend.server.metrics import Metrics
-from dahliabend.server.pool_settings import PoolSettings, endpoint_rows, pool_settings
+from dahliabend.server.pool_settings import PoolSettings, endpoint_entries, make_pool_settings
 from dahliabend.server.structured_log import bind_pool
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolResources:
-    """What all pools of a process share.
+    """The components and parameters that all pools of a process share.
 
     Attributes:
-        dispatcher: Sends requests to the pools.
+        dispatcher: The dispatcher of requests to the pools.
         timers: The process's timers.
-        descriptors: The budget for connections.
-        metrics: The process's counts.
+        descriptors: The descriptor budget of client and upstream connections.
+        metrics: The process's counters.
         log: The event log.
-        directory: That relative paths in the operator's file start from.
-        seed: Of random numbers.
-        descriptor_limit: Descriptors that the process may have.
+        directory: The directory that relative paths in the operator's file refer to.
+        seed: The seed of the pools' random number generators.
+        descriptor_limit: The maximum number of descriptors that the process may have open.
     """
 
     dispatcher: Dispatcher
@@ -58,34 +58,34 @@
 
 @dataclass(slots=True)
 class RunningPool:
-    """A pool with what keeps its endpoint list.
+    """A pool with the source and the filter of its endpoint list.
 
     Attributes:
-        pool: The pool as the dispatcher has it.
-        source: Where its endpoints come from, once that is known.
-        subset_filter: Narrows the list, where this balancer uses a subset.
-        subset_terms: What the filter was made of: the subset's settings and the number of balancers.
+        pool: The pool in the dispatcher.
+        source: The source of its endpoint list; None until one is set.
+        subset_filter: Narrows the endpoint list to this balancer's subset; None if it uses all upstreams.
+        subset_inputs: The subset settings and the number of balancers that the filter was created from.
     """
 
     pool: Pool
     source: EndpointSource | None = None
     subset_filter: "SubsetFilter | None" = None
-    subset_terms: tuple[schema.SubsetSettings, int] | None = None
+    subset_inputs: tuple[schema.SubsetSettings, int] | None = None
 
     @property
     def observer(self) -> EndpointListObserver:
-        """Return what observes the endpoint list."""
+        """The observer of the endpoint list: the filter if there is one, otherwise the router."""
         return self.subset_filter or self.pool.router
 
     def set_source(self, source: EndpointSource | None) -> None:
-        """Take the endpoints from there, and from nowhere else."""
+        """Use this source for the endpoint list, and stop the one before."""
         if self.source is not None and self.source is not source:
             self.source.stop()
         self.source = source
         self.pool.router.discovery = source
 
     def close(self) -> None:
-        """Stop watching for endpoints."""
+        """Stop the source of the endpoint list and the subset filter."""
         if self.source is not None:
             self.source.stop()
         if self.subset_filter is not None:
@@ -93,80 +93,82 @@
 
 
 class PoolManager:
-    """Owns the pools from the first file that has them until their last request has ended."""
+    """The running pools: opens those that a file adds, and closes removed ones after their last request."""
 
     def __init__(self, resources: PoolResources, cluster: "ClusterMember | None") -> None:
-        """Make a manager without pools.
+        """Create a manager without pools.
 
         Args:
-            resources: What all pools share.
-            cluster: The other balancers, if there is membership.
+            resources: The components that all pools share.
+            cluster: This balancer's membership of its cluster; None without `[members]`.
         """
         self.resources = resources
         self.cluster = cluster
-        self._running: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
+        self._running_pools: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
 
-    def settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
-        """Return the settings of each pool of a file."""
+    def make_settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
+        """Convert the settings of each pool of a file."""
         seed = self.resources.seed
         limit = self.resources.descriptor_limit
-        return {name: pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools}
+        return {
+            name: make_pool_settings(file, name, seed=seed, descriptor_limit=limit) for name in file.pools
+        }
 
     def apply_pool(self, file: OperatorFile, name: str, settings: PoolSettings) -> None:
-        """Open a pool of a file, or change it if it runs already."""
-        known = self.resources.dispatcher.pools_by_name.get(name)
-        if known is None:
-            running = self._open(name, settings.server)
+        """Open a pool of a file, or update it if it is already running."""
+        pool = self.resources.dispatcher.pools_by_name.get(name)
+        if pool is None:
+            running_pool = self._open_pool(name, settings.server)
         else:
-            running = self._running[known.number]
-            _change_router(known.router, settings.server)
-        router = running.pool.router
+            running_pool = self._running_pools[pool.number]
+            _update_router(pool.router, settings.server)
+        router = running_pool.pool.router
         router.logs_access = file.log.access
         router.route_names = [file.routes[number].name for number in settings.class_by_route]
-        self._apply_subset(running, file.pools[name])
-        self._apply_source(running, file.pools[name])
+        self._apply_subset(running_pool, file.pools[name])
+        self._apply_source(running_pool, file.pools[name])
 
     def retire_missing(self, pools: Mapping[str, object]) -> None:
-        """Give no new requests to the running pools that are not among these."""
+        """Stop dispatching new requests to the running pools that are not in this mapping."""
         dispatcher = self.resources.dispatcher
         for name in [name for name in dispatcher.pools_by_name if name not in pools]:
             dispatcher.retire_pool(name)
 
     def close_finished(self) -> None:
-        """Close the retired pools whose last request has ended."""
+        """Close the retired pools that have no requests left."""
         for pool in self.resources.dispatcher.remove_finished_pools():
-            self._running.pop(pool.number).close()
+            self._running_pools.pop(pool.number).close()
             table = pool.router.table
             for index in tuple(table.endpoints):
                 table.remove(index)
             self.resources.log("pool.removed", pool=pool.name)
 
     def close(self) -> None:
-        """Stop watching for endpoints."""
-        for running in self._running.values():
-            running.close()
+        """Stop the endpoint list sources and subset filters of all pools."""
+        for running_pool in self._running_pools.values():
+            running_pool.close()
 
     def active_routers(self) -> list[tuple[str, Router]]:
-        """Return name and router of each pool that has not been retired."""
+        """Return the name and router of each pool that has not been retired."""
         return [(pool.name, pool.router) for pool in self.resources.dispatcher if not pool.retired]
 
     def subset_status(self) -> dict[str, Any]:
-        """Return, by pool, the subset in use, where there is one."""
+        """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
         return {
-            running.pool.name: running.subset_filter.status()
-            for running in self._running.values()
-            if running.subset_filter is not None
+            running_pool.pool.name: running_pool.subset_filter.status()
+            for running_pool in self._running_pools.values()
+            if running_pool.subset_filter is not None
         }
 
     def subset_request_count(self) -> int:
-        """Return the requests that pools with a subset have had until now."""
+        """Return the number of requests that pools with a subset have received so far."""
         return sum(
-            sum(running.pool.router.counts.values())
-            for running in self._running.values()
-            if running.subset_filter is not None
+            sum(running_pool.pool.router.counts.values())
+            for running_pool in self._running_pools.values()
+            if running_pool.subset_filter is not None
         )
 
-    def _open(self, name: str, settings: ServerSettings) -> RunningPool:
+    def _open_pool(self, name: str, settings: ServerSettings) -> RunningPool:
         resources = self.resources
         log = bind_pool(resources.log, name)
         endpoint_resources = EndpointResources(
@@ -184,28 +186,28 @@
             router.on_attempt_finished = partial(gossip.record_outcome, name)
             if gossip.health_checks is not None:
                 router.health_check_delegate = partial(gossip.health_checks.request_check, name)
-        running = RunningPool(resources.dispatcher.add_pool(name, router))
-        self._running[running.pool.number] = running
-        return running
-
-    def _apply_subset(self, running: RunningPool, settings: schema.PoolSettings) -> None:
-        """Use a subset of the upstreams, or all; if that changes, the endpoint list is read again."""
-        terms = (settings.subset, settings.balancers) if settings.subset is not None else None
-        if running.subset_terms == terms:
+        running_pool = RunningPool(resources.dispatcher.add_pool(name, router))
+        self._running_pools[running_pool.pool.number] = running_pool
+        return running_pool
+
+    def _apply_subset(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
+        """Create, replace or remove the subset filter; after a change, the endpoint list is read again."""
+        inputs = (settings.subset, settings.balancers) if settings.subset is not None else None
+        if running_pool.subset_inputs == inputs:
             return
-        running.subset_terms = terms
-        if running.subset_filter is not None:
-            running.subset_filter.stop()
-            running.subset_filter = None
+        running_pool.subset_inputs = inputs
+        if running_pool.subset_filter is not None:
+            running_pool.subset_filter.stop()
+            running_pool.subset_filter = None
         if settings.subset is not None:
-            # The balancer that is first to check an upstream may not use it.
-            running.pool.router.health_check_delegate = None
-            running.subset_filter = self._make_subset_filter(
-                running.pool, settings.subset, settings.balancers
+            # No shared health checks: the holder of an upstream's lease may not have it in its subset.
+            running_pool.pool.router.health_check_delegate = None
+            running_pool.subset_filter = self._create_subset_filter(
+                running_pool.pool, settings.subset, settings.balancers
             )
-        running.set_source(None)
+        running_pool.set_source(None)
 
-    def _make_subset_filter(
+    def _create_subset_filter(
         self, pool: Pool, subset: schema.SubsetSettings, balancers: int
     ) -> "SubsetFilter":
         from dahliabend.server.subset_filter import SubsetFilter
@@ -221,21 +223,21 @@
             bind_pool(resources.log, pool.name),
         )
 
-    def _apply_source(self, running: RunningPool, settings: schema.PoolSettings) -> None:
-        """Take a pool's endpoints from where its settings say. What is known of them stays."""
+    def _apply_source(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
+        """Use the endpoint source named by a pool's settings; the state of known endpoints is kept."""
         if settings.discovery is None:
-            self._apply_list_file(running, settings)
-        elif isinstance(running.source, DiscoveryClient):
-            running.source.change_address(parse_address(settings.discovery))
+            self._apply_list_file(running_pool, settings)
+        elif isinstance(running_pool.source, DiscoveryClient):
+            running_pool.source.change_address(parse_address(settings.discovery))
         else:
-            self._open_discovery(running, settings.discovery)
+            self._open_discovery(running_pool, settings.discovery)
 
-    def _open_discovery(self, running: RunningPool, address: str) -> None:
+    def _open_discovery(self, running_pool: RunningPool, address: str) -> None:
         resources = self.resources
-        router = running.pool.router
+        router = running_pool.pool.router
         client = DiscoveryClient(
             parse_address(address),
-            EndpointList(running.observer, resources.log),
+            EndpointList(running_pool.observer, resources.log),
             resources.timers,
             resources.descriptors,
             router.table.resources.connect_timeout,
@@ -243,24 +245,24 @@
             resources.log,
         )
         resources.timers.loop.call_soon(client.open)
-        running.set_source(client)
+        running_pool.set_source(client)
 
-    def _apply_list_file(self, running: RunningPool, settings: schema.PoolSettings) -> None:
+    def _apply_list_file(self, running_pool: RunningPool, settings: schema.PoolSettings) -> None:
         resources = self.resources
-        source = running.source
+        source = running_pool.source
         if not isinstance(source, EndpointListFile):
             source = EndpointListFile(
-                EndpointList(running.observer, resources.log), resources.timers, resources.log
+                EndpointList(running_pool.observer, resources.log), resources.timers, resources.log
             )
         if settings.members is not None:
             source.stop()
-            source.set_endpoints(endpoint_rows(settings.members))
+            source.set_endpoints(endpoint_entries(settings.members))
         elif settings.file is not None:
             source.watch(os.path.join(resources.directory, settings.file))
-        running.set_source(source)
+        running_pool.set_source(source)
 
 
-def _change_router(router: Router, settings: ServerSettings) -> None:
+def _update_router(router: Router, settings: ServerSettings) -> None:
     router.table.resources.connect_timeout = settings.connect_timeout
     router.table.resources.idle_timeout = settings.idle_reuse_time
     router.apply_settings(settings)
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of a pool, in the form that a router is configured by."""
+"""Conversion of a pool's settings in an operator's file to the settings of its router."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,10 +11,10 @@
 from dahliabend.transport import host_info
 
 MAX_IN_FLIGHT = 20_000  # requests of a pool
-DEADLINE_SLACK = 20_000  # microseconds by which a client's deadline may be nearer than it seems
+DEADLINE_SLACK = 20_000  # microseconds; a client's deadline may be that much nearer than it appears
 MAX_RETRY_AFTER = 3_000_000  # microseconds
-DEFAULT_RETRY_RATIO = 0.1  # of a pool whose routes say nothing of retries
-NANOSECONDS = 1000  # in a microsecond
+DEFAULT_RETRY_RATIO = 0.1  # for a pool whose routes set no `retry-share`
+NANOSECONDS_PER_MICROSECOND = 1000
 
 _EFFECTS = {
     "idempotent": Idempotency.IDEMPOTENT,
@@ -23,7 +23,7 @@
 }
 _SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
-_UNUSED_CLASS = RequestClass(  # of a pool without a route: a policy wants one class at least
+_UNUSED_CLASS = RequestClass(  # for a pool without routes: a policy requires at least one class
     effect=Idempotency.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.ALL,
     deduplication_window=0,
@@ -36,25 +36,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """What a pool's router is configured by.
+    """The settings of a pool's router and the request classes of its routes.
 
     Attributes:
-        server: The settings of a router; those of a whole server are empty.
-        class_by_route: The index of each route's request class, by the route's number in the file.
+        server: The settings of the router; fields that concern a whole server are empty.
+        class_by_route: The index of each route's request class, by the route's position in the file.
     """
 
     server: ServerSettings
     class_by_route: dict[int, int]
 
 
-def pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
-    """Return the settings of a pool's router.
+def make_pool_settings(file: OperatorFile, name: str, *, seed: int, descriptor_limit: int) -> PoolSettings:
+    """Convert the settings of a pool and its routes.
 
     Args:
         file: The operator's file.
-        name: The pool.
-        seed: Of the policy's random numbers.
-        descriptor_limit: Descriptors that the process may have.
+        name: The name of the pool.
+        seed: The seed of the policy's random number generator.
+        descriptor_limit: The maximum number of descriptors that the process may have open.
     """
     pool = file.pools[name]
     routes = _routes_to_pool(file, name)
@@ -84,13 +84,14 @@
         report_fields=(),
         unsupported_keys=(),
         named_keys=frozenset(),
-        monotonic_offset=host_info.monotonic_ns() // NANOSECONDS - host_info.time_ns() // NANOSECONDS,
+        monotonic_offset=host_info.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
+        - host_info.time_ns() // NANOSECONDS_PER_MICROSECOND,
     )
     return PoolSettings(server, {route: index for index, route in enumerate(routes)})
 
 
-def endpoint_rows(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
-    """Return the endpoints that stand in the file, in the discovery service's form."""
+def endpoint_entries(endpoints: list[schema.EndpointSettings]) -> list[dict[str, Any]]:
+    """Return a pool's `members` as entries in the discovery service's format."""
     return [
         {
             "id": endpoint.id,
@@ -105,24 +106,24 @@
 
 
 def _routes_to_pool(file: OperatorFile, pool: str) -> list[int]:
-    """Return the numbers of the routes whose requests may come to a pool."""
+    """Return the positions of the routes whose requests may be sent to a pool."""
     return [number for number, route in enumerate(file.routes) if pool in _reachable_pools(file, route)]
 
 
 def _reachable_pools(file: OperatorFile, route: schema.RouteSettings) -> set[str]:
-    """Return the pools of a route, with its mirror and all fallbacks."""
+    """Return the names of a route's pools, its mirror, and the fallbacks of all of these."""
     reachable: set[str] = set()
-    waiting = [*target_pools(route), route.mirror, route.fallback]
-    while waiting:
-        name = waiting.pop()
+    unvisited = [*target_pools(route), route.mirror, route.fallback]
+    while unvisited:
+        name = unvisited.pop()
         if name is not None and name not in reachable:
             reachable.add(name)
-            waiting.append(file.pools[name].fallback)
+            unvisited.append(file.pools[name].fallback)
     return reachable
 
 
 def _request_class(file: OperatorFile, number: int) -> RequestClass:
-    """Return the request class of a route: that of its settings, with its own times and counts."""
+    """Return a route's request class: that of its settings, with the route's timeouts and attempt counts."""
     route = file.routes[number]
     settings = file.classes[route.class_]
     treatment = EffectiveTreatment(file, route, number)
@@ -170,6 +171,6 @@
 
 
 def _retry_ratio(file: OperatorFile, routes: list[int]) -> float:
-    """Return the least share of retries that any of the routes allows."""
+    """Return the lowest `retry-share` of the routes, or `DEFAULT_RETRY_RATIO` if none sets one."""
     ratios = [EffectiveTreatment(file, file.routes[number], number).retry_share for number in routes]
     return float(min((ratio for ratio in ratios if ratio is not None), default=DEFAULT_RETRY_RATIO))
--- a/tests/server/processes_on_one_listener.py
+++ b/tests/server/processes_on_one_listener.py
@@ -11,8 +11,11 @@
 
 
 @contextmanager
-def platform(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
-    """Yield a function that starts one more process: its address, the process and its discovery service."""
+def start_processes(*upstreams: Upstream) -> Iterator[Callable[..., tuple[str, Popen, Agent]]]:
+    """Yield a function that starts a process and returns its address, the process and its discovery service.
+
+    All processes use the same listening socket, runtime directory and discovery service.
+    """
     agent = Agent(*(entry(f"s-{number}", upstream) for number, upstream in enumerate(upstreams)))
     with ExitStack() as stack:
         for server in (agent, *upstreams):
@@ -20,18 +23,20 @@
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=512))
         directory = stack.enter_context(TemporaryDirectory())
 
-        def start(**more: object) -> tuple[str, Popen, Agent]:
-            return stack.enter_context(program(*upstreams, agent=agent, beside=(listener, directory), **more))
+        def start(**options: object) -> tuple[str, Popen, Agent]:
+            return stack.enter_context(
+                program(*upstreams, agent=agent, beside=(listener, directory), **options)
+            )
 
         yield start
 
 
 def set_excluded(process: Popen, excluded: bool, target: str = "s-0") -> int:
-    """Call a process to exclude or include an upstream; return the status."""
+    """Make the admin call that excludes or includes an upstream; return its HTTP status."""
     path = "/api/exclude" if excluded else "/api/include"
     return call(process.admin, path, "PUT", json.dumps({"target": target}).encode())[0]
 
 
 def telemetry_value(process: Popen, name: str) -> object:
-    """Return one value of a process's telemetry."""
+    """Return one counter of a process's telemetry."""
     return call(process.admin, "/api/telemetry")[1][name]
