--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -181,34 +181,34 @@
     """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
 
     def send(self, ref: int, endpoint: int, timeout: int) -> None:
-        """Sends an attempt of a request to an endpoint; it is to be ended after the time-out."""
+        """Send an attempt of a request to an endpoint; it is to be ended after the time-out."""
 
     def reject(self, ref: int, retry_after: int) -> None:
-        """Answers 503: the client may send the request again, after this time (us; 0: none is told).
+        """Answer 503: the client may send the request again, after this time (us; 0: none is told).
 
         An idempotent request, or one deduplicated everywhere, may have been executed.
         """
 
     def fail(self, ref: int) -> None:
-        """Answers 502: the request failed, may have been executed and must not be sent again."""
+        """Answer 502: the request failed, may have been executed and must not be sent again."""
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Ends an attempt, by its place among those of the request; its end is reported as any other."""
+        """End an attempt, by its place among those of the request; its end is reported as any other."""
 
     def check_health(self, endpoint: int) -> None:
-        """Checks an endpoint, for `Balancer.health_check_finished`."""
+        """Check an endpoint, for `Balancer.health_check_finished`."""
 
     def close_idle_connections(self, endpoint: int, age: int) -> None:
-        """Closes connections to an endpoint that have been idle for longer than this."""
+        """Close connections to an endpoint that have been idle for longer than this."""
 
     def set_timer(self, at: int, token: int) -> None:
-        """Has `Balancer.timer_fired` called at this time, with this token."""
+        """Have `Balancer.timer_fired` called at this time, with this token."""
 
     def poll_endpoints(self) -> None:
-        """Asks for the list of endpoints."""
+        """Ask for the list of endpoints."""
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
-        """Sends bytes to another balancer."""
+        """Send bytes to another balancer."""
 
 
 class RequestHandle(Protocol):
@@ -225,7 +225,7 @@
     def attempt_finished(
         self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
     ) -> None:
-        """Reports how an attempt ended; another is sent where one may follow.
+        """Report how an attempt ended; another is sent where one may follow.
 
         Args:
             now: The time.
@@ -237,35 +237,35 @@
         """
 
     def response_started(self, now: int, number: int) -> None:
-        """Reports a streamed response: the client has a part of it, so the attempt is not cancelled."""
+        """Report a streamed response: the client has a part of it, so the attempt is not cancelled."""
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Reports that the attempt in flight has the last byte: it begins now. Returns its time-out."""
+        """Report that the attempt in flight has the last byte: it begins now. Return its time-out."""
 
     def body_consumed(self) -> None:
-        """Reports that a part of the body is gone, so that nothing whole is left to send again."""
+        """Report that a part of the body is gone, so that nothing whole is left to send again."""
 
     def hedge_timer_fired(self, now: int) -> None:
-        """Reports that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
+        """Report that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
 
     def client_disconnected(self, now: int) -> None:
-        """Reports that nobody waits for an answer any more."""
+        """Report that nobody waits for an answer any more."""
 
 
 class Decisions(Protocol):
     """The events of `policy.balancer.Balancer`, all on one thread; it acts through its `Port`."""
 
     def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
-        """Takes over a list of endpoints, or (not `full`) changes of it."""
+        """Take over a list of endpoints, or (not `full`) changes of it."""
 
     def endpoint_poll_failed(self, now: int) -> None:
-        """Reports that the list was asked for in vain: it is asked for again after a while, at random."""
+        """Report that the list was asked for in vain: it is asked for again after a while, at random."""
 
     def admit(
         self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestHandle:  # fmt: skip
-        """Sends a request, queues it behind others of its key, or rejects it.
+        """Send a request, queues it behind others of its key, or rejects it.
 
         Args:
             now: The time.
@@ -279,16 +279,16 @@
         """
 
     def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
-        """Reports how a health check of an endpoint ended."""
+        """Report how a health check of an endpoint ended."""
 
     def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Counts attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+        """Count attempts of other balancers at an endpoint, so many as are believed, like own ones."""
 
     def timer_fired(self, now: int, token: int) -> None:
-        """Reports that a timer of `Port.set_timer` has come."""
+        """Report that a timer of `Port.set_timer` has come."""
 
     def snapshot(self, ends: bool) -> Snapshot:
-        """Returns what is known; `ends`: this balancer admits nothing more."""
+        """Return what is known; `ends`: this balancer admits nothing more."""
 
     def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
-        """Goes on from a snapshot, by pairs of own and former classes. Returns how many endpoints fit."""
+        """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -14,7 +14,7 @@
 
 
 def class_priorities(settings: Settings) -> list[float]:
-    """Returns the priority of each request class, 0 to 1.
+    """Return the priority of each request class, 0 to 1.
 
     By priority weight, the less so the more the operators' goal weighs the worst-served class: served last, a
     class of little weight would be that one.
@@ -58,7 +58,7 @@
         self.new_requests = 0
 
     def admits(self, request: RequestState, tenant: int, now: int, *, is_repeat: bool) -> bool:
-        """Returns whether a tenant's request may come in at a time (us); lowers its priority over quota.
+        """Return whether a tenant's request may come in at a time (us); lowers its priority over quota.
 
         Decided at the entry tier alone: calls of the tiers behind are work already paid for.
         """
@@ -70,7 +70,7 @@
         return self.concurrency.admits(request.priority)
 
     def is_within_quota(self, tenant: int, now: int) -> bool:
-        """Returns whether a tenant's request at a time (us) is within its quota, and counts it.
+        """Return whether a tenant's request at a time (us) is within its quota, and counts it.
 
         A token bucket of one window: beyond it, one tenant's burst would cost all the others.
         """
@@ -82,7 +82,7 @@
         return is_within
 
     def may_queue(self, request: RequestState, now: int, wait: int) -> bool:
-        """Returns whether a request may wait for its key's turn, for so long from now on (us).
+        """Return whether a request may wait for its key's turn, for so long from now on (us).
 
         Its queue would grow beyond what can still be served in time. One whose body is still being received
         may not: nothing would read the body meanwhile.
@@ -90,7 +90,7 @@
         return not request.body_pending and self.deadlines.can_wait(request, now, wait)
 
     def place_under_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
-        """Returns where a request goes at a time (us), of the endpoint chosen and the reductions held.
+        """Return where a request goes at a time (us), of the endpoint chosen and the reductions held.
 
         With the probability of the endpoint's valid reduction it goes to an endpoint known to hold none.
         Where no other is free of reductions, none is at fault alone, and the tier's decides; None: rejected.
@@ -106,7 +106,7 @@
         return None if is_reduced else endpoint
 
     def is_reduced_by_tier(self, request: RequestState, now: int) -> bool:
-        """Returns whether a request is rejected at a time (us) for the tier's reduction.
+        """Return whether a request is rejected at a time (us) for the tier's reduction.
 
         At the entry tier alone, low priorities more often: an overloaded tier would lose the valuable too.
         """
@@ -119,7 +119,7 @@
         return self.random() < reduction * excess
 
     def take_new_requests(self) -> int:
-        """Returns how many requests have come in the window that no client repeats, and begins the next."""
+        """Return how many requests have come in the window that no client repeats, and begins the next."""
         count = self.new_requests
         self.new_requests = 0
         return count
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -54,7 +54,7 @@
     # Endpoints.
 
     def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
-        """Takes over a list of endpoints, or (not `full`) changes of it."""
+        """Take over a list of endpoints, or (not `full`) changes of it."""
         if not self.is_started:
             self.is_started = True
             self.throttling.open(now)
@@ -64,7 +64,7 @@
         self.selection.update(now, rows, full=full)
 
     def endpoint_poll_failed(self, now: int) -> None:
-        """Reports that the list was asked for in vain: it is asked for again after a while, at random.
+        """Report that the list was asked for in vain: it is asked for again after a while, at random.
 
         A registry that failed under load would be stormed by all balancers at once.
         """
@@ -73,13 +73,13 @@
             self.port.set_timer(now + wait, TimerToken.POLL)
 
     def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
-        """Reports how a health check of an endpoint ended."""
+        """Report how a health check of an endpoint ended."""
         endpoint = self.selection.endpoints.get(index)
         if endpoint is not None:
             self.outliers.health_check_finished(endpoint, now, outcome)
 
     def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Counts attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+        """Count attempts of other balancers at an endpoint, so many as are believed, like own ones."""
         endpoint = self.selection.endpoints.get(index)
         if endpoint is not None:
             endpoint.entries[-1].add(failed, sampled)
@@ -87,7 +87,7 @@
     # Timers.
 
     def timer_fired(self, now: int, token: int) -> None:
-        """Reports that a timer of `Port.set_timer` has come."""
+        """Report that a timer of `Port.set_timer` has come."""
         if token == TimerToken.TICK:
             self._tick(now)
         elif token == TimerToken.KEY_REST:
@@ -111,7 +111,7 @@
             self.close_windows(now)
 
     def close_windows(self, now: int) -> None:
-        """Closes the windows of samples at a time (us): what is held for the next ones follows from them."""
+        """Close the windows of samples at a time (us): what is held for the next ones follows from them."""
         self.throttling.close_windows(now)
         self.selection.remove_unlisted(now)
         for endpoint in self.selection.ready:
@@ -124,7 +124,7 @@
     # What is handed over.
 
     def snapshot(self, ends: bool) -> Snapshot:
-        """Returns what is known; `ends`: this balancer admits nothing more."""
+        """Return what is known; `ends`: this balancer admits nothing more."""
         return Snapshot(
             shape=self.shape,
             mean_latencies=self.deadlines.mean_latencies,
@@ -137,7 +137,7 @@
         )
 
     def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
-        """Goes on from a snapshot, by pairs of own and former classes. Returns how many endpoints fit."""
+        """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
         for index, former in same_classes:
             self.deadlines.mean_latencies[index] = known.mean_latencies[former]
         self.outliers.fatal_idle_time = known.fatal_idle_time
@@ -158,7 +158,7 @@
         self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
-        """Sends a request, queues it behind others of its key, or rejects it (`model.Decisions`)."""
+        """Send a request, queues it behind others of its key, or rejects it (`model.Decisions`)."""
         request_class = self.request_classes[class_index]
         key = key if request_class.is_ordered else 0
         priority = self.admission.priorities[class_index]
@@ -184,7 +184,7 @@
             self.key_queues.leave(request, now)
 
     def send(self, request: RequestState, now: int) -> None:
-        """Sends the next attempt of a request, or gives the request up if none is allowed or possible."""
+        """Send the next attempt of a request, or gives the request up if none is allowed or possible."""
         is_first = not request.attempts
         if time_left(request, now) <= 0 or not may_attempt(request, now):
             self.give_up(request)
@@ -216,7 +216,7 @@
         self.port.send(request.ref, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
-        """The attempt in flight has the last byte of the body. Returns its time-out (us)."""
+        """The attempt in flight has the last byte of the body. Return its time-out (us)."""
         request.deadline = self.deadlines.useful_deadline(request.request_class, now, deadline)
         self.outliers.attempt_began(request.attempts[-1])
         self.concurrency.attempt_began(request, request.attempts[-1])
@@ -286,7 +286,7 @@
         self.send(request, now)
 
     def give_up(self, request: RequestState, wait: int = 0) -> None:
-        """Ends a request without a success: rejected if its client may safely send it again, else failed.
+        """End a request without a success: rejected if its client may safely send it again, else failed.
 
         Takes what it would have had to wait for its turn (us).
         """
@@ -299,7 +299,7 @@
             self.port.fail(request.ref)
 
     def give_up_if_late(self, request: RequestState, now: int) -> None:
-        """Gives up a request that waits for its turn, if too little time is left for it."""
+        """Give up a request that waits for its turn, if too little time is left for it."""
         if not self.deadlines.can_wait(request, now):
             self.give_up(request)
             self.key_queues.leave(request, now)
@@ -310,7 +310,7 @@
         self.key_queues.leave(request, now)
 
     def cancel(self, request: RequestState) -> None:
-        """Cancels the attempts of a request that are in flight, where the driver can."""
+        """Cancel the attempts of a request that are in flight, where the driver can."""
         if self.settings.can_cancel:
             for number in cancellable_attempts(request):
                 self.port.cancel(request.ref, number)
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -59,7 +59,7 @@
     # The rules.
 
     def admits(self, priority: float) -> bool:
-        """Returns whether one more request of a priority (0 to 1) may come in.
+        """Return whether one more request of a priority (0 to 1) may come in.
 
         Endpoints beyond their capacity slow down all requests before they reject any.
         """
@@ -73,14 +73,14 @@
         return in_flight < limit
 
     def is_nearly_full(self) -> bool:
-        """Returns whether the share of the limit that is open to all priorities is in flight.
+        """Return whether the share of the limit that is open to all priorities is in flight.
 
         Below it there are places for all, and nothing is gained by rejecting any.
         """
         return self.in_flight >= EQUAL_SHARE * self.limit
 
     def is_due(self, now: int) -> bool:
-        """Returns whether the limit is to be adjusted at a time (us).
+        """Return whether the limit is to be adjusted at a time (us).
 
         A change shows only after a latency or two; adjusted sooner, the limit would swing.
         """
@@ -90,7 +90,7 @@
         return self.succeeded >= enough and elapsed >= pause
 
     def latency_target(self) -> float:
-        """Returns the latency by objective above which there is an overload.
+        """Return the latency by objective above which there is an overload.
 
         Bound to the lowest one seen: fast endpoints are overloaded long before they miss the objective, and
         slow ones are not merely for being slow.
@@ -99,7 +99,7 @@
         return max(min(LATENCY_TARGET, MAX_TARGET * lowest), MIN_TARGET * lowest)
 
     def adjust(self, now: int, endpoints_each: float) -> None:
-        """Lowers the limit in an overload; raises it where it was reached without one.
+        """Lower the limit in an overload; raises it where it was reached without one.
 
         Takes the time (us) and the number of ready endpoints for each balancer, which bounds the limit below.
         """
@@ -122,49 +122,49 @@
     # What happens.
 
     def start(self, endpoints_each: float) -> None:
-        """Sets the first limit, by the number of ready endpoints for each balancer.
+        """Set the first limit, by the number of ready endpoints for each balancer.
 
         Where that is below 1 its root allows for chance.
         """
         self.limit = self.limit or INITIAL_LIMIT * max(endpoints_each, endpoints_each**0.5)
 
     def tick(self, now: int, endpoints_each: float) -> None:
-        """Adjusts the limit if it is due at a time (us)."""
+        """Adjust the limit if it is due at a time (us)."""
         self.ticks += 1
         if self.is_due(now):
             self.adjust(now, endpoints_each)
 
     def attempt_began(self, request: RequestState, attempt: Attempt) -> None:
-        """Counts an attempt in."""
+        """Count an attempt in."""
         endpoint = attempt.endpoint
         endpoint.in_flight[request] = attempt
         self.in_flight += not endpoint.is_ejected
 
     def attempt_ended(self, request: RequestState, endpoint: Endpoint) -> None:
-        """Counts an attempt out; the second time changes nothing."""
+        """Count an attempt out; the second time changes nothing."""
         if endpoint.in_flight.pop(request, None) is not None and not endpoint.is_ejected:
             self.in_flight -= 1
 
     def endpoint_ejected(self, endpoint: Endpoint) -> None:
-        """Leaves out an endpoint's attempts: they are no sign of an overload elsewhere."""
+        """Leave out an endpoint's attempts: they are no sign of an overload elsewhere."""
         self.in_flight -= len(endpoint.in_flight)
 
     def endpoint_restored(self, endpoint: Endpoint) -> None:
-        """Counts an endpoint's attempts again."""
+        """Count an endpoint's attempts again."""
         self.in_flight += len(endpoint.in_flight)
 
     def learn_success(self, took: int) -> None:
-        """Learns from a success that took so long (us)."""
+        """Learn from a success that took so long (us)."""
         self.mean_latency = ewma(self.mean_latency, took)
         self.succeeded += 1
 
     def learn_latency(self, ratio: float, relative_latency: float) -> None:
-        """Learns from an attempt's latency by objective, the less the slower its endpoint is at any time."""
+        """Learn from an attempt's latency by objective, the less the slower its endpoint is at any time."""
         ratio = min(1.0, ratio) / max(1.0, min(relative_latency, SLOW_ENDPOINT))
         self.latency_ratio = ewma(self.latency_ratio, ratio)
 
     def snapshot(self) -> StoredLimit:
-        """Returns what is handed over to the decisions that follow."""
+        """Return what is handed over to the decisions that follow."""
         return StoredLimit(
             limit=self.limit,
             mean_in_flight=self.mean_in_flight,
@@ -177,7 +177,7 @@
         )
 
     def restore(self, stored: StoredLimit) -> None:
-        """Goes on from what was handed over."""
+        """Go on from what was handed over."""
         self.limit = stored.limit
         self.mean_in_flight = stored.mean_in_flight
         self.sustained_in_flight = stored.sustained_in_flight
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -13,7 +13,7 @@
 
 
 def time_left(request: RequestState, now: int) -> int:
-    """Returns the time from `now` to the deadline of a request (us); 0 or less once it is over."""
+    """Return the time from `now` to the deadline of a request (us); 0 or less once it is over."""
     return request.deadline - now
 
 
@@ -34,7 +34,7 @@
         self.mean_latencies = [0.0] * len(settings.request_classes)
 
     def useful_deadline(self, request_class: RequestClass, now: int, deadline: int) -> int:
-        """Returns until when an answer is worth anything (us), for a request that begins now.
+        """Return until when an answer is worth anything (us), for a request that begins now.
 
         Where late answers are worth nothing, work beyond the latency objective would only delay other
         requests. Tiers behind the first cannot tell what an answer is worth to the client.
@@ -44,28 +44,28 @@
         return deadline
 
     def min_time_to_send(self, class_index: int) -> int:
-        """Returns what has to be left at its turn for a request to be sent (us).
+        """Return what has to be left at its turn for a request to be sent (us).
 
         The end of a shorter attempt would bring no answer in time.
         """
         return max(self.tick, round(self.mean_latencies[class_index]))
 
     def queue_wait(self, class_index: int, ahead: int) -> int:
-        """Returns how long so many turns of a key take (us), all taken to be of this class.
+        """Return how long so many turns of a key take (us), all taken to be of this class.
 
         Without the wait, a request would be queued whose turn comes too late.
         """
         return round(ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
-        """Returns whether a request would still be sent after a wait (us) from now on.
+        """Return whether a request would still be sent after a wait (us) from now on.
 
         A queue longer than this only makes all requests in it late.
         """
         return time_left(request, now) > wait + self.min_time_to_send(request.class_index)
 
     def early_timeout(self, request: RequestState) -> int:
-        """Returns how long an attempt is waited for that may be repeated (us).
+        """Return how long an attempt is waited for that may be repeated (us).
 
         Many mean latencies, and a good part of the objective: sooner, slow endpoints would get work twice.
         """
@@ -74,7 +74,7 @@
         return max(part_of_objective, round(EARLY_TIMEOUT_LATENCIES * mean_latency))
 
     def attempt_timeout(self, request: RequestState, now: int) -> int:
-        """Returns the time-out of an attempt that begins now (us).
+        """Return the time-out of an attempt that begins now (us).
 
         It is early where a retry could follow: else one silent endpoint costs a request all its time. Not so
         while the tier holds a reduction, where all are slow and repeats would be more load.
@@ -87,7 +87,7 @@
         return max(MIN_TIMEOUT, min(left, timeout))
 
     def is_early_timeout_over(self, request: RequestState, attempt: Attempt, now: int) -> bool:
-        """Returns whether an attempt at a hung endpoint is cancelled at a time (us), to be sent elsewhere.
+        """Return whether an attempt at a hung endpoint is cancelled at a time (us), to be sent elsewhere.
 
         Its time-out was set before the endpoint fell silent; one that just began may still be answered.
         """
@@ -95,7 +95,7 @@
         return is_late and not request.is_answered and is_retryable(request)
 
     def retry_after(self, request_class: RequestClass, wait: int) -> int:
-        """Returns when a rejected client is told to come back (us; 0: it is told nothing).
+        """Return when a rejected client is told to come back (us; 0: it is told nothing).
 
         After what it would have had to wait (us) and a part of its objective: sooner, it meets the same load.
         """
@@ -103,5 +103,5 @@
         return min(self.max_retry_after, after)
 
     def learn_latency(self, class_index: int, took: int) -> None:
-        """Learns from a success that took so long (us)."""
+        """Learn from a success that took so long (us)."""
         self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], took)
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -27,7 +27,7 @@
         self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
 
     def take_over(self, before: "KeyQueues") -> None:
-        """Goes on with the queues of the decisions before, in the same process.
+        """Go on with the queues of the decisions before, in the same process.
 
         Else a request could run beside another of its key that was admitted under other settings.
         """
@@ -37,11 +37,11 @@
             self.port.set_timer(until, TimerToken.KEY_REST)
 
     def ahead(self, key: int | bytes) -> int:
-        """Returns how many turns of a key come before one that joins now; a rest counts as one."""
+        """Return how many turns of a key come before one that joins now; a rest counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
-        """Queues a request behind all of its key. Returns whether it is its turn at once."""
+        """Queue a request behind all of its key. Return whether it is its turn at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
         if queue.current or queue.rests_until:
             queue.waiting[request] = None
@@ -50,19 +50,19 @@
         return True
 
     def waiting_requests(self) -> list[RequestState]:
-        """Returns the requests that wait for their turn, by key in the order in which they were admitted."""
+        """Return the requests that wait for their turn, by key in the order in which they were admitted."""
         return [request for queue in self.queues.values() for request in queue.waiting]
 
     def needs_rest(self, outcome: Outcome) -> bool:
-        """Returns whether a key rests after such an end: the next could overtake an attempt that goes on."""
+        """Return whether a key rests after such an end: the next could overtake an attempt that goes on."""
         return outcome in _MAY_STILL_RUN
 
     def rest(self, request: RequestState, now: int) -> None:
-        """Lets the key of a request rest from a time (us) on."""
+        """Let the key of a request rest from a time (us) on."""
         self.queues[request.key].rests_until = now + self.rest_time
 
     def leave(self, request: RequestState, now: int) -> None:
-        """Takes a request out if it is finished, whether its turn had come or not."""
+        """Take a request out if it is finished, whether its turn had come or not."""
         queue = self.queues.get(request.key) if request.is_finished else None
         if queue and queue.current is request:
             queue.current = None
@@ -71,7 +71,7 @@
             queue.waiting.pop(request, None)
 
     def timer_fired(self, now: int) -> None:
-        """Ends the rests that are over at a time (us)."""
+        """End the rests that are over at a time (us)."""
         while self.rests and self.rests[0][0] <= now:
             key = heappop(self.rests)[1]
             self._advance(key, self.queues[key], now)
--- a/dahliabend/policy/moving_average.py
+++ b/dahliabend/policy/moving_average.py
@@ -5,5 +5,5 @@
 
 
 def ewma(mean: float, sample: float, weight: float = NEWEST_WEIGHT) -> float:
-    """Returns a mean after one more sample; a mean of 0 has none yet, and the first stands for itself."""
+    """Return a mean after one more sample; a mean of 0 has none yet, and the first stands for itself."""
     return mean + (sample - mean) * weight if mean else sample
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -52,7 +52,7 @@
     # Classes.
 
     def must_reject_class(self, request: RequestState, now: int) -> bool:
-        """Returns whether a request is rejected at a time (us) because its class fails at every endpoint.
+        """Return whether a request is rejected at a time (us) because its class fails at every endpoint.
 
         Asked of classes that are outliers. By the class's reduction, and only where the limit is nearly
         reached: it would hold places that others need until it fails too.
@@ -65,7 +65,7 @@
     # Ejection.
 
     def eject(self, endpoint: Endpoint, now: int) -> None:
-        """Takes an endpoint out of the rotation at a time (us)."""
+        """Take an endpoint out of the rotation at a time (us)."""
         if not endpoint.is_ejected:
             endpoint.is_ejected = True
             endpoint.ejected_since = now
@@ -74,7 +74,7 @@
             self.selection.select()
 
     def restore(self, endpoint: Endpoint, now: int) -> None:
-        """Takes an endpoint back into the rotation at a time (us), without the reduction that it held."""
+        """Take an endpoint back into the rotation at a time (us), without the reduction that it held."""
         endpoint.is_ejected = False
         endpoint.silent_since = now
         endpoint.entries[-1].end_reduction()
@@ -82,7 +82,7 @@
         self.selection.select()
 
     def is_failing(self, endpoint: Endpoint) -> bool:
-        """Returns whether an endpoint's reduction makes it an outlier: the tier holds less than half of it.
+        """Return whether an endpoint's reduction makes it an outlier: the tier holds less than half of it.
 
         Where the tier fails as a whole, ejecting endpoints would leave the rest the load of all.
         """
@@ -90,7 +90,7 @@
         return reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2
 
     def is_failing_quickly(self, endpoint: Endpoint) -> bool:
-        """Returns whether an endpoint that fails quickly is an outlier before its window ends.
+        """Return whether an endpoint that fails quickly is an outlier before its window ends.
 
         Quick failures free its places, and so draw the load of all. One that was ejected and has not
         succeeded since is one at once.
@@ -102,14 +102,14 @@
         return endpoint.consecutive_failures > 0 or is_failing
 
     def is_gone(self, endpoint: Endpoint, now: int) -> bool:
-        """Returns whether an unreachable endpoint has not answered for a validity before a time (us).
+        """Return whether an unreachable endpoint has not answered for a validity before a time (us).
 
         One that has answered lately is full, not gone.
         """
         return now - endpoint.answered_at >= self.throttling.validity
 
     def is_hung(self, endpoint: Endpoint, now: int) -> bool:
-        """Returns whether an endpoint is silent at a time (us) while others answer.
+        """Return whether an endpoint is silent at a time (us) while others answer.
 
         Its attempts would only end by their time-outs. Attempts of classes that fail everywhere don't count.
         """
@@ -122,12 +122,12 @@
         return not all(class_outliers[request.class_index] for request in endpoint.in_flight)
 
     def eject_if_hung(self, endpoint: Endpoint, now: int) -> None:
-        """Ejects an endpoint if it is hung at a time (us)."""
+        """Eject an endpoint if it is hung at a time (us)."""
         if self.is_hung(endpoint, now):
             self.eject(endpoint, now)
 
     def eject_early(self, endpoint: Endpoint, now: int, outcome: Outcome, took: int, mean: float) -> None:
-        """Ejects an endpoint before its window ends, by the end of an attempt.
+        """Eject an endpoint before its window ends, by the end of an attempt.
 
         Takes how long it took and the class's mean latency (us).
         """
@@ -141,7 +141,7 @@
             self.eject(endpoint, now)
 
     def close_window(self, endpoint: Endpoint, now: int) -> None:
-        """Closes the windows of an endpoint's entries at a time (us), and ejects it if it is failing."""
+        """Close the windows of an endpoint's entries at a time (us), and ejects it if it is failing."""
         for entry in endpoint.entries:
             entry.close_window(now, MIN_SAMPLES, self.throttling.validity, self.throttling.min_validity)
         if self.is_failing(endpoint):
@@ -150,14 +150,14 @@
     # Recovery.
 
     def check_wait(self, endpoint: Endpoint) -> int:
-        """Returns how long an ejected endpoint is left alone before a health check (us).
+        """Return how long an ejected endpoint is left alone before a health check (us).
 
         Doubled by each failure: checks are load too.
         """
         return self.tick << min(endpoint.consecutive_failures, MAX_CHECK_DOUBLINGS)
 
     def trial_wait(self, endpoint: Endpoint) -> int:
-        """Returns how long an ejected endpoint is left alone before a trial request (us).
+        """Return how long an ejected endpoint is left alone before a trial request (us).
 
         Doubled by each failure: trials are clients' requests.
         """
@@ -165,7 +165,7 @@
         return max(self.throttling.validity, self.throttling.min_validity << doublings)
 
     def recover(self, endpoint: Endpoint, now: int) -> None:
-        """Goes on with the recovery of an ejected endpoint at a time (us)."""
+        """Go on with the recovery of an ejected endpoint at a time (us)."""
         waited = now - endpoint.ejected_since
         if self.settings.can_health_check:
             if waited >= self.check_wait(endpoint) and not endpoint.health_check_under_way:
@@ -179,7 +179,7 @@
             self.awaiting_trial[endpoint] = None
 
     def needs_trial(self, endpoint: Endpoint) -> bool:
-        """Returns whether a health check that succeeds is not enough to restore an endpoint.
+        """Return whether a health check that succeeds is not enough to restore an endpoint.
 
         Ejected again after it was back, it answers checks and fails requests: one request tries it first. If
         none has come by at its next check, it is back.
@@ -188,7 +188,7 @@
         return is_untried and endpoint.consecutive_failures > 1
 
     def health_check_finished(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
-        """Goes on after a health check ended so at a time (us)."""
+        """Go on after a health check ended so at a time (us)."""
         endpoint.health_check_under_way = False
         if not endpoint.is_ejected:
             return
@@ -200,7 +200,7 @@
             self.restore(endpoint, now)
 
     def trial(self, request: RequestState, now: int) -> Endpoint | None:
-        """Returns the ejected endpoint that a request tries at a time (us), None if there is none.
+        """Return the ejected endpoint that a request tries at a time (us), None if there is none.
 
         Only an idempotent request's first attempt: it can go elsewhere if the trial fails. Its class has a
         mean latency, so that it is timed out early.
@@ -217,7 +217,7 @@
         return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
 
     def learn_trial(self, endpoint: Endpoint, now: int, took: int, *, is_failed: bool) -> None:
-        """Takes an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
+        """Take an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
 
         One sent before says nothing new.
         """
@@ -225,7 +225,7 @@
             self.trial_finished(endpoint, now, is_failed=is_failed)
 
     def trial_finished(self, endpoint: Endpoint, now: int, *, is_failed: bool) -> None:
-        """Restores an endpoint after a trial at a time (us), or makes it wait for longer."""
+        """Restore an endpoint after a trial at a time (us), or makes it wait for longer."""
         endpoint.ejected_since = now
         if is_failed:
             endpoint.consecutive_failures += 1
@@ -252,7 +252,7 @@
     # Idle connections.
 
     def idle_losses(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> int:
-        """Returns as how many losses on an idle connection an attempt's end counts.
+        """Return as how many losses on an idle connection an attempt's end counts.
 
         Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
         connection swallows the request.
@@ -263,7 +263,7 @@
         return int(is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
 
     def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> None:
-        """Learns from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
+        """Learn from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
         lost = 0 if outcome is Outcome.SUCCEEDED else self.idle_losses(attempt, now, outcome, took, mean)
         if lost:
             self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_OF_FEW)
@@ -271,7 +271,7 @@
             self.throttling.add_idle_sample(lost)
 
     def must_close_idle(self, attempt: Attempt, now: int) -> bool:
-        """Returns whether stale idle connections are closed before an attempt is sent at a time (us).
+        """Return whether stale idle connections are closed before an attempt is sent at a time (us).
 
         It may be sent on one of them, and be lost.
         """
@@ -281,7 +281,7 @@
         return bool(attempt.endpoint.in_flight) or attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART
 
     def close_idle_connections(self, attempt: Attempt) -> None:
-        """Closes the connections to an attempt's endpoint that have been idle for too long."""
+        """Close the connections to an attempt's endpoint that have been idle for too long."""
         max_idle = round(self.fatal_idle_time * MIN_IDLE_PART)
         self.port.close_idle_connections(attempt.endpoint.index, max_idle)
         attempt.idle = 0  # tells nothing of idle connections any more
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -30,7 +30,7 @@
         self.start(NOT_STARTED, 0, 0.0)
 
     def start(self, started_at: int, now: int, position: float) -> None:
-        """Forgets what was known of an earlier process; `position` is the first one in the rotation."""
+        """Forget what was known of an earlier process; `position` is the first one in the rotation."""
         self.started_at = started_at
         # Reductions, by class; the last is of all classes: `Throttling`.
         self.entries = [ThrottleEntry() for _ in self.entries]
@@ -50,7 +50,7 @@
         self.health_check_under_way = False
 
     def snapshot(self, slow_start_budget: float) -> StoredEndpoint:
-        """Returns what is handed over to the decisions that follow, with their part of the budget."""
+        """Return what is handed over to the decisions that follow, with their part of the budget."""
         return StoredEndpoint(
             started_at=self.started_at,
             relative_latency=self.relative_latency,
@@ -65,7 +65,7 @@
         )
 
     def restore(self, stored: StoredEndpoint) -> None:
-        """Goes on from what was handed over."""
+        """Go on from what was handed over."""
         self.started_at = stored.started_at
         self.relative_latency = stored.relative_latency
         self.silent_since = stored.silent_since
@@ -102,7 +102,7 @@
         """The request's turn has come: sends an attempt or gives it up."""
 
     def give_up_if_late(self, request: "RequestState", now: int) -> None:
-        """Gives up a request that waits for its turn, if too little time is left for it."""
+        """Give up a request that waits for its turn, if too little time is left for it."""
 
     def attempt_ended(
         self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, took: int
@@ -113,7 +113,7 @@
         """The answer of an attempt streams to the client."""
 
     def body_received(self, request: "RequestState", now: int, deadline: int) -> int:
-        """The attempt in flight has the last byte of the body. Returns its time-out (us)."""
+        """The attempt in flight has the last byte of the body. Return its time-out (us)."""
 
     def hedge_timer_fired(self, request: "RequestState", now: int) -> None:
         """The attempt in flight is slow."""
@@ -172,7 +172,7 @@
         return self.is_answered and not self.in_flight
 
     def first_possibly_executed(self) -> Attempt | None:
-        """Returns the first attempt that may have executed, None if there is none."""
+        """Return the first attempt that may have executed, None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_executed), None)
 
     # What the balancer records here.
@@ -195,7 +195,7 @@
     def attempt_finished(
         self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
     ) -> None:
-        """Reports how an attempt ended; another is sent where one may follow."""
+        """Report how an attempt ended; another is sent where one may follow."""
         attempt = self.attempts[number]
         if self.is_answered:
             attempt.idle = 0  # cancelled here: it tells nothing of its connection
@@ -207,25 +207,25 @@
         self.balancer.attempt_ended(self, attempt, now, outcome, took)
 
     def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - the handle has it
-        """Reports a streamed response: the client has a part of it, so the attempt is not cancelled."""
+        """Report a streamed response: the client has a part of it, so the attempt is not cancelled."""
         self.is_streaming = True
         self.balancer.response_started(self, self.attempts[number])
 
     def body_consumed(self) -> None:
-        """Reports that a part of the body is gone, so that nothing whole is left to send again."""
+        """Report that a part of the body is gone, so that nothing whole is left to send again."""
         self.is_body_consumed = True
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Reports that the attempt in flight has the last byte: it begins now. Returns its time-out (us)."""
+        """Report that the attempt in flight has the last byte: it begins now. Return its time-out (us)."""
         self.body_pending = False
         self.attempts[-1].sent_at = now  # whatever the sending took
         return self.balancer.body_received(self, now, deadline)
 
     def hedge_timer_fired(self, now: int) -> None:
-        """Reports that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
+        """Report that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
         self.balancer.hedge_timer_fired(self, now)
 
     def client_disconnected(self, now: int) -> None:
-        """Reports that nobody waits for an answer any more."""
+        """Report that nobody waits for an answer any more."""
         self.is_answered = True
         self.balancer.client_disconnected(self, now)
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -9,7 +9,7 @@
 
 
 def may_attempt(request: RequestState, now: int) -> bool:
-    """Returns whether a request may be sent at a time (us), beside no other attempt of it.
+    """Return whether a request may be sent at a time (us), beside no other attempt of it.
 
     After attempts that may have executed, only an idempotent request may run again, or one whose repeats the
     endpoints still drop: any other would take effect twice.
@@ -28,7 +28,7 @@
 
 
 def is_retryable(request: RequestState) -> bool:
-    """Returns whether a request could be sent once more even if its attempt in flight has executed.
+    """Return whether a request could be sent once more even if its attempt in flight has executed.
 
     Only then is it worth giving that attempt less than all the time that is left.
     """
@@ -37,7 +37,7 @@
 
 
 def is_retryable_by_client(request: RequestState) -> bool:
-    """Returns whether the client may send a request again, through any balancer and to any endpoint.
+    """Return whether the client may send a request again, through any balancer and to any endpoint.
 
     Told so wrongly, it would cause an effect twice.
     """
@@ -63,11 +63,11 @@
         self.earned = settings.retry_budget_ratio
 
     def has_budget(self) -> bool:
-        """Returns whether the budget pays for a retry: unpaid, retries multiply across tiers."""
+        """Return whether the budget pays for a retry: unpaid, retries multiply across tiers."""
         return self.budget >= RETRY_COST
 
     def may_retry(self, outcome: Outcome) -> bool:
-        """Returns whether another attempt may follow one that ended so.
+        """Return whether another attempt may follow one that ended so.
 
         What provably did not execute costs nothing. What was not sent failed here, and would fail here again.
         """
@@ -76,7 +76,7 @@
         return outcome.proves_not_executed or self.has_budget()
 
     def may_hedge(self, request: RequestState, now: int) -> bool:
-        """Returns whether a slow attempt may get a hedge beside it at a time (us).
+        """Return whether a slow attempt may get a hedge beside it at a time (us).
 
         One hedge at most, paid for like a retry: in an overload all attempts are slow.
         """
@@ -85,20 +85,20 @@
         return is_open and request.in_flight == 1 and has_attempts_left and self.has_budget()
 
     def earn(self) -> None:
-        """Adds the part of a retry that a first attempt earns."""
+        """Add the part of a retry that a first attempt earns."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + self.earned)
 
     def pay_for_retry(self, outcome: Outcome) -> None:
-        """Takes a retry after an attempt that ended so from the budget, if that may have executed."""
+        """Take a retry after an attempt that ended so from the budget, if that may have executed."""
         self.budget -= not outcome.proves_not_executed
 
     def pay_for_hedge(self) -> None:
-        """Takes a hedge from the budget."""
+        """Take a hedge from the budget."""
         self.budget -= RETRY_COST
 
 
 def cancellable_attempts(request: RequestState) -> range:
-    """Returns the places of the attempts that may be in flight: the newest, and the one that it hedges.
+    """Return the places of the attempts that may be in flight: the newest, and the one that it hedges.
 
     None while the answer streams: the client has a part of it.
     """
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -10,7 +10,7 @@
 
 
 def is_late(request_class: RequestClass, took: int) -> bool:
-    """Returns whether an attempt that took so long (us) left its request little of the latency objective.
+    """Return whether an attempt that took so long (us) left its request little of the latency objective.
 
     In an overload a late attempt counts as failed: else the reductions would wait until deadlines are missed.
     """
@@ -27,14 +27,14 @@
         self.concurrency = concurrency
 
     def tells_of_load(self, endpoint: Endpoint, now: int, outcome: Outcome, took: int) -> bool:
-        """Returns whether the time that an attempt took (us), which ended now, counts for the limit.
+        """Return whether the time that an attempt took (us), which ended now, counts for the limit.
 
         Not if its endpoint has not answered since it was sent: one silent endpoint is hardly an overload.
         """
         return outcome in _TIMED and endpoint.silent_since > now - took
 
     def learn(self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, took: int) -> None:
-        """Takes the end of an attempt, which took so long (us), into the limit and the scopes."""
+        """Take the end of an attempt, which took so long (us), into the limit and the scopes."""
         request_class = request.request_class
         if self.tells_of_load(endpoint, now, outcome, took):
             ratio = took / request_class.latency_objective
@@ -50,7 +50,7 @@
             self.throttling.add_tier_sample(is_failed=is_failed and self.is_tier_failure(outcome))
 
     def is_tier_failure(self, outcome: Outcome) -> bool:
-        """Returns whether a failure counts for the tier: a rejection does, any other only in an overload.
+        """Return whether a failure counts for the tier: a rejection does, any other only in an overload.
 
         An endpoint's own fault is no reason to reject requests that others could serve.
         """
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -18,7 +18,7 @@
 
 
 def is_deduplicated_at(request: RequestState, endpoint: Endpoint, first: Attempt) -> bool:
-    """Returns whether an endpoint drops repeats of an attempt that may have executed.
+    """Return whether an endpoint drops repeats of an attempt that may have executed.
 
     Sent outside the scope, a repeat takes effect a second time.
     """
@@ -29,7 +29,7 @@
 
 
 def permitted_endpoints(request: RequestState, endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Returns those to which a request may go: where repeats are dropped, if it may have executed.
+    """Return those to which a request may go: where repeats are dropped, if it may have executed.
 
     Elsewhere a repeat would take effect a second time.
     """
@@ -42,7 +42,7 @@
 
 
 def available_endpoints(pool: list[Endpoint]) -> tuple[list[Endpoint], float]:
-    """Returns those of a pool that are not ejected, and their load limit.
+    """Return those of a pool that are not ejected, and their load limit.
 
     The limit is their mean of attempts in flight by weight; above it an endpoint is skipped. Round robin
     alone would queue requests at an endpoint that has become slow.
@@ -95,7 +95,7 @@
     # The list.
 
     def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
-        """Takes over a list of endpoints, or (not `full`) changes of it."""
+        """Take over a list of endpoints, or (not `full`) changes of it."""
         gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         if full:
             gone |= self.endpoints.keys() - {row[0] for row in rows}
@@ -129,7 +129,7 @@
             endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
 
     def remove_unlisted(self, now: int) -> None:
-        """Removes what no list names and has not answered for as long as a start takes.
+        """Remove what no list names and has not answered for as long as a start takes.
 
         Takes the time (us). Kept for longer, an endpoint that is really gone would go on getting requests.
         """
@@ -156,18 +156,18 @@
         self.select()
 
     def endpoints_each(self) -> float:
-        """Returns how many ready endpoints there are for each balancer."""
+        """Return how many ready endpoints there are for each balancer."""
         return len(self.ready) / self.instance_count
 
     def initial_subset_size(self) -> int:
-        """Returns the first size of the subset: all, unless there are more balancers than endpoints.
+        """Return the first size of the subset: all, unless there are more balancers than endpoints.
 
         With more, the connections of an endpoint would not suffice for all balancers at once.
         """
         return max(MIN_SUBSET, self.max_ready if self.max_ready >= self.instance_count else 0)
 
     def resize_subset(self) -> None:
-        """Fits the subset to the rate of attempts: all, or as many as reach their floor within a validity.
+        """Fit the subset to the rate of attempts: all, or as many as reach their floor within a validity.
 
         Spread over more endpoints, the few attempts of one balancer would tell nothing of any of them.
         """
@@ -180,7 +180,7 @@
             self.select()
 
     def select(self) -> None:
-        """Selects the highest ranks that are not ejected, on each side of a zone border that costs."""
+        """Select the highest ranks that are not ejected, on each side of a zone border that costs."""
         size = self.subset_size if self.settings.instance_index >= 0 else None
         zone = self.settings.zone
         cost = self.settings.cross_zone_cost
@@ -191,7 +191,7 @@
     # The choice.
 
     def choose(self, request: RequestState, now: int, *, unthrottled: bool = False) -> Endpoint | None:
-        """Returns the endpoint for a request's next attempt at a time (us), None if there is none.
+        """Return the endpoint for a request's next attempt at a time (us), None if there is none.
 
         One that the request has not tried and that is not above the mean load, out of the subsets by
         preference; then out of all that are ready; then any that is ready, rather than none. `unthrottled`:
@@ -216,7 +216,7 @@
         return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, avoiding_for)
 
     def prefers_cross_zone(self, now: int) -> bool:
-        """Returns whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
+        """Return whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
 
         An overloaded zone would fail while the other has capacity; without a reduction crossing only costs.
         """
@@ -250,7 +250,7 @@
         return best
 
     def is_known_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
-        """Returns whether an endpoint has been heard of and holds no reduction for a request at a time (us).
+        """Return whether an endpoint has been heard of and holds no reduction for a request at a time (us).
 
         One not heard of yet may be as much at fault as the one that is avoided.
         """
@@ -258,11 +258,11 @@
         return endpoint.entries[-1].valid_until > 0 and not governing.valid_reduction(now)
 
     def has_warm_endpoint(self, now: int) -> bool:
-        """Returns whether any ready endpoint has started long enough before a time (us)."""
+        """Return whether any ready endpoint has started long enough before a time (us)."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
     def learn_latency(self, endpoint: Endpoint, outcome: Outcome, took: int, mean_latency: float) -> None:
-        """Learns an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
+        """Learn an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
         if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
             ratio = min(took / mean_latency, MAX_LATENCY_RATIO)
             endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_OF_FEW)
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -22,7 +22,7 @@
         self.sent = 0
 
     def warm_share(self, endpoint: Endpoint, now: int, max_ready: int) -> float:
-        """Returns the share of its capacity that an endpoint may get at a time (us); 0: its budget is spent.
+        """Return the share of its capacity that an endpoint may get at a time (us); 0: its budget is spent.
 
         `max_ready` is how many endpoints share the rate of attempts. A process that has just started fails
         under the load that it carries later.
@@ -40,12 +40,12 @@
         return warm if endpoint.slow_start_budget >= 1 else 0.0
 
     def spend(self, endpoint: Endpoint) -> None:
-        """Takes one attempt from an endpoint's budget, and counts it in the window."""
+        """Take one attempt from an endpoint's budget, and counts it in the window."""
         endpoint.slow_start_budget -= 1
         self.sent += 1
 
     def hand_over_budget(self, endpoint: Endpoint, *, ends: bool) -> float:
-        """Returns what the decisions that follow may spend: all if these end (`ends`), else half.
+        """Return what the decisions that follow may spend: all if these end (`ends`), else half.
 
         An endpoint has one budget: spent twice, it would be overrun at each reload.
         """
@@ -57,7 +57,7 @@
         return budget
 
     def close_window(self, new_requests: int, *, has_warm_endpoint: bool) -> None:
-        """Takes the window's rate into the mean rate.
+        """Take the window's rate into the mean rate.
 
         Where all endpoints are warming up, the clients' new requests stand for the attempts: of these only
         few are sent, and a rate by them would never rise.
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -40,22 +40,22 @@
         self.failed = 0.0
 
     def valid_reduction(self, now: int) -> float:
-        """Returns the share of requests not to be sent at a time (us); 0 once the reduction has lapsed."""
+        """Return the share of requests not to be sent at a time (us); 0 once the reduction has lapsed."""
         return self.reduction if now < self.valid_until else 0.0
 
     def add(self, failed: float, sampled: int = 1) -> None:
-        """Counts attempts in the open window, and how many of them failed."""
+        """Count attempts in the open window, and how many of them failed."""
         self.sampled += sampled
         self.failed += failed
 
     def end_reduction(self) -> None:
-        """Ends the reduction before its validity: the scope is known to have recovered."""
+        """End the reduction before its validity: the scope is known to have recovered."""
         self.reduction = 0.0
 
     def close_window(
         self, now: int, floor: int, validity: int, min_validity: int, *, adds: bool = False
     ) -> None:
-        """Renews or replaces the reduction by the window's share of failures, and opens the next window.
+        """Renew or replaces the reduction by the window's share of failures, and opens the next window.
 
         A window below the floor stays open until the validity has passed: a quiet balancer reaches the floor
         later, not never.
@@ -110,7 +110,7 @@
         self.class_outliers = [False] * class_count
 
     def open(self, now: int) -> None:
-        """Opens the tier's first window at a time (us): before, there is nothing that could be sampled."""
+        """Open the tier's first window at a time (us): before, there is nothing that could be sampled."""
         self.tier.opened_at = now
 
     def governing(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
@@ -128,42 +128,42 @@
         return self.tier
 
     def tier_floor(self, elapsed: int) -> int:
-        """Returns how many samples of the tier are enough after so long (us).
+        """Return how many samples of the tier are enough after so long (us).
 
         An overload would not wait for all of them: half are enough once a validity has passed.
         """
         return MIN_TIER_SAMPLES if elapsed < self.min_validity else MIN_TIER_SAMPLES // 2
 
     def add_class_sample(self, class_index: int, outcome: Outcome) -> None:
-        """Counts the end of an attempt in its class; a rejection is the tier's doing, not the class's."""
+        """Count the end of an attempt in its class; a rejection is the tier's doing, not the class's."""
         entry = self.classes[class_index]
         entry.sampled += 1
         entry.failed += outcome is not Outcome.SUCCEEDED and not outcome.proves_not_executed
 
     def add_endpoint_sample(self, entries: list[ThrottleEntry], class_index: int, *, is_failed: bool) -> None:
-        """Counts the end of an attempt in its endpoint's two scopes: with the class, and of all classes."""
+        """Count the end of an attempt in its endpoint's two scopes: with the class, and of all classes."""
         for entry in (entries[class_index], entries[-1]):
             entry.sampled += 1
             entry.failed += is_failed
 
     def add_zone_sample(self, cost: float, *, is_failed: bool) -> None:
-        """Counts the end of an attempt in the own zone.
+        """Count the end of an attempt in the own zone.
 
         The cost of crossing (in answers) is set against it: a zone is left only where staying loses more.
         """
         self.same_zone.add(is_failed - cost * EASING_FACTOR)
 
     def add_tier_sample(self, *, is_failed: bool) -> None:
-        """Counts the end of an attempt in the tier."""
+        """Count the end of an attempt in the tier."""
         self.tier.sampled += 1
         self.tier.failed += is_failed
 
     def add_idle_sample(self, lost: int) -> None:
-        """Counts a request on a connection that was idle: 0 if it was answered, else as how many losses."""
+        """Count a request on a connection that was idle: 0 if it was answered, else as how many losses."""
         self.idle_connections.add(lost, lost or 1)
 
     def close_windows(self, now: int) -> None:
-        """Closes the windows of these scopes at a time (us), and finds the classes that are outliers."""
+        """Close the windows of these scopes at a time (us), and finds the classes that are outliers."""
         linger = LINGER_VALIDITIES * self.validity
         self.tier.close_window(
             now, self.tier_floor(now - self.tier.opened_at), self.validity, self.min_validity
@@ -175,7 +175,7 @@
         self.class_outliers = self.find_class_outliers(now)
 
     def find_class_outliers(self, now: int) -> list[bool]:
-        """Returns, by class, whether it fails at every endpoint at a time (us) while another class does not.
+        """Return, by class, whether it fails at every endpoint at a time (us) while another class does not.
 
         Counted against endpoints and the tier, such a class would eject endpoints that are well.
         """
@@ -186,7 +186,7 @@
         return [has_clean and entry.valid_reduction(now) >= min_reduction for entry in self.classes]
 
     def set_validity(self, send_rate: float) -> None:
-        """Makes entries valid for as long as the tier's floor takes at this rate (attempts a microsecond).
+        """Make entries valid for as long as the tier's floor takes at this rate (attempts a microsecond).
 
         At a low rate the reductions of a shorter validity would lapse before a window could renew them.
         """
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -47,7 +47,7 @@
         place
         for place, node in functions().items()
         if place.partition(".")[0] not in WITHOUT_RULES
-        and (ast.get_docstring(node) or "").startswith("Returns whether")
+        and (ast.get_docstring(node) or "").startswith("Return whether")
     }
     assert len(questions) > 20
     assert questions - named_places() == set()
