--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -41,10 +41,10 @@
     @property
     def proves_not_executed(self) -> bool:
         """Whether the endpoint can't have run the request."""
-        return self in _NOT_EXECUTED
+        return self in _UNEXECUTED_OUTCOMES
 
 
-_NOT_EXECUTED = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # a tuple: found by identity
+_UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # a tuple: found by identity
 
 
 class EndpointState(IntEnum):
@@ -99,14 +99,14 @@
     """What one balancer hands over; the stored keys are older than the names here.
 
     Attributes:
-        shape: Settings that the limit depends on: it fits only where they are the same.
+        limit_settings: Settings that the limit depends on: it fits only where they are the same.
         mean_latencies: By request class (us).
         fatal_idle_time: How long connections had been idle that swallowed a request (us).
         endpoints: By index.
         limit: The concurrency limit.
     """
 
-    shape: list[int]
+    limit_settings: list[int] = field(name="shape")
     mean_latencies: list[int | float] = field(name="usual")
     fatal_idle_time: int | float = field(name="gap")
     endpoints: dict[int, StoredEndpoint] = field(name="upstreams")
@@ -122,7 +122,7 @@
     weight: float
     cell: int
     zone: int
-    identity: bytes  # its id as listed, the same at every balancer
+    endpoint_id: bytes  # its id as listed, the same at every balancer
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +223,7 @@
         """Whether the request is answered, or nobody waits for it, and none of its attempts is in flight."""
 
     def attempt_finished(
-        self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
+        self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
     ) -> None:
         """Report how an attempt ended; another is sent where one may follow.
 
@@ -231,7 +231,7 @@
             now: The time.
             number: The place of the attempt among those of the request.
             outcome: How it ended.
-            took: How long it took.
+            duration: How long it took.
             complete: Whether the client has its answer.
             idle: How long its connection had been idle before, where the driver can tell.
         """
@@ -252,7 +252,7 @@
         """Report that nobody waits for an answer any more."""
 
 
-class Decisions(Protocol):
+class BalancerEvents(Protocol):
     """The events of `policy.balancer.Balancer`, all on one thread; it acts through its `Port`."""
 
     def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
@@ -290,5 +290,5 @@
     def snapshot(self, ends: bool) -> Snapshot:
         """Return what is known; `ends`: this balancer admits nothing more."""
 
-    def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
+    def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
         """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -20,9 +20,9 @@
     class of little weight would be that one.
     """
     overall = settings.overall_weight
-    bias = overall / ((overall + settings.worst_class_weight) or 1.0)
-    top = max(each.priority_weight for each in settings.request_classes) or 1.0
-    return [1 - bias * (1 - each.priority_weight / top) for each in settings.request_classes]
+    weight_effect = overall / ((overall + settings.worst_class_weight) or 1.0)
+    max_weight = max(each.priority_weight for each in settings.request_classes) or 1.0
+    return [1 - weight_effect * (1 - each.priority_weight / max_weight) for each in settings.request_classes]
 
 
 class Admission:
@@ -75,8 +75,8 @@
         A token bucket of one window: beyond it, one tenant's burst would cost all the others.
         """
         quota = self.quotas[tenant]
-        tokens, then = self.tokens[tenant]
-        tokens = min(max(1.0, quota * self.throttling.window), tokens + quota * (now - then))
+        tokens, filled_at = self.tokens[tenant]
+        tokens = min(max(1.0, quota * self.throttling.window), tokens + quota * (now - filled_at))
         is_within = tokens >= 1
         self.tokens[tenant] = (tokens - is_within, now)
         return is_within
@@ -89,15 +89,15 @@
         """
         return not request.body_pending and self.deadlines.can_wait(request, now, wait)
 
-    def place_under_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
+    def apply_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
         """Return where a request goes at a time (us), of the endpoint chosen and the reductions held.
 
         With the probability of the endpoint's valid reduction it goes to an endpoint known to hold none.
         Where no other is free of reductions, none is at fault alone, and the tier's decides; None: rejected.
         """
-        governing = self.throttling.governing(endpoint.entries, request.class_index, now)
-        if governing is not self.throttling.tier:
-            if self.random() >= governing.valid_reduction(now):
+        governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
+        if governing_entry is not self.throttling.tier:
+            if self.random() >= governing_entry.valid_reduction(now):
                 return endpoint
             unthrottled = self.selection.choose(request, now, unthrottled=True)
             if unthrottled is not None:
@@ -115,8 +115,8 @@
         reduction = self.throttling.tier.valid_reduction(now)
         if not reduction:
             return False
-        excess = 1 + self.concurrency.mean_priority - request.priority
-        return self.random() < reduction * excess
+        priority_factor = 1 + self.concurrency.mean_priority - request.priority
+        return self.random() < reduction * priority_factor
 
     def take_new_requests(self) -> int:
         """Return how many requests have come in the window that no client repeats, and begins the next."""
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -21,11 +21,11 @@
 TICKS_PER_LATENCY_OBJECTIVE = 4  # of the class with the shortest one
 MIN_TICK = 1000  # microseconds
 POLL_BACKOFFS_PER_DEADLINE = 8  # an endpoint poll that failed is repeated after such a part at the most
-_TELLS_NOTHING = (Outcome.CANCELLED, Outcome.NOT_SENT)  # of the endpoint
+_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # of the endpoint
 
 
 class Balancer:
-    """The events (`model.Decisions`), passed to the parts, whose public fields drivers may read."""
+    """The events (`model.BalancerEvents`), passed to the parts, whose public fields drivers may read."""
 
     def __init__(self, settings: Settings, port: Port, seed: int) -> None:
         self.settings = settings
@@ -46,7 +46,7 @@
         )
         self.outliers = OutlierDetector(settings, port, self.random, self.selection, self.deadlines)
         self.admission = Admission(settings, self.random, self.selection, self.deadlines)
-        self.shape = [settings.instance_count, settings.tier, self.throttling.window]
+        self.limit_settings = [settings.instance_count, settings.tier, self.throttling.window]
         self.is_started = False
         backoff = settings.poll_deadline // POLL_BACKOFFS_PER_DEADLINE
         self.poll_backoff = backoff if settings.polls_endpoints else 0  # microseconds
@@ -101,12 +101,12 @@
             request.balancer.give_up_if_late(request, now)
         for endpoint in self.selection.ready:
             if endpoint.is_ejected:
-                self.outliers.recover(endpoint, now)
+                self.outliers.advance_recovery(endpoint, now)
                 continue
             self.outliers.eject_if_hung(endpoint, now)
             if endpoint.is_ejected:
                 self._cancel_late_attempts(endpoint, now)
-        self.concurrency.tick(now, self.selection.endpoints_each())
+        self.concurrency.tick(now, self.selection.endpoints_per_instance())
         if self.concurrency.ticks % WINDOW_TICKS == 0:
             self.close_windows(now)
 
@@ -126,7 +126,7 @@
     def snapshot(self, ends: bool) -> Snapshot:
         """Return what is known; `ends`: this balancer admits nothing more."""
         return Snapshot(
-            shape=self.shape,
+            limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
             fatal_idle_time=self.outliers.fatal_idle_time,
             endpoints={
@@ -136,15 +136,15 @@
             limit=self.concurrency.snapshot(),
         )
 
-    def restore(self, known: Snapshot, same_classes: list[tuple[int, int]]) -> int:
+    def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
         """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
-        for index, former in same_classes:
-            self.deadlines.mean_latencies[index] = known.mean_latencies[former]
-        self.outliers.fatal_idle_time = known.fatal_idle_time
-        if known.shape == self.shape:  # the limit would grow anew from its start
-            self.concurrency.restore(known.limit)
+        for index, former in class_pairs:
+            self.deadlines.mean_latencies[index] = snapshot.mean_latencies[former]
+        self.outliers.fatal_idle_time = snapshot.fatal_idle_time
+        if snapshot.limit_settings == self.limit_settings:  # the limit would grow anew from its start
+            self.concurrency.restore(snapshot.limit)
         restored = 0
-        for index, stored in known.endpoints.items():
+        for index, stored in snapshot.endpoints.items():
             endpoint = self.selection.endpoints.get(index)
             if endpoint is not None and endpoint.started_at == stored.started_at:  # the same process still
                 endpoint.restore(stored)
@@ -158,7 +158,7 @@
         self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
-        """Send a request, queues it behind others of its key, or rejects it (`model.Decisions`)."""
+        """Send a request, queues it behind others of its key, or rejects it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
         key = key if request_class.is_ordered else 0
         priority = self.admission.priorities[class_index]
@@ -193,21 +193,21 @@
         if is_class_outlier and self.outliers.must_reject_class(request, now):
             self.give_up(request)
             return
-        endpoint = self.outliers.trial(request, now) if self.outliers.awaiting_trial else None
+        endpoint = self.outliers.choose_trial_endpoint(request, now) if self.outliers.awaiting_trial else None
         endpoint = endpoint or self.selection.choose(request, now)
         if endpoint is not None and is_first:
-            endpoint = self.admission.place_under_reductions(request, endpoint, now)
+            endpoint = self.admission.apply_reductions(request, endpoint, now)
         if endpoint is None:
             self.give_up(request)
             return
         if is_first:
-            self.retries.earn()
+            self.retries.deposit()
         self._start_attempt(request, endpoint, now)
 
     def _start_attempt(self, request: RequestState, endpoint: Endpoint, now: int) -> None:
         self.slow_start.spend(endpoint)
         attempt = Attempt(endpoint, now)
-        if self.outliers.must_close_idle(attempt, now):
+        if self.outliers.should_close_idle_connections(attempt, now):
             self.outliers.close_idle_connections(attempt)
         if not request.body_pending:  # nothing runs there before the last byte
             self.outliers.attempt_began(attempt)
@@ -230,22 +230,22 @@
         """The attempt in flight is slow."""
         endpoint = self.selection.choose(request, now) if self.retries.may_hedge(request, now) else None
         if endpoint is not None and all(attempt.endpoint is not endpoint for attempt in request.attempts):
-            self.retries.pay_for_hedge()
+            self.retries.withdraw_for_hedge()
             request.mark_hedged()
             self._start_attempt(request, endpoint, now)
 
     # Its end.
 
     def attempt_ended(
-        self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, took: int
+        self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
         """An attempt has ended: learns from it, and goes on with the request."""
         if attempt.idle:
             mean_latency = self.deadlines.mean_latencies[request.class_index]
-            self.outliers.learn_idle(attempt, now, outcome, took, mean_latency)
+            self.outliers.record_idle_outcome(attempt, now, outcome, duration, mean_latency)
         if request.key and self.key_queues.needs_rest(outcome):
             self.key_queues.rest(request, now)
-        self._learn(request, attempt.endpoint, now, outcome, took)
+        self._record_outcome(request, attempt.endpoint, now, outcome, duration)
         if not request.is_answered and not request.in_flight:
             self._retry(request, now, outcome)
         elif request.is_answered and request.in_flight:
@@ -253,8 +253,8 @@
         if request.key:
             self.key_queues.leave(request, now)
 
-    def _learn(
-        self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, took: int
+    def _record_outcome(
+        self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, duration: int
     ) -> None:
         """What the end of an attempt tells the parts, in the order in which it happens."""
         index = request.class_index
@@ -262,27 +262,27 @@
         is_failed = outcome is not Outcome.SUCCEEDED
         self.concurrency.attempt_ended(request, endpoint)
         self.outliers.attempt_ended(endpoint, now, outcome)
-        if outcome in _TELLS_NOTHING:
+        if outcome in _UNINFORMATIVE_OUTCOMES:
             return
-        self.selection.learn_latency(endpoint, outcome, took, mean_latency)
+        self.selection.record_latency(endpoint, outcome, duration, mean_latency)
         if not is_failed:
-            self.deadlines.learn_latency(index, took)
-            self.concurrency.learn_success(took)
+            self.deadlines.record_latency(index, duration)
+            self.concurrency.record_success(duration)
         self.throttling.add_class_sample(index, outcome)
         is_class_outlier = self.throttling.class_outliers[index]
         if endpoint.is_ejected and not (is_failed and is_class_outlier):
-            self.outliers.learn_trial(endpoint, now, took, is_failed=is_failed)
+            self.outliers.record_trial_result(endpoint, now, duration, is_failed=is_failed)
         if is_class_outlier:  # no endpoint's fault, and no overload
             return
-        self.sampling.learn(request, endpoint, now, outcome, took)
+        self.sampling.record_outcome(request, endpoint, now, outcome, duration)
         if is_failed:
-            self.outliers.eject_early(endpoint, now, outcome, took, mean_latency)
+            self.outliers.eject_early(endpoint, now, outcome, duration, mean_latency)
 
     def _retry(self, request: RequestState, now: int, outcome: Outcome) -> None:
         if not self.retries.may_retry(outcome):
             self.give_up(request)
             return
-        self.retries.pay_for_retry(outcome)
+        self.retries.withdraw_for_retry(outcome)
         self.send(request, now)
 
     def give_up(self, request: RequestState, wait: int = 0) -> None:
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -5,17 +5,19 @@
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.throttling import MIN_TIER_SAMPLES, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
 
-INITIAL_LIMIT = 5  # attempts in flight an endpoint, all balancers together
-MIN_LIMIT = 4  # attempts in flight an endpoint, all balancers together
-LATENCY_TARGET = 1 / 3  # mean latency by objective: a higher one is an overload; kept between the next two
-MIN_TARGET = 4 / 3  # of the lowest mean latency by objective seen
-MAX_TARGET = 3  # of the lowest mean latency by objective seen
-INITIAL_GROWTH = 3 / 2  # the most by which an adjustment raises the limit, in the first validity
-GROWTH = 5 / 4  # the most by which an adjustment raises the limit, afterwards
-DECREASE = 1 / 2  # the most by which an adjustment lowers the limit
-FORGETTING = 1 / 1024  # by which the lowest latency ratio seen creeps up at each adjustment
-SLOW_ENDPOINT = 3 / 2  # relative latency: the most by which a slow endpoint's attempts tell less
-EQUAL_SHARE = 3 / 5  # of the limit, whatever the priority; above it higher priorities go first
+INITIAL_LIMIT_PER_ENDPOINT = 5  # attempts in flight an endpoint, all balancers together
+MIN_LIMIT_PER_ENDPOINT = 4  # attempts in flight an endpoint, all balancers together
+BASE_LATENCY_TARGET = (
+    1 / 3
+)  # mean latency by objective: a higher one is an overload; kept between the next two
+MIN_TARGET_FACTOR = 4 / 3  # of the lowest mean latency by objective seen
+MAX_TARGET_FACTOR = 3  # of the lowest mean latency by objective seen
+MAX_INITIAL_GROWTH_FACTOR = 3 / 2  # the most by which an adjustment raises the limit, in the first validity
+MAX_GROWTH_FACTOR = 5 / 4  # the most by which an adjustment raises the limit, afterwards
+MIN_DECREASE_FACTOR = 1 / 2  # the most by which an adjustment lowers the limit
+MIN_RATIO_DRIFT = 1 / 1024  # by which the lowest latency ratio seen creeps up at each adjustment
+MAX_SLOWNESS_DISCOUNT = 3 / 2  # relative latency: the most by which a slow endpoint's attempts tell less
+ALL_PRIORITIES_SHARE = 3 / 5  # of the limit, whatever the priority; above it higher priorities go first
 
 
 class ConcurrencyLimit:
@@ -64,7 +66,7 @@
         Endpoints beyond their capacity slow down all requests before they reject any.
         """
         self.mean_priority = ewma(self.mean_priority, priority)
-        limit = self.limit * (EQUAL_SHARE + (1 - EQUAL_SHARE) * priority)
+        limit = self.limit * (ALL_PRIORITIES_SHARE + (1 - ALL_PRIORITIES_SHARE) * priority)
         in_flight = self.in_flight + self.in_flight_elsewhere
         self.mean_in_flight = ewma(self.mean_in_flight, in_flight)
         # One of many balancers exceeds its part by chance while the others are below theirs.
@@ -77,17 +79,17 @@
 
         Below it there are places for all, and nothing is gained by rejecting any.
         """
-        return self.in_flight >= EQUAL_SHARE * self.limit
+        return self.in_flight >= ALL_PRIORITIES_SHARE * self.limit
 
-    def is_due(self, now: int) -> bool:
+    def is_adjustment_due(self, now: int) -> bool:
         """Return whether the limit is to be adjusted at a time (us).
 
         A change shows only after a latency or two; adjusted sooner, the limit would swing.
         """
         elapsed = now - self.adjusted_at
-        enough = self.throttling.tier_floor(elapsed) if self.adjusted_at else MIN_TIER_SAMPLES
-        pause = max(self.throttling.window // 2, 2 * self.mean_latency)
-        return self.succeeded >= enough and elapsed >= pause
+        min_successes = self.throttling.min_tier_samples(elapsed) if self.adjusted_at else MIN_TIER_SAMPLES
+        min_interval = max(self.throttling.window // 2, 2 * self.mean_latency)
+        return self.succeeded >= min_successes and elapsed >= min_interval
 
     def latency_target(self) -> float:
         """Return the latency by objective above which there is an overload.
@@ -96,43 +98,55 @@
         slow ones are not merely for being slow.
         """
         lowest = self.min_latency_ratio
-        return max(min(LATENCY_TARGET, MAX_TARGET * lowest), MIN_TARGET * lowest)
+        return max(min(BASE_LATENCY_TARGET, MAX_TARGET_FACTOR * lowest), MIN_TARGET_FACTOR * lowest)
 
-    def adjust(self, now: int, endpoints_each: float) -> None:
+    def adjust(self, now: int, endpoints_per_instance: float) -> None:
         """Lower the limit in an overload; raises it where it was reached without one.
 
         Takes the time (us) and the number of ready endpoints for each balancer, which bounds the limit below.
         """
-        crept = self.min_latency_ratio * (1 + FORGETTING)
-        self.min_latency_ratio = min(self.latency_ratio, crept) if crept else self.latency_ratio
-        change = self.latency_target() / self.latency_ratio
-        self.is_overloaded = change < 1
+        drifted_minimum = self.min_latency_ratio * (1 + MIN_RATIO_DRIFT)
+        self.min_latency_ratio = (
+            min(self.latency_ratio, drifted_minimum) if drifted_minimum else self.latency_ratio
+        )
+        factor = self.latency_target() / self.latency_ratio
+        self.is_overloaded = factor < 1
         if self.is_overloaded:
-            self.limit = max(DECREASE, change) * min(self.limit, max(self.in_flight, self.mean_in_flight))
+            self.limit = max(MIN_DECREASE_FACTOR, factor) * min(
+                self.limit, max(self.in_flight, self.mean_in_flight)
+            )
         else:
             all_in_flight = self.in_flight + self.in_flight_elsewhere
             self.sustained_in_flight = ewma(self.sustained_in_flight, all_in_flight)
-            is_new = self.ticks <= WINDOW_TICKS * VALIDITY_WINDOWS
-            self.limit *= min(INITIAL_GROWTH if is_new else GROWTH, change) if self.has_rejected else 1.0
-        self.limit = max(self.limit, MIN_LIMIT * endpoints_each, self.sustained_in_flight / 2)
+            is_first_validity = self.ticks <= WINDOW_TICKS * VALIDITY_WINDOWS
+            self.limit *= (
+                min(MAX_INITIAL_GROWTH_FACTOR if is_first_validity else MAX_GROWTH_FACTOR, factor)
+                if self.has_rejected
+                else 1.0
+            )
+        self.limit = max(
+            self.limit, MIN_LIMIT_PER_ENDPOINT * endpoints_per_instance, self.sustained_in_flight / 2
+        )
         self.succeeded = 0
         self.has_rejected = False
         self.adjusted_at = now
 
     # What happens.
 
-    def start(self, endpoints_each: float) -> None:
+    def start(self, endpoints_per_instance: float) -> None:
         """Set the first limit, by the number of ready endpoints for each balancer.
 
         Where that is below 1 its root allows for chance.
         """
-        self.limit = self.limit or INITIAL_LIMIT * max(endpoints_each, endpoints_each**0.5)
+        self.limit = self.limit or INITIAL_LIMIT_PER_ENDPOINT * max(
+            endpoints_per_instance, endpoints_per_instance**0.5
+        )
 
-    def tick(self, now: int, endpoints_each: float) -> None:
+    def tick(self, now: int, endpoints_per_instance: float) -> None:
         """Adjust the limit if it is due at a time (us)."""
         self.ticks += 1
-        if self.is_due(now):
-            self.adjust(now, endpoints_each)
+        if self.is_adjustment_due(now):
+            self.adjust(now, endpoints_per_instance)
 
     def attempt_began(self, request: RequestState, attempt: Attempt) -> None:
         """Count an attempt in."""
@@ -153,14 +167,14 @@
         """Count an endpoint's attempts again."""
         self.in_flight += len(endpoint.in_flight)
 
-    def learn_success(self, took: int) -> None:
+    def record_success(self, duration: int) -> None:
         """Learn from a success that took so long (us)."""
-        self.mean_latency = ewma(self.mean_latency, took)
+        self.mean_latency = ewma(self.mean_latency, duration)
         self.succeeded += 1
 
-    def learn_latency(self, ratio: float, relative_latency: float) -> None:
+    def record_latency(self, ratio: float, relative_latency: float) -> None:
         """Learn from an attempt's latency by objective, the less the slower its endpoint is at any time."""
-        ratio = min(1.0, ratio) / max(1.0, min(relative_latency, SLOW_ENDPOINT))
+        ratio = min(1.0, ratio) / max(1.0, min(relative_latency, MAX_SLOWNESS_DISCOUNT))
         self.latency_ratio = ewma(self.latency_ratio, ratio)
 
     def snapshot(self) -> StoredLimit:
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -70,8 +70,8 @@
         Many mean latencies, and a good part of the objective: sooner, slow endpoints would get work twice.
         """
         mean_latency = self.mean_latencies[request.class_index]
-        part_of_objective = request.request_class.latency_objective // EARLY_TIMEOUTS_PER_LATENCY_OBJECTIVE
-        return max(part_of_objective, round(EARLY_TIMEOUT_LATENCIES * mean_latency))
+        min_early_timeout = request.request_class.latency_objective // EARLY_TIMEOUTS_PER_LATENCY_OBJECTIVE
+        return max(min_early_timeout, round(EARLY_TIMEOUT_LATENCIES * mean_latency))
 
     def attempt_timeout(self, request: RequestState, now: int) -> int:
         """Return the time-out of an attempt that begins now (us).
@@ -81,8 +81,8 @@
         """
         left = request.deadline - now  # `time_left`, without the call
         timeout = request.request_class.attempt_timeout or left
-        is_calm = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
-        if is_calm and self.retries.budget >= 1 and is_retryable(request):
+        is_unthrottled = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
+        if is_unthrottled and self.retries.budget >= 1 and is_retryable(request):
             timeout = min(timeout, self.early_timeout(request))
         return max(MIN_TIMEOUT, min(left, timeout))
 
@@ -102,6 +102,6 @@
         after = max(wait, round(request_class.latency_objective / RETRY_AFTERS_PER_LATENCY_OBJECTIVE))
         return min(self.max_retry_after, after)
 
-    def learn_latency(self, class_index: int, took: int) -> None:
+    def record_latency(self, class_index: int, duration: int) -> None:
         """Learn from a success that took so long (us)."""
-        self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], took)
+        self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], duration)
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -5,7 +5,11 @@
 from dahliabend.model import Outcome, Port, TimerToken
 from dahliabend.policy.records import RequestState
 
-_MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # at the endpoint, after such an end
+_UNCERTAIN_OUTCOMES = (
+    Outcome.TIMED_OUT,
+    Outcome.RESET,
+    Outcome.CANCELLED,
+)  # at the endpoint, after such an end
 
 
 class KeyQueue:
@@ -20,19 +24,19 @@
 class KeyQueues:
     """The queues of all keys of one balancer. Nothing is kept of a key once its queue and rest are over."""
 
-    def __init__(self, rest_time: int, port: Port) -> None:
-        self.rest_time = rest_time  # microseconds
+    def __init__(self, pause_time: int, port: Port) -> None:
+        self.pause_time = pause_time  # microseconds
         self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
         self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
 
-    def take_over(self, before: "KeyQueues") -> None:
+    def take_over(self, predecessor: "KeyQueues") -> None:
         """Go on with the queues of the decisions before, in the same process.
 
         Else a request could run beside another of its key that was admitted under other settings.
         """
-        self.queues = before.queues
-        self.rests = before.rests
+        self.queues = predecessor.queues
+        self.rests = predecessor.rests
         for until, _ in self.rests:
             self.port.set_timer(until, TimerToken.KEY_REST)
 
@@ -55,11 +59,11 @@
 
     def needs_rest(self, outcome: Outcome) -> bool:
         """Return whether a key rests after such an end: the next could overtake an attempt that goes on."""
-        return outcome in _MAY_STILL_RUN
+        return outcome in _UNCERTAIN_OUTCOMES
 
     def rest(self, request: RequestState, now: int) -> None:
         """Let the key of a request rest from a time (us) on."""
-        self.queues[request.key].rests_until = now + self.rest_time
+        self.queues[request.key].rests_until = now + self.pause_time
 
     def leave(self, request: RequestState, now: int) -> None:
         """Take a request out if it is finished, whether its turn had come or not."""
--- a/dahliabend/policy/moving_average.py
+++ b/dahliabend/policy/moving_average.py
@@ -1,7 +1,7 @@
 """The exponentially weighted moving average by which the decisions remember."""
 
 NEWEST_WEIGHT = 1 / 16  # of the newest sample
-NEWEST_WEIGHT_OF_FEW = 1 / 6  # of the newest sample, where samples are few
+NEWEST_WEIGHT_SPARSE = 1 / 6  # of the newest sample, where samples are few
 
 
 def ewma(mean: float, sample: float, weight: float = NEWEST_WEIGHT) -> float:
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -5,7 +5,7 @@
 from dahliabend.model import Effect, EndpointState, Outcome, Port, Settings
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines
-from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
+from dahliabend.policy.moving_average import NEWEST_WEIGHT_SPARSE, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.selection import EndpointSelection
 from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_SAMPLES, OUTLIER_REDUCTION, Throttling
@@ -15,8 +15,8 @@
 MAX_TRIAL_DOUBLINGS = 6  # of the wait before a trial request
 QUICK_FAILURE_RATIO = 1 / 20  # of the mean latency: a failure within it comes from a fault, not from load
 LOSSES_PER_QUICK_RESET = 8  # it proves what a time-out only suggests
-MIN_IDLE_PART = 1 / 2  # of the fatal idle time, from which connections are counted, and closed
-_ANSWERED = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint itself said so
+STALE_IDLE_FRACTION = 1 / 2  # of the fatal idle time, from which connections are counted, and closed
+_RESPONSE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint itself said so
 
 
 class OutlierDetector:
@@ -44,7 +44,7 @@
         self.selection = selection
         self.concurrency: ConcurrencyLimit = selection.concurrency
         self.throttling: Throttling = selection.throttling
-        self.can_try = any(each.effect is Effect.IDEMPOTENT for each in settings.request_classes)
+        self.has_idempotent_class = any(each.effect is Effect.IDEMPOTENT for each in settings.request_classes)
         self.last_answer_at = 0
         self.awaiting_trial: dict[Endpoint, None] = {}
         self.fatal_idle_time = 0.0
@@ -97,8 +97,8 @@
         """
         if self.throttling.tier.reduction >= OUTLIER_REDUCTION / 2:
             return False
-        own = endpoint.entries[-1]
-        is_failing = own.sampled >= MIN_SAMPLES and own.failed >= OUTLIER_REDUCTION * own.sampled
+        entry = endpoint.entries[-1]
+        is_failing = entry.sampled >= MIN_SAMPLES and entry.failed >= OUTLIER_REDUCTION * entry.sampled
         return endpoint.consecutive_failures > 0 or is_failing
 
     def is_gone(self, endpoint: Endpoint, now: int) -> bool:
@@ -115,8 +115,8 @@
         """
         if self.last_answer_at <= endpoint.silent_since:
             return False
-        allowed = SILENCE_LATENCIES * self.concurrency.mean_latency + self.tick
-        if now - endpoint.silent_since <= allowed:
+        max_silence = SILENCE_LATENCIES * self.concurrency.mean_latency + self.tick
+        if now - endpoint.silent_since <= max_silence:
             return False
         class_outliers = self.throttling.class_outliers
         return not all(class_outliers[request.class_index] for request in endpoint.in_flight)
@@ -126,14 +126,16 @@
         if self.is_hung(endpoint, now):
             self.eject(endpoint, now)
 
-    def eject_early(self, endpoint: Endpoint, now: int, outcome: Outcome, took: int, mean: float) -> None:
+    def eject_early(
+        self, endpoint: Endpoint, now: int, outcome: Outcome, duration: int, mean_latency: float
+    ) -> None:
         """Eject an endpoint before its window ends, by the end of an attempt.
 
         Takes how long it took and the class's mean latency (us).
         """
         if outcome is Outcome.UNREACHABLE:
             is_outlier = self.is_gone(endpoint, now)
-        elif outcome is Outcome.FAILED and took < mean * QUICK_FAILURE_RATIO:
+        elif outcome is Outcome.FAILED and duration < mean_latency * QUICK_FAILURE_RATIO:
             is_outlier = self.is_failing_quickly(endpoint)
         else:
             is_outlier = False
@@ -149,14 +151,14 @@
 
     # Recovery.
 
-    def check_wait(self, endpoint: Endpoint) -> int:
+    def health_check_delay(self, endpoint: Endpoint) -> int:
         """Return how long an ejected endpoint is left alone before a health check (us).
 
         Doubled by each failure: checks are load too.
         """
         return self.tick << min(endpoint.consecutive_failures, MAX_CHECK_DOUBLINGS)
 
-    def trial_wait(self, endpoint: Endpoint) -> int:
+    def trial_delay(self, endpoint: Endpoint) -> int:
         """Return how long an ejected endpoint is left alone before a trial request (us).
 
         Doubled by each failure: trials are clients' requests.
@@ -164,15 +166,15 @@
         doublings = min(endpoint.consecutive_failures, MAX_TRIAL_DOUBLINGS)
         return max(self.throttling.validity, self.throttling.min_validity << doublings)
 
-    def recover(self, endpoint: Endpoint, now: int) -> None:
+    def advance_recovery(self, endpoint: Endpoint, now: int) -> None:
         """Go on with the recovery of an ejected endpoint at a time (us)."""
         waited = now - endpoint.ejected_since
         if self.settings.can_health_check:
-            if waited >= self.check_wait(endpoint) and not endpoint.health_check_under_way:
+            if waited >= self.health_check_delay(endpoint) and not endpoint.health_check_under_way:
                 endpoint.health_check_under_way = True
                 self.port.check_health(endpoint.index)
             return
-        wait = self.trial_wait(endpoint)
+        wait = self.trial_delay(endpoint)
         if waited >= LINGER_VALIDITIES * wait:
             self.restore(endpoint, now)  # nothing came by that may run again
         elif waited >= wait:
@@ -184,7 +186,7 @@
         Ejected again after it was back, it answers checks and fails requests: one request tries it first. If
         none has come by at its next check, it is back.
         """
-        is_untried = self.can_try and endpoint not in self.awaiting_trial
+        is_untried = self.has_idempotent_class and endpoint not in self.awaiting_trial
         return is_untried and endpoint.consecutive_failures > 1
 
     def health_check_finished(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
@@ -199,7 +201,7 @@
         else:
             self.restore(endpoint, now)
 
-    def trial(self, request: RequestState, now: int) -> Endpoint | None:
+    def choose_trial_endpoint(self, request: RequestState, now: int) -> Endpoint | None:
         """Return the ejected endpoint that a request tries at a time (us), None if there is none.
 
         Only an idempotent request's first attempt: it can go elsewhere if the trial fails. Its class has a
@@ -207,8 +209,8 @@
         """
         if not self.awaiting_trial or request.attempts:
             return None
-        is_known = self.deadlines.mean_latencies[request.class_index] > 0
-        if not is_known or request.request_class.effect is not Effect.IDEMPOTENT:
+        has_mean_latency = self.deadlines.mean_latencies[request.class_index] > 0
+        if not has_mean_latency or request.request_class.effect is not Effect.IDEMPOTENT:
             return None
         endpoint = self.awaiting_trial.popitem()[0]
         if not endpoint.is_ejected or endpoint.state is not EndpointState.READY or endpoint.in_flight:
@@ -216,12 +218,12 @@
         max_ready = self.selection.max_ready
         return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
 
-    def learn_trial(self, endpoint: Endpoint, now: int, took: int, *, is_failed: bool) -> None:
+    def record_trial_result(self, endpoint: Endpoint, now: int, duration: int, *, is_failed: bool) -> None:
         """Take an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
 
         One sent before says nothing new.
         """
-        if now - took > endpoint.ejected_since:
+        if now - duration > endpoint.ejected_since:
             self.trial_finished(endpoint, now, is_failed=is_failed)
 
     def trial_finished(self, endpoint: Endpoint, now: int, *, is_failed: bool) -> None:
@@ -242,7 +244,7 @@
     def attempt_ended(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
         """An attempt has ended so at a time (us)."""
         endpoint.last_ended_at = now
-        if outcome in _ANSWERED:
+        if outcome in _RESPONSE_OUTCOMES:
             endpoint.silent_since = now
             endpoint.answered_at = now
             self.last_answer_at = now
@@ -251,26 +253,34 @@
 
     # Idle connections.
 
-    def idle_losses(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> int:
+    def idle_losses(
+        self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean_latency: float
+    ) -> int:
         """Return as how many losses on an idle connection an attempt's end counts.
 
         Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
         connection swallows the request.
         """
-        if outcome is Outcome.RESET and took < mean * QUICK_FAILURE_RATIO:
+        if outcome is Outcome.RESET and duration < mean_latency * QUICK_FAILURE_RATIO:
             return LOSSES_PER_QUICK_RESET
-        is_unheard = now - attempt.endpoint.silent_since >= took
-        return int(is_unheard and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
+        is_endpoint_silent = now - attempt.endpoint.silent_since >= duration
+        return int(is_endpoint_silent and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED))
 
-    def learn_idle(self, attempt: Attempt, now: int, outcome: Outcome, took: int, mean: float) -> None:
+    def record_idle_outcome(
+        self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean_latency: float
+    ) -> None:
         """Learn from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
-        lost = 0 if outcome is Outcome.SUCCEEDED else self.idle_losses(attempt, now, outcome, took, mean)
+        lost = (
+            0
+            if outcome is Outcome.SUCCEEDED
+            else self.idle_losses(attempt, now, outcome, duration, mean_latency)
+        )
         if lost:
-            self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_OF_FEW)
-        if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART):
+            self.fatal_idle_time = ewma(self.fatal_idle_time, attempt.idle, NEWEST_WEIGHT_SPARSE)
+        if lost or (self.fatal_idle_time and attempt.idle >= self.fatal_idle_time * STALE_IDLE_FRACTION):
             self.throttling.add_idle_sample(lost)
 
-    def must_close_idle(self, attempt: Attempt, now: int) -> bool:
+    def should_close_idle_connections(self, attempt: Attempt, now: int) -> bool:
         """Return whether stale idle connections are closed before an attempt is sent at a time (us).
 
         It may be sent on one of them, and be lost.
@@ -278,10 +288,10 @@
         entry = self.throttling.idle_connections
         if entry.reduction < OUTLIER_REDUCTION or entry.valid_reduction(now) < OUTLIER_REDUCTION:
             return False
-        return bool(attempt.endpoint.in_flight) or attempt.idle >= self.fatal_idle_time * MIN_IDLE_PART
+        return bool(attempt.endpoint.in_flight) or attempt.idle >= self.fatal_idle_time * STALE_IDLE_FRACTION
 
     def close_idle_connections(self, attempt: Attempt) -> None:
         """Close the connections to an attempt's endpoint that have been idle for too long."""
-        max_idle = round(self.fatal_idle_time * MIN_IDLE_PART)
+        max_idle = round(self.fatal_idle_time * STALE_IDLE_FRACTION)
         self.port.close_idle_connections(attempt.endpoint.index, max_idle)
         attempt.idle = 0  # tells nothing of idle connections any more
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -105,7 +105,7 @@
         """Give up a request that waits for its turn, if too little time is left for it."""
 
     def attempt_ended(
-        self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, took: int
+        self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
         """An attempt has ended, after so long (us)."""
 
@@ -193,7 +193,7 @@
     # What the driver reports (`model.RequestHandle` has the arguments).
 
     def attempt_finished(
-        self, now: int, number: int, outcome: Outcome, took: int, complete: bool, idle: int | None = None
+        self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
     ) -> None:
         """Report how an attempt ended; another is sent where one may follow."""
         attempt = self.attempts[number]
@@ -204,7 +204,7 @@
         attempt.may_have_executed = not outcome.proves_not_executed
         self.in_flight -= 1
         self.is_answered = self.is_answered or complete
-        self.balancer.attempt_ended(self, attempt, now, outcome, took)
+        self.balancer.attempt_ended(self, attempt, now, outcome, duration)
 
     def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - the handle has it
         """Report a streamed response: the client has a part of it, so the attempt is not cancelled."""
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -44,8 +44,8 @@
     request_class = request.request_class
     if request_class.effect is Effect.IDEMPOTENT:
         return True
-    is_known_anywhere = request_class.deduplication_scope is DeduplicationScope.ALL
-    if request_class.effect is Effect.DEDUPLICATED and is_known_anywhere:
+    is_deduplicated_everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
+    if request_class.effect is Effect.DEDUPLICATED and is_deduplicated_everywhere:
         return True
     return request.first_possibly_executed() is None
 
@@ -55,12 +55,12 @@
 
     Attributes:
         budget: How many are saved up.
-        earned: What each first attempt adds.
+        deposit_per_request: What each first attempt adds.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.budget = INITIAL_BUDGET
-        self.earned = settings.retry_budget_ratio
+        self.deposit_per_request = settings.retry_budget_ratio
 
     def has_budget(self) -> bool:
         """Return whether the budget pays for a retry: unpaid, retries multiply across tiers."""
@@ -84,15 +84,15 @@
         is_open = not (request.is_answered or request.is_streaming) and now < request.deadline
         return is_open and request.in_flight == 1 and has_attempts_left and self.has_budget()
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Add the part of a retry that a first attempt earns."""
-        self.budget = min(MAX_RETRY_BUDGET, self.budget + self.earned)
+        self.budget = min(MAX_RETRY_BUDGET, self.budget + self.deposit_per_request)
 
-    def pay_for_retry(self, outcome: Outcome) -> None:
+    def withdraw_for_retry(self, outcome: Outcome) -> None:
         """Take a retry after an attempt that ended so from the budget, if that may have executed."""
         self.budget -= not outcome.proves_not_executed
 
-    def pay_for_hedge(self) -> None:
+    def withdraw_for_hedge(self) -> None:
         """Take a hedge from the budget."""
         self.budget -= RETRY_COST
 
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -5,13 +5,15 @@
 
 from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, Settings
 from dahliabend.policy.concurrency import ConcurrencyLimit
-from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
+from dahliabend.policy.moving_average import NEWEST_WEIGHT_SPARSE, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.slow_start import SlowStart
 from dahliabend.policy.throttling import MIN_SAMPLES, Throttling
 
 MIN_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
-MIN_SUBSET_CHANGE = 4  # a subset keeps its size until it would change by more than one such part of it
+MIN_SUBSET_CHANGE_DIVISOR = (
+    4  # a subset keeps its size until it would change by more than one such part of it
+)
 MAX_LATENCY_RATIO = 10  # the most that one attempt tells of its endpoint's relative latency
 NO_LOAD_LIMIT = float("inf")
 RANK_BYTES = 8
@@ -96,21 +98,21 @@
 
     def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
         """Take over a list of endpoints, or (not `full`) changes of it."""
-        gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
+        removed = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         if full:
-            gone |= self.endpoints.keys() - {row[0] for row in rows}
+            removed |= self.endpoints.keys() - {row[0] for row in rows}
         for row in rows:
-            if row[0] not in gone:
+            if row[0] not in removed:
                 self._update_endpoint(now, row)
-        for index in gone & self.endpoints.keys():
-            self._unlist(self.endpoints[index])
-        self._rank()
+        for index in removed & self.endpoints.keys():
+            self._mark_unlisted(self.endpoints[index])
+        self._rank_endpoints()
 
     def _update_endpoint(self, now: int, row: EndpointRow) -> None:
-        index, state, started_at, weight, cell, zone, identity = row
+        index, state, started_at, weight, cell, zone, endpoint_id = row
         if index not in self.endpoints:
-            instance = b"%d" % self.settings.instance_index
-            rank = blake2b(identity, key=instance, digest_size=RANK_BYTES).digest()
+            rank_key = b"%d" % self.settings.instance_index
+            rank = blake2b(endpoint_id, key=rank_key, digest_size=RANK_BYTES).digest()
             self.endpoints[index] = Endpoint(index, rank, len(self.settings.request_classes))
         endpoint = self.endpoints[index]
         if started_at != endpoint.started_at:  # nothing known of an earlier process holds
@@ -123,7 +125,7 @@
         endpoint.zone = zone
         endpoint.weight = weight if weight > 0 else 1.0
 
-    def _unlist(self, endpoint: Endpoint) -> None:
+    def _mark_unlisted(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
         if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
             endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
@@ -138,11 +140,13 @@
         for endpoint in stale:
             endpoint.state = EndpointState.REMOVED
         if stale:
-            self._rank()
+            self._rank_endpoints()
 
     # The subset.
 
-    def _rank(self) -> None:  # attempts in flight keep the record of one that is gone until they end
+    def _rank_endpoints(
+        self,
+    ) -> None:  # attempts in flight keep the record of one that is gone until they end
         self.endpoints = {
             index: endpoint
             for index, endpoint in self.endpoints.items()
@@ -151,11 +155,11 @@
         ready = (each for each in self.endpoints.values() if each.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda endpoint: endpoint.rank, reverse=True)
         self.max_ready = max(self.max_ready, len(self.ready))
-        self.concurrency.start(self.endpoints_each())
+        self.concurrency.start(self.endpoints_per_instance())
         self.subset_size = self.subset_size or self.initial_subset_size()
         self.select()
 
-    def endpoints_each(self) -> float:
+    def endpoints_per_instance(self) -> float:
         """Return how many ready endpoints there are for each balancer."""
         return len(self.ready) / self.instance_count
 
@@ -175,7 +179,7 @@
         size = (
             self.max_ready if attempts >= self.max_ready else max(MIN_SUBSET, round(attempts / MIN_SAMPLES))
         )
-        if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE:
+        if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE_DIVISOR:
             self.subset_size = size
             self.select()
 
@@ -200,7 +204,7 @@
         pools = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
             pools = (self.cross_zone, self.selected, self.ready)
-        avoiding_for = request if unthrottled else None
+        unthrottled_for = request if unthrottled else None
         for pool in pools:
             if not pool:
                 continue
@@ -209,11 +213,11 @@
                 tried = [attempt.endpoint for attempt in request.attempts]
                 candidates = [endpoint for endpoint in candidates if endpoint not in tried]
                 candidates = permitted_endpoints(request, candidates)
-            best = self._next_in_rotation(candidates, load_limit, now, avoiding_for)
+            best = self._next_in_rotation(candidates, load_limit, now, unthrottled_for)
             if best is not None:
                 return best
         candidates = permitted_endpoints(request, self.ready)
-        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, avoiding_for)
+        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, unthrottled_for)
 
     def prefers_cross_zone(self, now: int) -> bool:
         """Return whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
@@ -223,12 +227,12 @@
         return self.random() < self.throttling.same_zone.valid_reduction(now)
 
     def _next_in_rotation(
-        self, candidates: list[Endpoint], load_limit: float, now: int, avoiding_for: RequestState | None
+        self, candidates: list[Endpoint], load_limit: float, now: int, unthrottled_for: RequestState | None
     ) -> Endpoint | None:
         """Smooth weighted round robin, by weight, latency and warm share.
 
         Skips endpoints above the load limit (attempts in flight by weight), and those that may hold a
-        reduction for the request `avoiding_for`.
+        reduction for the request `unthrottled_for`.
         """
         warmup_time = self.settings.warmup_time
         best = None
@@ -239,7 +243,7 @@
                 weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
-            if avoiding_for is not None and not self.is_known_unthrottled(endpoint, avoiding_for, now):
+            if unthrottled_for is not None and not self.is_known_unthrottled(endpoint, unthrottled_for, now):
                 continue
             endpoint.position += weight
             total += weight
@@ -254,15 +258,17 @@
 
         One not heard of yet may be as much at fault as the one that is avoided.
         """
-        governing = self.throttling.governing(endpoint.entries, request.class_index, now)
-        return endpoint.entries[-1].valid_until > 0 and not governing.valid_reduction(now)
+        governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
+        return endpoint.entries[-1].valid_until > 0 and not governing_entry.valid_reduction(now)
 
     def has_warm_endpoint(self, now: int) -> bool:
         """Return whether any ready endpoint has started long enough before a time (us)."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
-    def learn_latency(self, endpoint: Endpoint, outcome: Outcome, took: int, mean_latency: float) -> None:
+    def record_latency(
+        self, endpoint: Endpoint, outcome: Outcome, duration: int, mean_latency: float
+    ) -> None:
         """Learn an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
         if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
-            ratio = min(took / mean_latency, MAX_LATENCY_RATIO)
-            endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_OF_FEW)
+            ratio = min(duration / mean_latency, MAX_LATENCY_RATIO)
+            endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_SPARSE)
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -3,7 +3,7 @@
 from dahliabend.model import Settings
 from dahliabend.policy.records import Endpoint
 
-SEND_RATE_WEIGHT = 4  # a window's rate has one such part in the mean rate
+SEND_RATE_WEIGHT_DIVISOR = 4  # a window's rate has one such part in the mean rate
 MAX_SLOW_START_BUDGET = 1.0  # attempts saved up
 
 
@@ -63,5 +63,5 @@
         few are sent, and a rate by them would never rise.
         """
         rate = (self.sent if has_warm_endpoint else new_requests) / self.window
-        self.send_rate += (rate - self.send_rate) / SEND_RATE_WEIGHT if self.send_rate else rate
+        self.send_rate += (rate - self.send_rate) / SEND_RATE_WEIGHT_DIVISOR if self.send_rate else rate
         self.sent = 0
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -12,7 +12,7 @@
 MIN_REDUCTION_CHANGE = 0.05  # a smaller change of a reduction renews it, a larger one replaces it
 MIN_TIER_SAMPLES = 20  # samples below which a window of the tier counts as without failures
 MIN_SAMPLES = 5  # the same for a window of an endpoint or a zone
-EASING_FACTOR = 1 / 2  # of a held reduction, kept by each window without failures
+DECAY_FACTOR = 1 / 2  # of a held reduction, kept by each window without failures
 LINGER_VALIDITIES = 4  # how long the last percents of an eased reduction are renewed by such windows
 OUTLIER_REDUCTION = 2 / 5  # at which one scope is an outlier, where the others hold less than half of that
 
@@ -53,7 +53,7 @@
         self.reduction = 0.0
 
     def close_window(
-        self, now: int, floor: int, validity: int, min_validity: int, *, adds: bool = False
+        self, now: int, min_samples: int, validity: int, min_validity: int, *, accumulates: bool = False
     ) -> None:
         """Renew or replaces the reduction by the window's share of failures, and opens the next window.
 
@@ -62,22 +62,24 @@
 
         Args:
             now: The time (us).
-            floor: Samples below which the window counts as without failures.
+            min_samples: Samples below which the window counts as without failures.
             validity: How long the reduction holds from now on (us).
             min_validity: The shortest validity of any entry (us).
-            adds: Whether failures add to the reduction instead of setting it.
+            accumulates: Whether failures add to the reduction instead of setting it.
         """
         self.reduction = self.valid_reduction(now)
-        if self.sampled < floor and now - self.opened_at < validity:
+        if self.sampled < min_samples and now - self.opened_at < validity:
             return
         if self.sampled:  # an empty window neither replaces nor renews
-            seen = self.failed / self.sampled if self.sampled >= floor else 0.0
-            wanted = min(1.0, self.reduction + seen * EASING_FACTOR) if adds else seen
+            failure_ratio = self.failed / self.sampled if self.sampled >= min_samples else 0.0
+            new_reduction = (
+                min(1.0, self.reduction + failure_ratio * DECAY_FACTOR) if accumulates else failure_ratio
+            )
             # Throttling thins the traffic seen here: dropped at one clean window, load would return in waves.
-            wanted = max(wanted, self.reduction * EASING_FACTOR)
-            has_lingered = not seen and now - self.replaced_at >= LINGER_VALIDITIES * min_validity
-            if has_lingered or abs(wanted - self.reduction) >= MIN_REDUCTION_CHANGE:
-                self.reduction = wanted if wanted > MIN_REDUCTION_CHANGE else 0.0
+            new_reduction = max(new_reduction, self.reduction * DECAY_FACTOR)
+            has_lingered = not failure_ratio and now - self.replaced_at >= LINGER_VALIDITIES * min_validity
+            if has_lingered or abs(new_reduction - self.reduction) >= MIN_REDUCTION_CHANGE:
+                self.reduction = new_reduction if new_reduction > MIN_REDUCTION_CHANGE else 0.0
                 self.replaced_at = now
             self.valid_until = now + validity
         self.sampled = 0
@@ -113,7 +115,7 @@
         """Open the tier's first window at a time (us): before, there is nothing that could be sampled."""
         self.tier.opened_at = now
 
-    def governing(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
+    def governing_entry(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
         """The finest scope with a valid reduction: an endpoint's with the class, its own, or the tier's.
 
         Takes an endpoint's entries (by class, the last of all classes) and the time (us). A wider scope would
@@ -127,7 +129,7 @@
             return own
         return self.tier
 
-    def tier_floor(self, elapsed: int) -> int:
+    def min_tier_samples(self, elapsed: int) -> int:
         """Return how many samples of the tier are enough after so long (us).
 
         An overload would not wait for all of them: half are enough once a validity has passed.
@@ -151,7 +153,7 @@
 
         The cost of crossing (in answers) is set against it: a zone is left only where staying loses more.
         """
-        self.same_zone.add(is_failed - cost * EASING_FACTOR)
+        self.same_zone.add(is_failed - cost * DECAY_FACTOR)
 
     def add_tier_sample(self, *, is_failed: bool) -> None:
         """Count the end of an attempt in the tier."""
@@ -166,9 +168,9 @@
         """Close the windows of these scopes at a time (us), and finds the classes that are outliers."""
         linger = LINGER_VALIDITIES * self.validity
         self.tier.close_window(
-            now, self.tier_floor(now - self.tier.opened_at), self.validity, self.min_validity
+            now, self.min_tier_samples(now - self.tier.opened_at), self.validity, self.min_validity
         )
-        self.same_zone.close_window(now, MIN_SAMPLES, self.validity, self.min_validity, adds=True)
+        self.same_zone.close_window(now, MIN_SAMPLES, self.validity, self.min_validity, accumulates=True)
         self.idle_connections.close_window(now, MIN_TIER_SAMPLES, linger, linger)
         for entry in self.classes:
             entry.close_window(now, MIN_TIER_SAMPLES // 2, self.validity, self.min_validity)
@@ -180,15 +182,15 @@
         Counted against endpoints and the tier, such a class would eject endpoints that are well.
         """
         min_reduction = 1 - OUTLIER_REDUCTION
-        has_clean = any(
+        has_healthy_class = any(
             entry.valid_until > now and entry.reduction < OUTLIER_REDUCTION / 2 for entry in self.classes
         )
-        return [has_clean and entry.valid_reduction(now) >= min_reduction for entry in self.classes]
+        return [has_healthy_class and entry.valid_reduction(now) >= min_reduction for entry in self.classes]
 
     def set_validity(self, send_rate: float) -> None:
         """Make entries valid for as long as the tier's floor takes at this rate (attempts a microsecond).
 
         At a low rate the reductions of a shorter validity would lapse before a window could renew them.
         """
-        time_to_floor = MIN_TIER_SAMPLES / send_rate if send_rate else 0.0
-        self.validity = round(VALIDITY_WINDOWS * max(self.window, time_to_floor))
+        time_to_min_samples = MIN_TIER_SAMPLES / send_rate if send_rate else 0.0
+        self.validity = round(VALIDITY_WINDOWS * max(self.window, time_to_min_samples))
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -80,17 +80,17 @@
         assert abs(made.concurrency.latency_target() - target) < 1e-9
 
 
-def test_is_due_with_enough_successes_and_two_latencies_later():
+def test_is_adjustment_due_with_enough_successes_and_two_latencies_later():
     made, _ = make_balancer()
     made.concurrency.adjusted_at, made.concurrency.succeeded = T, MIN_TIER_SAMPLES
     pause = made.throttling.window // 2
-    assert not made.concurrency.is_due(T + pause - 1)
-    assert made.concurrency.is_due(T + pause)
+    assert not made.concurrency.is_adjustment_due(T + pause - 1)
+    assert made.concurrency.is_adjustment_due(T + pause)
     made.concurrency.mean_latency = pause
-    assert not made.concurrency.is_due(T + 2 * pause - 1)
-    assert made.concurrency.is_due(T + 2 * pause)
+    assert not made.concurrency.is_adjustment_due(T + 2 * pause - 1)
+    assert made.concurrency.is_adjustment_due(T + 2 * pause)
     made.concurrency.succeeded = MIN_TIER_SAMPLES - 1
-    assert not made.concurrency.is_due(T + 2 * pause)
+    assert not made.concurrency.is_adjustment_due(T + 2 * pause)
 
 
 def test_is_nearly_full_at_the_share_open_to_all():
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -5,7 +5,7 @@
 from fake_port import DEDUPLICATED, MS, S, admit, make_balancer
 
 from dahliabend.model import DeduplicationScope, EndpointState, Outcome
-from dahliabend.policy.concurrency import INITIAL_LIMIT
+from dahliabend.policy.concurrency import INITIAL_LIMIT_PER_ENDPOINT
 from dahliabend.policy.selection import (
     MIN_SUBSET,
     available_endpoints,
@@ -111,11 +111,11 @@
     assert max(counts) < 3 * 60 * 5 / 40
 
 
-def same_zone_reduction(outcome, took, attempts=MIN_SAMPLES, cost=0.1):
+def same_zone_reduction(outcome, duration, attempts=MIN_SAMPLES, cost=0.1):
     """The reduction of the own zone after so many attempts, and the share that crosses zones."""
     made, port = make_balancer(cross_zone_cost=cost)
     for ref in range(attempts):
-        admit(made, 2, ref=ref).attempt_finished(T, 0, outcome, took, True)
+        admit(made, 2, ref=ref).attempt_finished(T, 0, outcome, duration, True)
     assert {note[2] % 2 for note in port.of("send")} == {0}
     made.close_windows(T + S)
     for ref in range(100, 140):
@@ -142,8 +142,10 @@
 def test_one_of_very_many_balancers_starts_with_a_small_subset_and_limit():
     made, _ = make_balancer(endpoints=40, instance_count=300)
     assert len(made.selection.selected) == MIN_SUBSET
-    assert abs(made.concurrency.limit - INITIAL_LIMIT * (40 / 300) ** 0.5) < 1e-9
-    assert make_balancer(endpoints=40, instance_count=20)[0].concurrency.limit == INITIAL_LIMIT * 2
+    assert abs(made.concurrency.limit - INITIAL_LIMIT_PER_ENDPOINT * (40 / 300) ** 0.5) < 1e-9
+    assert (
+        make_balancer(endpoints=40, instance_count=20)[0].concurrency.limit == INITIAL_LIMIT_PER_ENDPOINT * 2
+    )
     assert len(make_balancer(endpoints=40, instance_count=40)[0].selection.selected) == 40
 
 
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -97,7 +97,7 @@
 
 
 def test_few_resets_on_idle_connections_count_as_many_timeouts():
-    for resets, took, closed in (
+    for resets, duration, closed in (
         (0, MS, 0),
         (1, MS, 0),
         (2, MS, 1),
@@ -108,7 +108,7 @@
         for n in range(MIN_TIER_SAMPLES):
             outcome = Outcome.RESET if n < resets else Outcome.FAILED
             admit(made, 2, ref=n).attempt_finished(
-                T, 0, outcome, took, False, S
+                T, 0, outcome, duration, False, S
             )  # the driver tells: it had idled
         made.close_windows(T + S)
         made.outliers.restore(made.selection.endpoints[0], T)
@@ -235,13 +235,13 @@
     checks, trials = [], []
     for failures in (0, 1, 5, 9):
         endpoint.consecutive_failures = failures
-        checks.append(made.outliers.check_wait(endpoint) // made.tick)
-        trials.append(made.outliers.trial_wait(endpoint) // made.throttling.min_validity)
+        checks.append(made.outliers.health_check_delay(endpoint) // made.tick)
+        trials.append(made.outliers.trial_delay(endpoint) // made.throttling.min_validity)
     assert checks == [1, 2, 32, 32]
     assert trials == [1, 2, 32, 64]
     endpoint.consecutive_failures = 0
     made.throttling.validity = 3 * made.throttling.min_validity
-    assert made.outliers.trial_wait(endpoint) == 3 * made.throttling.min_validity
+    assert made.outliers.trial_delay(endpoint) == 3 * made.throttling.min_validity
 
 
 def test_needs_trial_once_ejected_again_and_where_any_class_may_try():
@@ -259,7 +259,7 @@
 def test_idle_losses_count_a_quick_reset_as_many_and_an_answered_end_as_none():
     made, _ = make_balancer()
     attempt = admit(made, 0).attempts[0]
-    for outcome, took, heard, losses in (
+    for outcome, duration, heard, losses in (
         (Outcome.RESET, MS, T, 8),
         (Outcome.RESET, 5 * MS, T, 0),
         (Outcome.TIMED_OUT, S, T, 1),
@@ -268,4 +268,4 @@
         (Outcome.FAILED, S, T, 0),
     ):
         attempt.endpoint.silent_since = heard
-        assert made.outliers.idle_losses(attempt, T + S, outcome, took, 100 * MS) == losses
+        assert made.outliers.idle_losses(attempt, T + S, outcome, duration, 100 * MS) == losses
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -124,9 +124,9 @@
     ):
         made.retries.budget = budget
         assert {outcome for outcome in Outcome if made.retries.may_retry(outcome)} == allowed
-    made.retries.pay_for_retry(Outcome.REJECTED)
+    made.retries.withdraw_for_retry(Outcome.REJECTED)
     assert made.retries.budget == 1
-    made.retries.pay_for_retry(Outcome.FAILED)
+    made.retries.withdraw_for_retry(Outcome.FAILED)
     assert made.retries.budget == 0
 
 
@@ -134,10 +134,10 @@
     made, _ = make_balancer()
     made.retries.budget = 0.0
     for _ in range(5):
-        made.retries.earn()
+        made.retries.deposit()
     assert abs(made.retries.budget - 0.5) < 1e-9
     for _ in range(200):
-        made.retries.earn()
+        made.retries.deposit()
     assert made.retries.budget == 10
 
 
--- a/tests/policy/test_sampling.py
+++ b/tests/policy/test_sampling.py
@@ -45,7 +45,11 @@
 
 
 def test_is_late_beyond_three_quarters_of_the_objective():
-    assert [is_late(IDEMPOTENT, took) for took in (0, 3 * S // 2, 3 * S // 2 + 1)] == [False, False, True]
+    assert [is_late(IDEMPOTENT, duration) for duration in (0, 3 * S // 2, 3 * S // 2 + 1)] == [
+        False,
+        False,
+        True,
+    ]
 
 
 def test_is_tier_failure_only_a_rejection_unless_in_an_overload():
@@ -60,6 +64,6 @@
     made, _ = make_balancer()
     endpoint = made.selection.endpoints[0]
     endpoint.silent_since = T - S
-    assert made.sampling.tells_of_load(endpoint, T, Outcome.TIMED_OUT, 2 * S)
-    assert not made.sampling.tells_of_load(endpoint, T, Outcome.TIMED_OUT, S)
-    assert not made.sampling.tells_of_load(endpoint, T, Outcome.RESET, 2 * S)
+    assert made.sampling.indicates_load(endpoint, T, Outcome.TIMED_OUT, 2 * S)
+    assert not made.sampling.indicates_load(endpoint, T, Outcome.TIMED_OUT, S)
+    assert not made.sampling.indicates_load(endpoint, T, Outcome.RESET, 2 * S)
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -8,10 +8,10 @@
 T = 100 * S
 
 
-def closed_window(tried, bad, now, entry=None, floor=20):
+def closed_window(tried, bad, now, entry=None, min_samples=20):
     entry = entry or ThrottleEntry()
     entry.sampled, entry.failed = tried, bad
-    entry.close_window(now, floor, 5 * S, 5 * S)
+    entry.close_window(now, min_samples, 5 * S, 5 * S)
     return entry
 
 
@@ -52,11 +52,11 @@
     u = made.selection.endpoints[0]
     for entry, reduction in ((made.throttling.tier, 0.3), (u.entries[-1], 0.2), (u.entries[1], 0.1)):
         entry.reduction, entry.valid_until = reduction, T + S
-    assert made.throttling.governing(u.entries, 1, T) is u.entries[1]
-    assert made.throttling.governing(u.entries, 0, T) is u.entries[-1]
-    assert made.throttling.governing(made.selection.endpoints[1].entries, 0, T) is made.throttling.tier
+    assert made.throttling.governing_entry(u.entries, 1, T) is u.entries[1]
+    assert made.throttling.governing_entry(u.entries, 0, T) is u.entries[-1]
+    assert made.throttling.governing_entry(made.selection.endpoints[1].entries, 0, T) is made.throttling.tier
     assert made.throttling.tier.valid_reduction(T) == 0.3
-    assert made.throttling.governing(u.entries, 1, T + S) is made.throttling.tier
+    assert made.throttling.governing_entry(u.entries, 1, T + S) is made.throttling.tier
     assert made.throttling.tier.valid_reduction(T + S) == 0.0
 
 
@@ -75,7 +75,7 @@
     entry, shares = ThrottleEntry(), []
     for now, bad in enumerate((5, 5, 2, -1, -5), 1):
         entry.sampled, entry.failed = 5, bad
-        entry.close_window(now * S, 5, 10 * S, 10 * S, adds=True)
+        entry.close_window(now * S, 5, 10 * S, 10 * S, accumulates=True)
         shares.append(round(entry.reduction, 2))
     assert shares == [0.5, 1.0, 1.0, 0.9, 0.45]
 
@@ -134,10 +134,10 @@
     assert balancer_with_failing_class(Outcome.TIMED_OUT)[0].throttling.class_outliers == [False] * 3
 
 
-def test_tier_floor_is_halved_after_a_validity():
+def test_min_tier_samples_is_halved_after_a_validity():
     made, _ = make_balancer()
     span = made.throttling.min_validity
-    assert [made.throttling.tier_floor(elapsed) for elapsed in (0, span - 1, span)] == [20, 20, 10]
+    assert [made.throttling.min_tier_samples(elapsed) for elapsed in (0, span - 1, span)] == [20, 20, 10]
 
 
 def test_find_class_outliers_needs_another_class_that_is_clean():
