--- a/dahliabend/policy/__init__.py
+++ b/dahliabend/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on which endpoint gets a request, whether to retry it and what to reject."""
+"""The load-balancing policy: admission, endpoint selection, retries, outlier ejection and rejection."""
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -1,4 +1,7 @@
-"""Whether a request may come in: quotas, priorities, the limit, its key's queue, reductions that are held."""
+"""Admission of requests: tenant quotas, priorities, the concurrency limit, key queues and reductions.
+
+Times are in microseconds.
+"""
 
 from collections.abc import Callable
 
@@ -9,15 +12,15 @@
 from dahliabend.policy.selection import EndpointSelection
 from dahliabend.policy.throttling import Throttling
 
-NO_QUOTA = 1e12  # requests a second
+NO_QUOTA = 1e12  # requests per second
 MICROSECONDS_PER_SECOND = 1e6
 
 
 def class_priorities(settings: Settings) -> list[float]:
     """Return the priority of each request class, 0 to 1.
 
-    By priority weight, the less so the more the operators' goal weighs the worst-served class: served last, a
-    class of little weight would be that one.
+    Priorities follow the priority weights, and less so the more the operators' goal weighs the worst-served
+    class: a class with a small weight would be served last, and would be that class.
     """
     overall = settings.overall_weight
     weight_effect = overall / ((overall + settings.worst_class_weight) or 1.0)
@@ -26,13 +29,13 @@
 
 
 class Admission:
-    """What is admitted.
+    """The decision whether a request is admitted.
 
     Attributes:
         priorities: By request class, 0 to 1.
-        quotas: By tenant, this balancer's part (requests a microsecond).
-        tokens: By tenant, what is left of its quota, and since when (us).
-        new_requests: Requests in the open window that no client repeats.
+        quotas: By tenant, this balancer's share (requests per microsecond).
+        tokens: By tenant, what is left of its quota, and when it was last filled up.
+        new_requests: Requests in the open window that are not repeated by their client.
     """
 
     def __init__(
@@ -58,9 +61,9 @@
         self.new_requests = 0
 
     def admits(self, request: RequestState, tenant: int, now: int, *, is_repeat: bool) -> bool:
-        """Return whether a tenant's request may come in at a time (us); lowers its priority over quota.
+        """Return whether a tenant's request is admitted at `now`; lower its priority if it is over quota.
 
-        Decided at the entry tier alone: calls of the tiers behind are work already paid for.
+        Only the entry tier decides: requests at the tiers behind it are part of work that has already begun.
         """
         self.new_requests += not is_repeat
         if not self.is_entry_tier:
@@ -70,9 +73,10 @@
         return self.concurrency.admits(request.priority)
 
     def is_within_quota(self, tenant: int, now: int) -> bool:
-        """Return whether a tenant's request at a time (us) is within its quota, and counts it.
+        """Return whether a request of a tenant at `now` is within its quota, and count it.
 
-        A token bucket of one window: beyond it, one tenant's burst would cost all the others.
+        The quota is a token bucket that holds one window: with a larger one, the burst of one tenant would
+        delay all others.
         """
         quota = self.quotas[tenant]
         tokens, filled_at = self.tokens[tenant]
@@ -82,18 +86,19 @@
         return is_within
 
     def may_queue(self, request: RequestState, now: int, wait: int) -> bool:
-        """Return whether a request may wait for its key's turn, for so long from now on (us).
+        """Return whether a request may wait this long from `now` on for the turn of its key.
 
-        Its queue would grow beyond what can still be served in time. One whose body is still being received
-        may not: nothing would read the body meanwhile.
+        Otherwise the queue would grow beyond what can be served in time. A request whose body is still being
+        received may not wait, because nothing would read the body meanwhile.
         """
         return not request.body_pending and self.deadlines.can_wait(request, now, wait)
 
     def apply_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
-        """Return where a request goes at a time (us), of the endpoint chosen and the reductions held.
+        """Return where a request goes at `now`, given the chosen endpoint and the reductions held.
 
-        With the probability of the endpoint's valid reduction it goes to an endpoint known to hold none.
-        Where no other is free of reductions, none is at fault alone, and the tier's decides; None: rejected.
+        With the probability of the endpoint's valid reduction it goes to an endpoint known to hold no
+        reduction. Where there is none, no single endpoint is at fault, and the tier's reduction decides.
+        Returns None if the request is rejected.
         """
         governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
         if governing_entry is not self.throttling.tier:
@@ -106,9 +111,10 @@
         return None if is_reduced else endpoint
 
     def is_reduced_by_tier(self, request: RequestState, now: int) -> bool:
-        """Return whether a request is rejected at a time (us) for the tier's reduction.
+        """Return whether a request is rejected at `now` because of the tier's reduction.
 
-        At the entry tier alone, low priorities more often: an overloaded tier would lose the valuable too.
+        Only the entry tier rejects, and requests of low priority more often: an overloaded tier would fail
+        valuable requests as well.
         """
         if not self.is_entry_tier:
             return False
@@ -119,7 +125,7 @@
         return self.random() < reduction * priority_factor
 
     def take_new_requests(self) -> int:
-        """Return how many requests have come in the window that no client repeats, and begins the next."""
+        """Return the number of new requests in the window, and reset it for the next one."""
         count = self.new_requests
         self.new_requests = 0
         return count
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -1,41 +1,43 @@
-"""The adaptive concurrency limit: attempts in flight, by the latency of those that ended."""
+"""The adaptive concurrency limit: how many attempts may be in flight, by the latency of those that ended.
+
+Times are in microseconds.
+"""
 
 from dahliabend.model import Settings, StoredLimit
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.throttling import MIN_TIER_SAMPLES, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
 
-INITIAL_LIMIT_PER_ENDPOINT = 5  # attempts in flight an endpoint, all balancers together
-MIN_LIMIT_PER_ENDPOINT = 4  # attempts in flight an endpoint, all balancers together
-BASE_LATENCY_TARGET = (
-    1 / 3
-)  # mean latency by objective: a higher one is an overload; kept between the next two
-MIN_TARGET_FACTOR = 4 / 3  # of the lowest mean latency by objective seen
-MAX_TARGET_FACTOR = 3  # of the lowest mean latency by objective seen
-MAX_INITIAL_GROWTH_FACTOR = 3 / 2  # the most by which an adjustment raises the limit, in the first validity
-MAX_GROWTH_FACTOR = 5 / 4  # the most by which an adjustment raises the limit, afterwards
-MIN_DECREASE_FACTOR = 1 / 2  # the most by which an adjustment lowers the limit
-MIN_RATIO_DRIFT = 1 / 1024  # by which the lowest latency ratio seen creeps up at each adjustment
-MAX_SLOWNESS_DISCOUNT = 3 / 2  # relative latency: the most by which a slow endpoint's attempts tell less
-ALL_PRIORITIES_SHARE = 3 / 5  # of the limit, whatever the priority; above it higher priorities go first
+INITIAL_LIMIT_PER_ENDPOINT = 5  # attempts in flight, of all balancers together
+MIN_LIMIT_PER_ENDPOINT = 4  # attempts in flight, of all balancers together
+# Ratio of mean latency to latency objective above which there is an overload, kept between the bounds below.
+BASE_LATENCY_TARGET = 1 / 3
+MIN_TARGET_FACTOR = 4 / 3  # times the lowest ratio observed
+MAX_TARGET_FACTOR = 3  # times the lowest ratio observed
+MAX_INITIAL_GROWTH_FACTOR = 3 / 2  # for an adjustment that raises the limit during the first validity
+MAX_GROWTH_FACTOR = 5 / 4  # for later adjustments that raise the limit
+MIN_DECREASE_FACTOR = 1 / 2  # for an adjustment that lowers the limit
+MIN_RATIO_DRIFT = 1 / 1024  # relative increase of the lowest observed ratio at each adjustment, to forget it
+MAX_SLOWNESS_DISCOUNT = 3 / 2  # largest divisor for the latency of an endpoint that is slow at any load
+ALL_PRIORITIES_SHARE = 3 / 5  # of the limit, open to all priorities; above it, higher priorities go first
 
 
 class ConcurrencyLimit:
-    """Attempts in flight, but for those at ejected endpoints, and how many may be.
+    """The number of attempts in flight and its limit; attempts at ejected endpoints don't count.
 
     Attributes:
         in_flight: Attempts of this balancer at endpoints that are not ejected.
-        in_flight_elsewhere: Those of a process beside this one; the driver sets it.
-        limit: How many may be in flight.
-        mean_in_flight: Mean of both together, at admissions.
-        sustained_in_flight: Mean of both together, at adjustments without an overload.
-        latency_ratio: Mean latency by latency objective.
-        min_latency_ratio: The lowest such mean seen, slowly forgotten.
-        mean_latency: Mean latency of successes, of all classes (us).
-        mean_priority: Mean priority of requests that ask for admission.
-        ticks: Since the start.
-        adjusted_at: When the limit was adjusted last (us).
-        succeeded: Successes since then.
+        in_flight_elsewhere: Attempts of another process of this instance, its predecessor; set by the driver.
+        limit: How many attempts may be in flight.
+        mean_in_flight: Mean number in flight in both processes, sampled at admissions.
+        sustained_in_flight: Mean number in flight in both processes, sampled at adjustments without overload.
+        latency_ratio: Mean ratio of latency to latency objective.
+        min_latency_ratio: The lowest such mean observed, which slowly drifts upwards.
+        mean_latency: Mean latency of successful attempts of all classes.
+        mean_priority: Mean priority of the requests that ask for admission.
+        ticks: Number of ticks since the start.
+        adjusted_at: When the limit was last adjusted.
+        succeeded: Successful attempts since then.
         has_rejected: Whether the limit was reached since then.
         is_overloaded: Whether the last adjustment lowered the limit.
     """
@@ -58,33 +60,34 @@
         self.has_rejected = False
         self.is_overloaded = False
 
-    # The rules.
+    # Rules
 
     def admits(self, priority: float) -> bool:
-        """Return whether one more request of a priority (0 to 1) may come in.
+        """Return whether one more request with this priority (0 to 1) may be admitted.
 
-        Endpoints beyond their capacity slow down all requests before they reject any.
+        Without a limit here, endpoints beyond their capacity slow down all requests before they reject any.
         """
         self.mean_priority = ewma(self.mean_priority, priority)
         limit = self.limit * (ALL_PRIORITIES_SHARE + (1 - ALL_PRIORITIES_SHARE) * priority)
         in_flight = self.in_flight + self.in_flight_elsewhere
         self.mean_in_flight = ewma(self.mean_in_flight, in_flight)
-        # One of many balancers exceeds its part by chance while the others are below theirs.
+        # One of many balancers may exceed its share by chance while the others are below theirs.
         limit += (limit * self.others_share) ** 0.5 if self.mean_in_flight < limit else 0.0
         self.has_rejected = self.has_rejected or in_flight >= limit
         return in_flight < limit
 
     def is_nearly_full(self) -> bool:
-        """Return whether the share of the limit that is open to all priorities is in flight.
+        """Return whether the part of the limit that is open to all priorities is in use.
 
-        Below it there are places for all, and nothing is gained by rejecting any.
+        Below it there is room for every request, and nothing is gained by rejecting any.
         """
         return self.in_flight >= ALL_PRIORITIES_SHARE * self.limit
 
     def is_adjustment_due(self, now: int) -> bool:
-        """Return whether the limit is to be adjusted at a time (us).
+        """Return whether the limit is to be adjusted at `now`.
 
-        A change shows only after a latency or two; adjusted sooner, the limit would swing.
+        A change takes one or two latencies to show its effect; with earlier adjustments the limit would
+        oscillate.
         """
         elapsed = now - self.adjusted_at
         min_successes = self.throttling.min_tier_samples(elapsed) if self.adjusted_at else MIN_TIER_SAMPLES
@@ -92,18 +95,19 @@
         return self.succeeded >= min_successes and elapsed >= min_interval
 
     def latency_target(self) -> float:
-        """Return the latency by objective above which there is an overload.
+        """Return the ratio of latency to objective above which there is an overload.
 
-        Bound to the lowest one seen: fast endpoints are overloaded long before they miss the objective, and
-        slow ones are not merely for being slow.
+        It depends on the lowest ratio observed: fast endpoints are overloaded long before they miss the
+        objective, and slow endpoints are not overloaded merely because they are slow.
         """
         lowest = self.min_latency_ratio
         return max(min(BASE_LATENCY_TARGET, MAX_TARGET_FACTOR * lowest), MIN_TARGET_FACTOR * lowest)
 
     def adjust(self, now: int, endpoints_per_instance: float) -> None:
-        """Lower the limit in an overload; raises it where it was reached without one.
+        """Lower the limit in an overload; raise it if it was reached without an overload.
 
-        Takes the time (us) and the number of ready endpoints for each balancer, which bounds the limit below.
+        `endpoints_per_instance`, the number of ready endpoints per balancer, determines the minimum of the
+        limit.
         """
         drifted_minimum = self.min_latency_ratio * (1 + MIN_RATIO_DRIFT)
         self.min_latency_ratio = (
@@ -131,54 +135,54 @@
         self.has_rejected = False
         self.adjusted_at = now
 
-    # What happens.
+    # Events
 
     def start(self, endpoints_per_instance: float) -> None:
-        """Set the first limit, by the number of ready endpoints for each balancer.
+        """Set the initial limit from the number of ready endpoints per balancer.
 
-        Where that is below 1 its root allows for chance.
+        Where that number is below 1 its square root is used, to leave room for random variation.
         """
         self.limit = self.limit or INITIAL_LIMIT_PER_ENDPOINT * max(
             endpoints_per_instance, endpoints_per_instance**0.5
         )
 
     def tick(self, now: int, endpoints_per_instance: float) -> None:
-        """Adjust the limit if it is due at a time (us)."""
+        """Count a tick, and adjust the limit if that is due at `now`."""
         self.ticks += 1
         if self.is_adjustment_due(now):
             self.adjust(now, endpoints_per_instance)
 
     def attempt_began(self, request: RequestState, attempt: Attempt) -> None:
-        """Count an attempt in."""
+        """Add an attempt to those in flight."""
         endpoint = attempt.endpoint
         endpoint.in_flight[request] = attempt
         self.in_flight += not endpoint.is_ejected
 
     def attempt_ended(self, request: RequestState, endpoint: Endpoint) -> None:
-        """Count an attempt out; the second time changes nothing."""
+        """Remove an attempt from those in flight; a second call has no effect."""
         if endpoint.in_flight.pop(request, None) is not None and not endpoint.is_ejected:
             self.in_flight -= 1
 
     def endpoint_ejected(self, endpoint: Endpoint) -> None:
-        """Leave out an endpoint's attempts: they are no sign of an overload elsewhere."""
+        """Stop counting the attempts at an ejected endpoint: they indicate no overload elsewhere."""
         self.in_flight -= len(endpoint.in_flight)
 
     def endpoint_restored(self, endpoint: Endpoint) -> None:
-        """Count an endpoint's attempts again."""
+        """Count the attempts at a restored endpoint again."""
         self.in_flight += len(endpoint.in_flight)
 
     def record_success(self, duration: int) -> None:
-        """Learn from a success that took so long (us)."""
+        """Record the duration of a successful attempt."""
         self.mean_latency = ewma(self.mean_latency, duration)
         self.succeeded += 1
 
     def record_latency(self, ratio: float, relative_latency: float) -> None:
-        """Learn from an attempt's latency by objective, the less the slower its endpoint is at any time."""
+        """Record the ratio of an attempt's latency to its objective, discounted for a slow endpoint."""
         ratio = min(1.0, ratio) / max(1.0, min(relative_latency, MAX_SLOWNESS_DISCOUNT))
         self.latency_ratio = ewma(self.latency_ratio, ratio)
 
     def snapshot(self) -> StoredLimit:
-        """Return what is handed over to the decisions that follow."""
+        """Return the state that is handed over to the next policy."""
         return StoredLimit(
             limit=self.limit,
             mean_in_flight=self.mean_in_flight,
@@ -191,7 +195,7 @@
         )
 
     def restore(self, stored: StoredLimit) -> None:
-        """Go on from what was handed over."""
+        """Restore the state that the previous policy handed over."""
         self.limit = stored.limit
         self.mean_in_flight = stored.mean_in_flight
         self.sustained_in_flight = stored.sustained_in_flight
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -1,4 +1,7 @@
-"""How much time a request has left, and what it is worth: deadlines, time-outs, Retry-After."""
+"""Deadlines, time-outs and Retry-After: how much time a request has left, and until when an answer is useful.
+
+Times are in microseconds.
+"""
 
 from dahliabend.model import RequestClass, Settings
 from dahliabend.policy.moving_average import ewma
@@ -6,23 +9,23 @@
 from dahliabend.policy.retries import Retries, is_retryable
 from dahliabend.policy.throttling import Throttling
 
-EARLY_TIMEOUT_LATENCIES = 8  # mean latencies for an attempt that may be repeated
-EARLY_TIMEOUTS_PER_LATENCY_OBJECTIVE = 2  # such an attempt has at least this part of the latency objective
-RETRY_AFTERS_PER_LATENCY_OBJECTIVE = 4
-MIN_TIMEOUT = 1  # microseconds
+EARLY_TIMEOUT_LATENCIES = 8  # mean latencies, for an attempt that may be retried
+EARLY_TIMEOUTS_PER_LATENCY_OBJECTIVE = 2  # it gets at least the objective divided by this
+RETRY_AFTERS_PER_LATENCY_OBJECTIVE = 4  # Retry-After is at least the objective divided by this
+MIN_TIMEOUT = 1
 
 
 def time_left(request: RequestState, now: int) -> int:
-    """Return the time from `now` to the deadline of a request (us); 0 or less once it is over."""
+    """Return the time from `now` to the deadline of a request; 0 or less once the deadline has passed."""
     return request.deadline - now
 
 
 class Deadlines:
-    """The mean latency of each class, and what follows from it for the time of requests.
+    """The mean latency of each class, and the time limits of requests that depend on it.
 
     Attributes:
-        mean_latencies: Of successes, by request class (us); 0: none yet.
-        tick: Between two runs of the balancer's timer (us).
+        mean_latencies: By request class, of successful attempts; 0: none yet.
+        tick: Interval of the balancer's timer.
     """
 
     def __init__(self, settings: Settings, tick: int, retries: Retries, throttling: Throttling) -> None:
@@ -34,52 +37,54 @@
         self.mean_latencies = [0.0] * len(settings.request_classes)
 
     def useful_deadline(self, request_class: RequestClass, now: int, deadline: int) -> int:
-        """Return until when an answer is worth anything (us), for a request that begins now.
+        """Return until when an answer is useful, for a request that begins now.
 
-        Where late answers are worth nothing, work beyond the latency objective would only delay other
-        requests. Tiers behind the first cannot tell what an answer is worth to the client.
+        Where late answers are worth nothing, working beyond the latency objective would only delay other
+        requests. Tiers behind the entry tier can't tell what an answer is worth to the client.
         """
         if self.is_entry_tier and not request_class.late_weight:
             return min(deadline, now + request_class.latency_objective)
         return deadline
 
     def min_time_to_send(self, class_index: int) -> int:
-        """Return what has to be left at its turn for a request to be sent (us).
+        """Return how much time a request must have left at its turn to be sent.
 
-        The end of a shorter attempt would bring no answer in time.
+        A shorter attempt would not finish in time.
         """
         return max(self.tick, round(self.mean_latencies[class_index]))
 
     def queue_wait(self, class_index: int, ahead: int) -> int:
-        """Return how long so many turns of a key take (us), all taken to be of this class.
+        """Return how long this many turns of a key take, assuming that all are of this class.
 
-        Without the wait, a request would be queued whose turn comes too late.
+        It keeps requests out of the queue whose turn would come too late.
         """
         return round(ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
-        """Return whether a request would still be sent after a wait (us) from now on.
+        """Return whether a request could still be sent after waiting from `now` on.
 
-        A queue longer than this only makes all requests in it late.
+        A longer queue would only make all requests in it late.
         """
         return time_left(request, now) > wait + self.min_time_to_send(request.class_index)
 
     def early_timeout(self, request: RequestState) -> int:
-        """Return how long an attempt is waited for that may be repeated (us).
+        """Return the time-out of an attempt that may be retried.
 
-        Many mean latencies, and a good part of the objective: sooner, slow endpoints would get work twice.
+        It is a multiple of the mean latency, and at least a fixed part of the latency objective: with a
+        shorter one, slow endpoints would have to do their work twice.
         """
         mean_latency = self.mean_latencies[request.class_index]
         min_early_timeout = request.request_class.latency_objective // EARLY_TIMEOUTS_PER_LATENCY_OBJECTIVE
         return max(min_early_timeout, round(EARLY_TIMEOUT_LATENCIES * mean_latency))
 
     def attempt_timeout(self, request: RequestState, now: int) -> int:
-        """Return the time-out of an attempt that begins now (us).
+        """Return the time-out of an attempt that begins now.
 
-        It is early where a retry could follow: else one silent endpoint costs a request all its time. Not so
-        while the tier holds a reduction, where all are slow and repeats would be more load.
+        It is early where a retry could follow; otherwise one silent endpoint costs a request all its time. It
+        is not early while the tier holds a reduction: then all endpoints are slow, and retries would add
+        load.
         """
-        left = request.deadline - now  # `time_left`, without the call
+        left = request.deadline - now  # `time_left`, inlined
         timeout = request.request_class.attempt_timeout or left
         is_unthrottled = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
         if is_unthrottled and self.retries.budget >= 1 and is_retryable(request):
@@ -87,21 +92,23 @@
         return max(MIN_TIMEOUT, min(left, timeout))
 
     def is_early_timeout_over(self, request: RequestState, attempt: Attempt, now: int) -> bool:
-        """Return whether an attempt at a hung endpoint is cancelled at a time (us), to be sent elsewhere.
+        """Return whether an attempt at a hung endpoint is cancelled at `now`, to be sent elsewhere.
 
-        Its time-out was set before the endpoint fell silent; one that just began may still be answered.
+        Its time-out was set before the endpoint fell silent. An attempt that has just begun may still be
+        answered.
         """
         is_late = now - attempt.sent_at >= self.early_timeout(request)
         return is_late and not request.is_answered and is_retryable(request)
 
     def retry_after(self, request_class: RequestClass, wait: int) -> int:
-        """Return when a rejected client is told to come back (us; 0: it is told nothing).
+        """Return the Retry-After of a rejected request; 0: the client is told nothing.
 
-        After what it would have had to wait (us) and a part of its objective: sooner, it meets the same load.
+        It covers the time that the request would have waited, and a part of its latency objective: a client
+        that came back sooner would meet the same load.
         """
         after = max(wait, round(request_class.latency_objective / RETRY_AFTERS_PER_LATENCY_OBJECTIVE))
         return min(self.max_retry_after, after)
 
     def record_latency(self, class_index: int, duration: int) -> None:
-        """Learn from a success that took so long (us)."""
+        """Record the duration of a successful attempt of a class."""
         self.mean_latencies[class_index] = ewma(self.mean_latencies[class_index], duration)
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -1,4 +1,7 @@
-"""Order among requests of one key: one at a time; after an attempt that may go on, the key rests."""
+"""Ordering of requests with the same key: one at a time, with a pause after an attempt that may still run.
+
+Times are in microseconds.
+"""
 
 from heapq import heappop, heappush
 
@@ -9,11 +12,17 @@
     Outcome.TIMED_OUT,
     Outcome.RESET,
     Outcome.CANCELLED,
-)  # at the endpoint, after such an end
+)  # may still run there
 
 
 class KeyQueue:
-    """Of one key: whose turn it is, until when the key rests (us; 0: not), and who waits, as admitted."""
+    """The queue of one key.
+
+    Attributes:
+        current: The request whose turn it is.
+        rests_until: When the pause of the key ends; 0: the key is not paused.
+        waiting: The requests that wait for their turn, in the order of their admission.
+    """
 
     def __init__(self) -> None:
         self.current: RequestState | None = None
@@ -22,18 +31,22 @@
 
 
 class KeyQueues:
-    """The queues of all keys of one balancer. Nothing is kept of a key once its queue and rest are over."""
+    """The queues of all keys of one balancer.
+
+    The state of a key is dropped once its queue is empty and its pause is over.
+    """
 
     def __init__(self, pause_time: int, port: Port) -> None:
-        self.pause_time = pause_time  # microseconds
+        self.pause_time = pause_time
         self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
-        self.rests: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
+        self.rests: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
 
     def take_over(self, predecessor: "KeyQueues") -> None:
-        """Go on with the queues of the decisions before, in the same process.
+        """Continue with the queues of the policy that was in force before, in the same process.
 
-        Else a request could run beside another of its key that was admitted under other settings.
+        Otherwise a request could run beside another one of its key that was admitted under the former
+        settings.
         """
         self.queues = predecessor.queues
         self.rests = predecessor.rests
@@ -41,11 +54,11 @@
             self.port.set_timer(until, TimerToken.KEY_REST)
 
     def ahead(self, key: int | bytes) -> int:
-        """Return how many turns of a key come before one that joins now; a rest counts as one."""
+        """Return how many turns precede a request that joins now; a pause counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
-        """Queue a request behind all of its key. Return whether it is its turn at once."""
+        """Append a request to the queue of its key, and return whether its turn has come at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
         if queue.current or queue.rests_until:
             queue.waiting[request] = None
@@ -54,19 +67,22 @@
         return True
 
     def waiting_requests(self) -> list[RequestState]:
-        """Return the requests that wait for their turn, by key in the order in which they were admitted."""
+        """Return the requests that wait for their turn, by key and in the order of their admission."""
         return [request for queue in self.queues.values() for request in queue.waiting]
 
     def needs_rest(self, outcome: Outcome) -> bool:
-        """Return whether a key rests after such an end: the next could overtake an attempt that goes on."""
+        """Return whether a key is paused after an attempt with this outcome.
+
+        The attempt may still run at the endpoint, where the next request of the key could overtake it.
+        """
         return outcome in _UNCERTAIN_OUTCOMES
 
     def rest(self, request: RequestState, now: int) -> None:
-        """Let the key of a request rest from a time (us) on."""
+        """Pause the key of a request, from `now` on."""
         self.queues[request.key].rests_until = now + self.pause_time
 
     def leave(self, request: RequestState, now: int) -> None:
-        """Take a request out if it is finished, whether its turn had come or not."""
+        """Remove a request from its queue if it is finished, whether or not its turn had come."""
         queue = self.queues.get(request.key) if request.is_finished else None
         if queue and queue.current is request:
             queue.current = None
@@ -75,7 +91,7 @@
             queue.waiting.pop(request, None)
 
     def timer_fired(self, now: int) -> None:
-        """End the rests that are over at a time (us)."""
+        """End the pauses that are over at `now`, and send the next request of each of these keys."""
         while self.rests and self.rests[0][0] <= now:
             key = heappop(self.rests)[1]
             self._advance(key, self.queues[key], now)
@@ -91,6 +107,6 @@
             queue.current = request
             del queue.waiting[request]
             request.balancer.send(request, now)
-            queue.current = None if request.is_finished else request  # given up unsent
+            queue.current = None if request.is_finished else request  # `send` may give it up at once
         if not queue.current:
-            del self.queues[key]  # else a key seen once would be kept for ever
+            del self.queues[key]  # a key is stored only while it is in use
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -1,6 +1,7 @@
-"""The records that the decisions go by: an endpoint, an attempt, a request. They refer to each other.
+"""The records that the policy works on: an endpoint, an attempt, a request. They refer to each other.
 
-Times are microseconds. A field is written by the one part that its comment names, and read by all.
+Times are in microseconds. Any module may read a field; only the class named in the comment above it writes
+it.
 """
 
 from typing import Protocol
@@ -8,49 +9,49 @@
 from dahliabend.model import EndpointState, Outcome, RequestClass, Settings, StoredEndpoint
 from dahliabend.policy.throttling import ThrottleEntry
 
-NOT_STARTED = -1  # of no process yet; lists give 0 where they don't tell when one started
+NOT_STARTED = -1  # no process yet; lists give 0 if they don't tell when a process started
 
 
 class Endpoint:
-    """What is known of one endpoint, for as long as a list names it and its process is the same."""
+    """What is known of one endpoint, while a list names it and its process is the same."""
 
     def __init__(self, index: int, rank: bytes, class_count: int) -> None:
         self.index = index
-        self.rank = rank  # among all endpoints, for this balancer
-        # As listed: `EndpointSelection`.
+        self.rank = rank  # from a hash, different for each balancer
+        # Endpoint list, written by `EndpointSelection`:
         self.state = EndpointState.REMOVED
         self.started_at = NOT_STARTED
         self.weight = 1.0
         self.cell = 0
         self.zone = 0
         self.is_listed = False
-        # What runs there: `ConcurrencyLimit`.
+        # Attempts in flight, written by `ConcurrencyLimit`:
         self.in_flight: dict[RequestState, Attempt] = {}
         self.entries = [ThrottleEntry() for _ in range(class_count + 1)]
         self.start(NOT_STARTED, 0, 0.0)
 
     def start(self, started_at: int, now: int, position: float) -> None:
-        """Forget what was known of an earlier process; `position` is the first one in the rotation."""
+        """Forget what was known of an earlier process; `position` is the initial position in the rotation."""
         self.started_at = started_at
-        # Reductions, by class; the last is of all classes: `Throttling`.
+        # Reductions by class, and the last one for all classes, written by `Throttling`:
         self.entries = [ThrottleEntry() for _ in self.entries]
-        # The rotation: `EndpointSelection`.
+        # Rotation, written by `EndpointSelection`:
         self.position = position
-        self.relative_latency = 1.0  # mean of latencies by the mean latency of their class
-        # Slow start: `SlowStart`.
-        self.slow_start_budget = position  # attempts; random, so that not all balancers send at once
+        self.relative_latency = 1.0  # mean ratio of latency to the mean latency of the class
+        # Slow start, written by `SlowStart`:
+        self.slow_start_budget = position  # attempts; random, lest all balancers send at once
         self.budget_filled_at = now
-        # Faults: `OutlierDetector`.
-        self.silent_since = now  # with attempts in flight
+        # Faults, written by `OutlierDetector`:
+        self.silent_since = now  # no answer since then, with attempts in flight
         self.answered_at = 0
         self.last_ended_at = now
         self.is_ejected = False
         self.ejected_since = 0
-        self.consecutive_failures = 0  # ejections, and trials and health checks failed since
+        self.consecutive_failures = 0  # ejections, and failed trials and health checks since
         self.health_check_under_way = False
 
     def snapshot(self, slow_start_budget: float) -> StoredEndpoint:
-        """Return what is handed over to the decisions that follow, with their part of the budget."""
+        """Return the state handed over to the next policy, with its share of the slow-start budget."""
         return StoredEndpoint(
             started_at=self.started_at,
             relative_latency=self.relative_latency,
@@ -65,7 +66,7 @@
         )
 
     def restore(self, stored: StoredEndpoint) -> None:
-        """Go on from what was handed over."""
+        """Restore the state that the previous policy handed over."""
         self.started_at = stored.started_at
         self.relative_latency = stored.relative_latency
         self.silent_since = stored.silent_since
@@ -79,7 +80,10 @@
 
 
 class Attempt:
-    """One sending of a request. Cell and zone are those of then: there its repeats are known."""
+    """One transmission of a request.
+
+    Cell and zone are those of the endpoint at that time: there, repeats are deduplicated.
+    """
 
     __slots__ = ("cell", "endpoint", "idle", "may_have_executed", "sent_at", "zone")
 
@@ -89,55 +93,55 @@
         self.may_have_executed = True
         self.cell = endpoint.cell
         self.zone = endpoint.zone
-        # How long its connection had been idle before; the driver may tell better at the end.
+        # Estimate of how long its connection had been idle; the driver may report a better value at the end.
         self.idle = 0 if endpoint.in_flight else now - endpoint.last_ended_at
 
 
 class RequestOwner(Protocol):
-    """The balancer that admitted a request: what happens to the request is reported to it."""
+    """The balancer that admitted a request, to which the events of the request are reported."""
 
     settings: Settings
 
     def send(self, request: "RequestState", now: int) -> None:
-        """The request's turn has come: sends an attempt or gives it up."""
+        """Send the next attempt of a request, or give the request up."""
 
     def give_up_if_late(self, request: "RequestState", now: int) -> None:
-        """Give up a request that waits for its turn, if too little time is left for it."""
+        """Give up a request that waits for its turn, if it has too little time left."""
 
     def attempt_ended(
         self, request: "RequestState", attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
-        """An attempt has ended, after so long (us)."""
+        """Handle the end of an attempt."""
 
     def response_started(self, request: "RequestState", attempt: Attempt) -> None:
-        """The answer of an attempt streams to the client."""
+        """Handle the start of a response that is streamed to the client."""
 
     def body_received(self, request: "RequestState", now: int, deadline: int) -> int:
-        """The attempt in flight has the last byte of the body. Return its time-out (us)."""
+        """Handle the last byte of the body of the attempt in flight, and return the attempt's time-out."""
 
     def hedge_timer_fired(self, request: "RequestState", now: int) -> None:
-        """The attempt in flight is slow."""
+        """Handle a slow attempt in flight."""
 
     def client_disconnected(self, request: "RequestState", now: int) -> None:
-        """Nobody waits for the answer any more."""
+        """Handle the disconnection of the client."""
 
 
 class RequestState:
-    """A request that was admitted: the handle on which the driver reports (`model.RequestHandle`).
+    """An admitted request: the handle on which the driver reports its events (`model.RequestHandle`).
 
     Attributes:
-        balancer: Where its events go.
-        ref: By which the driver knows it.
-        key: By which requests are sent one at a time; 0: none.
-        deadline: When its answer is worth nothing (us).
-        priority: Between 0 and 1; lowered where its tenant is over quota.
+        balancer: The balancer that handles its events.
+        ref: The driver's reference to it.
+        key: The ordering key; 0: none.
+        deadline: When an answer becomes worthless.
+        priority: Between 0 and 1; lowered if its tenant is over quota.
         attempts: In the order in which they were sent.
-        in_flight: How many of them have not ended.
-        hedges: How many of them are hedges (1 at most).
-        body_pending: Its body is still being received.
-        is_body_consumed: A part of its body is gone, so that nothing whole is left to send again.
-        is_streaming: The client has a part of the answer.
-        is_answered: It is answered, given up, or its client has left.
+        in_flight: Number of attempts that have not ended.
+        hedges: Number of attempts that are hedges (at most 1).
+        body_pending: Whether its body is still being received.
+        is_body_consumed: Whether a part of its body has been dropped, so that it can't be sent again.
+        is_streaming: Whether the client has received a part of the response.
+        is_answered: Whether it has been answered or given up, or its client has disconnected.
     """
 
     def __init__(
@@ -168,37 +172,37 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether it is answered, or nobody waits for it, and none of its attempts is in flight."""
+        """Whether it is answered, or its client has gone, and none of its attempts is in flight."""
         return self.is_answered and not self.in_flight
 
     def first_possibly_executed(self) -> Attempt | None:
         """Return the first attempt that may have executed, None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_executed), None)
 
-    # What the balancer records here.
+    # Recorded by the balancer
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """One more attempt is in flight."""
+        """Record a new attempt in flight."""
         self.in_flight += 1
         self.attempts.append(attempt)
 
     def mark_hedged(self) -> None:
-        """The next attempt is a hedge."""
+        """Record that the next attempt is a hedge."""
         self.hedges = 1
 
     def give_up(self) -> None:
-        """The balancer answers it without a success: nothing is sent for it any more."""
+        """Record that the balancer answers the request without a success; nothing more is sent for it."""
         self.is_answered = True
 
-    # What the driver reports (`model.RequestHandle` has the arguments).
+    # Reported by the driver; `model.RequestHandle` describes the arguments
 
     def attempt_finished(
         self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
     ) -> None:
-        """Report how an attempt ended; another is sent where one may follow."""
+        """Report how an attempt ended; another one is sent where it may follow."""
         attempt = self.attempts[number]
         if self.is_answered:
-            attempt.idle = 0  # cancelled here: it tells nothing of its connection
+            attempt.idle = 0  # cancelled by this balancer, which says nothing about the connection
         elif idle is not None:
             attempt.idle = idle
         attempt.may_have_executed = not outcome.proves_not_executed
@@ -206,26 +210,29 @@
         self.is_answered = self.is_answered or complete
         self.balancer.attempt_ended(self, attempt, now, outcome, duration)
 
-    def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - the handle has it
-        """Report a streamed response: the client has a part of it, so the attempt is not cancelled."""
+    def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - declared by `RequestHandle`
+        """Report that the client has a part of the response, after which the attempt is not cancelled."""
         self.is_streaming = True
         self.balancer.response_started(self, self.attempts[number])
 
     def body_consumed(self) -> None:
-        """Report that a part of the body is gone, so that nothing whole is left to send again."""
+        """Report that a part of the body has been dropped, so that it can't be sent again."""
         self.is_body_consumed = True
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Report that the attempt in flight has the last byte: it begins now. Return its time-out (us)."""
+        """Report that the attempt in flight has the last byte of the body, and return its time-out.
+
+        The attempt begins at `now`, however long the transmission took.
+        """
         self.body_pending = False
-        self.attempts[-1].sent_at = now  # whatever the sending took
+        self.attempts[-1].sent_at = now
         return self.balancer.body_received(self, now, deadline)
 
     def hedge_timer_fired(self, now: int) -> None:
-        """Report that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
+        """Report that the attempt in flight is slow; a hedge is sent if attempts and budget are left."""
         self.balancer.hedge_timer_fired(self, now)
 
     def client_disconnected(self, now: int) -> None:
-        """Report that nobody waits for an answer any more."""
+        """Report that the client has gone."""
         self.is_answered = True
         self.balancer.client_disconnected(self, now)
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -1,18 +1,18 @@
-"""Whether there may be another attempt or a hedge: idempotency, deduplication, budget, most attempts."""
+"""Retries and hedges: idempotency, deduplication, the retry budget and the maximum number of attempts."""
 
 from dahliabend.model import DeduplicationScope, Effect, Outcome, Settings
 from dahliabend.policy.records import RequestState
 
 INITIAL_BUDGET = 1.0  # retries
-MAX_RETRY_BUDGET = 10  # attempts after ones that may have executed, and hedges, that may be saved up
-RETRY_COST = 1  # of the budget, for such an attempt
+MAX_RETRY_BUDGET = 10  # retries after attempts that may have executed, and hedges
+RETRY_COST = 1  # for one of these
 
 
 def may_attempt(request: RequestState, now: int) -> bool:
-    """Return whether a request may be sent at a time (us), beside no other attempt of it.
+    """Return whether a request, with no attempt in flight, may be sent at `now` (us).
 
-    After attempts that may have executed, only an idempotent request may run again, or one whose repeats the
-    endpoints still drop: any other would take effect twice.
+    After attempts that may have executed, only an idempotent request may be sent again, or one whose repeats
+    the endpoints still drop: any other would take effect twice.
     """
     if len(request.attempts) >= request.max_attempts or request.is_body_consumed or request.in_flight:
         return False
@@ -30,7 +30,7 @@
 def is_retryable(request: RequestState) -> bool:
     """Return whether a request could be sent once more even if its attempt in flight has executed.
 
-    Only then is it worth giving that attempt less than all the time that is left.
+    Only then is it useful to give that attempt less than all the time that is left.
     """
     has_more = len(request.attempts) < request.max_attempts and not request.is_body_consumed
     return has_more and request.request_class.effect is not Effect.NON_IDEMPOTENT
@@ -39,7 +39,7 @@
 def is_retryable_by_client(request: RequestState) -> bool:
     """Return whether the client may send a request again, through any balancer and to any endpoint.
 
-    Told so wrongly, it would cause an effect twice.
+    If a client were wrongly told so, the request would take effect twice.
     """
     request_class = request.request_class
     if request_class.effect is Effect.IDEMPOTENT:
@@ -51,11 +51,11 @@
 
 
 class Retries:
-    """The budget of retries that may execute a request again.
+    """The budget for retries that may execute a request again.
 
     Attributes:
-        budget: How many are saved up.
-        deposit_per_request: What each first attempt adds.
+        budget: Number of retries that may be spent.
+        deposit_per_request: What the first attempt of each request adds.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -63,44 +63,46 @@
         self.deposit_per_request = settings.retry_budget_ratio
 
     def has_budget(self) -> bool:
-        """Return whether the budget pays for a retry: unpaid, retries multiply across tiers."""
+        """Return whether the budget suffices for a retry; without a budget, retries multiply across tiers."""
         return self.budget >= RETRY_COST
 
     def may_retry(self, outcome: Outcome) -> bool:
-        """Return whether another attempt may follow one that ended so.
+        """Return whether another attempt may follow one with this outcome.
 
-        What provably did not execute costs nothing. What was not sent failed here, and would fail here again.
+        A retry is free if the attempt provably did not execute. An attempt that was not sent failed in this
+        process, and would fail here again.
         """
         if outcome is Outcome.NOT_SENT:
             return False
         return outcome.proves_not_executed or self.has_budget()
 
     def may_hedge(self, request: RequestState, now: int) -> bool:
-        """Return whether a slow attempt may get a hedge beside it at a time (us).
+        """Return whether a slow attempt may get a hedge at `now` (us).
 
-        One hedge at most, paid for like a retry: in an overload all attempts are slow.
+        A request gets one hedge at most, and it is paid for like a retry: in an overload all attempts are
+        slow.
         """
         has_attempts_left = len(request.attempts) < request.max_attempts
         is_open = not (request.is_answered or request.is_streaming) and now < request.deadline
         return is_open and request.in_flight == 1 and has_attempts_left and self.has_budget()
 
     def deposit(self) -> None:
-        """Add the part of a retry that a first attempt earns."""
+        """Add the share of a first attempt to the budget."""
         self.budget = min(MAX_RETRY_BUDGET, self.budget + self.deposit_per_request)
 
     def withdraw_for_retry(self, outcome: Outcome) -> None:
-        """Take a retry after an attempt that ended so from the budget, if that may have executed."""
+        """Deduct a retry from the budget, if the attempt with this outcome may have executed."""
         self.budget -= not outcome.proves_not_executed
 
     def withdraw_for_hedge(self) -> None:
-        """Take a hedge from the budget."""
+        """Deduct a hedge from the budget."""
         self.budget -= RETRY_COST
 
 
 def cancellable_attempts(request: RequestState) -> range:
-    """Return the places of the attempts that may be in flight: the newest, and the one that it hedges.
+    """Return the indices of the attempts that may be in flight: the newest, and the one that it hedges.
 
-    None while the answer streams: the client has a part of it.
+    Empty while the answer is being streamed, because the client has a part of it.
     """
     if not request.in_flight or request.is_streaming:
         return range(0)
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -1,24 +1,28 @@
-"""What the end of an attempt counts as, and in which of the scopes."""
+"""Attribution of outcomes: whether an attempt counts as failed, and in which scopes.
+
+Times are in microseconds.
+"""
 
 from dahliabend.model import Outcome, RequestClass, Settings
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.records import Endpoint, RequestState
 from dahliabend.policy.throttling import Throttling
 
-LATE_OBJECTIVE_FRACTION = 3 / 4  # of the latency objective: in an overload, a slower attempt counts as failed
-_LOAD_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT)  # its time tells of load
+LATE_OBJECTIVE_FRACTION = 3 / 4  # in an overload, a slower attempt counts as failed
+_LOAD_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT)  # their duration indicates load
 
 
 def is_late(request_class: RequestClass, duration: int) -> bool:
-    """Return whether an attempt that took so long (us) left its request little of the latency objective.
+    """Return whether an attempt of this duration left its request little of the latency objective.
 
-    In an overload a late attempt counts as failed: else the reductions would wait until deadlines are missed.
+    In an overload, late attempts count as failed; otherwise reductions would begin only after deadlines are
+    missed.
     """
     return duration > LATE_OBJECTIVE_FRACTION * request_class.latency_objective
 
 
 class Sampling:
-    """Passes the ends of attempts on to the concurrency limit and to the reductions of each scope."""
+    """Passes the outcomes of attempts on to the concurrency limit and to the entries of all scopes."""
 
     def __init__(self, settings: Settings, throttling: Throttling, concurrency: ConcurrencyLimit) -> None:
         self.zone = settings.zone
@@ -27,16 +31,17 @@
         self.concurrency = concurrency
 
     def indicates_load(self, endpoint: Endpoint, now: int, outcome: Outcome, duration: int) -> bool:
-        """Return whether the time that an attempt took (us), which ended now, counts for the limit.
+        """Return whether the duration of an attempt that ended at `now` counts for the concurrency limit.
 
-        Not if its endpoint has not answered since it was sent: one silent endpoint is hardly an overload.
+        It does not if its endpoint has not answered since the attempt was sent: one silent endpoint is rarely
+        an overload.
         """
         return outcome in _LOAD_OUTCOMES and endpoint.silent_since > now - duration
 
     def record_outcome(
         self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, duration: int
     ) -> None:
-        """Take the end of an attempt, which took so long (us), into the limit and the scopes."""
+        """Record the outcome and the duration of an attempt in the concurrency limit and in the scopes."""
         request_class = request.request_class
         if self.indicates_load(endpoint, now, outcome, duration):
             ratio = duration / request_class.latency_objective
@@ -48,12 +53,14 @@
         if self.cross_zone_cost and endpoint.zone == self.zone:
             is_zone_failure = is_failed or is_late(request_class, duration)
             self.throttling.add_zone_sample(self.cross_zone_cost, is_failed=is_zone_failure)
-        if request.attempts[0].endpoint is endpoint:  # one that finds five full would count as five
+        if (
+            request.attempts[0].endpoint is endpoint
+        ):  # else a request that finds five endpoints full counts as five
             self.throttling.add_tier_sample(is_failed=is_failed and self.is_tier_failure(outcome))
 
     def is_tier_failure(self, outcome: Outcome) -> bool:
-        """Return whether a failure counts for the tier: a rejection does, any other only in an overload.
+        """Return whether a failure counts against the tier: a rejection does, others only in an overload.
 
-        An endpoint's own fault is no reason to reject requests that others could serve.
+        The fault of one endpoint is no reason to reject requests that others could serve.
         """
         return self.concurrency.is_overloaded or outcome.proves_not_executed
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -1,4 +1,7 @@
-"""Which endpoint gets an attempt: own zone first, a subset by rank, weighted round robin."""
+"""Selection of the endpoint for an attempt: own zone first, a subset by rank, weighted round robin.
+
+Times are in microseconds.
+"""
 
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
@@ -10,11 +13,9 @@
 from dahliabend.policy.slow_start import SlowStart
 from dahliabend.policy.throttling import MIN_SAMPLES, Throttling
 
-MIN_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
-MIN_SUBSET_CHANGE_DIVISOR = (
-    4  # a subset keeps its size until it would change by more than one such part of it
-)
-MAX_LATENCY_RATIO = 10  # the most that one attempt tells of its endpoint's relative latency
+MIN_SUBSET = 2  # endpoints, inside and outside the own zone if crossing has a cost
+MIN_SUBSET_CHANGE_DIVISOR = 4  # a smaller change than size / 4 leaves the subset as it is
+MAX_LATENCY_RATIO = 10  # bound on what one attempt adds to the relative latency of its endpoint
 NO_LOAD_LIMIT = float("inf")
 RANK_BYTES = 8
 
@@ -22,7 +23,7 @@
 def is_deduplicated_at(request: RequestState, endpoint: Endpoint, first: Attempt) -> bool:
     """Return whether an endpoint drops repeats of an attempt that may have executed.
 
-    Sent outside the scope, a repeat takes effect a second time.
+    A repeat that is sent outside the deduplication scope takes effect a second time.
     """
     scope = request.request_class.deduplication_scope
     if scope is DeduplicationScope.CELL:
@@ -31,9 +32,10 @@
 
 
 def permitted_endpoints(request: RequestState, endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Return those to which a request may go: where repeats are dropped, if it may have executed.
+    """Return the endpoints to which a request may be sent.
 
-    Elsewhere a repeat would take effect a second time.
+    If the request may have executed, these are the ones that drop its repeats; elsewhere a repeat would take
+    effect a second time.
     """
     if request.request_class.effect is not Effect.DEDUPLICATED:
         return endpoints
@@ -44,10 +46,10 @@
 
 
 def available_endpoints(pool: list[Endpoint]) -> tuple[list[Endpoint], float]:
-    """Return those of a pool that are not ejected, and their load limit.
+    """Return the endpoints of a pool that are not ejected, and their load limit.
 
-    The limit is their mean of attempts in flight by weight; above it an endpoint is skipped. Round robin
-    alone would queue requests at an endpoint that has become slow.
+    The limit is their mean number of attempts in flight per weight; an endpoint above it is skipped. Round
+    robin alone would queue requests at an endpoint that has become slow.
     """
     available = []
     weights = 0.0
@@ -61,16 +63,16 @@
 
 
 class EndpointSelection:
-    """The endpoints listed, those ready by rank, and the subsets used: in the own zone, or beyond it.
+    """The listed endpoints, the ready ones by rank, and the subsets in use in the own zone and beyond it.
 
     Attributes:
-        endpoints: By index; all that a list has named, but for removed ones.
-        ready: Those that get requests as listed, the highest rank first.
-        selected: The subset used first.
-        cross_zone: The subset beyond the border of the own zone, where crossing costs.
-        subset_size: How many endpoints each of both has at the most.
-        max_ready: The most endpoints ever ready.
-        instance_count: Balancers that share the endpoints; drivers set it where it changes.
+        endpoints: By index; all endpoints named by a list, except removed ones.
+        ready: The endpoints whose listed state is ready, the highest rank first.
+        selected: The preferred subset.
+        cross_zone: The subset outside the own zone, where crossing zones has a cost.
+        subset_size: The maximum size of each of these two subsets.
+        max_ready: The largest number of ready endpoints so far.
+        instance_count: Number of balancers that share the endpoints; drivers update it.
     """
 
     def __init__(
@@ -94,10 +96,10 @@
         self.subset_size = 0
         self.max_ready = 1
 
-    # The list.
+    # Endpoint list
 
     def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
-        """Take over a list of endpoints, or (not `full`) changes of it."""
+        """Apply an endpoint list (`full`), or changes to it."""
         removed = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         if full:
             removed |= self.endpoints.keys() - {row[0] for row in rows}
@@ -115,10 +117,10 @@
             rank = blake2b(endpoint_id, key=rank_key, digest_size=RANK_BYTES).digest()
             self.endpoints[index] = Endpoint(index, rank, len(self.settings.request_classes))
         endpoint = self.endpoints[index]
-        if started_at != endpoint.started_at:  # nothing known of an earlier process holds
+        if started_at != endpoint.started_at:  # what is known of an earlier process does not apply
             if endpoint.is_ejected:
                 self.concurrency.endpoint_restored(endpoint)
-            endpoint.start(started_at, now, self.random())  # else all balancers turn to it at once
+            endpoint.start(started_at, now, self.random())  # random, lest all balancers send to it at once
         endpoint.state = state
         endpoint.is_listed = True
         endpoint.cell = cell
@@ -128,12 +130,14 @@
     def _mark_unlisted(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
         if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
-            endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
+            endpoint.state = (
+                EndpointState.REMOVED
+            )  # otherwise kept while it answers, as the list may be wrong
 
     def remove_unlisted(self, now: int) -> None:
-        """Remove what no list names and has not answered for as long as a start takes.
+        """Remove endpoints that no list names and that have not answered for `warmup_time` before `now`.
 
-        Takes the time (us). Kept for longer, an endpoint that is really gone would go on getting requests.
+        If they were kept for longer, an endpoint that has really gone would go on receiving requests.
         """
         warmup_time = self.settings.warmup_time
         stale = [each for each in self.ready if not each.is_listed and now - each.answered_at > warmup_time]
@@ -142,11 +146,10 @@
         if stale:
             self._rank_endpoints()
 
-    # The subset.
+    # Subset
 
-    def _rank_endpoints(
-        self,
-    ) -> None:  # attempts in flight keep the record of one that is gone until they end
+    def _rank_endpoints(self) -> None:
+        # Attempts in flight keep the record of a removed endpoint until they end.
         self.endpoints = {
             index: endpoint
             for index, endpoint in self.endpoints.items()
@@ -160,20 +163,20 @@
         self.select()
 
     def endpoints_per_instance(self) -> float:
-        """Return how many ready endpoints there are for each balancer."""
+        """Return the number of ready endpoints per balancer."""
         return len(self.ready) / self.instance_count
 
     def initial_subset_size(self) -> int:
-        """Return the first size of the subset: all, unless there are more balancers than endpoints.
+        """Return the initial size of the subset: all endpoints, unless balancers outnumber them.
 
-        With more, the connections of an endpoint would not suffice for all balancers at once.
+        In that case an endpoint would not have enough connections for all balancers at once.
         """
         return max(MIN_SUBSET, self.max_ready if self.max_ready >= self.instance_count else 0)
 
     def resize_subset(self) -> None:
-        """Fit the subset to the rate of attempts: all, or as many as reach their floor within a validity.
+        """Adapt the subset to the send rate: all endpoints, or as many as get `MIN_SAMPLES` in a validity.
 
-        Spread over more endpoints, the few attempts of one balancer would tell nothing of any of them.
+        Spread over more endpoints, the few attempts of one balancer would say nothing about any of them.
         """
         attempts = self.slow_start.send_rate * self.throttling.min_validity
         size = (
@@ -184,7 +187,7 @@
             self.select()
 
     def select(self) -> None:
-        """Select the highest ranks that are not ejected, on each side of a zone border that costs."""
+        """Select the endpoints of highest rank that are not ejected, per zone side if crossing has a cost."""
         size = self.subset_size if self.settings.instance_index >= 0 else None
         zone = self.settings.zone
         cost = self.settings.cross_zone_cost
@@ -192,14 +195,14 @@
         self.selected = [each for each in healthy if not cost or each.zone == zone][:size]
         self.cross_zone = [each for each in healthy if cost and each.zone != zone][:size]
 
-    # The choice.
+    # Choice
 
     def choose(self, request: RequestState, now: int, *, unthrottled: bool = False) -> Endpoint | None:
-        """Return the endpoint for a request's next attempt at a time (us), None if there is none.
+        """Return the endpoint for the next attempt of a request at `now`, None if there is none.
 
-        One that the request has not tried and that is not above the mean load, out of the subsets by
-        preference; then out of all that are ready; then any that is ready, rather than none. `unthrottled`:
-        only one that is known to hold no reduction.
+        Preferred are endpoints that the request has not tried and whose load is not above the mean: first
+        from the subsets, then from all ready endpoints. If there is none, any ready endpoint is chosen. With
+        `unthrottled`, only endpoints known to hold no reduction qualify.
         """
         pools = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
@@ -220,18 +223,19 @@
         return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, unthrottled_for)
 
     def prefers_cross_zone(self, now: int) -> bool:
-        """Return whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
+        """Return whether an attempt at `now` crosses zones: with the probability of the own zone's reduction.
 
-        An overloaded zone would fail while the other has capacity; without a reduction crossing only costs.
+        An overloaded zone would fail requests while others have capacity. Without a reduction, crossing only
+        has a cost.
         """
         return self.random() < self.throttling.same_zone.valid_reduction(now)
 
     def _next_in_rotation(
         self, candidates: list[Endpoint], load_limit: float, now: int, unthrottled_for: RequestState | None
     ) -> Endpoint | None:
-        """Smooth weighted round robin, by weight, latency and warm share.
+        """Choose by smooth weighted round robin over weight, relative latency and warm share.
 
-        Skips endpoints above the load limit (attempts in flight by weight), and those that may hold a
+        Endpoints above the load limit (attempts in flight per weight) are skipped, and those that may hold a
         reduction for the request `unthrottled_for`.
         """
         warmup_time = self.settings.warmup_time
@@ -239,7 +243,9 @@
         total = 0.0
         for endpoint in candidates:
             weight = endpoint.weight / endpoint.relative_latency
-            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # no call for warm ones
+            if (
+                endpoint.started_at and now - endpoint.started_at < warmup_time
+            ):  # skips the call for warm endpoints
                 weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
@@ -254,21 +260,21 @@
         return best
 
     def is_known_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
-        """Return whether an endpoint has been heard of and holds no reduction for a request at a time (us).
+        """Return whether an endpoint has been sampled and holds no reduction for a request at `now`.
 
-        One not heard of yet may be as much at fault as the one that is avoided.
+        An endpoint that has not been sampled yet may be as faulty as the one that is avoided.
         """
         governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
         return endpoint.entries[-1].valid_until > 0 and not governing_entry.valid_reduction(now)
 
     def has_warm_endpoint(self, now: int) -> bool:
-        """Return whether any ready endpoint has started long enough before a time (us)."""
+        """Return whether any ready endpoint has finished its warm-up at `now`."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
     def record_latency(
         self, endpoint: Endpoint, outcome: Outcome, duration: int, mean_latency: float
     ) -> None:
-        """Learn an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
+        """Update an endpoint's relative latency by an attempt's duration and the mean of its class."""
         if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
             ratio = min(duration / mean_latency, MAX_LATENCY_RATIO)
             endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_SPARSE)
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -1,17 +1,20 @@
-"""Slow start: what a warming endpoint may get, and the rate of attempts by which its budget is filled."""
+"""Slow start: the share of load of an endpoint that is warming up, and the send rate that fills its budget.
+
+Times are in microseconds.
+"""
 
 from dahliabend.model import Settings
 from dahliabend.policy.records import Endpoint
 
-SEND_RATE_WEIGHT_DIVISOR = 4  # a window's rate has one such part in the mean rate
-MAX_SLOW_START_BUDGET = 1.0  # attempts saved up
+SEND_RATE_WEIGHT_DIVISOR = 4  # the newest window has the weight 1/4 in the mean rate
+MAX_SLOW_START_BUDGET = 1.0  # attempts
 
 
 class SlowStart:
-    """The token budgets of endpoints whose process has started lately.
+    """The token budgets of endpoints whose process has started recently.
 
     Attributes:
-        send_rate: Mean rate of attempts to all endpoints (attempts a microsecond).
+        send_rate: Mean rate of attempts to all endpoints (attempts per microsecond).
         sent: Attempts in the open window.
     """
 
@@ -22,10 +25,10 @@
         self.sent = 0
 
     def warm_share(self, endpoint: Endpoint, now: int, max_ready: int) -> float:
-        """Return the share of its capacity that an endpoint may get at a time (us); 0: its budget is spent.
+        """Return the share of its capacity that an endpoint may use at `now`; 0: its budget is spent.
 
-        `max_ready` is how many endpoints share the rate of attempts. A process that has just started fails
-        under the load that it carries later.
+        A process that has just started fails under the load that it carries later. `max_ready` is the number
+        of endpoints that share the send rate.
         """
         warmup_time = self.settings.warmup_time
         age = now - endpoint.started_at
@@ -40,14 +43,15 @@
         return warm if endpoint.slow_start_budget >= 1 else 0.0
 
     def spend(self, endpoint: Endpoint) -> None:
-        """Take one attempt from an endpoint's budget, and counts it in the window."""
+        """Deduct one attempt from the budget of an endpoint, and count it in the window."""
         endpoint.slow_start_budget -= 1
         self.sent += 1
 
     def hand_over_budget(self, endpoint: Endpoint, *, ends: bool) -> float:
-        """Return what the decisions that follow may spend: all if these end (`ends`), else half.
+        """Return the budget that the next policy may spend: all of it if this one ends (`ends`), else half.
 
-        An endpoint has one budget: spent twice, it would be overrun at each reload.
+        An endpoint has one budget. If both policies spent it, the endpoint would be overloaded at each
+        reload.
         """
         if not ends:
             endpoint.slow_start_budget /= 2
@@ -57,10 +61,10 @@
         return budget
 
     def close_window(self, new_requests: int, *, has_warm_endpoint: bool) -> None:
-        """Take the window's rate into the mean rate.
+        """Update the mean send rate by the rate of the window, and start the next window.
 
-        Where all endpoints are warming up, the clients' new requests stand for the attempts: of these only
-        few are sent, and a rate by them would never rise.
+        While all endpoints are warming up, the number of new requests from clients stands for that of
+        attempts: few of these are sent, and a rate computed from them would never rise.
         """
         rate = (self.sent if has_warm_endpoint else new_requests) / self.window
         self.send_rate += (rate - self.send_rate) / SEND_RATE_WEIGHT_DIVISOR if self.send_rate else rate
