--- a/dahliabend/config/operator_file/decoder.py
+++ b/dahliabend/config/operator_file/decoder.py
@@ -16,7 +16,7 @@
 MIN_SIMILARITY = 0.6  # of a name that a hint proposes, from 0 to 1
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def suggest_spelling(name: str, known: Iterable[str]) -> str:
     """A hint for a name that is not known; empty where no known name is similar."""
     close = difflib.get_close_matches(name, list(known), 1, MIN_SIMILARITY)
     return f"; is {close[0]!r} meant?" if close else ""
@@ -35,19 +35,19 @@
 
 def _decode_struct(kind: type[StructT], value: object, key: Key, source: Source) -> StructT | None:
     if not isinstance(value, dict):
-        source.fault(key, f"{value!r} is no table")
+        source.add_fault(key, f"{value!r} is no table")
         return None
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     for name in value:
         if name not in fields:
-            source.fault((*key, name), f"is no key here{nearest(name, fields)}")
+            source.add_fault((*key, name), f"is no key here{suggest_spelling(name, fields)}")
     arguments = {}
     is_complete = True
     for name, field in fields.items():
         if name in value:
             arguments[field.name] = _decode_value(field.type, value[name], (*key, name), source)
         elif field.required:
-            source.fault(key, f"{name} is missing")
+            source.add_fault(key, f"{name} is missing")
             is_complete = False
     return kind(**arguments) if is_complete else None
 
@@ -76,6 +76,8 @@
         reason = str(error)
     if typing.get_origin(kind) is typing.Literal:
         choices = typing.get_args(kind)
-        reason = f"{value!r} is none of {', '.join(map(repr, choices))}{nearest(str(value), choices)}"
-    source.fault(key, reason)
+        reason = (
+            f"{value!r} is none of {', '.join(map(repr, choices))}{suggest_spelling(str(value), choices)}"
+        )
+    source.add_fault(key, reason)
     return None
--- a/dahliabend/config/operator_file/loader.py
+++ b/dahliabend/config/operator_file/loader.py
@@ -32,7 +32,7 @@
     Returns:
         The merged tree. Nothing is raised for what is in the files: the faults are in the source.
     """
-    loader = _Loader(Source(top=path, reads=read), environment, read)
+    loader = _Loader(Source(top=path, read_file=read), environment, read)
     loader.include(path, (), Place(path, 1))
     return loader.source
 
--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -11,7 +11,7 @@
 
 MILLISECOND = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
-Effect = Literal["idempotent", "journalled", "non-idempotent"]
+Idempotency = Literal["idempotent", "journalled", "non-idempotent"]
 
 
 class FileTable(msgspec.Struct, rename="kebab", kw_only=True):
@@ -106,7 +106,7 @@
 class ClassSettings(TreatmentSettings, kw_only=True):
     """`[classes.NAME]`: requests of one worth, with one objective."""
 
-    effect: Effect
+    effect: Idempotency
     service_goal: Duration
     hard_limit: Duration
     revenue: float = 1.0
--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -71,7 +71,7 @@
     faults: list[Fault] = field(default_factory=list)
     files: list[str] = field(default_factory=list)
     top: str = ""
-    reads: Callable[[str], bytes] = read_bytes
+    read_file: Callable[[str], bytes] = read_bytes
 
     def place(self, key: Key) -> Place:
         """Where a key stands, or else the nearest key above it."""
@@ -79,11 +79,11 @@
             key = key[:-1]
         return self.places.get(key, Place(self.top, 1))
 
-    def beside(self, name: str) -> str:
+    def resolve_path(self, name: str) -> str:
         """The path of a file that the settings name, relative to the top one."""
         return os.path.join(os.path.dirname(self.top), name)
 
-    def fault(self, key: Key, reason: str) -> None:
+    def add_fault(self, key: Key, reason: str) -> None:
         """Add a fault at the place of a key."""
         place = self.place(key)
         self.faults.append(Fault(place.file, place.line, format_key(key), reason))
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -14,7 +14,7 @@
 from dahliabend.config.policy_settings import check_range, make_policy_settings, to_microseconds
 from dahliabend.config.server_settings import IDLE_REUSE_RATIO, ServerSettings
 from dahliabend.errors import ConfigurationError
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.transport import host_info
 
 DEFAULT_NAME = "dahliabend"
@@ -87,7 +87,10 @@
 
 
 def _make_server_settings(
-    file: PlatformFile, environment: Mapping[str, str], policy_settings: Settings, named_keys: frozenset[str]
+    file: PlatformFile,
+    environment: Mapping[str, str],
+    policy_settings: PolicySettings,
+    named_keys: frozenset[str],
 ) -> ServerSettings:
     seed = _parse_seed(file.seed)
     descriptor = _inherited_descriptor(environment)
--- a/dahliabend/config/platform_schema.py
+++ b/dahliabend/config/platform_schema.py
@@ -61,8 +61,8 @@
     warmup_multiple: float = field(name="fall-multiple")
     poll_deadline: float = field(name="ask-within", default=0.0)
     deadline_slack: float = field(name="answer-slack", default=20.0)
-    key_rest: float = field(name="order-pause", default=0.0)
-    only_draining_binds: bool = field(name="drain-binds-alone", default=False)
+    key_pause: float = field(name="order-pause", default=0.0)
+    can_use_removed_endpoints: bool = field(name="drain-binds-alone", default=False)
 
 
 class ObjectiveSection(Struct):
--- a/dahliabend/config/policy_settings.py
+++ b/dahliabend/config/policy_settings.py
@@ -4,7 +4,7 @@
 
 from dahliabend.config.platform_schema import PolicySection, ProfileSection
 from dahliabend.errors import ConfigurationError
-from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
+from dahliabend.model import DeduplicationScope, Idempotency, PolicySettings, RequestClass
 
 MAX_COUNT = 1 << 16  # of attempts, of streams
 MAX_INSTANCES = 1 << 20
@@ -13,9 +13,9 @@
 MAX_WEIGHT = 1e6
 
 EFFECTS = {
-    "idempotent": Effect.IDEMPOTENT,
-    "deduplicated": Effect.DEDUPLICATED,
-    "at_most_once": Effect.NON_IDEMPOTENT,
+    "idempotent": Idempotency.IDEMPOTENT,
+    "deduplicated": Idempotency.DEDUPLICATED,
+    "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
@@ -40,7 +40,7 @@
         raise ConfigurationError(key, f"{value} is not between {least:g} and {most:g}")
 
 
-def read_policy_settings(text: bytes) -> Settings:
+def read_policy_settings(text: bytes) -> PolicySettings:
     """Read the settings of the decisions from the simulator's JSON.
 
     Raises:
@@ -50,7 +50,7 @@
     return make_policy_settings(msgspec.json.decode(text, type=PolicySection))
 
 
-def make_policy_settings(section: PolicySection, prefix: str = "") -> Settings:
+def make_policy_settings(section: PolicySection, prefix: str = "") -> PolicySettings:
     """Check decoded settings and convert them to the policy's units.
 
     Args:
@@ -67,7 +67,7 @@
     )
     capabilities = section.capabilities
     contract = section.contract
-    return Settings(
+    return PolicySettings(
         instance_count=max(1, section.instance_count),
         instance_index=section.instance_index,
         tier=section.tier,
@@ -88,8 +88,8 @@
         initial_capacity=contract.initial_capacity,
         warmup_time=to_microseconds(contract.warmup_time),
         warmup_multiple=contract.warmup_multiple,
-        key_rest=to_microseconds(contract.key_rest),
-        only_draining_binds=contract.only_draining_binds,
+        key_pause=to_microseconds(contract.key_pause),
+        can_use_removed_endpoints=contract.can_use_removed_endpoints,
     )
 
 
@@ -105,7 +105,7 @@
     check_range(f"{prefix}caps.max-streams", capabilities.max_streams, 1, MAX_COUNT)
     check_range(f"{prefix}fees.cross-zone", section.costs.cross_zone, 0, MAX_WEIGHT)
     check_range(f"{prefix}balancers", section.instance_count, 0, MAX_INSTANCES)
-    check_range(f"{prefix}contract.order-pause", section.contract.key_rest, 0, MAX_MILLISECONDS)
+    check_range(f"{prefix}contract.order-pause", section.contract.key_pause, 0, MAX_MILLISECONDS)
     check_range(f"{prefix}goal.nines-part", objective.nines_weight, 0, MAX_WEIGHT)
     check_range(f"{prefix}goal.top-nines", objective.max_nines, 0.001, MAX_WEIGHT)
 
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 
 IDLE_REUSE_RATIO = 7 / 8  # of the configured idle time: after it the other end may have closed
 
@@ -49,7 +49,7 @@
     descriptor_limit: int
     known_endpoints: dict[str, Any]
     verbose: bool
-    settings: Settings
+    settings: PolicySettings
     class_indices: dict[bytes, int]
     tenant_indices: dict[bytes, int]
     zone_indices: dict[str, int]
--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -16,7 +16,7 @@
 }
 
 
-class EndpointRow(NamedTuple):
+class EndpointListEntry(NamedTuple):
     """One endpoint as the list has it.
 
     Attributes:
@@ -41,7 +41,7 @@
 class EndpointListObserver(Protocol):
     """Whoever is notified of the endpoint list."""
 
-    def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, rows: list[EndpointListEntry], full: bool) -> None:
         """The list has changed.
 
         Args:
@@ -53,7 +53,7 @@
         """The list could not be had; it is tried again without being asked for."""
 
 
-def parse_endpoint(raw: dict[str, Any]) -> EndpointRow:
+def parse_endpoint(raw: dict[str, Any]) -> EndpointListEntry:
     """Reads one entry of a message.
 
     >>> tuple(parse_endpoint({"id": "s-1", "addr": "10.0.0.1:80", "state": "up", "zone": "a"}))
@@ -70,7 +70,7 @@
     started_ms = int(raw.get("started_ms") or 0)
     cell = int(raw.get("cell") or 0)
     weight = float(raw.get("weight") or 1.0)
-    return EndpointRow(name, host_and_port, state, started_ms, weight, cell, str(raw.get("zone", "")))
+    return EndpointListEntry(name, host_and_port, state, started_ms, weight, cell, str(raw.get("zone", "")))
 
 
 class EndpointList:
@@ -112,9 +112,9 @@
         self.log("endpoint_list.applied", version=version, full=full, entries=len(rows))
         self.observer.endpoints_changed(rows, full)
 
-    def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointRow]:
+    def _parse_rows(self, entries: list[dict[str, Any]] | tuple[()]) -> list[EndpointListEntry]:
         """All valid entries; the others are logged."""
-        rows: list[EndpointRow] = []
+        rows: list[EndpointListEntry] = []
         for raw in entries:
             try:
                 rows.append(parse_endpoint(raw))
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -84,7 +84,7 @@
         self.silence_timer: Timer | None = None
         self.retry_timer: Timer | None = None
         self.backoff = MIN_BACKOFF
-        self.attempted = False
+        self.first_attempt_finished = False
 
     # What the owner asks for.
 
@@ -100,7 +100,7 @@
         self.restart_silence_timer(self.connect_timeout)
         self.connect_task = self.timers.loop.create_task(self.connect(self.watch))
         self.connect_task.add_done_callback(partial(self.connect_finished, self.watch))
-        if not self.attempted:
+        if not self.first_attempt_finished:
             self.timers.schedule(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
 
     def poll(self) -> None:
@@ -172,7 +172,7 @@
 
     def first_attempt_timed_out(self) -> None:
         """The list is not waited for any longer before requests are taken."""
-        self.attempted = True
+        self.first_attempt_finished = True
 
     # The watch's life.
 
@@ -187,7 +187,7 @@
     def data_received(self) -> None:
         """Bytes have come on the present watch: REQUESTED or ACTIVE to ACTIVE."""
         self.state = WatchState.ACTIVE
-        self.attempted = True
+        self.first_attempt_finished = True
         self.backoff = MIN_BACKOFF
         self.restart_silence_timer(SILENCE_TIMEOUT)
         self.close_previous_watch()
@@ -207,7 +207,7 @@
         if watch is not self.watch:
             return
         self.watch = None
-        self.attempted = True
+        self.first_attempt_finished = True
         self.state = WatchState.BACKING_OFF
         self.timers.cancel(self.silence_timer)
         self.log("watch.ended", version=self.endpoint_list.version, retry_in_ms=self.backoff // 1000)
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -155,7 +155,7 @@
             generation=self.generation,
             sequence=self.sequence,
             age_ms=0,
-            relays=0,
+            relay_count=0,
             counts=_take_fitting(self.counts(now)),
             leases=leases,
             quotas=quotas,
@@ -201,7 +201,7 @@
             for received in self.report_table.fresh(now).values()
             if received.forward_count < MAX_FORWARDS and received.report.has_content
         ]
-        candidates.sort(key=lambda each: (each.forward_count, each.report.relays, -each.created_at))
+        candidates.sort(key=lambda each: (each.forward_count, each.report.relay_count, -each.created_at))
         return candidates
 
     # Effect.
@@ -245,7 +245,7 @@
     """Return a report as this instance passes it on."""
     report = received.report
     age_ms = (now - received.created_at) // MS
-    return msgspec.structs.replace(report, age_ms=age_ms, relays=report.relays + 1)
+    return msgspec.structs.replace(report, age_ms=age_ms, relay_count=report.relay_count + 1)
 
 
 def _take_fitting(items: list[_Item]) -> list[_Item]:
--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -70,7 +70,7 @@
     generation: int
     sequence: int
     age_ms: int
-    relays: int
+    relay_count: int
     counts: list[UpstreamCounts]
     leases: list[LeaseAnnouncement] = []
     quotas: list[QuotaAnnouncement] = []
@@ -80,7 +80,7 @@
         """Whether all fields are within their bounds, and leases are the origin's own."""
         return (
             0 < len(self.origin) <= MAX_NAME_LENGTH
-            and min(self.generation, self.sequence, self.age_ms, self.relays) >= 0
+            and min(self.generation, self.sequence, self.age_ms, self.relay_count) >= 0
             and max(len(self.counts), len(self.leases), len(self.quotas)) <= MAX_ROWS
             and all(lease.is_valid and lease.holder == self.origin for lease in self.leases)
             and all(row.is_valid for row in self.counts)
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -166,7 +166,7 @@
         if class_number is None:
             self.send_error(404)
             return
-        trace_id, timeout_ms = self.dispatcher.identify(class_number, request.fields)
+        trace_id, timeout_ms = self.dispatcher.read_trace_id_and_timeout(class_number, request.fields)
         if not is_valid_identity(trace_id, timeout_ms):
             self.send_error(400)
             return
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -102,7 +102,7 @@
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         """Name and number of a request's class; None if it is of no known one."""
 
-    def identify(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """A request's trace id, and how many milliseconds its client waits, as digits."""
 
     def dispatch(self, incoming: IncomingRequest, class_number: int) -> int:
--- a/dahliabend/http/headers.py
+++ b/dahliabend/http/headers.py
@@ -1,7 +1,7 @@
 """Names on the wire, limits of messages, and the headers that a balancer passes on."""
 
-TRACE = b"x-trace-id"
-EXPIRES = b"x-expires-in-ms"
+TRACE_ID_HEADER = b"x-trace-id"
+TIMEOUT_HEADER = b"x-expires-in-ms"
 RETRY = b"x-second-try"
 TENANT = b"x-customer"
 ORDERING_KEY = b"x-item"  # what a request concerns: its key where requests are ordered
@@ -9,7 +9,7 @@
 LOAD_REPORT = b"endpoint-load-metrics"
 
 READY = b"/-/ready"
-HEALTHY = b"/-/healthy"
+HEALTHY_PATH = b"/-/healthy"
 LOAD_PATH = b"/-/load"
 
 MAX_BUFFERED_BYTES = 64 * 1024  # a body up to this is buffered whole; of a longer one no more waits at a time
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -155,7 +155,7 @@
             self.connection_header += b"," + value
         elif lower_name == b"expect" and value.lower() == b"100-continue":
             self.sink.continue_expected()
-        if lower_name in (wire.TRACE, wire.EXPIRES) and lower_name in self.fields:
+        if lower_name in (wire.TRACE_ID_HEADER, wire.TIMEOUT_HEADER) and lower_name in self.fields:
             self.fail(400)  # which of the two is meant?
         self.fields[lower_name] = value
 
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -72,7 +72,7 @@
         self.is_complete = False
         self.is_discarded = False
         self.last_progress = clock()
-        self.ended_at = self.last_progress
+        self.completed_at = self.last_progress
 
     def feed(self, part: bytes) -> None:
         """Takes the next bytes in."""
@@ -97,7 +97,7 @@
     def mark_complete(self) -> None:
         """All of it has come."""
         self.is_complete = True
-        self.ended_at = clock()
+        self.completed_at = clock()
         if self.sink is not None:
             self.sink.upload_finished(self._terminator())
 
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 
-class Effect(IntEnum):
+class Idempotency(IntEnum):
     """What a repeat of a request may do."""
 
     IDEMPOTENT = 0  # may run again
@@ -61,7 +61,7 @@
 
     TICK = 0
     POLL = 1  # ask for the list of endpoints again
-    KEY_REST = 2  # the end of a key's rest
+    KEY_PAUSE = 2  # the end of a key's rest
 
 
 # What one balancer hands over. Records are stored as lists of fields in this order, numbers as they are.
@@ -113,7 +113,7 @@
     limit: StoredLimit = field(name="crowd")
 
 
-class EndpointRow(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """What a list says of one endpoint."""
 
     endpoint: int  # its index
@@ -129,7 +129,7 @@
 class RequestClass:
     """What an operator says of one kind of requests."""
 
-    effect: Effect
+    effect: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: int  # how long a repeat is known
     latency_objective: int
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class PolicySettings:
     """What the decisions of one balancer go by."""
 
     instance_count: int
@@ -167,8 +167,8 @@
     initial_capacity: float
     warmup_time: int
     warmup_multiple: float
-    key_rest: int = 0  # a key rests this long after an attempt that may go on
-    only_draining_binds: bool = False  # one gone without draining may still be sent to
+    key_pause: int = 0  # a key rests this long after an attempt that may go on
+    can_use_removed_endpoints: bool = False  # one gone without draining may still be sent to
     retry_budget_ratio: float = 0.1  # of first attempts: retries that may have executed
 
     @property
@@ -180,19 +180,19 @@
 class Port(Protocol):
     """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
 
-    def send(self, ref: int, endpoint: int, timeout: int) -> None:
+    def send(self, request_id: int, endpoint: int, timeout: int) -> None:
         """Send an attempt of a request to an endpoint; it is to be ended after the time-out."""
 
-    def reject(self, ref: int, retry_after: int) -> None:
+    def reject(self, request_id: int, retry_after: int) -> None:
         """Answer 503: the client may send the request again, after this time (us; 0: none is told).
 
         An idempotent request, or one deduplicated everywhere, may have been executed.
         """
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Answer 502: the request failed, may have been executed and must not be sent again."""
 
-    def cancel(self, ref: int, attempt: int) -> None:
+    def cancel(self, request_id: int, attempt: int) -> None:
         """End an attempt, by its place among those of the request; its end is reported as any other."""
 
     def check_health(self, endpoint: int) -> None:
@@ -255,14 +255,14 @@
 class BalancerEvents(Protocol):
     """The events of `policy.balancer.Balancer`, all on one thread; it acts through its `Port`."""
 
-    def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
+    def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
         """Take over a list of endpoints, or (not `full`) changes of it."""
 
     def endpoint_poll_failed(self, now: int) -> None:
         """Report that the list was asked for in vain: it is asked for again after a while, at random."""
 
     def admit(
-        self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
+        self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestHandle:  # fmt: skip
         """Send a request, queues it behind others of its key, or rejects it.
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines
 from dahliabend.policy.records import Endpoint, RequestState
@@ -16,7 +16,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 
 
-def class_priorities(settings: Settings) -> list[float]:
+def class_priorities(settings: PolicySettings) -> list[float]:
     """Return the priority of each request class, 0 to 1.
 
     Priorities follow the priority weights, and less so the more the operators' goal weighs the worst-served
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         random: Callable[[], float],
         selection: EndpointSelection,
         deadlines: Deadlines,
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -5,7 +5,7 @@
 
 from random import Random
 
-from dahliabend.model import EndpointRow, Outcome, Port, Settings, Snapshot, TimerToken
+from dahliabend.model import EndpointUpdate, Outcome, PolicySettings, Port, Snapshot, TimerToken
 from dahliabend.policy.admission import Admission
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines, time_left
@@ -27,7 +27,7 @@
 class Balancer:
     """The events (`model.BalancerEvents`), passed to the parts, whose public fields drivers may read."""
 
-    def __init__(self, settings: Settings, port: Port, seed: int) -> None:
+    def __init__(self, settings: PolicySettings, port: Port, seed: int) -> None:
         self.settings = settings
         self.port = port
         self.random = Random(seed).random
@@ -38,7 +38,7 @@
         self.concurrency = ConcurrencyLimit(settings, self.throttling)
         self.sampling = Sampling(settings, self.throttling, self.concurrency)
         self.slow_start = SlowStart(settings, self.throttling.window)
-        self.key_queues = KeyQueues(settings.key_rest, port)
+        self.key_queues = KeyQueues(settings.key_pause, port)
         self.retries = Retries(settings)
         self.deadlines = Deadlines(settings, self.tick, self.retries, self.throttling)
         self.selection = EndpointSelection(
@@ -53,7 +53,7 @@
 
     # Endpoints.
 
-    def update_endpoints(self, now: int, rows: list[EndpointRow], full: bool) -> None:
+    def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
         """Take over a list of endpoints, or (not `full`) changes of it."""
         if not self.is_started:
             self.is_started = True
@@ -90,7 +90,7 @@
         """Report that a timer of `Port.set_timer` has come."""
         if token == TimerToken.TICK:
             self._tick(now)
-        elif token == TimerToken.KEY_REST:
+        elif token == TimerToken.KEY_PAUSE:
             self.key_queues.timer_fired(now)
         else:
             self.port.poll_endpoints()
@@ -155,14 +155,14 @@
     # The way of a request.
 
     def admit(
-        self, now: int, ref: int, class_index: int, tenant: int, deadline: int,
+        self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
         """Send a request, queues it behind others of its key, or rejects it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
         key = key if request_class.is_ordered else 0
         priority = self.admission.priorities[class_index]
-        request = RequestState(self, ref, class_index, key, priority, body_pending=body_pending)
+        request = RequestState(self, request_id, class_index, key, priority, body_pending=body_pending)
         request.deadline = deadline
         if not body_pending:  # else once its body is there
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
@@ -175,9 +175,9 @@
         return request
 
     def _queue(self, request: RequestState, now: int) -> None:
-        ahead = self.key_queues.ahead(request.key)
-        wait = self.deadlines.queue_wait(request.class_index, ahead)
-        if ahead and not self.admission.may_queue(request, now, wait):
+        turns_ahead = self.key_queues.turns_ahead(request.key)
+        wait = self.deadlines.queue_wait(request.class_index, turns_ahead)
+        if turns_ahead and not self.admission.may_queue(request, now, wait):
             self.give_up(request, wait)
         elif self.key_queues.join(request):
             self.send(request, now)
@@ -213,7 +213,7 @@
             self.outliers.attempt_began(attempt)
             self.concurrency.attempt_began(request, attempt)
         request.attempt_sent(attempt)
-        self.port.send(request.ref, endpoint.index, self.deadlines.attempt_timeout(request, now))
+        self.port.send(request.request_id, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
         """The attempt in flight has the last byte of the body. Return its time-out (us)."""
@@ -244,7 +244,7 @@
             mean_latency = self.deadlines.mean_latencies[request.class_index]
             self.outliers.record_idle_outcome(attempt, now, outcome, duration, mean_latency)
         if request.key and self.key_queues.needs_rest(outcome):
-            self.key_queues.rest(request, now)
+            self.key_queues.pause(request, now)
         self._record_outcome(request, attempt.endpoint, now, outcome, duration)
         if not request.is_answered and not request.in_flight:
             self._retry(request, now, outcome)
@@ -294,9 +294,9 @@
         self.cancel(request)
         if is_retryable_by_client(request):
             retry_after = self.deadlines.retry_after(request.request_class, wait)
-            self.port.reject(request.ref, retry_after)
+            self.port.reject(request.request_id, retry_after)
         else:
-            self.port.fail(request.ref)
+            self.port.fail(request.request_id)
 
     def give_up_if_late(self, request: RequestState, now: int) -> None:
         """Give up a request that waits for its turn, if too little time is left for it."""
@@ -313,7 +313,7 @@
         """Cancel the attempts of a request that are in flight, where the driver can."""
         if self.settings.can_cancel:
             for number in cancellable_attempts(request):
-                self.port.cancel(request.ref, number)
+                self.port.cancel(request.request_id, number)
 
     def _cancel_late_attempts(self, endpoint: Endpoint, now: int) -> None:
         for request, attempt in tuple(endpoint.in_flight.items()):
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -3,7 +3,7 @@
 Times are in microseconds.
 """
 
-from dahliabend.model import Settings, StoredLimit
+from dahliabend.model import PolicySettings, StoredLimit
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.throttling import MIN_TIER_SAMPLES, VALIDITY_WINDOWS, WINDOW_TICKS, Throttling
@@ -42,7 +42,7 @@
         is_overloaded: Whether the last adjustment lowered the limit.
     """
 
-    def __init__(self, settings: Settings, throttling: Throttling) -> None:
+    def __init__(self, settings: PolicySettings, throttling: Throttling) -> None:
         self.throttling = throttling
         self.others_share = 1 - 1 / settings.instance_count
         self.in_flight = 0
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -3,7 +3,7 @@
 Times are in microseconds.
 """
 
-from dahliabend.model import RequestClass, Settings
+from dahliabend.model import PolicySettings, RequestClass
 from dahliabend.policy.moving_average import ewma
 from dahliabend.policy.records import Attempt, RequestState
 from dahliabend.policy.retries import Retries, is_retryable
@@ -28,7 +28,7 @@
         tick: Interval of the balancer's timer.
     """
 
-    def __init__(self, settings: Settings, tick: int, retries: Retries, throttling: Throttling) -> None:
+    def __init__(self, settings: PolicySettings, tick: int, retries: Retries, throttling: Throttling) -> None:
         self.is_entry_tier = settings.is_entry_tier
         self.max_retry_after = settings.max_retry_after if settings.sends_retry_after else 0
         self.tick = tick
@@ -53,12 +53,12 @@
         """
         return max(self.tick, round(self.mean_latencies[class_index]))
 
-    def queue_wait(self, class_index: int, ahead: int) -> int:
+    def queue_wait(self, class_index: int, turns_ahead: int) -> int:
         """Return how long this many turns of a key take, assuming that all are of this class.
 
         It keeps requests out of the queue whose turn would come too late.
         """
-        return round(ahead * self.mean_latencies[class_index])
+        return round(turns_ahead * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
         """Return whether a request could still be sent after waiting from `now` on.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.current: RequestState | None = None
-        self.rests_until = 0
+        self.paused_until = 0
         self.waiting: dict[RequestState, None] = {}
 
 
@@ -40,7 +40,7 @@
         self.pause_time = pause_time
         self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
-        self.rests: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
+        self.pauses: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
 
     def take_over(self, predecessor: "KeyQueues") -> None:
         """Continue with the queues of the policy that was in force before, in the same process.
@@ -49,18 +49,18 @@
         settings.
         """
         self.queues = predecessor.queues
-        self.rests = predecessor.rests
-        for until, _ in self.rests:
-            self.port.set_timer(until, TimerToken.KEY_REST)
+        self.pauses = predecessor.pauses
+        for until, _ in self.pauses:
+            self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
-    def ahead(self, key: int | bytes) -> int:
+    def turns_ahead(self, key: int | bytes) -> int:
         """Return how many turns precede a request that joins now; a pause counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
         """Append a request to the queue of its key, and return whether its turn has come at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
-        if queue.current or queue.rests_until:
+        if queue.current or queue.paused_until:
             queue.waiting[request] = None
             return False
         queue.current = request
@@ -77,9 +77,9 @@
         """
         return outcome in _UNCERTAIN_OUTCOMES
 
-    def rest(self, request: RequestState, now: int) -> None:
+    def pause(self, request: RequestState, now: int) -> None:
         """Pause the key of a request, from `now` on."""
-        self.queues[request.key].rests_until = now + self.pause_time
+        self.queues[request.key].paused_until = now + self.pause_time
 
     def leave(self, request: RequestState, now: int) -> None:
         """Remove a request from its queue if it is finished, whether or not its turn had come."""
@@ -92,16 +92,16 @@
 
     def timer_fired(self, now: int) -> None:
         """End the pauses that are over at `now`, and send the next request of each of these keys."""
-        while self.rests and self.rests[0][0] <= now:
-            key = heappop(self.rests)[1]
+        while self.pauses and self.pauses[0][0] <= now:
+            key = heappop(self.pauses)[1]
             self._advance(key, self.queues[key], now)
 
     def _advance(self, key: int | bytes, queue: KeyQueue, now: int) -> None:
-        if now < queue.rests_until:
-            heappush(self.rests, (queue.rests_until, key))
-            self.port.set_timer(queue.rests_until, TimerToken.KEY_REST)
+        if now < queue.paused_until:
+            heappush(self.pauses, (queue.paused_until, key))
+            self.port.set_timer(queue.paused_until, TimerToken.KEY_PAUSE)
             return
-        queue.rests_until = 0
+        queue.paused_until = 0
         while queue.waiting and not queue.current:
             request = next(iter(queue.waiting))
             queue.current = request
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.model import Effect, EndpointState, Outcome, Port, Settings
+from dahliabend.model import EndpointState, Idempotency, Outcome, PolicySettings, Port
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.deadlines import Deadlines
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_SPARSE, ewma
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         port: Port,
         random: Callable[[], float],
         selection: EndpointSelection,
@@ -44,7 +44,9 @@
         self.selection = selection
         self.concurrency: ConcurrencyLimit = selection.concurrency
         self.throttling: Throttling = selection.throttling
-        self.has_idempotent_class = any(each.effect is Effect.IDEMPOTENT for each in settings.request_classes)
+        self.has_idempotent_class = any(
+            each.effect is Idempotency.IDEMPOTENT for each in settings.request_classes
+        )
         self.last_answer_at = 0
         self.awaiting_trial: dict[Endpoint, None] = {}
         self.fatal_idle_time = 0.0
@@ -210,7 +212,7 @@
         if not self.awaiting_trial or request.attempts:
             return None
         has_mean_latency = self.deadlines.mean_latencies[request.class_index] > 0
-        if not has_mean_latency or request.request_class.effect is not Effect.IDEMPOTENT:
+        if not has_mean_latency or request.request_class.effect is not Idempotency.IDEMPOTENT:
             return None
         endpoint = self.awaiting_trial.popitem()[0]
         if not endpoint.is_ejected or endpoint.state is not EndpointState.READY or endpoint.in_flight:
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -6,7 +6,7 @@
 
 from typing import Protocol
 
-from dahliabend.model import EndpointState, Outcome, RequestClass, Settings, StoredEndpoint
+from dahliabend.model import EndpointState, Outcome, PolicySettings, RequestClass, StoredEndpoint
 from dahliabend.policy.throttling import ThrottleEntry
 
 NOT_STARTED = -1  # no process yet; lists give 0 if they don't tell when a process started
@@ -100,7 +100,7 @@
 class RequestOwner(Protocol):
     """The balancer that admitted a request, to which the events of the request are reported."""
 
-    settings: Settings
+    settings: PolicySettings
 
     def send(self, request: "RequestState", now: int) -> None:
         """Send the next attempt of a request, or give the request up."""
@@ -147,7 +147,7 @@
     def __init__(
         self,
         balancer: RequestOwner,
-        ref: int,
+        request_id: int,
         class_index: int,
         key: int | bytes,
         priority: float,
@@ -155,7 +155,7 @@
         body_pending: bool,
     ) -> None:
         self.balancer = balancer
-        self.ref = ref
+        self.request_id = request_id
         self.key = key
         self.deadline = 0
         self.class_index = class_index
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -1,6 +1,6 @@
 """Retries and hedges: idempotency, deduplication, the retry budget and the maximum number of attempts."""
 
-from dahliabend.model import DeduplicationScope, Effect, Outcome, Settings
+from dahliabend.model import DeduplicationScope, Idempotency, Outcome, PolicySettings
 from dahliabend.policy.records import RequestState
 
 INITIAL_BUDGET = 1.0  # retries
@@ -22,9 +22,9 @@
     executed = [attempt for attempt in request.attempts if attempt.may_have_executed]
     if 0 <= request_class.max_retries_after_execution < len(executed):
         return False
-    if executed and request_class.effect is Effect.DEDUPLICATED:
+    if executed and request_class.effect is Idempotency.DEDUPLICATED:
         return now < executed[0].sent_at + request_class.deduplication_window
-    return not executed or request_class.effect is Effect.IDEMPOTENT
+    return not executed or request_class.effect is Idempotency.IDEMPOTENT
 
 
 def is_retryable(request: RequestState) -> bool:
@@ -33,7 +33,7 @@
     Only then is it useful to give that attempt less than all the time that is left.
     """
     has_more = len(request.attempts) < request.max_attempts and not request.is_body_consumed
-    return has_more and request.request_class.effect is not Effect.NON_IDEMPOTENT
+    return has_more and request.request_class.effect is not Idempotency.NON_IDEMPOTENT
 
 
 def is_retryable_by_client(request: RequestState) -> bool:
@@ -42,10 +42,10 @@
     If a client were wrongly told so, the request would take effect twice.
     """
     request_class = request.request_class
-    if request_class.effect is Effect.IDEMPOTENT:
+    if request_class.effect is Idempotency.IDEMPOTENT:
         return True
     is_deduplicated_everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
-    if request_class.effect is Effect.DEDUPLICATED and is_deduplicated_everywhere:
+    if request_class.effect is Idempotency.DEDUPLICATED and is_deduplicated_everywhere:
         return True
     return request.first_possibly_executed() is None
 
@@ -58,7 +58,7 @@
         deposit_per_request: What the first attempt of each request adds.
     """
 
-    def __init__(self, settings: Settings) -> None:
+    def __init__(self, settings: PolicySettings) -> None:
         self.budget = INITIAL_BUDGET
         self.deposit_per_request = settings.retry_budget_ratio
 
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -3,7 +3,7 @@
 Times are in microseconds.
 """
 
-from dahliabend.model import Outcome, RequestClass, Settings
+from dahliabend.model import Outcome, PolicySettings, RequestClass
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.records import Endpoint, RequestState
 from dahliabend.policy.throttling import Throttling
@@ -24,7 +24,9 @@
 class Sampling:
     """Passes the outcomes of attempts on to the concurrency limit and to the entries of all scopes."""
 
-    def __init__(self, settings: Settings, throttling: Throttling, concurrency: ConcurrencyLimit) -> None:
+    def __init__(
+        self, settings: PolicySettings, throttling: Throttling, concurrency: ConcurrencyLimit
+    ) -> None:
         self.zone = settings.zone
         self.cross_zone_cost = settings.cross_zone_cost
         self.throttling = throttling
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -6,7 +6,14 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, Settings
+from dahliabend.model import (
+    DeduplicationScope,
+    EndpointState,
+    EndpointUpdate,
+    Idempotency,
+    Outcome,
+    PolicySettings,
+)
 from dahliabend.policy.concurrency import ConcurrencyLimit
 from dahliabend.policy.moving_average import NEWEST_WEIGHT_SPARSE, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
@@ -37,7 +44,7 @@
     If the request may have executed, these are the ones that drop its repeats; elsewhere a repeat would take
     effect a second time.
     """
-    if request.request_class.effect is not Effect.DEDUPLICATED:
+    if request.request_class.effect is not Idempotency.DEDUPLICATED:
         return endpoints
     executed = request.first_possibly_executed()
     if executed is None:
@@ -77,7 +84,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: PolicySettings,
         random: Callable[[], float],
         throttling: Throttling,
         concurrency: ConcurrencyLimit,
@@ -98,7 +105,7 @@
 
     # Endpoint list
 
-    def update(self, now: int, rows: Sequence[EndpointRow], *, full: bool) -> None:
+    def update(self, now: int, rows: Sequence[EndpointUpdate], *, full: bool) -> None:
         """Apply an endpoint list (`full`), or changes to it."""
         removed = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
         if full:
@@ -110,7 +117,7 @@
             self._mark_unlisted(self.endpoints[index])
         self._rank_endpoints()
 
-    def _update_endpoint(self, now: int, row: EndpointRow) -> None:
+    def _update_endpoint(self, now: int, row: EndpointUpdate) -> None:
         index, state, started_at, weight, cell, zone, endpoint_id = row
         if index not in self.endpoints:
             rank_key = b"%d" % self.settings.instance_index
@@ -129,7 +136,7 @@
 
     def _mark_unlisted(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
-        if not self.settings.only_draining_binds or endpoint.state is not EndpointState.READY:
+        if not self.settings.can_use_removed_endpoints or endpoint.state is not EndpointState.READY:
             endpoint.state = (
                 EndpointState.REMOVED
             )  # otherwise kept while it answers, as the list may be wrong
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -3,7 +3,7 @@
 Times are in microseconds.
 """
 
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.policy.records import Endpoint
 
 SEND_RATE_WEIGHT_DIVISOR = 4  # the newest window has the weight 1/4 in the mean rate
@@ -18,7 +18,7 @@
         sent: Attempts in the open window.
     """
 
-    def __init__(self, settings: Settings, window: int) -> None:
+    def __init__(self, settings: PolicySettings, window: int) -> None:
         self.settings = settings
         self.window = window
         self.send_rate = 0.0
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -4,7 +4,7 @@
 
 from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.http.upstream_connection import UpstreamConnection, UpstreamResponse
-from dahliabend.model import Effect, Outcome
+from dahliabend.model import Idempotency, Outcome
 from dahliabend.policy.records import RequestState
 from dahliabend.proxy.base_dispatcher import RequestMetrics
 from dahliabend.proxy.endpoint import Endpoint
@@ -23,7 +23,7 @@
     Earlier attempts may have been executed. The endpoints' group drops a repeat of them for the deduplication
     window, which goes on while a connection is being opened.
     """
-    if state.request_class.effect is not Effect.DEDUPLICATED:
+    if state.request_class.effect is not Idempotency.DEDUPLICATED:
         return NO_DEADLINE
     first = state.first_possibly_executed()
     if first is None or first is state.attempts[-1]:
@@ -133,7 +133,7 @@
         Nothing could be executed until now: what the client took to send counts against nobody.
         """
         timers = self.endpoint.resources.timers
-        deadline = upload.ended_at + self.request.client_timeout
+        deadline = upload.completed_at + self.request.client_timeout
         timeout = self.request.state.body_received(self.last_progress, deadline)
         self.started_at = self.last_progress
         self.expires_at = self.last_progress + timeout
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -6,7 +6,7 @@
 
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.http.dispatch import Client, IncomingRequest
-from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.headers import TIMEOUT_HEADER, TRACE_ID_HEADER
 from dahliabend.http.responses import retry_after_header
 from dahliabend.proxy.base_dispatcher import BaseDispatcher, RequestMetrics
 from dahliabend.proxy.mirroring import TRACE_ID_SUFFIX, DiscardingClient, mirror_headers
@@ -45,7 +45,7 @@
 
     file: OperatorFile
     table: RouteTable
-    choices: list[CompiledRoute]
+    compiled_routes: list[CompiledRoute]
     matched_headers: tuple[str, ...] = ()
     class_indices: dict[str, dict[int, int]] = field(default_factory=dict)
 
@@ -110,7 +110,11 @@
             class_indices: By pool, the class index there of each route that leads to it.
         """
         routes_before = getattr(self, "routes", None)
-        before = {route.name: route for route in routes_before.choices} if routes_before is not None else {}
+        before = (
+            {route.name: route for route in routes_before.compiled_routes}
+            if routes_before is not None
+            else {}
+        )
         compiled = compile_routes(file, before)
         headers = {name.lower() for route in file.routes for name in (*route.headers, route.split_by or "")}
         matched_headers = tuple(sorted(headers - {""}))
@@ -124,16 +128,18 @@
         routes = self.routes
         matched = {name: headers.get(name.encode(), b"").decode("latin-1") for name in routes.matched_headers}
         number = routes.table.find(method.decode("latin-1"), path.decode("latin-1"), matched)
-        return None if number is None else (routes.choices[number].class_name, number)
+        return None if number is None else (routes.compiled_routes[number].class_name, number)
 
-    def identify(self, route_number: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(
+        self, route_number: int, headers: dict[bytes, bytes]
+    ) -> tuple[bytes, bytes]:
         """Return a request's id and the milliseconds that its client waits.
 
         An id is made up, and the route's timeout taken, where the client says nothing.
         """
-        trace_id = headers.get(TRACE) or b"%032x" % self.random.getrandbits(128)
-        timeout_ms = self.routes.choices[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
-        return trace_id, headers.get(EXPIRES) or b"%d" % timeout_ms
+        trace_id = headers.get(TRACE_ID_HEADER) or b"%032x" % self.random.getrandbits(128)
+        timeout_ms = self.routes.compiled_routes[route_number].total_timeout // MICROSECONDS_PER_MILLISECOND
+        return trace_id, headers.get(TIMEOUT_HEADER) or b"%d" % timeout_ms
 
     def dispatch(self, incoming: IncomingRequest, route_number: int) -> int:
         """Hand a request to its route's pools.
@@ -142,14 +148,14 @@
             The request's handle, or `NO_HANDLE` if it has its response already.
         """
         now = clock()
-        route = self.routes.choices[route_number]
+        route = self.routes.compiled_routes[route_number]
         if not route.limit.try_acquire(now):
             self._reject_by_limit(incoming.client, route, now)
             return NO_HANDLE
         incoming.client.on_request_finished = route.limit.release
         split_key = incoming.fields.get(route.split_by, b"") if route.split_by else b""
         candidates = route.candidate_pools(split_key, self.ready_fraction)
-        if not incoming.fields.get(TRACE):
+        if not incoming.fields.get(TRACE_ID_HEADER):
             headers = incoming.headers + b"X-Trace-Id: %b\r\n" % incoming.trace_id
             incoming = incoming._replace(headers=headers)
         if route.mirror and incoming.upload is None and self.random.random() < route.mirror_share:
@@ -204,7 +210,7 @@
         """Tell whether every route has a pool, or a fallback, with an endpoint that is ready."""
         return not self.closing() and all(
             any(self.ready_fraction(name) > 0 for name in route.reachable_pools)
-            for route in self.routes.choices
+            for route in self.routes.compiled_routes
         )
 
     def exclude(self, name: str, excluded: bool) -> bool:
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -4,7 +4,7 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
 from dahliabend.proxy.endpoint_resources import EndpointResources
@@ -65,7 +65,7 @@
         self.connections: set[UpstreamConnection] = set()
         self.idle_connections: list[IdleConnection] = []
 
-    def update(self, row: EndpointRow, epoch: int) -> None:
+    def update(self, row: EndpointListEntry, monotonic_offset: int) -> None:
         """Take a row of the endpoint list over, but for the state.
 
         Args:
@@ -77,14 +77,14 @@
         self.zone = row.zone
         self.started_at = 0
         if row.started_ms:
-            started_at = row.started_ms * MICROSECONDS_PER_MILLISECOND + epoch
+            started_at = row.started_ms * MICROSECONDS_PER_MILLISECOND + monotonic_offset
             self.started_at = started_at or 1  # 0 would say that it is not known
         if row.state is not EndpointState.REMOVED:
             self.set_address(row.address)
 
-    def started_ms(self, epoch: int) -> int:
+    def started_ms(self, monotonic_offset: int) -> int:
         """Return when its process was started, in Unix time (ms); 0 if that is not known. See `update`."""
-        return (self.started_at - epoch) // MICROSECONDS_PER_MILLISECOND if self.started_at else 0
+        return (self.started_at - monotonic_offset) // MICROSECONDS_PER_MILLISECOND if self.started_at else 0
 
     def take_idle_connection(self, now: int) -> ReusableConnection:
         """Take an idle connection that is surely still open at the other end, if there is one."""
--- a/dahliabend/proxy/health_checks.py
+++ b/dahliabend/proxy/health_checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from dahliabend.http import load_reports
-from dahliabend.http.headers import HEALTHY, LOAD_PATH
+from dahliabend.http.headers import HEALTHY_PATH, LOAD_PATH
 from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
 from dahliabend.proxy.endpoint import Endpoint
@@ -30,7 +30,7 @@
         timeout: int,
         on_result: Callable[[int, Outcome], None],
     ) -> None:
-        path = LOAD_PATH if report_fields else HEALTHY
+        path = LOAD_PATH if report_fields else HEALTHY_PATH
         host, port = endpoint.address
         head = b"GET %b HTTP/1.1\r\nHost: %b:%d\r\n\r\n" % (path, host.encode(), port)
         super().__init__(endpoint, head, b"", timeout)
--- a/dahliabend/proxy/mirroring.py
+++ b/dahliabend/proxy/mirroring.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.http.headers import TRACE
+from dahliabend.http.headers import TRACE_ID_HEADER
 from dahliabend.http.streaming import BodySource
 
 TRACE_ID_SUFFIX = b"-m"
@@ -49,7 +49,7 @@
     >>> mirror_headers(b"Host: a\r\nx-trace-id: 7\r\n", b"7-m")
     b'Host: a\r\nX-Trace-Id: 7-m\r\nX-Mirror: 1\r\n'
     """
-    trace_prefix = TRACE + b":"
+    trace_prefix = TRACE_ID_HEADER + b":"
     lines = [line for line in headers.split(b"\r\n") if line and not line.lower().startswith(trace_prefix)]
     lines += [b"X-Trace-Id: " + trace_id, b"X-Mirror: 1"]
     return b"".join(line + b"\r\n" for line in lines)
--- a/dahliabend/proxy/policy_port.py
+++ b/dahliabend/proxy/policy_port.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from dahliabend.config.server_settings import ServerSettings
-from dahliabend.model import EndpointRow, EndpointState, Outcome
+from dahliabend.model import EndpointState, EndpointUpdate, Outcome
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.endpoint import Endpoint
 from dahliabend.proxy.endpoint_table import EndpointTable
@@ -31,16 +31,16 @@
     policies: list["PolicyPort"]
     health_check_delegate: Callable[[Endpoint, "PolicyPort"], bool] | None
 
-    def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
+    def send(self, request_id: int, endpoint_index: int, timeout: int) -> None:
         """Start an attempt of a request, with a timeout (us)."""
 
-    def reject(self, ref: int, retry_after: int) -> None:
+    def reject(self, request_id: int, retry_after: int) -> None:
         """Answer 503: the client may send the request again, after `retry_after` (us; 0 for no advice)."""
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Answer 502: the request failed, and may have been executed."""
 
-    def cancel(self, ref: int, attempt_index: int) -> None:
+    def cancel(self, request_id: int, attempt_index: int) -> None:
         """Give up an attempt."""
 
     def poll_endpoints(self) -> None:
@@ -119,10 +119,10 @@
 
 def _endpoint_row(
     endpoint: Endpoint, state: EndpointState, excluded: set[str], zones: dict[str, int]
-) -> EndpointRow:
+) -> EndpointUpdate:
     if endpoint.name in excluded and state is not EndpointState.REMOVED:
         state = EndpointState.EXCLUDED
-    return EndpointRow(
+    return EndpointUpdate(
         endpoint.index,
         state,
         max(endpoint.started_at, endpoint.included_at),
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -5,7 +5,7 @@
 
 from msgspec import convert, to_builtins
 
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.model import EndpointState, Outcome, Snapshot
 from dahliabend.policy.balancer import Balancer
 from dahliabend.proxy.endpoint import Endpoint
@@ -19,7 +19,7 @@
 class EndpointSource(Protocol):
     """Where the endpoint list comes from."""
 
-    attempted: bool  # whether it has been asked for, with or without success
+    first_attempt_finished: bool  # whether it has been asked for, with or without success
 
     def poll(self) -> None:
         """Ask for the list."""
@@ -61,9 +61,9 @@
         health_check_delegate: Asked whether another balancer checks an endpoint for that policy.
     """
 
-    def __init__(self, table: EndpointTable, epoch: int) -> None:
+    def __init__(self, table: EndpointTable, monotonic_offset: int) -> None:
         self.table = table
-        self.epoch = epoch
+        self.monotonic_offset = monotonic_offset
         self.excluded: set[str] = set()
         self.discovery: EndpointSource | None = None
         self.class_indices: dict[bytes, int] = {}
@@ -78,7 +78,7 @@
 
     # Endpoints.
 
-    def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, rows: Iterable[EndpointListEntry], full: bool) -> None:
         """Take rows of the endpoint list over.
 
         Args:
@@ -92,11 +92,12 @@
             endpoint = self.table.get_or_create(row.name)
             # Where only draining binds, an endpoint that the list has lost is still sent to.
             removal_binds = (
-                not self.balancer.settings.only_draining_binds or endpoint.state is not EndpointState.READY
+                not self.balancer.settings.can_use_removed_endpoints
+                or endpoint.state is not EndpointState.READY
             )
             if row.state is not EndpointState.REMOVED or removal_binds:
                 endpoint.state = row.state
-            endpoint.update(row, self.epoch)
+            endpoint.update(row, self.monotonic_offset)
             self.update_connection_reuse(endpoint)
             changed.append((endpoint, row.state))
         for policy in self.policies:  # a drain holds for the requests of replaced policies too
@@ -162,7 +163,7 @@
         endpoints = self.table.endpoints
         state: dict[str, Any] = to_builtins(self.balancer.snapshot(ends=False))
         state["upstreams"] = {endpoints[index].name: known for index, known in state["upstreams"].items()}
-        state["epoch"] = self.epoch
+        state["epoch"] = self.monotonic_offset
         state["profiles"] = {name.decode("latin-1"): index for name, index in self.class_indices.items()}
         state["returned"] = {each.name: each.included_at for each in endpoints.values() if each.included_at}
         state["once"] = list(self.table.known_ids)
@@ -200,7 +201,7 @@
                 "cell": endpoint.cell,
                 "weight": endpoint.weight,
                 "state": "up" if endpoint.state is EndpointState.READY else "draining",
-                "started_ms": endpoint.started_ms(self.epoch),
+                "started_ms": endpoint.started_ms(self.monotonic_offset),
             }
             for endpoint in self.table.endpoints.values()
         ]
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -5,7 +5,7 @@
 from dahliabend.config.server_settings import ServerSettings
 from dahliabend.errors import StaleHandleError
 from dahliabend.http.dispatch import IncomingRequest
-from dahliabend.http.headers import EXPIRES, TRACE
+from dahliabend.http.headers import TIMEOUT_HEADER, TRACE_ID_HEADER
 from dahliabend.http.responses import retry_after_header
 from dahliabend.http.upstream_connection import UpstreamResponse
 from dahliabend.model import Outcome
@@ -103,7 +103,7 @@
 
     def ready(self) -> bool:
         """Tell whether requests can be served: the list has been asked for, and some endpoint is ready."""
-        asked = self.discovery is not None and self.discovery.attempted
+        asked = self.discovery is not None and self.discovery.first_attempt_finished
         return asked and bool(self.balancer.selection.ready) and not self.closing()
 
     # Requests from clients.
@@ -118,10 +118,10 @@
         index = self.class_indices.get(name) if path[:1] == b"/" else None
         return None if index is None else (name, index)
 
-    def identify(self, class_index: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(self, class_index: int, headers: dict[bytes, bytes]) -> tuple[bytes, bytes]:
         """Return a request's id and the milliseconds that its client waits; empty where they are missing."""
         del class_index
-        return headers.get(TRACE, b""), headers.get(EXPIRES, b"")
+        return headers.get(TRACE_ID_HEADER, b""), headers.get(TIMEOUT_HEADER, b"")
 
     def dispatch(
         self, incoming: IncomingRequest, class_index: int, on_rejected: Callable[[int], None] | None = None
@@ -206,15 +206,15 @@
 
     # What policies ask for; see `model.Port`.
 
-    def send(self, ref: int, endpoint_index: int, timeout: int) -> None:
+    def send(self, request_id: int, endpoint_index: int, timeout: int) -> None:
         """Start an attempt.
 
         Raises:
             StaleHandleError: The request has ended; policies send for open requests only.
         """
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None:
-            raise StaleHandleError(ref)
+            raise StaleHandleError(request_id)
         attempt = Attempt(self, request, self.table.endpoints[endpoint_index], timeout)
         request.attempts.append(attempt)
         if self.shutdown_deadline and clock() >= self.shutdown_deadline:
@@ -222,30 +222,30 @@
         else:
             attempt.start()
 
-    def reject(self, ref: int, retry_after: int) -> None:
+    def reject(self, request_id: int, retry_after: int) -> None:
         """Answer a request with 503, and a Retry-After if `retry_after` (us) is not 0."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None:
             return
         if request.on_rejected is not None and not request.is_admitted and not request.attempts:
             request.mark_answered()
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
-            request.on_rejected(ref)
+            request.on_rejected(request_id)
             return
         advice = retry_after_header(retry_after)
         self.respond(request, request_log.REJECTED, 503, advice, b"rolled back\n")
         if request.is_admitted and not request.attempts:
             self.forget_if_finished(request)  # it waited for its turn: no end of an attempt does this
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Answer a request with 502."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is not None:
             self.respond(request, request_log.FAILED, 502, b"", b"abandoned\n")
 
-    def cancel(self, ref: int, attempt_index: int) -> None:
+    def cancel(self, request_id: int, attempt_index: int) -> None:
         """Give up an attempt."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is not None:
             request.attempts[attempt_index].give_up(Outcome.CANCELLED)
 
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -92,7 +92,7 @@
         connection, self.connection_idle_time = self.endpoint.take_idle_connection(self.started_at)
         if connection is not None:
             self.send_on_connection(connection)
-        elif resources.descriptors.is_full(self.started_at):
+        elif resources.descriptors.is_full_after_eviction(self.started_at):
             self.finish_soon(Outcome.NOT_SENT)  # no descriptor left: the upstream is not to blame
         else:
             self.begin_connecting()
--- a/dahliabend/routing_rules/checks/classes.py
+++ b/dahliabend/routing_rules/checks/classes.py
@@ -18,11 +18,11 @@
     goal = request_class.service_goal
     if goal > request_class.hard_limit:
         reason = f"{goal} is over the hard limit, {request_class.hard_limit}"
-        source.fault((*key, "service-goal"), reason)
+        source.add_fault((*key, "service-goal"), reason)
     effect = request_class.effect
     if effect == "journalled" and request_class.repeat_window <= 0:
-        source.fault(key, "repeat-window is missing: how long is a journalled transaction remembered?")
+        source.add_fault(key, "repeat-window is missing: how long is a journalled transaction remembered?")
     if effect != "journalled" and request_class.repeat_window:
-        source.fault((*key, "repeat-window"), f"only journalled classes have one, this is {effect}")
+        source.add_fault((*key, "repeat-window"), f"only journalled classes have one, this is {effect}")
     if request_class.revenue < 0:
-        source.fault((*key, "revenue"), f"{request_class.revenue:g} is below 0")
+        source.add_fault((*key, "revenue"), f"{request_class.revenue:g} is below 0")
--- a/dahliabend/routing_rules/checks/common.py
+++ b/dahliabend/routing_rules/checks/common.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from dahliabend.config.address import parse_address
-from dahliabend.config.operator_file.decoder import nearest
+from dahliabend.config.operator_file.decoder import suggest_spelling
 from dahliabend.config.operator_file.schema import TreatmentSettings
 from dahliabend.config.operator_file.source import Key, Source
 from dahliabend.routing_rules.treatment import key_of_field
@@ -24,7 +24,7 @@
     try:
         parse_address(text)
     except ValueError as error:
-        source.fault(key, str(error))
+        source.add_fault(key, str(error))
 
 
 def check_positive(table: object, fields: Iterable[str], key: Key, source: Source) -> None:
@@ -32,16 +32,16 @@
     for name in fields:
         value = getattr(table, name)
         if value is not None and value <= 0:
-            source.fault((*key, key_of_field(name)), f"{value} is not above 0")
+            source.add_fault((*key, key_of_field(name)), f"{value} is not above 0")
 
 
 def check_treatment_values(table: TreatmentSettings, key: Key, source: Source) -> None:
     """Bounds that hold in every table with a treatment of requests."""
     check_positive(table, POSITIVE_TREATMENT_FIELDS, key, source)
     if table.attempts is not None and not 1 <= table.attempts <= MAX_ATTEMPTS:
-        source.fault((*key, "attempts"), f"{table.attempts} is not between 1 and {MAX_ATTEMPTS}")
+        source.add_fault((*key, "attempts"), f"{table.attempts} is not between 1 and {MAX_ATTEMPTS}")
     if table.replays is not None and table.replays < 0:
-        source.fault((*key, "replays"), f"{table.replays} is below 0")
+        source.add_fault((*key, "replays"), f"{table.replays} is below 0")
 
 
 def is_known(name: str, known: Iterable[str], what: str, key: Key, source: Source) -> bool:
@@ -57,5 +57,5 @@
     names = list(known)
     if name in names:
         return True
-    source.fault(key, f"there is no {what} {name!r}{nearest(name, names)}")
+    source.add_fault(key, f"there is no {what} {name!r}{suggest_spelling(name, names)}")
     return False
--- a/dahliabend/routing_rules/checks/listeners.py
+++ b/dahliabend/routing_rules/checks/listeners.py
@@ -12,5 +12,5 @@
         key = ("listeners", name, "address")
         check_address(listener.address, key, source)
         if listener.address in names:
-            source.fault(key, f"{listener.address} is {names[listener.address]!r}'s already")
+            source.add_fault(key, f"{listener.address} is {names[listener.address]!r}'s already")
         names[listener.address] = name
--- a/dahliabend/routing_rules/checks/membership.py
+++ b/dahliabend/routing_rules/checks/membership.py
@@ -42,20 +42,20 @@
 def _check_names(members: MembershipSettings, source: Source) -> None:
     reason = f"is not between 1 and {MAX_NAME_BYTES} bytes long"
     if members.name is not None and not 1 <= len(members.name.encode()) <= MAX_NAME_BYTES:
-        source.fault((*_KEY, "name"), f"{members.name!r} {reason}")
+        source.add_fault((*_KEY, "name"), f"{members.name!r} {reason}")
     if len(members.zone.encode()) > MAX_NAME_BYTES:
-        source.fault((*_KEY, "zone"), f"{members.zone!r} {reason}")
+        source.add_fault((*_KEY, "zone"), f"{members.zone!r} {reason}")
 
 
 def _check_numbers(members: MembershipSettings, source: Source) -> None:
     if not 0 < members.weight < MAX_WEIGHT:
-        source.fault((*_KEY, "weight"), f"{members.weight:g} is not between 0 and {MAX_WEIGHT:g}")
+        source.add_fault((*_KEY, "weight"), f"{members.weight:g} is not between 0 and {MAX_WEIGHT:g}")
     if not MIN_PERIOD <= members.period <= MAX_PERIOD:
-        source.fault((*_KEY, "period"), f"{members.period} is not between {MIN_PERIOD} and {MAX_PERIOD}")
+        source.add_fault((*_KEY, "period"), f"{members.period} is not between {MIN_PERIOD} and {MAX_PERIOD}")
     if members.forget < MIN_FORGET_PERIODS * members.period:
-        source.fault((*_KEY, "forget"), f"{members.forget} is less than a hundred periods")
+        source.add_fault((*_KEY, "forget"), f"{members.forget} is less than a hundred periods")
     if not 0 < members.cut < 1:
-        source.fault((*_KEY, "cut"), f"{members.cut} is not between 0 and 1")
+        source.add_fault((*_KEY, "cut"), f"{members.cut} is not between 0 and 1")
 
 
 def _check_shared_health_checks(members: MembershipSettings, source: Source) -> None:
@@ -63,21 +63,21 @@
         return
     key = (*_KEY, "probing")
     if not members.signals:
-        source.fault(key, "wants signals = true: by these the others hear what came of it")
+        source.add_fault(key, "wants signals = true: by these the others hear what came of it")
     if not MIN_CHECK_INTERVAL <= members.probing <= MAX_PERIOD:
-        source.fault(key, f"{members.probing} is not between {MIN_CHECK_INTERVAL} and {MAX_PERIOD}")
+        source.add_fault(key, f"{members.probing} is not between {MIN_CHECK_INTERVAL} and {MAX_PERIOD}")
 
 
 def _check_key_files(members: MembershipSettings, source: Source) -> None:
     key = (*_KEY, "key-files")
     count = len(members.key_files)
     if not 1 <= count <= MAX_KEY_FILES:
-        source.fault(key, f"names {count} files: one, or two while a key is replaced")
+        source.add_fault(key, f"names {count} files: one, or two while a key is replaced")
     for number, name in enumerate(members.key_files):
         try:
-            length = len(source.reads(source.beside(name)).strip())
+            length = len(source.read_file(source.resolve_path(name)).strip())
         except OSError as error:
-            source.fault((*key, number), f"{name} can't be read: {error.strerror or error}")
+            source.add_fault((*key, number), f"{name} can't be read: {error.strerror or error}")
             continue
         if length < MIN_KEY_BYTES:
-            source.fault((*key, number), f"{name}: {length} bytes; a key has {MIN_KEY_BYTES} at least")
+            source.add_fault((*key, number), f"{name}: {length} bytes; a key has {MIN_KEY_BYTES} at least")
--- a/dahliabend/routing_rules/checks/pools.py
+++ b/dahliabend/routing_rules/checks/pools.py
@@ -18,40 +18,42 @@
         _check_fallback(file, name, source)
         _check_subset(file, pool, key, source)
         if pool.balancers < 1:
-            source.fault((*key, "balancers"), f"{pool.balancers} is not above 0")
+            source.add_fault((*key, "balancers"), f"{pool.balancers} is not above 0")
         if pool.slow_start.multiple <= 1:
-            source.fault((*key, "cold", "multiple"), f"{pool.slow_start.multiple:g} is not above 1")
+            source.add_fault((*key, "cold", "multiple"), f"{pool.slow_start.multiple:g} is not above 1")
         check_positive(pool, ("idle", "dial_time", "drain_notice_time"), key, source)
 
 
 def _check_member_source(pool: PoolSettings, key: Key, source: Source) -> None:
     given = [name for name in MEMBER_SOURCES if getattr(pool, name) is not None]
     if not given:
-        source.fault(key, "has no members: discovery, members or file is missing")
+        source.add_fault(key, "has no members: discovery, members or file is missing")
     elif len(given) > 1:
-        source.fault((*key, given[1]), f"{given[0]} says already who its members are")
+        source.add_fault((*key, given[1]), f"{given[0]} says already who its members are")
     if pool.discovery is not None:
         check_address(pool.discovery, (*key, "discovery"), source)
     if pool.file is not None and not pool.file:
-        source.fault((*key, "file"), "names no file")
+        source.add_fault((*key, "file"), "names no file")
 
 
 def _check_members(
     members: list[EndpointSettings], own_addresses: set[str], pool_key: Key, source: Source
 ) -> None:
     if not members:
-        source.fault((*pool_key, "members"), "is empty")
+        source.add_fault((*pool_key, "members"), "is empty")
     ids: set[str] = set()
     for number, member in enumerate(members):
         key = (*pool_key, "members", number)
         check_address(member.address, (*key, "address"), source)
         if member.address in own_addresses:
-            source.fault((*key, "address"), f"{member.address} is this balancer's own: it would ask itself")
+            source.add_fault(
+                (*key, "address"), f"{member.address} is this balancer's own: it would ask itself"
+            )
         if member.id in ids:
-            source.fault((*key, "id"), f"{member.id!r} is there twice")
+            source.add_fault((*key, "id"), f"{member.id!r} is there twice")
         ids.add(member.id)
         if member.weight <= 0:
-            source.fault((*key, "weight"), f"{member.weight:g} is not above 0")
+            source.add_fault((*key, "weight"), f"{member.weight:g} is not above 0")
 
 
 def _check_fallback(file: OperatorFile, name: str, source: Source) -> None:
@@ -61,7 +63,7 @@
         return
     cycle = _fallback_cycle(file, name)
     if cycle:
-        source.fault(key, f"goes round: {' -> '.join(cycle)}")
+        source.add_fault(key, f"goes round: {' -> '.join(cycle)}")
 
 
 def _fallback_cycle(file: OperatorFile, name: str) -> list[str]:
@@ -85,6 +87,6 @@
         return
     if not 0 <= index < pool.balancers:
         reason = f"{index} is not between 0 and {pool.balancers - 1}: see balancers"
-        source.fault((*key, "self-index"), reason)
+        source.add_fault((*key, "self-index"), reason)
     elif file.members is not None:
-        source.fault((*key, "self-index"), "[members] says already who balances")
+        source.add_fault((*key, "self-index"), "[members] says already who balances")
--- a/dahliabend/routing_rules/checks/routes.py
+++ b/dahliabend/routing_rules/checks/routes.py
@@ -1,6 +1,6 @@
 """Checks of `[[routes]]`: what each names, and whether a request can reach it."""
 
-from dahliabend.config.operator_file.decoder import nearest
+from dahliabend.config.operator_file.decoder import suggest_spelling
 from dahliabend.config.operator_file.schema import OperatorFile, RouteSettings
 from dahliabend.config.operator_file.source import Key, Source
 from dahliabend.routing_rules.checks.common import check_treatment_values, is_known
@@ -12,7 +12,7 @@
 def check_routes(file: OperatorFile, source: Source) -> None:
     """Every route, and all together."""
     if not file.routes:  # an empty file, or one cut short, would reject every request
-        source.fault(("routes",), "there are none")
+        source.add_fault(("routes",), "there are none")
     _check_names(file, source)
     for number, route in enumerate(file.routes):
         key = ("routes", number)
@@ -25,7 +25,7 @@
             check_treatment(file, number, source)
     for number, other in RouteTable(file.routes).shadowed():
         reason = f"is never reached: {file.routes[other].name!r} takes the same requests before it"
-        source.fault(("routes", number, "path"), reason)
+        source.add_fault(("routes", number, "path"), reason)
 
 
 def _check_names(file: OperatorFile, source: Source) -> None:
@@ -33,32 +33,32 @@
     for number, route in enumerate(file.routes):
         if route.name in numbers:
             reason = f"{route.name!r} is the name of routes[{numbers[route.name]}] already"
-            source.fault(("routes", number, "name"), reason)
+            source.add_fault(("routes", number, "name"), reason)
         numbers.setdefault(route.name, number)
 
 
 def _check_conditions(route: RouteSettings, key: Key, source: Source) -> None:
     if not route.path.startswith("/") or "?" in route.path or "//" in route.path:
-        source.fault((*key, "path"), f"{route.path!r} is no path: it begins with / and has no query")
+        source.add_fault((*key, "path"), f"{route.path!r} is no path: it begins with / and has no query")
     for number, method in enumerate(route.methods):
         if method not in HTTP_METHODS:
-            hint = nearest(method.upper(), HTTP_METHODS)
-            source.fault((*key, "methods", number), f"{method!r} is no method{hint}")
+            hint = suggest_spelling(method.upper(), HTTP_METHODS)
+            source.add_fault((*key, "methods", number), f"{method!r} is no method{hint}")
 
 
 def _check_split(file: OperatorFile, route: RouteSettings, key: Key, source: Source) -> None:
     if (route.pool is None) == (route.pools is None):
-        source.fault(key, "needs either pool or pools")
+        source.add_fault(key, "needs either pool or pools")
     if route.pool is not None:
         is_known(route.pool, file.pools, "pool", (*key, "pool"), source)
     for name, weight in (route.pools or {}).items():
         is_known(name, file.pools, "pool", (*key, "pools", name), source)
         if weight < 0:
-            source.fault((*key, "pools", name), f"{weight:g} is below 0")
+            source.add_fault((*key, "pools", name), f"{weight:g} is below 0")
     if route.pools is not None and sum(route.pools.values()) <= 0:
-        source.fault((*key, "pools"), "the weights sum to nothing")
+        source.add_fault((*key, "pools"), "the weights sum to nothing")
     if route.split_by is not None and route.pools is None:
-        source.fault((*key, "split-by"), "there is nothing to split: pools is missing")
+        source.add_fault((*key, "split-by"), "there is nothing to split: pools is missing")
 
 
 def _check_fallback(file: OperatorFile, route: RouteSettings, route_key: Key, source: Source) -> None:
@@ -69,9 +69,9 @@
     next_fallback = file.pools[fallback].fallback
     targets = set(target_pools(route))
     if fallback in targets:
-        source.fault(key, f"{fallback!r} is what the route goes to anyway")
+        source.add_fault(key, f"{fallback!r} is what the route goes to anyway")
     elif next_fallback in targets:
-        source.fault(key, f"goes round: {fallback!r} falls back to {next_fallback!r}")
+        source.add_fault(key, f"goes round: {fallback!r} falls back to {next_fallback!r}")
 
 
 def _check_mirror(file: OperatorFile, route: RouteSettings, route_key: Key, source: Source) -> None:
@@ -82,6 +82,6 @@
     request_class = file.classes.get(route.class_)
     if request_class is not None and request_class.effect != "idempotent":
         reason = f"{route.class_!r} is {request_class.effect}: a copy would have an effect"
-        source.fault(key, reason)
+        source.add_fault(key, reason)
     if mirror in target_pools(route):
-        source.fault(key, f"{mirror!r} answers this route: it would get each one twice")
+        source.add_fault(key, f"{mirror!r} answers this route: it would get each one twice")
--- a/dahliabend/routing_rules/checks/treatments.py
+++ b/dahliabend/routing_rules/checks/treatments.py
@@ -39,7 +39,7 @@
         """Add a fault at the key that sets a field."""
         key = self._treatment.keys[field]
         inherited = f" (for the route {self._route.name!r})" if key[0] != "routes" else ""
-        self._source.fault(key, reason + inherited)
+        self._source.add_fault(key, reason + inherited)
 
     def shared_limit(self) -> None:
         """A limit that balancers share needs gossip, and something to share."""
@@ -49,9 +49,9 @@
         members = self._file.members
         if members is None or not members.signals:
             reason = "wants [members] with signals = true: by these the others hear of each one's part"
-            self._source.fault(key, reason)
+            self._source.add_fault(key, reason)
         if self._treatment.rate is None and self._treatment.concurrency is None:
-            self._source.fault(key, "there is no rate and no concurrency to share")
+            self._source.add_fault(key, "there is no rate and no concurrency to share")
 
     def times(self) -> None:
         """Attempts fit into the total time, and this into the deadline."""
--- a/dahliabend/routing_rules/explanation.py
+++ b/dahliabend/routing_rules/explanation.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from dahliabend.config.operator_file.schema import Effect, OperatorFile, RouteSettings
+from dahliabend.config.operator_file.schema import Idempotency, OperatorFile, RouteSettings
 from dahliabend.config.operator_file.source import format_key
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.routing_rules.loaded_file import LoadedFile, as_written, format_place
@@ -48,7 +48,7 @@
     place: str
     reason: str
     request_class: str
-    effect: Effect
+    effect: Idempotency
     pools: dict[str, str]
     split: str
     fallback: str | dict[str, str]
@@ -123,7 +123,7 @@
     return explained
 
 
-def _steps(treatment: EffectiveTreatment, effect: Effect) -> list[str]:
+def _steps(treatment: EffectiveTreatment, effect: Idempotency) -> list[str]:
     """What will be tried, in words."""
     attempt_time = treatment.attempt_timeout or treatment.total_time
     steps = [f"one hop of up to {Duration(attempt_time)}"]
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -23,7 +23,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.server.seed_list import SeedList, SeedSources
 from dahliabend.server.stored_membership import MAX_AGE_PERIODS, MembershipFile
-from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND_WEIGHT, DemandEstimator
 from dahliabend.transport import host_info
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue, clock
@@ -125,7 +125,7 @@
         config = SwimConfig(
             period=settings.period, dead_retention=settings.forget, partition_ratio=float(settings.cut)
         )
-        weight = UNKNOWN_DEMAND if settings.demand else settings.weight
+        weight = UNKNOWN_DEMAND_WEIGHT if settings.demand else settings.weight
         return MembershipProtocol(self.name, generation, self.address, config, random, settings.zone, weight)
 
     def _authenticator(self, settings: MembershipSettings) -> DatagramAuthenticator:
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -26,7 +26,7 @@
         self.endpoint_list = endpoint_list
         self.timers = timers
         self.log = log
-        self.attempted = True
+        self.first_attempt_finished = True
         self._path = ""
         self._applied_text = b""
         self._read_timer: Any = None
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -142,7 +142,7 @@
             {
                 "name": name,
                 "age_ms": (now - received.created_at) // MICROSECONDS_PER_MILLISECOND,
-                "hops": received.report.relays,
+                "hops": received.report.relay_count,
                 "rows": _shown_counts(received.report.counts),
             }
             for name, received in sorted(self.gossip.report_table.fresh(now).items())
--- a/dahliabend/server/handover_state.py
+++ b/dahliabend/server/handover_state.py
@@ -31,7 +31,7 @@
     Raises:
         KeyError, TypeError, ValueError, AttributeError: The state can't be read.
     """
-    router.epoch = state["epoch"]  # else the same start of an upstream would look like another one
+    router.monotonic_offset = state["epoch"]  # else the same start of an upstream would look like another one
     for name in state["once"]:
         router.table.remember_id(name)
     for name, included_at in state["returned"].items():
@@ -39,5 +39,5 @@
     endpoint_list.apply(state["list"], first=True)
     restored = router.restore(state)
     discovery.change_address(tuple(state["discovery"]))
-    discovery.attempted = True  # the predecessor has asked it already
+    discovery.first_attempt_finished = True  # the predecessor has asked it already
     return restored
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -193,7 +193,7 @@
         """
         active = self._active_routes()
         shared = [route.shared for route in active.file.routes]
-        for is_shared, route in zip(shared, active.choices, strict=True):
+        for is_shared, route in zip(shared, active.compiled_routes, strict=True):
             if not is_shared:
                 route.limit.set_fraction(1.0)
         if not any(shared):
@@ -208,7 +208,7 @@
         """Yield the active routes with a shared limit, each with the configured number of balancers."""
         active = self._active_routes()
         pools = active.file.pools
-        for settings, route in zip(active.file.routes, active.choices, strict=True):
+        for settings, route in zip(active.file.routes, active.compiled_routes, strict=True):
             if settings.shared:
                 yield route, max(pools[name].balancers for name in target_pools(settings))
 
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -6,7 +6,7 @@
 from dahliabend.config.operator_file import schema
 from dahliabend.config.operator_file.schema import OperatorFile
 from dahliabend.config.server_settings import IDLE_REUSE_RATIO, ServerSettings
-from dahliabend.model import DeduplicationScope, Effect, RequestClass, Settings
+from dahliabend.model import DeduplicationScope, Idempotency, PolicySettings, RequestClass
 from dahliabend.routing_rules.treatment import EffectiveTreatment, target_pools
 from dahliabend.transport import host_info
 
@@ -17,14 +17,14 @@
 NANOSECONDS = 1000  # in a microsecond
 
 _EFFECTS = {
-    "idempotent": Effect.IDEMPOTENT,
-    "journalled": Effect.DEDUPLICATED,
-    "non-idempotent": Effect.NON_IDEMPOTENT,
+    "idempotent": Idempotency.IDEMPOTENT,
+    "journalled": Idempotency.DEDUPLICATED,
+    "non-idempotent": Idempotency.NON_IDEMPOTENT,
 }
 _SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 _UNUSED_CLASS = RequestClass(  # of a pool without a route: a policy wants one class at least
-    effect=Effect.IDEMPOTENT,
+    effect=Idempotency.IDEMPOTENT,
     deduplication_scope=DeduplicationScope.ALL,
     deduplication_window=0,
     latency_objective=1_000_000,
@@ -142,9 +142,9 @@
     )
 
 
-def _policy_settings(file: OperatorFile, pool: schema.PoolSettings, routes: list[int]) -> Settings:
+def _policy_settings(file: OperatorFile, pool: schema.PoolSettings, routes: list[int]) -> PolicySettings:
     classes = tuple(_request_class(file, number) for number in routes)
-    return Settings(
+    return PolicySettings(
         instance_count=pool.balancers,
         instance_index=-1,
         tier=0,
--- a/dahliabend/server/seed_list.py
+++ b/dahliabend/server/seed_list.py
@@ -5,7 +5,7 @@
 
 from dahliabend.config.address import parse_address
 from dahliabend.config.operator_file.schema import MembershipSettings
-from dahliabend.discovery.endpoint_list import EndpointList, EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointList, EndpointListEntry
 from dahliabend.discovery.watch import DiscoveryClient
 from dahliabend.model import EndpointState
 from dahliabend.server.endpoint_list_file import EndpointListFile
@@ -23,7 +23,7 @@
         self.on_change = on_change
         self.addresses: dict[str, str] = {}  # by the balancer's name
 
-    def endpoints_changed(self, rows: Iterable[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, rows: Iterable[EndpointListEntry], full: bool) -> None:
         """Apply changes of the list, or the whole list."""
         if full:
             self.addresses = {}
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -65,7 +65,7 @@
         self.metrics = Metrics()
         self.listener = Listener(self.timers, self.descriptors, self.accept_client)
         self.admin_descriptors = DescriptorBudget(PROCESS_DESCRIPTORS + ADMIN_DESCRIPTORS)
-        self.operations = AdminApi(self, log)
+        self.admin_api = AdminApi(self, log)
         self.admin_listener = Listener(self.timers, self.admin_descriptors, self.accept_operator)
         self.lifecycle = Lifecycle(self, loop)
         self._evacuation_timer: Any = None
@@ -137,7 +137,7 @@
 
     def accept_operator(self) -> AdminConnection:
         """Return the protocol of a new admin connection."""
-        return AdminConnection(self.admin_descriptors, self.timers, self.operations)
+        return AdminConnection(self.admin_descriptors, self.timers, self.admin_api)
 
     def client_connections(self, connections: Iterable[object]) -> list[ClientConnection]:
         """Return those of the connections that are of clients."""
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING, Any
 
 from dahliabend.config.operator_file import schema
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.model import EndpointState
 from dahliabend.proxy.router import Router
 from dahliabend.server.log import EventLog
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
-from dahliabend.subsetting.usable_endpoints import count_usable
+from dahliabend.subsetting.usable_endpoints import count_usable_endpoints
 from dahliabend.transport.timers import TimerQueue, clock
 
 if TYPE_CHECKING:
@@ -57,12 +57,12 @@
         self.timers = timers
         self.log = log
         self.subset = ActiveSubset()
-        self._rows: dict[str, EndpointRow] = {}  # by name, the whole list
+        self._rows: dict[str, EndpointListEntry] = {}  # by name, the whole list
         self._controller = _make_controller(settings, balancers, cluster, instance_name)
         self._timer: Any = None
         self._update_periodically()
 
-    def endpoints_changed(self, rows: list[EndpointRow], full: bool) -> None:
+    def endpoints_changed(self, rows: list[EndpointListEntry], full: bool) -> None:
         """Apply changes of the list, or the whole list."""
         if full:
             self._rows = {}
@@ -113,10 +113,10 @@
         if self.cluster is not None:
             settled = self.cluster.settled()
             if settled is not None:
-                self._controller.follow_membership(now, settled, self.cluster.view())
+                self._controller.update_membership(now, settled, self.cluster.view())
         if self.subset.weights:
             balancer = self.router.balancer
-            usable = count_usable(
+            usable = count_usable_endpoints(
                 balancer.selection.ready,
                 balancer.outliers.last_answer_at,
                 balancer.throttling.window,
@@ -145,7 +145,7 @@
         An upstream that leaves the subset counts as removed: it gets nothing new, and attempts end there.
         """
         known = self.router.table.indices
-        rows: list[EndpointRow] = []
+        rows: list[EndpointListEntry] = []
         for name, row in self._rows.items():
             weight = self.subset.weights.get(name)
             if weight is not None:
--- a/dahliabend/simulation/attempt_invariants.py
+++ b/dahliabend/simulation/attempt_invariants.py
@@ -150,7 +150,7 @@
                     continue
                 if not run.has_ended(attempt):
                     run.report("order", f"{sent} while {other.trace_id} is out")
-                elif attempt.sent_at and started_at < run.closed_at(attempt) + run.key_rest:
+                elif attempt.sent_at and started_at < run.closed_at(attempt) + run.key_pause:
                     run.report("order", f"{sent}, {key} still rests")
             if self._has_overtaken(request, other, balancer):
                 # The other's own answer may be under way: an early rejection may come out of order.
@@ -177,7 +177,7 @@
         run = self.run
         return request.is_finished and all(
             attempt.is_answered
-            or (run.has_ended(attempt) and run.closed_at(attempt) + run.key_rest <= run.now)
+            or (run.has_ended(attempt) and run.closed_at(attempt) + run.key_pause <= run.now)
             for attempt in request.attempts
         )
 
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -11,7 +11,14 @@
 from dahliabend.leases.candidate_order import Candidate
 from dahliabend.leases.leased_health_checks import LeasedHealthChecks
 from dahliabend.membership.protocol import MembershipProtocol
-from dahliabend.model import DeduplicationScope, Effect, EndpointRow, EndpointState, Outcome, RequestClass
+from dahliabend.model import (
+    DeduplicationScope,
+    EndpointState,
+    EndpointUpdate,
+    Idempotency,
+    Outcome,
+    RequestClass,
+)
 from dahliabend.policy.balancer import Balancer
 from dahliabend.simulation.cluster.instance_environment import InstanceEnvironment
 from dahliabend.simulation.cluster.lying_gossip import LyingGossip
@@ -20,7 +27,7 @@
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.demand import DemandEstimator
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.usable_endpoints import count_usable
+from dahliabend.subsetting.usable_endpoints import count_usable_endpoints
 
 SUBSET_INTERVAL = 250 * MS  # between two steps of a subset controller
 ONE_WAY_DELAY = 1 * MS  # of a message to an upstream, or back
@@ -31,8 +38,10 @@
 DEADLINE = 3 * S
 UNHEALTHY_FAILURE_SHARE = 0.5  # an upstream that fails more of its requests fails its health checks
 REQUEST_CLASSES = (
-    RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 1.0, 0.0),
-    RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 2.0, 0.0),
+    RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 1.0, 0.0),
+    RequestClass(
+        Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 2.0, 0.0
+    ),
 )
 POOL = "main"
 REUSABLE_AFTER = frozenset({Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED})
@@ -47,7 +56,7 @@
         self.model = model
         self.number = number
         self.is_alive = True
-        self.rows: dict[str, EndpointRow] = {}  # the endpoint list as it knows it
+        self.rows: dict[str, EndpointUpdate] = {}  # the endpoint list as it knows it
         self.requests: dict[int, PendingRequest] = {}
         self.next_ref = 0
         self.admitted = 0
@@ -81,11 +90,11 @@
 
     # The policy's port.
 
-    def send(self, ref: int, upstream: int, timeout: int) -> None:
+    def send(self, request_id: int, upstream: int, timeout: int) -> None:
         """Send an attempt; a connection is opened where none is idle."""
         model = self.model
         now = model.now
-        request = self.requests[ref]
+        request = self.requests[request_id]
         target = model.upstreams[upstream]
         request.attempts.append(AttemptRecord(target, now))
         number = len(request.attempts) - 1
@@ -95,11 +104,11 @@
             model.counts["shakes"] += 1
             delay += CONNECT_TIME
         self.busy_connections[upstream] += 1
-        model.call_at(now + timeout, self.attempt_ended, ref, number, Outcome.TIMED_OUT)
+        model.call_at(now + timeout, self.attempt_ended, request_id, number, Outcome.TIMED_OUT)
         if target.is_gone and target.is_silent:
-            model.call_at(now + CONNECT_TIMEOUT, self.attempt_ended, ref, number, Outcome.UNREACHABLE)
+            model.call_at(now + CONNECT_TIMEOUT, self.attempt_ended, request_id, number, Outcome.UNREACHABLE)
         else:
-            model.call_at(now + delay, self.attempt_arrived, ref, number)
+            model.call_at(now + delay, self.attempt_arrived, request_id, number)
 
     def _take_idle_connection(self, upstream: int) -> bool:
         idle = self.idle_connections.setdefault(upstream, [])
@@ -110,9 +119,9 @@
         idle.pop()
         return True
 
-    def attempt_arrived(self, ref: int, number: int) -> None:
+    def attempt_arrived(self, request_id: int, number: int) -> None:
         """An attempt has come to its upstream."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None or request.attempts[number].is_finished:
             return
         model = self.model
@@ -121,19 +130,19 @@
         if result.outcome is Outcome.SUCCEEDED:
             request.effects += 1
             effect = REQUEST_CLASSES[request.class_index].effect
-            if request.effects > 1 and effect is Effect.NON_IDEMPOTENT:
+            if request.effects > 1 and effect is Idempotency.NON_IDEMPOTENT:
                 model.report_violation(f"no effect twice: at {upstream.name}")
             model.call_at(result.at, self.work_done, upstream)
         if result.outcome is not None:
-            model.call_at(result.at + ONE_WAY_DELAY, self.attempt_ended, ref, number, result.outcome)
+            model.call_at(result.at + ONE_WAY_DELAY, self.attempt_ended, request_id, number, result.outcome)
 
     def work_done(self, upstream: SimulatedUpstream) -> None:
         """An upstream has finished a request."""
         upstream.in_flight -= not upstream.is_gone
 
-    def attempt_ended(self, ref: int, number: int, outcome: Outcome) -> None:
+    def attempt_ended(self, request_id: int, number: int, outcome: Outcome) -> None:
         """An attempt has ended; the first end counts."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         model = self.model
         if request is None or request.attempts[number].is_finished or not self.is_alive:
             return
@@ -151,7 +160,7 @@
             latency = model.now - attempt.sent_at
             request.state.attempt_finished(model.now, number, outcome, latency, request.is_answered)
             if request.state.is_finished:
-                self.requests.pop(ref, None)
+                self.requests.pop(request_id, None)
 
     def _release_connection(self, upstream: int, outcome: Outcome) -> None:
         self.busy_connections[upstream] -= 1
@@ -177,18 +186,18 @@
         if result == "served":
             model.metrics.latencies.append(model.now - request.arrived_at)
 
-    def reject(self, ref: int, retry_after: int) -> None:  # noqa: ARG002 -- the signature of `Port`
+    def reject(self, request_id: int, retry_after: int) -> None:  # noqa: ARG002 -- the signature of `Port`
         """Reject a request."""
-        self.answer(self.requests[ref], "rolled back")
+        self.answer(self.requests[request_id], "rolled back")
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Fail a request."""
-        self.answer(self.requests[ref], "abandoned")
+        self.answer(self.requests[request_id], "abandoned")
 
-    def cancel(self, ref: int, attempt: int) -> None:
+    def cancel(self, request_id: int, attempt: int) -> None:
         """Cancel an attempt."""
-        if not self.requests[ref].attempts[attempt].is_finished:
-            self.model.call_at(self.model.now, self.attempt_ended, ref, attempt, Outcome.CANCELLED)
+        if not self.requests[request_id].attempts[attempt].is_finished:
+            self.model.call_at(self.model.now, self.attempt_ended, request_id, attempt, Outcome.CANCELLED)
 
     def check_health(self, upstream: int) -> None:
         """Check an upstream's health, or have the lease holder do it."""
@@ -260,14 +269,14 @@
         now = self.model.now
         request = PendingRequest(now, class_index)
         self.admitted += 1
-        ref = self.next_ref
+        request_id = self.next_ref
         self.next_ref += 1
-        self.requests[ref] = request
-        request.state = self.balancer.admit(now, ref, class_index, 0, now + DEADLINE)
+        self.requests[request_id] = request
+        request.state = self.balancer.admit(now, request_id, class_index, 0, now + DEADLINE)
         if request.state.is_finished:
-            self.requests.pop(ref, None)
+            self.requests.pop(request_id, None)
 
-    def endpoints_changed(self, changed: dict[str, EndpointRow]) -> None:
+    def endpoints_changed(self, changed: dict[str, EndpointUpdate]) -> None:
         """Take a change of the endpoint list."""
         if not self.is_alive:
             return
@@ -342,10 +351,10 @@
         machine = model.machine(self.number)
         settled = machine.last_stable_view(model.now) if machine is not None else None
         if machine is not None and settled is not None:
-            controller.follow_membership(model.now, settled, machine.view(model.now))
+            controller.update_membership(model.now, settled, machine.view(model.now))
         if self.weights:
             balancer = self.balancer
-            usable = count_usable(
+            usable = count_usable_endpoints(
                 balancer.selection.ready,
                 balancer.outliers.last_answer_at,
                 balancer.throttling.window,
--- a/dahliabend/simulation/cluster/instance_environment.py
+++ b/dahliabend/simulation/cluster/instance_environment.py
@@ -6,11 +6,11 @@
 from typing import Any, Protocol
 
 from dahliabend.membership.protocol import MembershipProtocol
-from dahliabend.model import Settings
+from dahliabend.model import PolicySettings
 from dahliabend.simulation.cluster.script import Fleet
 from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     """The workload model as its balancer instances see it. Times are microseconds of the virtual clock."""
 
     fleet: Fleet
-    subset: SubsetSettings | None
+    subset: SubsetControllerSettings | None
     announces_demand: bool
     has_gossip: bool
     lies: dict[int, str]
@@ -65,7 +65,7 @@
     def send_gossip(self, source: str, target: str, payload: bytes) -> None:
         """Send a datagram of health reports."""
 
-    def settings(self) -> Settings:
+    def settings(self) -> PolicySettings:
         """The policy's settings of each balancer."""
 
     def participant(self, number: int) -> Participant:
--- a/dahliabend/simulation/cluster/subset_model.py
+++ b/dahliabend/simulation/cluster/subset_model.py
@@ -15,7 +15,7 @@
 from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 END_OF_TIME = 1 << 62  # microseconds
 
@@ -60,7 +60,7 @@
     """As the cluster model, and every second all subset controllers step."""
 
     def __init__(
-        self, fleet: Fleet, upstreams: int, subset: SubsetSettings, config: SwimConfig | None = None
+        self, fleet: Fleet, upstreams: int, subset: SubsetControllerSettings, config: SwimConfig | None = None
     ) -> None:
         """Prepare a run with so many upstreams."""
         super().__init__(fleet, config)
@@ -99,7 +99,7 @@
             controller = self.controllers[number]
             settled = machine.last_stable_view(self.now)
             if settled is not None:
-                controller.follow_membership(self.now, settled, machine.view(self.now))
+                controller.update_membership(self.now, settled, machine.view(self.now))
             controller.update_upstreams(self.now, self.pool)
             subset = controller.step(self.now)
             if subset is not None:
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -18,7 +18,7 @@
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
-from dahliabend.model import EndpointRow, EndpointState, Settings
+from dahliabend.model import EndpointState, EndpointUpdate, PolicySettings
 from dahliabend.simulation.cluster.balancer_instance import (
     DEADLINE,
     ONE_WAY_DELAY,
@@ -29,9 +29,9 @@
 from dahliabend.simulation.cluster.model import ClusterModel
 from dahliabend.simulation.cluster.script import Fleet
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream, UpstreamProfile
-from dahliabend.subsetting.demand import UNKNOWN_DEMAND
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND_WEIGHT
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 MEMBERSHIP_STEP = 250 * MS  # the members' clock follows the requests' in such steps
 DISCOVERY_DELAY = 200 * MS, 1_500 * MS  # until a balancer learns of a change of the endpoint list
@@ -63,7 +63,7 @@
         fleet: Fleet,
         upstreams: int = 60,
         rate: float = 330.0,
-        subset: SubsetSettings | None = None,
+        subset: SubsetControllerSettings | None = None,
         *,
         profile: UpstreamProfile | None = None,
         config: SwimConfig | None = None,
@@ -159,9 +159,9 @@
 
     # Balancers.
 
-    def settings(self) -> Settings:
+    def settings(self) -> PolicySettings:
         """The policy's settings of each balancer."""
-        return Settings(
+        return PolicySettings(
             instance_count=self.fleet.instances,
             instance_index=-1,
             tier=0,
@@ -205,10 +205,10 @@
         """Start a balancer."""
         super().start_instance(number, state)
         if self.announces_demand:
-            self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND)
+            self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND_WEIGHT)
         balancer = BalancerInstance(self, number, self.generations[number])
         self.balancers[number] = balancer
-        rows = {name: self.endpoint_row(upstream) for name, upstream in self.upstreams_by_name.items()}
+        rows = {name: self.endpoint_update(upstream) for name, upstream in self.upstreams_by_name.items()}
         balancer.endpoints_changed(rows)
         balancer.subset_timer_fired()
         if balancer.gossip is not None:
@@ -234,11 +234,11 @@
 
     # Upstreams.
 
-    def endpoint_row(self, upstream: SimulatedUpstream) -> EndpointRow:
+    def endpoint_update(self, upstream: SimulatedUpstream) -> EndpointUpdate:
         """An upstream as the endpoint list has it."""
         zone = self.zone_names.index(upstream.zone)
         name = upstream.name.encode()
-        return EndpointRow(upstream.index, upstream.state, upstream.started_at, 1.0, 0, zone, name)
+        return EndpointUpdate(upstream.index, upstream.state, upstream.started_at, 1.0, 0, zone, name)
 
     def start_upstream(self, name: str, started_at: int | None = None) -> SimulatedUpstream:
         """Start an upstream; `started_at` None: now, with a warm-up."""
@@ -253,7 +253,7 @@
 
     def announce(self, upstream: SimulatedUpstream) -> None:
         """Have each balancer learn an upstream's state, after a delay of its own."""
-        row = self.endpoint_row(upstream)
+        row = self.endpoint_update(upstream)
         for balancer in self.balancers.values():
             at = self.clock + self.rng.randint(*DISCOVERY_DELAY)
             self.call_at(at, balancer.endpoints_changed, {upstream.name: row})
--- a/dahliabend/simulation/invariants.py
+++ b/dahliabend/simulation/invariants.py
@@ -29,10 +29,10 @@
         recorder: Recorder,
         classes: dict[str, RequestClassRules],
         drain_time: int,
-        key_rest: int = 0,
+        key_pause: int = 0,
     ) -> None:
         """Begin to check; the arguments are those of `ObservedRun`."""
-        super().__init__(scheduler, classes, drain_time, key_rest)
+        super().__init__(scheduler, classes, drain_time, key_pause)
         self.clients = ClientInvariants(self, recorder)
         self.endpoints = EndpointInvariants(self, recorder)
         self.attempts = AttemptInvariants(self, recorder, self.endpoints)
--- a/dahliabend/simulation/observed_run.py
+++ b/dahliabend/simulation/observed_run.py
@@ -121,7 +121,7 @@
     """The state that all invariants share."""
 
     def __init__(
-        self, scheduler: Scheduler, classes: dict[str, RequestClassRules], drain_time: int, key_rest: int
+        self, scheduler: Scheduler, classes: dict[str, RequestClassRules], drain_time: int, key_pause: int
     ) -> None:
         """Begin with nothing observed.
 
@@ -134,7 +134,7 @@
         self.scheduler = scheduler
         self.classes = classes
         self.drain_time = drain_time
-        self.key_rest = key_rest
+        self.key_pause = key_pause
         self.requests: dict[str, RequestRecord] = {}
         self.open_requests: set[str] = set()
         self._finished: deque[tuple[int, str]] = deque()
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -4,7 +4,7 @@
 
 from dahliabend.config.policy_settings import read_policy_settings, to_microseconds
 from dahliabend.errors import SimulatorProtocolError
-from dahliabend.model import EndpointRow, EndpointState, Outcome
+from dahliabend.model import EndpointState, EndpointUpdate, Outcome
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.records import RequestState
 from dahliabend.simulator_adapter import actions
@@ -62,24 +62,28 @@
 
     # The port: what the policy does.
 
-    def send(self, ref: int, endpoint: int, timeout: int) -> None:
+    def send(self, request_id: int, endpoint: int, timeout: int) -> None:
         """Send an attempt of a request to an endpoint."""
         timeout_ms = timeout / MICROSECONDS_PER_MILLISECOND
-        self._actions.append(actions.send_attempt(self.number, ref, self._addresses[endpoint], timeout_ms))
+        self._actions.append(
+            actions.send_attempt(self.number, request_id, self._addresses[endpoint], timeout_ms)
+        )
 
-    def reject(self, ref: int, retry_after: int) -> None:
+    def reject(self, request_id: int, retry_after: int) -> None:
         """Answer that a request did not run; it is forgotten here if it had been waiting for its turn."""
-        self._actions.append(actions.reject(self.number, ref, retry_after / MICROSECONDS_PER_MILLISECOND))
-        if ref in self.requests and self.requests[ref].is_finished:
-            del self.requests[ref]
+        self._actions.append(
+            actions.reject(self.number, request_id, retry_after / MICROSECONDS_PER_MILLISECOND)
+        )
+        if request_id in self.requests and self.requests[request_id].is_finished:
+            del self.requests[request_id]
 
-    def fail(self, ref: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Answer that a request may have run."""
-        self._actions.append(actions.fail(self.number, ref))
+        self._actions.append(actions.fail(self.number, request_id))
 
-    def cancel(self, ref: int, attempt: int) -> None:
+    def cancel(self, request_id: int, attempt: int) -> None:
         """Cancel an attempt."""
-        self._actions.append(actions.cancel(self.number, ref, attempt))
+        self._actions.append(actions.cancel(self.number, request_id, attempt))
 
     def check_health(self, endpoint: int) -> None:
         """Check the health of an endpoint."""
@@ -167,7 +171,7 @@
             return
         entries = endpoint_lists.get(record.list_number, b"")
         rows = [
-            EndpointRow(
+            EndpointUpdate(
                 self._index_of(address),
                 EndpointState(state),
                 to_microseconds(started_at),
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -11,7 +11,7 @@
 from dahliabend.subsetting.flap_damping import FlapDamping
 from dahliabend.subsetting.fleet_view import FleetView, Membership
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 from dahliabend.subsetting.target import TargetSubset, compute_target
 
 MAX_FLAPPING_FRACTION = 1 / 2  # of the list: if more go at once, the list has changed and nobody flaps
@@ -56,7 +56,7 @@
         extra: Upstreams used beyond the target, while too few of it are usable.
     """
 
-    def __init__(self, own: Participant, settings: SubsetSettings) -> None:
+    def __init__(self, own: Participant, settings: SubsetControllerSettings) -> None:
         self.own = own
         self.settings = settings
         self.listed: dict[str, Participant] = {}
@@ -83,7 +83,7 @@
         if self.view.update(now, balancers, trusted=trusted):
             self._target_stale = True
 
-    def follow_membership(self, now: int, settled: Membership, latest: Membership) -> None:
+    def update_membership(self, now: int, settled: Membership, latest: Membership) -> None:
         """Take the settled view of membership; the latest one tells whether it is to be doubted."""
         balancers = [
             Participant(member.name, member.zone, member.weight)
--- a/dahliabend/subsetting/demand.py
+++ b/dahliabend/subsetting/demand.py
@@ -8,7 +8,9 @@
 
 SECOND = 1_000_000  # microseconds
 MIN_DEMAND = 1.0  # requests per second that a balancer without any counts for
-UNKNOWN_DEMAND = 1e-3  # weights up to this say nothing yet: the balancer counts as the mean of the others
+UNKNOWN_DEMAND_WEIGHT = (
+    1e-3  # weights up to this say nothing yet: the balancer counts as the mean of the others
+)
 NOISE_DEVIATIONS = 4.0  # standard deviations of a count; a smaller change may be chance
 ANNOUNCED_DECIMALS = 2
 
--- a/dahliabend/subsetting/fleet_view.py
+++ b/dahliabend/subsetting/fleet_view.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from dahliabend.subsetting.demand import UNKNOWN_DEMAND
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND_WEIGHT
 from dahliabend.subsetting.selection import Participant
 
 DEFAULT_DEMAND = 1.0  # of all, if none has announced any
@@ -58,12 +58,12 @@
     While the fleet or a balancer starts, those that announce first would otherwise be taken for the only ones
     with clients.
     """
-    known = [balancer.weight for balancer in balancers if balancer.weight > UNKNOWN_DEMAND]
+    known = [balancer.weight for balancer in balancers if balancer.weight > UNKNOWN_DEMAND_WEIGHT]
     if len(known) == len(balancers):
         return balancers
     mean = sum(known) / len(known) if known else DEFAULT_DEMAND
     return [
-        balancer if balancer.weight > UNKNOWN_DEMAND else replace(balancer, weight=mean)
+        balancer if balancer.weight > UNKNOWN_DEMAND_WEIGHT else replace(balancer, weight=mean)
         for balancer in balancers
     ]
 
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubsetSettings:
+class SubsetControllerSettings:
     """How large a subset is and how fast it changes. Times are microseconds.
 
     Attributes:
--- a/dahliabend/subsetting/target.py
+++ b/dahliabend/subsetting/target.py
@@ -6,7 +6,7 @@
 from dahliabend.subsetting.fleet_view import Balancers
 from dahliabend.subsetting.rendezvous import pair_ranks
 from dahliabend.subsetting.selection import Participant, assign_subsets
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 def compute_target(
     own: Participant,
-    settings: SubsetSettings,
+    settings: SubsetControllerSettings,
     views: Sequence[Balancers],
     upstreams: Mapping[str, Participant],
 ) -> TargetSubset:
@@ -75,7 +75,7 @@
 
 
 def _weights_by_views(
-    own: Participant, settings: SubsetSettings, views: Sequence[Balancers], pool: list[Participant]
+    own: Participant, settings: SubsetControllerSettings, views: Sequence[Balancers], pool: list[Participant]
 ) -> dict[str, float]:
     """Return the weights of this balancer's upstreams by all views, averaged."""
     weights: dict[str, float] = {}
@@ -87,7 +87,7 @@
 
 
 def _weights_without_view(
-    own: Participant, settings: SubsetSettings, pool: list[Participant], ranking: list[str]
+    own: Participant, settings: SubsetControllerSettings, pool: list[Participant], ranking: list[str]
 ) -> dict[str, float]:
     """Return weights by the own name and the configured number of balancers.
 
--- a/dahliabend/subsetting/usable_endpoints.py
+++ b/dahliabend/subsetting/usable_endpoints.py
@@ -22,7 +22,9 @@
         """Whether it is out of use as an outlier."""
 
 
-def count_usable(endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int) -> int:
+def count_usable_endpoints(
+    endpoints: Sequence[EndpointHealth], last_answer_at: int, window: int, now: int
+) -> int:
     """Return how many of the endpoints in use can be sent to.
 
     While all are silent the policy ejects none, as a fault of the whole tier. But a subset is only a part of
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -79,7 +79,7 @@
         connection.abort()
         return True
 
-    def is_full(self, now: int = 0) -> bool:
+    def is_full_after_eviction(self, now: int = 0) -> bool:
         """Whether only the reserve is left, also after the oldest idle connection has been evicted.
 
         Args:
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -85,7 +85,7 @@
             return False
         for _ in range(MAX_ACCEPTS_AT_ONCE):
             # Idle connections that kept others waiting to be accepted would have these miss their deadlines.
-            if self.descriptors.is_full(clock()) and self.descriptors.is_exhausted():
+            if self.descriptors.is_full_after_eviction(clock()) and self.descriptors.is_exhausted():
                 self._pause_accepting(listening)
                 return False
             try:
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -33,7 +33,7 @@
     """The command line."""
     policy, port = make_balancer(
         request_classes=(replace(DEDUPLICATED, is_ordered=True), IDEMPOTENT),
-        key_rest=100 * MS,
+        key_pause=100 * MS,
         max_attempts=1,
     )
     policy.concurrency.limit = 1e9  # no limit of concurrency
@@ -58,12 +58,12 @@
                 request.attempt_finished(now, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
             elif not request.is_finished:
                 request.client_disconnected(now)
-        policy.timer_fired(now, TimerToken.KEY_REST)
+        policy.timer_fired(now, TimerToken.KEY_PAUSE)
         port.clear()
         if number % REPORT_INTERVAL == 0:
             traced = tracemalloc.get_traced_memory()[0] // 1024
             print(
-                f"{number:9,} keys: {traced:6,} KiB, {len(policy.key_queues.queues)} lines, {len(policy.key_queues.rests)} rests"
+                f"{number:9,} keys: {traced:6,} KiB, {len(policy.key_queues.queues)} lines, {len(policy.key_queues.pauses)} rests"
             )
 
 
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -16,7 +16,7 @@
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.cluster.script import Fleet, S, Step, What
 from dahliabend.simulation.cluster.subset_model import SubsetModel, WorstSample
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 WARMUP_SECONDS, SETTLE_SECONDS, LAST_SECONDS, BEFORE_SECONDS = 40, 60, 30, 20
 BALANCERS, UPSTREAMS = 60, 40
@@ -47,7 +47,7 @@
 def measure(seed: int, scenario: Scenario) -> Measurement:
     """Run a scenario with one seed."""
     fleet = Fleet(seed=seed, instances=scenario.balancers, delay=MESSAGE_DELAY)
-    model = SubsetModel(fleet, scenario.upstreams, SubsetSettings())
+    model = SubsetModel(fleet, scenario.upstreams, SubsetControllerSettings())
     for number in range(scenario.balancers):
         model.start_instance(number)
     model.assume_full_membership()
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -26,7 +26,7 @@
     WorkloadModel,
     upstream_names,
 )
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 BALANCERS, UPSTREAMS, ZONES = 40, 60, 3
 RATE = 330.0  # requests a second
@@ -45,7 +45,7 @@
 class Way(NamedTuple):
     """How balancers choose their upstreams."""
 
-    subset: SubsetSettings | None
+    subset: SubsetControllerSettings | None
     announces_demand: bool
 
 
@@ -59,8 +59,8 @@
 
 WAYS = {
     "none": Way(None, False),
-    "subsets": Way(SubsetSettings(balancers=BALANCERS), False),
-    "with demand": Way(SubsetSettings(balancers=BALANCERS), True),
+    "subsets": Way(SubsetControllerSettings(balancers=BALANCERS), False),
+    "with demand": Way(SubsetControllerSettings(balancers=BALANCERS), True),
 }
 
 
--- a/tests/config/corpus.py
+++ b/tests/config/corpus.py
@@ -328,7 +328,7 @@
 )  # fmt: skip
 
 
-def make(seed: int) -> Made:
+def generate_operator_files(seed: int) -> Made:
     """Even seeds are sound, odd ones hold a fault each, all kinds in turn."""
     chance = Random(f"corpus {seed}")
     sections = sound(chance)
--- a/tests/fake_port.py
+++ b/tests/fake_port.py
@@ -1,12 +1,12 @@
 """A port that records what it is asked to do, and balancers that act through one."""
 
-from dahliabend.model import DeduplicationScope, Effect, EndpointState, RequestClass, Settings
+from dahliabend.model import DeduplicationScope, EndpointState, Idempotency, PolicySettings, RequestClass
 from dahliabend.policy.balancer import Balancer
 
 MS, S = 1_000, 1_000_000
-IDEMPOTENT = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
-DEDUPLICATED = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
-NON_IDEMPOTENT = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+IDEMPOTENT = RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
+DEDUPLICATED = RequestClass(Idempotency.DEDUPLICATED, DeduplicationScope.CELL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
+NON_IDEMPOTENT = RequestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 1.0, 0.5)
 BASE = dict(
     instance_count=2,
     instance_index=0,
@@ -44,7 +44,7 @@
 def make_balancer(endpoints=4, cells=2, born=0, now=100 * S, **changes):
     """A balancer with so many endpoints ready, and its port."""
     port = RecordingPort()
-    made = Balancer(Settings(**{**BASE, **changes}), port, 7)
+    made = Balancer(PolicySettings(**{**BASE, **changes}), port, 7)
     made.update_endpoints(
         now,
         [(n, EndpointState.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(endpoints)],
@@ -53,6 +53,6 @@
     return made, port
 
 
-def admit(made, profile, now=100 * S, ref=1, **more):
+def admit(made, profile, now=100 * S, request_id=1, **more):
     """Admits a request of a class, with 5 s until its deadline."""
-    return made.admit(now, ref, profile, 0, now + 5 * S, **more)
+    return made.admit(now, request_id, profile, 0, now + 5 * S, **more)
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -18,7 +18,7 @@
     routes = [RouteSettings(name="r", class_="c", pool="p", shared=shared)]
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
     made = OperatorFileServer.__new__(OperatorFileServer)
-    made.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, choices=[choice]))
+    made.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, compiled_routes=[choice]))
     made.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
     return made, limit
 
@@ -39,8 +39,8 @@
     asked = []
     made, _ = service(True, gossip=asked.append)
     made.divide_shared_limits()
-    (choices,) = asked
-    assert [(choice.name, balancers) for choice, balancers in choices()] == [("r", 4)]
+    (compiled_routes,) = asked
+    assert [(choice.name, balancers) for choice, balancers in compiled_routes()] == [("r", 4)]
 
 
 def test_shares_start_equal_follow_announcements_and_end_with_the_route():
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -11,7 +11,7 @@
 
 from dahliabend.config.operator_file.schema import MembershipSettings
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.membership.codec import DropReason
 from dahliabend.membership.messages import MemberStatus, Update
 from dahliabend.model import EndpointState
@@ -100,7 +100,7 @@
 def test_seeds_follow_a_watched_file(tmp_path):
     member, _ = cluster_member(tmp_path, seeds=["127.0.0.1:1"], period=Duration(100_000))
     member.seed_list.endpoints_changed(
-        [EndpointRow("b7", ("127.0.0.1", 7), EndpointState.READY, 0, 1.0, 0, "a")], full=True
+        [EndpointListEntry("b7", ("127.0.0.1", 7), EndpointState.READY, 0, 1.0, 0, "a")], full=True
     )
     assert member.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
     member.seed_list.endpoints_changed([], full=True)
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -11,7 +11,7 @@
 
 from dahliabend.config import platform as config
 from dahliabend.config.server_settings import ServerSettings
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.http.client_connection import ClientConnection
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState
@@ -140,7 +140,7 @@
         table = EndpointTable(resources)
         self.metrics = Metrics()
         self.router = Router(node, self.deadlines, table, self.metrics, ignore)
-        self.router.discovery = SimpleNamespace(attempted=True, poll=ignore)
+        self.router.discovery = SimpleNamespace(first_attempt_finished=True, poll=ignore)
         self.links: list[tuple[str, UpstreamConnection, FakeTransport]] = []
         rows = [server(number) for number in range(upstreams)]
         self.router.endpoints_changed([row_of(row) for row in rows], full=True)
@@ -184,11 +184,11 @@
     return {"id": f"s-{number}", "addr": f"10.0.0.{number}:8000", "zone": "north", "cell": number}
 
 
-def row_of(entry: Mapping) -> EndpointRow:
+def row_of(entry: Mapping) -> EndpointListEntry:
     """The server as the list's reader is told of it; it has run for long."""
     host, _, port = entry["addr"].partition(":")
     address = (host, int(port))
-    return EndpointRow(entry["id"], address, EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"])
+    return EndpointListEntry(entry["id"], address, EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"])
 
 
 def node_of(settings: Mapping, path: str) -> ServerSettings:
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -200,7 +200,7 @@
     expecting = "PUT /api/exclude HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}"
     found.append(["Expect: 100-continue", "{}", answer_to(program, expecting)])
     # Ready once it listens and has asked for the list.
-    program.discovery.attempted = True
+    program.discovery.first_attempt_finished = True
     program.listener.sock = program
     found.append(["GET /api/ready", "ready", call(program, "GET", "/api/ready")])
     program.evacuate()
@@ -251,7 +251,7 @@
 
 
 def test_every_call_that_the_program_knows_is_in_the_golden_file() -> None:
-    known = in_a_loop(lambda directory: platform_program(directory).operations.calls)
+    known = in_a_loop(lambda directory: platform_program(directory).admin_api.calls)
     assert {(method.decode(), path.decode()) for path, (method, _) in known.items()} == set(ALL_CALLS)
 
 
--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -1,6 +1,6 @@
 """The checker's messages for operators' files with one planted fault of each kind, against golden text."""
 
-from corpus import FAULTS, make
+from corpus import FAULTS, generate_operator_files
 from golden_files import read_golden, write_golden
 
 from dahliabend.routing_rules import loaded_file
@@ -12,7 +12,7 @@
     """The messages for one file of each kind of fault, and for the sound file before it."""
     lines = []
     for seed in range(2 * len(FAULTS)):
-        made = make(seed)
+        made = generate_operator_files(seed)
         plan = loaded_file.load_file("file.toml", environment={}, read=made.read)
         lines += [f"seed {seed}: {'usable' if plan.is_usable else 'refused'}", *map(str, plan.faults)]
     return "\n".join(lines) + "\n"
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -33,7 +33,7 @@
         generation=9,
         sequence=4,
         age_ms=250,
-        relays=0,
+        relay_count=0,
         counts=[
             UpstreamCounts(pool="records", upstream="s-1", attempts=5, failures=4),
             UpstreamCounts(pool="records", upstream="s-9", attempts=2, failures=2),
@@ -44,7 +44,7 @@
         generation=8,
         sequence=1,
         age_ms=0,
-        relays=2,
+        relay_count=2,
         counts=[],
         leases=[
             LeaseAnnouncement(
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -12,7 +12,7 @@
 from dahliabend.config import platform as config
 from dahliabend.config.policy_settings import read_policy_settings
 from dahliabend.config.server_settings import ServerSettings
-from dahliabend.model import RequestClass, Settings
+from dahliabend.model import PolicySettings, RequestClass
 
 INPUT = "platform_config_input.json"
 VALUES = "platform_config_values.json"
@@ -64,7 +64,7 @@
     }
 
 
-def settings_values(settings: Settings) -> dict[str, object]:
+def settings_values(settings: PolicySettings) -> dict[str, object]:
     """The decisions' settings by wire key; times are in microseconds."""
     values: dict[str, object] = {
         "balancers": settings.instance_count,
@@ -86,8 +86,8 @@
         "contract.cold-share": settings.initial_capacity,
         "contract.cold": settings.warmup_time,
         "contract.fall-multiple": settings.warmup_multiple,
-        "contract.order-pause": settings.key_rest,
-        "contract.drain-binds-alone": settings.only_draining_binds,
+        "contract.order-pause": settings.key_pause,
+        "contract.drain-binds-alone": settings.can_use_removed_endpoints,
     }
     for number, profile in enumerate(settings.request_classes):
         values |= {f"profiles[{number}].{key}": value for key, value in profile_values(profile).items()}
--- a/tests/pins/test_simulator_wire.py
+++ b/tests/pins/test_simulator_wire.py
@@ -136,16 +136,16 @@
 
     def react(self, now: float, code: int, fields: bytes) -> None:
         if code == SEND:
-            instance, ref, address, timeout = unpack_from(">IQ6sd", fields)
-            attempt = self.attempts.get((instance, ref), -1) + 1
-            self.attempts[instance, ref] = attempt
-            self.open[instance, ref, attempt] = address
-            self.serve(now, instance, ref, attempt, address, timeout)
+            instance, request_id, address, timeout = unpack_from(">IQ6sd", fields)
+            attempt = self.attempts.get((instance, request_id), -1) + 1
+            self.attempts[instance, request_id] = attempt
+            self.open[instance, request_id, attempt] = address
+            self.serve(now, instance, request_id, attempt, address, timeout)
         elif code == CANCEL:
-            instance, ref, attempt = unpack_from(">IQH", fields)
-            if (instance, ref, attempt) in self.open:
-                address = self.open[instance, ref, attempt]
-                self.result(now + 1, instance, ref, attempt, 5.0, CANCELLED, address)
+            instance, request_id, attempt = unpack_from(">IQH", fields)
+            if (instance, request_id, attempt) in self.open:
+                address = self.open[instance, request_id, attempt]
+                self.result(now + 1, instance, request_id, attempt, 5.0, CANCELLED, address)
         elif code == SET_TIMER:
             instance, token, when = unpack_from(">IQd", fields)
             self.at(max(now + 1, when), record_of(TIMER, ">IQ", instance, token))
@@ -172,7 +172,7 @@
         return RESET if number == 5 and 600 <= now < 700 else ANSWERED
 
     def serve(
-        self, now: float, instance: int, ref: int, attempt: int, address: bytes, timeout: float
+        self, now: float, instance: int, request_id: int, attempt: int, address: bytes, timeout: float
     ) -> None:
         how = self.state_of(address, now)
         took = {
@@ -183,15 +183,17 @@
             took *= 6  # all get slow
         if how == ANSWERED and took >= timeout:
             how, took = TIMED_OUT, timeout
-        if how == ANSWERED and (instance, ref) in self.streams:
-            self.at(now + took / 2, record_of(HEAD, ">IQH6sd", instance, ref, attempt, address, took / 2))
-        self.result(now + took, instance, ref, attempt, took, how, address)
+        if how == ANSWERED and (instance, request_id) in self.streams:
+            self.at(
+                now + took / 2, record_of(HEAD, ">IQH6sd", instance, request_id, attempt, address, took / 2)
+            )
+        self.result(now + took, instance, request_id, attempt, took, how, address)
 
     def result(
-        self, when: float, instance: int, ref: int, attempt: int, took: float, how: int, address: bytes
+        self, when: float, instance: int, request_id: int, attempt: int, took: float, how: int, address: bytes
     ) -> None:
         complete = how == ANSWERED
-        fields = instance, ref, attempt, took, complete, how, address, 1
+        fields = instance, request_id, attempt, took, complete, how, address, 1
         self.at(when, record_of(RESULT, ">IQHdBB6sB", *fields, rest=pack(">f", 0.25)))
 
     def deliver(self, when: float, instance: int, scope: int, rows: list[tuple]) -> None:
@@ -200,15 +202,15 @@
             self.at(when, server_list(self.lists, rows))
         self.at(when, record_of(DELIVERY, ">IIBH", instance, self.lists, scope, self.lists))
 
-    def request(self, when: float, instance: int, ref: int, kind: int) -> None:
-        again, key = self.chance.random() < 0.1, 1 + ref % 3 if kind == 3 else 0
+    def request(self, when: float, instance: int, request_id: int, kind: int) -> None:
+        again, key = self.chance.random() < 0.1, 1 + request_id % 3 if kind == 3 else 0
         limit = when + (700 if kind != 4 else 900)
         if kind == 4:
-            self.streams.add((instance, ref))
-        fields = instance, ref, kind, ref % 3 // 2, key, limit, 0.0, 2 * again
+            self.streams.add((instance, request_id))
+        fields = instance, request_id, kind, request_id % 3 // 2, key, limit, 0.0, 2 * again
         self.at(when, record_of(REQUEST, ">IQBIQddB", *fields))
-        if ref % 23 == 0:
-            self.at(when + 15, record_of(CLIENT_LEFT, ">IQ", instance, ref))
+        if request_id % 23 == 0:
+            self.at(when + 15, record_of(CLIENT_LEFT, ">IQ", instance, request_id))
 
 
 def servers(now: float, count: int = 6) -> list[tuple]:
@@ -227,12 +229,12 @@
     recorder.deliver(4, 1, WHOLE, servers(4))
     recorder.deliver(4, 2, WHOLE, servers(4)[:4])
     recorder.at(5, record_of(NOTE, ">IIH", 1, 2, 4, rest=b"note"))
-    ref, when = 0, 10.0
+    request_id, when = 0, 10.0
     while when < 4700:
-        ref += 1
+        request_id += 1
         when += recorder.chance.expovariate(1 / 22) if not 3800 < when < 4300 else 6
         kind = recorder.chance.choices(range(5), (5, 3, 2, 2, 1))[0]
-        recorder.request(when, 2 if ref % 5 == 0 else 1, ref, kind)
+        recorder.request(when, 2 if request_id % 5 == 0 else 1, request_id, kind)
     drained = [(*servers(4)[0][:5], DRAINING)]
     recorder.deliver(2400, 1, CHANGES, drained)
     recorder.deliver(2600, 1, CHANGES, [(*drained[0][:5], GONE)])
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -11,7 +11,7 @@
 
 def test_tenant_beyond_its_quota_loses_priority():
     made, _ = make_balancer(tenant_quotas=(2.0, 2.0))
-    values = [admit(made, 0, ref=n).priority for n in range(4)]
+    values = [admit(made, 0, request_id=n).priority for n in range(4)]
     assert values[0] == 1
     assert values[-1] == made.settings.over_quota_weight
 
@@ -55,7 +55,7 @@
         made, _ = make_balancer(tier=tier)
         made.concurrency.limit, made.concurrency.in_flight = 4.0, 400
         assert admit(made, 0, repeat=True).is_answered is not admitted
-        assert admit(made, 0, ref=2).is_answered is not admitted
+        assert admit(made, 0, request_id=2).is_answered is not admitted
         assert made.admission.take_new_requests() == 1
         assert made.admission.take_new_requests() == 0
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -64,8 +64,8 @@
     assert made.retries.budget == 1
     made.selection.subset_size = 4
     made.selection.select()
-    for ref in range(9):
-        admit(made, 0, ref=ref).client_disconnected(T)
+    for request_id in range(9):
+        admit(made, 0, request_id=request_id).client_disconnected(T)
     assert 1 not in {note[2] for note in port.of("send")}  # set aside before, no rush now
     assert made.selection.endpoints[1].consecutive_failures == 1
 
@@ -75,8 +75,8 @@
     for _ in range(2):
         made, port = make_balancer()
         made.throttling.tier.reduction, made.throttling.tier.valid_until = 0.5, T + S
-        for ref in range(30):
-            admit(made, 2, ref=ref)
+        for request_id in range(30):
+            admit(made, 2, request_id=request_id)
         logs.append(list(port))
     assert logs[0] == logs[1]
 
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -2,14 +2,14 @@
 
 from fake_port import IDEMPOTENT, S, admit, make_balancer
 
-from dahliabend.model import DeduplicationScope, Effect, RequestClass
+from dahliabend.model import DeduplicationScope, Idempotency, RequestClass
 from dahliabend.policy.throttling import MIN_TIER_SAMPLES
 
 T = 100 * S
 
 
 def test_concurrency_is_limited_from_the_start_and_high_priority_is_rejected_last():
-    worth = RequestClass(Effect.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
+    worth = RequestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 2 * S, 5 * S, 10.0, 0.5)
     made, _ = make_balancer(request_classes=(IDEMPOTENT, worth), instance_count=1)
     made.concurrency.in_flight = round(made.concurrency.limit) - 1
     assert admit(made, 0).is_finished
@@ -70,7 +70,7 @@
     assert admit(made, 0).is_answered
     assert not port.of("send")
     made.concurrency.in_flight_elsewhere = 0
-    assert not admit(made, 0, ref=2).is_answered
+    assert not admit(made, 0, request_id=2).is_answered
 
 
 def test_latency_target_is_bound_to_the_lowest_latency_seen():
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -4,7 +4,7 @@
 
 from fake_port import IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
 
-from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
+from dahliabend.model import DeduplicationScope, Idempotency, Outcome, RequestClass
 from dahliabend.policy.deadlines import EARLY_TIMEOUT_LATENCIES, time_left
 
 T = 100 * S
@@ -34,7 +34,7 @@
 
 
 def test_attempt_leaves_time_for_a_retry_where_late_answers_are_worthless():
-    quote = RequestClass(Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
+    quote = RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 1_500 * MS, 1.0, 0.0)
     made, port = make_balancer(request_classes=(quote,), max_attempts=6)
     made.deadlines.mean_latencies[0] = 30 * MS
     request = made.admit(T, 1, 0, 0, T + 1_500 * MS)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -25,8 +25,8 @@
         [(0, EndpointState.DRAINING, 0, 1.0, 0, 0, b""), (2, EndpointState.READY, 0, 1.0, 0, 0, b"")],
         full=True,
     )
-    for ref in range(6):
-        admit(made, 0, ref=ref)
+    for request_id in range(6):
+        admit(made, 0, request_id=request_id)
     assert {note[2] for note in port.of("send")} == {2}
 
 
@@ -54,24 +54,24 @@
 
 def test_round_robin_is_even():
     made, port = make_balancer(endpoints=4)
-    for ref in range(40):
-        admit(made, 0, ref=ref).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
+    for request_id in range(40):
+        admit(made, 0, request_id=request_id).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert sorted(note[2] for note in port.of("send")) == sorted([0, 1, 2, 3] * 10)
 
 
 def test_endpoints_above_the_mean_in_flight_are_skipped():
     made, port = make_balancer(endpoints=3)
     made.selection.endpoints[0].in_flight.update(dict.fromkeys(range(9)))
-    for ref in range(4):
-        admit(made, 0, ref=ref)
+    for request_id in range(4):
+        admit(made, 0, request_id=request_id)
     assert 0 not in {note[2] for note in port.of("send")}
 
 
 def test_slow_endpoint_gets_a_smaller_share():
     made, port = make_balancer(endpoints=2)
     made.selection.endpoints[0].relative_latency, made.concurrency.limit = 4.0, 1e9
-    for ref in range(50):
-        admit(made, 2, ref=ref).client_disconnected(T)
+    for request_id in range(50):
+        admit(made, 2, request_id=request_id).client_disconnected(T)
         made.selection.endpoints[0].in_flight.clear()
         made.selection.endpoints[1].in_flight.clear()
     assert sum(note[2] == 0 for note in port.of("send")) == 10
@@ -94,8 +94,8 @@
     made.outliers.eject(gone, T)
     assert len(made.selection.selected) == MIN_SUBSET
     assert gone not in made.selection.selected
-    for ref in range(30):
-        admit(made, 2, ref=ref).client_disconnected(T)
+    for request_id in range(30):
+        admit(made, 2, request_id=request_id).client_disconnected(T)
     assert {note[2] for note in port.of("send")} == {u.index for u in made.selection.selected}
 
 
@@ -114,12 +114,14 @@
 def same_zone_reduction(outcome, duration, attempts=MIN_SAMPLES, cost=0.1):
     """The reduction of the own zone after so many attempts, and the share that crosses zones."""
     made, port = make_balancer(cross_zone_cost=cost)
-    for ref in range(attempts):
-        admit(made, 2, ref=ref).attempt_finished(T, 0, outcome, duration, True)
+    for request_id in range(attempts):
+        admit(made, 2, request_id=request_id).attempt_finished(T, 0, outcome, duration, True)
     assert {note[2] % 2 for note in port.of("send")} == {0}
     made.close_windows(T + S)
-    for ref in range(100, 140):
-        admit(made, 2, ref=ref, now=T + S).attempt_finished(T + S, 0, Outcome.SUCCEEDED, MS, True)
+    for request_id in range(100, 140):
+        admit(made, 2, request_id=request_id, now=T + S).attempt_finished(
+            T + S, 0, Outcome.SUCCEEDED, MS, True
+        )
     far = sum(note[2] % 2 for note in port.of("send")) / 40
     return made.throttling.same_zone.valid_reduction(T + S), far
 
@@ -159,7 +161,7 @@
     made.update_endpoints(101 * S, [(0, EndpointState.EXCLUDED, 0, 1.0, 0, 0, b"0")], full=False)
     for n in range(9):
         made.timer_fired(101 * S + n * S, 0)
-        admit(made, 0, now=101 * S + n * S, ref=n)
+        admit(made, 0, now=101 * S + n * S, request_id=n)
     assert {note[2] for note in port.of("send")} == {1}
     assert not port.of("check_health")
     made.update_endpoints(120 * S, [(0, EndpointState.READY, 119 * S, 1.0, 0, 0, b"0")], full=False)
@@ -181,11 +183,11 @@
         ([[row(1, EndpointState.EXCLUDED)], [row(1, EndpointState.REMOVED)]], False),
     )
     for lists, kept in cases:
-        made, _ = make_balancer(endpoints=2, only_draining_binds=True)
+        made, _ = make_balancer(endpoints=2, can_use_removed_endpoints=True)
         for rows in lists:
             made.update_endpoints(T, rows, full=False)
         assert (made.selection.endpoints.get(1) in made.selection.ready) is kept
-    made, _ = make_balancer(endpoints=2, only_draining_binds=True, warmup_time=10 * S)
+    made, _ = make_balancer(endpoints=2, can_use_removed_endpoints=True, warmup_time=10 * S)
     made.update_endpoints(T, [row(0)], full=True)  # left out
     made.update_endpoints(T, [row(7, EndpointState.REMOVED)], full=False)  # never named by any list
     assert [u.index for u in made.selection.ready if u.is_listed] == [0]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -30,7 +30,7 @@
         assert len(port.of("check_health")) == checks
     made.health_check_finished(T + 5 * S, u.index, Outcome.SUCCEEDED)
     made.deadlines.mean_latencies[0] = S
-    admit(made, 0, now=T + 5 * S, ref=9).attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, S, True)
+    admit(made, 0, now=T + 5 * S, request_id=9).attempt_finished(T + 6 * S, 0, Outcome.SUCCEEDED, S, True)
     assert not u.is_ejected
     assert u.consecutive_failures == 0
 
@@ -48,7 +48,7 @@
         made.timer_fired(now, 0)
         port.clear()
         admit(made, 2, now=now).client_disconnected(now)  # what must not run twice tries nothing
-        tried, other = admit(made, 0, now=now, ref=2), admit(made, 0, now=now, ref=3)
+        tried, other = admit(made, 0, now=now, request_id=2), admit(made, 0, now=now, request_id=3)
         assert [note[2] for note in port.of("send")] == [1, 0, 1]  # one attempt, no more
         tried.attempt_finished(now, 0, outcome, MS, back)
         other.attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
@@ -85,14 +85,14 @@
     made, port = make_balancer(endpoints=1)
     for n in range(MIN_TIER_SAMPLES):
         made.selection.endpoints[0].last_ended_at = T - 3 * S
-        admit(made, 2, ref=n).attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
+        admit(made, 2, request_id=n).attempt_finished(T + S, 0, Outcome.TIMED_OUT, S, False)
     made.close_windows(T + S)
     made.selection.endpoints[0].is_ejected = False
     for entry in (made.throttling.tier, *made.selection.endpoints[0].entries):
         entry.reduction = 0.0
     for idle, closed in ((S, 0), (2 * S, 1)):
         made.selection.endpoints[0].last_ended_at = T + S - idle
-        admit(made, 2, now=T + S, ref=99).attempt_finished(T + S, 0, Outcome.NOT_SENT, 0, False)
+        admit(made, 2, now=T + S, request_id=99).attempt_finished(T + S, 0, Outcome.NOT_SENT, 0, False)
         assert len(port.of("close_idle_connections")) == closed
 
 
@@ -107,14 +107,14 @@
         made.concurrency.limit, made.deadlines.mean_latencies[:] = 1e9, [S, S, S]
         for n in range(MIN_TIER_SAMPLES):
             outcome = Outcome.RESET if n < resets else Outcome.FAILED
-            admit(made, 2, ref=n).attempt_finished(
+            admit(made, 2, request_id=n).attempt_finished(
                 T, 0, outcome, duration, False, S
             )  # the driver tells: it had idled
         made.close_windows(T + S)
         made.outliers.restore(made.selection.endpoints[0], T)
         made.selection.endpoints[0].entries[2].reduction = made.throttling.tier.reduction = 0.0
-        for ref in (98, 99):  # the first finds the endpoint just used, the second with others out
-            admit(made, 2, ref=ref)
+        for request_id in (98, 99):  # the first finds the endpoint just used, the second with others out
+            admit(made, 2, request_id=request_id)
         assert [note[1:] for note in port.of("close_idle_connections")] == [(0, S // 2)] * closed
 
 
@@ -158,8 +158,8 @@
         made.health_check_finished(now, 0, Outcome.SUCCEEDED)
         assert u.is_ejected
         port.clear()
-        admit(made, 2, now=now, ref=5).client_disconnected(now)
-        tried = admit(made, 0, now=now, ref=6)
+        admit(made, 2, now=now, request_id=5).client_disconnected(now)
+        tried = admit(made, 0, now=now, request_id=6)
         assert [note[2] for note in port.of("send")] == [1, 0]
         tried.attempt_finished(now + MS, 0, outcome, MS, outcome is Outcome.SUCCEEDED)
         port.clear()
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -2,7 +2,7 @@
 
 from fake_port import DEDUPLICATED, MS, S, admit, make_balancer
 
-from dahliabend.model import DeduplicationScope, Effect, Outcome, RequestClass
+from dahliabend.model import DeduplicationScope, Idempotency, Outcome, RequestClass
 from dahliabend.policy.retries import cancellable_attempts, is_retryable, is_retryable_by_client, may_attempt
 
 T = 100 * S
@@ -35,7 +35,7 @@
 
 
 def test_deduplicated_request_that_may_have_executed_fails_unless_every_endpoint_knows_it():
-    anywhere = RequestClass(Effect.DEDUPLICATED, DeduplicationScope.ALL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
+    anywhere = RequestClass(Idempotency.DEDUPLICATED, DeduplicationScope.ALL, 8 * S, 2 * S, 5 * S, 1.0, 0.5)
     for kind, end in ((DEDUPLICATED, "fail"), (anywhere, "reject")):
         made, port = make_balancer(request_classes=(kind,), max_attempts=1)
         admit(made, 0).attempt_finished(T, 0, Outcome.RESET, MS, False)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -13,9 +13,9 @@
     made, port = make_balancer(endpoints=1, born=T, instance_count=1, can_health_check=False)
     old.selection.endpoints[0].slow_start_budget = made.selection.endpoints[0].slow_start_budget = 1.0
     made.restore(old.snapshot(ends=True), [])
-    for ref in range(5):
+    for request_id in range(5):
         assert old.slow_start.warm_share(old.selection.endpoints[0], T + S, 1) == 0
-        admit(made, 0, ref=ref)
+        admit(made, 0, request_id=request_id)
     assert len(port.of("send")) == 1
 
 
@@ -34,7 +34,7 @@
     made.slow_start.send_rate, made.concurrency.limit = 400 / S, 1e9  # a hundred a second and endpoint
     for step in range(4000):
         now = T + step * S // 4000
-        admit(made, 0, now=now, ref=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
+        admit(made, 0, now=now, request_id=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
     sent = sum(note[2] == 3 for note in port.of("send"))
     assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5  # its share of half the multiple, a little risen
 
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -64,8 +64,8 @@
     made, port = make_balancer(endpoints=3)
     for u, reduction in zip(made.selection.endpoints.values(), (1.0, 1.0, 0.0), strict=True):
         u.entries[-1].reduction, u.entries[-1].valid_until = reduction, T + S
-    for ref in range(6):
-        admit(made, 0, ref=ref).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
+    for request_id in range(6):
+        admit(made, 0, request_id=request_id).attempt_finished(T, 0, Outcome.SUCCEEDED, MS, True)
     assert {note[2] for note in port.of("send")} == {2}
     made.selection.endpoints[2].entries[-1].valid_until = 0  # not heard yet: counts at the others' mean
     assert made.selection.choose(admit(made, 2), T, unthrottled=True) is None
@@ -92,7 +92,9 @@
     made, port = make_balancer(can_health_check=False)
     made.concurrency.limit = 1e9
     for n in range(2 * MIN_TIER_SAMPLES):
-        admit(made, n % 2, ref=n).attempt_finished(T, 0, (Outcome.TIMED_OUT, others)[n % 2], S, n % 2 > 0)
+        admit(made, n % 2, request_id=n).attempt_finished(
+            T, 0, (Outcome.TIMED_OUT, others)[n % 2], S, n % 2 > 0
+        )
     made.close_windows(T + S)
     for u in made.selection.ready:
         u.is_ejected = False
--- a/tests/proxy/test_endpoint_table.py
+++ b/tests/proxy/test_endpoint_table.py
@@ -13,7 +13,7 @@
 from fake_transport import feed
 from helpers import S
 
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.http.upstream_connection import UpstreamConnection
 from dahliabend.model import EndpointState, Outcome
 from dahliabend.proxy.policy_port import PolicyPort
@@ -75,7 +75,7 @@
 def test_a_removed_endpoint_releases_its_index_and_its_connections():
     class RecordingPolicyPort(RecordingPort):
         balancer = SimpleNamespace(
-            settings=SimpleNamespace(only_draining_binds=False), selection=SimpleNamespace()
+            settings=SimpleNamespace(can_use_removed_endpoints=False), selection=SimpleNamespace()
         )
 
         def endpoints_changed(self, rows, full):
@@ -86,10 +86,10 @@
 
     notified, table = RecordingPolicyPort(), endpoint_table()
     dispatcher = SimpleNamespace(
-        table=table, epoch=0, policies=[notified], excluded=set(), balancer=notified.balancer
+        table=table, monotonic_offset=0, policies=[notified], excluded=set(), balancer=notified.balancer
     )
     dispatcher.update_connection_reuse = lambda upstream: Router.update_connection_reuse(dispatcher, upstream)
-    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
+    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 0, 1.0, 0, "a")
     Router.endpoints_changed(dispatcher, [row], True)
     upstream = table.get_or_create("s-1")
     busy, idle = (UpstreamConnection(table.resources.descriptors, upstream) for _ in range(2))
@@ -126,18 +126,18 @@
         balancer=SimpleNamespace(
             update_endpoints=lambda now, rows, full: notified.append(rows[0]),
             selection=SimpleNamespace(endpoints=table.endpoints),
-            settings=SimpleNamespace(only_draining_binds=False),
+            settings=SimpleNamespace(can_use_removed_endpoints=False),
         ),
     )
     dispatcher = SimpleNamespace(
-        table=table, epoch=0, policies=[policy], excluded=set(), balancer=policy.balancer
+        table=table, monotonic_offset=0, policies=[policy], excluded=set(), balancer=policy.balancer
     )
     policy.owner, policy.endpoints_changed = (
         dispatcher,
         lambda rows, full: PolicyPort.endpoints_changed(policy, rows, full),
     )
     dispatcher.update_connection_reuse = lambda upstream: Router.update_connection_reuse(dispatcher, upstream)
-    row = EndpointRow("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
+    row = EndpointListEntry("s-1", ("127.0.0.1", 1), EndpointState.READY, 5, 1.0, 0, "a")
     Router.endpoints_changed(dispatcher, [row], True)
     assert Router.exclude(dispatcher, "s-1", True)
     assert not Router.exclude(dispatcher, "s-2", True)
--- a/tests/routing_rules/test_service.py
+++ b/tests/routing_rules/test_service.py
@@ -196,7 +196,7 @@
 
     loaded(held, 20, 8 * S, hang)
     assert held.invariants.counts["refused"] > 20
-    assert held.program.dispatcher.routes.choices[0].limit.in_flight == 0
+    assert held.program.dispatcher.routes.compiled_routes[0].limit.in_flight == 0
 
 
 def test_times_and_attempts_are_a_routes_own():
--- a/tests/simulation/cluster/test_subset_model.py
+++ b/tests/simulation/cluster/test_subset_model.py
@@ -5,12 +5,14 @@
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.subset_model import SubsetModel
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 
 def started_model(seed=0, many=30, pool=24):
     model = SubsetModel(
-        Fleet(seed=seed, instances=many, delay=Duration(2_000)), pool, SubsetSettings(min_size=8, degree=8)
+        Fleet(seed=seed, instances=many, delay=Duration(2_000)),
+        pool,
+        SubsetControllerSettings(min_size=8, degree=8),
     )
     for number in range(many):
         model.start_instance(number)
--- a/tests/simulation/cluster/test_workload_model.py
+++ b/tests/simulation/cluster/test_workload_model.py
@@ -10,10 +10,10 @@
 from dahliabend.simulation.cluster.script import Fleet, S, Step
 from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream, UpstreamProfile
 from dahliabend.simulation.cluster.workload_model import WorkloadModel
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 MANY, POOL = 20, 30
-SUBSETS = SubsetSettings(min_size=8, degree=8, balancers=MANY)
+SUBSETS = SubsetControllerSettings(min_size=8, degree=8, balancers=MANY)
 
 
 def started_model(subset=None, seed=1, warm=10, rate=165.0):
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -200,7 +200,7 @@
     def give_up(self, request, wait=0):
         request.is_answered = True
         self.cancel(request)
-        self.port.reject(request.ref, 0)
+        self.port.reject(request.request_id, 0)
 
     return instead(Balancer, "give_up", give_up)
 
@@ -363,12 +363,12 @@
 
 
 def last_come_first_served():
-    def ahead(self, key):
+    def turns_ahead(self, key):
         if queue := self.queues.get(key):
-            queue.current, queue.rests_until = None, 0
+            queue.current, queue.paused_until = None, 0
         return 0
 
-    return instead(KeyQueues, "ahead", ahead)
+    return instead(KeyQueues, "ahead", turns_ahead)
 
 
 DEFECTS = {
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -117,7 +117,7 @@
 
 
 def two_of_a_key(run, pause=100_000):
-    run.invariants.key_rest = pause
+    run.invariants.key_pause = pause
     for trace, connection in (("t", 1), ("u", 8)):
         run("asked", trace, "mark", connection, S)("keyed", trace, "k")("written", trace)
     run.attempt()
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -130,14 +130,14 @@
     def replies(load):
         host, got = Host(), []
         replies_of(host, frame(ENDPOINT_LIST, instance_start(), CACHED_UPDATE))
-        for ref in range(1, 60):
-            reply = replies_of(host, frame(request_received(ref), clock=100.0 + ref))[0]
+        for request_id in range(1, 60):
+            reply = replies_of(host, frame(request_received(request_id), clock=100.0 + request_id))[0]
             got.append(reply)
             at = reply.index(pack(">BI", 26, 26)) + 5 + 4 + 8
-            took = 40.0 if ref % 3 else 400.0
-            fields = pack(">IQHdBB6sBff", 3, ref, 0, took, 1, 1, reply[at : at + 6], 2, *load)
+            took = 40.0 if request_id % 3 else 400.0
+            fields = pack(">IQHdBB6sBff", 3, request_id, 0, took, 1, 1, reply[at : at + 6], 2, *load)
             returned = pack(">BI", RECORD_CODES[AttemptFinished], len(fields)) + fields
-            got += replies_of(host, frame(returned, clock=100.5 + ref))
+            got += replies_of(host, frame(returned, clock=100.5 + request_id))
         return got
 
     usual = replies((1.0, 0.1))
--- a/tests/subsetting/test_controller.py
+++ b/tests/subsetting/test_controller.py
@@ -8,11 +8,11 @@
 
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant, assign_subsets
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 
 def controller_at_start(balancers: int = 20, upstreams: int = 60) -> SubsetController:
-    controller = SubsetController(Participant("b0"), SubsetSettings())
+    controller = SubsetController(Participant("b0"), SubsetControllerSettings())
     controller.update_view(SECOND, participants("b", range(balancers)), trusted=True)
     controller.update_upstreams(SECOND, participants("u", range(upstreams)))
     return controller
@@ -125,7 +125,7 @@
 
 
 def test_without_a_view_the_subset_goes_by_the_own_name():
-    controller = SubsetController(Participant("b0"), SubsetSettings(balancers=20))
+    controller = SubsetController(Participant("b0"), SubsetControllerSettings(balancers=20))
     controller.update_upstreams(SECOND, participants("u", range(60)))
     subset = controller.step(SECOND)
     assert subset.source == "name"
--- a/tests/subsetting/test_demand.py
+++ b/tests/subsetting/test_demand.py
@@ -7,7 +7,7 @@
 import pytest
 from participants import SECOND
 
-from dahliabend.subsetting.demand import UNKNOWN_DEMAND, DemandEstimator
+from dahliabend.subsetting.demand import UNKNOWN_DEMAND_WEIGHT, DemandEstimator
 from dahliabend.subsetting.fleet_view import fill_unknown_demand
 from dahliabend.subsetting.selection import Participant
 
@@ -54,6 +54,6 @@
 
 def test_unknown_demand_counts_as_the_mean_of_the_others():
     balancers = [Participant("a", weight=8.0), Participant("b", weight=4.0)]
-    unknown = Participant("c", weight=UNKNOWN_DEMAND)
+    unknown = Participant("c", weight=UNKNOWN_DEMAND_WEIGHT)
     assert [each.weight for each in fill_unknown_demand([*balancers, unknown])] == [8.0, 4.0, 6.0]
     assert [each.weight for each in fill_unknown_demand([unknown])] == [1.0]
--- a/tests/subsetting/test_flap_damping.py
+++ b/tests/subsetting/test_flap_damping.py
@@ -5,7 +5,7 @@
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.flap_damping import FlapDamping
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings
+from dahliabend.subsetting.settings import SubsetControllerSettings
 
 NAMES = [f"u{n}" for n in range(16)]
 
@@ -34,7 +34,7 @@
 
 def test_flapping_upstream_moves_little_over_a_minute():
     """Twenty flaps would otherwise move some forty fair shares of pairs over the fleet."""
-    settings = SubsetSettings(min_size=8, degree=8)
+    settings = SubsetControllerSettings(min_size=8, degree=8)
     controllers = [SubsetController(Participant(f"b{n}"), settings) for n in range(20)]
     pool = participants("u", range(40))
     for controller in controllers:
@@ -55,7 +55,7 @@
 
 
 def test_list_that_loses_half_at_once_counts_as_no_departures():
-    controller = SubsetController(Participant("b0"), SubsetSettings())
+    controller = SubsetController(Participant("b0"), SubsetControllerSettings())
     for change in range(6):
         controller.update_upstreams((1 + change) * SECOND, participants("u", range(20 if change % 2 else 40)))
     assert not controller.flap_damping.penalties
--- a/tests/subsetting/test_subset_filter.py
+++ b/tests/subsetting/test_subset_filter.py
@@ -4,7 +4,7 @@
 from fake_router import FakeRouter, FakeTimers
 
 from dahliabend.config.operator_file.schema import SubsetSettings
-from dahliabend.discovery.endpoint_list import EndpointRow
+from dahliabend.discovery.endpoint_list import EndpointListEntry
 from dahliabend.model import EndpointState
 from dahliabend.routing_rules.loaded_file import load_file
 from dahliabend.server.subset_filter import SubsetFilter
@@ -13,7 +13,7 @@
 
 
 def rows(numbers, state=EndpointState.READY):
-    return [EndpointRow(f"u{n}", ("127.0.0.1", 1 + n), state, 0, 1.0, 0, "a") for n in numbers]
+    return [EndpointListEntry(f"u{n}", ("127.0.0.1", 1 + n), state, 0, 1.0, 0, "a") for n in numbers]
 
 
 def filter_and_router(**settings):
--- a/tests/transport/test_descriptor_budget.py
+++ b/tests/transport/test_descriptor_budget.py
@@ -22,18 +22,18 @@
         far.send(b"G")
         for client in (unread, idle, fresh):
             FakeTransport(client)
-        assert budget.is_full()
+        assert budget.is_full_after_eviction()
         assert not fresh.closed  # what it was opened for is on its way
         budget.mark_idle(unread.handle, 1)
         budget.mark_idle(idle.handle, 2)
-        assert not budget.is_full()
+        assert not budget.is_full_after_eviction()
         assert idle.closed
         assert not unread.closed
         budget.connections.add(None)  # what went has been replaced
-        assert budget.is_full(S)
+        assert budget.is_full_after_eviction(S)
         assert not fresh.closed
-        assert budget.is_full(clock())
+        assert budget.is_full_after_eviction(clock())
         assert not fresh.closed
-        assert not budget.is_full(clock() + S)  # slow to send by then
+        assert not budget.is_full_after_eviction(clock() + S)  # slow to send by then
         assert fresh.closed
         assert not unread.closed
