--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -43,7 +43,7 @@
         silence_timer: Fires if nothing is received in time.
         retry_timer: Fires when the next watch is to be opened.
         backoff: Microseconds until the next retry at most.
-        attempted: A message has come, or none could be had.
+        first_attempt_finished: A message has come, or none could be had.
     """
 
     def __init__(
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -136,7 +136,7 @@
 
 
 def is_valid_identity(trace_id: bytes, timeout_ms: bytes) -> bool:
-    """Whether a request's trace id and timeout, as `Dispatcher.identify` found them, can be used."""
+    """Whether the trace id and timeout that `Dispatcher.read_trace_id_and_timeout` found can be used."""
     if not 0 < len(trace_id) <= MAX_TRACE_ID_BYTES:
         return False
     return timeout_ms.isdigit() and len(timeout_ms) <= MAX_TIMEOUT_DIGITS and int(timeout_ms) > 0
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -178,7 +178,7 @@
 
 
 class Port(Protocol):
-    """What the decisions act through. `ref` is whatever the driver gave to `Balancer.admit`."""
+    """What the decisions act through. `request_id` is whatever the driver gave to `Balancer.admit`."""
 
     def send(self, request_id: int, endpoint: int, timeout: int) -> None:
         """Send an attempt of a request to an endpoint; it is to be ended after the time-out."""
@@ -269,7 +269,7 @@
 
         Args:
             now: The time.
-            ref: By which the `Port` is told of the request.
+            request_id: By which the `Port` is told of the request.
             class_index: Its request class.
             tenant: Its tenant; one beyond the quotas has none.
             deadline: When an answer is worth nothing.
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -52,7 +52,7 @@
 
     Attributes:
         table: The endpoints.
-        epoch: Monotonic time less Unix time (us), by which starts of endpoints are converted.
+        monotonic_offset: Monotonic time less Unix time (us), by which starts of endpoints are converted.
         excluded: Ids of endpoints that an operator has excluded.
         discovery: Where the endpoint list comes from; None until that is known.
         class_indices: Indices of the request classes in force, by name as on the wire.
--- a/tests/policy/test_key_order.py
+++ b/tests/policy/test_key_order.py
@@ -18,7 +18,7 @@
 
 def ordered_balancer(**changes):
     return make_balancer(
-        **{"request_classes": (ORDERED, ALSO, IDEMPOTENT), "key_rest": PAUSE, "max_attempts": 1} | changes
+        **{"request_classes": (ORDERED, ALSO, IDEMPOTENT), "key_pause": PAUSE, "max_attempts": 1} | changes
     )
 
 
