--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -20,7 +20,7 @@
 
     Attributes:
         current: The request whose turn it is.
-        rests_until: When the pause of the key ends; 0: the key is not paused.
+        paused_until: When the pause of the key ends; 0: the key is not paused.
         waiting: The requests that wait for their turn, in the order of their admission.
     """
 
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -131,7 +131,7 @@
 
     Attributes:
         balancer: The balancer that handles its events.
-        ref: The driver's reference to it.
+        request_id: The driver's identifier of it.
         key: The ordering key; 0: none.
         deadline: When an answer becomes worthless.
         priority: Between 0 and 1; lowered if its tenant is over quota.
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -12,7 +12,7 @@
 from dahliabend.server.log import EventLog
 from dahliabend.subsetting.controller import ActiveSubset, SubsetController
 from dahliabend.subsetting.selection import Participant
-from dahliabend.subsetting.settings import SubsetSettings, SubsetSource
+from dahliabend.subsetting.settings import SubsetControllerSettings, SubsetSource
 from dahliabend.subsetting.usable_endpoints import count_usable_endpoints
 from dahliabend.transport.timers import TimerQueue, clock
 
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -368,7 +368,7 @@
             queue.current, queue.paused_until = None, 0
         return 0
 
-    return instead(KeyQueues, "ahead", turns_ahead)
+    return instead(KeyQueues, "turns_ahead", turns_ahead)
 
 
 DEFECTS = {
