--- a/dahliabend/errors.py
+++ b/dahliabend/errors.py
@@ -1,17 +1,17 @@
-"""Exceptions of this project: one base, a class for each kind, a field for each fact."""
+"""The exceptions of this project, all derived from `DahliabendError`."""
 
 
 class DahliabendError(Exception):
-    """Base of all errors that this project raises on purpose."""
+    """Base class of the exceptions that this project raises."""
 
 
 class ConfigurationError(DahliabendError, ValueError):
     """A configuration that cannot be used.
 
     Attributes:
-        key: Dotted path of the key at fault, or the name of an environment variable.
+        key: Dotted path of the invalid key, or the name of an environment variable.
         reason: Why its value cannot be used, in one line.
-        path: File that holds the key; empty if it is not known where the fault is found.
+        path: File that holds the key; empty if the raising code does not know it.
     """
 
     def __init__(self, key: str, reason: str, path: str = "") -> None:
@@ -22,10 +22,10 @@
 
 
 class FormatError(DahliabendError, ValueError):
-    """A text that is not written as a value of its kind: an address, a duration, a size.
+    """A text that does not parse as the expected value, such as an address, a duration or a size.
 
     Attributes:
-        reason: What is wrong with it, in one line.
+        reason: What is wrong with the text, in one line.
     """
 
     def __init__(self, reason: str) -> None:
@@ -34,10 +34,10 @@
 
 
 class ProtocolError(DahliabendError, ValueError):
-    """Bytes from a peer that do not follow their protocol.
+    """Data from a peer that violates the protocol.
 
     Attributes:
-        reason: What is wrong with them, in one line.
+        reason: What is wrong with the data, in one line.
     """
 
     def __init__(self, reason: str) -> None:
@@ -46,7 +46,7 @@
 
 
 class StaleHandleError(DahliabendError, LookupError):
-    """A handle whose occupancy is over was used where it must be valid.
+    """A handle was used after the object that it identified had been released.
 
     Attributes:
         handle: The handle.
@@ -54,7 +54,7 @@
 
     def __init__(self, handle: int) -> None:
         self.handle = handle
-        super().__init__(f"handle {handle} names nothing any more")
+        super().__init__(f"handle {handle} is stale: its object has been released")
 
 
 class DatagramError(ProtocolError):
@@ -62,4 +62,4 @@
 
 
 class SimulatorProtocolError(ProtocolError):
-    """A message of the simulator that does not follow its wire format."""
+    """A message from the simulator that violates its wire format."""
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -1,6 +1,6 @@
-"""Plain types and interfaces shared by the decisions and whatever drives them. No I/O here.
+"""Types and interfaces shared by the policy and its drivers. This module does no I/O.
 
-All times are whole microseconds. Endpoints are small indices that the driver gives out.
+All times are whole microseconds. Endpoints are small integers assigned by the driver.
 """
 
 from dataclasses import dataclass
@@ -11,15 +11,15 @@
 
 
 class Idempotency(IntEnum):
-    """What a repeat of a request may do."""
+    """Whether a request may safely be executed more than once."""
 
-    IDEMPOTENT = 0  # may run again
-    DEDUPLICATED = 1  # carries a key by which a repeat is known inside its scope
-    NON_IDEMPOTENT = 2  # must never run twice
+    IDEMPOTENT = 0  # may be executed again
+    DEDUPLICATED = 1  # carries a key by which endpoints within its scope drop repeats
+    NON_IDEMPOTENT = 2  # must never be executed twice
 
 
 class DeduplicationScope(IntEnum):
-    """Which endpoints drop repeats of a deduplicated request."""
+    """The endpoints that drop repeats of a deduplicated request."""
 
     ALL = 0
     ZONE = 1
@@ -30,45 +30,47 @@
     """How an attempt or a health check ended."""
 
     SUCCEEDED = 1
-    FAILED = 2  # the endpoint's own error; it may have run
-    REJECTED = 3  # refused unseen
+    FAILED = 2  # the endpoint answered with an error; the request may have been executed
+    REJECTED = 3  # the endpoint refused it without executing it
     TIMED_OUT = 4
-    UNREACHABLE = 5  # it was not written completely, so it can't have run
+    UNREACHABLE = 5  # not sent completely, so it can't have been executed
     RESET = 6
     CANCELLED = 7
-    NOT_SENT = 8  # never sent, for a reason on this side
+    NOT_SENT = 8  # not sent, for a reason within this process
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the endpoint can't have run the request."""
+        """Whether the endpoint can't have executed the request."""
         return self in _UNEXECUTED_OUTCOMES
 
 
-_UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # a tuple: found by identity
+# A tuple, whose members are compared by identity.
+_UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class EndpointState(IntEnum):
-    """What a list says of an endpoint, or an operator."""
+    """The state of an endpoint, as given by an endpoint list or an operator."""
 
     REMOVED = 0
     READY = 1
     DRAINING = 2
-    EXCLUDED = 3  # by an operator, whatever the list says
+    EXCLUDED = 3  # by an operator, which overrides the list
 
 
 class TimerToken(IntEnum):
-    """What a timer of `Port.set_timer` is for; drivers pass it back as a number."""
+    """The purpose of a timer set by `Port.set_timer`; drivers pass it back as a number."""
 
     TICK = 0
-    POLL = 1  # ask for the list of endpoints again
-    KEY_PAUSE = 2  # the end of a key's rest
+    POLL = 1  # poll the endpoint list again
+    KEY_PAUSE = 2  # the end of an ordering key's pause
 
 
-# What one balancer hands over. Records are stored as lists of fields in this order, numbers as they are.
+# State handed over to the next policy. Records are stored as lists of fields in this order; integers and
+# floats are stored as such.
 
 
 class StoredLimit(Struct, array_like=True, forbid_unknown_fields=True):
-    """The concurrency limit, as `policy.concurrency` has it. Times are microseconds."""
+    """The state of the concurrency limit, as in `policy.concurrency`. Times are in microseconds."""
 
     limit: int | float
     mean_in_flight: int | float
@@ -81,7 +83,7 @@
 
 
 class StoredEndpoint(Struct, array_like=True, forbid_unknown_fields=True):
-    """One endpoint, as `policy.records` has it. Times are microseconds."""
+    """The state of one endpoint, as in `policy.records`. Times are in microseconds."""
 
     started_at: int
     relative_latency: int | float
@@ -96,12 +98,12 @@
 
 
 class Snapshot(Struct):
-    """What one balancer hands over; the stored keys are older than the names here.
+    """The state that one policy hands over to the next; some stored keys are older than the names here.
 
     Attributes:
-        limit_settings: Settings that the limit depends on: it fits only where they are the same.
+        limit_settings: Settings that the limit depends on; the limit is restored only if they are the same.
         mean_latencies: By request class (us).
-        fatal_idle_time: How long connections had been idle that swallowed a request (us).
+        fatal_idle_time: Mean idle time of connections on which a request was lost (us).
         endpoints: By index.
         limit: The concurrency limit.
     """
@@ -114,105 +116,105 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """What a list says of one endpoint."""
+    """The state of one endpoint according to an endpoint list."""
 
-    endpoint: int  # its index
+    endpoint: int  # the driver's index of it
     state: EndpointState
-    started_at: int  # of its process; 0: not told
+    started_at: int  # start of its process; 0: unknown
     weight: float
     cell: int
     zone: int
-    endpoint_id: bytes  # its id as listed, the same at every balancer
+    endpoint_id: bytes  # as listed, the same at every balancer
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What an operator says of one kind of requests."""
+    """The operator's settings for one class of requests."""
 
     effect: Idempotency
     deduplication_scope: DeduplicationScope
-    deduplication_window: int  # how long a repeat is known
+    deduplication_window: int  # for how long repeats are dropped
     latency_objective: int
     deadline: int
     priority_weight: float
-    late_weight: float  # of its priority, for an answer after the latency objective
-    is_ordered: bool = False  # those of one key run one at a time, as admitted
-    attempt_timeout: int = 0  # that one attempt may take; 0: what is left
-    max_attempts: int = 0  # 0: as the settings say
-    max_retries_after_execution: int = -1  # after attempts that may have executed; -1: as the effect allows
-    hedge_delay: int = 0  # after which an attempt is reported as slow; 0: never
+    late_weight: float  # share of the priority that an answer after the latency objective is worth
+    is_ordered: bool = False  # requests of one key are executed one at a time, in the order of admission
+    attempt_timeout: int = 0  # 0: until the deadline
+    max_attempts: int = 0  # 0: as in `PolicySettings`
+    max_retries_after_execution: int = -1  # -1: as many as `effect` allows
+    hedge_delay: int = 0  # after which the driver reports an attempt as slow; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """What the decisions of one balancer go by."""
+    """The settings of one balancer's policy."""
 
     instance_count: int
-    instance_index: int  # of this balancer among them; -1: unknown
+    instance_index: int  # of this balancer; -1: unknown
     tier: int
     zone: int
     request_classes: tuple[RequestClass, ...]
-    tenant_quotas: tuple[float, ...]  # by tenant: requests a second, all balancers together
-    over_quota_weight: float  # of the priority, beyond the quota
-    overall_weight: float  # of the total over all classes, in the operators' goal
-    worst_class_weight: float  # of the worst-served class, in the same
-    cross_zone_cost: float  # of an attempt beyond the own zone, in answers
+    tenant_quotas: tuple[float, ...]  # by tenant: requests per second, of all balancers together
+    over_quota_weight: float  # factor on the priority of requests over quota
+    overall_weight: float  # in the operators' goal, of the total over all classes
+    worst_class_weight: float  # in the operators' goal, of the worst-served class
+    cross_zone_cost: float  # of an attempt outside the own zone, in answers
     max_attempts: int
     can_cancel: bool
     can_health_check: bool
-    sends_retry_after: bool  # clients are told when to come back
+    sends_retry_after: bool  # with rejections
     max_retry_after: int
     polls_endpoints: bool
     poll_deadline: int
     initial_capacity: float
     warmup_time: int
     warmup_multiple: float
-    key_pause: int = 0  # a key rests this long after an attempt that may go on
-    can_use_removed_endpoints: bool = False  # one gone without draining may still be sent to
-    retry_budget_ratio: float = 0.1  # of first attempts: retries that may have executed
+    key_pause: int = 0  # of an ordering key, after an attempt that may still run
+    can_use_removed_endpoints: bool = False  # if removed without draining
+    retry_budget_ratio: float = 0.1  # retries after attempts that may have executed, per first attempt
 
     @property
     def is_entry_tier(self) -> bool:
-        """Whether clients come here; behind, requests are calls of other services."""
+        """Whether requests come from clients; at the tiers behind, they are calls of other services."""
         return self.tier == 0
 
 
 class Port(Protocol):
-    """What the decisions act through. `request_id` is whatever the driver gave to `Balancer.admit`."""
+    """The actions of the policy. `request_id` is the number that the driver passed to `Balancer.admit`."""
 
     def send(self, request_id: int, endpoint: int, timeout: int) -> None:
-        """Send an attempt of a request to an endpoint; it is to be ended after the time-out."""
+        """Send an attempt of a request to an endpoint, and end the attempt after the time-out."""
 
     def reject(self, request_id: int, retry_after: int) -> None:
-        """Answer 503: the client may send the request again, after this time (us; 0: none is told).
+        """Answer 503: the client may send the request again, after this time (us; 0: no time is given).
 
-        An idempotent request, or one deduplicated everywhere, may have been executed.
+        Only an idempotent request, or one deduplicated by all endpoints, may have been executed before.
         """
 
     def fail(self, request_id: int) -> None:
         """Answer 502: the request failed, may have been executed and must not be sent again."""
 
     def cancel(self, request_id: int, attempt: int) -> None:
-        """End an attempt, by its place among those of the request; its end is reported as any other."""
+        """End an attempt, given by its index within the request; its end is reported like any other."""
 
     def check_health(self, endpoint: int) -> None:
-        """Check an endpoint, for `Balancer.health_check_finished`."""
+        """Start a health check of an endpoint, reported by `Balancer.health_check_finished`."""
 
     def close_idle_connections(self, endpoint: int, age: int) -> None:
-        """Close connections to an endpoint that have been idle for longer than this."""
+        """Close connections to an endpoint that have been idle for longer than `age`."""
 
     def set_timer(self, at: int, token: int) -> None:
-        """Have `Balancer.timer_fired` called at this time, with this token."""
+        """Schedule a call of `Balancer.timer_fired` with this token."""
 
     def poll_endpoints(self) -> None:
-        """Ask for the list of endpoints."""
+        """Request the endpoint list."""
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
         """Send bytes to another balancer."""
 
 
 class RequestHandle(Protocol):
-    """What `Balancer.admit` returns: the driver reports on it what becomes of the request."""
+    """A request as returned by `Balancer.admit`, on which the driver reports its events."""
 
     deadline: int
     body_pending: bool  # its body is still being received
@@ -220,75 +222,81 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the request is answered, or nobody waits for it, and none of its attempts is in flight."""
+        """Whether the request is answered, or its client has gone, and none of its attempts is in flight."""
 
     def attempt_finished(
         self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
     ) -> None:
-        """Report how an attempt ended; another is sent where one may follow.
+        """Report how an attempt ended; another one is sent where it may follow.
 
         Args:
-            now: The time.
-            number: The place of the attempt among those of the request.
-            outcome: How it ended.
-            duration: How long it took.
+            now: The current time.
+            number: The index of the attempt within the request.
+            outcome: How the attempt ended.
+            duration: How long the attempt took.
             complete: Whether the client has its answer.
-            idle: How long its connection had been idle before, where the driver can tell.
+            idle: How long the connection had been idle before, if the driver knows.
         """
 
     def response_started(self, now: int, number: int) -> None:
-        """Report a streamed response: the client has a part of it, so the attempt is not cancelled."""
+        """Report that the client has a part of the response, after which the attempt is not cancelled."""
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Report that the attempt in flight has the last byte: it begins now. Return its time-out."""
+        """Report that the attempt in flight has the last byte of the body, and return its time-out.
+
+        The attempt begins at `now`.
+        """
 
     def body_consumed(self) -> None:
-        """Report that a part of the body is gone, so that nothing whole is left to send again."""
+        """Report that a part of the body has been dropped, so that it can't be sent again."""
 
     def hedge_timer_fired(self, now: int) -> None:
-        """Report that the attempt in flight is slow: a hedge is sent where attempts and retries are left."""
+        """Report that the attempt in flight is slow; a hedge is sent if attempts and budget are left."""
 
     def client_disconnected(self, now: int) -> None:
-        """Report that nobody waits for an answer any more."""
+        """Report that the client has gone."""
 
 
 class BalancerEvents(Protocol):
-    """The events of `policy.balancer.Balancer`, all on one thread; it acts through its `Port`."""
+    """The events that `policy.balancer.Balancer` handles, all on one thread; it acts through its `Port`."""
 
     def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
-        """Take over a list of endpoints, or (not `full`) changes of it."""
+        """Apply an endpoint list (`full`), or changes to it."""
 
     def endpoint_poll_failed(self, now: int) -> None:
-        """Report that the list was asked for in vain: it is asked for again after a while, at random."""
+        """Report that a poll of the endpoint list failed; it is repeated after a random delay."""
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestHandle:  # fmt: skip
-        """Send a request, queues it behind others of its key, or rejects it.
+        """Send a request, queue it behind others of its key, or reject it.
 
         Args:
-            now: The time.
-            request_id: By which the `Port` is told of the request.
-            class_index: Its request class.
-            tenant: Its tenant; one beyond the quotas has none.
-            deadline: When an answer is worth nothing.
+            now: The current time.
+            request_id: Identifies the request in calls of the `Port`.
+            class_index: Index of its request class.
+            tenant: Index of its tenant; an index beyond the quotas has no quota.
+            deadline: When an answer becomes worthless.
             repeat: Whether its client sends it again after a rejection.
             body_pending: Whether its body is still being received.
-            key: By which requests of ordered classes are sent one at a time; 0: none.
+            key: The ordering key, by which requests of ordered classes are sent one at a time; 0: none.
         """
 
     def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
-        """Report how a health check of an endpoint ended."""
+        """Report the outcome of a health check of an endpoint."""
 
     def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Count attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+        """Count attempts of other balancers at an endpoint like own ones, as many as are trusted."""
 
     def timer_fired(self, now: int, token: int) -> None:
-        """Report that a timer of `Port.set_timer` has come."""
+        """Report that a timer set by `Port.set_timer` has fired."""
 
     def snapshot(self, ends: bool) -> Snapshot:
-        """Return what is known; `ends`: this balancer admits nothing more."""
+        """Return the state for the next policy; `ends`: this one admits nothing more."""
 
     def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
-        """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
+        """Restore a snapshot, and return how many endpoints matched.
+
+        `class_pairs` holds the indices of corresponding request classes, here and in the snapshot.
+        """
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -1,6 +1,7 @@
-"""Every decision of one balancer instance: a driver feeds it events, and it acts through a `Port`.
+"""The policy of one balancer instance: a driver reports events to it, and it acts through a `Port`.
 
-Here stands the way of a request through the parts, and no rule; docs/decisions.md lists the rules.
+This module passes each request through the other modules and holds no rules; docs/decisions.md lists these.
+Times are in microseconds.
 """
 
 from random import Random
@@ -18,14 +19,14 @@
 from dahliabend.policy.slow_start import SlowStart
 from dahliabend.policy.throttling import WINDOW_TICKS, Throttling
 
-TICKS_PER_LATENCY_OBJECTIVE = 4  # of the class with the shortest one
-MIN_TICK = 1000  # microseconds
-POLL_BACKOFFS_PER_DEADLINE = 8  # an endpoint poll that failed is repeated after such a part at the most
-_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # of the endpoint
+TICKS_PER_LATENCY_OBJECTIVE = 4  # in the shortest objective of all classes
+MIN_TICK = 1000
+POLL_BACKOFFS_PER_DEADLINE = 8  # a failed poll is repeated after at most deadline / 8
+_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # about the endpoint
 
 
 class Balancer:
-    """The events (`model.BalancerEvents`), passed to the parts, whose public fields drivers may read."""
+    """Handles the events (`model.BalancerEvents`); drivers may read the public fields of its components."""
 
     def __init__(self, settings: PolicySettings, port: Port, seed: int) -> None:
         self.settings = settings
@@ -49,12 +50,12 @@
         self.limit_settings = [settings.instance_count, settings.tier, self.throttling.window]
         self.is_started = False
         backoff = settings.poll_deadline // POLL_BACKOFFS_PER_DEADLINE
-        self.poll_backoff = backoff if settings.polls_endpoints else 0  # microseconds
+        self.poll_backoff = backoff if settings.polls_endpoints else 0
 
-    # Endpoints.
+    # Endpoints
 
     def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
-        """Take over a list of endpoints, or (not `full`) changes of it."""
+        """Apply an endpoint list (`full`), or changes to it."""
         if not self.is_started:
             self.is_started = True
             self.throttling.open(now)
@@ -64,30 +65,30 @@
         self.selection.update(now, rows, full=full)
 
     def endpoint_poll_failed(self, now: int) -> None:
-        """Report that the list was asked for in vain: it is asked for again after a while, at random.
+        """Report that a poll of the endpoint list failed; it is repeated after a random delay.
 
-        A registry that failed under load would be stormed by all balancers at once.
+        Without the randomness all balancers would poll an overloaded registry at the same time.
         """
         if self.poll_backoff:
             wait = round(self.poll_backoff * (1 + self.random()) / 2)
             self.port.set_timer(now + wait, TimerToken.POLL)
 
     def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
-        """Report how a health check of an endpoint ended."""
+        """Report the outcome of a health check of an endpoint."""
         endpoint = self.selection.endpoints.get(index)
         if endpoint is not None:
             self.outliers.health_check_finished(endpoint, now, outcome)
 
     def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Count attempts of other balancers at an endpoint, so many as are believed, like own ones."""
+        """Count attempts of other balancers at an endpoint like own ones, as many as are trusted."""
         endpoint = self.selection.endpoints.get(index)
         if endpoint is not None:
             endpoint.entries[-1].add(failed, sampled)
 
-    # Timers.
+    # Timers
 
     def timer_fired(self, now: int, token: int) -> None:
-        """Report that a timer of `Port.set_timer` has come."""
+        """Report that a timer set by `Port.set_timer` has fired."""
         if token == TimerToken.TICK:
             self._tick(now)
         elif token == TimerToken.KEY_PAUSE:
@@ -111,7 +112,7 @@
             self.close_windows(now)
 
     def close_windows(self, now: int) -> None:
-        """Close the windows of samples at a time (us): what is held for the next ones follows from them."""
+        """Close the windows of all samples, and derive from them the state for the next windows."""
         self.throttling.close_windows(now)
         self.selection.remove_unlisted(now)
         for endpoint in self.selection.ready:
@@ -121,10 +122,10 @@
         self.selection.resize_subset()
         self.throttling.set_validity(self.slow_start.send_rate)
 
-    # What is handed over.
+    # Snapshots
 
     def snapshot(self, ends: bool) -> Snapshot:
-        """Return what is known; `ends`: this balancer admits nothing more."""
+        """Return the state for the next policy; `ends`: this one admits nothing more."""
         return Snapshot(
             limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
@@ -137,34 +138,37 @@
         )
 
     def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
-        """Go on from a snapshot, by pairs of own and former classes. Return how many endpoints fit."""
+        """Restore a snapshot, and return how many endpoints matched.
+
+        `class_pairs` holds the indices of corresponding request classes, here and in the snapshot.
+        """
         for index, former in class_pairs:
             self.deadlines.mean_latencies[index] = snapshot.mean_latencies[former]
         self.outliers.fatal_idle_time = snapshot.fatal_idle_time
-        if snapshot.limit_settings == self.limit_settings:  # the limit would grow anew from its start
+        if snapshot.limit_settings == self.limit_settings:  # otherwise the limit starts anew
             self.concurrency.restore(snapshot.limit)
         restored = 0
         for index, stored in snapshot.endpoints.items():
             endpoint = self.selection.endpoints.get(index)
-            if endpoint is not None and endpoint.started_at == stored.started_at:  # the same process still
+            if endpoint is not None and endpoint.started_at == stored.started_at:  # still the same process
                 endpoint.restore(stored)
                 restored += 1
         self.selection.select()
         return restored
 
-    # The way of a request.
+    # Requests
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
         repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
-        """Send a request, queues it behind others of its key, or rejects it (`model.BalancerEvents`)."""
+        """Send a request, queue it behind others of its key, or reject it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
         key = key if request_class.is_ordered else 0
         priority = self.admission.priorities[class_index]
         request = RequestState(self, request_id, class_index, key, priority, body_pending=body_pending)
         request.deadline = deadline
-        if not body_pending:  # else once its body is there
+        if not body_pending:  # otherwise set once the body has been received
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
         if not self.admission.admits(request, tenant, now, is_repeat=repeat):
             self.give_up(request)
@@ -184,7 +188,7 @@
             self.key_queues.leave(request, now)
 
     def send(self, request: RequestState, now: int) -> None:
-        """Send the next attempt of a request, or gives the request up if none is allowed or possible."""
+        """Send the next attempt of a request, or give the request up if no attempt is allowed or possible."""
         is_first = not request.attempts
         if time_left(request, now) <= 0 or not may_attempt(request, now):
             self.give_up(request)
@@ -209,37 +213,37 @@
         attempt = Attempt(endpoint, now)
         if self.outliers.should_close_idle_connections(attempt, now):
             self.outliers.close_idle_connections(attempt)
-        if not request.body_pending:  # nothing runs there before the last byte
+        if not request.body_pending:  # the endpoint starts no work before the last byte
             self.outliers.attempt_began(attempt)
             self.concurrency.attempt_began(request, attempt)
         request.attempt_sent(attempt)
         self.port.send(request.request_id, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
-        """The attempt in flight has the last byte of the body. Return its time-out (us)."""
+        """Handle the last byte of the body of the attempt in flight, and return the attempt's time-out."""
         request.deadline = self.deadlines.useful_deadline(request.request_class, now, deadline)
         self.outliers.attempt_began(request.attempts[-1])
         self.concurrency.attempt_began(request, request.attempts[-1])
         return self.deadlines.attempt_timeout(request, now)
 
     def response_started(self, request: RequestState, attempt: Attempt) -> None:
-        """The answer of an attempt streams to the client: nothing works on it any more."""
+        """Stop counting an attempt whose response streams to the client: its endpoint has done the work."""
         self.concurrency.attempt_ended(request, attempt.endpoint)
 
     def hedge_timer_fired(self, request: RequestState, now: int) -> None:
-        """The attempt in flight is slow."""
+        """Send a hedge beside the slow attempt in flight, if one is allowed."""
         endpoint = self.selection.choose(request, now) if self.retries.may_hedge(request, now) else None
         if endpoint is not None and all(attempt.endpoint is not endpoint for attempt in request.attempts):
             self.retries.withdraw_for_hedge()
             request.mark_hedged()
             self._start_attempt(request, endpoint, now)
 
-    # Its end.
+    # End of attempts and requests
 
     def attempt_ended(
         self, request: RequestState, attempt: Attempt, now: int, outcome: Outcome, duration: int
     ) -> None:
-        """An attempt has ended: learns from it, and goes on with the request."""
+        """Record the outcome of an attempt, and retry, cancel or finish its request."""
         if attempt.idle:
             mean_latency = self.deadlines.mean_latencies[request.class_index]
             self.outliers.record_idle_outcome(attempt, now, outcome, duration, mean_latency)
@@ -256,9 +260,9 @@
     def _record_outcome(
         self, request: RequestState, endpoint: Endpoint, now: int, outcome: Outcome, duration: int
     ) -> None:
-        """What the end of an attempt tells the parts, in the order in which it happens."""
+        """Report the end of an attempt to the components, in a fixed order."""
         index = request.class_index
-        mean_latency = self.deadlines.mean_latencies[index]  # without this one
+        mean_latency = self.deadlines.mean_latencies[index]  # before this attempt
         is_failed = outcome is not Outcome.SUCCEEDED
         self.concurrency.attempt_ended(request, endpoint)
         self.outliers.attempt_ended(endpoint, now, outcome)
@@ -272,7 +276,7 @@
         is_class_outlier = self.throttling.class_outliers[index]
         if endpoint.is_ejected and not (is_failed and is_class_outlier):
             self.outliers.record_trial_result(endpoint, now, duration, is_failed=is_failed)
-        if is_class_outlier:  # no endpoint's fault, and no overload
+        if is_class_outlier:  # neither an endpoint's fault nor an overload
             return
         self.sampling.record_outcome(request, endpoint, now, outcome, duration)
         if is_failed:
@@ -286,9 +290,9 @@
         self.send(request, now)
 
     def give_up(self, request: RequestState, wait: int = 0) -> None:
-        """End a request without a success: rejected if its client may safely send it again, else failed.
+        """End a request without a success: reject it if its client may safely send it again, else fail it.
 
-        Takes what it would have had to wait for its turn (us).
+        `wait` is the time that the request would have had to wait for its turn.
         """
         request.give_up()
         self.cancel(request)
@@ -299,18 +303,18 @@
             self.port.fail(request.request_id)
 
     def give_up_if_late(self, request: RequestState, now: int) -> None:
-        """Give up a request that waits for its turn, if too little time is left for it."""
+        """Give up a request that waits for its turn, if it has too little time left."""
         if not self.deadlines.can_wait(request, now):
             self.give_up(request)
             self.key_queues.leave(request, now)
 
     def client_disconnected(self, request: RequestState, now: int) -> None:
-        """Nobody waits for the answer any more."""
+        """Cancel the attempts of a request whose client has gone, and remove it from its queue."""
         self.cancel(request)
         self.key_queues.leave(request, now)
 
     def cancel(self, request: RequestState) -> None:
-        """Cancel the attempts of a request that are in flight, where the driver can."""
+        """Cancel the attempts of a request that are in flight, if the driver can."""
         if self.settings.can_cancel:
             for number in cancellable_attempts(request):
                 self.port.cancel(request.request_id, number)
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -27,7 +27,7 @@
 
     Attributes:
         in_flight: Attempts of this balancer at endpoints that are not ejected.
-        in_flight_elsewhere: Attempts of another process of this instance, its predecessor; set by the driver.
+        in_flight_elsewhere: Attempts of other processes of this instance; set by the driver.
         limit: How many attempts may be in flight.
         mean_in_flight: Mean number in flight in both processes, sampled at admissions.
         sustained_in_flight: Mean number in flight in both processes, sampled at adjustments without overload.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -8,11 +8,7 @@
 from dahliabend.model import Outcome, Port, TimerToken
 from dahliabend.policy.records import RequestState
 
-_UNCERTAIN_OUTCOMES = (
-    Outcome.TIMED_OUT,
-    Outcome.RESET,
-    Outcome.CANCELLED,
-)  # may still run there
+_UNCERTAIN_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still run
 
 
 class KeyQueue:
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -1,4 +1,7 @@
-"""Endpoints and classes at fault: ejection, recovery by health checks and trials, dead idle connections."""
+"""Outlier detection: ejection of endpoints, recovery by health checks and trials, stale idle connections.
+
+Times are in microseconds.
+"""
 
 from collections.abc import Callable
 
@@ -10,22 +13,23 @@
 from dahliabend.policy.selection import EndpointSelection
 from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_SAMPLES, OUTLIER_REDUCTION, Throttling
 
-SILENCE_LATENCIES = 4  # mean latencies with attempts in flight and no answer: the endpoint is ejected
-MAX_CHECK_DOUBLINGS = 5  # of the wait before a health check
-MAX_TRIAL_DOUBLINGS = 6  # of the wait before a trial request
-QUICK_FAILURE_RATIO = 1 / 20  # of the mean latency: a failure within it comes from a fault, not from load
-LOSSES_PER_QUICK_RESET = 8  # it proves what a time-out only suggests
-STALE_IDLE_FRACTION = 1 / 2  # of the fatal idle time, from which connections are counted, and closed
-_RESPONSE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint itself said so
+SILENCE_LATENCIES = 4  # mean latencies with attempts in flight and no answer, after which an endpoint is hung
+MAX_CHECK_DOUBLINGS = 5  # of the delay before a health check
+MAX_TRIAL_DOUBLINGS = 6  # of the delay before a trial request
+QUICK_FAILURE_RATIO = 1 / 20  # of the mean latency; a quicker failure comes from a fault, not from load
+LOSSES_PER_QUICK_RESET = 8  # a reset proves what a time-out only suggests
+STALE_IDLE_FRACTION = 1 / 2  # of the fatal idle time; above it, connections are counted and closed
+_RESPONSE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint answered
 
 
 class OutlierDetector:
-    """Ejects endpoints, brings them back by health checks and trials, and finds dead idle connections.
+    """Ejects endpoints, restores them after health checks and trial requests, and closes stale connections.
 
     Attributes:
-        last_answer_at: When any endpoint answered last (us).
-        awaiting_trial: Endpoints ejected for long enough to be tried; the last one added goes first.
-        fatal_idle_time: Mean of how long connections had been idle that swallowed a request (us).
+        last_answer_at: When any endpoint last answered.
+        awaiting_trial: Endpoints ejected for long enough to get a trial request; the last one added goes
+            first.
+        fatal_idle_time: Mean idle time of connections on which a request was lost.
     """
 
     def __init__(
@@ -51,23 +55,24 @@
         self.awaiting_trial: dict[Endpoint, None] = {}
         self.fatal_idle_time = 0.0
 
-    # Classes.
+    # Classes
 
     def must_reject_class(self, request: RequestState, now: int) -> bool:
-        """Return whether a request is rejected at a time (us) because its class fails at every endpoint.
+        """Return whether a request is rejected at `now` because its class fails at every endpoint.
 
-        Asked of classes that are outliers. By the class's reduction, and only where the limit is nearly
-        reached: it would hold places that others need until it fails too.
+        Called for classes that are outliers. They are rejected with the probability of their reduction, and
+        only where the limit is nearly reached: until it fails, such a request would occupy a place that
+        others need.
         """
         if not self.concurrency.is_nearly_full():
             return False
         reduction = self.throttling.classes[request.class_index].valid_reduction(now)
         return reduction > 0 and self.random() < reduction
 
-    # Ejection.
+    # Ejection
 
     def eject(self, endpoint: Endpoint, now: int) -> None:
-        """Take an endpoint out of the rotation at a time (us)."""
+        """Take an endpoint out of the rotation."""
         if not endpoint.is_ejected:
             endpoint.is_ejected = True
             endpoint.ejected_since = now
@@ -76,7 +81,7 @@
             self.selection.select()
 
     def restore(self, endpoint: Endpoint, now: int) -> None:
-        """Take an endpoint back into the rotation at a time (us), without the reduction that it held."""
+        """Put an endpoint back into the rotation, without the reduction that it held."""
         endpoint.is_ejected = False
         endpoint.silent_since = now
         endpoint.entries[-1].end_reduction()
@@ -84,9 +89,9 @@
         self.selection.select()
 
     def is_failing(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint's reduction makes it an outlier: the tier holds less than half of it.
+        """Return whether an endpoint is an outlier by its reduction: the tier holds less than half of it.
 
-        Where the tier fails as a whole, ejecting endpoints would leave the rest the load of all.
+        If endpoints were ejected while the whole tier fails, the remaining ones would get all the load.
         """
         reduction = endpoint.entries[-1].reduction
         return reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2
@@ -94,8 +99,8 @@
     def is_failing_quickly(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint that fails quickly is an outlier before its window ends.
 
-        Quick failures free its places, and so draw the load of all. One that was ejected and has not
-        succeeded since is one at once.
+        An endpoint that fails quickly always has capacity left and so attracts the load of all others. One
+        that has been ejected and has not succeeded since is an outlier at once.
         """
         if self.throttling.tier.reduction >= OUTLIER_REDUCTION / 2:
             return False
@@ -104,16 +109,17 @@
         return endpoint.consecutive_failures > 0 or is_failing
 
     def is_gone(self, endpoint: Endpoint, now: int) -> bool:
-        """Return whether an unreachable endpoint has not answered for a validity before a time (us).
+        """Return whether an unreachable endpoint has not answered for a validity before `now`.
 
-        One that has answered lately is full, not gone.
+        One that has answered recently is full, not gone.
         """
         return now - endpoint.answered_at >= self.throttling.validity
 
     def is_hung(self, endpoint: Endpoint, now: int) -> bool:
-        """Return whether an endpoint is silent at a time (us) while others answer.
+        """Return whether an endpoint is silent at `now` while others answer.
 
-        Its attempts would only end by their time-outs. Attempts of classes that fail everywhere don't count.
+        Otherwise its attempts would end only by their time-outs. Attempts of classes that fail everywhere
+        don't count.
         """
         if self.last_answer_at <= endpoint.silent_since:
             return False
@@ -124,16 +130,21 @@
         return not all(class_outliers[request.class_index] for request in endpoint.in_flight)
 
     def eject_if_hung(self, endpoint: Endpoint, now: int) -> None:
-        """Eject an endpoint if it is hung at a time (us)."""
+        """Eject an endpoint if it is hung at `now`."""
         if self.is_hung(endpoint, now):
             self.eject(endpoint, now)
 
     def eject_early(
         self, endpoint: Endpoint, now: int, outcome: Outcome, duration: int, mean_latency: float
     ) -> None:
-        """Eject an endpoint before its window ends, by the end of an attempt.
-
-        Takes how long it took and the class's mean latency (us).
+        """Eject an endpoint before its window ends, if the end of an attempt shows that it is faulty.
+
+        Args:
+            endpoint: The endpoint.
+            now: The current time.
+            outcome: How the attempt ended.
+            duration: How long the attempt took.
+            mean_latency: The mean latency of the request class.
         """
         if outcome is Outcome.UNREACHABLE:
             is_outlier = self.is_gone(endpoint, now)
@@ -145,31 +156,31 @@
             self.eject(endpoint, now)
 
     def close_window(self, endpoint: Endpoint, now: int) -> None:
-        """Close the windows of an endpoint's entries at a time (us), and ejects it if it is failing."""
+        """Close the windows of an endpoint's entries, and eject the endpoint if it is failing."""
         for entry in endpoint.entries:
             entry.close_window(now, MIN_SAMPLES, self.throttling.validity, self.throttling.min_validity)
         if self.is_failing(endpoint):
             self.eject(endpoint, now)
 
-    # Recovery.
+    # Recovery
 
     def health_check_delay(self, endpoint: Endpoint) -> int:
-        """Return how long an ejected endpoint is left alone before a health check (us).
+        """Return how long an ejected endpoint is left alone before a health check.
 
-        Doubled by each failure: checks are load too.
+        Doubled by each failure, because health checks add load too.
         """
         return self.tick << min(endpoint.consecutive_failures, MAX_CHECK_DOUBLINGS)
 
     def trial_delay(self, endpoint: Endpoint) -> int:
-        """Return how long an ejected endpoint is left alone before a trial request (us).
+        """Return how long an ejected endpoint is left alone before a trial request.
 
-        Doubled by each failure: trials are clients' requests.
+        Doubled by each failure, because trial requests are requests of clients.
         """
         doublings = min(endpoint.consecutive_failures, MAX_TRIAL_DOUBLINGS)
         return max(self.throttling.validity, self.throttling.min_validity << doublings)
 
     def advance_recovery(self, endpoint: Endpoint, now: int) -> None:
-        """Go on with the recovery of an ejected endpoint at a time (us)."""
+        """Start a health check or a trial of an ejected endpoint, or restore it, if that is due at `now`."""
         waited = now - endpoint.ejected_since
         if self.settings.can_health_check:
             if waited >= self.health_check_delay(endpoint) and not endpoint.health_check_under_way:
@@ -178,21 +189,25 @@
             return
         wait = self.trial_delay(endpoint)
         if waited >= LINGER_VALIDITIES * wait:
-            self.restore(endpoint, now)  # nothing came by that may run again
+            self.restore(endpoint, now)  # no request came that is safe to retry
         elif waited >= wait:
             self.awaiting_trial[endpoint] = None
 
     def needs_trial(self, endpoint: Endpoint) -> bool:
-        """Return whether a health check that succeeds is not enough to restore an endpoint.
+        """Return whether a successful health check is not enough to restore an endpoint.
 
-        Ejected again after it was back, it answers checks and fails requests: one request tries it first. If
-        none has come by at its next check, it is back.
+        An endpoint that is ejected again after its return passes health checks but fails requests, so one
+        trial request is sent first. If none has come by the next health check, the endpoint is restored
+        without.
         """
         is_untried = self.has_idempotent_class and endpoint not in self.awaiting_trial
         return is_untried and endpoint.consecutive_failures > 1
 
     def health_check_finished(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
-        """Go on after a health check ended so at a time (us)."""
+        """Continue the recovery of an ejected endpoint after a health check.
+
+        After a success it is restored or gets a trial request; after a failure it waits for longer.
+        """
         endpoint.health_check_under_way = False
         if not endpoint.is_ejected:
             return
@@ -204,10 +219,10 @@
             self.restore(endpoint, now)
 
     def choose_trial_endpoint(self, request: RequestState, now: int) -> Endpoint | None:
-        """Return the ejected endpoint that a request tries at a time (us), None if there is none.
+        """Return the ejected endpoint that gets a request as its trial at `now`, None if there is none.
 
-        Only an idempotent request's first attempt: it can go elsewhere if the trial fails. Its class has a
-        mean latency, so that it is timed out early.
+        Only the first attempt of an idempotent request is used, which can be retried elsewhere if the trial
+        fails. Its class must have a mean latency, so that the attempt is timed out early.
         """
         if not self.awaiting_trial or request.attempts:
             return None
@@ -221,30 +236,30 @@
         return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
 
     def record_trial_result(self, endpoint: Endpoint, now: int, duration: int, *, is_failed: bool) -> None:
-        """Take an attempt that ended now, after so long (us), for a trial if it was sent after the ejection.
+        """Count an attempt that ended at `now` as a trial, if it was sent after the ejection.
 
-        One sent before says nothing new.
+        One that was sent before gives no new evidence.
         """
         if now - duration > endpoint.ejected_since:
             self.trial_finished(endpoint, now, is_failed=is_failed)
 
     def trial_finished(self, endpoint: Endpoint, now: int, *, is_failed: bool) -> None:
-        """Restore an endpoint after a trial at a time (us), or makes it wait for longer."""
+        """Restore an endpoint after a successful trial, or let it wait for longer after a failed one."""
         endpoint.ejected_since = now
         if is_failed:
             endpoint.consecutive_failures += 1
         else:
             self.restore(endpoint, now)
 
-    # Attempts.
+    # Attempts
 
     def attempt_began(self, attempt: Attempt) -> None:
-        """An attempt is about to be in flight: with no other there, the endpoint's silence begins."""
+        """Start the silence of an endpoint, if the attempt about to be in flight is its only one."""
         if not attempt.endpoint.in_flight:
             attempt.endpoint.silent_since = attempt.sent_at
 
     def attempt_ended(self, endpoint: Endpoint, now: int, outcome: Outcome) -> None:
-        """An attempt has ended so at a time (us)."""
+        """Record the end of an attempt, and whether the endpoint answered."""
         endpoint.last_ended_at = now
         if outcome in _RESPONSE_OUTCOMES:
             endpoint.silent_since = now
@@ -253,15 +268,21 @@
         if outcome is Outcome.SUCCEEDED:
             endpoint.consecutive_failures = 0
 
-    # Idle connections.
+    # Idle connections
 
     def idle_losses(
         self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean_latency: float
     ) -> int:
-        """Return as how many losses on an idle connection an attempt's end counts.
+        """Return as how many losses on an idle connection the end of an attempt counts.
+
+        A request is lost if the peer or a middlebox has dropped the state of the connection.
 
-        Takes how long it took and the class's mean latency (us). A peer or a middlebox that forgot the
-        connection swallows the request.
+        Args:
+            attempt: The attempt.
+            now: The current time.
+            outcome: How the attempt ended.
+            duration: How long the attempt took.
+            mean_latency: The mean latency of the request class.
         """
         if outcome is Outcome.RESET and duration < mean_latency * QUICK_FAILURE_RATIO:
             return LOSSES_PER_QUICK_RESET
@@ -271,7 +292,7 @@
     def record_idle_outcome(
         self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean_latency: float
     ) -> None:
-        """Learn from an attempt on a connection that had been idle; arguments as for `idle_losses`."""
+        """Record an attempt on a connection that had been idle; arguments as for `idle_losses`."""
         lost = (
             0
             if outcome is Outcome.SUCCEEDED
@@ -283,9 +304,9 @@
             self.throttling.add_idle_sample(lost)
 
     def should_close_idle_connections(self, attempt: Attempt, now: int) -> bool:
-        """Return whether stale idle connections are closed before an attempt is sent at a time (us).
+        """Return whether stale idle connections are closed before an attempt is sent at `now`.
 
-        It may be sent on one of them, and be lost.
+        Otherwise the attempt may be sent on one of them, and be lost.
         """
         entry = self.throttling.idle_connections
         if entry.reduction < OUTLIER_REDUCTION or entry.valid_reduction(now) < OUTLIER_REDUCTION:
@@ -293,7 +314,7 @@
         return bool(attempt.endpoint.in_flight) or attempt.idle >= self.fatal_idle_time * STALE_IDLE_FRACTION
 
     def close_idle_connections(self, attempt: Attempt) -> None:
-        """Close the connections to an attempt's endpoint that have been idle for too long."""
+        """Close the connections to the endpoint of an attempt that have been idle for too long."""
         max_idle = round(self.fatal_idle_time * STALE_IDLE_FRACTION)
         self.port.close_idle_connections(attempt.endpoint.index, max_idle)
-        attempt.idle = 0  # tells nothing of idle connections any more
+        attempt.idle = 0  # its connection is no longer an idle one
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -55,9 +55,8 @@
         if self.cross_zone_cost and endpoint.zone == self.zone:
             is_zone_failure = is_failed or is_late(request_class, duration)
             self.throttling.add_zone_sample(self.cross_zone_cost, is_failed=is_zone_failure)
-        if (
-            request.attempts[0].endpoint is endpoint
-        ):  # else a request that finds five endpoints full counts as five
+        # Only the first endpoint counts: otherwise a request that finds five endpoints full counts as five.
+        if request.attempts[0].endpoint is endpoint:
             self.throttling.add_tier_sample(is_failed=is_failed and self.is_tier_failure(outcome))
 
     def is_tier_failure(self, outcome: Outcome) -> bool:
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -136,10 +136,9 @@
 
     def _mark_unlisted(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
+        # A ready endpoint may be kept while it answers, because the list may be wrong.
         if not self.settings.can_use_removed_endpoints or endpoint.state is not EndpointState.READY:
-            endpoint.state = (
-                EndpointState.REMOVED
-            )  # otherwise kept while it answers, as the list may be wrong
+            endpoint.state = EndpointState.REMOVED
 
     def remove_unlisted(self, now: int) -> None:
         """Remove endpoints that no list names and that have not answered for `warmup_time` before `now`.
@@ -250,9 +249,7 @@
         total = 0.0
         for endpoint in candidates:
             weight = endpoint.weight / endpoint.relative_latency
-            if (
-                endpoint.started_at and now - endpoint.started_at < warmup_time
-            ):  # skips the call for warm endpoints
+            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # else it is warm: no call
                 weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -171,7 +171,7 @@
         self.tier.failed += is_failed
 
     def add_idle_sample(self, lost: int) -> None:
-        """Add a request on a connection that had been idle: 0 losses if it was answered."""
+        """Add a request on a connection that had been idle, as this many losses (0: it was answered)."""
         self.idle_connections.add(lost, lost or 1)
 
     def close_windows(self, now: int) -> None:
