--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -84,7 +84,7 @@
         assert watcher.retry_timer[0] <= clock() + waits[-1]
     assert waits == sorted(waits)
     assert waits[0] < waits[-1] <= S
-    assert len(notes.of("endpoint_poll_failed")) == 9
+    assert len(notes.calls_to("endpoint_poll_failed")) == 9
 
 
 def test_a_connect_cancelled_before_its_first_step_is_retried():
--- a/tests/fake_endpoint.py
+++ b/tests/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint without sockets, and requests on it that record what comes of them."""
+"""An endpoint without sockets, and requests to it that record their outcome."""
 
 from types import SimpleNamespace
 
@@ -13,9 +13,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
 
-AFTER_REUSE_DELAY = 75 * MS  # longer than a second answer is waited for
-
-
+AFTER_REUSE_DELAY = 75 * MS  # longer than the wait for an unexpected second response
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
@@ -28,32 +26,32 @@
 
 
 class RecordingRequest(UpstreamRequest):
-    def on_finished(self, outcome, took, answer):
+    def on_finished(self, outcome, duration, response):
         self.outcome = outcome
 
 
 class RecordingBodyRequest(RecordingRequest):
-    def on_finished(self, outcome, took, answer):
-        self.outcome, self.body = outcome, answer and answer.body
+    def on_finished(self, outcome, duration, response):
+        self.outcome, self.body = outcome, response and response.body
 
 
 def age_idle_connections(upstream, by):
-    """As if the idle connections of an endpoint had become idle so many microseconds earlier."""
+    """Make the idle connections of an endpoint idle since an earlier time, by this many microseconds."""
     idle = upstream.idle_connections
     idle[:] = [entry._replace(idle_since=entry.idle_since - by) for entry in idle]
     for entry in idle:
         upstream.resources.descriptors.idle[entry.connection.handle] -= by
 
 
-def send_request(takes=1 << 30, length=9, kind=RecordingRequest):
-    """A request out on a connection that takes so many bytes: the request and the connection."""
+def send_request(takes=1 << 30, length=9, request_type=RecordingRequest):
+    """Send a request on a connection that accepts `takes` bytes; return the request and the connection."""
     upstream = endpoint_table().get_or_create("s-1")
     upstream.enabled = True
     connection = UpstreamConnection(upstream.resources.descriptors, upstream)
     upstream.connections.add(connection)
     FakeTransport(connection, takes)
     upstream.return_connection(connection)
-    age_idle_connections(upstream, upstream.resources.reuse_delay)  # no second answer came
-    request = kind(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
+    age_idle_connections(upstream, upstream.resources.reuse_delay)  # no second response came
+    request = request_type(upstream, b"x" * (length // 2), b"y" * (length - length // 2), S)
     request.start()
     return request, connection
--- a/tests/fake_port.py
+++ b/tests/fake_port.py
@@ -1,4 +1,4 @@
-"""A port that records what it is asked to do, and balancers that act through one."""
+"""A port that records the calls made to it, and balancers that act through such a port."""
 
 from dahliabend.model import DeduplicationScope, EndpointState, Idempotency, PolicySettings, RequestClass
 from dahliabend.policy.balancer import Balancer
@@ -32,27 +32,30 @@
 
 
 class RecordingPort(list):
-    """Each action as (its name, its arguments)."""
+    """The calls in order, each as (name, *arguments)."""
 
     def __getattr__(self, name):
         return lambda *args: self.append((name, *args))
 
-    def of(self, name):
-        return [note for note in self if note[0] == name]
+    def calls_to(self, name):
+        return [call for call in self if call[0] == name]
 
 
-def make_balancer(endpoints=4, cells=2, born=0, now=100 * S, **changes):
-    """A balancer with so many endpoints ready, and its port."""
+def make_balancer(endpoints=4, cell_count=2, process_started_at=0, now=100 * S, **changes):
+    """A balancer with this number of ready endpoints, and its port."""
     port = RecordingPort()
-    made = Balancer(PolicySettings(**{**BASE, **changes}), port, 7)
-    made.update_endpoints(
+    balancer = Balancer(PolicySettings(**{**BASE, **changes}), port, 7)
+    balancer.update_endpoints(
         now,
-        [(n, EndpointState.READY, born, 1.0, n % cells, n % cells, b"%d" % n) for n in range(endpoints)],
+        [
+            (n, EndpointState.READY, process_started_at, 1.0, n % cell_count, n % cell_count, b"%d" % n)
+            for n in range(endpoints)
+        ],
         full=True,
     )
-    return made, port
+    return balancer, port
 
 
-def admit(made, profile, now=100 * S, request_id=1, **more):
-    """Admits a request of a class, with 5 s until its deadline."""
-    return made.admit(now, request_id, profile, 0, now + 5 * S, **more)
+def admit(balancer, class_index, now=100 * S, request_id=1, **more):
+    """Admit a request of a class, with 5 s until its deadline."""
+    return balancer.admit(now, request_id, class_index, 0, now + 5 * S, **more)
--- a/tests/fake_transport.py
+++ b/tests/fake_transport.py
@@ -1,4 +1,4 @@
-"""A transport that records what is written, and a dispatcher that knows no request."""
+"""A transport that records what is written, and a dispatcher that has no route for any request."""
 
 from types import SimpleNamespace
 
@@ -10,18 +10,18 @@
 
 
 def incoming_request(client=None, **fields):
-    """A request as read from a client that is known by its class alone."""
-    plain = dict.fromkeys(("method", "target", "headers", "body", "trace_id", "tenant", "ordering_key"), b"")
+    """A request as parsed, from a client that has nothing but a class name."""
+    texts = dict.fromkeys(("method", "target", "headers", "body", "trace_id", "tenant", "ordering_key"), b"")
     numbers = {"client_timeout": 0, "received_at": 0, "is_retry": False}
     client = client if client is not None else SimpleNamespace(class_name=b"")
-    return IncomingRequest(**{**plain, **numbers, "client": client, "fields": {}, "upload": None, **fields})
+    return IncomingRequest(**{**texts, **numbers, "client": client, "fields": {}, "upload": None, **fields})
 
 
 def ignore(*_, **__): ...
 
 
 class FakeTransport:
-    """A transport that takes `takes` bytes before it pauses whoever writes."""
+    """A transport that accepts `takes` bytes and then pauses writing."""
 
     def __init__(self, connection, takes=1 << 30):
         self.connection, self.takes, self.written, self.ended = connection, takes, b"", False
@@ -49,8 +49,8 @@
 
 def feed(connection, data):
     while data:
-        room = connection.get_buffer(-1)
-        part = min(len(room), len(data))
-        room[:part] = data[:part]
-        connection.buffer_updated(part)
-        data = data[part:]
+        buffer = connection.get_buffer(-1)
+        count = min(len(buffer), len(data))
+        buffer[:count] = data[:count]
+        connection.buffer_updated(count)
+        data = data[count:]
--- a/tests/http/test_upstream_connection.py
+++ b/tests/http/test_upstream_connection.py
@@ -59,7 +59,7 @@
         (RESPONSE + b"\x00 noise", False),
         (early * 2 + RESPONSE, True),
     ):
-        request, connection = send_request(kind=RecordingBodyRequest)
+        request, connection = send_request(request_type=RecordingBodyRequest)
         feed(connection, raw)
         assert (request.outcome, request.body) == (Outcome.SUCCEEDED, b"ok")
         assert connection.closed is not kept
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -229,7 +229,7 @@
                     made.timer_fired(now, 0)
                 if now % every == 0:
                     request = made.admit(now, 1, 0, 0, now + 5 * S)
-                    sent = port.of("send")
+                    sent = port.calls_to("send")
                     if sent and sent[-1][2] == 0 and started:
                         hops.append(now)
                     port.clear()
