--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Quotas, priorities, and the reductions under which a request is admitted."""
+"""Admission: quotas, priorities, key queues and reductions."""
 
 from dataclasses import replace
 
@@ -23,17 +23,12 @@
         (False, 1.0, False),
     ):
         balancer, port = make_balancer()
-        (
-            balancer.concurrency.is_overloaded,
-            balancer.throttling.tier.reduction,
-            balancer.throttling.tier.valid_until,
-        ) = (
-            is_overloaded,
-            tier_reduction,
-            NOW + S,
-        )
+        balancer.concurrency.is_overloaded = is_overloaded
+        balancer.throttling.tier.reduction = tier_reduction
+        balancer.throttling.tier.valid_until = NOW + S
         for endpoint in balancer.selection.ready:
-            endpoint.entries[-1].reduction, endpoint.entries[-1].valid_until = 1.0, NOW + S
+            endpoint.entries[-1].reduction = 1.0
+            endpoint.entries[-1].valid_until = NOW + S
         admit(balancer, 2)
         assert bool(port.calls_to("send")) is expects_send
 
@@ -41,13 +36,14 @@
 def test_tier_reduction_rejects_requests_at_the_entry_tier_only():
     for tier in (0, 1):
         balancer, port = make_balancer(tier=tier)
-        balancer.throttling.tier.reduction, balancer.throttling.tier.valid_until = 1.0, NOW + S
+        balancer.throttling.tier.reduction = 1.0
+        balancer.throttling.tier.valid_until = NOW + S
         admit(balancer, 0)
         assert bool(port.calls_to("send")) == bool(tier)
 
 
 def test_quota_is_a_token_bucket_that_holds_one_window():
-    balancer, _ = make_balancer(tenant_quotas=(4.0,), instance_count=2)  # 2 a second here
+    balancer, _ = make_balancer(tenant_quotas=(4.0,), instance_count=2)  # 2 per second for this balancer
     balancer.throttling.window = S
     balancer.admission.tokens = [(2.0, NOW)]
     assert [balancer.admission.is_within_quota(0, NOW) for _ in range(3)] == [True, True, False]
@@ -55,13 +51,14 @@
     assert balancer.admission.is_within_quota(0, NOW + 500 * MS)
     assert balancer.admission.is_within_quota(0, NOW + 900 * S)
     assert balancer.admission.is_within_quota(0, NOW + 900 * S)
-    assert not balancer.admission.is_within_quota(0, NOW + 900 * S)  # what is saved up is a window's
+    assert not balancer.admission.is_within_quota(0, NOW + 900 * S)  # the bucket holds one window
 
 
 def test_admits_counts_new_requests_and_rejects_at_the_entry_tier_only():
     for tier, is_admitted in ((0, False), (1, True)):
         balancer, _ = make_balancer(tier=tier)
-        balancer.concurrency.limit, balancer.concurrency.in_flight = 4.0, 400
+        balancer.concurrency.limit = 4.0
+        balancer.concurrency.in_flight = 400
         assert admit(balancer, 0, repeat=True).is_answered is not is_admitted
         assert admit(balancer, 0, request_id=2).is_answered is not is_admitted
         assert balancer.admission.take_new_requests() == 1
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""Events, deadlines, and what one balancer hands over to the next."""
+"""Events of the balancer, and the snapshot that one policy hands over to the next."""
 
 import pytest
 from fake_port import DEDUPLICATED, IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
@@ -32,22 +32,13 @@
 
 def test_restore_under_other_settings_keeps_endpoint_state_and_resets_the_limit():
     old, _ = make_balancer(endpoints=4, request_classes=(IDEMPOTENT, NON_IDEMPOTENT), can_health_check=False)
-    (
-        old.deadlines.mean_latencies[:],
-        old.concurrency.limit,
-        old.retries.budget,
-        old.outliers.fatal_idle_time,
-    ) = (
-        [7 * MS, 9 * MS],
-        99.0,
-        5.0,
-        S,
-    )
-    (
-        old.selection.endpoints[0].relative_latency,
-        old.selection.endpoints[2].started_at,
-        old.selection.endpoints[2].relative_latency,
-    ) = 3.0, NOW - S, 3.0
+    old.deadlines.mean_latencies[:] = [7 * MS, 9 * MS]
+    old.concurrency.limit = 99.0
+    old.retries.budget = 5.0
+    old.outliers.fatal_idle_time = S
+    old.selection.endpoints[0].relative_latency = 3.0
+    old.selection.endpoints[2].started_at = NOW - S
+    old.selection.endpoints[2].relative_latency = 3.0
     old.outliers.eject(old.selection.endpoints[1], NOW)
     balancer, port = make_balancer(
         endpoints=4,
@@ -66,7 +57,7 @@
     balancer.selection.select()
     for request_id in range(9):
         admit(balancer, 0, request_id=request_id).client_disconnected(NOW)
-    assert 1 not in {call[2] for call in port.calls_to("send")}  # set aside before, no rush now
+    assert 1 not in {call[2] for call in port.calls_to("send")}  # its ejection was handed over
     assert balancer.selection.endpoints[1].consecutive_failures == 1
 
 
@@ -74,7 +65,8 @@
     action_lists = []
     for _ in range(2):
         balancer, port = make_balancer()
-        balancer.throttling.tier.reduction, balancer.throttling.tier.valid_until = 0.5, NOW + S
+        balancer.throttling.tier.reduction = 0.5
+        balancer.throttling.tier.valid_until = NOW + S
         for request_id in range(30):
             admit(balancer, 2, request_id=request_id)
         action_lists.append(list(port))
--- a/tests/policy/test_body_pending.py
+++ b/tests/policy/test_body_pending.py
@@ -1,4 +1,4 @@
-"""Requests that are decided on while their body still comes."""
+"""Requests that are admitted while their body is still being received."""
 
 from fake_port import S, make_balancer
 
@@ -11,7 +11,7 @@
     endpoint = balancer.selection.endpoints[port.calls_to("send")[0][2]]
     assert balancer.concurrency.in_flight == 0
     assert not endpoint.in_flight
-    for n in range(30):  # others are heard, this upstream is not: nothing runs there yet
+    for n in range(30):  # other endpoints answer; nothing runs at this one yet
         balancer.outliers.last_answer_at = 100 * S + n * S
         balancer.timer_fired(100 * S + n * S, 0)
     assert not endpoint.is_ejected
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limit, and quotas of tenants."""
+"""The adaptive concurrency limit."""
 
 from fake_port import IDEMPOTENT, S, admit, make_balancer
 
@@ -21,15 +21,9 @@
 
 def test_limit_falls_with_latency_but_not_below_its_minimum():
     balancer, _ = make_balancer(endpoints=10)
-    (
-        balancer.concurrency.min_latency_ratio,
-        balancer.concurrency.latency_ratio,
-        balancer.concurrency.in_flight,
-    ) = (
-        0.2,
-        0.8,
-        40,
-    )
+    balancer.concurrency.min_latency_ratio = 0.2
+    balancer.concurrency.latency_ratio = 0.8
+    balancer.concurrency.in_flight = 40
     balancer.concurrency.adjust(NOW, len(balancer.selection.ready) / balancer.selection.instance_count)
     assert balancer.concurrency.is_overloaded
     assert balancer.concurrency.limit == 20
@@ -41,12 +35,10 @@
 def test_limit_grows_faster_in_the_first_validity():
     for ticks, expected_limit in ((1, 15.0), (99, 12.5)):
         balancer, _ = make_balancer(instance_count=2, endpoints=4)
-        (
-            balancer.concurrency.ticks,
-            balancer.concurrency.latency_ratio,
-            balancer.concurrency.min_latency_ratio,
-            balancer.concurrency.has_rejected,
-        ) = ticks, 0.1, 0.1, True
+        balancer.concurrency.ticks = ticks
+        balancer.concurrency.latency_ratio = 0.1
+        balancer.concurrency.min_latency_ratio = 0.1
+        balancer.concurrency.has_rejected = True
         balancer.concurrency.adjust(NOW, len(balancer.selection.ready) / balancer.selection.instance_count)
         assert balancer.concurrency.limit == expected_limit
 
@@ -54,17 +46,16 @@
 def test_one_of_many_balancers_may_exceed_the_limit_by_chance_while_its_mean_is_below():
     for balancers, mean_in_flight, is_rejected in ((1, 1.0, True), (9, 1.0, False), (9, 9.0, True)):
         balancer, _ = make_balancer(instance_count=balancers)
-        balancer.concurrency.limit, balancer.concurrency.mean_in_flight, balancer.concurrency.in_flight = (
-            4.0,
-            mean_in_flight,
-            4,
-        )
+        balancer.concurrency.limit = 4.0
+        balancer.concurrency.mean_in_flight = mean_in_flight
+        balancer.concurrency.in_flight = 4
         assert admit(balancer, 0).is_finished == is_rejected
 
 
 def test_limit_is_adjusted_with_half_the_samples_after_a_validity_but_not_initially():
     balancer, _ = make_balancer()
-    balancer.concurrency.succeeded, balancer.concurrency.latency_ratio = MIN_TIER_SAMPLES // 2, 0.9
+    balancer.concurrency.succeeded = MIN_TIER_SAMPLES // 2
+    balancer.concurrency.latency_ratio = 0.9
     balancer.timer_fired(NOW + S, 0)
     assert not balancer.concurrency.adjusted_at
     balancer.concurrency.adjusted_at = NOW
@@ -76,7 +67,8 @@
 
 def test_attempts_in_flight_elsewhere_count_against_the_limit():
     balancer, port = make_balancer(endpoints=1, instance_count=1)
-    balancer.concurrency.limit, balancer.concurrency.in_flight_elsewhere = 8.0, 8
+    balancer.concurrency.limit = 8.0
+    balancer.concurrency.in_flight_elsewhere = 8
     assert admit(balancer, 0).is_answered
     assert not port.calls_to("send")
     balancer.concurrency.in_flight_elsewhere = 0
@@ -92,7 +84,8 @@
 
 def test_adjustment_is_due_with_enough_successes_after_two_latencies():
     balancer, _ = make_balancer()
-    balancer.concurrency.adjusted_at, balancer.concurrency.succeeded = NOW, MIN_TIER_SAMPLES
+    balancer.concurrency.adjusted_at = NOW
+    balancer.concurrency.succeeded = MIN_TIER_SAMPLES
     min_interval = balancer.throttling.window // 2
     assert not balancer.concurrency.is_adjustment_due(NOW + min_interval - 1)
     assert balancer.concurrency.is_adjustment_due(NOW + min_interval)
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Time left, time-outs, and when a rejected client is told to come back."""
+"""Deadlines, time-outs and Retry-After."""
 
 from dataclasses import replace
 
@@ -40,7 +40,7 @@
     balancer, port = make_balancer(request_classes=(request_class,), max_attempts=6)
     balancer.deadlines.mean_latencies[0] = 30 * MS
     request = balancer.admit(NOW, 1, 0, 0, NOW + 1_500 * MS)
-    assert port.calls_to("send")[0][3] == 300 * MS  # half of what it may take at all
+    assert port.calls_to("send")[0][3] == 300 * MS  # half of the latency objective
     request.attempt_finished(NOW + 300 * MS, 0, Outcome.TIMED_OUT, 300 * MS, False)
     assert [call[3] for call in port.calls_to("send")] == [300 * MS, 300 * MS]
     assert request.in_flight == 1
@@ -88,7 +88,7 @@
     assert timeout(class_index=2) == 5 * S  # not idempotent
     assert timeout(mean_latency=0) == timeout(budget=0.9) == timeout(reduction=0.1) == 5 * S
     assert timeout(now=NOW + 9 * S // 2) == S // 2
-    assert timeout(now=NOW + 6 * S) == 1  # a time-out is never nothing
+    assert timeout(now=NOW + 6 * S) == 1  # the shortest time-out
 
 
 def test_attempt_timeout_is_no_longer_than_the_class_allows():
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint lists, subsets, zones, round robin and slow start."""
+"""Endpoint lists, subsets, zones and round robin."""
 
 from dataclasses import replace
 
@@ -69,7 +69,8 @@
 
 def test_slow_endpoint_gets_a_smaller_share():
     balancer, port = make_balancer(endpoints=2)
-    balancer.selection.endpoints[0].relative_latency, balancer.concurrency.limit = 4.0, 1e9
+    balancer.selection.endpoints[0].relative_latency = 4.0
+    balancer.concurrency.limit = 1e9
     for request_id in range(50):
         admit(balancer, 2, request_id=request_id).client_disconnected(NOW)
         balancer.selection.endpoints[0].in_flight.clear()
@@ -84,7 +85,7 @@
         balancer.slow_start.sent = 15
         balancer.close_windows(NOW + S)
         subsets.append({endpoint.index for endpoint in balancer.selection.selected})
-    size = round(15 * VALIDITY_WINDOWS / MIN_SAMPLES)  # each reaches its floor within a validity
+    size = round(15 * VALIDITY_WINDOWS / MIN_SAMPLES)  # each gets its minimum of samples within a validity
     assert len(subsets[0]) == size
     assert subsets[0] == subsets[2] != subsets[1]
     assert len(subsets[3]) == 40
@@ -114,7 +115,7 @@
 
 
 def same_zone_reduction(outcome, duration, attempts=MIN_SAMPLES, cost=0.1):
-    """The reduction of the own zone after so many attempts, and the share that crosses zones."""
+    """The reduction of the own zone after this number of attempts, and the share that crosses zones."""
     balancer, port = make_balancer(cross_zone_cost=cost)
     for request_id in range(attempts):
         admit(balancer, 2, request_id=request_id).attempt_finished(NOW, 0, outcome, duration, True)
@@ -158,7 +159,8 @@
     endpoint = balancer.selection.endpoints[0]
     balancer.outliers.eject(endpoint, 100 * S)
     entry = endpoint.entries[-1]
-    entry.reduction, entry.valid_until = 1.0, 900 * S
+    entry.reduction = 1.0
+    entry.valid_until = 900 * S
     port.clear()
     balancer.update_endpoints(101 * S, [(0, EndpointState.EXCLUDED, 0, 1.0, 0, 0, b"0")], full=False)
     for n in range(9):
@@ -197,10 +199,9 @@
             balancer.update_endpoints(NOW, updates, full=False)
         assert (balancer.selection.endpoints.get(1) in balancer.selection.ready) is is_kept
     balancer, _ = make_balancer(endpoints=2, can_use_removed_endpoints=True, warmup_time=10 * S)
-    balancer.update_endpoints(NOW, [endpoint_update(0)], full=True)  # left out
-    balancer.update_endpoints(
-        NOW, [endpoint_update(7, EndpointState.REMOVED)], full=False
-    )  # never named by any list
+    balancer.update_endpoints(NOW, [endpoint_update(0)], full=True)  # the list leaves out endpoint 1
+    # No list has named endpoint 7 before.
+    balancer.update_endpoints(NOW, [endpoint_update(7, EndpointState.REMOVED)], full=False)
     assert [endpoint.index for endpoint in balancer.selection.ready if endpoint.is_listed] == [0]
     assert set(balancer.selection.endpoints) == {0, 1}
     balancer.selection.endpoints[1].answered_at = NOW
@@ -231,10 +232,12 @@
     ):
         balancer, _ = make_balancer(request_classes=(replace(DEDUPLICATED, deduplication_scope=scope),))
         for endpoint in balancer.selection.endpoints.values():
-            endpoint.cell, endpoint.zone = endpoint.index, endpoint.index % 2
+            endpoint.cell = endpoint.index
+            endpoint.zone = endpoint.index % 2
         request = admit(balancer, 0)
         first = request.attempts[0]
-        first.cell, first.zone = 0, 0
+        first.cell = 0
+        first.zone = 0
         endpoints = balancer.selection.endpoints.values()
         assert [is_deduplicated_at(request, endpoint, first) for endpoint in endpoints] == is_deduplicated
         permitted = permitted_endpoints(request, list(endpoints))
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,4 +1,4 @@
-"""Ejection and recovery of endpoints, and connections that died while idle."""
+"""Ejection and recovery of endpoints, and stale idle connections."""
 
 from fake_port import IDEMPOTENT, MS, NON_IDEMPOTENT, S, admit, make_balancer
 
@@ -25,7 +25,7 @@
     balancer.health_check_finished(NOW + 3 * S, endpoint.index, Outcome.TIMED_OUT)
     assert endpoint.is_ejected
     port.clear()
-    for ticks, check_count in ((3, 0), (4, 1)):  # a check that fails doubles the wait for the next
+    for ticks, check_count in ((3, 0), (4, 1)):  # a failed check doubles the delay of the next
         balancer.timer_fired(NOW + 3 * S + ticks * balancer.tick, 0)
         assert len(port.calls_to("check_health")) == check_count
     balancer.health_check_finished(NOW + 5 * S, endpoint.index, Outcome.SUCCEEDED)
@@ -49,9 +49,9 @@
         now = NOW + wait
         balancer.timer_fired(now, 0)
         port.clear()
-        admit(balancer, 2, now=now).client_disconnected(now)  # what must not run twice tries nothing
+        admit(balancer, 2, now=now).client_disconnected(now)  # a non-idempotent request is no trial
         trial, other = admit(balancer, 0, now=now, request_id=2), admit(balancer, 0, now=now, request_id=3)
-        assert [call[2] for call in port.calls_to("send")] == [1, 0, 1]  # one attempt, no more
+        assert [call[2] for call in port.calls_to("send")] == [1, 0, 1]  # one trial request
         trial.attempt_finished(now, 0, outcome, MS, is_restored)
         other.attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
         assert balancer.selection.endpoints[0].is_ejected is not is_restored
@@ -60,16 +60,14 @@
     balancer.timer_fired(
         NOW + LINGER_VALIDITIES * max(balancer.throttling.validity, balancer.throttling.min_validity << 1), 0
     )
-    assert not balancer.selection.endpoints[1].is_ejected  # only what must not run twice came by
+    assert not balancer.selection.endpoints[1].is_ejected  # only non-idempotent requests came
 
 
 def test_endpoint_that_fails_far_more_than_the_tier_is_ejected():
     balancer, _ = make_balancer()
     for endpoint in (balancer.selection.endpoints[0], balancer.selection.endpoints[1]):
-        endpoint.entries[-1].sampled, endpoint.entries[-1].failed = (
-            MIN_SAMPLES,
-            MIN_SAMPLES * (endpoint.index == 0),
-        )
+        endpoint.entries[-1].sampled = MIN_SAMPLES
+        endpoint.entries[-1].failed = MIN_SAMPLES * (endpoint.index == 0)
     balancer.close_windows(NOW + S)
     assert balancer.selection.endpoints[0].is_ejected
     assert not balancer.selection.endpoints[1].is_ejected
@@ -108,26 +106,27 @@
         (0, MS, 0),
         (1, MS, 0),
         (2, MS, 1),
-        (2, S // 2, 0),
-    ):  # the last after an answer
+        (2, S // 2, 0),  # resets, but not quick ones
+    ):
         balancer, port = make_balancer(endpoints=1)
-        balancer.concurrency.limit, balancer.deadlines.mean_latencies[:] = 1e9, [S, S, S]
+        balancer.concurrency.limit = 1e9
+        balancer.deadlines.mean_latencies[:] = [S, S, S]
         for n in range(MIN_TIER_SAMPLES):
             outcome = Outcome.RESET if n < resets else Outcome.FAILED
-            admit(balancer, 2, request_id=n).attempt_finished(
-                NOW, 0, outcome, duration, False, S
-            )  # the driver tells: it had idled
+            # The last argument is the idle time that the driver reports.
+            admit(balancer, 2, request_id=n).attempt_finished(NOW, 0, outcome, duration, False, S)
         balancer.close_windows(NOW + S)
         balancer.outliers.restore(balancer.selection.endpoints[0], NOW)
         balancer.selection.endpoints[0].entries[2].reduction = balancer.throttling.tier.reduction = 0.0
-        for request_id in (98, 99):  # the first finds the endpoint just used, the second with others out
+        for request_id in (98, 99):  # first an endpoint just used, then one with attempts in flight
             admit(balancer, 2, request_id=request_id)
         assert [call[1:] for call in port.calls_to("close_idle_connections")] == [(0, S // 2)] * close_count
 
 
 def test_quick_failures_eject_before_the_window_ends_and_at_once_after_recovery():
     balancer, _ = make_balancer()
-    endpoint, balancer.deadlines.mean_latencies[2] = balancer.selection.endpoints[0], 100 * MS
+    endpoint = balancer.selection.endpoints[0]
+    balancer.deadlines.mean_latencies[2] = 100 * MS
 
     def fails():
         request = admit(balancer, 2)
@@ -154,7 +153,7 @@
     endpoint, now = balancer.selection.endpoints[0], NOW
     balancer.outliers.eject(endpoint, now)
     balancer.health_check_finished(now, 0, Outcome.SUCCEEDED)
-    assert not endpoint.is_ejected  # the first time its check does
+    assert not endpoint.is_ejected  # the first time, a health check suffices
     balancer.outliers.eject(endpoint, now)
     for outcome in (Outcome.TIMED_OUT, Outcome.SUCCEEDED):
         wait = balancer.tick << endpoint.consecutive_failures
@@ -190,7 +189,7 @@
     balancer.concurrency.mean_latency = 100 * MS
     endpoint = admit(balancer, 0).attempts[0].endpoint
     max_silence = 400 * MS + balancer.tick
-    assert not balancer.outliers.is_hung(endpoint, NOW + max_silence + 1)  # nobody answers
+    assert not balancer.outliers.is_hung(endpoint, NOW + max_silence + 1)  # no endpoint answers
     balancer.outliers.last_answer_at = NOW + 1
     assert not balancer.outliers.is_hung(endpoint, NOW + max_silence)
     assert balancer.outliers.is_hung(endpoint, NOW + max_silence + 1)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -66,7 +66,7 @@
     assert [len(port.calls_to("send")), request.in_flight] == [2, 2]
     assert port.calls_to("send")[-1][2] != first
     request.hedge_timer_fired(100 * S + 400 * MS)
-    assert request.in_flight == 2  # never a third
+    assert request.in_flight == 2  # one hedge at most
     request.attempt_finished(100 * S + 500 * MS, 1, Outcome.SUCCEEDED, 200 * MS, True)
     assert port.calls_to("cancel")
     assert {call[2] for call in port.calls_to("cancel")} == {0, 1}
@@ -87,7 +87,7 @@
     assert len(port.calls_to("send")) == 2
     assert not port.calls_to("reject")
     request.attempt_finished(100 * S + 500 * MS, 1, Outcome.FAILED, 200 * MS, False)
-    assert len(port.calls_to("send")) == 3  # its attempts are not spent
+    assert len(port.calls_to("send")) == 3  # a third attempt is allowed
 
 
 def test_hedge_costs_a_retry_and_needs_another_endpoint():
--- a/tests/policy/test_sampling.py
+++ b/tests/policy/test_sampling.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt counts as, and in which scopes."""
+"""Attribution of outcomes: whether an attempt counts as failed, and in which scopes."""
 
 from fake_port import IDEMPOTENT, MS, S, admit, make_balancer
 
@@ -33,10 +33,8 @@
     ):
         balancer, _ = make_balancer()
         request = admit(balancer, 2)
-        request.attempts[0].endpoint.relative_latency, request.attempts[0].endpoint.silent_since = (
-            relative_latency,
-            silent_since,
-        )
+        request.attempts[0].endpoint.relative_latency = relative_latency
+        request.attempts[0].endpoint.silent_since = silent_since
         request.attempt_finished(NOW + S, 0, Outcome(outcome), S, True)
         assert abs(balancer.concurrency.latency_ratio - latency_ratio) < 1e-6
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What warming endpoints may get, and the rate by which their budgets are filled."""
+"""Slow start: the budgets of warming endpoints, and the send rate that fills them."""
 
 import pytest
 from fake_port import MS, S, admit, make_balancer
@@ -24,7 +24,8 @@
 def test_successor_process_takes_half_of_the_slow_start_budget_and_the_limit():
     old, _ = make_balancer(endpoints=1, process_started_at=NOW)
     balancer, _ = make_balancer(endpoints=1, process_started_at=NOW)
-    old.selection.endpoints[0].slow_start_budget, old.concurrency.limit = 1.0, 99.0
+    old.selection.endpoints[0].slow_start_budget = 1.0
+    old.concurrency.limit = 99.0
     balancer.restore(old.snapshot(ends=False), [(0, 0)])
     assert (
         old.selection.endpoints[0].slow_start_budget + balancer.selection.endpoints[0].slow_start_budget == 1
@@ -35,20 +36,19 @@
 def test_warming_endpoints_get_no_more_than_their_slow_start_budget():
     balancer, port = make_balancer(endpoints=4, process_started_at=0)
     balancer.update_endpoints(NOW, [(3, EndpointState.READY, NOW, 1.0, 1, 1, b"")], full=False)
-    balancer.slow_start.send_rate, balancer.concurrency.limit = (
-        400 / S,
-        1e9,
-    )  # a hundred a second and endpoint
+    balancer.slow_start.send_rate = 400 / S  # 100 per second and endpoint
+    balancer.concurrency.limit = 1e9
     for step in range(4000):
         now = NOW + step * S // 4000
         admit(balancer, 0, now=now, request_id=step).attempt_finished(now, 0, Outcome.SUCCEEDED, MS, True)
     sent = sum(call[2] == 3 for call in port.calls_to("send"))
-    assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5  # its share of half the multiple, a little risen
+    # Rate, initial capacity, half the multiple, and 1.5 as the share rises a little during the test.
+    assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5
 
 
 def test_new_requests_set_the_send_rate_while_all_endpoints_warm_up():
     balancer, port = make_balancer(endpoints=2, process_started_at=NOW)
-    assert admit(balancer, 0).is_finished  # nothing is known yet
+    assert admit(balancer, 0).is_finished  # no send rate yet
     balancer.admission.new_requests = 100
     balancer.close_windows(NOW + S)
     admit(balancer, 0, now=NOW + S)
@@ -59,14 +59,13 @@
 def test_ejected_warming_endpoint_gets_a_trial_within_its_slow_start_budget():
     for budget, tried in ((0.5, 1), (1.0, 0)):
         balancer, port = make_balancer(endpoints=2, can_health_check=False)
-        balancer.deadlines.mean_latencies[0], cold = 10 * MS, balancer.selection.endpoints[0]
-        (
-            cold.is_ejected,
-            cold.started_at,
-            cold.slow_start_budget,
-            cold.budget_filled_at,
-            balancer.outliers.awaiting_trial,
-        ) = True, NOW - S, budget, NOW, {cold: None}
+        balancer.deadlines.mean_latencies[0] = 10 * MS
+        warming = balancer.selection.endpoints[0]
+        warming.is_ejected = True
+        warming.started_at = NOW - S
+        warming.slow_start_budget = budget
+        warming.budget_filled_at = NOW
+        balancer.outliers.awaiting_trial = {warming: None}
         admit(balancer, 0)
         assert port.calls_to("send")[0][2] == tried
 
@@ -80,7 +79,7 @@
     endpoint.slow_start_budget = 0.9
     assert balancer.slow_start.warm_share(endpoint, NOW + S, 1) == 0
     assert balancer.slow_start.warm_share(endpoint, NOW + 10 * S, 1) == 1
-    endpoint.started_at = 0  # the list does not tell
+    endpoint.started_at = 0  # unknown start
     assert balancer.slow_start.warm_share(endpoint, NOW, 1) == 1
 
 
