--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -260,7 +260,7 @@
 class BalancerEvents(Protocol):
     """The events that `policy.balancer.Balancer` handles, all on one thread; it acts through its `Port`."""
 
-    def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
+    def update_endpoints(self, now: int, updates: list[EndpointUpdate], full: bool) -> None:
         """Apply an endpoint list (`full`), or changes to it."""
 
     def endpoint_poll_failed(self, now: int) -> None:
@@ -268,7 +268,7 @@
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
-        repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+        is_repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestHandle:  # fmt: skip
         """Send a request, queue it behind others of its key, or reject it.
 
@@ -278,7 +278,7 @@
             class_index: Index of its request class.
             tenant: Index of its tenant; an index beyond the quotas has no quota.
             deadline: When an answer becomes worthless.
-            repeat: Whether its client sends it again after a rejection.
+            is_repeat: Whether its client sends it again after a rejection.
             body_pending: Whether its body is still being received.
             key: The ordering key, by which requests of ordered classes are sent one at a time; 0: none.
         """
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -54,7 +54,7 @@
 
     # Endpoints
 
-    def update_endpoints(self, now: int, rows: list[EndpointUpdate], full: bool) -> None:
+    def update_endpoints(self, now: int, updates: list[EndpointUpdate], full: bool) -> None:
         """Apply an endpoint list (`full`), or changes to it."""
         if not self.is_started:
             self.is_started = True
@@ -62,7 +62,7 @@
             self.port.set_timer(now + self.tick, TimerToken.TICK)
             if self.poll_backoff:
                 self.port.poll_endpoints()
-        self.selection.update(now, rows, full=full)
+        self.selection.update(now, updates, full=full)
 
     def endpoint_poll_failed(self, now: int) -> None:
         """Report that a poll of the endpoint list failed; it is repeated after a random delay.
@@ -160,7 +160,7 @@
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
-        repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+        is_repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
         """Send a request, queue it behind others of its key, or reject it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
@@ -170,7 +170,7 @@
         request.deadline = deadline
         if not body_pending:  # otherwise set once the body has been received
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
-        if not self.admission.admits(request, tenant, now, is_repeat=repeat):
+        if not self.admission.admits(request, tenant, now, is_repeat=is_repeat):
             self.give_up(request)
         elif key:
             self._queue(request, now)
@@ -247,7 +247,7 @@
         if attempt.idle:
             mean_latency = self.deadlines.mean_latencies[request.class_index]
             self.outliers.record_idle_outcome(attempt, now, outcome, duration, mean_latency)
-        if request.key and self.key_queues.needs_rest(outcome):
+        if request.key and self.key_queues.needs_pause(outcome):
             self.key_queues.pause(request, now)
         self._record_outcome(request, attempt.endpoint, now, outcome, duration)
         if not request.is_answered and not request.in_flight:
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -29,8 +29,8 @@
         in_flight: Attempts of this balancer at endpoints that are not ejected.
         in_flight_elsewhere: Attempts of other processes of this instance; set by the driver.
         limit: How many attempts may be in flight.
-        mean_in_flight: Mean number in flight in both processes, sampled at admissions.
-        sustained_in_flight: Mean number in flight in both processes, sampled at adjustments without overload.
+        mean_in_flight: Mean number in flight in all processes, sampled at admissions.
+        sustained_in_flight: Mean number in flight in all processes, sampled at adjustments without overload.
         latency_ratio: Mean ratio of latency to latency objective.
         min_latency_ratio: The lowest such mean observed, which slowly drifts upwards.
         mean_latency: Mean latency of successful attempts of all classes.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -66,7 +66,7 @@
         """Return the requests that wait for their turn, by key and in the order of their admission."""
         return [request for queue in self.queues.values() for request in queue.waiting]
 
-    def needs_rest(self, outcome: Outcome) -> bool:
+    def needs_pause(self, outcome: Outcome) -> bool:
         """Return whether a key is paused after an attempt with this outcome.
 
         The attempt may still run at the endpoint, where the next request of the key could overtake it.
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -118,8 +118,8 @@
     def is_hung(self, endpoint: Endpoint, now: int) -> bool:
         """Return whether an endpoint is silent at `now` while others answer.
 
-        Otherwise its attempts would end only by their time-outs. Attempts of classes that fail everywhere
-        don't count.
+        Without an ejection, its attempts would end only by their time-outs. Attempts of classes that fail
+        everywhere don't count.
         """
         if self.last_answer_at <= endpoint.silent_since:
             return False
@@ -183,8 +183,8 @@
         """Start a health check or a trial of an ejected endpoint, or restore it, if that is due at `now`."""
         waited = now - endpoint.ejected_since
         if self.settings.can_health_check:
-            if waited >= self.health_check_delay(endpoint) and not endpoint.health_check_under_way:
-                endpoint.health_check_under_way = True
+            if waited >= self.health_check_delay(endpoint) and not endpoint.is_health_check_pending:
+                endpoint.is_health_check_pending = True
                 self.port.check_health(endpoint.index)
             return
         wait = self.trial_delay(endpoint)
@@ -208,7 +208,7 @@
 
         After a success it is restored or gets a trial request; after a failure it waits for longer.
         """
-        endpoint.health_check_under_way = False
+        endpoint.is_health_check_pending = False
         if not endpoint.is_ejected:
             return
         if outcome is not Outcome.SUCCEEDED:
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -48,7 +48,7 @@
         self.is_ejected = False
         self.ejected_since = 0
         self.consecutive_failures = 0  # ejections, and failed trials and health checks since
-        self.health_check_under_way = False
+        self.is_health_check_pending = False
 
     def snapshot(self, slow_start_budget: float) -> StoredEndpoint:
         """Return the state handed over to the next policy, with its share of the slow-start budget."""
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -105,20 +105,22 @@
 
     # Endpoint list
 
-    def update(self, now: int, rows: Sequence[EndpointUpdate], *, full: bool) -> None:
+    def update(self, now: int, updates: Sequence[EndpointUpdate], *, full: bool) -> None:
         """Apply an endpoint list (`full`), or changes to it."""
-        removed = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
+        removed = {
+            endpoint_update[0] for endpoint_update in updates if endpoint_update[1] is EndpointState.REMOVED
+        }
         if full:
-            removed |= self.endpoints.keys() - {row[0] for row in rows}
-        for row in rows:
-            if row[0] not in removed:
-                self._update_endpoint(now, row)
+            removed |= self.endpoints.keys() - {endpoint_update[0] for endpoint_update in updates}
+        for endpoint_update in updates:
+            if endpoint_update[0] not in removed:
+                self._update_endpoint(now, endpoint_update)
         for index in removed & self.endpoints.keys():
             self._mark_unlisted(self.endpoints[index])
         self._rank_endpoints()
 
-    def _update_endpoint(self, now: int, row: EndpointUpdate) -> None:
-        index, state, started_at, weight, cell, zone, endpoint_id = row
+    def _update_endpoint(self, now: int, endpoint_update: EndpointUpdate) -> None:
+        index, state, started_at, weight, cell, zone, endpoint_id = endpoint_update
         if index not in self.endpoints:
             rank_key = b"%d" % self.settings.instance_index
             rank = blake2b(endpoint_id, key=rank_key, digest_size=RANK_BYTES).digest()
@@ -193,7 +195,10 @@
             self.select()
 
     def select(self) -> None:
-        """Select the endpoints of highest rank that are not ejected, per zone side if crossing has a cost."""
+        """Select the endpoints of highest rank that are not ejected.
+
+        Where crossing zones has a cost, those inside and outside the own zone are selected separately.
+        """
         size = self.subset_size if self.settings.instance_index >= 0 else None
         zone = self.settings.zone
         cost = self.settings.cross_zone_cost
