--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -1,15 +1,24 @@
-"""Order among requests of one key: one at a time; after an attempt that may go on, the key rests."""
+"""Ordering of requests with the same key: one at a time, with a pause after an attempt that may still run.
+
+Times are in microseconds.
+"""
 
 from heapq import heappop, heappush
 
 from dahliabend.model import Outcome, Port, TimerToken
 from dahliabend.policy.records import RequestState
 
-_MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # at the endpoint, after such an end
+_UNCERTAIN_OUTCOMES = (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still run
 
 
 class KeyQueue:
-    """Of one key: whose turn it is, until when the key rests (us; 0: not), and who waits, as admitted."""
+    """The queue of one key.
+
+    Attributes:
+        current: The request whose turn it is.
+        paused_until: When the pause of the key ends; 0: the key is not paused.
+        waiting: The requests that wait for their turn, in the order of their admission.
+    """
 
     def __init__(self) -> None:
         self.current: RequestState | None = None
@@ -18,30 +27,34 @@
 
 
 class KeyQueues:
-    """The queues of all keys of one balancer. Nothing is kept of a key once its queue and rest are over."""
+    """The queues of all keys of one balancer.
+
+    The state of a key is dropped once its queue is empty and its pause is over.
+    """
 
-    def __init__(self, rest_time: int, port: Port) -> None:
-        self.rest_time = rest_time  # microseconds
+    def __init__(self, pause_time: int, port: Port) -> None:
+        self.pause_time = pause_time
         self.port = port
         self.queues: dict[int | bytes, KeyQueue] = {}
-        self.pauses: list[tuple[int, int | bytes]] = []  # a heap: until when, the key
+        self.pauses: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
 
-    def take_over(self, before: "KeyQueues") -> None:
-        """Goes on with the queues of the decisions before, in the same process.
+    def take_over(self, predecessor: "KeyQueues") -> None:
+        """Continue with the queues of the policy that was in force before, in the same process.
 
-        Else a request could run beside another of its key that was admitted under other settings.
+        Otherwise a request could run beside another one of its key that was admitted under the former
+        settings.
         """
-        self.queues = before.queues
-        self.pauses = before.pauses
+        self.queues = predecessor.queues
+        self.pauses = predecessor.pauses
         for until, _ in self.pauses:
             self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
     def turns_ahead(self, key: int | bytes) -> int:
-        """Returns how many turns of a key come before one that joins now; a rest counts as one."""
+        """Return how many turns precede a request that joins now; a pause counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
-        """Queues a request behind all of its key. Returns whether it is its turn at once."""
+        """Append a request to the queue of its key, and return whether its turn has come at once."""
         queue = self.queues.setdefault(request.key, KeyQueue())
         if queue.current or queue.paused_until:
             queue.waiting[request] = None
@@ -50,19 +63,22 @@
         return True
 
     def waiting_requests(self) -> list[RequestState]:
-        """Returns the requests that wait for their turn, by key in the order in which they were admitted."""
+        """Return the requests that wait for their turn, by key and in the order of their admission."""
         return [request for queue in self.queues.values() for request in queue.waiting]
 
-    def needs_rest(self, outcome: Outcome) -> bool:
-        """Returns whether a key rests after such an end: the next could overtake an attempt that goes on."""
-        return outcome in _MAY_STILL_RUN
+    def needs_pause(self, outcome: Outcome) -> bool:
+        """Return whether a key is paused after an attempt with this outcome.
+
+        The attempt may still run at the endpoint, where the next request of the key could overtake it.
+        """
+        return outcome in _UNCERTAIN_OUTCOMES
 
     def pause(self, request: RequestState, now: int) -> None:
-        """Lets the key of a request rest from a time (us) on."""
-        self.queues[request.key].paused_until = now + self.rest_time
+        """Pause the key of a request, from `now` on."""
+        self.queues[request.key].paused_until = now + self.pause_time
 
     def leave(self, request: RequestState, now: int) -> None:
-        """Takes a request out if it is finished, whether its turn had come or not."""
+        """Remove a request from its queue if it is finished, whether or not its turn had come."""
         queue = self.queues.get(request.key) if request.is_finished else None
         if queue and queue.current is request:
             queue.current = None
@@ -71,7 +87,7 @@
             queue.waiting.pop(request, None)
 
     def timer_fired(self, now: int) -> None:
-        """Ends the rests that are over at a time (us)."""
+        """End the pauses that are over at `now`, and send the next request of each of these keys."""
         while self.pauses and self.pauses[0][0] <= now:
             key = heappop(self.pauses)[1]
             self._advance(key, self.queues[key], now)
@@ -87,6 +103,6 @@
             queue.current = request
             del queue.waiting[request]
             request.balancer.send(request, now)
-            queue.current = None if request.is_finished else request  # given up unsent
+            queue.current = None if request.is_finished else request  # `send` may give it up at once
         if not queue.current:
-            del self.queues[key]  # else a key seen once would be kept for ever
+            del self.queues[key]  # a key is stored only while it is in use
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -1,4 +1,7 @@
-"""Which endpoint gets an attempt: own zone first, a subset by rank, weighted round robin."""
+"""Selection of the endpoint for an attempt: own zone first, a subset by rank, weighted round robin.
+
+Times are in microseconds.
+"""
 
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
@@ -12,22 +15,22 @@
     PolicySettings,
 )
 from dahliabend.policy.concurrency import ConcurrencyLimit
-from dahliabend.policy.moving_average import NEWEST_WEIGHT_OF_FEW, ewma
+from dahliabend.policy.moving_average import NEWEST_WEIGHT_SPARSE, ewma
 from dahliabend.policy.records import Attempt, Endpoint, RequestState
 from dahliabend.policy.slow_start import SlowStart
 from dahliabend.policy.throttling import MIN_SAMPLES, Throttling
 
-MIN_SUBSET = 2  # endpoints selected at the least, of each side of a zone border that costs
-MIN_SUBSET_CHANGE = 4  # a subset keeps its size until it would change by more than one such part of it
-MAX_LATENCY_RATIO = 10  # the most that one attempt tells of its endpoint's relative latency
+MIN_SUBSET = 2  # endpoints, inside and outside the own zone if crossing has a cost
+MIN_SUBSET_CHANGE_DIVISOR = 4  # a smaller change than size / 4 leaves the subset as it is
+MAX_LATENCY_RATIO = 10  # bound on what one attempt adds to the relative latency of its endpoint
 NO_LOAD_LIMIT = float("inf")
 RANK_BYTES = 8
 
 
 def is_deduplicated_at(request: RequestState, endpoint: Endpoint, first: Attempt) -> bool:
-    """Returns whether an endpoint drops repeats of an attempt that may have executed.
+    """Return whether an endpoint drops repeats of an attempt that may have executed.
 
-    Sent outside the scope, a repeat takes effect a second time.
+    A repeat that is sent outside the deduplication scope takes effect a second time.
     """
     scope = request.request_class.deduplication_scope
     if scope is DeduplicationScope.CELL:
@@ -36,9 +39,10 @@
 
 
 def permitted_endpoints(request: RequestState, endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Returns those to which a request may go: where repeats are dropped, if it may have executed.
+    """Return the endpoints to which a request may be sent.
 
-    Elsewhere a repeat would take effect a second time.
+    If the request may have executed, these are the ones that drop its repeats; elsewhere a repeat would take
+    effect a second time.
     """
     if request.request_class.effect is not Idempotency.DEDUPLICATED:
         return endpoints
@@ -49,10 +53,10 @@
 
 
 def available_endpoints(pool: list[Endpoint]) -> tuple[list[Endpoint], float]:
-    """Returns those of a pool that are not ejected, and their load limit.
+    """Return the endpoints of a pool that are not ejected, and their load limit.
 
-    The limit is their mean of attempts in flight by weight; above it an endpoint is skipped. Round robin
-    alone would queue requests at an endpoint that has become slow.
+    The limit is their mean number of attempts in flight per weight; an endpoint above it is skipped. Round
+    robin alone would queue requests at an endpoint that has become slow.
     """
     available = []
     weights = 0.0
@@ -66,16 +70,16 @@
 
 
 class EndpointSelection:
-    """The endpoints listed, those ready by rank, and the subsets used: in the own zone, or beyond it.
+    """The listed endpoints, the ready ones by rank, and the subsets in use in the own zone and beyond it.
 
     Attributes:
-        endpoints: By index; all that a list has named, but for removed ones.
-        ready: Those that get requests as listed, the highest rank first.
-        selected: The subset used first.
-        cross_zone: The subset beyond the border of the own zone, where crossing costs.
-        subset_size: How many endpoints each of both has at the most.
-        max_ready: The most endpoints ever ready.
-        instance_count: Balancers that share the endpoints; drivers set it where it changes.
+        endpoints: By index; all endpoints named by a list, except removed ones.
+        ready: The endpoints whose listed state is ready, the highest rank first.
+        selected: The preferred subset.
+        cross_zone: The subset outside the own zone, where crossing zones has a cost.
+        subset_size: The maximum size of each of these two subsets.
+        max_ready: The largest number of ready endpoints so far.
+        instance_count: Number of balancers that share the endpoints; drivers update it.
     """
 
     def __init__(
@@ -99,57 +103,61 @@
         self.subset_size = 0
         self.max_ready = 1
 
-    # The list.
+    # Endpoint list
 
-    def update(self, now: int, rows: Sequence[EndpointUpdate], *, full: bool) -> None:
-        """Takes over a list of endpoints, or (not `full`) changes of it."""
-        gone = {row[0] for row in rows if row[1] is EndpointState.REMOVED}
+    def update(self, now: int, updates: Sequence[EndpointUpdate], *, full: bool) -> None:
+        """Apply an endpoint list (`full`), or changes to it."""
+        removed = {
+            endpoint_update[0] for endpoint_update in updates if endpoint_update[1] is EndpointState.REMOVED
+        }
         if full:
-            gone |= self.endpoints.keys() - {row[0] for row in rows}
-        for row in rows:
-            if row[0] not in gone:
-                self._update_endpoint(now, row)
-        for index in gone & self.endpoints.keys():
-            self._unlist(self.endpoints[index])
-        self._rank()
-
-    def _update_endpoint(self, now: int, row: EndpointUpdate) -> None:
-        index, state, started_at, weight, cell, zone, identity = row
+            removed |= self.endpoints.keys() - {endpoint_update[0] for endpoint_update in updates}
+        for endpoint_update in updates:
+            if endpoint_update[0] not in removed:
+                self._update_endpoint(now, endpoint_update)
+        for index in removed & self.endpoints.keys():
+            self._mark_unlisted(self.endpoints[index])
+        self._rank_endpoints()
+
+    def _update_endpoint(self, now: int, endpoint_update: EndpointUpdate) -> None:
+        index, state, started_at, weight, cell, zone, endpoint_id = endpoint_update
         if index not in self.endpoints:
-            instance = b"%d" % self.settings.instance_index
-            rank = blake2b(identity, key=instance, digest_size=RANK_BYTES).digest()
+            rank_key = b"%d" % self.settings.instance_index
+            rank = blake2b(endpoint_id, key=rank_key, digest_size=RANK_BYTES).digest()
             self.endpoints[index] = Endpoint(index, rank, len(self.settings.request_classes))
         endpoint = self.endpoints[index]
-        if started_at != endpoint.started_at:  # nothing known of an earlier process holds
+        if started_at != endpoint.started_at:  # what is known of an earlier process does not apply
             if endpoint.is_ejected:
                 self.concurrency.endpoint_restored(endpoint)
-            endpoint.start(started_at, now, self.random())  # else all balancers turn to it at once
+            endpoint.start(started_at, now, self.random())  # random, lest all balancers send to it at once
         endpoint.state = state
         endpoint.is_listed = True
         endpoint.cell = cell
         endpoint.zone = zone
         endpoint.weight = weight if weight > 0 else 1.0
 
-    def _unlist(self, endpoint: Endpoint) -> None:
+    def _mark_unlisted(self, endpoint: Endpoint) -> None:
         endpoint.is_listed = False
+        # A ready endpoint may be kept while it answers, because the list may be wrong.
         if not self.settings.can_use_removed_endpoints or endpoint.state is not EndpointState.READY:
-            endpoint.state = EndpointState.REMOVED  # else kept while it answers, against a wrong list
+            endpoint.state = EndpointState.REMOVED
 
     def remove_unlisted(self, now: int) -> None:
-        """Removes what no list names and has not answered for as long as a start takes.
+        """Remove endpoints that no list names and that have not answered for `warmup_time` before `now`.
 
-        Takes the time (us). Kept for longer, an endpoint that is really gone would go on getting requests.
+        If they were kept for longer, an endpoint that has really gone would go on receiving requests.
         """
         warmup_time = self.settings.warmup_time
         stale = [each for each in self.ready if not each.is_listed and now - each.answered_at > warmup_time]
         for endpoint in stale:
             endpoint.state = EndpointState.REMOVED
         if stale:
-            self._rank()
+            self._rank_endpoints()
 
-    # The subset.
+    # Subset
 
-    def _rank(self) -> None:  # attempts in flight keep the record of one that is gone until they end
+    def _rank_endpoints(self) -> None:
+        # Attempts in flight keep the record of a removed endpoint until they end.
         self.endpoints = {
             index: endpoint
             for index, endpoint in self.endpoints.items()
@@ -158,36 +166,39 @@
         ready = (each for each in self.endpoints.values() if each.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda endpoint: endpoint.rank, reverse=True)
         self.max_ready = max(self.max_ready, len(self.ready))
-        self.concurrency.start(self.endpoints_each())
+        self.concurrency.start(self.endpoints_per_instance())
         self.subset_size = self.subset_size or self.initial_subset_size()
         self.select()
 
-    def endpoints_each(self) -> float:
-        """Returns how many ready endpoints there are for each balancer."""
+    def endpoints_per_instance(self) -> float:
+        """Return the number of ready endpoints per balancer."""
         return len(self.ready) / self.instance_count
 
     def initial_subset_size(self) -> int:
-        """Returns the first size of the subset: all, unless there are more balancers than endpoints.
+        """Return the initial size of the subset: all endpoints, unless balancers outnumber them.
 
-        With more, the connections of an endpoint would not suffice for all balancers at once.
+        In that case an endpoint would not have enough connections for all balancers at once.
         """
         return max(MIN_SUBSET, self.max_ready if self.max_ready >= self.instance_count else 0)
 
     def resize_subset(self) -> None:
-        """Fits the subset to the rate of attempts: all, or as many as reach their floor within a validity.
+        """Adapt the subset to the send rate: all endpoints, or as many as get `MIN_SAMPLES` in a validity.
 
-        Spread over more endpoints, the few attempts of one balancer would tell nothing of any of them.
+        Spread over more endpoints, the few attempts of one balancer would say nothing about any of them.
         """
         attempts = self.slow_start.send_rate * self.throttling.min_validity
         size = (
             self.max_ready if attempts >= self.max_ready else max(MIN_SUBSET, round(attempts / MIN_SAMPLES))
         )
-        if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE:
+        if abs(size - self.subset_size) > self.subset_size / MIN_SUBSET_CHANGE_DIVISOR:
             self.subset_size = size
             self.select()
 
     def select(self) -> None:
-        """Selects the highest ranks that are not ejected, on each side of a zone border that costs."""
+        """Select the endpoints of highest rank that are not ejected.
+
+        Where crossing zones has a cost, those inside and outside the own zone are selected separately.
+        """
         size = self.subset_size if self.settings.instance_index >= 0 else None
         zone = self.settings.zone
         cost = self.settings.cross_zone_cost
@@ -195,19 +206,19 @@
         self.selected = [each for each in healthy if not cost or each.zone == zone][:size]
         self.cross_zone = [each for each in healthy if cost and each.zone != zone][:size]
 
-    # The choice.
+    # Choice
 
     def choose(self, request: RequestState, now: int, *, unthrottled: bool = False) -> Endpoint | None:
-        """Returns the endpoint for a request's next attempt at a time (us), None if there is none.
+        """Return the endpoint for the next attempt of a request at `now`, None if there is none.
 
-        One that the request has not tried and that is not above the mean load, out of the subsets by
-        preference; then out of all that are ready; then any that is ready, rather than none. `unthrottled`:
-        only one that is known to hold no reduction.
+        Preferred are endpoints that the request has not tried and whose load is not above the mean: first
+        from the subsets, then from all ready endpoints. If there is none, any ready endpoint is chosen. With
+        `unthrottled`, only endpoints known to hold no reduction qualify.
         """
         pools = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
             pools = (self.cross_zone, self.selected, self.ready)
-        avoiding_for = request if unthrottled else None
+        unthrottled_for = request if unthrottled else None
         for pool in pools:
             if not pool:
                 continue
@@ -216,37 +227,38 @@
                 tried = [attempt.endpoint for attempt in request.attempts]
                 candidates = [endpoint for endpoint in candidates if endpoint not in tried]
                 candidates = permitted_endpoints(request, candidates)
-            best = self._next_in_rotation(candidates, load_limit, now, avoiding_for)
+            best = self._next_in_rotation(candidates, load_limit, now, unthrottled_for)
             if best is not None:
                 return best
         candidates = permitted_endpoints(request, self.ready)
-        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, avoiding_for)
+        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, unthrottled_for)
 
     def prefers_cross_zone(self, now: int) -> bool:
-        """Returns whether an attempt at a time (us) crosses the zone border: by the own zone's reduction.
+        """Return whether an attempt at `now` crosses zones: with the probability of the own zone's reduction.
 
-        An overloaded zone would fail while the other has capacity; without a reduction crossing only costs.
+        An overloaded zone would fail requests while others have capacity. Without a reduction, crossing only
+        has a cost.
         """
         return self.random() < self.throttling.same_zone.valid_reduction(now)
 
     def _next_in_rotation(
-        self, candidates: list[Endpoint], load_limit: float, now: int, avoiding_for: RequestState | None
+        self, candidates: list[Endpoint], load_limit: float, now: int, unthrottled_for: RequestState | None
     ) -> Endpoint | None:
-        """Smooth weighted round robin, by weight, latency and warm share.
+        """Choose by smooth weighted round robin over weight, relative latency and warm share.
 
-        Skips endpoints above the load limit (attempts in flight by weight), and those that may hold a
-        reduction for the request `avoiding_for`.
+        Endpoints above the load limit (attempts in flight per weight) are skipped, and those that may hold a
+        reduction for the request `unthrottled_for`.
         """
         warmup_time = self.settings.warmup_time
         best = None
         total = 0.0
         for endpoint in candidates:
             weight = endpoint.weight / endpoint.relative_latency
-            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # no call for warm ones
+            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # else it is warm: no call
                 weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
-            if avoiding_for is not None and not self.is_known_unthrottled(endpoint, avoiding_for, now):
+            if unthrottled_for is not None and not self.is_known_unthrottled(endpoint, unthrottled_for, now):
                 continue
             endpoint.position += weight
             total += weight
@@ -257,19 +269,21 @@
         return best
 
     def is_known_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
-        """Returns whether an endpoint has been heard of and holds no reduction for a request at a time (us).
+        """Return whether an endpoint has been sampled and holds no reduction for a request at `now`.
 
-        One not heard of yet may be as much at fault as the one that is avoided.
+        An endpoint that has not been sampled yet may be as faulty as the one that is avoided.
         """
-        governing = self.throttling.governing(endpoint.entries, request.class_index, now)
-        return endpoint.entries[-1].valid_until > 0 and not governing.valid_reduction(now)
+        governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
+        return endpoint.entries[-1].valid_until > 0 and not governing_entry.valid_reduction(now)
 
     def has_warm_endpoint(self, now: int) -> bool:
-        """Returns whether any ready endpoint has started long enough before a time (us)."""
+        """Return whether any ready endpoint has finished its warm-up at `now`."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
-    def learn_latency(self, endpoint: Endpoint, outcome: Outcome, duration: int, mean_latency: float) -> None:
-        """Learns an endpoint's relative latency from an attempt's time and its class's mean latency (us)."""
+    def record_latency(
+        self, endpoint: Endpoint, outcome: Outcome, duration: int, mean_latency: float
+    ) -> None:
+        """Update an endpoint's relative latency by an attempt's duration and the mean of its class."""
         if mean_latency and outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT):
             ratio = min(duration / mean_latency, MAX_LATENCY_RATIO)
-            endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_OF_FEW)
+            endpoint.relative_latency = ewma(endpoint.relative_latency, ratio, NEWEST_WEIGHT_SPARSE)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -84,7 +84,7 @@
         assert client.retry_timer[0] <= clock() + backoffs[-1]
     assert backoffs == sorted(backoffs)
     assert backoffs[0] < backoffs[-1] <= S
-    assert len(observer.of("endpoint_poll_failed")) == 9
+    assert len(observer.calls_to("endpoint_poll_failed")) == 9
 
 
 def test_a_connect_cancelled_before_its_first_step_is_retried():
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -239,7 +239,7 @@
                     balancer.timer_fired(now, 0)
                 if now % interval == 0:
                     request = balancer.admit(now, 1, 0, 0, now + 5 * S)
-                    sent = port.of("send")
+                    sent = port.calls_to("send")
                     if sent and sent[-1][2] == 0 and is_warming_up:
                         attempts.append(now)
                     port.clear()
