--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -111,7 +111,7 @@
                 # it has restarted its versions. If its changes were ignored as already applied, drains would
                 # be missed until its versions reach the applied one.
                 self.version = UNKNOWN_VERSION
-                raise ValueError("the list service has restarted its versions")
+                raise ValueError("its count began anew")
             return
         entries = self._parse_entries(message.get("servers") or ())
         self.version = version
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -27,7 +27,7 @@
     assert observer == [["a"], ["c"], ["d"], ["e"], ["f"], ["g"]]
     assert endpoint_list.version == 2
     # The first message of a watch has an older version than the applied one: the versions were restarted.
-    with pytest.raises(ValueError, match="the list service has restarted its versions"):
+    with pytest.raises(ValueError, match="its count began anew"):
         apply(1, False, True, "h")
     apply(1, False, True, "i")  # the next watch starts without a version
     assert observer[-1] == ["i"]
