--- a/dahliabend/simulation/addresses.py
+++ b/dahliabend/simulation/addresses.py
@@ -1,9 +1,9 @@
-"""Addresses of the simulated and the loopback network."""
+"""Network addresses, simulated or real."""
 
 Address = tuple[str, int]  # host and port
 
 
 def format_address(address: Address) -> str:
-    """An address as `host:port`."""
+    """Return an address as `host:port`."""
     host, port = address
     return f"{host}:{port}"
--- a/dahliabend/simulation/connections.py
+++ b/dahliabend/simulation/connections.py
@@ -1,7 +1,8 @@
-"""One end of a simulated TCP connection: its buffers, and what is on its way to the other end.
+"""One end of a simulated TCP connection: its buffers, and the packets in flight to its peer.
 
-What TCP promises holds: bytes come in order, or the connection ends. What it does not promise is simulated:
-writes that are accepted in part, windows that fill, bytes unread when a reset comes, peers that fall silent.
+The guarantees of TCP hold: bytes arrive in order, or the connection ends. What TCP does not guarantee is
+simulated as well: partial writes, full receive windows, unread bytes that a reset discards, and peers that
+stop responding.
 """
 
 from __future__ import annotations
@@ -17,50 +18,50 @@
 ECONNRESET = 104
 EPIPE = 32
 MAX_SEGMENT = 65_536  # bytes
-MAX_RESUME_DELAY = 200_000  # microseconds: the longest until held packets come, once a path works again
+MAX_RESUME_DELAY = 200_000  # microseconds: longest delay of blocked packets once the path works again
 
 Buffer = bytes | bytearray | memoryview
 
 
 class Tap(Protocol):
-    """An observer of the bytes of a connection, from the side that dialled."""
+    """An observer of the bytes of a connection, seen from the end that opened it."""
 
     def data_sent(self, part: bytes) -> None:
-        """The end that dialled has written bytes."""
+        """Observe bytes that the opening end has written."""
 
     def data_received(self, part: bytes) -> None:
-        """The other end has written bytes."""
+        """Observe bytes that the accepting end has written."""
 
 
 class ConnectionOwner(Protocol):
-    """The socket of a connection's end, which is notified of what arrives."""
+    """The socket that owns an end of a connection and is notified of its events."""
 
     process: Process
 
     def notify_readable(self) -> None:
-        """Bytes, the end or a reset have arrived."""
+        """Notify the socket that data, a FIN or a reset has arrived."""
 
     def notify_writable(self) -> None:
-        """There may be room for more bytes."""
+        """Notify the socket that the send buffer may have room."""
 
 
 class ConnectionNetwork(Protocol):
-    """The network as the ends of its connections use it."""
+    """The interface of the network to the ends of its connections."""
 
     scheduler: Scheduler
     profile: NetworkProfile
     rng: Random
     connections: dict[int, ConnectionEnd]
 
-    def delay(self, one: str, other: str) -> int:
-        """Draw the microseconds that a packet takes from one host to another."""
+    def delay(self, source: str, destination: str) -> int:
+        """Draw the delay of a packet between two hosts, in microseconds."""
 
-    def is_blocked(self, one: str, other: str) -> bool:
-        """Whether packets between two hosts are lost."""
+    def is_blocked(self, source: str, destination: str) -> bool:
+        """Return whether packets between two hosts are lost."""
 
 
 class ConnectionEnd:
-    """One end of a connection. Times are microseconds."""
+    """One end of a connection. All times are in microseconds."""
 
     __slots__ = (
         "blocked_packets",
@@ -92,7 +93,7 @@
     def __init__(
         self, network: ConnectionNetwork, number: int, local: Address, remote: Address, initiator: Process
     ) -> None:
-        """Create an end; `peer` has to be set before it is used. `initiator`: the process that dialled."""
+        """Create an end; set `peer` before use. `initiator` is the process that opened the connection."""
         self.network = network
         self.number = number
         self.local = local
@@ -100,7 +101,7 @@
         self.initiator = initiator
         self.peer: ConnectionEnd
         self.sock: ConnectionOwner | None = None
-        self.send_queue = bytearray()  # accepted from the writer, not sent yet
+        self.send_queue = bytearray()  # written by the owner, not sent yet
         self.in_flight = 0  # bytes sent, not arrived yet
         self.receive_queue = bytearray()  # arrived, not read yet
         self.fin_queued = False
@@ -109,26 +110,26 @@
         self.reset_received = False
         self.read_shut = False
         self.is_closed = False
-        self.closed_at = 0  # when its owner closed it, or its sending direction
-        self.peer_end_seen_at = 0  # when the other's close arrived, read or not
+        self.closed_at = 0  # when the owner closed this end or its sending direction
+        self.peer_end_seen_at = 0  # when the peer's FIN or reset arrived, read or not
         self.busy_until = 0
         self.last_arrival_at = 0
-        # Lost on a path that is blocked: retransmitted once the path works again.
+        # Packets lost on a blocked path, as calls and arguments; retransmitted once the path works again.
         self.blocked_packets: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
         self.last_used_at = network.scheduler.now
-        self.idle_timeout = 0  # of idleness, after which the path forgets the connection; 0: never
+        self.idle_timeout = 0  # idle time after which the path drops the connection; 0: never
         self.tap: Tap | None = None
 
-    # What the owner does.
+    # Calls of the owner
 
     def send(self, data: Buffer) -> int:
         """Write bytes.
 
         Returns:
-            How many of them the system accepts.
+            The number of bytes that fit into the send buffer.
 
         Raises:
-            OSError: the connection has ended.
+            OSError: the connection was reset, or its sending direction is closed.
         """
         if self.reset_received or self.is_closed:
             raise ConnectionResetError(ECONNRESET, "connection reset by peer")
@@ -137,33 +138,33 @@
         capacity = self.network.profile.send_buffer - len(self.send_queue) - self.in_flight
         accepted = min(len(data), max(0, capacity))
         if accepted:
-            part = bytes(data[:accepted])
+            accepted_data = bytes(data[:accepted])
             if self.tap is not None:
-                self.tap.data_sent(part)
+                self.tap.data_sent(accepted_data)
             elif self.peer.tap is not None:
-                self.peer.tap.data_received(part)
-            self.send_queue += part
+                self.peer.tap.data_received(accepted_data)
+            self.send_queue += accepted_data
             self.transmit()
         return accepted
 
     def unread_by_peer(self) -> int:
-        """Bytes written here that the other end has not read yet."""
+        """Return the number of bytes written at this end that the peer has not read yet."""
         return len(self.send_queue) + self.in_flight + len(self.peer.receive_queue)
 
     def shutdown_write(self) -> None:
-        """Close the sending direction once all is sent."""
+        """Close the sending direction once all written bytes are sent."""
         if not self.fin_queued and not self.reset_received:
             self.fin_queued = True
             self._mark_closed()
             self.transmit()
 
     def shutdown(self) -> None:
-        """Close both directions; what arrives later is dropped."""
+        """Close both directions; data that arrives later is dropped."""
         self.read_shut = True
         self.shutdown_write()
 
     def close(self) -> None:
-        """Close it; unread bytes make that a reset."""
+        """Close this end; if it has unread bytes, the connection is reset."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -177,7 +178,7 @@
         self._unregister()
 
     def reset(self) -> None:
-        """End it at once; what is in flight or unread is lost."""
+        """Reset the connection; unsent and unread bytes are lost."""
         if not self.is_closed:
             self._mark_closed()
         self.is_closed = True
@@ -188,7 +189,7 @@
         self._unregister()
 
     def data_consumed(self) -> None:
-        """The owner has read bytes: there is room for more."""
+        """Let the peer send more: the owner has read bytes and the receive window has room."""
         if self.peer.send_queue:
             self.network.scheduler.call_soon(None, self.peer.transmit)
 
@@ -199,10 +200,10 @@
         if self.is_closed and (self.peer.is_closed or self.peer.reset_received):
             self.network.connections.pop(self.number, None)
 
-    # On the path.
+    # Transmission
 
     def transmit(self) -> None:
-        """Send what the other end's window allows."""
+        """Send as many bytes as the peer's receive window allows, then the FIN if one is queued."""
         profile = self.network.profile
         now = self.network.scheduler.now
         if self.idle_timeout and now - self.last_used_at > self.idle_timeout and not self.is_closed:
@@ -215,24 +216,25 @@
             size = min(len(self.send_queue), window, profile.max_segment or MAX_SEGMENT)
             if size <= 0:
                 return
-            part = bytes(self.send_queue[:size])
+            segment = bytes(self.send_queue[:size])
             del self.send_queue[:size]
             self.in_flight += size
-            self.deliver_later(size, self._data_arrived, part)
+            self.deliver_later(size, self._data_arrived, segment)
         if self.fin_queued and not self.fin_sent:
             self.fin_sent = True
             self.deliver_later(0, self.peer.fin_arrived)
 
     def _lose_path(self) -> None:
-        """Something between the two ends has forgotten this connection."""
+        """Drop the connection as a stateful device on the path does after an idle timeout."""
         self.send_queue.clear()
         if self.network.profile.reset_after_idle:
             self.deliver_later(0, self.reset_arrived)
         else:
-            self.in_flight = self.network.profile.send_buffer  # nothing is ever acknowledged
+            # The window stays full, because nothing is ever acknowledged.
+            self.in_flight = self.network.profile.send_buffer
 
     def deliver_later(self, size: int, call: Callable[..., Any], *arguments: object) -> None:
-        """Have a packet arrive after its delay, in order whatever the jitter."""
+        """Schedule the arrival of a packet; jitter does not reorder the packets of a connection."""
         network = self.network
         now = self.network.scheduler.now
         self.busy_until = max(now, self.busy_until) + size // network.profile.bandwidth
@@ -247,7 +249,7 @@
             call(*arguments)
 
     def retransmit_blocked(self) -> None:
-        """The path works again: held packets come some time later, and newer ones wait behind them."""
+        """Deliver the blocked packets after a random delay; newer packets queue behind them."""
         if self.blocked_packets:
             network = self.network
             wait = int(network.rng.random() * MAX_RESUME_DELAY)
@@ -261,28 +263,28 @@
                 call(*arguments)
 
     def drop_packets(self) -> None:
-        """Let nothing on this connection arrive any more, either way, until paths are restored."""
+        """Block both directions of this connection until paths are restored."""
         for side in (self, self.peer):
-            side.blocked_packets.append((int, ()))
+            side.blocked_packets.append((int, ()))  # a no-op packet, behind which all newer ones queue
 
     def reset_both(self) -> None:
-        """Both ends get a reset, as from a device between them."""
+        """Reset both ends, as a device on the path does."""
         for side in (self, self.peer):
             side.blocked_packets.clear()
             side.reset_arrived()
 
-    # What arrives.
+    # Arrivals
 
-    def _data_arrived(self, part: bytes) -> None:
-        """Bytes of this end have arrived at the other."""
-        self.in_flight -= len(part)
+    def _data_arrived(self, segment: bytes) -> None:
+        """Deliver bytes of this end to its peer."""
+        self.in_flight -= len(segment)
         peer = self.peer
         if peer.is_closed or peer.reset_received:
             if not self.reset_received:
                 peer.deliver_later(0, self.reset_arrived)
             return
         if not peer.read_shut:
-            peer.receive_queue += part
+            peer.receive_queue += segment
             if peer.sock is not None:
                 peer.sock.notify_readable()
         if self.send_queue:
@@ -291,7 +293,7 @@
             self.sock.notify_writable()
 
     def fin_arrived(self) -> None:
-        """The other end has closed its sending direction."""
+        """Handle the FIN of the peer, which has closed its sending direction."""
         if not self.is_closed and not self.reset_received:
             self.fin_received = True
             self.peer_end_seen_at = self.peer_end_seen_at or self.network.scheduler.now
@@ -299,7 +301,7 @@
                 self.sock.notify_readable()
 
     def reset_arrived(self) -> None:
-        """The other end, or a device between them, has reset the connection."""
+        """Handle a reset sent by the peer or by a device on the path."""
         if self.reset_received:
             return
         self.reset_received = True
--- a/dahliabend/simulation/environment.py
+++ b/dahliabend/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What the hosts and the faults of a simulation may use of it: the parts of one run that they share."""
+"""The interface of a simulation run to its hosts and faults."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,7 +14,7 @@
 
 
 class SimulationEnvironment(Protocol):
-    """The parts of a run that its hosts share. All times are microseconds of the virtual clock."""
+    """The components of a run that its hosts share. All times are microseconds of the virtual clock."""
 
     spec: WorldSpec
     load: LoadSpec
@@ -26,10 +26,10 @@
     invariants: InvariantChecker
 
     def rng_for(self, name: str) -> Random:
-        """A random generator of its own for a part of the run."""
+        """Return the random generator of the named part of the run; each part has its own."""
 
     def spawn(self, process: Process, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task of a process."""
+        """Start a coroutine as a task of a process."""
 
     def call_later(self, wait: int, act: Callable[..., object], *arguments: object) -> None:
-        """Schedule a call for so many microseconds later."""
+        """Schedule a call after a delay in microseconds."""
--- a/dahliabend/simulation/event_loop.py
+++ b/dahliabend/simulation/event_loop.py
@@ -1,7 +1,8 @@
-"""Virtual time: a scheduler, the processes that own its events, and an event loop for each process.
+"""Virtual time: the scheduler, the simulated processes, and the event loop of each process.
 
-What is due at the same microsecond runs in the order in which it was scheduled, so the order of all events is
-a function of the seed. A process that was killed runs nothing more; one that is stalled runs it later.
+Calls that are due at the same microsecond run in the order in which they were scheduled, so the order of all
+events is a function of the seed. The calls of a terminated process never run; the calls of a stalled process
+run when it resumes.
 """
 
 import asyncio
@@ -17,8 +18,8 @@
 from dahliabend.simulation.loop_sockets import LoopNetwork, LoopServer, LoopSocket
 from dahliabend.simulation.scheduled_call import MICROSECONDS_PER_SECOND, Call, ScheduledCall
 
-CLOCK_START = 1_000_000_000  # microseconds: what the virtual clock shows first
-UNIX_TIME_AT_ZERO = 1_700_000_000_000_000  # microseconds of Unix time at virtual 0
+CLOCK_START = 1_000_000_000  # microseconds: the virtual clock's value when a run starts
+UNIX_TIME_AT_ZERO = 1_700_000_000_000_000  # microseconds of Unix time when the virtual clock is 0
 MAX_STEPS = 5_000_000
 DEFAULT_MAX_SOCKETS = 1 << 20
 DEFAULT_BACKLOG = 128
@@ -27,11 +28,14 @@
 
 
 class StepLimitError(RuntimeError):
-    """More events than a run may have: a loop without end, or without time passing."""
+    """A run exceeded its maximum number of steps.
+
+    The usual cause is an endless loop, or calls that reschedule themselves without time passing.
+    """
 
 
 class Scheduler:
-    """The queue of events and the clock. Times are microseconds."""
+    """The virtual clock and the queue of scheduled calls. All times are in microseconds."""
 
     def __init__(self, max_steps: int = MAX_STEPS) -> None:
         self.now = CLOCK_START
@@ -46,13 +50,13 @@
     def call_soon(
         self, owner: "Process | None", call: Call, *arguments: object, context: Context | None = None
     ) -> ScheduledCall["Process"]:
-        """Schedule a call for now, after what is ready already."""
+        """Schedule a call for the current time, after all calls that are already ready."""
         scheduled = ScheduledCall(owner, self.now, call, arguments, context)
         self.ready.append(scheduled)
         return scheduled
 
     def call_next(self, call: Call, *arguments: object) -> None:
-        """Schedule a call as the very next step, before all else that is due now."""
+        """Schedule a call as the next step, before all other calls that are due now."""
         self.ready.appendleft(ScheduledCall(None, self.now, call, arguments, None))
 
     def call_at(
@@ -63,7 +67,7 @@
         *arguments: object,
         context: Context | None = None,
     ) -> ScheduledCall["Process"]:
-        """Schedule a call for a time."""
+        """Schedule a call at a time of the virtual clock; a time in the past counts as now."""
         scheduled = ScheduledCall(owner, due, call, arguments, context)
         scheduled.is_timer = owner is not None
         self.sequence += 1
@@ -71,7 +75,7 @@
         return scheduled
 
     def run_until(self, until: int) -> None:
-        """Run all that is due by then; the clock shows that time afterwards."""
+        """Run all calls that are due up to this time, then set the clock to it."""
         timers = self.timers
         ready = self.ready
         while True:
@@ -87,7 +91,7 @@
         self.now = max(self.now, until)
 
     def close(self) -> None:
-        """End all processes, and drop all events."""
+        """Terminate all processes and drop all scheduled calls."""
         for process in self.processes:
             process.on_exit = None
             process.terminate("over")
@@ -107,7 +111,7 @@
             raise StepLimitError(f"more than {self.max_steps} steps, at {self.now - CLOCK_START} us")
         call = scheduled.callback
         arguments = scheduled.arguments
-        scheduled.cancel()  # it has run; a kept handle does not keep what it refers to
+        scheduled.cancel()  # a handle that is kept longer must not keep the callback's objects alive
         if call is None or arguments is None:
             return
         if owner is None:
@@ -117,8 +121,8 @@
 
     def run_as(
         self, owner: "Process", call: Call, arguments: tuple[Any, ...] = (), context: Context | None = None
-    ) -> Any:  # noqa: ANN401 -- what the call returns
-        """Run a call as that process: its loop is the running one, and gets the exceptions."""
+    ) -> Any:  # noqa: ANN401 -- the type depends on the call
+        """Run a call with the owner's event loop as the running loop; that loop handles its exceptions."""
         previous = self.current_process
         self.current_process = owner
         running_loop = events._get_running_loop()
@@ -127,8 +131,9 @@
             return call(*arguments) if context is None else context.run(call, *arguments)
         except (KeyboardInterrupt, SystemExit, StepLimitError):
             raise
-        except BaseException as error:  # what a real loop does with it
-            name = getattr(call, "__qualname__", type(call).__name__)  # no address: runs have to be equal
+        except BaseException as error:  # passed to the exception handler, as a real event loop does
+            # Not repr(), whose memory address would differ between two runs of a seed.
+            name = getattr(call, "__qualname__", type(call).__name__)
             owner.loop.call_exception_handler({"message": name, "exception": error})
         finally:
             self.current_process = previous
@@ -136,7 +141,7 @@
 
 
 class Process:
-    """A process on a simulated machine. It owns its loop and all sockets that it opens."""
+    """A process on a simulated host. It owns its event loop and all sockets that it opens."""
 
     def __init__(
         self,
@@ -150,24 +155,24 @@
         self.name = name
         self.address = address
         self.zone = zone
-        self.loop = VirtualLoop(scheduler, self)  # type: ignore[abstract]  # it has what is used
+        self.loop = VirtualLoop(scheduler, self)  # type: ignore[abstract]  # implements only the methods in use
         self.alive = True
         self.stalled_until = 0
-        self.deferred: list[ScheduledCall[Process]] = []  # due while it was stalled
+        self.deferred: list[ScheduledCall[Process]] = []  # became due while the process was stalled
         self.sockets: dict[int, LoopSocket] = {}  # by descriptor
         self.max_sockets = max_sockets
         self.peak_sockets = 0
-        self.process_id = 0  # where several share a runtime directory
-        self.on_exit: Callable[[str], None] | None = None  # called once, with the reason
+        self.process_id = 0  # set only for processes that share a runtime directory
+        self.on_exit: Callable[[str], None] | None = None  # called once, with the reason of the exit
         scheduler.processes.append(self)
 
-    def run(self, call: Call, *arguments: object) -> Any:  # noqa: ANN401 -- what the call returns
-        """Run a call as this process, at once."""
+    def run(self, call: Call, *arguments: object) -> Any:  # noqa: ANN401 -- the type depends on the call
+        """Run a call in this process immediately."""
         return self.scheduler.run_as(self, call, arguments)
 
-    def stall(self, span: int) -> None:
-        """Keep it from running for so many microseconds; what is due meanwhile waits."""
-        until = self.scheduler.now + span
+    def stall(self, duration: int) -> None:
+        """Stop the process for some microseconds; calls that become due meanwhile run when it resumes."""
+        until = self.scheduler.now + duration
         if until > self.stalled_until:
             self.stalled_until = until
             self.scheduler.call_at(until, None, self._resume)
@@ -176,11 +181,11 @@
         if self.alive and self.stalled_until <= self.scheduler.now:
             deferred = self.deferred
             self.deferred = []
-            deferred.sort(key=lambda scheduled: not scheduled.is_timer)  # a loop runs its timers first
+            deferred.sort(key=lambda scheduled: not scheduled.is_timer)  # an event loop runs its timers first
             self.scheduler.ready.extend(call for call in deferred if call.callback is not None)
 
     def signal(self, signal_number: int) -> None:
-        """Send it a signal; without a handler it ends."""
+        """Send the process a signal; without a handler for it, the process terminates."""
         if not self.alive:
             return
         handler = self.loop.signal_handlers.get(signal_number)
@@ -193,12 +198,12 @@
             self.scheduler.call_soon(self, callback, *arguments)
 
     def terminate(self, reason: str) -> None:
-        """End it at once: none of its events runs any more, and the system closes its sockets."""
+        """Terminate the process at once: its pending calls never run, and the system closes its sockets."""
         if not self.alive:
             return
         self.alive = False
         for task in asyncio.all_tasks(self.loop):
-            task._log_destroy_pending = False  # type: ignore[attr-defined]  # it died with its process
+            task._log_destroy_pending = False  # type: ignore[attr-defined]  # tasks of a terminated process stay pending
         for sock in list(self.sockets.values()):
             sock.abort_on_process_exit()
         self.sockets.clear()
@@ -212,9 +217,9 @@
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """What asyncio, the network code and the peers use of an event loop, on virtual time."""
+    """An event loop on virtual time, with the methods that asyncio, the network code and the peers use."""
 
-    network: LoopNetwork[Process]  # set by whoever builds the run: where sockets and connections come from
+    network: LoopNetwork[Process]  # creates the loop's sockets; set by the code that builds the run
 
     def __init__(self, scheduler: Scheduler, process: Process) -> None:
         self.scheduler = scheduler
@@ -226,66 +231,66 @@
     def __repr__(self) -> str:
         return f"<loop of {self.process.name}>"
 
-    # Calls and time.
+    # Scheduling and time
 
     def time(self) -> float:
-        """Seconds of the virtual clock."""
+        """Return the time of the virtual clock, in seconds."""
         return self.scheduler.now / MICROSECONDS_PER_SECOND
 
-    def call_soon(  # type: ignore[override]  # a handle of our own
+    def call_soon(  # type: ignore[override]  # returns a ScheduledCall
         self, callback: Call, *arguments: object, context: Context | None = None
     ) -> ScheduledCall["Process"]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.call_soon`."""
         return self.scheduler.call_soon(self.process, callback, *arguments, context=context)
 
-    call_soon_threadsafe = call_soon  # type: ignore[assignment]  # there is one thread
+    call_soon_threadsafe = call_soon  # type: ignore[assignment]  # a simulation runs in one thread
 
-    def call_later(  # type: ignore[override]  # a handle of our own
+    def call_later(  # type: ignore[override]  # returns a ScheduledCall
         self, delay: float, callback: Call, *arguments: object, context: Context | None = None
     ) -> ScheduledCall["Process"]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.call_later`."""
         due = self.scheduler.now + max(0, round(delay * MICROSECONDS_PER_SECOND))
         return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
 
-    def call_at(  # type: ignore[override]  # a handle of our own
+    def call_at(  # type: ignore[override]  # returns a ScheduledCall
         self, when: float, callback: Call, *arguments: object, context: Context | None = None
     ) -> ScheduledCall["Process"]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.call_at`."""
         due = round(when * MICROSECONDS_PER_SECOND)
         return self.scheduler.call_at(due, self.process, callback, *arguments, context=context)
 
     def create_future(self) -> asyncio.Future[Any]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.create_future`."""
         return asyncio.Future(loop=self)
 
-    def create_task(  # type: ignore[override]  # coroutines alone
+    def create_task(  # type: ignore[override]  # accepts coroutines only
         self, coro: Coroutine[Any, Any, Any], *, name: str | None = None, context: Context | None = None
     ) -> asyncio.Task[Any]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.create_task`."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
-        """Never in debug mode."""
+        """Return False: debug mode is not supported."""
         return False
 
     def is_running(self) -> bool:
-        """Whether its process is alive."""
+        """Return whether the process of the loop is alive."""
         return self.process.alive
 
     def is_closed(self) -> bool:
-        """Whether its process has ended."""
+        """Return whether the process of the loop has terminated."""
         return not self.process.alive
 
     def set_exception_handler(self, handler: ExceptionHandler | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.set_exception_handler`."""
         self.exception_handler = handler
 
     def default_exception_handler(self, context: dict[str, Any]) -> NoReturn:
-        """Raise the exception: nothing goes unnoticed in a simulation."""
+        """Raise the exception, so that no error of a simulation goes unnoticed."""
         raise context.get("exception") or RuntimeError(context.get("message"))
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.call_exception_handler`."""
         if not self.process.alive:
             return
         if self.exception_handler is not None:
@@ -293,29 +298,29 @@
         else:
             self.default_exception_handler(context)
 
-    # Signals, and descriptors that are waited for.
+    # Signals and readers
 
     def add_signal_handler(self, sig: int, callback: Call, *arguments: object) -> None:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.add_signal_handler`."""
         self.signal_handlers[sig] = callback, arguments
 
     def remove_signal_handler(self, sig: int) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.remove_signal_handler`."""
         return self.signal_handlers.pop(sig, None) is not None
 
-    def add_reader(self, fd: int, callback: Call, *arguments: object) -> None:  # type: ignore[override]  # descriptors alone
-        """As asyncio."""
+    def add_reader(self, fd: int, callback: Call, *arguments: object) -> None:  # type: ignore[override]  # accepts descriptors only
+        """Implement `asyncio.AbstractEventLoop.add_reader`."""
         self.readers[fd] = callback, arguments
         self.process.sockets[fd].reader_added()
 
-    def remove_reader(self, fd: int) -> bool:  # type: ignore[override]  # descriptors alone
-        """As asyncio."""
+    def remove_reader(self, fd: int) -> bool:  # type: ignore[override]  # accepts descriptors only
+        """Implement `asyncio.AbstractEventLoop.remove_reader`."""
         return self.readers.pop(fd, None) is not None
 
-    # Connections.
+    # Connections
 
     async def sock_connect(self, sock: LoopSocket, address: Address) -> None:  # type: ignore[override]  # simulated sockets
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.sock_connect`."""
         future = self.create_future()
         sock.connect(address, future)
         try:
@@ -333,7 +338,7 @@
         sock: LoopSocket | None = None,
         **_options: object,
     ) -> tuple[asyncio.Transport, Any]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.create_connection`."""
         if sock is None:
             sock = self.network.socket(self.process)
             try:
@@ -346,7 +351,7 @@
     async def connect_accepted_socket(  # type: ignore[override]  # simulated sockets
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], sock: LoopSocket, **_options: object
     ) -> tuple[asyncio.Transport, Any]:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.connect_accepted_socket`."""
         waiter = self.create_future()
         protocol = protocol_factory()
         transport = sock.create_transport(self, protocol, waiter)
@@ -362,7 +367,7 @@
         backlog: int = DEFAULT_BACKLOG,
         **_options: object,
     ) -> LoopServer:
-        """As asyncio."""
+        """Implement `asyncio.AbstractEventLoop.create_server`."""
         sock = self.network.socket(self.process)
         sock.bind((host or self.process.address, port))
         sock.listen(backlog)
--- a/dahliabend/simulation/fault_environment.py
+++ b/dahliabend/simulation/fault_environment.py
@@ -1,4 +1,4 @@
-"""What the faults of a simulation may use of it: its hosts and clients, and what undoes a fault."""
+"""The interface of a simulation run to its faults: its hosts and clients, and the undo call of a fault."""
 
 from collections.abc import Callable
 from random import Random
@@ -13,11 +13,11 @@
 from dahliabend.simulation.scenario import LoadSpec, Scenario
 from dahliabend.simulation.upstream_host import UpstreamHost
 
-Undo = Callable[[], object] | None  # what ends a fault; None: it ends by itself
+Undo = Callable[[], object] | None  # call that ends a fault; None: the fault ends by itself
 
 
 class FaultEnvironment(SimulationEnvironment, Protocol):
-    """A run as its faults see it."""
+    """The components of a run that faults act on."""
 
     scenario: Scenario
     load_start: int  # microseconds of the virtual clock
@@ -30,10 +30,10 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the load has ended, and no fault begins any more."""
+        """Whether the load has ended, so that no new fault starts."""
 
     def zone_of(self, number: int) -> str:
-        """The zone of an upstream, or of a fault's number."""
+        """Return the zone for the number of an upstream or of a fault."""
 
     def draw_request(self, rng: Random, load: LoadSpec) -> ClientRequest:
-        """Draw a request, and how its client behaves."""
+        """Draw a request and the behaviour of its client."""
--- a/dahliabend/simulation/loop_sockets.py
+++ b/dahliabend/simulation/loop_sockets.py
@@ -1,4 +1,4 @@
-"""What a simulated process and its event loop need of sockets, whichever network these belong to."""
+"""The interfaces of sockets, servers and networks that simulated processes and their event loops use."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -10,21 +10,21 @@
 
 
 class LoopServer(Protocol):
-    """What `loop.create_server` returns, as far as it is used."""
+    """The part of `asyncio.Server` that is used."""
 
     @property
     def sockets(self) -> Sequence["LoopSocket"]:
-        """The listening sockets."""
+        """Listening sockets of the server."""
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
 
     async def wait_closed(self) -> None:
-        """Wait until it is closed."""
+        """Wait until the server is closed."""
 
 
 class LoopSocket(Protocol):
-    """A socket as its process and its event loop use it."""
+    """The interface of a socket to its process and its event loop."""
 
     def fileno(self) -> int:
         """As `socket.socket`."""
@@ -39,16 +39,16 @@
         """As `socket.socket`."""
 
     def connect(self, address: Address, future: asyncio.Future[None]) -> None:
-        """Connect; the future is done when that has succeeded or failed."""
+        """Start to connect; the future is done when the connect has succeeded or failed."""
 
     def cancel_connect(self) -> None:
-        """Nobody waits for the connection any more."""
+        """Give up a connect whose caller was cancelled."""
 
     def reader_added(self) -> None:
-        """Its owner waits for connections."""
+        """Note that the owner has added a reader for the descriptor and waits for connections."""
 
     def abort_on_process_exit(self) -> None:
-        """End it as the system does for a dead process."""
+        """Close or reset the connection as the operating system does for a terminated process."""
 
     def create_transport(
         self,
@@ -56,16 +56,16 @@
         protocol: asyncio.BaseProtocol,
         waiter: asyncio.Future[None] | None,
     ) -> asyncio.Transport:
-        """A transport over this connected socket; the waiter is done once the protocol is connected."""
+        """Create a transport over this connected socket; `waiter` is done once the protocol is connected."""
 
     def create_server(
         self, loop: asyncio.AbstractEventLoop, protocol_factory: Callable[[], asyncio.BaseProtocol]
     ) -> LoopServer:
-        """A server that accepts the connections of this listening socket."""
+        """Create a server that accepts the connections of this listening socket."""
 
 
 class LoopNetwork(Protocol[ProcessType]):
-    """Where event loops have their sockets from."""
+    """The network from which event loops get their sockets."""
 
     def socket(self, process: ProcessType) -> LoopSocket:
-        """A new socket of a process."""
+        """Create a socket that belongs to a process."""
--- a/dahliabend/simulation/network_profile.py
+++ b/dahliabend/simulation/network_profile.py
@@ -1,18 +1,18 @@
-"""How a simulated network without faults behaves."""
+"""The behaviour of a simulated network apart from faults."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class NetworkProfile:
-    """A network without faults; microseconds and bytes."""
+    """The behaviour of a network apart from faults. Times are in microseconds, sizes in bytes."""
 
     delay: int = 250  # one way, inside a zone
     cross_zone_delay: int = 3_000
-    jitter: float = 0.3  # of the delay, the mean of what comes on top
-    bandwidth: int = 125  # bytes a microsecond of one connection
-    send_buffer: int = 256 * 1024  # that the sender's system accepts before it blocks
-    receive_window: int = 64 * 1024  # that may lie unread at the receiver
-    max_segment: int = 0  # 0: no limit of its own
-    idle_timeout: int = 0  # after which the path forgets an idle connection, unseen; 0: never
-    reset_after_idle: bool = False  # what is sent on a forgotten one is answered by a reset, not by silence
+    jitter: float = 0.3  # mean random addition to the delay, as a fraction of it
+    bandwidth: int = 125  # bytes per microsecond, for each direction of a connection
+    send_buffer: int = 256 * 1024  # bytes that may be written before the peer has received them
+    receive_window: int = 64 * 1024  # bytes that may be unread or in flight
+    max_segment: int = 0  # 0: the default limit, connections.MAX_SEGMENT
+    idle_timeout: int = 0  # idle time after which the path silently drops a connection; 0: never
+    reset_after_idle: bool = False  # whether data on a dropped connection is answered with a reset
--- a/dahliabend/simulation/scheduled_call.py
+++ b/dahliabend/simulation/scheduled_call.py
@@ -1,4 +1,4 @@
-"""A call that the scheduler of virtual time is to run."""
+"""A call that the virtual-time scheduler runs when it is due."""
 
 from collections.abc import Callable
 from contextvars import Context
@@ -7,11 +7,11 @@
 MICROSECONDS_PER_SECOND = 1e6
 
 Call = Callable[..., Any]
-Owner = TypeVar("Owner")  # the process that the call belongs to
+Owner = TypeVar("Owner")  # the type of the process that the call belongs to
 
 
 class ScheduledCall(Generic[Owner]):
-    """A call that is to run; the handle that callers of the event loop cancel."""
+    """A scheduled call, and the handle with which it can be cancelled."""
 
     __slots__ = ("arguments", "callback", "context", "due", "is_timer", "owner")
 
@@ -31,14 +31,14 @@
         self.is_timer = False
 
     def cancel(self) -> None:
-        """Have it not run."""
+        """Cancel the call and drop the references to its callback and arguments."""
         self.callback = None
         self.arguments = None
 
     def cancelled(self) -> bool:
-        """Whether it will not run any more."""
+        """Return whether the call was cancelled or has run."""
         return self.callback is None
 
     def when(self) -> float:
-        """Seconds of the loop's clock at which it is due."""
+        """Return the time at which the call is due, in seconds of the loop's clock."""
         return self.due / MICROSECONDS_PER_SECOND
--- a/dahliabend/simulation/sockets.py
+++ b/dahliabend/simulation/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of simulated processes, and servers: what the network code and asyncio see of connections."""
+"""The sockets, listen queues and servers through which simulated processes use connections."""
 
 import asyncio
 import socket
@@ -12,19 +12,19 @@
 
 EAGAIN = 11
 ENOTCONN = 107
-NO_LINGER = b"\0\0\0\0"  # the first field of the option's value
+NO_LINGER = b"\0\0\0\0"  # the field l_onoff of the value of SO_LINGER, when it is off
 
 
 class SocketTransport(Protocol):
-    """A transport as its socket uses it."""
+    """The interface of a transport to its socket."""
 
-    write_buffer_size: int  # bytes that the system has not accepted
+    write_buffer_size: int  # bytes that are not in the send buffer yet
 
     def on_readable(self) -> None:
-        """Bytes, the end or a reset have come."""
+        """Handle data, a FIN or a reset that has arrived."""
 
     def on_writable(self) -> None:
-        """The system has room for more bytes."""
+        """Continue writing: the send buffer has room."""
 
 
 TransportFactory = Callable[
@@ -34,54 +34,54 @@
 
 
 class SocketNetwork(Protocol):
-    """The network as its sockets use it."""
+    """The interface of the network to its sockets."""
 
     scheduler: Scheduler
     listeners: dict[Address, "ListenQueue"]
     transport_factory: TransportFactory
 
     def allocate_descriptor(self, process: Process) -> int:
-        """A new descriptor.
+        """Return a new descriptor number for a process.
 
         Raises:
-            OSError: the process has as many as it may.
+            OSError: the process is at its limit of open sockets.
         """
 
     def ephemeral_port(self) -> int:
-        """A port that nobody uses."""
+        """Return an unused port."""
 
     def listen(self, address: Address, backlog: int) -> "ListenQueue":
-        """A new queue of connections.
+        """Create the listen queue of an address.
 
         Raises:
-            OSError: another socket listens there.
+            OSError: another socket already listens at the address.
         """
 
     def connect(self, sock: "Socket", address: Address, future: asyncio.Future[None]) -> None:
-        """Connect a socket; the future is done when that has succeeded or failed."""
+        """Start to connect a socket; the future is done when the connect has succeeded or failed."""
 
 
 class ListenQueue:
-    """Connections that wait at an address to be accepted; several sockets may listen there."""
+    """The connections to an address that are waiting to be accepted; several sockets may share the queue."""
 
     def __init__(self, network: SocketNetwork, address: Address, backlog: int) -> None:
         self.network = network
         self.address = address
         self.backlog = backlog
         self.queue: deque[ConnectionEnd] = deque()
-        self.holders: list[Socket] = []
+        self.sockets: list[Socket] = []
 
     def enqueue(self, end: ConnectionEnd) -> None:
-        """A connection has come up; whoever waits for one is notified."""
+        """Add an established connection and notify the listening sockets."""
         self.queue.append(end)
-        for holder in self.holders:
+        for sock in self.sockets:
             if self.queue:
-                holder.notify_readable()
+                sock.notify_readable()
 
-    def remove_holder(self, holder: "Socket") -> None:
-        """A socket no longer listens; the last one takes the address and the queue with it."""
-        self.holders.remove(holder)
-        if not self.holders:
+    def remove_socket(self, sock: "Socket") -> None:
+        """Remove a socket; the last one to go frees the address and resets the queued connections."""
+        self.sockets.remove(sock)
+        if not self.sockets:
             self.network.listeners.pop(self.address, None)
             for end in self.queue:
                 end.reset()
@@ -89,7 +89,7 @@
 
 
 class Socket:
-    """A socket, as far as `socket.socket` is used, on a connection or listening at an address."""
+    """A connected or listening socket, with the part of the interface of `socket.socket` that is used."""
 
     def __init__(
         self,
@@ -113,31 +113,31 @@
         if end is not None:
             end.sock = self
         if listen_queue is not None:
-            listen_queue.holders.append(self)
+            listen_queue.sockets.append(self)
 
     @property
     def connected_end(self) -> ConnectionEnd:
-        """Its end of the connection.
+        """The socket's end of its connection.
 
         Raises:
-            OSError: it has none.
+            OSError: the socket is not connected.
         """
         if self.end is None:
             raise OSError(ENOTCONN, "not connected")
         return self.end
 
-    # As `socket.socket` has it.
+    # The interface of `socket.socket`
 
     def setblocking(self, _flag: bool) -> None:
-        """Nothing to do: it never blocks."""
+        """Do nothing: simulated sockets never block."""
 
     def setsockopt(self, _level: int, option: int, value: Any) -> None:  # noqa: ANN401 -- by option
-        """Set an option; only SO_LINGER has an effect."""
+        """Set a socket option; only SO_LINGER has an effect."""
         if option == socket.SO_LINGER:
             self.resets_on_close = value[: len(NO_LINGER)] != NO_LINGER
 
     def getsockopt(self, _level: int, option: int) -> int:
-        """Get an option; only SO_ACCEPTCONN is known."""
+        """Return a socket option; all but SO_ACCEPTCONN are 0."""
         return int(option == socket.SO_ACCEPTCONN and self.listen_queue is not None)
 
     def getsockname(self) -> Address:
@@ -160,20 +160,20 @@
     def listen(self, backlog: int) -> None:
         """As `socket.socket`."""
         self.listen_queue = self.network.listen(self.address, backlog)
-        self.listen_queue.holders.append(self)
+        self.listen_queue.sockets.append(self)
 
     def connect(self, address: Address, future: asyncio.Future[None]) -> None:
-        """Connect; the future tells when that has succeeded or failed."""
+        """Start to connect; the future is done when the connect has succeeded or failed."""
         self.network.connect(self, address, future)
 
     def cancel_connect(self) -> None:
-        """Nothing to do: the future is done, and a connection that comes up late is closed."""
+        """Do nothing: the future is cancelled, and a connection that is established later is closed."""
 
     def accept(self) -> tuple["Socket", Address]:
         """As `socket.socket`.
 
         Raises:
-            OSError: nothing waits, or the socket does not listen.
+            OSError: no connection is waiting, or the socket does not listen.
         """
         if self.listen_queue is None:
             raise OSError(ENOTCONN, "not listening")
@@ -181,15 +181,15 @@
         while queue and queue[0].reset_received:
             queue.popleft()
         if not queue:
-            raise BlockingIOError(EAGAIN, "nothing waits")
+            raise BlockingIOError(EAGAIN, "no connection is waiting")
         sock = Socket(self.network, self.process, queue[0])
         return sock, queue.popleft().remote
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """As `socket.socket`; of the flags only MSG_PEEK is known.
+        """As `socket.socket`; the only supported flag is MSG_PEEK.
 
         Raises:
-            OSError: nothing has come, or the connection has ended.
+            OSError: no data is available, the socket is not connected, or the connection was reset.
         """
         end = self.end
         if end is None or self.closed:
@@ -204,13 +204,13 @@
             return data
         if end.fin_received or end.read_shut:
             return b""
-        raise BlockingIOError(EAGAIN, "nothing came")
+        raise BlockingIOError(EAGAIN, "no data is available")
 
     def shutdown(self, how: int) -> None:
         """As `socket.socket`.
 
         Raises:
-            OSError: the connection has ended.
+            OSError: the socket is not connected, or the connection was reset.
         """
         if self.closed or self.end is None or self.end.reset_received:
             raise OSError(ENOTCONN, "not connected")
@@ -227,7 +227,7 @@
         self.process.sockets.pop(self.descriptor, None)
         if self.listen_queue is not None:
             self.process.loop.readers.pop(self.descriptor, None)
-            self.listen_queue.remove_holder(self)
+            self.listen_queue.remove_socket(self)
         elif self.end is not None:
             if self.resets_on_close:
                 self.end.reset()
@@ -240,19 +240,19 @@
         protocol: asyncio.BaseProtocol,
         waiter: asyncio.Future[None] | None,
     ) -> asyncio.Transport:
-        """A transport over this connected socket; the waiter is done once the protocol is connected."""
+        """Create a transport over this connected socket; `waiter` is done once the protocol is connected."""
         return self.network.transport_factory(loop, self, protocol, waiter)
 
     def create_server(
         self, loop: asyncio.AbstractEventLoop, protocol_factory: Callable[[], asyncio.BaseProtocol]
     ) -> "Server":
-        """A server that accepts the connections of this listening socket."""
+        """Create a server that accepts the connections of this listening socket."""
         return Server(loop, self, protocol_factory)
 
-    # What the network and the end of the process notify it of.
+    # Notifications of the network and of the process
 
     def notify_readable(self) -> None:
-        """Have its owner read, if it waits for that."""
+        """Schedule the owner's read callback, if the owner waits for readability."""
         if self.read_scheduled or self.closed:
             return
         if self.transport is not None or self.descriptor in self.process.loop.readers:
@@ -274,20 +274,20 @@
                 self.reader_added()
 
     def reader_added(self) -> None:
-        """Its owner waits for connections; some may be there already."""
+        """Notify the owner, which now waits for connections, if some are already queued."""
         if self.listen_queue is not None and self.listen_queue.queue:
             self.notify_readable()
 
     def notify_writable(self) -> None:
-        """Have its owner write, if it waits for that."""
+        """Schedule the transport's write callback, if it has unsent bytes."""
         if self.transport is not None and self.transport.write_buffer_size:
             self.network.scheduler.call_soon(self.process, self.transport.on_writable)
 
     def abort_on_process_exit(self) -> None:
-        """End it as the system does for a dead process: open connections are reset."""
+        """Close the socket as the operating system does for a terminated process; reset open connections."""
         self.closed = True
         if self.listen_queue is not None:
-            self.listen_queue.remove_holder(self)
+            self.listen_queue.remove_socket(self)
         elif self.end is not None and not self.end.is_closed:
             if self.end.fin_sent:
                 self.end.close()
@@ -296,7 +296,7 @@
 
 
 class Server:
-    """Accepts connections for a peer, as `loop.create_server` promises."""
+    """A server as `loop.create_server` returns it: accepts connections for a protocol factory."""
 
     def __init__(
         self,
@@ -319,8 +319,8 @@
             sock.create_transport(self.loop, self.protocol_factory(), None)
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self.sock.close()
 
     async def wait_closed(self) -> None:
-        """Nothing to wait for."""
+        """Return at once: closing takes no time."""
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -1,6 +1,7 @@
-"""asyncio's transport over an end of a simulated connection, as uvloop has it on sockets.
+"""An asyncio transport over one end of a simulated connection, which behaves as uvloop's on sockets.
 
-A write goes to the system at once; what it does not accept waits here, and the protocol is paused.
+A write goes into the send buffer at once. Bytes that do not fit are kept in the transport; above the
+high-water mark the protocol is paused.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 class Transport(asyncio.Transport):
-    """A transport on virtual time."""
+    """An asyncio transport over a simulated socket, on virtual time."""
 
     def __init__(
         self,
@@ -59,10 +60,10 @@
         if not self.closing:
             self.sock.notify_readable()
 
-    # Reading.
+    # Reading
 
     def on_readable(self) -> None:
-        """Bytes, the end or a reset have come. While reading is paused, not even a reset is noticed."""
+        """Handle data, a FIN or a reset. While reading is paused, even a reset goes unnoticed."""
         if self.loss_scheduled or self.closing or self.reading_paused:
             return
         end = self.end
@@ -73,7 +74,7 @@
             self._read_available()
             if self.is_reading():
                 self._continue_reading()
-        except Exception as error:  # as a real transport: the protocol's error ends it
+        except Exception as error:  # as in asyncio, an error of the protocol closes the transport
             self.loop.call_exception_handler(
                 {
                     "message": "protocol failed",
@@ -92,7 +93,7 @@
                 buffer = self.protocol.get_buffer(-1)
                 count = min(len(buffer), len(end.receive_queue))
                 if not count:
-                    raise RuntimeError("get_buffer gave no room")
+                    raise RuntimeError("get_buffer returned an empty buffer")
                 buffer[:count] = end.receive_queue[:count]
                 del end.receive_queue[:count]
                 end.data_consumed()
@@ -106,7 +107,7 @@
             left -= count
 
     def _continue_reading(self) -> None:
-        """Read on in another turn, or report the end."""
+        """Schedule another read if bytes are left, or else report the end of the stream."""
         end = self.end
         if end.receive_queue:
             self.sock.notify_readable()
@@ -116,31 +117,31 @@
                 self.close()
 
     def pause_reading(self) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Transport.pause_reading`."""
         self.reading_paused = True
 
     def resume_reading(self) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Transport.resume_reading`."""
         if self.reading_paused:
             self.reading_paused = False
             self.sock.notify_readable()
 
     def is_reading(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Transport.is_reading`."""
         return not self.reading_paused and not self.closing
 
-    # Writing.
+    # Writing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:  # noqa: ARG002 -- asyncio's signature
-        """Set the size from which the protocol is paused."""
+        """Set the buffer size above which the protocol is paused; `low` has no effect."""
         self.high_water = HIGH_WATER if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the system has not accepted."""
+        """Return the number of bytes that are not in the send buffer yet."""
         return self.write_buffer_size
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Transport.write`."""
         if self.closing or self.loss_scheduled or self.eof_queued or not data:
             return
         if not self.write_buffer_size:
@@ -159,7 +160,7 @@
             self.protocol.pause_writing()
 
     def on_writable(self) -> None:
-        """The system has room for more bytes."""
+        """Write buffered bytes: the send buffer has room."""
         if self.loss_scheduled or not self.write_buffer_size:
             return
         try:
@@ -185,35 +186,35 @@
             self.end.shutdown_write()
 
     def can_write_eof(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Transport.can_write_eof`."""
         return True
 
     def write_eof(self) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Transport.write_eof`."""
         if not self.eof_queued and not self.closing:
             self.eof_queued = True
             if not self.write_buffer_size:
                 self.end.shutdown_write()
 
-    # Ending.
+    # Closing
 
     def is_closing(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Transport.is_closing`."""
         return self.closing
 
     def close(self) -> None:
-        """Close it once all is written."""
+        """Close the transport once all buffered bytes are written."""
         if not self.closing:
             self.closing = True
             if not self.write_buffer_size:
                 self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the transport at once and drop the buffered bytes."""
         self.force_close(None)
 
     def force_close(self, error: Exception | None) -> None:
-        """Close it at once, with the error that the protocol is to be told."""
+        """Close the transport at once and pass the error to the protocol's `connection_lost`."""
         self.closing = True
         self.write_queue.clear()
         self.write_buffer_size = 0
