--- a/dahliabend/simulation/loop_sockets.py
+++ b/dahliabend/simulation/loop_sockets.py
@@ -27,16 +27,16 @@
     """The interface of a socket to its process and its event loop."""
 
     def fileno(self) -> int:
-        """As `socket.socket`."""
+        """Implement `socket.socket.fileno`."""
 
     def bind(self, address: Address) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.bind`."""
 
     def listen(self, backlog: int) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.listen`."""
 
     def close(self) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.close`."""
 
     def connect(self, address: Address, future: asyncio.Future[None]) -> None:
         """Start to connect; the future is done when the connect has succeeded or failed."""
--- a/dahliabend/simulation/peers/__init__.py
+++ b/dahliabend/simulation/peers/__init__.py
@@ -1,9 +1,10 @@
-"""The peers of the network code: clients, upstreams, discovery and operators, on any asyncio event loop.
+"""The peers of the balancer: clients, upstreams, discovery and operators.
 
-They run on the virtual event loop of a simulation, and on real sockets in `dahliabend.process_tests`.
+They run on any asyncio event loop: on the virtual one of a simulation, and on real sockets in
+`dahliabend.process_tests`.
 """
 
 from collections.abc import Callable
 
-# Called with the kind and the values of an event: a `Recorder` of a simulation, or what stands for one.
+# Called with the name and the values of an event: a simulation's `Recorder` or a substitute for it.
 RecordEvent = Callable[..., None]
--- a/dahliabend/simulation/peers/client_request.py
+++ b/dahliabend/simulation/peers/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a simulated client, as data and as bytes."""
+"""A request of a simulated client and its encoding as HTTP/1.1."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, and how its client behaves. Times are microseconds."""
+    """A request and the behaviour of its client. All times are in microseconds."""
 
     trace_id: str
     class_name: str
@@ -16,21 +16,21 @@
     deadline: int = 0
     body: bytes = b""
     query_string: bytes = b""
-    path: str = ""  # where it is not the class's name
-    method: str = ""
+    path: str = ""  # empty: a slash and the class name
+    method: str = ""  # empty: GET for the class "query", POST for others
     headers: tuple[tuple[str, str], ...] = ()
-    key: str = ""  # the ordering key
+    key: str = ""  # ordering key
     retry_count: int = 0
     max_attempts: int = 1
-    disconnect_after: int = 0  # 0: the client stays
-    chunk_interval: int = 0  # between the chunks in which it is sent; 0: at once
+    disconnect_after: int = 0  # time after which the client disconnects; 0: never
+    chunk_interval: int = 0  # time between the chunks of the request; 0: it is sent at once
     needs_new_connection: bool = False
     honours_retry_after: bool = True
-    was_resent: bool = False  # on another connection, because the first was closed without reading it
-    on_finished: Callable[[int], None] | None = None  # called with the final status, or 0
+    was_resent: bool = False  # on another connection, because the first was closed before reading it
+    on_finished: Callable[[int], None] | None = None  # called with the final status; 0: no response
 
     def message(self) -> bytes:
-        """The request as bytes."""
+        """Return the request in the wire format of HTTP/1.1."""
         method = self.method.encode() or (b"GET" if self.class_name == "query" else b"POST")
         path = self.path.encode() or b"/" + self.class_name.encode()
         head = b"%b %b%b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: %b\r\nX-Expires-In-Ms: %d\r\n" % (
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -1,4 +1,4 @@
-"""Clients: requests at given times over kept connections, with retries and impatience."""
+"""Clients, which send requests over keep-alive connections, retry them and disconnect after a timeout."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,21 +12,21 @@
 from dahliabend.simulation.peers.client_request import ClientRequest
 from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
 
-LARGE_BODY = 60_000  # bytes that may not all fit into the other end's buffer
-DISCONNECT_DELAY = 600_000  # microseconds: then a client disconnects
-CHUNKS = 5  # that a request is sent in, where it is sent in chunks
-FIRST_BACKOFF = 50_000  # microseconds; doubled with each retry
-DRAIN_INTERVAL = 0.001  # seconds between two looks whether a long body was read
-FOLLOW_UP_TIMEOUT = 0.05  # seconds
-SHOWN_BYTES = 100  # of unexpected data
-UNKNOWN_LENGTH = 1 << 30
+LARGE_BODY = 60_000  # bytes; larger bodies may not fit into the peer's buffer
+DISCONNECT_DELAY = 600_000  # microseconds after a request's timeout until its client disconnects
+CHUNKS = 5  # number of chunks of a request that is sent in chunks
+FIRST_BACKOFF = 50_000  # microseconds; doubled for each retry
+DRAIN_INTERVAL = 0.001  # seconds between two checks whether a large body has been read
+FOLLOW_UP_TIMEOUT = 0.05  # seconds for which a half-closed client waits after its second request
+SHOWN_BYTES = 100  # maximum of unexpected data in an event
+UNKNOWN_LENGTH = 1 << 30  # bytes; stands for the body length of a response without Content-Length
 MICROSECONDS_PER_SECOND = 1e6
 OK = 200
-NO_STATUS = 0  # of a request that got no response
+NO_STATUS = 0  # status of a request without a response
 
 
 class Clients:
-    """All clients of one machine, with the connections that they share."""
+    """The clients of one host and the connections that they share."""
 
     def __init__(
         self,
@@ -36,30 +36,30 @@
         rotation: ConnectionRotation,
         prefix: str,
     ) -> None:
-        """Create clients without connections; `prefix`: of their trace ids."""
+        """Create clients without connections; `prefix` starts their trace ids."""
         self.loop = loop
         self.recorder = recorder
         self.rng = rng
         self.rotation = rotation
         self.prefix = prefix
         self.idle: list[ClientConnection] = []
-        self.waiting: set[ClientConnection] = set()  # those with a request in flight
+        self.waiting: set[ClientConnection] = set()  # connections with a request in flight
         self.open_requests = 0
         self._last_number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     def next_trace_id(self) -> str:
-        """A new trace id."""
+        """Return a new trace id."""
         self._last_number += 1
         return f"{self.prefix}{self._last_number}"
 
     def send(self, request: ClientRequest) -> None:
-        """Send a new request."""
+        """Send a new request and count it as open."""
         self.open_requests += 1
         self.dispatch(request)
 
     def dispatch(self, request: ClientRequest) -> None:
-        """Send a request on an idle connection or on a new one."""
+        """Send a request on an idle connection or, if there is none, on a new one."""
         while self.idle and not request.needs_new_connection:
             connection = self.idle.pop()
             if connection.is_usable():
@@ -77,7 +77,7 @@
     async def send_after_half_close(
         self, request: ClientRequest, follow_up: ClientRequest, address: Address
     ) -> None:
-        """Send a request on a connection of its own, and another once the balancer closes its direction."""
+        """Send a request on a new connection, and a second one after the balancer has half-closed it."""
         try:
             _, connection = await self.loop.create_connection(
                 lambda: HalfCloseClient(self, address, follow_up), *address
@@ -97,13 +97,13 @@
         connection.send(request)
 
     def finish(self, request: ClientRequest, status: int) -> None:
-        """End a request for good."""
+        """Finish a request with its final status."""
         self.open_requests -= 1
         if request.on_finished is not None:
             request.on_finished(status)
 
     def retry(self, request: ClientRequest, status: int, retry_after: int) -> None:
-        """Send a request again with a new trace id, where its client does so."""
+        """Retry a request with a new trace id; finish it if it succeeded or has no attempts left."""
         if status == OK or request.retry_count + 1 >= request.max_attempts:
             self.finish(request, status)
             return
@@ -120,7 +120,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a balancer, with one request at a time."""
+    """A connection to a balancer, with one request in flight at a time."""
 
     def __init__(self, clients: Clients, address: Address) -> None:
         self.clients = clients
@@ -128,27 +128,27 @@
         self.request: ClientRequest | None = None
         self.last_request: ClientRequest | None = None
         self.requests_sent = 0
-        self.is_sent = False  # all of the request
+        self.is_request_sent = False  # whether the whole request has been written and, if it is large, read
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.disconnect_timer: asyncio.TimerHandle | None = None
         self.parser: httptools.HttpResponseParser | None = None
         self._reset_response()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
         self.number: int = transport.get_extra_info("connection", id(self))
 
     def is_usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Return whether another request can be sent on the connection."""
         return not self.transport.is_closing() and self.address not in self.clients.rotation.not_ready
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request."""
+        """Send a request, in chunks if it has a chunk interval, and start its timers."""
         loop = self.clients.loop
         recorder = self.clients.recorder
         self.request = request
-        self.is_sent = False
+        self.is_request_sent = False
         self.clients.waiting.add(self)
         self.requests_sent += 1
         self.parser = httptools.HttpResponseParser(self)
@@ -180,37 +180,38 @@
     def _write_last(self, request: ClientRequest, data: bytes) -> None:
         self.transport.write(data)
         if len(request.body) > LARGE_BODY or self.transport.get_write_buffer_size():
-            self._await_drain(request)
+            self._wait_until_read(request)
         else:
             self._request_written(request)
 
-    def _await_drain(self, request: ClientRequest) -> None:
-        """Count a long body's time from when its last byte is read.
+    def _wait_until_read(self, request: ClientRequest) -> None:
+        """Start the deadline timer of a large request only after its last byte has been read.
 
-        Whoever forwards it holds it back while the next one is slower, and cannot know for how long it lay.
+        A balancer applies backpressure while the upstream reads slowly, and cannot know for how long the
+        unread bytes have waited.
         """
         if self.request is not request or self.transport.is_closing():
             return
         unread: Callable[[], int] | None = self.transport.get_extra_info("unsent")
         if self.transport.get_write_buffer_size() or (unread is not None and unread()):
-            self.clients.loop.call_later(DRAIN_INTERVAL, self._await_drain, request)
+            self.clients.loop.call_later(DRAIN_INTERVAL, self._wait_until_read, request)
         else:
             self._request_written(request)
 
     def _request_written(self, request: ClientRequest) -> None:
-        self.is_sent = True
+        self.is_request_sent = True
         self.clients.recorder("written", request.trace_id)
         wait = (request.timeout + DISCONNECT_DELAY) / MICROSECONDS_PER_SECOND
         self.deadline_timer = self.clients.loop.call_later(wait, self.disconnect)
 
     def pause_writing(self) -> None:
-        """Nothing to do: the transport keeps what is written."""
+        """Do nothing: the transport buffers all writes."""
 
     def resume_writing(self) -> None:
-        """Nothing to do."""
+        """Do nothing: see `pause_writing`."""
 
     def disconnect(self) -> None:
-        """Give the request up."""
+        """Give up the request and abort the connection."""
         request = self.request
         if request is not None:
             self._end_request()
@@ -228,7 +229,7 @@
         self.request = None
         self.clients.waiting.discard(self)
 
-    # The response.
+    # Response
 
     def _reset_response(self) -> None:
         self.body: list[bytes] = []
@@ -236,7 +237,7 @@
         self.status = NO_STATUS
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.data_received`."""
         request = self.request
         recorder = self.clients.recorder
         if request is None or self.parser is None:
@@ -254,27 +255,27 @@
             self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """As httptools."""
+        """Handle a header, parsed by httptools."""
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """As httptools."""
+        """Record the status once httptools has parsed the head."""
         if self.parser is not None:
             self.status = self.parser.get_status_code()
 
-    def on_body(self, part: bytes) -> None:
-        """As httptools."""
+    def on_body(self, data: bytes) -> None:
+        """Handle body data, parsed by httptools."""
         length = int(self.headers.get(b"content-length", UNKNOWN_LENGTH))
-        if not self.body and self.request is not None and len(part) < length:
+        if not self.body and self.request is not None and len(data) < length:
             self.clients.recorder("began", self.request.trace_id)
-        self.body.append(part)
+        self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """As httptools."""
+        """Finish or retry the request once httptools has parsed the final response."""
         if self.status < OK or self.request is None or self.parser is None:
             return
         request = self.request
-        is_reusable = self.parser.should_keep_alive() and self.is_sent
+        is_reusable = self.parser.should_keep_alive() and self.is_request_sent
         self._end_request()
         self.clients.recorder("answer", request.trace_id, self.status, b"".join(self.body))
         retry_after = round(float(self.headers.get(b"retry-after", 0)) * MICROSECONDS_PER_SECOND)
@@ -282,18 +283,18 @@
         self.clients.retry(request, self.status, retry_after)
 
     def release(self, is_reusable: bool) -> None:
-        """The response is complete: keep the connection or close it."""
+        """Keep the connection idle or close it after a complete response."""
         if is_reusable:
             self.clients.idle.append(self)
         else:
             self.transport.close()
 
     def eof_received(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.eof_received`."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_lost`."""
         self.parser = None
         if self in self.clients.idle:
             self.clients.idle.remove(self)
@@ -302,7 +303,7 @@
             return
         self._end_request()
         if self.requests_sent > 1 and not error and not self.status and not request.was_resent:
-            # Closed in order between two requests, this one unread: it goes out on a new connection.
+            # The balancer closed the idle connection without reading the request: resend it on a new one.
             request.was_resent = True
             request.needs_new_connection = True
             self.clients.dispatch(request)
@@ -315,17 +316,17 @@
 
 
 class HalfCloseClient(ClientConnection):
-    """Keeps its connection until the balancer closes its direction, and then sends one more request."""
+    """A client that sends another request after the balancer has half-closed the connection."""
 
     def __init__(self, clients: Clients, address: Address, follow_up: ClientRequest) -> None:
         super().__init__(clients, address)
         self.follow_up: ClientRequest | None = follow_up
 
     def release(self, is_reusable: bool) -> None:
-        """Keep the connection, and send nothing on it for now."""
+        """Keep the connection open, but do not reuse it for other requests."""
 
     def eof_received(self) -> bool:
-        """Send the other request on the direction that is left."""
+        """Send the second request: the client's direction is still open."""
         follow_up = self.follow_up
         self.follow_up = None
         if self.request is not None or follow_up is None or not self.requests_sent:
--- a/dahliabend/simulation/peers/connection_rotation.py
+++ b/dahliabend/simulation/peers/connection_rotation.py
@@ -1,10 +1,10 @@
-"""Which balancer a client's next connection goes to."""
+"""The choice of the balancer for a client's next connection."""
 
 from dahliabend.simulation.addresses import Address
 
 
 class ConnectionRotation:
-    """Deals out connections among the balancers that are ready, in rotation."""
+    """Distributes connections to the ready balancers in rotation."""
 
     def __init__(self, addresses: list[Address]) -> None:
         self.addresses = list(addresses)
@@ -12,7 +12,7 @@
         self._position = 0
 
     def next_address(self) -> Address | None:
-        """Where the next connection goes, None if no balancer is ready."""
+        """Return the address for the next connection, None if no balancer is ready."""
         ready = [address for address in self.addresses if address not in self.not_ready]
         if not ready:
             return None
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the endpoint list, and the agent on each balancer's machine that serves watches of it."""
+"""Discovery: the registry of endpoints, and the agent on each balancer's host that serves watches of it."""
 
 import asyncio
 import json
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from dahliabend.simulation.transports import Transport
 
-KEEPALIVE_INTERVAL = 2.0  # seconds between empty lines on a watch
+KEEPALIVE_INTERVAL = 2.0  # seconds between the empty lines that keep a watch alive
 MICROSECONDS_PER_SECOND = 1e6
-FULL_LIST = -1  # the version after which a watch asks for changes, where it asks for the list
+FULL_LIST = -1  # last known version of a watch that asks for the full list
 
 
 class EndpointEntry(TypedDict):
-    """An endpoint of the list, with the keys of the wire."""
+    """An entry of the endpoint list, with the keys of the wire format."""
 
     id: str
     addr: str
@@ -27,11 +27,11 @@
     cell: int
     state: str
     weight: NotRequired[float]
-    started_ms: int  # of Unix time; 0: long ago
+    started_ms: int  # milliseconds of Unix time; 0: long ago
 
 
 class EndpointListMessage(TypedDict):
-    """The list, or a change of it, with the keys of the wire."""
+    """The full endpoint list or a change of it, with the keys of the wire format."""
 
     version: int
     full: bool
@@ -39,7 +39,7 @@
 
 
 class Registry:
-    """The true endpoint list."""
+    """The authoritative endpoint list. Agents learn of its changes with a delay."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -47,7 +47,7 @@
         self.agents: list[Agent] = []
 
     def put(self, entry: EndpointEntry) -> None:
-        """Add or change an entry; the state `removed` takes it out."""
+        """Add or replace an entry; the state `removed` removes it."""
         self.version += 1
         if entry["state"] == "removed":
             self.entries.pop(entry["id"], None)
@@ -58,7 +58,7 @@
 
 
 class Agent:
-    """What one balancer is told of the endpoint list, and when."""
+    """The discovery agent of one balancer, with its delayed copy of the endpoint list."""
 
     def __init__(
         self,
@@ -68,48 +68,48 @@
         rng: Random,
         mean_delay: int,
     ) -> None:
-        """Create an agent that knows the list as it is now.
+        """Create an agent with the current endpoint list.
 
         Args:
-            registry: of the endpoint list.
-            loop: that it runs on.
-            recorder: of events.
-            rng: of its delays.
-            mean_delay: microseconds until it learns of a change.
+            registry: the authoritative endpoint list.
+            loop: the event loop of the agent.
+            recorder: called with each event.
+            rng: the random generator of the delays.
+            mean_delay: mean time until the agent learns of a change, in microseconds.
         """
         self.registry = registry
         self.loop = loop
         self.recorder = recorder
         self.rng = rng
         self.mean_delay = mean_delay
-        self.name = ""  # of the balancer that it serves
+        self.name = ""  # name of the balancer that the agent serves
         self.version = registry.version
-        self.version_offset = 0  # of the registry's versions, once its own began anew
+        self.version_offset = 0  # registry version minus own version, after a restart of the versions
         self.entries = dict(registry.entries)
         self.announced_ids = set(registry.entries)
-        self.changes: list[tuple[int, EndpointEntry]] = []  # those learned, by version
+        self.changes: list[tuple[int, EndpointEntry]] = []  # changes that were learned, with their versions
         self.watches: list[Watch] = []
         self.servers: list[Any] = []
         self._next_due = 0.0
-        # Faults.
+        # Faults
         self.extra_delay = 0  # microseconds
-        self.silent = False
-        self.sends_full_lists = False
-        self._withheld_states: dict[str, str] = {}  # learned while silent
+        self.silent = False  # sends nothing on watches
+        self.sends_full_lists = False  # announces drains and removals by full lists that omit the endpoints
+        self._withheld_states: dict[str, str] = {}  # states learned while silent, by endpoint id
         registry.agents.append(self)
 
     async def open(self, host: str, port: int) -> None:
-        """Serve watches at an address."""
+        """Start to serve watches at an address."""
         self.servers.append(await self.loop.create_server(lambda: Watch(self), host, port))
 
     def schedule_change(self, version: int, entry: EndpointEntry) -> None:
-        """Learn of a change after a while, in order."""
+        """Learn of a change after a random delay, in the order of the changes."""
         wait = self.mean_delay * (0.5 + self.rng.random()) + self.extra_delay
         self._next_due = max(self._next_due, self.loop.time() + wait / MICROSECONDS_PER_SECOND)
         self.loop.call_at(self._next_due, self.apply_change, version, entry)
 
     def apply_change(self, version: int, entry: EndpointEntry) -> None:
-        """Learn of a change now."""
+        """Apply a change to the copy of the list and announce it on all watches."""
         name = entry["id"]
         state = entry["state"]
         version -= self.version_offset
@@ -117,7 +117,7 @@
         self.changes.append((version, entry))
         if self.silent and state != "up":
             self._withheld_states[name] = state
-        else:  # that one is up again may be in the configuration from which a process starts meanwhile
+        else:  # a process started meanwhile may already read from its configuration that the endpoint is up
             self._withheld_states.pop(name, None)
             self.recorder("had", self.name, name, state)
         if state == "removed":
@@ -132,13 +132,13 @@
                 watch.send_update(version, [entry], is_full=False)
 
     def full_list(self) -> EndpointListMessage:
-        """The list as this agent knows it, as JSON."""
+        """Return the agent's copy of the list as the object to be encoded as JSON."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
-    # Faults.
+    # Faults
 
     def end_silence(self) -> None:
-        """Send what was missed on the watches that are still there."""
+        """End the silence and send the missed changes on all open watches."""
         self.silent = False
         for name, state in self._withheld_states.items():
             self.recorder("had", self.name, name, state)
@@ -147,64 +147,64 @@
             watch.catch_up()
 
     def restart_versions(self) -> None:
-        """Begin the versions anew, and end all watches."""
+        """Restart the versions at 0 and close all watches."""
         self.version_offset += self.version
         self.version = 0
         self.changes = []
         self.close_watches()
 
     def close_watches(self) -> None:
-        """End all watches."""
+        """Abort the connections of all watches."""
         for watch in list(self.watches):
             watch.transport.abort()
 
-    def send_invalid_update(self, kind: int) -> None:
-        """Send an old update, invalid entries or a truncated object on all watches."""
+    def send_invalid_update(self, variant: int) -> None:
+        """Send an outdated update, invalid entries or truncated JSON on all watches, by `variant`."""
         messages = (
             b'{"version":1,"full":false,"servers":[{"id":"s-0","state":"removed"}]}\n',
             b'{"version":%d,"full":true,"servers":[{"id":7},{"state":"up"},"x"]}\n' % self.version,
             b'{"version": \n',
         )
         for watch in list(self.watches):
-            watch.write_line(messages[kind % len(messages)])
+            watch.write_line(messages[variant % len(messages)])
 
 
 class Watch(asyncio.Protocol):
-    """One watch, from its request on."""
+    """The connection of one watch of the endpoint list."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.after = FULL_LIST  # the version that its client has
+        self.after = FULL_LIST  # the last version that the client has
         self.is_open = False
         self.is_muted = False
         self.keepalive_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
         self.peer = transport.get_extra_info("caller", "")
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.data_received`."""
         if self.parser is not None:
             self.parser.feed_data(data)
 
-    def on_url(self, part: bytes) -> None:
-        """As httptools."""
-        self.target += part
+    def on_url(self, data: bytes) -> None:
+        """Handle a part of the request target, parsed by httptools."""
+        self.target += data
 
     def on_message_complete(self) -> None:
-        """As httptools."""
-        _, found, after = self.target.partition(b"after=")
-        self.after = int(after) if found else FULL_LIST
+        """Start the watch once httptools has parsed its request."""
+        _, has_version, after = self.target.partition(b"after=")
+        self.after = int(after) if has_version else FULL_LIST
         self.agent.watches.append(self)
         if not self.agent.silent:
-            self._begin()
+            self._start_response()
 
-    def _begin(self) -> None:
-        """Answer the request: with the list, or with the changes since the client's version."""
+    def _start_response(self) -> None:
+        """Start the response with the full list or with the changes after the client's version."""
         agent = self.agent
         self.is_open = True
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -224,9 +224,9 @@
         return [entry for version, entry in self.agent.changes if version > self.after]
 
     def catch_up(self) -> None:
-        """Send what was missed while the agent was silent."""
+        """Send the changes that were withheld while the agent was silent."""
         if not self.is_open:
-            self._begin()
+            self._start_response()
             return
         missed = self._missed_entries()
         if missed:
@@ -239,7 +239,7 @@
             self.keepalive_timer = self.agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
 
     def send_update(self, version: int, entries: list[EndpointEntry], *, is_full: bool) -> None:
-        """Send entries; a full list announces by omission that others are removed."""
+        """Send entries; a full list announces the removal of all endpoints that it omits."""
         self.after = version
         if self.is_muted:
             return
@@ -250,22 +250,22 @@
         if is_full:
             self._record_removals({entry["id"] for entry in entries})
 
-    def _record_removals(self, listed: Iterable[str]) -> None:
-        for name in sorted(self.agent.announced_ids.difference(listed)):
+    def _record_removals(self, listed_ids: Iterable[str]) -> None:
+        for name in sorted(self.agent.announced_ids.difference(listed_ids)):
             self.agent.recorder("told", self.peer, name, "removed")
 
     def write_line(self, text: bytes) -> None:
-        """Write one line as a chunk."""
+        """Write one line as an HTTP chunk."""
         if not self.transport.is_closing() and self.is_open and not self.is_muted:
             self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
     def mute(self) -> None:
-        """Let nothing come through any more; what is sent is not recorded as announced."""
+        """Block the connection; later updates are not recorded as announced."""
         self.is_muted = True
         cast("Transport", self.transport).end.drop_packets()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_lost`."""
         self.parser = None
         if self in self.agent.watches:
             self.agent.watches.remove(self)
--- a/dahliabend/simulation/peers/misbehaving_clients.py
+++ b/dahliabend/simulation/peers/misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients with bad manners: floods of requests, malformed requests."""
+"""Misbehaving clients, which flood a balancer or send malformed requests."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class FloodingClient(asyncio.Protocol):
-    """Sends many requests at once, reads what comes, and disconnects soon without waiting for all."""
+    """A client that pipelines many requests at once and soon disconnects without awaiting all responses."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         timeout: int,
         rng: Random,
     ) -> None:
-        """Create a client that is not connected; `timeout`: of its requests, in microseconds."""
+        """Create an unconnected client; `timeout` is that of its requests, in microseconds."""
         self.loop = loop
         self.recorder = recorder
         self.trace_ids = trace_ids
@@ -33,12 +33,12 @@
         self.is_disconnected = False
 
     async def connect(self, address: tuple[str, int]) -> None:
-        """Connect and send the requests."""
+        """Connect to a balancer; the requests are sent once the connection is established."""
         with contextlib.suppress(OSError):
             await self.loop.create_connection(lambda: self, *address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
         number = transport.get_extra_info("connection", id(self))
         for trace_id in self.trace_ids:
@@ -48,7 +48,7 @@
         self.loop.call_later(self.lifetime, self.disconnect)
 
     def disconnect(self) -> None:
-        """Give all requests up."""
+        """Give up all requests and abort the connection."""
         if not self.is_disconnected:
             self.is_disconnected = True
             for trace_id in self.trace_ids:
@@ -56,12 +56,12 @@
             self.transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_lost`."""
         self.disconnect()
 
 
 class MalformedClient(asyncio.Protocol):
-    """Sends nothing, half a request or a malformed one, and stays."""
+    """A client that sends nothing, a partial or a malformed request, and keeps the connection open."""
 
     MESSAGES = (
         b"",
@@ -79,6 +79,6 @@
         self.message = rng.choice(self.MESSAGES)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         if self.message:
             cast(asyncio.Transport, transport).write(self.message)
--- a/dahliabend/simulation/peers/operators.py
+++ b/dahliabend/simulation/peers/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the admin interface and of health endpoints: one request on a connection of its own."""
+"""Calls of the admin interface and of health endpoints, each on a new connection."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class Call(asyncio.Protocol):
-    """One call, from its connection until its response or the end of the connection."""
+    """One HTTP call, which finishes with its response or with the loss of the connection."""
 
     def __init__(self, message: bytes, on_finished: OnFinished) -> None:
         self.message = message
@@ -24,26 +24,26 @@
         self.is_finished = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(self.message)
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.data_received`."""
         if self.parser is not None:
             self.parser.feed_data(data)
 
     def on_headers_complete(self) -> None:
-        """As httptools."""
+        """Record the status once httptools has parsed the head."""
         if self.parser is not None:
             self.status = self.parser.get_status_code()
 
-    def on_body(self, part: bytes) -> None:
-        """As httptools."""
-        self.body += part
+    def on_body(self, data: bytes) -> None:
+        """Handle body data, parsed by httptools."""
+        self.body += data
 
     def on_message_complete(self) -> None:
-        """As httptools."""
+        """Finish the call once httptools has parsed the response."""
         self._finish(self.status)
         self.transport.close()
 
@@ -53,7 +53,7 @@
             self.on_finished(status, self.body)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_lost`."""
         self.parser = None
         self._finish(0)
 
@@ -61,29 +61,29 @@
 async def call(
     loop: asyncio.AbstractEventLoop, address: tuple[str, int], method: str, path: str, target: str = ""
 ) -> tuple[int, bytes]:
-    """Make a call.
+    """Make an HTTP call and wait for its response.
 
     Args:
-        loop: to make it on.
-        address: of the interface.
-        method: of the request.
-        path: of the request.
-        target: that the request's JSON body names; empty: no body.
+        loop: the event loop to use.
+        address: the address of the interface.
+        method: the method of the request.
+        path: the path of the request.
+        target: the target in the JSON body of the request; empty: no body.
 
     Returns:
-        The status, 0 where no response came in time, and the body.
+        The status and the body of the response; the status is 0 if no response arrived in time.
     """
     body = json.dumps({"target": target}).encode() if target else b""
     message = f"{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
     finished: asyncio.Future[tuple[int, bytes]] = loop.create_future()
 
-    def finish(status: int, text: bytes) -> None:
-        """Set the result, unless it is set."""
+    def finish(status: int, response_body: bytes) -> None:
+        """Set the result if it is not set yet."""
         if not finished.done():
-            finished.set_result((status, text))
+            finished.set_result((status, response_body))
 
     def connect_finished(task: "asyncio.Task[tuple[asyncio.Transport, Call]]") -> None:
-        """Finish without a status if the connection failed."""
+        """Finish with status 0 if the connection failed."""
         if not task.cancelled() and task.exception() is not None:
             finish(0, b"")
 
--- a/dahliabend/simulation/peers/upstream.py
+++ b/dahliabend/simulation/peers/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream: cores, slots, a queue, a warm-up, and every way in which it can misbehave."""
+"""A simulated upstream with cores, slots, a queue, a warm-up period and faults."""
 
 import asyncio
 from collections import deque
@@ -12,27 +12,27 @@
 from dahliabend.simulation.peers import RecordEvent
 from dahliabend.simulation.peers.upstream_spec import UpstreamSpec
 
-LONG_ANSWER = 150_000  # bytes
-DUPLICATE_DELAY = 500, 6_000  # microseconds: how long after a response it is sent once more
-CONTENTION_FACTOR = 1.5  # times longer work takes beyond the contention share
-SUBMIT_FACTOR = 1.5  # times the work of a query
-CHUNKED_SHARE = 0.2  # of the answers
-UNHEALTHY_FAILURE_SHARE = 0.5  # an upstream that fails more of its requests fails its health checks
-FAILURE_TIME_DIVISOR = 50  # a failure takes the mean work divided by this
-MIN_WORK_DIVISOR = 8  # at least the mean work divided by this is done
-UNLIMITED = 1 << 20  # connections
+LONG_RESPONSE_SIZE = 150_000  # bytes
+DUPLICATE_DELAY = 500, 6_000  # microseconds, shortest and longest, until a duplicate of a response is sent
+CONTENTION_FACTOR = 1.5  # factor on the duration of work above the contention share
+SUBMIT_FACTOR = 1.5  # factor on the work of a query
+CHUNKED_SHARE = 0.2  # share of the successful responses with chunked encoding
+UNHEALTHY_FAILURE_SHARE = 0.5  # above this share of failing requests, health checks fail too
+FAILURE_TIME_DIVISOR = 50  # the duration of a failing request is the mean work divided by this
+MIN_WORK_DIVISOR = 8  # the minimum work of a request is the mean work divided by this
+UNLIMITED_CONNECTIONS = 1 << 20
 MICROSECONDS_PER_SECOND = 1e6
 REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 5\r\n\r\nfull\n"
 FAILED_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nbad\n"
-ADMIN_PREFIX = b"/-/"  # of the paths of health checks
+ADMIN_PREFIX = b"/-/"  # prefix of the paths of health checks
 
 
 class Arrival(NamedTuple):
-    """A request that came while an upstream warmed up."""
+    """A request that arrived during an upstream's warm-up."""
 
-    at: int
-    work: int
-    is_informed: bool  # its balancer knew of the start
+    arrived_at: int  # microseconds of the loop's clock
+    work: int  # microseconds of a core
+    is_informed: bool  # whether the sending balancer knew of the start
 
 
 @dataclass(slots=True, eq=False)
@@ -40,16 +40,16 @@
     """A request that an upstream executes."""
 
     connection: "Connection"
-    number: int  # of the connection
+    connection_number: int
     trace_id: str
     class_name: str
     target: bytes
-    work: int
-    is_orphaned: bool = False  # nobody waits for it any more
+    work: int  # microseconds of a core
+    is_orphaned: bool = False  # whether its connection is lost, so that nothing awaits the response
 
 
 class Upstream:
-    """One process of an upstream, from its start until its end."""
+    """One process of an upstream."""
 
     def __init__(
         self,
@@ -60,15 +60,16 @@
         started_at: int,
         knows_start: Callable[[str], bool],
     ) -> None:
-        """Create a process.
+        """Create a process that does not listen yet.
 
         Args:
-            spec: of the upstream.
-            loop: that it runs on.
-            recorder: of events.
-            rng: of its work.
-            started_at: microseconds of the loop's clock; 0: long ago, it is warm.
-            knows_start: whether a balancer knows of its start; called with "": whether all do.
+            spec: the capacity and the settings of the upstream.
+            loop: the event loop of the process.
+            recorder: called with each event.
+            rng: the random generator of work, failures and responses.
+            started_at: the start in microseconds of the loop's clock; 0: long ago, so that it is warm.
+            knows_start: called with a balancer's name, returns whether it knows of the start; called with "",
+                returns whether all balancers do.
         """
         self.spec = spec
         self.loop = loop
@@ -80,35 +81,35 @@
         self.running = 0
         self.queue: deque[Job] = deque()
         self.connections: set[Connection] = set()
-        self.recent_arrivals: deque[Arrival] = deque()  # while it warms up
+        self.recent_arrivals: deque[Arrival] = deque()  # of the last overload_window, during the warm-up
         self.recent_work = 0
         self.answers_made = 0
-        # Calls the next tier with trace id, class name and what is to be called with the result.
+        # Calls the next tier, given a trace id, a class name and a callback that takes whether it succeeded.
         self.call_next_tier: Callable[[str, str, Callable[[bool], None]], None] | None = None
-        # Switches for faults; scripts and tests set them by name.
-        self.hung = False
-        self.draining = False
-        self.mute = False  # it executes requests, and resets connections in place of answering
-        self.failing = 0.0
-        self.garbled = 0.0
-        self.twice = 0.0  # the share of responses that are sent once more
-        self.slower = 1.0
-        self.connection_limit = UNLIMITED
-        self.is_overloaded = False
+        # Fault switches, which scenarios and tests set by name
+        self.hung = False  # accepts requests and never answers
+        self.draining = False  # rejects new requests
+        self.mute = False  # executes requests, but resets the connection instead of responding
+        self.failing = 0.0  # share of requests that fail
+        self.garbled = 0.0  # share of successful responses that are sent invalid
+        self.twice = 0.0  # share of successful responses that are sent twice
+        self.slower = 1.0  # factor on the duration of work
+        self.connection_limit = UNLIMITED_CONNECTIONS
+        self.is_overloaded = False  # whether too much work during the warm-up has made it hang for good
 
     async def open(self) -> None:
-        """Listen at its address."""
+        """Start to listen at the address of the upstream."""
         address = self.spec.host, self.spec.port
         self.server = await self.loop.create_server(lambda: Connection(self), *address)
 
     def now(self) -> int:
-        """Microseconds of the loop's clock."""
+        """Return the time of the loop's clock, in microseconds."""
         return round(self.loop.time() * MICROSECONDS_PER_SECOND)
 
-    # Capacity.
+    # Capacity
 
     def warmup_factor(self) -> float:
-        """The share of its capacity that it has."""
+        """Return the available share of the full capacity, below 1 during the warm-up."""
         spec = self.spec
         age = self.now() - self.started_at
         if not self.started_at or age >= spec.warmup_time:
@@ -116,7 +117,10 @@
         return spec.initial_capacity + (1 - spec.initial_capacity) * age / spec.warmup_time
 
     def record_work(self, work: int, process: str) -> None:
-        """Count work that arrives during the warm-up, also what is rejected; too much ends the process."""
+        """Count the work that arrives during the warm-up, rejected requests included.
+
+        Too much work within the overload window makes the process hang for good.
+        """
         now = self.now()
         spec = self.spec
         warmup_factor = self.warmup_factor()
@@ -127,37 +131,41 @@
         balancer = process.partition("/")[0]
         self.recent_arrivals.append(Arrival(now, work, self.knows_start(balancer)))
         self.recent_work += work
-        while self.recent_arrivals[0].at <= now - spec.overload_window:
+        while self.recent_arrivals[0].arrived_at <= now - spec.overload_window:
             self.recent_work -= self.recent_arrivals.popleft().work
         capacity = warmup_factor * spec.cores * spec.overload_window
-        if self._is_too_much(capacity) and not self.is_overloaded:
+        if self._exceeds_overload_limit(capacity) and not self.is_overloaded:
             self.is_overloaded = True
             self.hung = True
             if self._were_balancers_informed():
                 self.recorder("toppled", spec.name, self.recent_work / capacity)
 
-    def _is_too_much(self, capacity: float) -> bool:
+    def _exceeds_overload_limit(self, capacity: float) -> bool:
         spec = self.spec
         if not spec.counts_requests:
             return bool(self.recent_work > spec.overload_multiple * capacity)
-        # Requests of mean work: what single ones happen to take is not to be foreseen.
+        # Requests count at their mean work, because balancers cannot foresee the work of a single one.
         mean_work = spec.mean_work * (MIN_WORK_DIVISOR + 1) / MIN_WORK_DIVISOR
         allowed = spec.overload_multiple * capacity / mean_work
         return bool(len(self.recent_arrivals) > allowed + 2 * allowed**0.5 + 2)
 
     def _were_balancers_informed(self) -> bool:
-        """Whether the balancers are to blame: all knew of the start, or two thirds of the requests did."""
+        """Return whether the balancers were informed of the start and so are responsible for the overload.
+
+        That holds if all of them knew of the start or, where requests are counted, if more than two thirds
+        of the requests came from balancers that did.
+        """
         if not self.spec.counts_requests:
             return bool(self.knows_start(""))
         informed = sum(arrival.is_informed for arrival in self.recent_arrivals)
         return 3 * informed > 2 * len(self.recent_arrivals)
 
-    # Requests.
+    # Requests
 
     def request_arrived(
         self, connection: "Connection", trace_id: str, class_name: str, target: bytes
     ) -> None:
-        """A request has come: it is executed, queued or rejected."""
+        """Execute, queue or reject a request that has arrived."""
         spec = self.spec
         self.recorder("begun", trace_id, spec.name, connection.number)
         factor = SUBMIT_FACTOR if class_name == "submit" else 1.0
@@ -181,12 +189,12 @@
             self.reject(connection, trace_id)
 
     def reject(self, connection: "Connection", trace_id: str) -> None:
-        """Reject a request; it is never executed."""
+        """Reject a request without executing it."""
         self.recorder("unrun", trace_id, self.spec.name, connection.number)
         connection.respond(REJECTED_RESPONSE)
 
     def _start_job(self, job: Job) -> None:
-        """Execute a request: from here on it may have an effect."""
+        """Start to execute a request; from here on it may have an effect."""
         spec = self.spec
         self.running += 1
         self.recorder("effect", job.trace_id, spec.name)
@@ -213,23 +221,23 @@
             return
         connection.job = None
         if not is_ok or (self.failing and self.rng.random() < self.failing):
-            self.recorder("done", job.trace_id, self.spec.name, job.number, 500)
+            self.recorder("done", job.trace_id, self.spec.name, job.connection_number, 500)
             connection.respond(FAILED_RESPONSE)
         else:
-            self._answer(job, connection)
+            self._respond_with_success(job, connection)
 
-    def _answer(self, job: Job, connection: "Connection") -> None:
-        """Send a successful answer, or what a fault makes of it."""
+    def _respond_with_success(self, job: Job, connection: "Connection") -> None:
+        """Send a successful response, or what an active fault turns it into."""
         body = self._make_body(job)
         self.recorder("made", job.trace_id, body)
         if self.mute:
             connection.transport.abort()
             return
-        self.recorder("done", job.trace_id, self.spec.name, job.number, 200)
+        self.recorder("done", job.trace_id, self.spec.name, job.connection_number, 200)
         if self.garbled and self.rng.random() < self.garbled:
             connection.respond_invalid(body)
             return
-        self.recorder("gave", job.trace_id, self.spec.name, job.number)
+        self.recorder("gave", job.trace_id, self.spec.name, job.connection_number)
         if self.rng.random() < CHUNKED_SHARE:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(body)
             connection.respond(head + body + b"\r\n0\r\n\r\n")
@@ -245,13 +253,13 @@
         self.answers_made += 1
         body = f"{job.trace_id} {self.spec.name} {self.answers_made} ".encode()
         if b"long" in job.target:
-            body += b"%x" % self.rng.getrandbits(4) * (LONG_ANSWER - len(body))
+            body += b"%x" % self.rng.getrandbits(4) * (LONG_RESPONSE_SIZE - len(body))
         return body
 
-    # Faults.
+    # Faults
 
     def drain(self) -> None:
-        """Reject all requests from now on."""
+        """Start to reject all requests."""
         self.draining = True
 
     def reset_all(self) -> None:
@@ -262,7 +270,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """A balancer's connection to an upstream."""
+    """The upstream's end of a connection from a balancer."""
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
@@ -275,7 +283,7 @@
         self.trace_id = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
         self.number = transport.get_extra_info("connection", id(self))
         self.upstream.connections.add(self)
@@ -295,7 +303,7 @@
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.data_received`."""
         if self.parser is None:
             return
         try:
@@ -303,17 +311,17 @@
         except httptools.HttpParserError:
             self.transport.abort()
 
-    def on_url(self, part: bytes) -> None:
-        """As httptools."""
-        self.target += part
+    def on_url(self, data: bytes) -> None:
+        """Handle a part of the request target, parsed by httptools."""
+        self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """As httptools."""
+        """Keep the trace id from the headers, parsed by httptools."""
         if name.lower() == b"x-trace-id":
             self.trace_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
-        """As httptools."""
+        """Handle a request or health check that httptools has parsed."""
         target = self.target
         trace_id = self.trace_id
         self.target = b""
@@ -339,7 +347,7 @@
         self.respond(b"HTTP/1.1 %b\r\nContent-Length: 3\r\n\r\nok\n" % status)
 
     def assign(self, job: Job) -> None:
-        """Have it wait for a job's answer."""
+        """Mark the connection as waiting for the response of a job."""
         self.is_busy = True
         self.job = job
 
@@ -351,30 +359,30 @@
             self._restart_idle_timer()
 
     def respond_again(self, data: bytes) -> None:
-        """Send a response that was sent before; whatever came meanwhile is still to be answered."""
+        """Send a duplicate of a response; a request that arrived meanwhile stays unanswered."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def respond_invalid(self, body: bytes) -> None:
-        """Send a response that cannot be taken for complete: cut short, or with an invalid head."""
+        """Send a truncated response, one with an invalid head or one with an invalid chunk."""
         self.is_busy = False
-        kind = self.upstream.rng.randrange(3)
-        if kind == 0:
+        variant = self.upstream.rng.randrange(3)
+        if variant == 0:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body[:-3])
             self.transport.close()
-        elif kind == 1:
+        elif variant == 1:
             self.transport.write(b"HTTP/9 2x0 ??\r\n\r\n" + body)
         else:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + body)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """As asyncio."""
+        """Implement `asyncio.Protocol.connection_lost`."""
         self.parser = None
         self._cancel_idle_timer()
         upstream = self.upstream
         upstream.connections.discard(self)
         if self.job is not None:
             self.job.is_orphaned = True
-            if self.job in upstream.queue:  # it is never executed
+            if self.job in upstream.queue:  # a queued job is never executed
                 upstream.queue.remove(self.job)
             self.job = None
--- a/dahliabend/simulation/peers/upstream_spec.py
+++ b/dahliabend/simulation/peers/upstream_spec.py
@@ -1,11 +1,11 @@
-"""What an upstream of a simulation is and can do."""
+"""The specification of a simulated upstream."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class UpstreamSpec:
-    """What an upstream is and can do. Times are microseconds."""
+    """The address, capacity and settings of an upstream. All times are in microseconds."""
 
     name: str
     host: str
@@ -13,16 +13,16 @@
     zone: str
     cell: int
     cores: int = 2
-    slots: int = 8  # requests executed at once on a core, which they share
-    queue: int = 8  # and waiting, on a core
-    contention_share: float = 1.0  # of its slots: beyond, all work takes longer
-    mean_work: int = 8_000  # of a core for a request
+    slots: int = 8  # requests that a core executes concurrently, sharing its time
+    queue: int = 8  # requests that wait, per core
+    contention_share: float = 1.0  # share of the slots in use above which all work takes longer
+    mean_work: int = 8_000  # core time of a request
     warmup_time: int = 2_000_000
-    initial_capacity: float = 0.4  # the share of its capacity at the start of the warm-up
-    overload_multiple: float = 4.0  # times its capacity while warming up: it fails for good beyond that
-    overload_window: int = 1_000_000
-    idle_timeout: int = 2_000_000  # of connections
+    initial_capacity: float = 0.4  # share of the full capacity at the start of the warm-up
+    overload_multiple: float = 4.0  # multiple of the warm-up capacity above which it fails for good
+    overload_window: int = 1_000_000  # time over which arriving work is summed up
+    idle_timeout: int = 2_000_000  # time after which idle connections are closed
     answers_health_checks: bool = True
-    # With many balancers, requests are counted in place of their work: it fails beyond N + 2 sqrt(N) + 2 of
-    # them, where N are allowed.
+    # Whether the overload limit counts requests instead of their work, for simulations with many balancers.
+    # Where N requests are allowed, the upstream fails above N + 2 sqrt(N) + 2 of them.
     counts_requests: bool = False
--- a/dahliabend/simulation/sockets.py
+++ b/dahliabend/simulation/sockets.py
@@ -141,24 +141,24 @@
         return int(option == socket.SO_ACCEPTCONN and self.listen_queue is not None)
 
     def getsockname(self) -> Address:
-        """As `socket.socket`."""
+        """Implement `socket.socket.getsockname`."""
         return self.end.local if self.end is not None else self.address
 
     def getpeername(self) -> Address:
-        """As `socket.socket`."""
+        """Implement `socket.socket.getpeername`."""
         return self.connected_end.remote
 
     def fileno(self) -> int:
-        """As `socket.socket`."""
+        """Implement `socket.socket.fileno`."""
         return -1 if self.closed else self.descriptor
 
     def bind(self, address: Address) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.bind`."""
         host, port = address
         self.address = (host, port or self.network.ephemeral_port())
 
     def listen(self, backlog: int) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.listen`."""
         self.listen_queue = self.network.listen(self.address, backlog)
         self.listen_queue.sockets.append(self)
 
@@ -170,7 +170,7 @@
         """Do nothing: the future is cancelled, and a connection that is established later is closed."""
 
     def accept(self) -> tuple["Socket", Address]:
-        """As `socket.socket`.
+        """Implement `socket.socket.accept`.
 
         Raises:
             OSError: no connection is waiting, or the socket does not listen.
@@ -186,7 +186,7 @@
         return sock, queue.popleft().remote
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """As `socket.socket`; the only supported flag is MSG_PEEK.
+        """Implement `socket.socket.recv`; the only supported flag is MSG_PEEK.
 
         Raises:
             OSError: no data is available, the socket is not connected, or the connection was reset.
@@ -207,7 +207,7 @@
         raise BlockingIOError(EAGAIN, "no data is available")
 
     def shutdown(self, how: int) -> None:
-        """As `socket.socket`.
+        """Implement `socket.socket.shutdown`.
 
         Raises:
             OSError: the socket is not connected, or the connection was reset.
@@ -220,7 +220,7 @@
             self.end.shutdown()
 
     def close(self) -> None:
-        """As `socket.socket`."""
+        """Implement `socket.socket.close`."""
         if self.closed:
             return
         self.closed = True
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -47,7 +47,7 @@
         self.protocol_paused = False
         self.reading_paused = False
         self.closing = False
-        self.loss_scheduled = False  # of the call of `connection_lost`
+        self.is_loss_scheduled = False  # whether the call of `connection_lost` is scheduled
         self.eof_reported = False
         self.eof_queued = False
         loop.call_soon(self._start, waiter)
@@ -64,7 +64,7 @@
 
     def on_readable(self) -> None:
         """Handle data, a FIN or a reset. While reading is paused, even a reset goes unnoticed."""
-        if self.loss_scheduled or self.closing or self.reading_paused:
+        if self.is_loss_scheduled or self.closing or self.reading_paused:
             return
         end = self.end
         if end.reset_received:
@@ -142,7 +142,7 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Implement `asyncio.Transport.write`."""
-        if self.closing or self.loss_scheduled or self.eof_queued or not data:
+        if self.closing or self.is_loss_scheduled or self.eof_queued or not data:
             return
         if not self.write_buffer_size:
             try:
@@ -161,7 +161,7 @@
 
     def on_writable(self) -> None:
         """Write buffered bytes: the send buffer has room."""
-        if self.loss_scheduled or not self.write_buffer_size:
+        if self.is_loss_scheduled or not self.write_buffer_size:
             return
         try:
             while self.write_queue:
@@ -221,8 +221,8 @@
         self._schedule_connection_lost(error)
 
     def _schedule_connection_lost(self, error: Exception | None) -> None:
-        if not self.loss_scheduled:
-            self.loss_scheduled = True
+        if not self.is_loss_scheduled:
+            self.is_loss_scheduled = True
             self.loop.call_soon(self._finish, error)
 
     def _finish(self, error: Exception | None) -> None:
