--- a/dahliabend/simulation/connections.py
+++ b/dahliabend/simulation/connections.py
@@ -112,18 +112,18 @@
         self.is_closed = False
         self.closed_at = 0  # when the owner closed this end or its sending direction
         self.peer_end_seen_at = 0  # when the peer's FIN or reset arrived, read or not
-        self.busy_until = 0
-        self.last_arrival_at = 0
+        self.busy_until = 0  # when the last packet has been put on the wire
+        self.last_arrival_at = 0  # due time of the last packet, which no later one may overtake
         # Packets lost on a blocked path, as calls and arguments; retransmitted once the path works again.
         self.blocked_packets: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
-        self.last_used_at = network.scheduler.now
+        self.last_used_at = network.scheduler.now  # last transmission in either direction
         self.idle_timeout = 0  # idle time after which the path drops the connection; 0: never
         self.tap: Tap | None = None
 
     # Calls of the owner
 
     def send(self, data: Buffer) -> int:
-        """Write bytes.
+        """Write bytes into the send buffer and start to transmit them.
 
         Returns:
             The number of bytes that fit into the send buffer.
--- a/dahliabend/simulation/network.py
+++ b/dahliabend/simulation/network.py
@@ -16,7 +16,7 @@
 SYN_RETRY_DELAYS = (1_000_000, 3_000_000)  # microseconds, as on Linux; the last value repeats
 CONNECT_TIMEOUT = 20_000_000  # microseconds after which a SYN is no longer retried
 SLOW_CONNECT_SHARE = 1 / 3  # share of the new connections to a slow address that are delayed
-LOCAL_DELAY = 30  # microseconds, between processes of the same host
+LOCAL_DELAY = 30  # microseconds, one way, between processes on the same host
 FIRST_PORT = 10_000
 FIRST_DESCRIPTOR = 10_000
 
@@ -202,11 +202,11 @@
         listener.enqueue(accepting_end)
         self._schedule_answer(self._established, opening_end)
 
-    def _schedule_answer(self, call: Callable[..., None], *arguments: object) -> None:
+    def _schedule_answer(self, callback: Callable[..., None], *arguments: object) -> None:
         """Schedule the arrival of the answer to the SYN."""
         network = self.network
         delay = network.delay(self.sock.process.address, self.address[0])
-        network.scheduler.call_at(network.scheduler.now + delay, None, call, *arguments)
+        network.scheduler.call_at(network.scheduler.now + delay, None, callback, *arguments)
 
     def _retry(self, retries: int) -> None:
         wait = SYN_RETRY_DELAYS[min(retries, len(SYN_RETRY_DELAYS) - 1)]
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -15,7 +15,7 @@
 LARGE_BODY = 60_000  # bytes; larger bodies may not fit into the peer's buffer
 DISCONNECT_DELAY = 600_000  # microseconds after a request's timeout until its client disconnects
 CHUNKS = 5  # number of chunks of a request that is sent in chunks
-FIRST_BACKOFF = 50_000  # microseconds; doubled for each retry
+BASE_BACKOFF = 50_000  # microseconds; doubled for each retry, including the first
 DRAIN_INTERVAL = 0.001  # seconds between two checks whether a large body has been read
 FOLLOW_UP_TIMEOUT = 0.05  # seconds for which a half-closed client waits after its second request
 SHOWN_BYTES = 100  # maximum of unexpected data in an event
@@ -108,7 +108,7 @@
             self.finish(request, status)
             return
         request.retry_count += 1
-        backoff = FIRST_BACKOFF << request.retry_count
+        backoff = BASE_BACKOFF << request.retry_count
         if retry_after and request.honours_retry_after:
             wait = retry_after
         else:
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -90,7 +90,7 @@
         self.changes: list[tuple[int, EndpointEntry]] = []  # changes that were learned, with their versions
         self.watches: list[Watch] = []
         self.servers: list[Any] = []
-        self._next_due = 0.0
+        self._next_due = 0.0  # earliest time of the next change, so that changes stay in order
         # Faults
         self.extra_delay = 0  # microseconds
         self.silent = False  # sends nothing on watches
@@ -110,21 +110,21 @@
 
     def apply_change(self, version: int, entry: EndpointEntry) -> None:
         """Apply a change to the copy of the list and announce it on all watches."""
-        name = entry["id"]
+        endpoint_id = entry["id"]
         state = entry["state"]
         version -= self.version_offset
         self.version = version
         self.changes.append((version, entry))
         if self.silent and state != "up":
-            self._withheld_states[name] = state
+            self._withheld_states[endpoint_id] = state
         else:  # a process started meanwhile may already read from its configuration that the endpoint is up
-            self._withheld_states.pop(name, None)
-            self.recorder("had", self.name, name, state)
+            self._withheld_states.pop(endpoint_id, None)
+            self.recorder("had", self.name, endpoint_id, state)
         if state == "removed":
-            self.entries.pop(name, None)
+            self.entries.pop(endpoint_id, None)
         else:
-            self.entries[name] = entry
-            self.announced_ids.add(name)
+            self.entries[endpoint_id] = entry
+            self.announced_ids.add(endpoint_id)
         if self.sends_full_lists and state != "up":
             self.close_watches()
         elif not self.silent:
@@ -140,8 +140,8 @@
     def end_silence(self) -> None:
         """End the silence and send the missed changes on all open watches."""
         self.silent = False
-        for name, state in self._withheld_states.items():
-            self.recorder("had", self.name, name, state)
+        for endpoint_id, state in self._withheld_states.items():
+            self.recorder("had", self.name, endpoint_id, state)
         self._withheld_states.clear()
         for watch in list(self.watches):
             watch.catch_up()
@@ -176,7 +176,7 @@
         self.agent = agent
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.after = FULL_LIST  # the last version that the client has
+        self.client_version = FULL_LIST  # last version that the client has
         self.is_open = False
         self.is_muted = False
         self.keepalive_timer: asyncio.TimerHandle | None = None
@@ -184,7 +184,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Implement `asyncio.Protocol.connection_made`."""
         self.transport = cast(asyncio.Transport, transport)
-        self.peer = transport.get_extra_info("caller", "")
+        self.peer_name = transport.get_extra_info("caller", "")
 
     def data_received(self, data: bytes) -> None:
         """Implement `asyncio.Protocol.data_received`."""
@@ -197,8 +197,8 @@
 
     def on_message_complete(self) -> None:
         """Start the watch once httptools has parsed its request."""
-        _, has_version, after = self.target.partition(b"after=")
-        self.after = int(after) if has_version else FULL_LIST
+        _, has_version, version = self.target.partition(b"after=")
+        self.client_version = int(version) if has_version else FULL_LIST
         self.agent.watches.append(self)
         if not self.agent.silent:
             self._start_response()
@@ -212,16 +212,16 @@
         if agent.sends_full_lists:
             up = [entry for entry in agent.entries.values() if entry["state"] == "up"]
             self.send_update(agent.version, up, is_full=True)
-        elif agent.version_offset and self.after > agent.version:
+        elif agent.version_offset and self.client_version > agent.version:
             self.send_update(agent.version, [], is_full=False)
-        elif self.after < 0 or oldest is None or oldest > self.after + 1:
+        elif self.client_version < 0 or oldest is None or oldest > self.client_version + 1:
             self.send_update(agent.version, list(agent.entries.values()), is_full=True)
         else:
             self.send_update(agent.version, self._missed_entries(), is_full=False)
         self.keepalive_timer = agent.loop.call_later(KEEPALIVE_INTERVAL, self._send_keepalive)
 
     def _missed_entries(self) -> list[EndpointEntry]:
-        return [entry for version, entry in self.agent.changes if version > self.after]
+        return [entry for version, entry in self.agent.changes if version > self.client_version]
 
     def catch_up(self) -> None:
         """Send the changes that were withheld while the agent was silent."""
@@ -240,19 +240,19 @@
 
     def send_update(self, version: int, entries: list[EndpointEntry], *, is_full: bool) -> None:
         """Send entries; a full list announces the removal of all endpoints that it omits."""
-        self.after = version
+        self.client_version = version
         if self.is_muted:
             return
         message = EndpointListMessage(version=version, full=is_full, servers=entries)
         self.write_line(json.dumps(message).encode() + b"\n")
         for entry in entries:
-            self.agent.recorder("told", self.peer, entry["id"], entry["state"])
+            self.agent.recorder("told", self.peer_name, entry["id"], entry["state"])
         if is_full:
             self._record_removals({entry["id"] for entry in entries})
 
     def _record_removals(self, listed_ids: Iterable[str]) -> None:
-        for name in sorted(self.agent.announced_ids.difference(listed_ids)):
-            self.agent.recorder("told", self.peer, name, "removed")
+        for endpoint_id in sorted(self.agent.announced_ids.difference(listed_ids)):
+            self.agent.recorder("told", self.peer_name, endpoint_id, "removed")
 
     def write_line(self, text: bytes) -> None:
         """Write one line as an HTTP chunk."""
--- a/dahliabend/simulation/peers/upstream.py
+++ b/dahliabend/simulation/peers/upstream.py
@@ -157,8 +157,8 @@
         """
         if not self.spec.counts_requests:
             return bool(self.knows_start(""))
-        informed = sum(arrival.is_informed for arrival in self.recent_arrivals)
-        return 3 * informed > 2 * len(self.recent_arrivals)
+        informed_count = sum(arrival.is_informed for arrival in self.recent_arrivals)
+        return 3 * informed_count > 2 * len(self.recent_arrivals)
 
     # Requests
 
--- a/dahliabend/simulation/sockets.py
+++ b/dahliabend/simulation/sockets.py
@@ -106,7 +106,7 @@
         process.sockets[self.descriptor] = self
         process.peak_sockets = max(process.peak_sockets, len(process.sockets))
         self.closed = False
-        self.read_scheduled = False
+        self.is_read_scheduled = False
         self.resets_on_close = False
         self.transport: SocketTransport | None = None
         self.address: Address = ("", 0)
@@ -253,14 +253,14 @@
 
     def notify_readable(self) -> None:
         """Schedule the owner's read callback, if the owner waits for readability."""
-        if self.read_scheduled or self.closed:
+        if self.is_read_scheduled or self.closed:
             return
         if self.transport is not None or self.descriptor in self.process.loop.readers:
-            self.read_scheduled = True
+            self.is_read_scheduled = True
             self.network.scheduler.call_soon(self.process, self._read)
 
     def _read(self) -> None:
-        self.read_scheduled = False
+        self.is_read_scheduled = False
         if self.closed:
             return
         if self.transport is not None:
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -7,12 +7,12 @@
 import asyncio
 from typing import Any
 
-from dahliabend.simulation.connections import ConnectionEnd
+from dahliabend.simulation.connections import ECONNRESET, ConnectionEnd
 from dahliabend.simulation.sockets import Socket
 
-MAX_READ_PER_EVENT = 262_144  # bytes
-READ_SIZE = 65_536  # bytes
-HIGH_WATER = 65_536  # bytes
+MAX_READ_PER_EVENT = 262_144  # bytes read before other callbacks of the loop get their turn
+READ_SIZE = 65_536  # bytes passed to `data_received` at once
+HIGH_WATER = 65_536  # bytes in the write buffer above which the protocol is paused
 
 
 class Transport(asyncio.Transport):
@@ -44,12 +44,12 @@
         self.write_queue: list[memoryview] = []
         self.write_buffer_size = 0
         self.high_water = HIGH_WATER
-        self.protocol_paused = False
-        self.reading_paused = False
+        self.is_protocol_paused = False
+        self.is_reading_paused = False
         self.closing = False
         self.is_loss_scheduled = False  # whether the call of `connection_lost` is scheduled
-        self.eof_reported = False
-        self.eof_queued = False
+        self.is_eof_reported = False
+        self.is_eof_queued = False
         loop.call_soon(self._start, waiter)
 
     def _start(self, waiter: asyncio.Future[None] | None) -> None:
@@ -64,11 +64,11 @@
 
     def on_readable(self) -> None:
         """Handle data, a FIN or a reset. While reading is paused, even a reset goes unnoticed."""
-        if self.is_loss_scheduled or self.closing or self.reading_paused:
+        if self.is_loss_scheduled or self.closing or self.is_reading_paused:
             return
         end = self.end
         if end.reset_received:
-            self.force_close(ConnectionResetError(104, "connection reset by peer"))
+            self.force_close(ConnectionResetError(ECONNRESET, "connection reset by peer"))
             return
         try:
             self._read_available()
@@ -87,8 +87,8 @@
 
     def _read_available(self) -> None:
         end = self.end
-        left = MAX_READ_PER_EVENT
-        while end.receive_queue and not self.reading_paused and not self.closing and left > 0:
+        remaining = MAX_READ_PER_EVENT
+        while end.receive_queue and not self.is_reading_paused and not self.closing and remaining > 0:
             if self.uses_buffered_protocol:
                 buffer = self.protocol.get_buffer(-1)
                 count = min(len(buffer), len(end.receive_queue))
@@ -104,31 +104,31 @@
                 del end.receive_queue[:count]
                 end.data_consumed()
                 self.protocol.data_received(data)
-            left -= count
+            remaining -= count
 
     def _continue_reading(self) -> None:
         """Schedule another read if bytes are left, or else report the end of the stream."""
         end = self.end
         if end.receive_queue:
             self.sock.notify_readable()
-        elif end.fin_received and not self.eof_reported:
-            self.eof_reported = True
+        elif end.fin_received and not self.is_eof_reported:
+            self.is_eof_reported = True
             if not self.protocol.eof_received():
                 self.close()
 
     def pause_reading(self) -> None:
         """Implement `asyncio.Transport.pause_reading`."""
-        self.reading_paused = True
+        self.is_reading_paused = True
 
     def resume_reading(self) -> None:
         """Implement `asyncio.Transport.resume_reading`."""
-        if self.reading_paused:
-            self.reading_paused = False
+        if self.is_reading_paused:
+            self.is_reading_paused = False
             self.sock.notify_readable()
 
     def is_reading(self) -> bool:
         """Implement `asyncio.Transport.is_reading`."""
-        return not self.reading_paused and not self.closing
+        return not self.is_reading_paused and not self.closing
 
     # Writing
 
@@ -142,7 +142,7 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Implement `asyncio.Transport.write`."""
-        if self.closing or self.is_loss_scheduled or self.eof_queued or not data:
+        if self.closing or self.is_loss_scheduled or self.is_eof_queued or not data:
             return
         if not self.write_buffer_size:
             try:
@@ -155,8 +155,8 @@
             data = memoryview(data)[accepted:]
         self.write_queue.append(memoryview(data))
         self.write_buffer_size += len(data)
-        if self.write_buffer_size > self.high_water and not self.protocol_paused:
-            self.protocol_paused = True
+        if self.write_buffer_size > self.high_water and not self.is_protocol_paused:
+            self.is_protocol_paused = True
             self.protocol.pause_writing()
 
     def on_writable(self) -> None:
@@ -175,14 +175,14 @@
         except OSError as error:
             self.force_close(error)
             return
-        if self.protocol_paused:
-            self.protocol_paused = False
+        if self.is_protocol_paused:
+            self.is_protocol_paused = False
             self.protocol.resume_writing()
         if self.write_buffer_size:
             return
         if self.closing:
             self._schedule_connection_lost(None)
-        elif self.eof_queued:
+        elif self.is_eof_queued:
             self.end.shutdown_write()
 
     def can_write_eof(self) -> bool:
@@ -191,8 +191,8 @@
 
     def write_eof(self) -> None:
         """Implement `asyncio.Transport.write_eof`."""
-        if not self.eof_queued and not self.closing:
-            self.eof_queued = True
+        if not self.is_eof_queued and not self.closing:
+            self.is_eof_queued = True
             if not self.write_buffer_size:
                 self.end.shutdown_write()
 
