--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -1,21 +1,22 @@
-"""asyncio's transport over an end of a simulated connection, as uvloop has it on sockets.
+"""An asyncio transport over one end of a simulated connection, which behaves as uvloop's on sockets.
 
-A write goes to the system at once; what it does not accept waits here, and the protocol is paused.
+A write goes into the send buffer at once. Bytes that do not fit are kept in the transport; above the
+high-water mark the protocol is paused.
 """
 
 import asyncio
 from typing import Any
 
-from dahliabend.simulation.connections import ConnectionEnd
+from dahliabend.simulation.connections import ECONNRESET, ConnectionEnd
 from dahliabend.simulation.sockets import Socket
 
-MAX_READ_PER_EVENT = 262_144  # bytes
-READ_SIZE = 65_536  # bytes
-HIGH_WATER = 65_536  # bytes
+MAX_READ_PER_EVENT = 262_144  # bytes read before other callbacks of the loop get their turn
+READ_SIZE = 65_536  # bytes passed to `data_received` at once
+HIGH_WATER = 65_536  # bytes in the write buffer above which the protocol is paused
 
 
 class Transport(asyncio.Transport):
-    """A transport on virtual time."""
+    """An asyncio transport over a simulated socket, on virtual time."""
 
     def __init__(
         self,
@@ -43,12 +44,12 @@
         self.write_queue: list[memoryview] = []
         self.write_buffer_size = 0
         self.high_water = HIGH_WATER
-        self.protocol_paused = False
-        self.reading_paused = False
+        self.is_protocol_paused = False
+        self.is_reading_paused = False
         self.closing = False
-        self.loss_scheduled = False  # of the call of `connection_lost`
-        self.eof_reported = False
-        self.eof_queued = False
+        self.is_loss_scheduled = False  # whether the call of `connection_lost` is scheduled
+        self.is_eof_reported = False
+        self.is_eof_queued = False
         loop.call_soon(self._start, waiter)
 
     def _start(self, waiter: asyncio.Future[None] | None) -> None:
@@ -59,21 +60,21 @@
         if not self.closing:
             self.sock.notify_readable()
 
-    # Reading.
+    # Reading
 
     def on_readable(self) -> None:
-        """Bytes, the end or a reset have come. While reading is paused, not even a reset is noticed."""
-        if self.loss_scheduled or self.closing or self.reading_paused:
+        """Handle data, a FIN or a reset. While reading is paused, even a reset goes unnoticed."""
+        if self.is_loss_scheduled or self.closing or self.is_reading_paused:
             return
         end = self.end
         if end.reset_received:
-            self.force_close(ConnectionResetError(104, "connection reset by peer"))
+            self.force_close(ConnectionResetError(ECONNRESET, "connection reset by peer"))
             return
         try:
             self._read_available()
             if self.is_reading():
                 self._continue_reading()
-        except Exception as error:  # as a real transport: the protocol's error ends it
+        except Exception as error:  # as in asyncio, an error of the protocol closes the transport
             self.loop.call_exception_handler(
                 {
                     "message": "protocol failed",
@@ -86,13 +87,13 @@
 
     def _read_available(self) -> None:
         end = self.end
-        left = MAX_READ_PER_EVENT
-        while end.receive_queue and not self.reading_paused and not self.closing and left > 0:
+        remaining = MAX_READ_PER_EVENT
+        while end.receive_queue and not self.is_reading_paused and not self.closing and remaining > 0:
             if self.uses_buffered_protocol:
                 buffer = self.protocol.get_buffer(-1)
                 count = min(len(buffer), len(end.receive_queue))
                 if not count:
-                    raise RuntimeError("get_buffer gave no room")
+                    raise RuntimeError("get_buffer returned an empty buffer")
                 buffer[:count] = end.receive_queue[:count]
                 del end.receive_queue[:count]
                 end.data_consumed()
@@ -103,45 +104,45 @@
                 del end.receive_queue[:count]
                 end.data_consumed()
                 self.protocol.data_received(data)
-            left -= count
+            remaining -= count
 
     def _continue_reading(self) -> None:
-        """Read on in another turn, or report the end."""
+        """Schedule another read if bytes are left, or else report the end of the stream."""
         end = self.end
         if end.receive_queue:
             self.sock.notify_readable()
-        elif end.fin_received and not self.eof_reported:
-            self.eof_reported = True
+        elif end.fin_received and not self.is_eof_reported:
+            self.is_eof_reported = True
             if not self.protocol.eof_received():
                 self.close()
 
     def pause_reading(self) -> None:
-        """As asyncio."""
-        self.reading_paused = True
+        """Implement `asyncio.Transport.pause_reading`."""
+        self.is_reading_paused = True
 
     def resume_reading(self) -> None:
-        """As asyncio."""
-        if self.reading_paused:
-            self.reading_paused = False
+        """Implement `asyncio.Transport.resume_reading`."""
+        if self.is_reading_paused:
+            self.is_reading_paused = False
             self.sock.notify_readable()
 
     def is_reading(self) -> bool:
-        """As asyncio."""
-        return not self.reading_paused and not self.closing
+        """Implement `asyncio.Transport.is_reading`."""
+        return not self.is_reading_paused and not self.closing
 
-    # Writing.
+    # Writing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:  # noqa: ARG002 -- asyncio's signature
-        """Set the size from which the protocol is paused."""
+        """Set the buffer size above which the protocol is paused; `low` has no effect."""
         self.high_water = HIGH_WATER if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the system has not accepted."""
+        """Return the number of bytes that are not in the send buffer yet."""
         return self.write_buffer_size
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """As asyncio."""
-        if self.closing or self.loss_scheduled or self.eof_queued or not data:
+        """Implement `asyncio.Transport.write`."""
+        if self.closing or self.is_loss_scheduled or self.is_eof_queued or not data:
             return
         if not self.write_buffer_size:
             try:
@@ -154,13 +155,13 @@
             data = memoryview(data)[accepted:]
         self.write_queue.append(memoryview(data))
         self.write_buffer_size += len(data)
-        if self.write_buffer_size > self.high_water and not self.protocol_paused:
-            self.protocol_paused = True
+        if self.write_buffer_size > self.high_water and not self.is_protocol_paused:
+            self.is_protocol_paused = True
             self.protocol.pause_writing()
 
     def on_writable(self) -> None:
-        """The system has room for more bytes."""
-        if self.loss_scheduled or not self.write_buffer_size:
+        """Write buffered bytes: the send buffer has room."""
+        if self.is_loss_scheduled or not self.write_buffer_size:
             return
         try:
             while self.write_queue:
@@ -174,54 +175,54 @@
         except OSError as error:
             self.force_close(error)
             return
-        if self.protocol_paused:
-            self.protocol_paused = False
+        if self.is_protocol_paused:
+            self.is_protocol_paused = False
             self.protocol.resume_writing()
         if self.write_buffer_size:
             return
         if self.closing:
             self._schedule_connection_lost(None)
-        elif self.eof_queued:
+        elif self.is_eof_queued:
             self.end.shutdown_write()
 
     def can_write_eof(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Transport.can_write_eof`."""
         return True
 
     def write_eof(self) -> None:
-        """As asyncio."""
-        if not self.eof_queued and not self.closing:
-            self.eof_queued = True
+        """Implement `asyncio.Transport.write_eof`."""
+        if not self.is_eof_queued and not self.closing:
+            self.is_eof_queued = True
             if not self.write_buffer_size:
                 self.end.shutdown_write()
 
-    # Ending.
+    # Closing
 
     def is_closing(self) -> bool:
-        """As asyncio."""
+        """Implement `asyncio.Transport.is_closing`."""
         return self.closing
 
     def close(self) -> None:
-        """Close it once all is written."""
+        """Close the transport once all buffered bytes are written."""
         if not self.closing:
             self.closing = True
             if not self.write_buffer_size:
                 self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the transport at once and drop the buffered bytes."""
         self.force_close(None)
 
     def force_close(self, error: Exception | None) -> None:
-        """Close it at once, with the error that the protocol is to be told."""
+        """Close the transport at once and pass the error to the protocol's `connection_lost`."""
         self.closing = True
         self.write_queue.clear()
         self.write_buffer_size = 0
         self._schedule_connection_lost(error)
 
     def _schedule_connection_lost(self, error: Exception | None) -> None:
-        if not self.loss_scheduled:
-            self.loss_scheduled = True
+        if not self.is_loss_scheduled:
+            self.is_loss_scheduled = True
             self.loop.call_soon(self._finish, error)
 
     def _finish(self, error: Exception | None) -> None:
