--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -170,11 +170,11 @@
         if path == wire.READY_PATH:
             self._answer_readiness_check()
             return
-        class_number = self._classify(request.method, path, request.fields)
-        if class_number is None:
+        target_number = self._classify(request.method, path, request.fields)
+        if target_number is None:
             self.send_error(404)
             return
-        trace_id, timeout_ms = self.dispatcher.read_trace_id_and_timeout(class_number, request.fields)
+        trace_id, timeout_ms = self.dispatcher.read_trace_id_and_timeout(target_number, request.fields)
         if not is_valid_trace_id_and_timeout(trace_id, timeout_ms):
             self.send_error(400)
             return
@@ -190,10 +190,10 @@
             received_at=request.received_at,
             trace_id=trace_id,
             tenant=request.fields.get(wire.TENANT_HEADER, b""),
-            is_retry=request.fields.get(wire.RETRY_HEADER) == b"1",
+            is_client_retry=request.fields.get(wire.RETRY_HEADER) == b"1",
             ordering_key=request.fields.get(wire.ORDERING_KEY_HEADER, b""),
         )
-        self.request_handle = self.dispatcher.dispatch(incoming, class_number)
+        self.request_handle = self.dispatcher.dispatch(incoming, target_number)
 
     def _take_streaming_body(self, body: StreamingBody) -> bytes:
         """Return the body if it has been received in full; else keep it as the upload and return nothing."""
@@ -214,9 +214,9 @@
         name_and_number = self.dispatcher.classify(method, path, fields)
         if name_and_number is None:
             return None
-        self.class_name, class_number = name_and_number
+        self.class_name, target_number = name_and_number
         self.dispatcher.request_opened()
-        return class_number
+        return target_number
 
     def _request_finished(self) -> None:
         """Stop counting the current request as open, and notify the dispatcher."""
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -72,7 +72,7 @@
         received_at: Clock time (us) of the first byte.
         trace_id: Trace id of the request.
         tenant: Name of the tenant, as on the wire; empty for none.
-        is_retry: Whether the client says that it has sent the request before.
+        is_client_retry: Whether the client says that it has sent the request before.
         ordering_key: Key within which requests are kept in order; empty for none.
     """
 
@@ -87,7 +87,7 @@
     received_at: int
     trace_id: bytes
     tenant: bytes
-    is_retry: bool
+    is_client_retry: bool
     ordering_key: bytes
 
 
@@ -103,18 +103,20 @@
     def classify(self, method: bytes, path: bytes, fields: dict[bytes, bytes]) -> tuple[bytes, int] | None:
         """Return name and number of the request's class, or None if it belongs to no known class."""
 
-    def read_trace_id_and_timeout(self, class_number: int, fields: dict[bytes, bytes]) -> tuple[bytes, bytes]:
+    def read_trace_id_and_timeout(
+        self, target_number: int, fields: dict[bytes, bytes]
+    ) -> tuple[bytes, bytes]:
         """Return the request's trace id and its client timeout.
 
         The timeout is in milliseconds, as ASCII digits. Neither value has been validated.
         """
 
-    def dispatch(self, incoming: IncomingRequest, class_number: int) -> int:
+    def dispatch(self, incoming: IncomingRequest, target_number: int) -> int:
         """Take over a request.
 
         Args:
             incoming: The request.
-            class_number: Number of its class, from `classify`.
+            target_number: Number of its class, from `classify`.
 
         Returns:
             A handle that is valid until the request is answered; `NO_HANDLE` if it has been answered already.
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -268,7 +268,7 @@
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
-        is_repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+        is_client_retry: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestHandle:  # fmt: skip
         """Send a request, queue it behind others of its key, or reject it.
 
@@ -278,7 +278,7 @@
             class_index: Index of its request class.
             tenant: Index of its tenant; an index beyond the quotas has no quota.
             deadline: When an answer becomes worthless.
-            is_repeat: Whether its client sends it again after a rejection.
+            is_client_retry: Whether its client sends it again after a rejection.
             body_pending: Whether its body is still being received.
             key: The ordering key, by which requests of ordered classes are sent one at a time; 0: none.
         """
@@ -292,8 +292,8 @@
     def timer_fired(self, now: int, token: int) -> None:
         """Report that a timer set by `Port.set_timer` has fired."""
 
-    def snapshot(self, ends: bool) -> Snapshot:
-        """Return the state for the next policy; `ends`: this one admits nothing more."""
+    def snapshot(self, is_final: bool) -> Snapshot:
+        """Return the state for the next policy; `is_final`: this one admits nothing more."""
 
     def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
         """Restore a snapshot, and return how many endpoints matched.
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -60,12 +60,12 @@
         self.tokens = [(quota * self.throttling.window, 0) for quota in self.quotas]
         self.new_requests = 0
 
-    def admits(self, request: RequestState, tenant: int, now: int, *, is_repeat: bool) -> bool:
+    def admits(self, request: RequestState, tenant: int, now: int, *, is_client_retry: bool) -> bool:
         """Return whether a tenant's request is admitted at `now`; lower its priority if it is over quota.
 
         Only the entry tier decides: requests at the tiers behind it are part of work that has already begun.
         """
-        self.new_requests += not is_repeat
+        self.new_requests += not is_client_retry
         if not self.is_entry_tier:
             return True
         if tenant < len(self.quotas) and not self.is_within_quota(tenant, now):
@@ -100,17 +100,17 @@
         reduction. Where there is none, no single endpoint is at fault, and the tier's reduction decides.
         Returns None if the request is rejected.
         """
-        governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
-        if governing_entry is not self.throttling.tier:
-            if self.random() >= governing_entry.valid_reduction(now):
+        narrowest_entry = self.throttling.narrowest_entry(endpoint.entries, request.class_index, now)
+        if narrowest_entry is not self.throttling.tier:
+            if self.random() >= narrowest_entry.valid_reduction(now):
                 return endpoint
-            unthrottled = self.selection.choose(request, now, unthrottled=True)
-            if unthrottled is not None:
-                return unthrottled
-        is_reduced = self.throttling.tier.reduction and self.is_reduced_by_tier(request, now)
-        return None if is_reduced else endpoint
+            without_reduction = self.selection.choose(request, now, without_reduction=True)
+            if without_reduction is not None:
+                return without_reduction
+        is_rejected = self.throttling.tier.reduction and self.is_rejected_by_tier_reduction(request, now)
+        return None if is_rejected else endpoint
 
-    def is_reduced_by_tier(self, request: RequestState, now: int) -> bool:
+    def is_rejected_by_tier_reduction(self, request: RequestState, now: int) -> bool:
         """Return whether a request is rejected at `now` because of the tier's reduction.
 
         Only the entry tier rejects, and requests of low priority more often: an overloaded tier would fail
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -99,14 +99,14 @@
     def _tick(self, now: int) -> None:
         self.port.set_timer(now + self.tick, TimerToken.TICK)
         for request in self.key_queues.waiting_requests():
-            request.balancer.give_up_if_late(request, now)
+            request.balancer.give_up_if_out_of_time(request, now)
         for endpoint in self.selection.ready:
             if endpoint.is_ejected:
                 self.outliers.advance_recovery(endpoint, now)
                 continue
             self.outliers.eject_if_hung(endpoint, now)
             if endpoint.is_ejected:
-                self._cancel_late_attempts(endpoint, now)
+                self._cancel_overdue_attempts(endpoint, now)
         self.concurrency.tick(now, self.selection.endpoints_per_instance())
         if self.concurrency.ticks % WINDOW_TICKS == 0:
             self.close_windows(now)
@@ -117,21 +117,23 @@
         self.selection.remove_unlisted(now)
         for endpoint in self.selection.ready:
             self.outliers.close_window(endpoint, now)
-        has_warm_endpoint = self.selection.has_warm_endpoint(now)
-        self.slow_start.close_window(self.admission.take_new_requests(), has_warm_endpoint=has_warm_endpoint)
+        has_endpoint_past_slow_start = self.selection.has_endpoint_past_slow_start(now)
+        self.slow_start.close_window(
+            self.admission.take_new_requests(), has_endpoint_past_slow_start=has_endpoint_past_slow_start
+        )
         self.selection.resize_subset()
         self.throttling.set_validity(self.slow_start.send_rate)
 
     # Snapshots
 
-    def snapshot(self, ends: bool) -> Snapshot:
-        """Return the state for the next policy; `ends`: this one admits nothing more."""
+    def snapshot(self, is_final: bool) -> Snapshot:
+        """Return the state for the next policy; `is_final`: this one admits nothing more."""
         return Snapshot(
             limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
             fatal_idle_time=self.outliers.fatal_idle_time,
             endpoints={
-                index: endpoint.snapshot(self.slow_start.hand_over_budget(endpoint, ends=ends))
+                index: endpoint.snapshot(self.slow_start.hand_over_budget(endpoint, is_final=is_final))
                 for index, endpoint in self.selection.endpoints.items()
             },
             limit=self.concurrency.snapshot(),
@@ -142,8 +144,8 @@
 
         `class_pairs` holds the indices of corresponding request classes, here and in the snapshot.
         """
-        for index, former in class_pairs:
-            self.deadlines.mean_latencies[index] = snapshot.mean_latencies[former]
+        for index, previous_index in class_pairs:
+            self.deadlines.mean_latencies[index] = snapshot.mean_latencies[previous_index]
         self.outliers.fatal_idle_time = snapshot.fatal_idle_time
         if snapshot.limit_settings == self.limit_settings:  # otherwise the limit starts anew
             self.concurrency.restore(snapshot.limit)
@@ -160,7 +162,7 @@
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
-        is_repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+        is_client_retry: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
         """Send a request, queue it behind others of its key, or reject it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
@@ -170,7 +172,7 @@
         request.deadline = deadline
         if not body_pending:  # otherwise set once the body has been received
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
-        if not self.admission.admits(request, tenant, now, is_repeat=is_repeat):
+        if not self.admission.admits(request, tenant, now, is_client_retry=is_client_retry):
             self.give_up(request)
         elif key:
             self._queue(request, now)
@@ -302,7 +304,7 @@
         else:
             self.port.fail(request.request_id)
 
-    def give_up_if_late(self, request: RequestState, now: int) -> None:
+    def give_up_if_out_of_time(self, request: RequestState, now: int) -> None:
         """Give up a request that waits for its turn, if it has too little time left."""
         if not self.deadlines.can_wait(request, now):
             self.give_up(request)
@@ -319,7 +321,7 @@
             for number in cancellable_attempts(request):
                 self.port.cancel(request.request_id, number)
 
-    def _cancel_late_attempts(self, endpoint: Endpoint, now: int) -> None:
+    def _cancel_overdue_attempts(self, endpoint: Endpoint, now: int) -> None:
         for request, attempt in tuple(endpoint.in_flight.items()):
-            if self.deadlines.is_early_timeout_over(request, attempt, now):
+            if self.deadlines.has_early_timeout_passed(request, attempt, now):
                 self.cancel(request)
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -27,7 +27,7 @@
 
     Attributes:
         in_flight: Attempts of this balancer at endpoints that are not ejected.
-        in_flight_elsewhere: Attempts of other processes of this instance; set by the driver.
+        in_flight_in_other_processes: Attempts of other processes of this instance; set by the driver.
         limit: How many attempts may be in flight.
         mean_in_flight: Mean number in flight in all processes, sampled at admissions.
         sustained_in_flight: Mean number in flight in all processes, sampled at adjustments without overload.
@@ -38,7 +38,7 @@
         ticks: Number of ticks since the start.
         adjusted_at: When the limit was last adjusted.
         succeeded: Successful attempts since then.
-        has_rejected: Whether the limit was reached since then.
+        was_limit_reached: Whether the limit was reached since then.
         is_overloaded: Whether the last adjustment lowered the limit.
     """
 
@@ -46,7 +46,7 @@
         self.throttling = throttling
         self.others_share = 1 - 1 / settings.instance_count
         self.in_flight = 0
-        self.in_flight_elsewhere = 0
+        self.in_flight_in_other_processes = 0
         self.limit = 0.0
         self.mean_in_flight = 0.0
         self.sustained_in_flight = 0.0
@@ -57,7 +57,7 @@
         self.ticks = 0
         self.adjusted_at = 0
         self.succeeded = 0
-        self.has_rejected = False
+        self.was_limit_reached = False
         self.is_overloaded = False
 
     # Rules
@@ -69,14 +69,14 @@
         """
         self.mean_priority = ewma(self.mean_priority, priority)
         limit = self.limit * (ALL_PRIORITIES_SHARE + (1 - ALL_PRIORITIES_SHARE) * priority)
-        in_flight = self.in_flight + self.in_flight_elsewhere
+        in_flight = self.in_flight + self.in_flight_in_other_processes
         self.mean_in_flight = ewma(self.mean_in_flight, in_flight)
         # One of many balancers may exceed its share by chance while the others are below theirs.
         limit += (limit * self.others_share) ** 0.5 if self.mean_in_flight < limit else 0.0
-        self.has_rejected = self.has_rejected or in_flight >= limit
+        self.was_limit_reached = self.was_limit_reached or in_flight >= limit
         return in_flight < limit
 
-    def is_nearly_full(self) -> bool:
+    def is_all_priorities_share_full(self) -> bool:
         """Return whether the part of the limit that is open to all priorities is in use.
 
         Below it there is room for every request, and nothing is gained by rejecting any.
@@ -120,19 +120,19 @@
                 self.limit, max(self.in_flight, self.mean_in_flight)
             )
         else:
-            all_in_flight = self.in_flight + self.in_flight_elsewhere
+            all_in_flight = self.in_flight + self.in_flight_in_other_processes
             self.sustained_in_flight = ewma(self.sustained_in_flight, all_in_flight)
             is_first_validity = self.ticks <= WINDOW_TICKS * VALIDITY_WINDOWS
             self.limit *= (
                 min(MAX_INITIAL_GROWTH_FACTOR if is_first_validity else MAX_GROWTH_FACTOR, factor)
-                if self.has_rejected
+                if self.was_limit_reached
                 else 1.0
             )
         self.limit = max(
             self.limit, MIN_LIMIT_PER_ENDPOINT * endpoints_per_instance, self.sustained_in_flight / 2
         )
         self.succeeded = 0
-        self.has_rejected = False
+        self.was_limit_reached = False
         self.adjusted_at = now
 
     # Events
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -86,19 +86,19 @@
         """
         left = request.deadline - now  # `time_left`, inlined
         timeout = request.request_class.attempt_timeout or left
-        is_unthrottled = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
-        if is_unthrottled and self.retries.budget >= 1 and is_retryable(request):
+        may_be_early = self.mean_latencies[request.class_index] and not self.throttling.tier.reduction
+        if may_be_early and self.retries.budget >= 1 and is_retryable(request):
             timeout = min(timeout, self.early_timeout(request))
         return max(MIN_TIMEOUT, min(left, timeout))
 
-    def is_early_timeout_over(self, request: RequestState, attempt: Attempt, now: int) -> bool:
+    def has_early_timeout_passed(self, request: RequestState, attempt: Attempt, now: int) -> bool:
         """Return whether an attempt at a hung endpoint is cancelled at `now`, to be sent elsewhere.
 
         Its time-out was set before the endpoint fell silent. An attempt that has just begun may still be
         answered.
         """
-        is_late = now - attempt.sent_at >= self.early_timeout(request)
-        return is_late and not request.is_answered and is_retryable(request)
+        has_passed = now - attempt.sent_at >= self.early_timeout(request)
+        return has_passed and not request.is_answered and is_retryable(request)
 
     def retry_after(self, request_class: RequestClass, wait: int) -> int:
         """Return the Retry-After of a rejected request; 0: the client is told nothing.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -38,14 +38,14 @@
         self.queues: dict[int | bytes, KeyQueue] = {}
         self.pauses: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
 
-    def take_over(self, predecessor: "KeyQueues") -> None:
+    def take_over(self, previous: "KeyQueues") -> None:
         """Continue with the queues of the policy that was in force before, in the same process.
 
         Otherwise a request could run beside another one of its key that was admitted under the former
         settings.
         """
-        self.queues = predecessor.queues
-        self.pauses = predecessor.pauses
+        self.queues = previous.queues
+        self.pauses = previous.pauses
         for until, _ in self.pauses:
             self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -64,7 +64,7 @@
         only where the limit is nearly reached: until it fails, such a request would occupy a place that
         others need.
         """
-        if not self.concurrency.is_nearly_full():
+        if not self.concurrency.is_all_priorities_share_full():
             return False
         reduction = self.throttling.classes[request.class_index].valid_reduction(now)
         return reduction > 0 and self.random() < reduction
@@ -96,7 +96,7 @@
         reduction = endpoint.entries[-1].reduction
         return reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2
 
-    def is_failing_quickly(self, endpoint: Endpoint) -> bool:
+    def is_quickly_failing_outlier(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint that fails quickly is an outlier before its window ends.
 
         An endpoint that fails quickly always has capacity left and so attracts the load of all others. One
@@ -149,7 +149,7 @@
         if outcome is Outcome.UNREACHABLE:
             is_outlier = self.is_gone(endpoint, now)
         elif outcome is Outcome.FAILED and duration < mean_latency * QUICK_FAILURE_RATIO:
-            is_outlier = self.is_failing_quickly(endpoint)
+            is_outlier = self.is_quickly_failing_outlier(endpoint)
         else:
             is_outlier = False
         if is_outlier:
@@ -233,7 +233,7 @@
         if not endpoint.is_ejected or endpoint.state is not EndpointState.READY or endpoint.in_flight:
             return None
         max_ready = self.selection.max_ready
-        return endpoint if self.selection.slow_start.warm_share(endpoint, now, max_ready) else None
+        return endpoint if self.selection.slow_start.slow_start_share(endpoint, now, max_ready) else None
 
     def record_trial_result(self, endpoint: Endpoint, now: int, duration: int, *, is_failed: bool) -> None:
         """Count an attempt that ended at `now` as a trial, if it was sent after the ejection.
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -105,7 +105,7 @@
     def send(self, request: "RequestState", now: int) -> None:
         """Send the next attempt of a request, or give the request up."""
 
-    def give_up_if_late(self, request: "RequestState", now: int) -> None:
+    def give_up_if_out_of_time(self, request: "RequestState", now: int) -> None:
         """Give up a request that waits for its turn, if it has too little time left."""
 
     def attempt_ended(
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -8,17 +8,17 @@
 from dahliabend.policy.records import Endpoint, RequestState
 from dahliabend.policy.throttling import Throttling
 
-LATE_OBJECTIVE_FRACTION = 3 / 4  # in an overload, a slower attempt counts as failed
+SLOW_OBJECTIVE_FRACTION = 3 / 4  # in an overload, a slower attempt counts as failed
 _LOAD_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT)  # their duration indicates load
 
 
-def is_late(request_class: RequestClass, duration: int) -> bool:
+def is_slow(request_class: RequestClass, duration: int) -> bool:
     """Return whether an attempt of this duration left its request little of the latency objective.
 
     In an overload, late attempts count as failed; otherwise reductions would begin only after deadlines are
     missed.
     """
-    return duration > LATE_OBJECTIVE_FRACTION * request_class.latency_objective
+    return duration > SLOW_OBJECTIVE_FRACTION * request_class.latency_objective
 
 
 class Sampling:
@@ -50,10 +50,10 @@
             self.concurrency.record_latency(ratio, endpoint.relative_latency)
         is_failed = outcome is not Outcome.SUCCEEDED
         if self.concurrency.is_overloaded:
-            is_failed = is_failed or is_late(request_class, duration)
+            is_failed = is_failed or is_slow(request_class, duration)
         self.throttling.add_endpoint_sample(endpoint.entries, request.class_index, is_failed=is_failed)
         if self.cross_zone_cost and endpoint.zone == self.zone:
-            is_zone_failure = is_failed or is_late(request_class, duration)
+            is_zone_failure = is_failed or is_slow(request_class, duration)
             self.throttling.add_zone_sample(self.cross_zone_cost, is_failed=is_zone_failure)
         # Only the first endpoint counts: otherwise a request that finds five endpoints full counts as five.
         if request.attempts[0].endpoint is endpoint:
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -208,18 +208,18 @@
 
     # Choice
 
-    def choose(self, request: RequestState, now: int, *, unthrottled: bool = False) -> Endpoint | None:
+    def choose(self, request: RequestState, now: int, *, without_reduction: bool = False) -> Endpoint | None:
         """Return the endpoint for the next attempt of a request at `now`, None if there is none.
 
         Preferred are endpoints that the request has not tried and whose load is not above the mean: first
         from the subsets, then from all ready endpoints. If there is none, any ready endpoint is chosen. With
-        `unthrottled`, only endpoints known to hold no reduction qualify.
+        `without_reduction`, only endpoints known to hold no reduction qualify.
         """
-        pools = (self.selected, self.cross_zone, self.ready)
+        groups = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
-            pools = (self.cross_zone, self.selected, self.ready)
-        unthrottled_for = request if unthrottled else None
-        for pool in pools:
+            groups = (self.cross_zone, self.selected, self.ready)
+        without_reduction_for = request if without_reduction else None
+        for pool in groups:
             if not pool:
                 continue
             candidates, load_limit = available_endpoints(pool)
@@ -227,11 +227,11 @@
                 tried = [attempt.endpoint for attempt in request.attempts]
                 candidates = [endpoint for endpoint in candidates if endpoint not in tried]
                 candidates = permitted_endpoints(request, candidates)
-            best = self._next_in_rotation(candidates, load_limit, now, unthrottled_for)
+            best = self._next_in_rotation(candidates, load_limit, now, without_reduction_for)
             if best is not None:
                 return best
         candidates = permitted_endpoints(request, self.ready)
-        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, unthrottled_for)
+        return self._next_in_rotation(candidates, NO_LOAD_LIMIT, now, without_reduction_for)
 
     def prefers_cross_zone(self, now: int) -> bool:
         """Return whether an attempt at `now` crosses zones: with the probability of the own zone's reduction.
@@ -242,12 +242,16 @@
         return self.random() < self.throttling.same_zone.valid_reduction(now)
 
     def _next_in_rotation(
-        self, candidates: list[Endpoint], load_limit: float, now: int, unthrottled_for: RequestState | None
+        self,
+        candidates: list[Endpoint],
+        load_limit: float,
+        now: int,
+        without_reduction_for: RequestState | None,
     ) -> Endpoint | None:
         """Choose by smooth weighted round robin over weight, relative latency and warm share.
 
         Endpoints above the load limit (attempts in flight per weight) are skipped, and those that may hold a
-        reduction for the request `unthrottled_for`.
+        reduction for the request `without_reduction_for`.
         """
         warmup_time = self.settings.warmup_time
         best = None
@@ -255,10 +259,12 @@
         for endpoint in candidates:
             weight = endpoint.weight / endpoint.relative_latency
             if endpoint.started_at and now - endpoint.started_at < warmup_time:  # else it is warm: no call
-                weight *= self.slow_start.warm_share(endpoint, now, self.max_ready)
+                weight *= self.slow_start.slow_start_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
-            if unthrottled_for is not None and not self.is_known_unthrottled(endpoint, unthrottled_for, now):
+            if without_reduction_for is not None and not self.is_known_without_reduction(
+                endpoint, without_reduction_for, now
+            ):
                 continue
             endpoint.position += weight
             total += weight
@@ -268,15 +274,15 @@
             best.position -= total
         return best
 
-    def is_known_unthrottled(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
+    def is_known_without_reduction(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
         """Return whether an endpoint has been sampled and holds no reduction for a request at `now`.
 
         An endpoint that has not been sampled yet may be as faulty as the one that is avoided.
         """
-        governing_entry = self.throttling.governing_entry(endpoint.entries, request.class_index, now)
-        return endpoint.entries[-1].valid_until > 0 and not governing_entry.valid_reduction(now)
+        narrowest_entry = self.throttling.narrowest_entry(endpoint.entries, request.class_index, now)
+        return endpoint.entries[-1].valid_until > 0 and not narrowest_entry.valid_reduction(now)
 
-    def has_warm_endpoint(self, now: int) -> bool:
+    def has_endpoint_past_slow_start(self, now: int) -> bool:
         """Return whether any ready endpoint has finished its warm-up at `now`."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -24,7 +24,7 @@
         self.send_rate = 0.0
         self.sent = 0
 
-    def warm_share(self, endpoint: Endpoint, now: int, max_ready: int) -> float:
+    def slow_start_share(self, endpoint: Endpoint, now: int, max_ready: int) -> float:
         """Return the share of its capacity that an endpoint may use at `now`; 0: its budget is spent.
 
         A process that has just started fails under the load that it carries later. `max_ready` is the number
@@ -47,25 +47,25 @@
         endpoint.slow_start_budget -= 1
         self.sent += 1
 
-    def hand_over_budget(self, endpoint: Endpoint, *, ends: bool) -> float:
-        """Return the budget that the next policy may spend: all of it if this one ends (`ends`), else half.
+    def hand_over_budget(self, endpoint: Endpoint, *, is_final: bool) -> float:
+        """Return the budget that the next policy may spend: all of it if this one is final, else half.
 
         An endpoint has one budget. If both policies spent it, the endpoint would be overloaded at each
         reload.
         """
-        if not ends:
+        if not is_final:
             endpoint.slow_start_budget /= 2
             return endpoint.slow_start_budget
         budget = endpoint.slow_start_budget
         endpoint.slow_start_budget = float("-inf")
         return budget
 
-    def close_window(self, new_requests: int, *, has_warm_endpoint: bool) -> None:
+    def close_window(self, new_requests: int, *, has_endpoint_past_slow_start: bool) -> None:
         """Update the mean send rate by the rate of the window, and start the next window.
 
         While all endpoints are warming up, the number of new requests from clients stands for that of
         attempts: few of these are sent, and a rate computed from them would never rise.
         """
-        rate = (self.sent if has_warm_endpoint else new_requests) / self.window
+        rate = (self.sent if has_endpoint_past_slow_start else new_requests) / self.window
         self.send_rate += (rate - self.send_rate) / SEND_RATE_WEIGHT_DIVISOR if self.send_rate else rate
         self.sent = 0
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -119,7 +119,7 @@
         """Open the first window of the tier at `now`; before, there was nothing to sample."""
         self.tier.opened_at = now
 
-    def governing_entry(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
+    def narrowest_entry(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
         """Return the entry of the finest scope with a valid reduction.
 
         Looks at the entry of the endpoint with the class, then that of the endpoint, then that of the tier. A
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -57,7 +57,7 @@
         owner: The router that the attempt reports to.
         request: The request that the attempt belongs to.
         index: Index among the attempts of the request.
-        first_byte_at: When streaming the response to the client began (us); None if it is not streamed.
+        streaming_since: When streaming the response to the client began (us); None if it is not streamed.
         last_progress: When bytes of the request or of a streamed response were last transferred (us).
     """
 
@@ -69,7 +69,7 @@
         self.owner = owner
         self.request = request
         self.index = len(request.attempts)
-        self.first_byte_at: int | None = None
+        self.streaming_since: int | None = None
         self.last_progress = 0
         self.buffering_timer: Timer | None = None
         self.hedge_timer: Timer | None = None
@@ -77,7 +77,7 @@
     @property
     def is_streaming(self) -> bool:
         """Whether the response is being streamed to the client, or has been."""
-        return self.first_byte_at is not None
+        return self.streaming_since is not None
 
     def is_awaited(self) -> bool:
         """Return whether the client still waits for a response."""
@@ -140,7 +140,7 @@
         self.started_at = self.last_progress
         self.expires_at = self.last_progress + timeout
         timers.cancel(self.timeout_timer)
-        self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
+        self.timeout_timer = timers.schedule(self.expires_at, self.check_timeout)
 
     def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Schedule streaming of a response of unknown length.
@@ -157,13 +157,13 @@
             self.give_up(Outcome.CANCELLED)
             return
         now = clock()
-        self.first_byte_at = now
+        self.streaming_since = now
         self.last_progress = now
         request.mark_answered(responding=self)
         request.state.response_started(now, self.index)
         request.incoming.client.start_response(headers, length, source)
         self.endpoint.resources.timers.cancel(self.timeout_timer)
-        self.timed_out()
+        self.check_timeout()
 
     def response_part(self, part: bytes) -> None:
         """Forward a part of a streamed response to the client."""
@@ -176,7 +176,7 @@
         """Report to the policy that this attempt is slow, so that it may send a hedge."""
         self.request.state.hedge_timer_fired(clock())
 
-    def timed_out(self) -> None:
+    def check_timeout(self) -> None:
         """Give up; while a body is streamed, only if no byte has been transferred for the allowed pause."""
         now = clock()
         is_uploading = self.upload is not None and self.request.state.body_pending
@@ -194,7 +194,7 @@
             return
         if is_uploading:
             self.request.body_consumed()  # no time is left for another attempt with this body
-        super().timed_out()
+        super().check_timeout()
 
     def allowed_pause(self, is_uploading: bool) -> int:
         """Return how long (us) a streamed transfer may pause before the attempt is given up.
@@ -208,8 +208,8 @@
         return STALL_TIMEOUT
 
     def check_progress_at(self, when: int) -> None:
-        """Schedule a call of `timed_out` at a time (us)."""
-        self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.timed_out)
+        """Schedule a call of `check_timeout` at a time (us)."""
+        self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.check_timeout)
 
     # Completion
 
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -163,7 +163,7 @@
     def snapshot(self) -> dict[str, Any]:
         """Return the state for a successor process, with names in place of indices."""
         endpoints = self.table.endpoints
-        state: dict[str, Any] = to_builtins(self.balancer.snapshot(ends=False))
+        state: dict[str, Any] = to_builtins(self.balancer.snapshot(is_final=False))
         state["upstreams"] = {
             endpoints[index].name: endpoint_state for index, endpoint_state in state["upstreams"].items()
         }
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -41,8 +41,8 @@
         client_timeout: How long the client waits (us), minus a margin.
         admitted_at: When the request was created and handed to the policy (us).
         handle: Handle in the router's table of requests; `NO_HANDLE` before it has one.
-        is_admitted: Whether the policy's decision on admission has been made, even if it was a rejection.
-        state: State of the request in the policy; set as soon as `is_admitted` is true.
+        is_admission_decided: Whether the policy has decided on admission, even if by a rejection.
+        state: State of the request in the policy; set as soon as `is_admission_decided` is true.
         policy: The policy that decides on the request.
         attempts: Attempts by index, in the same order as in the policy.
         attempt_records: The attempts that have ended, in order of their end.
@@ -62,7 +62,7 @@
         "handle",
         "head",
         "incoming",
-        "is_admitted",
+        "is_admission_decided",
         "on_rejected",
         "policy",
         "route_name",
@@ -81,7 +81,7 @@
         self.client_timeout = client_timeout
         self.admitted_at = clock()
         self.handle = NO_HANDLE
-        self.is_admitted = False
+        self.is_admission_decided = False
         self.policy = policy
         self.attempts: list[RequestAttempt] = []
         self.attempt_records: list[AttemptRecord] = []
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -32,21 +32,21 @@
         self.counts: dict[str, int] = {}
         self.logs_access = False
 
-    def request_ended(self, ending: str, request: Request) -> None:
-        """Count and log the end of a request; `ending` is one of the constants of this module."""
-        self.counts[ending] = self.counts.get(ending, 0) + 1
-        if self.logs_access and ending != FORWARDED_TO_FALLBACK:
+    def request_ended(self, request_outcome: str, request: Request) -> None:
+        """Count and log the end of a request; `request_outcome` is one of the constants of this module."""
+        self.counts[request_outcome] = self.counts.get(request_outcome, 0) + 1
+        if self.logs_access and request_outcome != FORWARDED_TO_FALLBACK:
             self.log(
                 "request.finished",
                 trace_id=request.incoming.trace_id.decode("latin-1"),
-                outcome=ending,
+                outcome=request_outcome,
                 attempts=_attempt_rows(request),
                 duration_ms=(clock() - request.admitted_at) // MICROSECONDS_PER_MILLISECOND,
                 **_class_fields(request),
             )
-        if ending != SUCCEEDED:
+        if request_outcome != SUCCEEDED:
             self.log(
-                f"request.{ending}",
+                f"request.{request_outcome}",
                 trace_id=request.incoming.trace_id.decode("latin-1"),
                 **_class_fields(request),
                 attempts=_attempt_rows(request),
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -100,7 +100,9 @@
         # Otherwise a request could be sent while another with the same ordering key is still in flight under
         # the previous policy.
         self.balancer.key_queues.take_over(previous.key_queues)
-        return self.balancer.restore(previous.snapshot(ends=True), self.class_index_pairs(previous_indices))
+        return self.balancer.restore(
+            previous.snapshot(is_final=True), self.class_index_pairs(previous_indices)
+        )
 
     def ready(self) -> bool:
         """Return whether requests can be served.
@@ -191,11 +193,11 @@
             request.class_index,
             self.tenant_indices.get(incoming.tenant, len(self.tenant_indices)),
             deadline,
-            incoming.is_retry,
+            incoming.is_client_retry,
             upload is not None,
             incoming.ordering_key,
         )
-        request.is_admitted = True
+        request.is_admission_decided = True
         if upload is not None:
             upload.observer = request
 
@@ -236,14 +238,14 @@
         request = self.requests.get(request_id)
         if request is None:
             return
-        if request.on_rejected is not None and not request.is_admitted and not request.attempts:
+        if request.on_rejected is not None and not request.is_admission_decided and not request.attempts:
             request.mark_answered()
             self.request_log.request_ended(request_log.FORWARDED_TO_FALLBACK, request)
             request.on_rejected(request_id)
             return
         headers = retry_after_header(retry_after)
         self.respond(request, request_log.REJECTED, 503, headers, b"rolled back\n")
-        if request.is_admitted and not request.attempts:
+        if request.is_admission_decided and not request.attempts:
             # The request was queued by its ordering key: no attempt ends later and removes it.
             self.forget_if_finished(request)
 
@@ -274,8 +276,8 @@
             self.on_attempt_finished(endpoint_name, outcome)
         if outcome is not Outcome.SUCCEEDED:
             self.request_log.attempt_failed(attempt, outcome, duration)
-        if attempt.first_byte_at is not None:
-            duration = attempt.first_byte_at - attempt.started_at
+        if attempt.streaming_since is not None:
+            duration = attempt.streaming_since - attempt.started_at
             self._end_stream(request, outcome)
         elif response is not None and outcome is Outcome.SUCCEEDED:
             self.respond(request, request_log.SUCCEEDED, 200, response.headers, response.body)
@@ -293,12 +295,14 @@
             self.request_log.request_ended(request_log.TRUNCATED, request)
             request.incoming.client.abort_response()
 
-    def respond(self, request: Request, ending: str, status: int, headers: bytes, body: bytes) -> None:
+    def respond(
+        self, request: Request, request_outcome: str, status: int, headers: bytes, body: bytes
+    ) -> None:
         """Send the response to a request; do nothing if the request has been answered already.
 
         Args:
             request: The request.
-            ending: How the request has ended, one of the constants in `request_log`.
+            request_outcome: How the request has ended, one of the constants in `request_log`.
             status: HTTP status.
             headers: Additional header lines.
             body: Response body.
@@ -306,7 +310,7 @@
         if request.answered:
             return
         request.mark_answered()
-        self.request_log.request_ended(ending, request)
+        self.request_log.request_ended(request_outcome, request)
         request.incoming.client.send_response(status, headers, body)
 
     def forget_if_finished(self, request: Request) -> None:
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -97,7 +97,7 @@
     def start(self) -> None:
         """Send the request on an idle connection, or open a new connection for it."""
         resources = self.endpoint.resources
-        self.timeout_timer = resources.timers.schedule(self.expires_at, self.timed_out)
+        self.timeout_timer = resources.timers.schedule(self.expires_at, self.check_timeout)
         connection, self.connection_idle_time = self.endpoint.take_idle_connection(self.started_at)
         if connection is not None:
             self.send_on_connection(connection)
@@ -198,7 +198,7 @@
 
     # Completion
 
-    def timed_out(self) -> None:
+    def check_timeout(self) -> None:
         """Give up at the deadline; while connecting, the timer in `connect` applies instead."""
         if self.connect_task is None:
             self.give_up(Outcome.TIMED_OUT)
--- a/dahliabend/server/process_takeover.py
+++ b/dahliabend/server/process_takeover.py
@@ -102,7 +102,7 @@
         self._share_descriptors(bool(live))
         if live:
             self.directory.publish_in_flight(self.router.attempts_in_flight())
-        self.router.balancer.concurrency.in_flight_elsewhere = sum(live.values())
+        self.router.balancer.concurrency.in_flight_in_other_processes = sum(live.values())
         self._apply_exclusions()
         return [key for key in live if key > own_key]
 
--- a/tests/fake_transport.py
+++ b/tests/fake_transport.py
@@ -12,7 +12,7 @@
 def incoming_request(client=None, **fields):
     """A request as parsed, from a client that has nothing but a class name."""
     texts = dict.fromkeys(("method", "target", "headers", "body", "trace_id", "tenant", "ordering_key"), b"")
-    numbers = {"client_timeout": 0, "received_at": 0, "is_retry": False}
+    numbers = {"client_timeout": 0, "received_at": 0, "is_client_retry": False}
     client = client if client is not None else SimpleNamespace(class_name=b"")
     return IncomingRequest(**{**texts, **numbers, "client": client, "fields": {}, "upload": None, **fields})
 
--- a/tests/http/test_upstream_connection.py
+++ b/tests/http/test_upstream_connection.py
@@ -26,7 +26,7 @@
 def test_a_timeout_closes_the_connection_before_it_is_reported():
     for accepted_bytes, outcome in ((99, Outcome.TIMED_OUT), (8, Outcome.UNREACHABLE)):
         request, connection = send_request(accepted_bytes)
-        request.timed_out()
+        request.check_timeout()
         assert connection.closed
         assert connection.transport.ended
         assert request.outcome is outcome
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -59,7 +59,7 @@
         balancer, _ = make_balancer(tier=tier)
         balancer.concurrency.limit = 4.0
         balancer.concurrency.in_flight = 400
-        assert admit(balancer, 0, is_repeat=True).is_answered is not is_admitted
+        assert admit(balancer, 0, is_client_retry=True).is_answered is not is_admitted
         assert admit(balancer, 0, request_id=2).is_answered is not is_admitted
         assert balancer.admission.take_new_requests() == 1
         assert balancer.admission.take_new_requests() == 0
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -46,7 +46,7 @@
         request_classes=(NON_IDEMPOTENT, DEDUPLICATED, IDEMPOTENT),
         can_health_check=False,
     )
-    assert balancer.restore(old.snapshot(ends=True), [(0, 1), (2, 0)]) == 3
+    assert balancer.restore(old.snapshot(is_final=True), [(0, 1), (2, 0)]) == 3
     assert balancer.deadlines.mean_latencies == [9 * MS, 0, 7 * MS]
     assert balancer.outliers.fatal_idle_time == S
     assert balancer.selection.endpoints[0].relative_latency == 3
@@ -75,7 +75,7 @@
 
 def test_snapshot_keeps_its_stored_keys_and_malformed_ones_are_rejected():
     balancer, _ = make_balancer(endpoints=2)
-    stored = to_builtins(balancer.snapshot(ends=False))
+    stored = to_builtins(balancer.snapshot(is_final=False))
     assert list(stored) == ["shape", "usual", "gap", "upstreams", "crowd"]
     assert [len(values) for values in stored["upstreams"].values()] == [10, 10]
     assert len(stored["crowd"]) == 8
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -38,7 +38,7 @@
         balancer.concurrency.ticks = ticks
         balancer.concurrency.latency_ratio = 0.1
         balancer.concurrency.min_latency_ratio = 0.1
-        balancer.concurrency.has_rejected = True
+        balancer.concurrency.was_limit_reached = True
         balancer.concurrency.adjust(NOW, len(balancer.selection.ready) / balancer.selection.instance_count)
         assert balancer.concurrency.limit == expected_limit
 
@@ -65,13 +65,13 @@
     assert balancer.concurrency.adjusted_at > NOW
 
 
-def test_attempts_in_flight_elsewhere_count_against_the_limit():
+def test_attempts_in_flight_in_other_processes_count_against_the_limit():
     balancer, port = make_balancer(endpoints=1, instance_count=1)
     balancer.concurrency.limit = 8.0
-    balancer.concurrency.in_flight_elsewhere = 8
+    balancer.concurrency.in_flight_in_other_processes = 8
     assert admit(balancer, 0).is_answered
     assert not port.calls_to("send")
-    balancer.concurrency.in_flight_elsewhere = 0
+    balancer.concurrency.in_flight_in_other_processes = 0
     assert not admit(balancer, 0, request_id=2).is_answered
 
 
@@ -101,4 +101,4 @@
     balancer.concurrency.limit = 10.0
     for in_flight, is_full in ((5, False), (6, True)):
         balancer.concurrency.in_flight = in_flight
-        assert balancer.concurrency.is_nearly_full() is is_full
+        assert balancer.concurrency.is_all_priorities_share_full() is is_full
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -117,6 +117,6 @@
     for class_index, elapsed, is_over in ((0, S, True), (0, S - 1, False), (2, S, False)):
         request = admit(balancer, class_index)
         attempt = request.attempts[0]
-        assert balancer.deadlines.is_early_timeout_over(request, attempt, NOW + elapsed) is is_over
+        assert balancer.deadlines.has_early_timeout_passed(request, attempt, NOW + elapsed) is is_over
         request.client_disconnected(NOW)
-        assert not balancer.deadlines.is_early_timeout_over(request, attempt, NOW + elapsed)
+        assert not balancer.deadlines.has_early_timeout_passed(request, attempt, NOW + elapsed)
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -214,17 +214,17 @@
 def test_endpoint_is_failing_quickly_by_its_open_window_or_after_an_ejection():
     balancer, _ = make_balancer()
     endpoint = balancer.selection.endpoints[0]
-    assert not balancer.outliers.is_failing_quickly(endpoint)
+    assert not balancer.outliers.is_quickly_failing_outlier(endpoint)
     endpoint.entries[-1].add(MIN_SAMPLES - 1, MIN_SAMPLES - 1)
-    assert not balancer.outliers.is_failing_quickly(endpoint)
+    assert not balancer.outliers.is_quickly_failing_outlier(endpoint)
     endpoint.entries[-1].add(0, 1)
-    assert balancer.outliers.is_failing_quickly(endpoint)
+    assert balancer.outliers.is_quickly_failing_outlier(endpoint)
     balancer.throttling.tier.reduction = OUTLIER_REDUCTION / 2
-    assert not balancer.outliers.is_failing_quickly(endpoint)
+    assert not balancer.outliers.is_quickly_failing_outlier(endpoint)
     balancer.throttling.tier.reduction = 0.0
     ejected_endpoint = balancer.selection.endpoints[1]
     ejected_endpoint.consecutive_failures = 1
-    assert balancer.outliers.is_failing_quickly(ejected_endpoint)
+    assert balancer.outliers.is_quickly_failing_outlier(ejected_endpoint)
 
 
 def test_endpoint_is_gone_after_a_validity_without_an_answer():
--- a/tests/policy/test_sampling.py
+++ b/tests/policy/test_sampling.py
@@ -3,7 +3,7 @@
 from fake_port import IDEMPOTENT, MS, S, admit, make_balancer
 
 from dahliabend.model import Outcome
-from dahliabend.policy.sampling import is_late
+from dahliabend.policy.sampling import is_slow
 
 NOW = 100 * S
 
@@ -46,7 +46,7 @@
 
 
 def test_attempt_is_late_beyond_three_quarters_of_the_objective():
-    assert [is_late(IDEMPOTENT, duration) for duration in (0, 3 * S // 2, 3 * S // 2 + 1)] == [
+    assert [is_slow(IDEMPOTENT, duration) for duration in (0, 3 * S // 2, 3 * S // 2 + 1)] == [
         False,
         False,
         True,
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -14,9 +14,9 @@
         endpoints=1, process_started_at=NOW, instance_count=1, can_health_check=False
     )
     old.selection.endpoints[0].slow_start_budget = balancer.selection.endpoints[0].slow_start_budget = 1.0
-    balancer.restore(old.snapshot(ends=True), [])
+    balancer.restore(old.snapshot(is_final=True), [])
     for request_id in range(5):
-        assert old.slow_start.warm_share(old.selection.endpoints[0], NOW + S, 1) == 0
+        assert old.slow_start.slow_start_share(old.selection.endpoints[0], NOW + S, 1) == 0
         admit(balancer, 0, request_id=request_id)
     assert len(port.calls_to("send")) == 1
 
@@ -26,7 +26,7 @@
     balancer, _ = make_balancer(endpoints=1, process_started_at=NOW)
     old.selection.endpoints[0].slow_start_budget = 1.0
     old.concurrency.limit = 99.0
-    balancer.restore(old.snapshot(ends=False), [(0, 0)])
+    balancer.restore(old.snapshot(is_final=False), [(0, 0)])
     assert (
         old.selection.endpoints[0].slow_start_budget + balancer.selection.endpoints[0].slow_start_budget == 1
     )
@@ -70,17 +70,17 @@
         assert port.calls_to("send")[0][2] == tried
 
 
-def test_warm_share_rises_with_age_and_is_zero_without_budget():
+def test_slow_start_share_rises_with_age_and_is_zero_without_budget():
     balancer, _ = make_balancer(endpoints=1, process_started_at=NOW)
     endpoint = balancer.selection.endpoints[0]
     for age, share in ((0, 0.2), (5 * S, 0.6), (10 * S, 1.0)):
         endpoint.slow_start_budget = 1.0
-        assert balancer.slow_start.warm_share(endpoint, NOW + age, 1) == pytest.approx(share)
+        assert balancer.slow_start.slow_start_share(endpoint, NOW + age, 1) == pytest.approx(share)
     endpoint.slow_start_budget = 0.9
-    assert balancer.slow_start.warm_share(endpoint, NOW + S, 1) == 0
-    assert balancer.slow_start.warm_share(endpoint, NOW + 10 * S, 1) == 1
+    assert balancer.slow_start.slow_start_share(endpoint, NOW + S, 1) == 0
+    assert balancer.slow_start.slow_start_share(endpoint, NOW + 10 * S, 1) == 1
     endpoint.started_at = 0  # unknown start
-    assert balancer.slow_start.warm_share(endpoint, NOW, 1) == 1
+    assert balancer.slow_start.slow_start_share(endpoint, NOW, 1) == 1
 
 
 def test_close_window_weights_the_newest_rate_by_a_quarter():
@@ -88,6 +88,6 @@
     slow_start = balancer.slow_start
     for sent, rate in ((8, 8), (4, 7), (0, 5.25)):
         slow_start.sent = sent
-        slow_start.close_window(new_requests=99, has_warm_endpoint=True)
+        slow_start.close_window(new_requests=99, has_endpoint_past_slow_start=True)
         assert slow_start.send_rate * slow_start.window == pytest.approx(rate)
         assert slow_start.sent == 0
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -57,14 +57,14 @@
     ):
         entry.reduction = reduction
         entry.valid_until = NOW + S
-    assert balancer.throttling.governing_entry(endpoint.entries, 1, NOW) is endpoint.entries[1]
-    assert balancer.throttling.governing_entry(endpoint.entries, 0, NOW) is endpoint.entries[-1]
+    assert balancer.throttling.narrowest_entry(endpoint.entries, 1, NOW) is endpoint.entries[1]
+    assert balancer.throttling.narrowest_entry(endpoint.entries, 0, NOW) is endpoint.entries[-1]
     assert (
-        balancer.throttling.governing_entry(balancer.selection.endpoints[1].entries, 0, NOW)
+        balancer.throttling.narrowest_entry(balancer.selection.endpoints[1].entries, 0, NOW)
         is balancer.throttling.tier
     )
     assert balancer.throttling.tier.valid_reduction(NOW) == 0.3
-    assert balancer.throttling.governing_entry(endpoint.entries, 1, NOW + S) is balancer.throttling.tier
+    assert balancer.throttling.narrowest_entry(endpoint.entries, 1, NOW + S) is balancer.throttling.tier
     assert balancer.throttling.tier.valid_reduction(NOW + S) == 0.0
 
 
@@ -77,7 +77,7 @@
         admit(balancer, 0, request_id=request_id).attempt_finished(NOW, 0, Outcome.SUCCEEDED, MS, True)
     assert {call[2] for call in port.calls_to("send")} == {2}
     balancer.selection.endpoints[2].entries[-1].valid_until = 0  # not sampled yet
-    assert balancer.selection.choose(admit(balancer, 2), NOW, unthrottled=True) is None
+    assert balancer.selection.choose(admit(balancer, 2), NOW, without_reduction=True) is None
 
 
 def test_same_zone_reduction_accumulates_and_decays_by_half_at_most():
--- a/tests/proxy/test_request_log.py
+++ b/tests/proxy/test_request_log.py
@@ -63,15 +63,15 @@
 
 
 @pytest.mark.parametrize(
-    ("ending", "events"),
+    ("request_outcome", "events"),
     [
         (request_log.TRUNCATED, ["request.finished", "request.truncated"]),
         (request_log.CLIENT_DISCONNECTED, ["request.finished", "request.client_disconnected"]),
         (request_log.FORWARDED_TO_FALLBACK, ["request.sent_to_fallback"]),
     ],
 )
-def test_a_request_has_one_access_log_line_even_if_it_was_offered_to_several_pools(ending, events):
+def test_a_request_has_one_access_log_line_even_if_it_was_offered_to_several_pools(request_outcome, events):
     log = RequestLog(lines := LogLines())
     log.logs_access = True
-    log.request_ended(ending, request_with_attempts())
+    log.request_ended(request_outcome, request_with_attempts())
     assert [line["event"] for line in lines] == events
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -86,7 +86,7 @@
 
 
 def no_cold_budget():
-    return instead(SlowStart, "warm_share", lambda self, endpoint, now, max_ready: 1.0)
+    return instead(SlowStart, "slow_start_share", lambda self, endpoint, now, max_ready: 1.0)
 
 
 def keep_a_descriptor():
