--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -116,7 +116,7 @@
 
         Args:
             incoming: The request.
-            target_number: Number of its class, from `classify`.
+            target_number: The number that `classify` returned.
 
         Returns:
             A handle that is valid until the request is answered; `NO_HANDLE` if it has been answered already.
--- a/dahliabend/model.py
+++ b/dahliabend/model.py
@@ -98,7 +98,7 @@
 
 
 class Snapshot(Struct):
-    """The state that one policy hands over to the next; some stored keys are older than the names here.
+    """The state that one policy hands over to the next, stored under keys that must not change.
 
     Attributes:
         limit_settings: Settings that the limit depends on; the limit is restored only if they are the same.
@@ -137,7 +137,7 @@
     latency_objective: int
     deadline: int
     priority_weight: float
-    late_weight: float  # share of the priority that an answer after the latency objective is worth
+    late_weight: float  # share of `priority_weight` that a response after the latency objective is worth
     is_ordered: bool = False  # requests of one key are executed one at a time, in the order of admission
     attempt_timeout: int = 0  # 0: until the deadline
     max_attempts: int = 0  # 0: as in `PolicySettings`
@@ -158,7 +158,7 @@
     over_quota_weight: float  # factor on the priority of requests over quota
     overall_weight: float  # in the operators' goal, of the total over all classes
     worst_class_weight: float  # in the operators' goal, of the worst-served class
-    cross_zone_cost: float  # of an attempt outside the own zone, in answers
+    cross_zone_cost: float  # of an attempt outside the own zone, in responses
     max_attempts: int
     can_cancel: bool
     can_health_check: bool
@@ -168,7 +168,7 @@
     poll_deadline: int
     initial_capacity: float
     warmup_time: int
-    warmup_multiple: float
+    warmup_multiple: float  # times its share of the load, at which a starting endpoint begins to fail
     key_pause: int = 0  # of an ordering key, after an attempt that may still run
     can_use_removed_endpoints: bool = False  # if removed without draining
     retry_budget_ratio: float = 0.1  # retries after attempts that may have executed, per first attempt
@@ -182,8 +182,8 @@
 class Port(Protocol):
     """The actions of the policy. `request_id` is the number that the driver passed to `Balancer.admit`."""
 
-    def send(self, request_id: int, endpoint: int, timeout: int) -> None:
-        """Send an attempt of a request to an endpoint, and end the attempt after the time-out."""
+    def send(self, request_id: int, endpoint_index: int, timeout: int) -> None:
+        """Send an attempt of a request to an endpoint, and end the attempt after the timeout."""
 
     def reject(self, request_id: int, retry_after: int) -> None:
         """Answer 503: the client may send the request again, after this time (us; 0: no time is given).
@@ -194,14 +194,14 @@
     def fail(self, request_id: int) -> None:
         """Answer 502: the request failed, may have been executed and must not be sent again."""
 
-    def cancel(self, request_id: int, attempt: int) -> None:
+    def cancel(self, request_id: int, attempt_index: int) -> None:
         """End an attempt, given by its index within the request; its end is reported like any other."""
 
-    def check_health(self, endpoint: int) -> None:
+    def check_health(self, endpoint_index: int) -> None:
         """Start a health check of an endpoint, reported by `Balancer.health_check_finished`."""
 
-    def close_idle_connections(self, endpoint: int, age: int) -> None:
-        """Close connections to an endpoint that have been idle for longer than `age`."""
+    def close_idle_connections(self, endpoint_index: int, age: int) -> None:
+        """Close the connections to an endpoint that have been idle for at least `age`."""
 
     def set_timer(self, at: int, token: int) -> None:
         """Schedule a call of `Balancer.timer_fired` with this token."""
@@ -225,26 +225,32 @@
         """Whether the request is answered, or its client has gone, and none of its attempts is in flight."""
 
     def attempt_finished(
-        self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
+        self,
+        now: int,
+        attempt_index: int,
+        outcome: Outcome,
+        duration: int,
+        is_answered: bool,
+        idle: int | None = None,
     ) -> None:
         """Report how an attempt ended; another one is sent where it may follow.
 
         Args:
             now: The current time.
-            number: The index of the attempt within the request.
+            attempt_index: The index of the attempt within the request.
             outcome: How the attempt ended.
             duration: How long the attempt took.
-            complete: Whether the client has its answer.
+            is_answered: Whether the request needs no further attempt: it is answered, or its client has gone.
             idle: How long the connection had been idle before, if the driver knows.
         """
 
-    def response_started(self, now: int, number: int) -> None:
+    def response_started(self, now: int, attempt_index: int) -> None:
         """Report that the client has a part of the response, after which the attempt is not cancelled."""
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Report that the attempt in flight has the last byte of the body, and return its time-out.
+        """Report that the last byte of the body has been sent on the attempt in flight; return its timeout.
 
-        The attempt begins at `now`.
+        The duration and the timeout of the attempt begin at `now`.
         """
 
     def body_consumed(self) -> None:
@@ -261,7 +267,10 @@
     """The events that `policy.balancer.Balancer` handles, all on one thread; it acts through its `Port`."""
 
     def update_endpoints(self, now: int, updates: list[EndpointUpdate], full: bool) -> None:
-        """Apply an endpoint list (`full`), or changes to it."""
+        """Apply entries of the endpoint list.
+
+        `full` says whether the entries are the whole list; otherwise they are only its changes.
+        """
 
     def endpoint_poll_failed(self, now: int) -> None:
         """Report that a poll of the endpoint list failed; it is repeated after a random delay."""
@@ -277,23 +286,29 @@
             request_id: Identifies the request in calls of the `Port`.
             class_index: Index of its request class.
             tenant: Index of its tenant; an index beyond the quotas has no quota.
-            deadline: When an answer becomes worthless.
-            is_client_retry: Whether its client sends it again after a rejection.
+            deadline: When a response becomes worthless.
+            is_client_retry: Whether its client says that it sends the request again, after a rejection.
             body_pending: Whether its body is still being received.
             key: The ordering key, by which requests of ordered classes are sent one at a time; 0: none.
         """
 
-    def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
+    def health_check_finished(self, now: int, endpoint_index: int, outcome: Outcome) -> None:
         """Report the outcome of a health check of an endpoint."""
 
-    def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Count attempts of other balancers at an endpoint like own ones, as many as are trusted."""
+    def add_peer_report(self, endpoint_index: int, sampled: int, failed: int) -> None:
+        """Add attempts that other balancers report to the window of an endpoint.
+
+        Args:
+            endpoint_index: Index of the endpoint.
+            sampled: Number of attempts; the driver limits how many it passes on.
+            failed: Number of these that failed.
+        """
 
     def timer_fired(self, now: int, token: int) -> None:
         """Report that a timer set by `Port.set_timer` has fired."""
 
     def snapshot(self, is_final: bool) -> Snapshot:
-        """Return the state for the next policy; `is_final`: this one admits nothing more."""
+        """Return the state for the next policy; with `is_final`, this one admits no more requests."""
 
     def restore(self, snapshot: Snapshot, class_pairs: list[tuple[int, int]]) -> int:
         """Restore a snapshot, and return how many endpoints matched.
--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -19,8 +19,8 @@
 def class_priorities(settings: PolicySettings) -> list[float]:
     """Return the priority of each request class, 0 to 1.
 
-    Priorities follow the priority weights, and less so the more the operators' goal weighs the worst-served
-    class: a class with a small weight would be served last, and would be that class.
+    The larger the weight of the worst-served class in the operators' goal, the closer the priorities are to
+    1: otherwise the class with the smallest priority weight would become the worst-served one.
     """
     overall = settings.overall_weight
     weight_effect = overall / ((overall + settings.worst_class_weight) or 1.0)
@@ -35,7 +35,7 @@
         priorities: By request class, 0 to 1.
         quotas: By tenant, this balancer's share (requests per microsecond).
         tokens: By tenant, what is left of its quota, and when it was last filled up.
-        new_requests: Requests in the open window that are not repeated by their client.
+        new_requests: Requests in the open window that are not retries by their client.
     """
 
     def __init__(
@@ -75,8 +75,8 @@
     def is_within_quota(self, tenant: int, now: int) -> bool:
         """Return whether a request of a tenant at `now` is within its quota, and count it.
 
-        The quota is a token bucket that holds one window: with a larger one, the burst of one tenant would
-        delay all others.
+        The quota is a token bucket whose capacity is the quota of one window: with a larger one, the burst of
+        one tenant would delay all others.
         """
         quota = self.quotas[tenant]
         tokens, filled_at = self.tokens[tenant]
@@ -94,27 +94,27 @@
         return not request.body_pending and self.deadlines.can_wait(request, now, wait)
 
     def apply_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
-        """Return where a request goes at `now`, given the chosen endpoint and the reductions held.
+        """Return where a request goes at `now`, given the chosen endpoint and the valid reductions.
 
-        With the probability of the endpoint's valid reduction it goes to an endpoint known to hold no
-        reduction. Where there is none, no single endpoint is at fault, and the tier's reduction decides.
-        Returns None if the request is rejected.
+        With the probability of the reduction that applies to the chosen endpoint, the request goes to an
+        endpoint to which no reduction is known to apply. Where there is none, no single endpoint is at fault,
+        and the tier's reduction decides. Returns None if the request is rejected.
         """
         narrowest_entry = self.throttling.narrowest_entry(endpoint.entries, request.class_index, now)
         if narrowest_entry is not self.throttling.tier:
             if self.random() >= narrowest_entry.valid_reduction(now):
                 return endpoint
-            without_reduction = self.selection.choose(request, now, without_reduction=True)
-            if without_reduction is not None:
-                return without_reduction
+            other_endpoint = self.selection.choose(request, now, without_reduction=True)
+            if other_endpoint is not None:
+                return other_endpoint
         is_rejected = self.throttling.tier.reduction and self.is_rejected_by_tier_reduction(request, now)
         return None if is_rejected else endpoint
 
     def is_rejected_by_tier_reduction(self, request: RequestState, now: int) -> bool:
         """Return whether a request is rejected at `now` because of the tier's reduction.
 
-        Only the entry tier rejects, and requests of low priority more often: an overloaded tier would fail
-        valuable requests as well.
+        Only the entry tier rejects, and it rejects requests of low priority more often: otherwise an
+        overloaded tier would fail valuable requests as well.
         """
         if not self.is_entry_tier:
             return False
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -22,7 +22,7 @@
 TICKS_PER_LATENCY_OBJECTIVE = 4  # in the shortest objective of all classes
 MIN_TICK = 1000
 POLL_BACKOFFS_PER_DEADLINE = 8  # a failed poll is repeated after at most deadline / 8
-_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # about the endpoint
+_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they say nothing about the endpoint
 
 
 class Balancer:
@@ -55,7 +55,7 @@
     # Endpoints
 
     def update_endpoints(self, now: int, updates: list[EndpointUpdate], full: bool) -> None:
-        """Apply an endpoint list (`full`), or changes to it."""
+        """Apply the whole endpoint list (`full`), or only changes to it."""
         if not self.is_started:
             self.is_started = True
             self.throttling.open(now)
@@ -73,15 +73,15 @@
             wait = round(self.poll_backoff * (1 + self.random()) / 2)
             self.port.set_timer(now + wait, TimerToken.POLL)
 
-    def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
+    def health_check_finished(self, now: int, endpoint_index: int, outcome: Outcome) -> None:
         """Report the outcome of a health check of an endpoint."""
-        endpoint = self.selection.endpoints.get(index)
+        endpoint = self.selection.endpoints.get(endpoint_index)
         if endpoint is not None:
             self.outliers.health_check_finished(endpoint, now, outcome)
 
-    def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Count attempts of other balancers at an endpoint like own ones, as many as are trusted."""
-        endpoint = self.selection.endpoints.get(index)
+    def add_peer_report(self, endpoint_index: int, sampled: int, failed: int) -> None:
+        """Add attempts that other balancers report, and how many of them failed, to an endpoint's window."""
+        endpoint = self.selection.endpoints.get(endpoint_index)
         if endpoint is not None:
             endpoint.entries[-1].add(failed, sampled)
 
@@ -127,7 +127,7 @@
     # Snapshots
 
     def snapshot(self, is_final: bool) -> Snapshot:
-        """Return the state for the next policy; `is_final`: this one admits nothing more."""
+        """Return the state for the next policy; with `is_final`, this one admits no more requests."""
         return Snapshot(
             limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
@@ -222,7 +222,7 @@
         self.port.send(request.request_id, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
-        """Handle the last byte of the body of the attempt in flight, and return the attempt's time-out."""
+        """Handle that the attempt in flight has sent the last byte of the body; return its timeout."""
         request.deadline = self.deadlines.useful_deadline(request.request_class, now, deadline)
         self.outliers.attempt_began(request.attempts[-1])
         self.concurrency.attempt_began(request, request.attempts[-1])
@@ -318,8 +318,8 @@
     def cancel(self, request: RequestState) -> None:
         """Cancel the attempts of a request that are in flight, if the driver can."""
         if self.settings.can_cancel:
-            for number in cancellable_attempts(request):
-                self.port.cancel(request.request_id, number)
+            for attempt_index in cancellable_attempts(request):
+                self.port.cancel(request.request_id, attempt_index)
 
     def _cancel_overdue_attempts(self, endpoint: Endpoint, now: int) -> None:
         for request, attempt in tuple(endpoint.in_flight.items()):
--- a/dahliabend/policy/concurrency.py
+++ b/dahliabend/policy/concurrency.py
@@ -27,7 +27,7 @@
 
     Attributes:
         in_flight: Attempts of this balancer at endpoints that are not ejected.
-        in_flight_in_other_processes: Attempts of other processes of this instance; set by the driver.
+        in_flight_in_other_processes: Attempts of other processes of this balancer; set by the driver.
         limit: How many attempts may be in flight.
         mean_in_flight: Mean number in flight in all processes, sampled at admissions.
         sustained_in_flight: Mean number in flight in all processes, sampled at adjustments without overload.
@@ -37,8 +37,8 @@
         mean_priority: Mean priority of the requests that ask for admission.
         ticks: Number of ticks since the start.
         adjusted_at: When the limit was last adjusted.
-        succeeded: Successful attempts since then.
-        was_limit_reached: Whether the limit was reached since then.
+        succeeded: Successful attempts since the last adjustment.
+        was_limit_reached: Whether the limit has been reached since the last adjustment.
         is_overloaded: Whether the last adjustment lowered the limit.
     """
 
@@ -137,8 +137,8 @@
 
     # Events
 
-    def start(self, endpoints_per_instance: float) -> None:
-        """Set the initial limit from the number of ready endpoints per balancer.
+    def ensure_limit(self, endpoints_per_instance: float) -> None:
+        """Set the limit, if it isn't set yet, from the number of ready endpoints per balancer.
 
         Where that number is below 1 its square root is used, to leave room for random variation.
         """
@@ -164,7 +164,7 @@
             self.in_flight -= 1
 
     def endpoint_ejected(self, endpoint: Endpoint) -> None:
-        """Stop counting the attempts at an ejected endpoint: they indicate no overload elsewhere."""
+        """Stop counting the attempts at an ejected endpoint: they indicate no overload of other endpoints."""
         self.in_flight -= len(endpoint.in_flight)
 
     def endpoint_restored(self, endpoint: Endpoint) -> None:
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines, time-outs and Retry-After: how much time a request has left, and until when an answer is useful.
+"""Deadlines, timeouts and Retry-After: how much time a request has left, and until when a response is useful.
 
 Times are in microseconds.
 """
@@ -37,10 +37,10 @@
         self.mean_latencies = [0.0] * len(settings.request_classes)
 
     def useful_deadline(self, request_class: RequestClass, now: int, deadline: int) -> int:
-        """Return until when an answer is useful, for a request that begins now.
+        """Return until when a response is useful, for a request that begins now.
 
-        Where late answers are worth nothing, working beyond the latency objective would only delay other
-        requests. Tiers behind the entry tier can't tell what an answer is worth to the client.
+        Where late responses are worth nothing, working beyond the latency objective would only delay other
+        requests. Tiers behind the entry tier can't tell what a response is worth to the client.
         """
         if self.is_entry_tier and not request_class.late_weight:
             return min(deadline, now + request_class.latency_objective)
@@ -56,7 +56,7 @@
     def queue_wait(self, class_index: int, turns_ahead: int) -> int:
         """Return how long this many turns of a key take, assuming that all are of this class.
 
-        It keeps requests out of the queue whose turn would come too late.
+        Used to keep out of the queue requests whose turn would come too late.
         """
         return round(turns_ahead * self.mean_latencies[class_index])
 
@@ -68,7 +68,7 @@
         return time_left(request, now) > wait + self.min_time_to_send(request.class_index)
 
     def early_timeout(self, request: RequestState) -> int:
-        """Return the time-out of an attempt that may be retried.
+        """Return the timeout of an attempt that may be retried.
 
         It is a multiple of the mean latency, and at least a fixed part of the latency objective: with a
         shorter one, slow endpoints would have to do their work twice.
@@ -78,11 +78,11 @@
         return max(min_early_timeout, round(EARLY_TIMEOUT_LATENCIES * mean_latency))
 
     def attempt_timeout(self, request: RequestState, now: int) -> int:
-        """Return the time-out of an attempt that begins now.
+        """Return the timeout of an attempt that begins now.
 
-        It is early where a retry could follow; otherwise one silent endpoint costs a request all its time. It
-        is not early while the tier holds a reduction: then all endpoints are slow, and retries would add
-        load.
+        Where a retry could follow, it is early: otherwise one silent endpoint would cost a request all its
+        time. It is not early while the tier has a reduction: then all endpoints are slow, and retries would
+        add load.
         """
         left = request.deadline - now  # `time_left`, inlined
         timeout = request.request_class.attempt_timeout or left
@@ -92,16 +92,16 @@
         return max(MIN_TIMEOUT, min(left, timeout))
 
     def has_early_timeout_passed(self, request: RequestState, attempt: Attempt, now: int) -> bool:
-        """Return whether an attempt at a hung endpoint is cancelled at `now`, to be sent elsewhere.
+        """Return whether an unanswered, retryable attempt has lasted for the early timeout at `now`.
 
-        Its time-out was set before the endpoint fell silent. An attempt that has just begun may still be
-        answered.
+        Used to cancel attempts at an endpoint that has been ejected as hung: their timeouts were set before
+        the endpoint stopped answering. A more recent attempt may still be answered.
         """
         has_passed = now - attempt.sent_at >= self.early_timeout(request)
         return has_passed and not request.is_answered and is_retryable(request)
 
     def retry_after(self, request_class: RequestClass, wait: int) -> int:
-        """Return the Retry-After of a rejected request; 0: the client is told nothing.
+        """Return the Retry-After of a rejected request; 0: the response has no Retry-After.
 
         It covers the time that the request would have waited, and a part of its latency objective: a client
         that came back sooner would meet the same load.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -39,9 +39,9 @@
         self.pauses: list[tuple[int, int | bytes]] = []  # a heap of (end, key)
 
     def take_over(self, previous: "KeyQueues") -> None:
-        """Continue with the queues of the policy that was in force before, in the same process.
+        """Continue with the queues of the previous policy, in the same process.
 
-        Otherwise a request could run beside another one of its key that was admitted under the former
+        Otherwise a request could run beside another one of its key that was admitted under the previous
         settings.
         """
         self.queues = previous.queues
@@ -50,7 +50,7 @@
             self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
     def turns_ahead(self, key: int | bytes) -> int:
-        """Return how many turns precede a request that joins now; a pause counts as one."""
+        """Return how many turns precede a new request; the current request or the pause counts as one."""
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
--- a/dahliabend/policy/outliers.py
+++ b/dahliabend/policy/outliers.py
@@ -13,12 +13,12 @@
 from dahliabend.policy.selection import EndpointSelection
 from dahliabend.policy.throttling import LINGER_VALIDITIES, MIN_SAMPLES, OUTLIER_REDUCTION, Throttling
 
-SILENCE_LATENCIES = 4  # mean latencies with attempts in flight and no answer, after which an endpoint is hung
+SILENCE_LATENCIES = 4  # mean latencies without a response, with attempts in flight, after which it is hung
 MAX_CHECK_DOUBLINGS = 5  # of the delay before a health check
 MAX_TRIAL_DOUBLINGS = 6  # of the delay before a trial request
 QUICK_FAILURE_RATIO = 1 / 20  # of the mean latency; a quicker failure comes from a fault, not from load
-LOSSES_PER_QUICK_RESET = 8  # a reset proves what a time-out only suggests
-STALE_IDLE_FRACTION = 1 / 2  # of the fatal idle time; above it, connections are counted and closed
+LOSSES_PER_QUICK_RESET = 8  # a quick reset proves a loss; a timeout, counted as one, may have another cause
+STALE_IDLE_FRACTION = 1 / 2  # of the fatal idle time; from it on, an idle connection is stale
 _RESPONSE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED)  # the endpoint answered
 
 
@@ -29,7 +29,9 @@
         last_answer_at: When any endpoint last answered.
         awaiting_trial: Endpoints ejected for long enough to get a trial request; the last one added goes
             first.
-        fatal_idle_time: Mean idle time of connections on which a request was lost.
+        fatal_idle_time: Mean idle time of connections on which a request was then lost. Connections that have
+            been idle for `STALE_IDLE_FRACTION` of it are stale: attempts on them are sampled, and if many are
+            lost, stale connections are closed.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
             self.selection.select()
 
     def restore(self, endpoint: Endpoint, now: int) -> None:
-        """Put an endpoint back into the rotation, without the reduction that it held."""
+        """Put an endpoint back into the rotation, and end its reduction."""
         endpoint.is_ejected = False
         endpoint.silent_since = now
         endpoint.entries[-1].end_reduction()
@@ -89,15 +91,16 @@
         self.selection.select()
 
     def is_failing(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint is an outlier by its reduction: the tier holds less than half of it.
+        """Return whether an endpoint's reduction is high and more than twice that of the tier.
 
-        If endpoints were ejected while the whole tier fails, the remaining ones would get all the load.
+        It is high from `OUTLIER_REDUCTION` on. If endpoints were ejected while the whole tier fails, the
+        remaining ones would get all the load.
         """
         reduction = endpoint.entries[-1].reduction
         return reduction >= OUTLIER_REDUCTION and self.throttling.tier.reduction < reduction / 2
 
     def is_quickly_failing_outlier(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint that fails quickly is an outlier before its window ends.
+        """Return whether an endpoint is an outlier before its window ends; called after a quick failure.
 
         An endpoint that fails quickly always has capacity left and so attracts the load of all others. One
         that has been ejected and has not succeeded since is an outlier at once.
@@ -116,9 +119,9 @@
         return now - endpoint.answered_at >= self.throttling.validity
 
     def is_hung(self, endpoint: Endpoint, now: int) -> bool:
-        """Return whether an endpoint is silent at `now` while others answer.
+        """Return whether an endpoint has not answered for too long at `now` while others answer.
 
-        Without an ejection, its attempts would end only by their time-outs. Attempts of classes that fail
+        Without an ejection, its attempts would end only by their timeouts. Attempts of classes that fail
         everywhere don't count.
         """
         if self.last_answer_at <= endpoint.silent_since:
@@ -198,7 +201,7 @@
 
         An endpoint that is ejected again after its return passes health checks but fails requests, so one
         trial request is sent first. If none has come by the next health check, the endpoint is restored
-        without.
+        without a trial.
         """
         is_untried = self.has_idempotent_class and endpoint not in self.awaiting_trial
         return is_untried and endpoint.consecutive_failures > 1
@@ -254,7 +257,7 @@
     # Attempts
 
     def attempt_began(self, attempt: Attempt) -> None:
-        """Start the silence of an endpoint, if the attempt about to be in flight is its only one."""
+        """Restart the time without a response of an endpoint that has no other attempt in flight."""
         if not attempt.endpoint.in_flight:
             attempt.endpoint.silent_since = attempt.sent_at
 
@@ -273,7 +276,7 @@
     def idle_losses(
         self, attempt: Attempt, now: int, outcome: Outcome, duration: int, mean_latency: float
     ) -> int:
-        """Return as how many losses on an idle connection the end of an attempt counts.
+        """Return the number of losses on idle connections that the end of an attempt counts for.
 
         A request is lost if the peer or a middlebox has dropped the state of the connection.
 
--- a/dahliabend/policy/records.py
+++ b/dahliabend/policy/records.py
@@ -1,7 +1,7 @@
 """The records that the policy works on: an endpoint, an attempt, a request. They refer to each other.
 
-Times are in microseconds. Any module may read a field; only the class named in the comment above it writes
-it.
+Times are in microseconds. Any module may read a field. The comment above a group of fields names the class
+that keeps them up to date; `Endpoint.start` and `Endpoint.restore` set them as well.
 """
 
 from typing import Protocol
@@ -18,36 +18,41 @@
     def __init__(self, index: int, rank: bytes, class_count: int) -> None:
         self.index = index
         self.rank = rank  # from a hash, different for each balancer
-        # Endpoint list, written by `EndpointSelection`:
+        # Endpoint list, updated by `EndpointSelection`:
         self.state = EndpointState.REMOVED
         self.started_at = NOT_STARTED
         self.weight = 1.0
         self.cell = 0
         self.zone = 0
         self.is_listed = False
-        # Attempts in flight, written by `ConcurrencyLimit`:
+        # Attempts in flight, updated by `ConcurrencyLimit`:
         self.in_flight: dict[RequestState, Attempt] = {}
         self.entries = [ThrottleEntry() for _ in range(class_count + 1)]
         self.start(NOT_STARTED, 0, 0.0)
 
-    def start(self, started_at: int, now: int, position: float) -> None:
-        """Forget what was known of an earlier process; `position` is the initial position in the rotation."""
+    def start(self, started_at: int, now: int, random_start: float) -> None:
+        """Forget what was known of an earlier process.
+
+        `random_start`, a random number from 0 to 1, is the initial position in the rotation and the initial
+        slow-start budget: otherwise all balancers would send to the endpoint at once.
+        """
         self.started_at = started_at
-        # Reductions by class, and the last one for all classes, written by `Throttling`:
+        # Reductions by class, and the last one for all classes, updated by `Throttling`; reports of other
+        # balancers are added by `Balancer`, windows closed and reductions ended by `OutlierDetector`:
         self.entries = [ThrottleEntry() for _ in self.entries]
-        # Rotation, written by `EndpointSelection`:
-        self.position = position
+        # Rotation, updated by `EndpointSelection`:
+        self.position = random_start
         self.relative_latency = 1.0  # mean ratio of latency to the mean latency of the class
-        # Slow start, written by `SlowStart`:
-        self.slow_start_budget = position  # attempts; random, lest all balancers send at once
+        # Slow start, updated by `SlowStart`:
+        self.slow_start_budget = random_start  # attempts
         self.budget_filled_at = now
-        # Faults, written by `OutlierDetector`:
-        self.silent_since = now  # no answer since then, with attempts in flight
+        # Faults, updated by `OutlierDetector`:
+        self.silent_since = now  # no response since then, with attempts in flight
         self.answered_at = 0
         self.last_ended_at = now
         self.is_ejected = False
         self.ejected_since = 0
-        self.consecutive_failures = 0  # ejections, and failed trials and health checks since
+        self.consecutive_failures = 0  # ejections, failed trials and health checks since a success
         self.is_health_check_pending = False
 
     def snapshot(self, slow_start_budget: float) -> StoredEndpoint:
@@ -98,7 +103,7 @@
 
 
 class RequestOwner(Protocol):
-    """The balancer that admitted a request, to which the events of the request are reported."""
+    """The balancer that a request was submitted to, to which the events of the request are reported."""
 
     settings: PolicySettings
 
@@ -117,7 +122,7 @@
         """Handle the start of a response that is streamed to the client."""
 
     def body_received(self, request: "RequestState", now: int, deadline: int) -> int:
-        """Handle the last byte of the body of the attempt in flight, and return the attempt's time-out."""
+        """Handle that the attempt in flight has sent the last byte of the body; return its timeout."""
 
     def hedge_timer_fired(self, request: "RequestState", now: int) -> None:
         """Handle a slow attempt in flight."""
@@ -127,13 +132,13 @@
 
 
 class RequestState:
-    """An admitted request: the handle on which the driver reports its events (`model.RequestHandle`).
+    """A request submitted for admission: on it the driver reports its events (`model.RequestHandle`).
 
     Attributes:
         balancer: The balancer that handles its events.
         request_id: The driver's identifier of it.
         key: The ordering key; 0: none.
-        deadline: When an answer becomes worthless.
+        deadline: When a response becomes worthless.
         priority: Between 0 and 1; lowered if its tenant is over quota.
         attempts: In the order in which they were sent.
         in_flight: Number of attempts that have not ended.
@@ -141,7 +146,8 @@
         body_pending: Whether its body is still being received.
         is_body_consumed: Whether a part of its body has been dropped, so that it can't be sent again.
         is_streaming: Whether the client has received a part of the response.
-        is_answered: Whether it has been answered or given up, or its client has disconnected.
+        is_answered: Whether it needs no further attempt: it has been answered or given up, or its client has
+            disconnected.
     """
 
     def __init__(
@@ -197,32 +203,38 @@
     # Reported by the driver; `model.RequestHandle` describes the arguments
 
     def attempt_finished(
-        self, now: int, number: int, outcome: Outcome, duration: int, complete: bool, idle: int | None = None
+        self,
+        now: int,
+        attempt_index: int,
+        outcome: Outcome,
+        duration: int,
+        is_answered: bool,
+        idle: int | None = None,
     ) -> None:
         """Report how an attempt ended; another one is sent where it may follow."""
-        attempt = self.attempts[number]
+        attempt = self.attempts[attempt_index]
         if self.is_answered:
             attempt.idle = 0  # cancelled by this balancer, which says nothing about the connection
         elif idle is not None:
             attempt.idle = idle
         attempt.may_have_executed = not outcome.proves_not_executed
         self.in_flight -= 1
-        self.is_answered = self.is_answered or complete
+        self.is_answered = self.is_answered or is_answered
         self.balancer.attempt_ended(self, attempt, now, outcome, duration)
 
-    def response_started(self, now: int, number: int) -> None:  # noqa: ARG002 - declared by `RequestHandle`
+    def response_started(self, now: int, attempt_index: int) -> None:  # noqa: ARG002 - see `RequestHandle`
         """Report that the client has a part of the response, after which the attempt is not cancelled."""
         self.is_streaming = True
-        self.balancer.response_started(self, self.attempts[number])
+        self.balancer.response_started(self, self.attempts[attempt_index])
 
     def body_consumed(self) -> None:
         """Report that a part of the body has been dropped, so that it can't be sent again."""
         self.is_body_consumed = True
 
     def body_received(self, now: int, deadline: int) -> int:
-        """Report that the attempt in flight has the last byte of the body, and return its time-out.
+        """Report that the last byte of the body has been sent on the attempt in flight; return its timeout.
 
-        The attempt begins at `now`, however long the transmission took.
+        The duration and the timeout of the attempt begin at `now`, however long the transmission took.
         """
         self.body_pending = False
         self.attempts[-1].sent_at = now
--- a/dahliabend/policy/retries.py
+++ b/dahliabend/policy/retries.py
@@ -5,7 +5,7 @@
 
 INITIAL_BUDGET = 1.0  # retries
 MAX_RETRY_BUDGET = 10  # retries after attempts that may have executed, and hedges
-RETRY_COST = 1  # for one of these
+RETRY_COST = 1  # of the budget, per retry or hedge
 
 
 def may_attempt(request: RequestState, now: int) -> bool:
@@ -102,7 +102,7 @@
 def cancellable_attempts(request: RequestState) -> range:
     """Return the indices of the attempts that may be in flight: the newest, and the one that it hedges.
 
-    Empty while the answer is being streamed, because the client has a part of it.
+    Empty while the response is being streamed, because the client has a part of it.
     """
     if not request.in_flight or request.is_streaming:
         return range(0)
--- a/dahliabend/policy/sampling.py
+++ b/dahliabend/policy/sampling.py
@@ -15,7 +15,7 @@
 def is_slow(request_class: RequestClass, duration: int) -> bool:
     """Return whether an attempt of this duration left its request little of the latency objective.
 
-    In an overload, late attempts count as failed; otherwise reductions would begin only after deadlines are
+    In an overload, slow attempts count as failed; otherwise reductions would begin only after deadlines are
     missed.
     """
     return duration > SLOW_OBJECTIVE_FRACTION * request_class.latency_objective
@@ -35,8 +35,8 @@
     def indicates_load(self, endpoint: Endpoint, now: int, outcome: Outcome, duration: int) -> bool:
         """Return whether the duration of an attempt that ended at `now` counts for the concurrency limit.
 
-        It does not if its endpoint has not answered since the attempt was sent: one silent endpoint is rarely
-        an overload.
+        It does not if its endpoint has not answered since the attempt was sent: a single endpoint that does
+        not answer is rarely an overload.
         """
         return outcome in _LOAD_OUTCOMES and endpoint.silent_since > now - duration
 
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -52,8 +52,8 @@
     return [endpoint for endpoint in endpoints if is_deduplicated_at(request, endpoint, executed)]
 
 
-def available_endpoints(pool: list[Endpoint]) -> tuple[list[Endpoint], float]:
-    """Return the endpoints of a pool that are not ejected, and their load limit.
+def available_endpoints(endpoints: list[Endpoint]) -> tuple[list[Endpoint], float]:
+    """Return the given endpoints that are not ejected, and their load limit.
 
     The limit is their mean number of attempts in flight per weight; an endpoint above it is skipped. Round
     robin alone would queue requests at an endpoint that has become slow.
@@ -61,7 +61,7 @@
     available = []
     weights = 0.0
     attempts = 0
-    for endpoint in pool:
+    for endpoint in endpoints:
         if not endpoint.is_ejected:
             available.append(endpoint)
             weights += endpoint.weight
@@ -70,13 +70,13 @@
 
 
 class EndpointSelection:
-    """The listed endpoints, the ready ones by rank, and the subsets in use in the own zone and beyond it.
+    """The listed endpoints, the ready ones by rank, and the subsets of these that attempts are sent to.
 
     Attributes:
         endpoints: By index; all endpoints named by a list, except removed ones.
         ready: The endpoints whose listed state is ready, the highest rank first.
-        selected: The preferred subset.
-        cross_zone: The subset outside the own zone, where crossing zones has a cost.
+        selected: The subset of the own zone or, where crossing zones has no cost, of all ready endpoints.
+        cross_zone: The subset of the other zones; empty where crossing zones has no cost.
         subset_size: The maximum size of each of these two subsets.
         max_ready: The largest number of ready endpoints so far.
         instance_count: Number of balancers that share the endpoints; drivers update it.
@@ -106,7 +106,7 @@
     # Endpoint list
 
     def update(self, now: int, updates: Sequence[EndpointUpdate], *, full: bool) -> None:
-        """Apply an endpoint list (`full`), or changes to it."""
+        """Apply the whole endpoint list (`full`), or only changes to it."""
         removed = {
             endpoint_update[0] for endpoint_update in updates if endpoint_update[1] is EndpointState.REMOVED
         }
@@ -166,7 +166,7 @@
         ready = (each for each in self.endpoints.values() if each.state is EndpointState.READY)
         self.ready = sorted(ready, key=lambda endpoint: endpoint.rank, reverse=True)
         self.max_ready = max(self.max_ready, len(self.ready))
-        self.concurrency.start(self.endpoints_per_instance())
+        self.concurrency.ensure_limit(self.endpoints_per_instance())
         self.subset_size = self.subset_size or self.initial_subset_size()
         self.select()
 
@@ -213,16 +213,16 @@
 
         Preferred are endpoints that the request has not tried and whose load is not above the mean: first
         from the subsets, then from all ready endpoints. If there is none, any ready endpoint is chosen. With
-        `without_reduction`, only endpoints known to hold no reduction qualify.
+        `without_reduction`, only endpoints to which no reduction is known to apply qualify.
         """
         groups = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
             groups = (self.cross_zone, self.selected, self.ready)
         without_reduction_for = request if without_reduction else None
-        for pool in groups:
-            if not pool:
+        for group in groups:
+            if not group:
                 continue
-            candidates, load_limit = available_endpoints(pool)
+            candidates, load_limit = available_endpoints(group)
             if request.attempts:
                 tried = [attempt.endpoint for attempt in request.attempts]
                 candidates = [endpoint for endpoint in candidates if endpoint not in tried]
@@ -248,17 +248,17 @@
         now: int,
         without_reduction_for: RequestState | None,
     ) -> Endpoint | None:
-        """Choose by smooth weighted round robin over weight, relative latency and warm share.
+        """Choose by smooth weighted round robin over weight, relative latency and slow-start share.
 
-        Endpoints above the load limit (attempts in flight per weight) are skipped, and those that may hold a
-        reduction for the request `without_reduction_for`.
+        Endpoints above the load limit (attempts in flight per weight) are skipped, and those where a
+        reduction may apply to the request `without_reduction_for`.
         """
         warmup_time = self.settings.warmup_time
         best = None
         total = 0.0
         for endpoint in candidates:
             weight = endpoint.weight / endpoint.relative_latency
-            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # else it is warm: no call
+            if endpoint.started_at and now - endpoint.started_at < warmup_time:  # else 1.0, without a call
                 weight *= self.slow_start.slow_start_share(endpoint, now, self.max_ready)
             if not weight or len(endpoint.in_flight) > load_limit * weight:
                 continue
@@ -275,7 +275,7 @@
         return best
 
     def is_known_without_reduction(self, endpoint: Endpoint, request: RequestState, now: int) -> bool:
-        """Return whether an endpoint has been sampled and holds no reduction for a request at `now`.
+        """Return whether an endpoint has been sampled and no reduction applies to a request there at `now`.
 
         An endpoint that has not been sampled yet may be as faulty as the one that is avoided.
         """
@@ -283,7 +283,7 @@
         return endpoint.entries[-1].valid_until > 0 and not narrowest_entry.valid_reduction(now)
 
     def has_endpoint_past_slow_start(self, now: int) -> bool:
-        """Return whether any ready endpoint has finished its warm-up at `now`."""
+        """Return whether any ready endpoint has finished its slow start at `now`."""
         return any(now - endpoint.started_at >= self.settings.warmup_time for endpoint in self.ready)
 
     def record_latency(
--- a/dahliabend/policy/slow_start.py
+++ b/dahliabend/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the share of load of an endpoint that is warming up, and the send rate that fills its budget.
+"""Slow start: the share of load of a recently started endpoint, and the send rate that fills its budget.
 
 Times are in microseconds.
 """
@@ -35,12 +35,12 @@
         if not endpoint.started_at or age >= warmup_time:
             return 1.0
         initial = self.settings.initial_capacity
-        warm = initial + (1 - initial) * max(0, age) / warmup_time
-        rate = self.send_rate / max_ready * warm * (self.settings.warmup_multiple / 2)
+        share = initial + (1 - initial) * max(0, age) / warmup_time
+        rate = self.send_rate / max_ready * share * (self.settings.warmup_multiple / 2)
         earned = (now - endpoint.budget_filled_at) * rate
         endpoint.budget_filled_at = now
         endpoint.slow_start_budget = min(MAX_SLOW_START_BUDGET, endpoint.slow_start_budget + earned)
-        return warm if endpoint.slow_start_budget >= 1 else 0.0
+        return share if endpoint.slow_start_budget >= 1 else 0.0
 
     def spend(self, endpoint: Endpoint) -> None:
         """Deduct one attempt from the budget of an endpoint, and count it in the window."""
@@ -48,10 +48,11 @@
         self.sent += 1
 
     def hand_over_budget(self, endpoint: Endpoint, *, is_final: bool) -> float:
-        """Return the budget that the next policy may spend: all of it if this one is final, else half.
+        """Deduct from an endpoint's budget what the next policy may spend, and return it.
 
-        An endpoint has one budget. If both policies spent it, the endpoint would be overloaded at each
-        reload.
+        If this policy admits no more requests (`is_final`), the next one gets the whole budget, and this one
+        sends nothing more to the endpoint; otherwise each gets half. An endpoint has one budget. If both
+        policies spent it, the endpoint would be overloaded at each reload.
         """
         if not is_final:
             endpoint.slow_start_budget /= 2
@@ -63,7 +64,7 @@
     def close_window(self, new_requests: int, *, has_endpoint_past_slow_start: bool) -> None:
         """Update the mean send rate by the rate of the window, and start the next window.
 
-        While all endpoints are warming up, the number of new requests from clients stands for that of
+        While all endpoints are in slow start, the number of new requests from clients stands for that of
         attempts: few of these are sent, and a rate computed from them would never rise.
         """
         rate = (self.sent if has_endpoint_past_slow_start else new_requests) / self.window
--- a/dahliabend/policy/throttling.py
+++ b/dahliabend/policy/throttling.py
@@ -1,9 +1,9 @@
-"""Reductions held per scope: the Overload Control Information of 3GPP TS 29.500, computed by the caller.
+"""Reductions per scope: the Overload Control Information of 3GPP TS 29.500, computed by the caller.
 
 Each scope has an entry: a reduction (the share of requests that is not sent there) with a validity, which
 windows of samples renew or replace. The scopes are an endpoint with one request class, an endpoint, a request
-class, the zone, and the tier behind this balancer. The finest scope with a valid reduction governs. Times are
-in microseconds.
+class, the zone, and the tier behind this balancer. Of the scopes with a valid reduction, the narrowest
+applies. Times are in microseconds.
 """
 
 from dahliabend.model import Outcome
@@ -17,11 +17,11 @@
 LINGER_VALIDITIES = (
     4  # validities after which windows without failures end the small remainder of a reduction
 )
-OUTLIER_REDUCTION = 2 / 5  # from here on a scope is an outlier if the others hold less than half of it
+OUTLIER_REDUCTION = 2 / 5  # from it on, an endpoint is an outlier if the tier's is below half of its own
 
 
 class ThrottleEntry:
-    """The reduction held for one scope, and the window of samples from which the next one is computed.
+    """The reduction of one scope, and the window of samples from which the next one is computed.
 
     Attributes:
         reduction: The share of requests not to be sent, 0 to 1; applies while it is valid.
@@ -120,7 +120,7 @@
         self.tier.opened_at = now
 
     def narrowest_entry(self, entries: list[ThrottleEntry], class_index: int, now: int) -> ThrottleEntry:
-        """Return the entry of the finest scope with a valid reduction.
+        """Return the entry of the narrowest scope with a valid reduction, or else that of the tier.
 
         Looks at the entry of the endpoint with the class, then that of the endpoint, then that of the tier. A
         wider scope than needed would throttle traffic that has no part in the failures.
@@ -130,12 +130,12 @@
             class_index: The request class.
             now: The current time.
         """
-        finest = entries[class_index]
-        if finest.reduction and now < finest.valid_until:
-            return finest
-        own = entries[-1]
-        if own.reduction and now < own.valid_until:
-            return own
+        class_entry = entries[class_index]
+        if class_entry.reduction and now < class_entry.valid_until:
+            return class_entry
+        endpoint_entry = entries[-1]
+        if endpoint_entry.reduction and now < endpoint_entry.valid_until:
+            return endpoint_entry
         return self.tier
 
     def min_tier_samples(self, elapsed: int) -> int:
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -63,7 +63,7 @@
 
     def __init__(self, owner: AttemptOwner, request: Request, endpoint: Endpoint, timeout: int) -> None:
         self.upload = request.incoming.upload
-        super().__init__(endpoint, request.head, request.incoming.body, timeout)
+        super().__init__(endpoint, request.request_line, request.incoming.body, timeout)
         if request.attempts:
             self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
         self.owner = owner
@@ -91,7 +91,7 @@
         length: int | None = len(self.body)
         if self.upload is not None:
             length = self.upload.length
-            time_left = min(time_left, self.request.client_timeout)
+            time_left = min(time_left, self.request.client_time_limit)
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
             self.head,
@@ -101,11 +101,15 @@
         )
 
     def start(self) -> None:
-        """Start the attempt; with a streamed body, check progress by the client's timeout at the latest."""
+        """Start the attempt.
+
+        With a streamed request body, the timeout is first checked when the client's time limit has passed, if
+        that is earlier than the timeout of the attempt.
+        """
         super().start()
         if self.upload is None or self.is_finished:
             return
-        client_deadline = self.started_at + self.request.client_timeout
+        client_deadline = self.started_at + self.request.client_time_limit
         if self.expires_at > client_deadline:
             self.endpoint.resources.timers.cancel(self.timeout_timer)
             self.check_progress_at(client_deadline)
@@ -135,7 +139,7 @@
         must not count against the endpoint.
         """
         timers = self.endpoint.resources.timers
-        deadline = upload.completed_at + self.request.client_timeout
+        deadline = upload.completed_at + self.request.client_time_limit
         timeout = self.request.state.body_received(self.last_progress, deadline)
         self.started_at = self.last_progress
         self.expires_at = self.last_progress + timeout
@@ -151,7 +155,7 @@
         self.buffering_timer = self.endpoint.resources.timers.schedule(stream_at, connection.start_streaming)
 
     def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Start streaming the response to the client, unless another attempt has answered already."""
+        """Start streaming the response to the client, unless the request needs no response any more."""
         request = self.request
         if request.answered:
             self.give_up(Outcome.CANCELLED)
@@ -177,7 +181,10 @@
         self.request.state.hedge_timer_fired(clock())
 
     def check_timeout(self) -> None:
-        """Give up; while a body is streamed, only if no byte has been transferred for the allowed pause."""
+        """Give up, or check again later while a body is streamed and bytes are still transferred.
+
+        A streamed transfer is given up once no byte has been transferred for the allowed pause.
+        """
         now = clock()
         is_uploading = self.upload is not None and self.request.state.body_pending
         allowed_pause = self.allowed_pause(is_uploading)
@@ -204,7 +211,7 @@
         slow client the request would stay unanswered beyond its deadline.
         """
         if is_uploading and (self.connection is None or self.connection.unsent_bytes):
-            return min(STALL_TIMEOUT, self.request.client_timeout)
+            return min(STALL_TIMEOUT, self.request.client_time_limit)
         return STALL_TIMEOUT
 
     def check_progress_at(self, when: int) -> None:
--- a/dahliabend/proxy/base_dispatcher.py
+++ b/dahliabend/proxy/base_dispatcher.py
@@ -37,15 +37,15 @@
         self.shutdown_deadline = 0
 
     def closing(self) -> bool:
-        """Return whether clients are to connect to another balancer: on shutdown or while evacuated."""
+        """Return whether clients are to use another balancer: during a shutdown or an evacuation."""
         return self.shutdown_deadline > 0 or self.evacuated
 
     def request_opened(self) -> None:
-        """Count the arrival of a request of a known class."""
+        """Count a request of a known class as open."""
         self.metrics.open_requests += 1
 
     def request_closed(self) -> None:
-        """Count the end of a request: its response has been written, or its connection has been lost."""
+        """Stop counting a request as open: its response has been written, or its connection has been lost."""
         self.metrics.open_requests -= 1
 
     def shut_down_by(self, deadline: int) -> None:
--- a/dahliabend/proxy/dispatcher.py
+++ b/dahliabend/proxy/dispatcher.py
@@ -83,9 +83,9 @@
         self.next_pool_number += 1
         self.pools[pool.number] = pool
         self.pools_by_name[name] = pool
-        for endpoint_name in self.excluded:
-            router.table.remember_id(endpoint_name)
-            router.exclude(endpoint_name, excluded=True)
+        for endpoint_id in self.excluded:
+            router.table.remember_id(endpoint_id)
+            router.exclude(endpoint_id, excluded=True)
         return pool
 
     def retire_pool(self, name: str) -> None:
@@ -103,7 +103,7 @@
     def apply_routes(self, file: OperatorFile, class_indices: dict[str, dict[int, int]]) -> None:
         """Apply the routes of a file.
 
-        A route that had a predecessor of the same name takes over the state of its limit and its split.
+        A route takes over the state of the limit and the split of a previous route of the same name.
 
         Args:
             file: The operator's file.
@@ -210,19 +210,19 @@
             for route in self.routes.compiled_routes
         )
 
-    def exclude(self, name: str, excluded: bool) -> bool:
+    def exclude(self, endpoint_id: str, excluded: bool) -> bool:
         """Exclude an endpoint from every pool that has it, or include it again.
 
         Returns:
-            Whether any pool has done so; False if no pool has ever had an endpoint with that id.
+            Whether any pool has done so; False if no pool remembers an endpoint with that id.
         """
-        results = [pool.router.exclude(name, excluded) for pool in self.pools.values()]
+        results = [pool.router.exclude(endpoint_id, excluded) for pool in self.pools.values()]
         if not any(results):
             return False
         if excluded:
-            self.excluded.add(name)
+            self.excluded.add(endpoint_id)
         else:
-            self.excluded.discard(name)
+            self.excluded.discard(endpoint_id)
         return True
 
     def shut_down_by(self, deadline: int) -> None:
@@ -238,7 +238,7 @@
 
     @property
     def counts(self) -> dict[str, dict[str, int]]:
-        """Number of ended requests by pool and by ending, as named in `request_log`."""
+        """Number of ended requests by pool and by outcome, as named in `request_log`."""
         return {pool.name: pool.router.counts for pool in self.pools.values()}
 
     def telemetry(self) -> DispatcherTelemetry:
--- a/dahliabend/proxy/endpoint.py
+++ b/dahliabend/proxy/endpoint.py
@@ -43,8 +43,8 @@
         started_at: When the upstream process was started (us, monotonic); 0 if unknown.
         included_at: When an operator last included the endpoint again (us), 0 if never; the process may have
             been restarted before that.
-        weight: Share of the load relative to the other endpoints.
-        cell: Cell that the endpoint belongs to.
+        weight: Capacity relative to the other endpoints.
+        cell: Cell that the endpoint belongs to, a deduplication scope.
         zone: Zone that the endpoint belongs to.
         enabled: Whether requests may be sent to the endpoint and its idle connections stay open.
         connections: All open connections to the endpoint.
--- a/dahliabend/proxy/endpoint_table.py
+++ b/dahliabend/proxy/endpoint_table.py
@@ -19,7 +19,8 @@
         resources: Resources shared by the endpoints.
         endpoints: Endpoints by index.
         indices: Indices by id.
-        known_ids: Ids that have ever been listed, as keys, the most recent last.
+        known_ids: Ids that have been listed or excluded, as keys, the most recent last; at most
+            `MAX_REMEMBERED_IDS`.
     """
 
     def __init__(self, resources: EndpointResources) -> None:
@@ -29,21 +30,21 @@
         self.known_ids: dict[str, None] = {}
         self.next_index = 0
 
-    def get_or_create(self, name: str) -> Endpoint:
+    def get_or_create(self, endpoint_id: str) -> Endpoint:
         """Return the endpoint with an id, creating it if there is none."""
-        index = self.indices.get(name)
+        index = self.indices.get(endpoint_id)
         if index is None:
             index = self.next_index
             self.next_index += 1
-            self.indices[name] = index
-            self.endpoints[index] = Endpoint(self.resources, index, name)
-            self.remember_id(name)
+            self.indices[endpoint_id] = index
+            self.endpoints[index] = Endpoint(self.resources, index, endpoint_id)
+            self.remember_id(endpoint_id)
         return self.endpoints[index]
 
-    def remember_id(self, name: str) -> None:
-        """Record that an endpoint with an id has been listed; the oldest record over the limit is dropped."""
-        self.known_ids.pop(name, None)
-        self.known_ids[name] = None
+    def remember_id(self, endpoint_id: str) -> None:
+        """Record that an id has been listed or excluded; the oldest record over the limit is dropped."""
+        self.known_ids.pop(endpoint_id, None)
+        self.known_ids[endpoint_id] = None
         if len(self.known_ids) > MAX_REMEMBERED_IDS:
             del self.known_ids[next(iter(self.known_ids))]
 
--- a/dahliabend/proxy/policy_port.py
+++ b/dahliabend/proxy/policy_port.py
@@ -1,4 +1,4 @@
-"""The port of a policy: carries out the decisions of its balancer and passes events back to it."""
+"""The port of a policy: carries out the decisions of the policy's `Balancer` and passes events to it."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -52,7 +52,7 @@
 
 
 class PolicyPort:
-    """A policy of a router: a balancer with its settings, and the port that it acts through.
+    """A policy of a router, as a `Balancer` (`dahliabend.policy`) and the port that this acts through.
 
     A reload replaces the policy. The replaced policy stays until its last request has ended.
 
@@ -61,7 +61,7 @@
         open_requests: Number of open requests under this policy.
         request_classes: Request classes by index.
         zones: Zone indices by name.
-        balancer: Makes the decisions.
+        balancer: Makes the decisions of the policy.
     """
 
     def __init__(self, owner: PolicyOwner, settings: ServerSettings) -> None:
@@ -86,7 +86,7 @@
 
         Args:
             endpoints: Endpoints, each with its state in the endpoint list.
-            full: Whether there are no other endpoints.
+            full: Whether these are all endpoints; otherwise only those that changed.
         """
         excluded = self.owner.excluded
         updates = [_endpoint_update(endpoint, state, excluded, self.zones) for endpoint, state in endpoints]
--- a/dahliabend/proxy/pool_state.py
+++ b/dahliabend/proxy/pool_state.py
@@ -48,14 +48,14 @@
 
 
 class PoolState:
-    """The endpoints of a pool and its policies, which are notified when the list or an operator changes them.
+    """The endpoints of a pool, and its policies, which are told of changes by the list or an operator.
 
     Attributes:
         table: The endpoints.
         monotonic_offset: Monotonic time minus Unix time (us); converts the start times of endpoints.
         excluded: Ids of endpoints that an operator has excluded.
         discovery: Source of the endpoint list; None until it is set.
-        class_indices: Indices of the current request classes, by name as on the wire.
+        class_indices: Indices of the current request classes, by name as bytes.
         policies: Replaced policies that still have open requests, followed by the current policy.
         on_attempt_finished: Called with the endpoint's id and the outcome of each attempt.
         health_check_delegate: Called before a health check with the endpoint and the policy; returns whether
@@ -84,7 +84,8 @@
 
         Args:
             entries: Entries of the list.
-            full: Whether these are all entries of the list, so that all other endpoints have been removed.
+            full: Whether the entries are the whole list, so that all other endpoints have been removed;
+                otherwise they are only its changes.
         """
         changed: list[tuple[Endpoint, EndpointState]] = []
         for entry in entries:
@@ -115,23 +116,23 @@
         else:
             endpoint.disable()
 
-    def exclude(self, name: str, excluded: bool) -> bool:
+    def exclude(self, endpoint_id: str, excluded: bool) -> bool:
         """Exclude an endpoint, or include it again, whatever its state in the endpoint list.
 
         Returns:
-            False if no endpoint with that id has ever been listed, or if too many are already excluded.
+            False if no endpoint with that id is remembered as listed, or if too many are already excluded.
         """
-        if name not in self.table.known_ids and name not in self.excluded:
+        if endpoint_id not in self.table.known_ids and endpoint_id not in self.excluded:
             return False
-        if excluded is (name in self.excluded):
+        if excluded is (endpoint_id in self.excluded):
             return True
         if excluded:
             if len(self.excluded) >= MAX_REMEMBERED_IDS:
                 return False  # bounds memory
-            self.excluded.add(name)
+            self.excluded.add(endpoint_id)
         else:
-            self.excluded.discard(name)
-        endpoint = self.table.endpoints.get(self.table.indices.get(name, NO_INDEX))
+            self.excluded.discard(endpoint_id)
+        endpoint = self.table.endpoints.get(self.table.indices.get(endpoint_id, NO_INDEX))
         if endpoint is not None:
             if not excluded:
                 # The endpoint may have been restarted meanwhile without the list saying so yet. Treated as
@@ -176,7 +177,7 @@
         return state
 
     def restore(self, state: dict[str, Any]) -> int:
-        """Restore a predecessor's state.
+        """Restore the state of the predecessor process.
 
         Returns:
             The number of endpoints whose state has been restored.
@@ -195,7 +196,7 @@
         """Return pairs of current and previous index, one for each class that both settings have.
 
         Args:
-            previous: Indices of the previous request classes, by name as on the wire.
+            previous: Indices of the previous request classes, by name as bytes.
         """
         return [(index, previous[name]) for name, index in self.class_indices.items() if name in previous]
 
--- a/dahliabend/proxy/request.py
+++ b/dahliabend/proxy/request.py
@@ -35,20 +35,20 @@
     Attributes:
         incoming: The request as read from the client.
         class_index: Index of the request class in the settings.
-        class_name: Name of the request class, as on the wire.
+        class_name: Name of the request class, as bytes.
         route_name: Name of the route that the request matched; empty without an operator's file.
-        head: The request line.
-        client_timeout: How long the client waits (us), minus a margin.
+        request_line: The request line, with its line end.
+        client_time_limit: How long the client waits (us), minus a margin.
         admitted_at: When the request was created and handed to the policy (us).
         handle: Handle in the router's table of requests; `NO_HANDLE` before it has one.
-        is_admission_decided: Whether the policy has decided on admission, even if by a rejection.
+        is_admission_decided: Whether the policy has admitted, queued or rejected the request.
         state: State of the request in the policy; set as soon as `is_admission_decided` is true.
         policy: The policy that decides on the request.
         attempts: Attempts by index, in the same order as in the policy.
         attempt_records: The attempts that have ended, in order of their end.
-        answered: Whether a response has been sent or the client has disconnected, so that no further attempt
-            is needed.
-        on_rejected: Called with the handle, in place of an answer, if the request is rejected on admission.
+        answered: Whether the request needs no further attempt: a response has been sent, or the client has
+            disconnected.
+        on_rejected: Called with the handle, in place of a response, if the request is rejected on admission.
     """
 
     __slots__ = (
@@ -58,27 +58,27 @@
         "attempts",
         "class_index",
         "class_name",
-        "client_timeout",
+        "client_time_limit",
         "handle",
-        "head",
         "incoming",
         "is_admission_decided",
         "on_rejected",
         "policy",
+        "request_line",
         "route_name",
         "state",
     )
     state: RequestState
 
     def __init__(
-        self, incoming: IncomingRequest, class_index: int, client_timeout: int, policy: PolicyPort
+        self, incoming: IncomingRequest, class_index: int, client_time_limit: int, policy: PolicyPort
     ) -> None:
         self.incoming = incoming
         self.class_index = class_index
         self.class_name = incoming.client.class_name
         self.route_name = ""
-        self.head = b"%b %b HTTP/1.1\r\n" % (incoming.method, incoming.target)
-        self.client_timeout = client_timeout
+        self.request_line = b"%b %b HTTP/1.1\r\n" % (incoming.method, incoming.target)
+        self.client_time_limit = client_time_limit
         self.admitted_at = clock()
         self.handle = NO_HANDLE
         self.is_admission_decided = False
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -10,7 +10,7 @@
 from dahliabend.proxy.request import Request
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
-# How a request has ended
+# Outcomes of requests
 SUCCEEDED = "succeeded"
 REJECTED = "rejected"
 FAILED = "failed"
@@ -23,7 +23,7 @@
     """Counts and logs how the requests of one router end.
 
     Attributes:
-        counts: Number of ended requests by ending.
+        counts: Number of ended requests by outcome, one of the constants of this module.
         logs_access: Whether every request is logged; otherwise only requests that have not succeeded.
     """
 
--- a/dahliabend/proxy/router.py
+++ b/dahliabend/proxy/router.py
@@ -59,7 +59,7 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Number of ended requests by ending, as named in `request_log`."""
+        """Number of ended requests by outcome, as named in `request_log`."""
         return self.request_log.counts
 
     @property
@@ -141,7 +141,7 @@
         Args:
             incoming: The request.
             class_index: Index of its class.
-            on_rejected: Called with the request's handle, in place of an answer, if the request is rejected
+            on_rejected: Called with the request's handle, in place of a response, if the request is rejected
                 before this method returns.
 
         Returns:
@@ -182,7 +182,7 @@
         if upload is not None:
             deadline = clock() + NO_DEADLINE
         else:
-            deadline = incoming.received_at + request.client_timeout
+            deadline = incoming.received_at + request.client_time_limit
         if self.shutdown_deadline:
             deadline = min(deadline, self.shutdown_deadline)
         policy = request.policy
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -199,7 +199,7 @@
     # Completion
 
     def check_timeout(self) -> None:
-        """Give up at the deadline; while connecting, the timer in `connect` applies instead."""
+        """Give up when the request times out; while connecting, the timer in `connect` applies instead."""
         if self.connect_task is None:
             self.give_up(Outcome.TIMED_OUT)
 
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines, time-outs and Retry-After."""
+"""Deadlines, timeouts and Retry-After."""
 
 from dataclasses import replace
 
@@ -88,7 +88,7 @@
     assert timeout(class_index=2) == 5 * S  # not idempotent
     assert timeout(mean_latency=0) == timeout(budget=0.9) == timeout(reduction=0.1) == 5 * S
     assert timeout(now=NOW + 9 * S // 2) == S // 2
-    assert timeout(now=NOW + 6 * S) == 1  # the shortest time-out
+    assert timeout(now=NOW + 6 * S) == 1  # the shortest timeout
 
 
 def test_attempt_timeout_is_no_longer_than_the_class_allows():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budgets of warming endpoints, and the send rate that fills them."""
+"""Slow start: the budgets of recently started endpoints, and the send rate that fills them."""
 
 import pytest
 from fake_port import MS, S, admit, make_balancer
@@ -8,7 +8,7 @@
 NOW = 100 * S
 
 
-def test_warming_endpoint_has_one_budget_across_a_change_of_settings():
+def test_endpoint_in_slow_start_has_one_budget_across_a_change_of_settings():
     old, _ = make_balancer(endpoints=1, process_started_at=NOW, instance_count=1, can_health_check=False)
     balancer, port = make_balancer(
         endpoints=1, process_started_at=NOW, instance_count=1, can_health_check=False
@@ -33,7 +33,7 @@
     assert balancer.concurrency.limit == 99
 
 
-def test_warming_endpoints_get_no_more_than_their_slow_start_budget():
+def test_endpoints_in_slow_start_get_no_more_than_their_slow_start_budget():
     balancer, port = make_balancer(endpoints=4, process_started_at=0)
     balancer.update_endpoints(NOW, [(3, EndpointState.READY, NOW, 1.0, 1, 1, b"")], full=False)
     balancer.slow_start.send_rate = 400 / S  # 100 per second and endpoint
@@ -46,7 +46,7 @@
     assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5
 
 
-def test_new_requests_set_the_send_rate_while_all_endpoints_warm_up():
+def test_new_requests_set_the_send_rate_while_all_endpoints_are_in_slow_start():
     balancer, port = make_balancer(endpoints=2, process_started_at=NOW)
     assert admit(balancer, 0).is_finished  # no send rate yet
     balancer.admission.new_requests = 100
@@ -56,16 +56,16 @@
     assert port.calls_to("send")
 
 
-def test_ejected_warming_endpoint_gets_a_trial_within_its_slow_start_budget():
+def test_ejected_endpoint_in_slow_start_gets_a_trial_within_its_budget():
     for budget, tried in ((0.5, 1), (1.0, 0)):
         balancer, port = make_balancer(endpoints=2, can_health_check=False)
         balancer.deadlines.mean_latencies[0] = 10 * MS
-        warming = balancer.selection.endpoints[0]
-        warming.is_ejected = True
-        warming.started_at = NOW - S
-        warming.slow_start_budget = budget
-        warming.budget_filled_at = NOW
-        balancer.outliers.awaiting_trial = {warming: None}
+        starting = balancer.selection.endpoints[0]
+        starting.is_ejected = True
+        starting.started_at = NOW - S
+        starting.slow_start_budget = budget
+        starting.budget_filled_at = NOW
+        balancer.outliers.awaiting_trial = {starting: None}
         admit(balancer, 0)
         assert port.calls_to("send")[0][2] == tried
 
--- a/tests/policy/test_throttling.py
+++ b/tests/policy/test_throttling.py
@@ -1,4 +1,4 @@
-"""Reductions: entries and their windows, the governing scope, classes that fail at every endpoint."""
+"""Reductions: entries and their windows, the narrowest scope, classes that fail at every endpoint."""
 
 from fake_port import MS, S, admit, make_balancer
 
