--- a/dahliabend/policy/admission.py
+++ b/dahliabend/policy/admission.py
@@ -96,9 +96,9 @@
     def apply_reductions(self, request: RequestState, endpoint: Endpoint, now: int) -> Endpoint | None:
         """Return where a request goes at `now`, given the chosen endpoint and the valid reductions.
 
-        With the probability of the reduction that applies to the chosen endpoint, the request goes to an
-        endpoint to which no reduction is known to apply. Where there is none, no single endpoint is at fault,
-        and the tier's reduction decides. Returns None if the request is rejected.
+        With the probability of the reduction that applies to the chosen endpoint, the request goes to another
+        one, which is known to have no reduction. Where there is none, no single endpoint is at fault, and the
+        tier's reduction decides. Returns None if the request is rejected.
         """
         narrowest_entry = self.throttling.narrowest_entry(endpoint.entries, request.class_index, now)
         if narrowest_entry is not self.throttling.tier:
--- a/dahliabend/policy/selection.py
+++ b/dahliabend/policy/selection.py
@@ -213,7 +213,7 @@
 
         Preferred are endpoints that the request has not tried and whose load is not above the mean: first
         from the subsets, then from all ready endpoints. If there is none, any ready endpoint is chosen. With
-        `without_reduction`, only endpoints to which no reduction is known to apply qualify.
+        `without_reduction`, only endpoints that are known to have no reduction qualify.
         """
         groups = (self.selected, self.cross_zone, self.ready)
         if self.cross_zone and self.prefers_cross_zone(now):
