--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -22,7 +22,7 @@
 TICKS_PER_LATENCY_OBJECTIVE = 4  # in the shortest objective of all classes
 MIN_TICK = 1000
 POLL_BACKOFFS_PER_DEADLINE = 8  # a failed poll is repeated after at most deadline / 8
-_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # about the endpoint
+_UNINFORMATIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they say nothing about the endpoint
 
 
 class Balancer:
@@ -55,7 +55,7 @@
     # Endpoints
 
     def update_endpoints(self, now: int, updates: list[EndpointUpdate], full: bool) -> None:
-        """Apply an endpoint list (`full`), or changes to it."""
+        """Apply the whole endpoint list (`full`), or only changes to it."""
         if not self.is_started:
             self.is_started = True
             self.throttling.open(now)
@@ -73,15 +73,15 @@
             wait = round(self.poll_backoff * (1 + self.random()) / 2)
             self.port.set_timer(now + wait, TimerToken.POLL)
 
-    def health_check_finished(self, now: int, index: int, outcome: Outcome) -> None:
+    def health_check_finished(self, now: int, endpoint_index: int, outcome: Outcome) -> None:
         """Report the outcome of a health check of an endpoint."""
-        endpoint = self.selection.endpoints.get(index)
+        endpoint = self.selection.endpoints.get(endpoint_index)
         if endpoint is not None:
             self.outliers.health_check_finished(endpoint, now, outcome)
 
-    def add_peer_report(self, index: int, sampled: int, failed: int) -> None:
-        """Count attempts of other balancers at an endpoint like own ones, as many as are trusted."""
-        endpoint = self.selection.endpoints.get(index)
+    def add_peer_report(self, endpoint_index: int, sampled: int, failed: int) -> None:
+        """Add attempts that other balancers report, and how many of them failed, to an endpoint's window."""
+        endpoint = self.selection.endpoints.get(endpoint_index)
         if endpoint is not None:
             endpoint.entries[-1].add(failed, sampled)
 
@@ -99,14 +99,14 @@
     def _tick(self, now: int) -> None:
         self.port.set_timer(now + self.tick, TimerToken.TICK)
         for request in self.key_queues.waiting_requests():
-            request.balancer.give_up_if_late(request, now)
+            request.balancer.give_up_if_out_of_time(request, now)
         for endpoint in self.selection.ready:
             if endpoint.is_ejected:
                 self.outliers.advance_recovery(endpoint, now)
                 continue
             self.outliers.eject_if_hung(endpoint, now)
             if endpoint.is_ejected:
-                self._cancel_late_attempts(endpoint, now)
+                self._cancel_overdue_attempts(endpoint, now)
         self.concurrency.tick(now, self.selection.endpoints_per_instance())
         if self.concurrency.ticks % WINDOW_TICKS == 0:
             self.close_windows(now)
@@ -117,21 +117,23 @@
         self.selection.remove_unlisted(now)
         for endpoint in self.selection.ready:
             self.outliers.close_window(endpoint, now)
-        has_warm_endpoint = self.selection.has_warm_endpoint(now)
-        self.slow_start.close_window(self.admission.take_new_requests(), has_warm_endpoint=has_warm_endpoint)
+        has_endpoint_past_slow_start = self.selection.has_endpoint_past_slow_start(now)
+        self.slow_start.close_window(
+            self.admission.take_new_requests(), has_endpoint_past_slow_start=has_endpoint_past_slow_start
+        )
         self.selection.resize_subset()
         self.throttling.set_validity(self.slow_start.send_rate)
 
     # Snapshots
 
-    def snapshot(self, ends: bool) -> Snapshot:
-        """Return the state for the next policy; `ends`: this one admits nothing more."""
+    def snapshot(self, is_final: bool) -> Snapshot:
+        """Return the state for the next policy; with `is_final`, this one admits no more requests."""
         return Snapshot(
             limit_settings=self.limit_settings,
             mean_latencies=self.deadlines.mean_latencies,
             fatal_idle_time=self.outliers.fatal_idle_time,
             endpoints={
-                index: endpoint.snapshot(self.slow_start.hand_over_budget(endpoint, ends=ends))
+                index: endpoint.snapshot(self.slow_start.hand_over_budget(endpoint, is_final=is_final))
                 for index, endpoint in self.selection.endpoints.items()
             },
             limit=self.concurrency.snapshot(),
@@ -142,8 +144,8 @@
 
         `class_pairs` holds the indices of corresponding request classes, here and in the snapshot.
         """
-        for index, former in class_pairs:
-            self.deadlines.mean_latencies[index] = snapshot.mean_latencies[former]
+        for index, previous_index in class_pairs:
+            self.deadlines.mean_latencies[index] = snapshot.mean_latencies[previous_index]
         self.outliers.fatal_idle_time = snapshot.fatal_idle_time
         if snapshot.limit_settings == self.limit_settings:  # otherwise the limit starts anew
             self.concurrency.restore(snapshot.limit)
@@ -160,7 +162,7 @@
 
     def admit(
         self, now: int, request_id: int, class_index: int, tenant: int, deadline: int,
-        is_repeat: bool = False, body_pending: bool = False, key: int | bytes = 0,
+        is_client_retry: bool = False, body_pending: bool = False, key: int | bytes = 0,
     ) -> RequestState:  # fmt: skip
         """Send a request, queue it behind others of its key, or reject it (`model.BalancerEvents`)."""
         request_class = self.request_classes[class_index]
@@ -170,7 +172,7 @@
         request.deadline = deadline
         if not body_pending:  # otherwise set once the body has been received
             request.deadline = self.deadlines.useful_deadline(request_class, now, deadline)
-        if not self.admission.admits(request, tenant, now, is_repeat=is_repeat):
+        if not self.admission.admits(request, tenant, now, is_client_retry=is_client_retry):
             self.give_up(request)
         elif key:
             self._queue(request, now)
@@ -220,7 +222,7 @@
         self.port.send(request.request_id, endpoint.index, self.deadlines.attempt_timeout(request, now))
 
     def body_received(self, request: RequestState, now: int, deadline: int) -> int:
-        """Handle the last byte of the body of the attempt in flight, and return the attempt's time-out."""
+        """Handle that the attempt in flight has sent the last byte of the body; return its timeout."""
         request.deadline = self.deadlines.useful_deadline(request.request_class, now, deadline)
         self.outliers.attempt_began(request.attempts[-1])
         self.concurrency.attempt_began(request, request.attempts[-1])
@@ -302,7 +304,7 @@
         else:
             self.port.fail(request.request_id)
 
-    def give_up_if_late(self, request: RequestState, now: int) -> None:
+    def give_up_if_out_of_time(self, request: RequestState, now: int) -> None:
         """Give up a request that waits for its turn, if it has too little time left."""
         if not self.deadlines.can_wait(request, now):
             self.give_up(request)
@@ -316,10 +318,10 @@
     def cancel(self, request: RequestState) -> None:
         """Cancel the attempts of a request that are in flight, if the driver can."""
         if self.settings.can_cancel:
-            for number in cancellable_attempts(request):
-                self.port.cancel(request.request_id, number)
+            for attempt_index in cancellable_attempts(request):
+                self.port.cancel(request.request_id, attempt_index)
 
-    def _cancel_late_attempts(self, endpoint: Endpoint, now: int) -> None:
+    def _cancel_overdue_attempts(self, endpoint: Endpoint, now: int) -> None:
         for request, attempt in tuple(endpoint.in_flight.items()):
-            if self.deadlines.is_early_timeout_over(request, attempt, now):
+            if self.deadlines.has_early_timeout_passed(request, attempt, now):
                 self.cancel(request)
--- a/dahliabend/proxy/attempt.py
+++ b/dahliabend/proxy/attempt.py
@@ -57,19 +57,19 @@
         owner: The router that the attempt reports to.
         request: The request that the attempt belongs to.
         index: Index among the attempts of the request.
-        first_byte_at: When streaming the response to the client began (us); None if it is not streamed.
+        streaming_since: When streaming the response to the client began (us); None if it is not streamed.
         last_progress: When bytes of the request or of a streamed response were last transferred (us).
     """
 
     def __init__(self, owner: AttemptOwner, request: Request, endpoint: Endpoint, timeout: int) -> None:
         self.upload = request.incoming.upload
-        super().__init__(endpoint, request.head, request.incoming.body, timeout)
+        super().__init__(endpoint, request.request_line, request.incoming.body, timeout)
         if request.attempts:
             self.send_deadline = min(self.expires_at, deduplication_deadline(request.state))
         self.owner = owner
         self.request = request
         self.index = len(request.attempts)
-        self.first_byte_at: int | None = None
+        self.streaming_since: int | None = None
         self.last_progress = 0
         self.buffering_timer: Timer | None = None
         self.hedge_timer: Timer | None = None
@@ -77,7 +77,7 @@
     @property
     def is_streaming(self) -> bool:
         """Whether the response is being streamed to the client, or has been."""
-        return self.first_byte_at is not None
+        return self.streaming_since is not None
 
     def is_awaited(self) -> bool:
         """Return whether the client still waits for a response."""
@@ -91,7 +91,7 @@
         length: int | None = len(self.body)
         if self.upload is not None:
             length = self.upload.length
-            time_left = min(time_left, self.request.client_timeout)
+            time_left = min(time_left, self.request.client_time_limit)
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
         return b"%bX-Expires-In-Ms: %d\r\n%b%b\r\n\r\n" % (
             self.head,
@@ -101,11 +101,15 @@
         )
 
     def start(self) -> None:
-        """Start the attempt; with a streamed body, check progress by the client's timeout at the latest."""
+        """Start the attempt.
+
+        With a streamed request body, the timeout is first checked when the client's time limit has passed, if
+        that is earlier than the timeout of the attempt.
+        """
         super().start()
         if self.upload is None or self.is_finished:
             return
-        client_deadline = self.started_at + self.request.client_timeout
+        client_deadline = self.started_at + self.request.client_time_limit
         if self.expires_at > client_deadline:
             self.endpoint.resources.timers.cancel(self.timeout_timer)
             self.check_progress_at(client_deadline)
@@ -135,12 +139,12 @@
         must not count against the endpoint.
         """
         timers = self.endpoint.resources.timers
-        deadline = upload.completed_at + self.request.client_timeout
+        deadline = upload.completed_at + self.request.client_time_limit
         timeout = self.request.state.body_received(self.last_progress, deadline)
         self.started_at = self.last_progress
         self.expires_at = self.last_progress + timeout
         timers.cancel(self.timeout_timer)
-        self.timeout_timer = timers.schedule(self.expires_at, self.timed_out)
+        self.timeout_timer = timers.schedule(self.expires_at, self.check_timeout)
 
     def unsized_response_started(self, connection: UpstreamConnection) -> None:
         """Schedule streaming of a response of unknown length.
@@ -151,19 +155,19 @@
         self.buffering_timer = self.endpoint.resources.timers.schedule(stream_at, connection.start_streaming)
 
     def response_started(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """Start streaming the response to the client, unless another attempt has answered already."""
+        """Start streaming the response to the client, unless the request needs no response any more."""
         request = self.request
         if request.answered:
             self.give_up(Outcome.CANCELLED)
             return
         now = clock()
-        self.first_byte_at = now
+        self.streaming_since = now
         self.last_progress = now
         request.mark_answered(responding=self)
         request.state.response_started(now, self.index)
         request.incoming.client.start_response(headers, length, source)
         self.endpoint.resources.timers.cancel(self.timeout_timer)
-        self.timed_out()
+        self.check_timeout()
 
     def response_part(self, part: bytes) -> None:
         """Forward a part of a streamed response to the client."""
@@ -176,8 +180,11 @@
         """Report to the policy that this attempt is slow, so that it may send a hedge."""
         self.request.state.hedge_timer_fired(clock())
 
-    def timed_out(self) -> None:
-        """Give up; while a body is streamed, only if no byte has been transferred for the allowed pause."""
+    def check_timeout(self) -> None:
+        """Give up, or check again later while a body is streamed and bytes are still transferred.
+
+        A streamed transfer is given up once no byte has been transferred for the allowed pause.
+        """
         now = clock()
         is_uploading = self.upload is not None and self.request.state.body_pending
         allowed_pause = self.allowed_pause(is_uploading)
@@ -194,7 +201,7 @@
             return
         if is_uploading:
             self.request.body_consumed()  # no time is left for another attempt with this body
-        super().timed_out()
+        super().check_timeout()
 
     def allowed_pause(self, is_uploading: bool) -> int:
         """Return how long (us) a streamed transfer may pause before the attempt is given up.
@@ -204,12 +211,12 @@
         slow client the request would stay unanswered beyond its deadline.
         """
         if is_uploading and (self.connection is None or self.connection.unsent_bytes):
-            return min(STALL_TIMEOUT, self.request.client_timeout)
+            return min(STALL_TIMEOUT, self.request.client_time_limit)
         return STALL_TIMEOUT
 
     def check_progress_at(self, when: int) -> None:
-        """Schedule a call of `timed_out` at a time (us)."""
-        self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.timed_out)
+        """Schedule a call of `check_timeout` at a time (us)."""
+        self.timeout_timer = self.endpoint.resources.timers.schedule(when, self.check_timeout)
 
     # Completion
 
--- a/dahliabend/proxy/request_log.py
+++ b/dahliabend/proxy/request_log.py
@@ -10,7 +10,7 @@
 from dahliabend.proxy.request import Request
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, clock
 
-# How a request has ended
+# Outcomes of requests
 SUCCEEDED = "succeeded"
 REJECTED = "rejected"
 FAILED = "failed"
@@ -23,7 +23,7 @@
     """Counts and logs how the requests of one router end.
 
     Attributes:
-        counts: Number of ended requests by ending.
+        counts: Number of ended requests by outcome, one of the constants of this module.
         logs_access: Whether every request is logged; otherwise only requests that have not succeeded.
     """
 
@@ -32,21 +32,21 @@
         self.counts: dict[str, int] = {}
         self.logs_access = False
 
-    def request_ended(self, ending: str, request: Request) -> None:
-        """Count and log the end of a request; `ending` is one of the constants of this module."""
-        self.counts[ending] = self.counts.get(ending, 0) + 1
-        if self.logs_access and ending != FORWARDED_TO_FALLBACK:
+    def request_ended(self, request_outcome: str, request: Request) -> None:
+        """Count and log the end of a request; `request_outcome` is one of the constants of this module."""
+        self.counts[request_outcome] = self.counts.get(request_outcome, 0) + 1
+        if self.logs_access and request_outcome != FORWARDED_TO_FALLBACK:
             self.log(
                 "request.finished",
                 trace_id=request.incoming.trace_id.decode("latin-1"),
-                outcome=ending,
+                outcome=request_outcome,
                 attempts=_attempt_rows(request),
                 duration_ms=(clock() - request.admitted_at) // MICROSECONDS_PER_MILLISECOND,
                 **_class_fields(request),
             )
-        if ending != SUCCEEDED:
+        if request_outcome != SUCCEEDED:
             self.log(
-                f"request.{ending}",
+                f"request.{request_outcome}",
                 trace_id=request.incoming.trace_id.decode("latin-1"),
                 **_class_fields(request),
                 attempts=_attempt_rows(request),
--- a/tests/policy/test_deadlines.py
+++ b/tests/policy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines, time-outs and Retry-After."""
+"""Deadlines, timeouts and Retry-After."""
 
 from dataclasses import replace
 
@@ -88,7 +88,7 @@
     assert timeout(class_index=2) == 5 * S  # not idempotent
     assert timeout(mean_latency=0) == timeout(budget=0.9) == timeout(reduction=0.1) == 5 * S
     assert timeout(now=NOW + 9 * S // 2) == S // 2
-    assert timeout(now=NOW + 6 * S) == 1  # the shortest time-out
+    assert timeout(now=NOW + 6 * S) == 1  # the shortest timeout
 
 
 def test_attempt_timeout_is_no_longer_than_the_class_allows():
@@ -117,6 +117,6 @@
     for class_index, elapsed, is_over in ((0, S, True), (0, S - 1, False), (2, S, False)):
         request = admit(balancer, class_index)
         attempt = request.attempts[0]
-        assert balancer.deadlines.is_early_timeout_over(request, attempt, NOW + elapsed) is is_over
+        assert balancer.deadlines.has_early_timeout_passed(request, attempt, NOW + elapsed) is is_over
         request.client_disconnected(NOW)
-        assert not balancer.deadlines.is_early_timeout_over(request, attempt, NOW + elapsed)
+        assert not balancer.deadlines.has_early_timeout_passed(request, attempt, NOW + elapsed)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the budgets of warming endpoints, and the send rate that fills them."""
+"""Slow start: the budgets of recently started endpoints, and the send rate that fills them."""
 
 import pytest
 from fake_port import MS, S, admit, make_balancer
@@ -8,15 +8,15 @@
 NOW = 100 * S
 
 
-def test_warming_endpoint_has_one_budget_across_a_change_of_settings():
+def test_endpoint_in_slow_start_has_one_budget_across_a_change_of_settings():
     old, _ = make_balancer(endpoints=1, process_started_at=NOW, instance_count=1, can_health_check=False)
     balancer, port = make_balancer(
         endpoints=1, process_started_at=NOW, instance_count=1, can_health_check=False
     )
     old.selection.endpoints[0].slow_start_budget = balancer.selection.endpoints[0].slow_start_budget = 1.0
-    balancer.restore(old.snapshot(ends=True), [])
+    balancer.restore(old.snapshot(is_final=True), [])
     for request_id in range(5):
-        assert old.slow_start.warm_share(old.selection.endpoints[0], NOW + S, 1) == 0
+        assert old.slow_start.slow_start_share(old.selection.endpoints[0], NOW + S, 1) == 0
         admit(balancer, 0, request_id=request_id)
     assert len(port.calls_to("send")) == 1
 
@@ -26,14 +26,14 @@
     balancer, _ = make_balancer(endpoints=1, process_started_at=NOW)
     old.selection.endpoints[0].slow_start_budget = 1.0
     old.concurrency.limit = 99.0
-    balancer.restore(old.snapshot(ends=False), [(0, 0)])
+    balancer.restore(old.snapshot(is_final=False), [(0, 0)])
     assert (
         old.selection.endpoints[0].slow_start_budget + balancer.selection.endpoints[0].slow_start_budget == 1
     )
     assert balancer.concurrency.limit == 99
 
 
-def test_warming_endpoints_get_no_more_than_their_slow_start_budget():
+def test_endpoints_in_slow_start_get_no_more_than_their_slow_start_budget():
     balancer, port = make_balancer(endpoints=4, process_started_at=0)
     balancer.update_endpoints(NOW, [(3, EndpointState.READY, NOW, 1.0, 1, 1, b"")], full=False)
     balancer.slow_start.send_rate = 400 / S  # 100 per second and endpoint
@@ -46,7 +46,7 @@
     assert 10 < sent <= 100 * 0.2 * 1.5 * 1.5
 
 
-def test_new_requests_set_the_send_rate_while_all_endpoints_warm_up():
+def test_new_requests_set_the_send_rate_while_all_endpoints_are_in_slow_start():
     balancer, port = make_balancer(endpoints=2, process_started_at=NOW)
     assert admit(balancer, 0).is_finished  # no send rate yet
     balancer.admission.new_requests = 100
@@ -56,31 +56,31 @@
     assert port.calls_to("send")
 
 
-def test_ejected_warming_endpoint_gets_a_trial_within_its_slow_start_budget():
+def test_ejected_endpoint_in_slow_start_gets_a_trial_within_its_budget():
     for budget, tried in ((0.5, 1), (1.0, 0)):
         balancer, port = make_balancer(endpoints=2, can_health_check=False)
         balancer.deadlines.mean_latencies[0] = 10 * MS
-        warming = balancer.selection.endpoints[0]
-        warming.is_ejected = True
-        warming.started_at = NOW - S
-        warming.slow_start_budget = budget
-        warming.budget_filled_at = NOW
-        balancer.outliers.awaiting_trial = {warming: None}
+        starting = balancer.selection.endpoints[0]
+        starting.is_ejected = True
+        starting.started_at = NOW - S
+        starting.slow_start_budget = budget
+        starting.budget_filled_at = NOW
+        balancer.outliers.awaiting_trial = {starting: None}
         admit(balancer, 0)
         assert port.calls_to("send")[0][2] == tried
 
 
-def test_warm_share_rises_with_age_and_is_zero_without_budget():
+def test_slow_start_share_rises_with_age_and_is_zero_without_budget():
     balancer, _ = make_balancer(endpoints=1, process_started_at=NOW)
     endpoint = balancer.selection.endpoints[0]
     for age, share in ((0, 0.2), (5 * S, 0.6), (10 * S, 1.0)):
         endpoint.slow_start_budget = 1.0
-        assert balancer.slow_start.warm_share(endpoint, NOW + age, 1) == pytest.approx(share)
+        assert balancer.slow_start.slow_start_share(endpoint, NOW + age, 1) == pytest.approx(share)
     endpoint.slow_start_budget = 0.9
-    assert balancer.slow_start.warm_share(endpoint, NOW + S, 1) == 0
-    assert balancer.slow_start.warm_share(endpoint, NOW + 10 * S, 1) == 1
+    assert balancer.slow_start.slow_start_share(endpoint, NOW + S, 1) == 0
+    assert balancer.slow_start.slow_start_share(endpoint, NOW + 10 * S, 1) == 1
     endpoint.started_at = 0  # unknown start
-    assert balancer.slow_start.warm_share(endpoint, NOW, 1) == 1
+    assert balancer.slow_start.slow_start_share(endpoint, NOW, 1) == 1
 
 
 def test_close_window_weights_the_newest_rate_by_a_quarter():
@@ -88,6 +88,6 @@
     slow_start = balancer.slow_start
     for sent, rate in ((8, 8), (4, 7), (0, 5.25)):
         slow_start.sent = sent
-        slow_start.close_window(new_requests=99, has_warm_endpoint=True)
+        slow_start.close_window(new_requests=99, has_endpoint_past_slow_start=True)
         assert slow_start.send_rate * slow_start.window == pytest.approx(rate)
         assert slow_start.sent == 0
