--- a/dahliabend/simulation/attempt_invariants.py
+++ b/dahliabend/simulation/attempt_invariants.py
@@ -4,7 +4,7 @@
 
 from dahliabend.simulation.endpoint_invariants import EndpointInvariants
 from dahliabend.simulation.observed_run import (
-    SLACK,
+    TIME_TOLERANCE,
     AttemptRecord,
     ObservedRun,
     RequestRecord,
@@ -52,19 +52,19 @@
         run.counts["hops"] += 1
         request = run.requests.get(trace_id)
         if request is None:
-            self._check_unknown(trace_id, upstream)
+            self._check_unknown_request(trace_id, upstream)
             return
         self._check_request_is_open(request, upstream, started_at)
         run.rejection_streaks.pop(balancer, None)
         self.endpoints.check_attempt(trace_id, balancer, upstream, started_at)
-        cell, zone = run.upstream_places[upstream]
+        cell, zone = run.upstream_locations[upstream]
         attempt = AttemptRecord(upstream, balancer, connection, run.now, cell, zone)
-        self._check_other_attempts(request, attempt, started_at)
+        self._check_earlier_attempts(request, attempt, started_at)
         if request.key:
             self._check_order(request, balancer, upstream, started_at)
         request.attempts.append(attempt)
 
-    def _check_unknown(self, trace_id: str, upstream: str) -> None:
+    def _check_unknown_request(self, trace_id: str, upstream: str) -> None:
         mirrored = None
         if trace_id.endswith(MIRROR_SUFFIX):
             mirrored = self.run.requests.get(trace_id.removesuffix(MIRROR_SUFFIX))
@@ -80,12 +80,12 @@
         trace_id = request.trace_id
         if request.answered_at and started_at > request.answered_at:
             run.report("after the end", f"{trace_id}: sent to {upstream} after its final answer")
-        if request.disconnected_at and not run.excuse(request):
+        if request.disconnected_at and not run.excused_until(request):
             known_at = self._disconnect_arrived_at(request) + MAX_DISCONNECT_DELAY
             if started_at > known_at:
                 run.report("after the end", f"{trace_id}: sent to {upstream} long after its caller left")
-        near = run.connections.get(request.connection)
-        if near is not None and 0 < near.peer.closed_at < request.first_byte_at:
+        client_end = run.connections.get(request.connection)
+        if client_end is not None and 0 < client_end.peer.closed_at < request.first_byte_at:
             run.report("after the shutdown", f"{trace_id}: sent to {upstream}, asked on what had been shut")
 
     def _disconnect_arrived_at(self, request: RequestRecord) -> int:
@@ -93,22 +93,26 @@
 
         Behind bytes for which there is no room it does not come, and the balancer cannot know of it.
         """
-        near = self.run.connections.get(request.connection)
-        if near is None:  # both ends were closed long ago
+        client_end = self.run.connections.get(request.connection)
+        if client_end is None:  # both ends were closed long ago
             return request.disconnected_at
-        far = near.peer
-        return max(request.disconnected_at, far.peer_end_seen_at or far.closed_at or self.run.now)
+        balancer_end = client_end.peer
+        return max(
+            request.disconnected_at, balancer_end.peer_end_seen_at or balancer_end.closed_at or self.run.now
+        )
 
-    def _check_other_attempts(self, request: RequestRecord, attempt: AttemptRecord, started_at: int) -> None:
+    def _check_earlier_attempts(
+        self, request: RequestRecord, attempt: AttemptRecord, started_at: int
+    ) -> None:
         """One attempt at a time, and no repetition that the class forbids."""
         run = self.run
-        for other in request.attempts:
+        for earlier in request.attempts:
             is_hedge = request.request_class.may_hedge and len(request.attempts) == 1
-            if not (other.is_answered or run.has_ended(other) or is_hedge):
-                text = f"{request.trace_id}: sent to {attempt.upstream} while out at {other.upstream}"
+            if not (earlier.is_answered or run.has_ended(earlier) or is_hedge):
+                text = f"{request.trace_id}: sent to {attempt.upstream} while out at {earlier.upstream}"
                 run.report("two at once", text)
-            if other.may_have_executed:
-                self._check_repetition(request, other, attempt, started_at)
+            if earlier.may_have_executed:
+                self._check_repetition(request, earlier, attempt, started_at)
 
     def _check_repetition(
         self, request: RequestRecord, earlier: AttemptRecord, attempt: AttemptRecord, started_at: int
@@ -127,7 +131,7 @@
             )
             if not is_same_group:
                 problem = f"{sent} outside its group, to {attempt.upstream}"
-            elif started_at > earlier.started_at + rules.deduplication_window + SLACK:
+            elif started_at > earlier.started_at + rules.deduplication_window + TIME_TOLERANCE:
                 problem = f"{sent} to {attempt.upstream} past its window"
         if problem:
             self.run.report("no effect twice", problem)
@@ -139,38 +143,44 @@
         """
         run = self.run
         key = request.key
-        unsettled = [other for other in self._requests_by_key[key] if not self._is_settled(other)]
+        unsettled = [queued for queued in self._requests_by_key[key] if not self._is_settled(queued)]
         self._requests_by_key[key] = unsettled
         sent = f"{request.trace_id}: sent to {upstream}"
-        for other in unsettled:
-            if other is request:
+        for other_request in unsettled:
+            if other_request is request:
                 continue
-            for attempt in other.attempts:
+            for attempt in other_request.attempts:
                 if attempt.balancer != balancer or attempt.is_answered:
                     continue
                 if not run.has_ended(attempt):
-                    run.report("order", f"{sent} while {other.trace_id} is out")
+                    run.report("order", f"{sent} while {other_request.trace_id} is out")
                 elif attempt.sent_at and started_at < run.closed_at(attempt) + run.key_pause:
                     run.report("order", f"{sent}, {key} still rests")
-            if self._has_overtaken(request, other, balancer):
+            if self._has_overtaken(request, other_request, balancer):
                 # The other's own answer may be under way: an early rejection may come out of order.
-                run.scheduler.call_at(run.now + SLACK, None, self._check_overtaken, request, other, upstream)
+                run.scheduler.call_at(
+                    run.now + TIME_TOLERANCE, None, self._check_overtaken, request, other_request, upstream
+                )
 
-    def _has_overtaken(self, request: RequestRecord, other: RequestRecord, balancer: str) -> bool:
+    def _has_overtaken(self, request: RequestRecord, other_request: RequestRecord, balancer: str) -> bool:
         """Whether another request came clearly earlier to the same process, and still waits."""
         run = self.run
-        is_waiting = other.written_at and not (other.is_finished or other.attempts or request.attempts)
-        if not is_waiting or other.written_at + ARRIVAL_TOLERANCE > request.written_at:
+        is_waiting = other_request.written_at and not (
+            other_request.is_finished or other_request.attempts or request.attempts
+        )
+        if not is_waiting or other_request.written_at + ARRIVAL_TOLERANCE > request.written_at:
             return False
-        near = run.connections.get(other.connection)
-        is_accepted = near is not None and near.peer.sock is not None
-        if not is_accepted or run.process_serving(other) != balancer:
+        client_end = run.connections.get(other_request.connection)
+        is_accepted = client_end is not None and client_end.peer.sock is not None
+        if not is_accepted or run.process_serving(other_request) != balancer:
             return False
-        return not any(end > other.written_at for _, end in run.stalls_of(balancer))
+        return not any(end > other_request.written_at for _, end in run.stalls_of(balancer))
 
-    def _check_overtaken(self, request: RequestRecord, other: RequestRecord, upstream: str) -> None:
-        if not other.is_finished:
-            self.run.report("order", f"{request.trace_id}: sent to {upstream} before {other.trace_id}")
+    def _check_overtaken(self, request: RequestRecord, other_request: RequestRecord, upstream: str) -> None:
+        if not other_request.is_finished:
+            self.run.report(
+                "order", f"{request.trace_id}: sent to {upstream} before {other_request.trace_id}"
+            )
 
     def _is_settled(self, request: RequestRecord) -> bool:
         """Whether a request is finished and nothing of it can go on at an upstream."""
@@ -185,39 +195,39 @@
         """An attempt tells its upstream how much time is left."""
         run = self.run
         request = run.requests.get(trace_id)
-        if request is None or not request.written_at or run.lay_unread(request):
+        if request is None or not request.written_at or run.arrived_during_stall(request):
             return
-        left = request.written_at + request.time_limit - run.now
-        if announced_ms * 1000 > left + MAX_EXCESS_TIME:
-            text = f"{trace_id}: {upstream} was told {announced_ms} ms where {left // 1000} are left"
+        remaining = request.written_at + request.time_limit - run.now
+        if announced_ms * 1000 > remaining + MAX_EXCESS_TIME:
+            text = f"{trace_id}: {upstream} was told {announced_ms} ms where {remaining // 1000} are left"
             run.report("time told", text)
 
-    def _find(self, trace_id: str, connection: int) -> AttemptRecord | None:
+    def _find_attempt(self, trace_id: str, connection: int) -> AttemptRecord | None:
         request = self.run.requests.get(trace_id)
         attempts = request.attempts if request is not None else []
         return next((attempt for attempt in reversed(attempts) if attempt.connection == connection), None)
 
     def attempt_sent(self, trace_id: str, _balancer: str, _upstream: str, connection: int) -> None:
         """The last byte of an attempt is written."""
-        if attempt := self._find(trace_id, connection):
+        if attempt := self._find_attempt(trace_id, connection):
             attempt.sent_at = self.run.now
 
     def attempt_rejected(self, trace_id: str, _upstream: str, connection: int) -> None:
         """An upstream rejects an attempt without executing it."""
-        if attempt := self._find(trace_id, connection):
+        if attempt := self._find_attempt(trace_id, connection):
             attempt.is_rejected = True
             attempt.is_answered = True
 
     def attempt_answered(self, trace_id: str, _upstream: str, connection: int, _status: int) -> None:
         """An upstream answers an attempt."""
-        if attempt := self._find(trace_id, connection):
+        if attempt := self._find_attempt(trace_id, connection):
             attempt.is_answered = True
 
     def answer_sent(self, trace_id: str, _upstream: str, connection: int) -> None:
         """An upstream sends all of an answer."""
-        if attempt := self._find(trace_id, connection):
+        if attempt := self._find_attempt(trace_id, connection):
             attempt.is_answer_sent = True
 
     def connection_reset(self, connection: int) -> None:
         """An upstream resets a connection."""
-        self.run.torn_connections.add(connection)
+        self.run.reset_connections.add(connection)
--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -19,8 +19,8 @@
 READINESS_INTERVAL = 100 * MS  # between two polls of a successor
 MAX_ADDED_ATTEMPTS = 4  # of reloaded settings, times the fault's size
 MAX_IDLE_ADMIN_CONNECTIONS = 20  # times the fault's size
-TRUNCATED_SIZE = 0.4  # of a fault that breaks the configuration: smaller ones truncate it
-INCOMPLETE_SIZE = 0.7  # and those below this leave a table out
+TRUNCATION_THRESHOLD = 0.4  # of a fault that breaks the configuration: smaller ones truncate it
+INCOMPLETENESS_THRESHOLD = 0.7  # and those below this leave a table out
 TARGET_MULTIPLIER = 97  # spreads the sizes of faults over the upstreams
 OK = 200
 
@@ -66,14 +66,14 @@
             return None
         name = process.name
 
-        def ended(reason: str) -> None:
+        def record_exit_and_restart(reason: str) -> None:
             """Record the end, and start again later."""
             simulation.recorder("ended", name, reason)
             simulation.invariants.endpoints.forget_exclusions(balancer.name)
             wait = max(RESTART_TIME, fault.span)
             simulation.call_later(wait, balancer.start_if_down)
 
-        process.on_exit = ended
+        process.on_exit = record_exit_and_restart
         balancer.terminate(process)
         return None
 
@@ -88,7 +88,7 @@
     def reload(self, fault: Fault) -> Undo:
         """Its settings change: other attempts, one class more."""
         balancer = self._balancer(fault)
-        settings = _copy(balancer.settings)
+        settings = _deep_copy(balancer.settings)
         settings["caps"]["most-hops"] = 2 + int(MAX_ADDED_ATTEMPTS * fault.size)
         settings["profiles"].append({**settings["profiles"][0], "name": "late"})
         self._apply_settings(balancer, settings)
@@ -97,7 +97,7 @@
     def drop_class(self, fault: Fault) -> Undo:
         """The class `mark` is removed from its settings, with requests open."""
         balancer = self._balancer(fault)
-        settings = _copy(balancer.settings)
+        settings = _deep_copy(balancer.settings)
         settings["profiles"] = [entry for entry in settings["profiles"] if entry["name"] != "mark"]
         self._apply_settings(balancer, settings)
         return None
@@ -112,9 +112,9 @@
         balancer = self._balancer(fault)
         text = orjson.dumps(balancer.program_config())
         config = orjson.loads(text)
-        if fault.size < TRUNCATED_SIZE:
+        if fault.size < TRUNCATION_THRESHOLD:
             text = text[: len(text) // 2]
-        elif fault.size < INCOMPLETE_SIZE:
+        elif fault.size < INCOMPLETENESS_THRESHOLD:
             del config["settings"]["contract"]
             text = orjson.dumps(config)
         else:
@@ -128,23 +128,23 @@
         """A successor starts beside it; once that is ready, this process is terminated."""
         simulation = self.simulation
         balancer = self._balancer(fault)
-        older = balancer.process
-        if older is None or not older.alive or not simulation.spec.shares_listener:
+        predecessor = balancer.process
+        if predecessor is None or not predecessor.alive or not simulation.spec.shares_listener:
             return None
         balancer.start()
-        newer = balancer.process
+        successor = balancer.process
 
         def check_ready() -> None:
             """Poll the successor if it still runs."""
-            if newer is not None and newer.alive:
+            if successor is not None and successor.alive:
                 simulation.spawn(simulation.poller_process, poll())
 
         async def poll() -> None:
             """Ask the successor whether it is ready."""
             loop = simulation.poller_process.loop
             status, _ = await call(loop, balancer.admin_address, "GET", "/api/ready")
-            if status == OK and older.alive:
-                balancer.terminate(older)
+            if status == OK and predecessor.alive:
+                balancer.terminate(predecessor)
             elif status != OK:
                 simulation.call_later(READINESS_INTERVAL, check_ready)
 
@@ -158,12 +158,12 @@
         simulation = self.simulation
         process = balancer.process
         address = balancer.admin_address
-        before = self._operator_calls.get(balancer.name)
+        previous_call = self._operator_calls.get(balancer.name)
 
         async def make_call() -> None:
             """Make the call, once the one before is answered."""
-            if before is not None:
-                await before
+            if previous_call is not None:
+                await previous_call
             loop = simulation.poller_process.loop
             status, _ = await call(loop, address, "PUT", f"/api/{path}", target)
             simulation.recorder("said", balancer.name, path, status)
@@ -224,6 +224,6 @@
     return lambda: process.run(abort_all)
 
 
-def _copy(settings: dict[str, Any]) -> dict[str, Any]:
-    duplicate: dict[str, Any] = orjson.loads(orjson.dumps(settings))
-    return duplicate
+def _deep_copy(settings: dict[str, Any]) -> dict[str, Any]:
+    copied_settings: dict[str, Any] = orjson.loads(orjson.dumps(settings))
+    return copied_settings
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -25,7 +25,7 @@
 RESERVED_DESCRIPTORS = 4
 FIRST_PROCESS_ID = 1_000
 LATE_VALUE = 0.25  # the share of its value that an answer after the latency objective earns
-MILLISECOND = 1_000  # microseconds
+MICROSECONDS_PER_MILLISECOND = 1_000  # microseconds
 # Events of the program's log about single requests: the peers record these themselves.
 UNRECORDED_LOG_EVENTS = frozenset(
     {
@@ -105,14 +105,14 @@
         self.address: Address = (host, SECOND_TIER_PORT if tier else CLIENT_PORT)
         self.admin_address: Address = (host, ADMIN_PORT)
         self.agent_port = AGENT_PORT
-        self.starts = 0
+        self.start_count = 0
         self.process: Process | None = None
         self.program: PlatformServer | None = None
         zone = simulation.network.zones[host]
         self.agent_process = Process(simulation.scheduler, f"{name}-agent", host, zone)
         rng = simulation.rng_for(f"agent {name}")
-        notice = simulation.spec.discovery_delay
-        self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, notice)
+        discovery_delay = simulation.spec.discovery_delay
+        self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, discovery_delay)
         self.agent.name = name
         simulation.spawn(self.agent_process, self.agent.open(host, self.agent_port))
         self.settings = platform_settings(simulation, tier, index)
@@ -143,21 +143,21 @@
     def start(self) -> None:
         """Start a process, beside the one that may still run."""
         simulation = self.simulation
-        self.starts += 1
+        self.start_count += 1
         self.write_config()
         process = Process(
             simulation.scheduler,
-            f"{self.name}/{self.starts}",
+            f"{self.name}/{self.start_count}",
             self.host,
             simulation.network.zones[self.host],
             simulation.spec.max_descriptors - RESERVED_DESCRIPTORS,
         )
-        process.process_id = FIRST_PROCESS_ID + self.starts
+        process.process_id = FIRST_PROCESS_ID + self.start_count
         process.loop.network = simulation.network
         process.on_exit = lambda reason: simulation.recorder("ended", process.name, reason)
         environment = {"PROXY_CONFIG": self.config_path}
         if simulation.spec.admin and not self.tier:
-            self.admin_address = (self.host, ADMIN_PORT + self.starts)
+            self.admin_address = (self.host, ADMIN_PORT + self.start_count)
             environment["PROXY_ADMIN"] = format_address(self.admin_address)
         if simulation.spec.shares_listener and not self.tier:
             environment |= {"PROXY_FD": "3", "TMPDIR": f"/tmp/{self.name}"}
@@ -212,24 +212,24 @@
 def terminate_when_done(process: Process, task: asyncio.Task[None], recorder: Recorder) -> None:
     """Have a process end as its main task ends."""
 
-    def ended(task: asyncio.Task[None]) -> None:
+    def main_task_done(task: asyncio.Task[None]) -> None:
         """End the process with the task's result."""
         error = None if task.cancelled() else task.exception()
         if error is not None:
             recorder("crashed", process.name, repr(error))
         process.terminate("crashed" if error else "returned")
 
-    task.add_done_callback(ended)
+    task.add_done_callback(main_task_done)
 
 
 def platform_settings(simulation: SimulationEnvironment, tier: int, index: int) -> dict[str, Any]:
     """The settings that the platform hands to a balancer, with the keys of the wire."""
     spec = simulation.spec
     load = simulation.load
-    objective = spec.latency_objective / MILLISECOND
-    deadline = spec.deadline / MILLISECOND
+    objective = spec.latency_objective / MICROSECONDS_PER_MILLISECOND
+    deadline = spec.deadline / MICROSECONDS_PER_MILLISECOND
 
-    def request_class(name: str, semantics: str, value: float, **more: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
+    def request_class(name: str, semantics: str, value: float, **extra_settings: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
         """One request class of the settings."""
         return {
             "name": name,
@@ -238,10 +238,10 @@
             "semantics": semantics,
             "revenue": value,
             "tardy-revenue": LATE_VALUE,
-            **more,
+            **extra_settings,
         }
 
-    window = spec.deduplication_window / MILLISECOND
+    window = spec.deduplication_window / MICROSECONDS_PER_MILLISECOND
     deduplication = {"dedup-window": window, "in-order": load.ordering_keys > 0}
     return {
         "balancers": spec.upstreams if tier else spec.balancers,
@@ -261,14 +261,14 @@
             "probing": spec.answers_health_checks,
             "retry-after": spec.sends_retry_after,
             "max-retry-after": 3000.0,
-            "conn-idle": spec.idle_timeout / MILLISECOND,
-            "dial-timeout": spec.connect_timeout / MILLISECOND,
+            "conn-idle": spec.idle_timeout / MICROSECONDS_PER_MILLISECOND,
+            "dial-timeout": spec.connect_timeout / MICROSECONDS_PER_MILLISECOND,
         },
         "contract": {
             "cold-share": spec.initial_capacity,
-            "cold": spec.warmup_time / MILLISECOND,
+            "cold": spec.warmup_time / MICROSECONDS_PER_MILLISECOND,
             "fall-multiple": spec.overload_multiple,
             "answer-slack": 20.0,
-            "order-pause": spec.order_pause / MILLISECOND,
+            "order-pause": spec.order_pause / MICROSECONDS_PER_MILLISECOND,
         },
     }
--- a/dahliabend/simulation/client_invariants.py
+++ b/dahliabend/simulation/client_invariants.py
@@ -4,7 +4,7 @@
 
 from dahliabend.simulation.observed_run import (
     NOT_EXCUSED,
-    SLACK,
+    TIME_TOLERANCE,
     AttemptRecord,
     ObservedRun,
     RejectionStreak,
@@ -65,17 +65,17 @@
         run = self.run
         request = run.requests[trace_id]
         request.written_at = run.now
-        due = run.now + request.time_limit + SLACK
-        run.scheduler.call_at(due, None, self.answer_due, request, run.now)
+        due = run.now + request.time_limit + TIME_TOLERANCE
+        run.scheduler.call_at(due, None, self.check_answered_in_time, request, run.now)
 
-    def answer_due(self, request: RequestRecord, written_at: int) -> None:
+    def check_answered_in_time(self, request: RequestRecord, written_at: int) -> None:
         """A request's time limit and the slack are over."""
         run = self.run
         if request.is_finished or request.written_at != written_at or request.answer_began_at:
             return
-        excused_until = run.excuse(request)
+        excused_until = run.excused_until(request)
         if excused_until > run.now:
-            run.scheduler.call_at(excused_until, None, self.answer_due, request, written_at)
+            run.scheduler.call_at(excused_until, None, self.check_answered_in_time, request, written_at)
         elif excused_until == NOT_EXCUSED:
             process = run.process_serving(request)
             run.report("one answer", f"{request.trace_id} at {process} had none by its limit")
@@ -102,8 +102,8 @@
 
     def _check_lateness(self, request: RequestRecord) -> None:
         run = self.run
-        late = run.now - request.written_at - request.time_limit - SLACK if request.written_at else 0
-        if late > 0 and not request.answer_began_at and not run.excuse(request):
+        late = run.now - request.written_at - request.time_limit - TIME_TOLERANCE if request.written_at else 0
+        if late > 0 and not request.answer_began_at and not run.excused_until(request):
             run.report("one answer", f"{request.trace_id}: answered {late} us past its limit and the slack")
 
     def _check_served(self, request: RequestRecord, body: bytes) -> None:
@@ -150,8 +150,8 @@
         run = self.run
         request = run.requests[trace_id]
         request.answer_began_at = run.now
-        is_late = run.now - request.written_at > request.time_limit + SLACK
-        if request.written_at and is_late and not run.excuse(request):
+        is_late = run.now - request.written_at > request.time_limit + TIME_TOLERANCE
+        if request.written_at and is_late and not run.excused_until(request):
             run.report("one answer", f"{trace_id}: began past its limit")
 
     def response_truncated(self, trace_id: str) -> None:
@@ -159,27 +159,27 @@
         run = self.run
         request = run.requests[trace_id]
         request.answered_at = run.now
-        if not run.excuse(request) and any(map(self._was_answer_delivered, request.attempts)):
+        if not run.excused_until(request) and any(map(self._was_answer_delivered, request.attempts)):
             run.report("whole answer", f"{trace_id}: cut, although its upstream gave all of it")
         run.finish(request, "failed")
 
     def _was_answer_delivered(self, attempt: AttemptRecord) -> bool:
         """Whether all of an answer was sent, with nothing that broke the connection since."""
         end = self.run.connections.get(attempt.connection)
-        if end is None or attempt.connection in self.run.torn_connections:
+        if end is None or attempt.connection in self.run.reset_connections:
             return False
         return attempt.is_answer_sent and not (end.reset_received or end.peer.reset_received)
 
-    def response_unreadable(self, trace_id: str, why: str) -> None:
+    def response_unreadable(self, trace_id: str, reason: str) -> None:
         """A response could not be parsed."""
-        self.run.report("whole answer", f"{trace_id}: unreadable: {why}")
+        self.run.report("whole answer", f"{trace_id}: unreadable: {reason}")
 
-    def connection_lost(self, trace_id: str, how: str) -> None:
+    def connection_lost(self, trace_id: str, reason: str) -> None:
         """A request's connection ended without a response."""
         run = self.run
         request = run.requests[trace_id]
-        if request.written_at and not run.excuse(request):
-            run.report("one answer", f"{trace_id}: its connection ended without one: {how}")
+        if request.written_at and not run.excused_until(request):
+            run.report("one answer", f"{trace_id}: its connection ended without one: {reason}")
         run.finish(request, "lost")
 
     def client_disconnected(self, trace_id: str) -> None:
--- a/dahliabend/simulation/discovery_faults.py
+++ b/dahliabend/simulation/discovery_faults.py
@@ -9,9 +9,9 @@
 
 MAX_EXTRA_DELAY = 400 * MS  # times the fault's size
 OLD_ADDRESS_LIFETIME = 500 * MS  # for which an agent that has moved stays at its old address
-REPEATED_SIZE = 0.4  # of a fault that closes watches: larger ones do it again
+REPEAT_THRESHOLD = 0.4  # of a fault that closes watches: larger ones do it again
 REPEAT_DELAYS = (60, 130, 300)  # milliseconds
-INVALID_UPDATE_KINDS = 100  # that the fault's size selects from
+INVALID_UPDATE_RANGE = 100  # that the fault's size selects from
 
 
 class DiscoveryFaults:
@@ -59,7 +59,7 @@
         process = balancer.agent_process
         agent = balancer.agent
         process.run(agent.close_watches)
-        if fault.size > REPEATED_SIZE:
+        if fault.size > REPEAT_THRESHOLD:
             for delay in REPEAT_DELAYS:
                 self.simulation.call_later(delay * MS, process.run, agent.close_watches)
         return None
@@ -86,8 +86,8 @@
     def send_invalid_update(self, fault: Fault) -> Undo:
         """The agent sends something invalid."""
         balancer = self._balancer(fault)
-        kind = int(fault.size * INVALID_UPDATE_KINDS)
-        balancer.agent_process.run(balancer.agent.send_invalid_update, kind)
+        update_number = int(fault.size * INVALID_UPDATE_RANGE)
+        balancer.agent_process.run(balancer.agent.send_invalid_update, update_number)
         return None
 
     def move(self, fault: Fault) -> Undo:
--- a/dahliabend/simulation/endpoint_invariants.py
+++ b/dahliabend/simulation/endpoint_invariants.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from dahliabend.simulation.observed_run import SLACK, ObservedRun, ProcessEnd, balancer_of
+from dahliabend.simulation.observed_run import TIME_TOLERANCE, ObservedRun, ProcessEnd, balancer_of
 from dahliabend.simulation.recorder import Recorder
 
 MAX_DISCOVERY_DELAY = 6_000_000  # microseconds after which a change that discovery knows counts as announced
@@ -46,7 +46,7 @@
     def check_attempt(self, trace_id: str, process: str, upstream: str, started_at: int) -> None:
         """Check that an attempt goes to an endpoint that may be used."""
         run = self.run
-        allowed = run.drain_time + SLACK
+        allowed = run.drain_time + TIME_TOLERANCE
         balancer = balancer_of(process)
         sent = f"{trace_id}: sent to {upstream}"
         since = self._barred_since.get((process, upstream))
@@ -61,13 +61,13 @@
 
     def change_announced(self, process: str, upstream: str, state: str) -> None:
         """Discovery has announced an endpoint's state to a process."""
-        self._update(self._barred_since, (process, upstream), state)
+        self._record_state(self._barred_since, (process, upstream), state)
 
     def change_known(self, balancer: str, upstream: str, state: str) -> None:
         """A balancer's discovery agent knows an endpoint's state."""
-        self._update(self._known_since, (balancer, upstream), state)
+        self._record_state(self._known_since, (balancer, upstream), state)
 
-    def _update(self, unusable_since: dict[EndpointUse, int], use: EndpointUse, state: str) -> None:
+    def _record_state(self, unusable_since: dict[EndpointUse, int], use: EndpointUse, state: str) -> None:
         if state == "up":
             unusable_since.pop(use, None)
         else:
@@ -89,18 +89,18 @@
         """A process has ended."""
         self.run.ended_processes[process] = ProcessEnd(self.run.now, reason)
 
-    def process_stalled(self, process: str, span: int) -> None:
+    def process_stalled(self, process: str, duration: int) -> None:
         """A process cannot run for so many microseconds."""
-        spans = self.run.stalls.setdefault(balancer_of(process), [])
-        spans.append((self.run.now, self.run.now + span))
+        stalls = self.run.stalls.setdefault(balancer_of(process), [])
+        stalls.append((self.run.now, self.run.now + duration))
 
     def process_started(self, process: str, address: tuple[str, int]) -> None:
         """A process has started; connections may have waited for it since another one ended there."""
         run = self.run
-        before = run.ended_processes.get(run.serving.get(address, ""))
-        if before is not None:
-            run.stalls.setdefault(balancer_of(process), []).append((before.at, run.now))
-        run.serving[address] = process
+        previous_end = run.ended_processes.get(run.process_by_address.get(address, ""))
+        if previous_end is not None:
+            run.stalls.setdefault(balancer_of(process), []).append((previous_end.at, run.now))
+        run.process_by_address[address] = process
         run.scheduler.call_at(run.now + READY_TIME, None, self.check_ready, process)
 
     def check_ready(self, process: str) -> None:
@@ -109,25 +109,25 @@
         if balancer_of(process) not in self.polled_balancers or process in run.ended_processes:
             return
         # Only the last process started at an address is polled, and only while there are clients.
-        is_polled = run.now < self.polled_until and process in run.serving.values()
+        is_polled = run.now < self.polled_until and process in run.process_by_address.values()
         was_stalled = any(end > run.now - READY_TIME for _, end in run.stalls_of(process))
         if is_polled and not was_stalled and process not in self.ready_processes:
             seconds = READY_TIME // MICROSECONDS_PER_SECOND
             run.report("ready", f"{process} did not say that it is within {seconds} s")
 
-    def process_crashed(self, process: str, why: str) -> None:
+    def process_crashed(self, process: str, reason: str) -> None:
         """A process has ended with an error."""
-        self.run.report("crash", f"{process}: {why}")
+        self.run.report("crash", f"{process}: {reason}")
 
-    def descriptors_exhausted(self, process: str, most: int) -> None:
+    def descriptors_exhausted(self, process: str, max_descriptors: int) -> None:
         """A process wanted more descriptors than it may have."""
-        self.run.report("descriptors", f"{process} wanted more than the {most} that it may hold")
+        self.run.report("descriptors", f"{process} wanted more than the {max_descriptors} that it may hold")
 
-    def request_unreadable(self, upstream: str, balancer: str, why: str) -> None:
+    def request_unreadable(self, upstream: str, balancer: str, reason: str) -> None:
         """What a balancer wrote to an upstream cannot be parsed."""
-        self.run.report("bytes", f"{balancer} wrote to {upstream} what can't be read: {why}")
+        self.run.report("bytes", f"{balancer} wrote to {upstream} what can't be read: {reason}")
 
-    def upstream_overloaded(self, upstream: str, times: float) -> None:
+    def upstream_overloaded(self, upstream: str, overload_factor: float) -> None:
         """An upstream failed because it got too much work while warming up."""
-        text = f"{upstream} was sent {times:.1f} times what it bears while cold, and fell over"
+        text = f"{upstream} was sent {overload_factor:.1f} times what it bears while cold, and fell over"
         self.run.report("cold", text)
--- a/dahliabend/simulation/faults.py
+++ b/dahliabend/simulation/faults.py
@@ -8,7 +8,7 @@
 from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.discovery_faults import DiscoveryFaults
 from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
-from dahliabend.simulation.scenario import RESET_SIZE, Fault
+from dahliabend.simulation.scenario import RESET_THRESHOLD, Fault
 from dahliabend.simulation.upstream_faults import UpstreamFaults
 
 # Events of a request that a fault may wait for by the name of the request's class.
@@ -45,7 +45,7 @@
         def event_recorded(*values: Any) -> None:  # noqa: ANN401 -- by event
             """Count the event if it fits, and begin the fault at its number."""
             count = self._event_counts.get(number, 0)
-            if self.is_stopping or count >= fault.nth or not self._fits(fault, values):
+            if self.is_stopping or count >= fault.nth or not self._matches_event(fault, values):
                 return
             self._event_counts[number] = count + 1
             if count + 1 < fault.nth:
@@ -57,7 +57,7 @@
 
         self.simulation.recorder.subscribe(fault.on, event_recorded)
 
-    def _fits(self, fault: Fault, values: tuple[Any, ...]) -> bool:
+    def _matches_event(self, fault: Fault, values: tuple[Any, ...]) -> bool:
         """Whether the event is one that the fault waits for."""
         if self.simulation.scheduler.now < self.simulation.load_start:
             return False
@@ -112,4 +112,4 @@
         network = self.simulation.network
         zone = self.simulation.zone_of(fault.whom)
         network.cut_zone(zone)
-        return lambda: network.restore_zone(zone, resets=fault.size > RESET_SIZE)
+        return lambda: network.restore_zone(zone, resets=fault.size > RESET_THRESHOLD)
--- a/dahliabend/simulation/file_format.py
+++ b/dahliabend/simulation/file_format.py
@@ -73,7 +73,7 @@
         fields = msgspec.structs.fields(value)
         return {f.encode_name: _builtins(v) for f in fields if (v := getattr(value, f.name)) != _default(f)}
     if isinstance(value, list):
-        return [_builtins(each) for each in value]
+        return [_builtins(item) for item in value]
     return value
 
 
--- a/dahliabend/simulation/invariants.py
+++ b/dahliabend/simulation/invariants.py
@@ -9,7 +9,6 @@
 from dahliabend.simulation.endpoint_invariants import EndpointInvariants
 from dahliabend.simulation.event_loop import Scheduler
 from dahliabend.simulation.observed_run import (
-    SLACK,
     ClassTally,
     ObservedRun,
     RequestClassRules,
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -17,7 +17,7 @@
 TOLERANCE = 6  # timers and tasks that a program at rest may have more than at the run's start
 RULE = "left behind"
 # Packages whose objects must not grow with uptime.
-OWN_PACKAGES = tuple(
+PROGRAM_PACKAGES = tuple(
     f"dahliabend.{name}" for name in ("transport", "http", "discovery", "proxy", "server", "policy")
 )
 
@@ -73,9 +73,9 @@
             self._check_connections(process, program)
             self._check_timers_and_tasks(process, program)
 
-    def _expect(self, holds: bool, process: Process, what: str) -> None:
-        if not holds:
-            self.simulation.invariants.report(RULE, f"{process.name}: {what}")
+    def _report_unless(self, condition: bool, process: Process, problem: str) -> None:
+        if not condition:
+            self.simulation.invariants.report(RULE, f"{process.name}: {problem}")
 
     def _check_requests(self, process: Process, program: Program) -> None:
         router = program.router
@@ -83,15 +83,17 @@
         reserved = sum(len(endpoint.in_flight) for endpoint in router.balancer.selection.endpoints.values())
         in_flight = router.balancer.concurrency.in_flight
         is_idle = all(not policy.open_requests for policy in router.policies)
-        self._expect(
+        self._report_unless(
             not len(router.requests), process, f"{len(router.requests)} transactions that nobody waits for"
         )
-        self._expect(not router.trace_ids, process, f"{len(router.trace_ids)} ids of ended transactions")
-        self._expect(len(router.policies) == 1, process, f"{len(router.policies)} sets of decisions")
-        self._expect(is_idle, process, "a set of decisions holds a transaction")
-        self._expect(open_requests == 0, process, f"{open_requests} open requests in the figures")
-        self._expect(not reserved, process, f"{reserved} hops held by the decisions")
-        self._expect(in_flight == 0, process, f"{in_flight} hops in flight by the decisions' count")
+        self._report_unless(
+            not router.trace_ids, process, f"{len(router.trace_ids)} ids of ended transactions"
+        )
+        self._report_unless(len(router.policies) == 1, process, f"{len(router.policies)} sets of decisions")
+        self._report_unless(is_idle, process, "a set of decisions holds a transaction")
+        self._report_unless(open_requests == 0, process, f"{open_requests} open requests in the figures")
+        self._report_unless(not reserved, process, f"{reserved} hops held by the decisions")
+        self._report_unless(in_flight == 0, process, f"{in_flight} hops in flight by the decisions' count")
 
     def _check_connections(self, process: Process, program: Program) -> None:
         tables = _connections(program)
@@ -104,22 +106,22 @@
         endpoints = program.router.table.endpoints.values()
         idle = sum(len(endpoint.idle_connections) for endpoint in endpoints)
         to_upstreams = sum(len(endpoint.connections) for endpoint in endpoints)
-        self._expect(
+        self._report_unless(
             sockets == len(tables) + listening,
             process,
             f"{sockets} sockets, {len(tables)} connections in the tables",
         )
-        self._expect(watches == 1, process, f"{watches} watches of the list")
-        self._expect(not closed, process, f"{closed} closed connections keep their slots")
-        self._expect(not buffered, process, f"{buffered} bytes in buffers of connections at rest")
-        self._expect(
+        self._report_unless(watches == 1, process, f"{watches} watches of the list")
+        self._report_unless(not closed, process, f"{closed} closed connections keep their slots")
+        self._report_unless(not buffered, process, f"{buffered} bytes in buffers of connections at rest")
+        self._report_unless(
             to_upstreams <= idle + TOLERANCE,
             process,
             f"{to_upstreams} connections to upstreams, {idle} at rest",
         )
         for listener in listeners:
             pending = len(listener.accept_tasks)
-            self._expect(not pending, process, f"{pending} connections that never came up")
+            self._report_unless(not pending, process, f"{pending} connections that never came up")
 
     def _check_timers_and_tasks(self, process: Process, program: Program) -> None:
         balancer = balancer_of(process.name)
@@ -128,8 +130,10 @@
         initial_timers = self.initial_timers.get(balancer, 0)
         initial_tasks = self.initial_tasks.get(balancer, 1)
         max_timers = initial_timers + len(_connections(program)) + TOLERANCE
-        self._expect(timers <= max_timers, process, f"{timers} deadlines, {initial_timers} at the start")
-        self._expect(
+        self._report_unless(
+            timers <= max_timers, process, f"{timers} deadlines, {initial_timers} at the start"
+        )
+        self._report_unless(
             tasks <= initial_tasks + TOLERANCE, process, f"{tasks} tasks, {initial_tasks} at the start"
         )
 
@@ -141,7 +145,7 @@
                 invariants.report(RULE, f"{balancer.process.name} did not end on SIGTERM")
         for trace_id in sorted(invariants.open_requests):
             request = invariants.requests[trace_id]
-            if request.written_at and not invariants.excuse(request):
+            if request.written_at and not invariants.excused_until(request):
                 invariants.report("one answer", f"{trace_id}: never answered")
 
 
@@ -159,20 +163,20 @@
 
     None of these counts may grow with time in a long run.
     """
-    kinds: dict[str, int] = {}
+    counts_by_type: dict[str, int] = {}
     seen: set[int] = set()
-    waiting: list[Any] = [program]
-    while waiting:
-        item = waiting.pop()
+    pending: list[Any] = [program]
+    while pending:
+        item = pending.pop()
         if id(item) in seen:
             continue
         seen.add(id(item))
-        kind = type(item)
-        is_own = kind.__module__.startswith(OWN_PACKAGES)
-        if is_own or isinstance(item, dict | list | tuple | set | deque):
-            name = kind.__qualname__
-            kinds[name] = kinds.get(name, 0) + 1
-            waiting.extend(gc.get_referents(item))
+        item_type = type(item)
+        is_program_object = item_type.__module__.startswith(PROGRAM_PACKAGES)
+        if is_program_object or isinstance(item, dict | list | tuple | set | deque):
+            name = item_type.__qualname__
+            counts_by_type[name] = counts_by_type.get(name, 0) + 1
+            pending.extend(gc.get_referents(item))
         elif hasattr(item, "__self__"):  # a bound method keeps its owner
-            waiting.append(item.__self__)
-    return kinds
+            pending.append(item.__self__)
+    return counts_by_type
--- a/dahliabend/simulation/observed_run.py
+++ b/dahliabend/simulation/observed_run.py
@@ -7,14 +7,14 @@
 from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.event_loop import CLOCK_START, Scheduler
 
-SLACK = 50_000  # microseconds: the tolerance of each limit of time in the operators' pages
+TIME_TOLERANCE = 50_000  # microseconds: the tolerance of each limit of time in the operators' pages
 RETENTION = 60_000_000  # microseconds for which a finished request is remembered
 MAX_VIOLATIONS = 20  # kept of a run
 MICROSECONDS_PER_SECOND = 1e6
 NOT_EXCUSED = 0
 EXCUSED_FOR_GOOD = -1
 
-Span = tuple[int, int]  # begin and end, microseconds
+Interval = tuple[int, int]  # begin and end, microseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,11 +141,11 @@
         self.answers_made: dict[str, set[bytes]] = {}  # by trace id, the bodies that upstreams made
         self.rejection_streaks: dict[str, RejectionStreak] = {}  # by process, until it sends an attempt
         self.ended_processes: dict[str, ProcessEnd] = {}
-        self.stalls: dict[str, list[Span]] = {}  # by balancer: when it could not run
-        self.upstream_places: dict[str, tuple[int, str]] = {}  # cell and zone of each upstream
+        self.stalls: dict[str, list[Interval]] = {}  # by balancer: when it could not run
+        self.upstream_locations: dict[str, tuple[int, str]] = {}  # cell and zone of each upstream
         self.connections: dict[int, ConnectionEnd] = {}  # by number, the end that dialled
-        self.torn_connections: set[int] = set()  # those that their upstream reset
-        self.serving: dict[tuple[str, int], str] = {}  # by address: the process last started there
+        self.reset_connections: set[int] = set()  # those that their upstream reset
+        self.process_by_address: dict[tuple[str, int], str] = {}  # by address: the process last started there
         self.violations: list[Violation] = []
         self.tally = {name: ClassTally() for name in classes}
         self.counts = dict.fromkeys(
@@ -184,17 +184,21 @@
 
     def process_serving(self, request: RequestRecord) -> str:
         """The process that the request's connection leads to, or would once it is accepted."""
-        near = self.connections.get(request.connection)
-        if near is None:
+        client_end = self.connections.get(request.connection)
+        if client_end is None:
             return ""
-        far = near.peer
-        return far.sock.process.name if far.sock is not None else self.serving.get(far.local, "")
+        balancer_end = client_end.peer
+        return (
+            balancer_end.sock.process.name
+            if balancer_end.sock is not None
+            else self.process_by_address.get(balancer_end.local, "")
+        )
 
-    def stalls_of(self, process: str) -> list[Span]:
+    def stalls_of(self, process: str) -> list[Interval]:
         """When the balancer of a process could not run."""
         return self.stalls.get(balancer_of(process), [])
 
-    def excuse(self, request: RequestRecord) -> int:
+    def excused_until(self, request: RequestRecord) -> int:
         """Why no answer is due yet.
 
         Returns:
@@ -202,17 +206,17 @@
             process was killed.
         """
         process = self.process_serving(request)
-        ended = self.ended_processes.get(process)
-        if ended is not None:
-            return EXCUSED_FOR_GOOD if ended.reason != "returned" else NOT_EXCUSED
+        process_end = self.ended_processes.get(process)
+        if process_end is not None:
+            return EXCUSED_FOR_GOOD if process_end.reason != "returned" else NOT_EXCUSED
         until = 0
         for begin, end in self.stalls_of(process):
             if end > request.written_at and begin < self.now:
                 # Unread bytes don't show their age: the request's time runs from when they are read.
-                until = max(until, end + request.time_limit + SLACK)
+                until = max(until, end + request.time_limit + TIME_TOLERANCE)
         return until if until > self.now else NOT_EXCUSED
 
-    def lay_unread(self, request: RequestRecord) -> bool:
+    def arrived_during_stall(self, request: RequestRecord) -> bool:
         """Whether the process could not run while the request came, and cannot know for how long it lay."""
         stalls = self.stalls_of(self.process_serving(request))
         return any(end > request.written_at and begin < self.now for begin, end in stalls)
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -33,7 +33,7 @@
 from dahliabend.simulation.recorder import AttemptTap, Recorder
 from dahliabend.simulation.simulated_host import SimulatedHost
 
-FILE = "/etc/dahliabend/file.toml"
+FILE_PATH = "/etc/dahliabend/file.toml"
 PROCESS_NAME = "b0/1"
 PROGRAM_SEED = "7"
 CLIENT_HOST = "10.9.0.1"
@@ -47,11 +47,11 @@
 DISCOVERED_ENDPOINTS = 3  # of a pool whose file does not list its members
 UPSTREAM_WORK = 4_000  # microseconds
 UPSTREAM_IDLE_TIMEOUT = 15_000_000  # microseconds
-BODY = b"x" * 50
+REQUEST_BODY = b"x" * 50
 MICROSECONDS_PER_SECOND = 1e6
 FAULT_KINDS = ("hang", "slow", "fail", "reset", "crash", "garble", "refuse")
 # Faults that are switches of an upstream: the switch, its value while the fault lasts, and after it.
-SWITCHES: Mapping[str, tuple[str, object, object]] = {
+BEHAVIOR_SWITCHES: Mapping[str, tuple[str, object, object]] = {
     "hang": ("hung", True, False),
     "slow": ("slower", 8.0, 1.0),
     "fail": ("failing", 0.9, 0.0),
@@ -114,7 +114,7 @@
 
     def load_file(self) -> LoadedFile:
         """The file as it is now, parsed and checked."""
-        return load_file(FILE, environment=self.environment, read=self.host.read_file)
+        return load_file(FILE_PATH, environment=self.environment, read=self.host.read_file)
 
     def _create_process(self, host: str, name: str) -> Process:
         self.network.zones.setdefault(host, "a")
@@ -166,20 +166,20 @@
             if member.id not in self.upstreams:  # two pools may share one
                 self.start_upstream(member)
         self.upstreams_by_pool[name] = [member.id for member in members]
-        rows: list[EndpointEntry] = [
+        entries: list[EndpointEntry] = [
             {"id": m.id, "addr": m.address, "zone": m.zone, "cell": m.cell, "state": "up", "started_ms": 0}
             for m in members
         ]
         if pool.discovery is not None:
-            self._start_agent(name, parse_address(pool.discovery), rows)
+            self._start_agent(name, parse_address(pool.discovery), entries)
         elif pool.file is not None:
-            self.host.files[_path_of(pool.file)] = orjson.dumps({"servers": rows})
+            self.host.files[_path_of(pool.file)] = orjson.dumps({"servers": entries})
 
-    def _start_agent(self, pool: str, address: Address, rows: list[EndpointEntry]) -> None:
+    def _start_agent(self, pool: str, address: Address, entries: list[EndpointEntry]) -> None:
         registry = Registry()
         process = self._create_process(address[0], f"list of {pool}")
-        for row in rows:
-            registry.put(row)
+        for entry in entries:
+            registry.put(entry)
         agent = Agent(registry, process.loop, self.recorder, Random(f"list {pool}"), DISCOVERY_DELAY)
         self.spawn(process, agent.open(*address))
 
@@ -187,7 +187,7 @@
         """Start an upstream's process."""
         host, port = parse_address(member.address)
         self.upstream_names[host, port] = member.id
-        self.invariants.upstream_places[member.id] = (member.cell, member.zone)
+        self.invariants.upstream_locations[member.id] = (member.cell, member.zone)
         process = self._create_process(host, member.id)
         spec = UpstreamSpec(
             member.id,
@@ -210,7 +210,7 @@
         file: OperatorFile,
         number: int,
         headers: tuple[tuple[str, str], ...] = (),
-        **more: Any,  # noqa: ANN401 -- fields of the request
+        **request_fields: Any,  # noqa: ANN401 -- fields of the request
     ) -> ClientRequest:
         """A request of a route by its number, with other headers and fields of the request."""
         route = file.routes[number]
@@ -224,13 +224,13 @@
             path=route.path,
             method=method,
             headers=(*route.headers.items(), *headers),
-            **more,
+            **request_fields,
         )
         if method in HTTP_METHODS[1:4]:
-            request.body = BODY
+            request.body = REQUEST_BODY
         return request
 
-    def load(self, file: OperatorFile, rate: float, span: int) -> None:
+    def load(self, file: OperatorFile, rate: float, duration: int) -> None:
         """Schedule requests of all routes in rotation, at random times.
 
         Args:
@@ -238,26 +238,26 @@
             rate: requests a second.
             span: microseconds.
         """
-        for number in range(int(rate * span / MICROSECONDS_PER_SECOND)):
-            at = self.scheduler.now + int(self.rng.random() * span)
+        for number in range(int(rate * duration / MICROSECONDS_PER_SECOND)):
+            at = self.scheduler.now + int(self.rng.random() * duration)
             request = self.make_request(file, number % len(file.routes))
             self.scheduler.call_at(at, self.client_process, self.clients.send, request)
 
-    def inject_fault(self, name: str, what: str, span: int) -> None:
+    def inject_fault(self, name: str, fault_kind: str, duration: int) -> None:
         """Have a fault of an upstream begin now, for so many microseconds."""
         upstream = self.upstreams[name]
         process = self.processes[name]
-        self.recorder("fault", what, name)
-        if what == "reset":
+        self.recorder("fault", fault_kind, name)
+        if fault_kind == "reset":
             process.run(upstream.reset_all)
-        elif what == "refuse":
+        elif fault_kind == "refuse":
             address = upstream.spec.host, upstream.spec.port
             self.network.refusing_addresses.add(address)
-            self.call_later(span, self.network.refusing_addresses.discard, address)
+            self.call_later(duration, self.network.refusing_addresses.discard, address)
         else:
-            switch, value, normal = SWITCHES[what]
+            switch, value, normal = BEHAVIOR_SWITCHES[fault_kind]
             setattr(upstream, switch, value)
-            self.call_later(span, setattr, upstream, switch, normal)
+            self.call_later(duration, setattr, upstream, switch, normal)
 
     def kill(self, name: str) -> None:
         """Kill an upstream; `restart` starts it again."""
@@ -279,7 +279,7 @@
             """Run the program as its command does."""
             environment = {**self.environment, "DAHLIABEND_SEED": PROGRAM_SEED}
             log: Any = ProgramLog(self, PROCESS_NAME)  # stands in for the program's log
-            self.program = OperatorFileServer(FILE, environment, log)
+            self.program = OperatorFileServer(FILE_PATH, environment, log)
             await self.program.start()
             await self.program.end()
 
@@ -296,7 +296,7 @@
             self._add_classes(loaded.file)
         self.process.signal(signal.SIGHUP)
 
-    def run(self, act: Callable[["OperatorFileSimulation"], object], span: int) -> None:
+    def run(self, schedule_events: Callable[["OperatorFileSimulation"], object], duration: int) -> None:
         """Run the process, and check that it comes to rest and ends.
 
         Args:
@@ -308,8 +308,8 @@
                 self.scheduler.run_until(CLOCK_START)
                 self._start_program()
                 self.scheduler.run_until(CLOCK_START + STARTUP_TIME)
-                act(self)
-                self.scheduler.run_until(self.scheduler.now + span)
+                schedule_events(self)
+                self.scheduler.run_until(self.scheduler.now + duration)
                 self.scheduler.run_until(self.scheduler.now + SETTLE_TIME)
                 if self.program is not None:
                     for pool in self.program.dispatcher:
@@ -335,4 +335,4 @@
 
 
 def _path_of(name: str) -> str:
-    return join(dirname(FILE), name)
+    return join(dirname(FILE_PATH), name)
--- a/dahliabend/simulation/recorder.py
+++ b/dahliabend/simulation/recorder.py
@@ -53,25 +53,25 @@
         self._subscribers: dict[str, list[Callable[..., None]]] = {}
         self._hash = blake2b(digest_size=DIGEST_BYTES)
 
-    def subscribe(self, kind: str, call: Callable[..., None]) -> None:
+    def subscribe(self, event_kind: str, handler: Callable[..., None]) -> None:
         """Have a function called with the values of each event of a kind."""
-        self._subscribers.setdefault(kind, []).append(call)
+        self._subscribers.setdefault(event_kind, []).append(handler)
 
-    def __call__(self, kind: str, *values: object) -> None:
+    def __call__(self, event_kind: str, *values: object) -> None:
         """Record an event."""
-        event = (self.scheduler.now - CLOCK_START, kind, *values)
+        event = (self.scheduler.now - CLOCK_START, event_kind, *values)
         if len(self.events) < MAX_STORED_EVENTS:
             self.events.append(event)
         else:
             self._hash.update(repr(event).encode())
-        for call in self._subscribers.get(kind, ()):
-            call(*values)
+        for handler in self._subscribers.get(event_kind, ()):
+            handler(*values)
 
     def digest(self) -> str:
         """A hash of all events; the same wherever the same run is simulated."""
-        total = self._hash.copy()
-        total.update(repr(self.events).encode())
-        return total.hexdigest()
+        hash_of_all = self._hash.copy()
+        hash_of_all.update(repr(self.events).encode())
+        return hash_of_all.hexdigest()
 
 
 class AttemptTap:
@@ -88,14 +88,14 @@
         self.path = b""
         self.announced_ms = 0  # the time that the deadline header gives
 
-    def data_sent(self, part: bytes) -> None:
+    def data_sent(self, data: bytes) -> None:
         """The balancer has written bytes."""
         try:
-            self.parser.feed_data(part)
+            self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.recorder("unreadable", self.upstream, self.balancer, str(error))
 
-    def data_received(self, part: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """The upstream has written bytes; these are its own to record."""
 
     def on_message_begin(self) -> None:
@@ -105,9 +105,9 @@
         self.path = b""
         self.announced_ms = 0
 
-    def on_url(self, part: bytes) -> None:
+    def on_url(self, data: bytes) -> None:
         """A part of the request's path."""
-        self.path += part
+        self.path += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header of the request."""
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -75,8 +75,8 @@
     ("cores", 1, 64), ("slots", 1, 256), ("queue", 0, 1024), ("max_attempts", 1, 16),
     ("max_descriptors", 64, 65536),
 )  # fmt: skip
-TWO_ZONES = 2
-RESET_SIZE = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
+MIN_ZONES_TO_CUT = 2
+RESET_THRESHOLD = 0.5  # of a fault that cuts a path: larger ones reset the connections as it ends
 
 # The stored keys of fields whose names differ from them, by field.
 WORLD_KEYS = {
@@ -252,7 +252,7 @@
 
 def _check_requirements(world: WorldSpec, fault: Fault, path: str) -> None:
     target = GROUP_OF[fault.what]
-    if fault.what == "cut-zone" and (world.zones < TWO_ZONES or fault.whom == 0):
+    if fault.what == "cut-zone" and (world.zones < MIN_ZONES_TO_CUT or fault.whom == 0):
         raise ValueError(f"{path}.what: the callers' own zone, or the only one, can't be cut off")
     if fault.what == "upgrade" and not world.shares_listener:
         raise ValueError(f"{path}.what: an upgrade wants world.shared")
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -11,8 +11,8 @@
     ATTEMPT_EVENTS,
     FAULTS_BY_TARGET,
     GROUP_OF,
+    MIN_ZONES_TO_CUT,
     MS,
-    TWO_ZONES,
     Fault,
     FaultKind,
     LoadSpec,
@@ -150,8 +150,8 @@
         fault.span = Duration(8 * S)
         faults.append(Fault("kill", whom=target, at=Duration(at + S // 2), span=Duration(300 * MS)))
     if what in DISCOVERY_SILENCES:
-        soon = Duration(at + rng.randrange(50, 900) * MS)
-        faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=soon))
+        withdraw_at = Duration(at + rng.randrange(50, 900) * MS)
+        faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=withdraw_at))
         scenario.length = Duration(12 * S)
         scenario.load.send_time = Duration(11 * S)
         scenario.load.requests *= 2
@@ -161,22 +161,22 @@
     """Have clients disconnect, attempts repeat and deduplication windows end while connections come up."""
     world = scenario.world
     load = scenario.load
-    begin = fault.at or Duration(0)
+    begins_at = fault.at or Duration(0)
     world.connect_timeout = Duration(rng.choice((75, 400, 900)) * MS)
     load.disconnect_share = 0.4
     world.may_cancel = world.may_cancel and _happens(rng, 0.5)
     world.deduplication_window = Duration(rng.choice((150, 400, 1_200)) * MS)
     load.deduplicated_share = 0.4
     upstream = rng.randrange(count)
-    scenario.faults.append(Fault("fail", whom=upstream, at=begin, span=Duration(2 * S), size=0.5))
+    scenario.faults.append(Fault("fail", whom=upstream, at=begins_at, span=Duration(2 * S), size=0.5))
     fault.at = Duration(rng.randrange(200) * MS)  # most connections come up in the first seconds
-    scenario.faults.append(Fault("reset", whom=fault.whom, at=Duration(begin + S // 2)))
+    scenario.faults.append(Fault("reset", whom=fault.whom, at=Duration(begins_at + S // 2)))
 
 
 def _draw_fault(rng: Random, world: WorldSpec, kinds: Sequence[str]) -> list[Fault]:
     """Draw a fault, sometimes with another one that comes at its worst moment."""
-    asked = [KINDS_BY_NAME[name] for name in kinds] or ALL_FAULTS
-    possible = [kind for kind in asked if _is_possible(kind, world) and kind not in LATER_FAULTS]
+    requested = [KINDS_BY_NAME[name] for name in kinds] or ALL_FAULTS
+    possible = [kind for kind in requested if _is_possible(kind, world) and kind not in LATER_FAULTS]
     if not possible:
         return []
     what = rng.choice(possible)
@@ -215,10 +215,10 @@
         return [Fault("stall", whom=fault.whom, on="listening", span=span)]
     if what in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
         possible = [kind for kind in EDGE_FAULTS if not kinds or kind in kinds]
-        other = rng.choice(possible or [what])
+        edge_kind = rng.choice(possible or [what])
         edge_fault = Fault(
-            what=other,
-            whom=0 if GROUP_OF[other] in ("balancer", "discovery") else fault.whom,
+            what=edge_kind,
+            whom=0 if GROUP_OF[edge_kind] in ("balancer", "discovery") else fault.whom,
             on="told",
             after=Duration(world.drain_time + rng.choice(DRAIN_EDGE_OFFSETS)),
             span=Duration(200 * MS),
@@ -230,5 +230,5 @@
 
 def _is_possible(what: str, world: WorldSpec) -> bool:
     if what == "cut-zone":
-        return world.zones >= TWO_ZONES
+        return world.zones >= MIN_ZONES_TO_CUT
     return what != "upgrade" or world.shares_listener
--- a/dahliabend/simulation/sweep.py
+++ b/dahliabend/simulation/sweep.py
@@ -13,7 +13,7 @@
 from dahliabend.simulation.world import run_scenario
 
 SEEDS_PER_TASK = 20  # that a process takes at a time
-CRASHED = "emulator"  # the rule under which a fault of the simulation itself is counted
+SIMULATION_ERROR_RULE = "emulator"  # the rule under which a fault of the simulation itself is counted
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         result = run_scenario(scenario)
     except Exception as error:  # whatever it is, the sweep goes on and reports it
         cpu = time.process_time() - began
-        return SeedResult(scenario.seed, faults, {CRASHED: repr(error)}, {}, "", 0, 0, cpu)
+        return SeedResult(scenario.seed, faults, {SIMULATION_ERROR_RULE: repr(error)}, {}, "", 0, 0, cpu)
     rules: dict[str, str] = {}
     for violation in result.violations:
         rules.setdefault(violation.rule, str(violation))
--- a/dahliabend/simulation/timeline.py
+++ b/dahliabend/simulation/timeline.py
@@ -40,9 +40,13 @@
 
 def lines(events: Iterable[Event], about: str = "") -> Iterator[str]:
     """Format events; `about` selects those that name a trace id, a process or an upstream, and all faults."""
-    for at, kind, *values in events:
-        if about and not kind.startswith("fault") and not any(about == str(value) for value in values):
+    for at, event_kind, *values in events:
+        if about and not event_kind.startswith("fault") and not any(about == str(value) for value in values):
             continue
         shown = [repr(v)[:MAX_BYTES_TEXT] if isinstance(v, bytes) else v for v in values]
-        text = EVENT_FORMATS[kind].format(*shown) if kind in EVENT_FORMATS else f"{kind} {shown}"
+        text = (
+            EVENT_FORMATS[event_kind].format(*shown)
+            if event_kind in EVENT_FORMATS
+            else f"{event_kind} {shown}"
+        )
         yield f"{at / MICROSECONDS_PER_SECOND:12.6f}  {text}"
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from dahliabend.simulation.fault_environment import FaultEnvironment, Undo
-from dahliabend.simulation.scenario import MS, RESET_SIZE, Fault
+from dahliabend.simulation.scenario import MS, RESET_THRESHOLD, Fault
 from dahliabend.simulation.upstream_host import UpstreamHost
 
 RESTART_TIME = 200 * MS  # of a planned restart
@@ -43,9 +43,9 @@
     def _set_behavior(self, fault: Fault, name: str, *, value: object) -> Undo:
         """Set one of an upstream's switches."""
         upstream = self._host(fault).upstream
-        before = getattr(upstream, name)
+        previous_value = getattr(upstream, name)
         setattr(upstream, name, value)
-        return lambda: setattr(upstream, name, before)
+        return lambda: setattr(upstream, name, previous_value)
 
     def hang(self, fault: Fault) -> Undo:
         """It accepts requests and answers nothing."""
@@ -84,9 +84,9 @@
         """It dies, and starts again cold."""
         host = self._host(fault)
         host.kill()
-        return lambda: self._start_again(host)
+        return lambda: self._restart_cold(host)
 
-    def _start_again(self, host: UpstreamHost) -> None:
+    def _restart_cold(self, host: UpstreamHost) -> None:
         if not host.process.alive:
             host.start(needs_warmup=True)
             host.publish("up")
@@ -117,14 +117,14 @@
         simulation = self.simulation
         host.publish("draining")
 
-        def end() -> None:
+        def end_process() -> None:
             """Remove the upstream and start it again later."""
             if host.process.alive:
                 host.publish("removed")
                 host.kill()
-                simulation.call_later(RESTART_TIME, self._start_again, host)
+                simulation.call_later(RESTART_TIME, self._restart_cold, host)
 
-        simulation.call_later(simulation.spec.drain_time + fault.span, end)
+        simulation.call_later(simulation.spec.drain_time + fault.span, end_process)
         return None
 
     def withdraw(self, fault: Fault) -> Undo:
@@ -159,7 +159,7 @@
         network = self.simulation.network
         host = self._host(fault).spec.host
         network.vanish(host)
-        return lambda: network.restore_host(host, resets=fault.size > RESET_SIZE)
+        return lambda: network.restore_host(host, resets=fault.size > RESET_THRESHOLD)
 
     def slow_connects(self, fault: Fault) -> Undo:
         """A share of the new connections to all upstreams comes up late."""
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -27,7 +27,7 @@
         self.registry = registry
         self.state = "up"
         self.started_ms = 0  # of Unix time; 0: long ago
-        self.starts = 0
+        self.start_count = 0
         self.upstream: Upstream
         self.process: Process
         self.sidecar: BalancerHost | None = None  # the balancer through which it calls the next tier
@@ -61,8 +61,8 @@
         """Start a process; a cold one warms up first."""
         simulation = self.simulation
         spec = self.spec
-        self.starts += 1
-        process = Process(simulation.scheduler, f"{spec.name}/{self.starts}", spec.host, spec.zone)
+        self.start_count += 1
+        process = Process(simulation.scheduler, f"{spec.name}/{self.start_count}", spec.host, spec.zone)
         process.loop.network = simulation.network
         self.process = process
         started_at = simulation.scheduler.now if needs_warmup else 0
@@ -75,12 +75,12 @@
             entries = [a.entries.get(spec.name) for a in agents if not balancer or a.name == balancer]
             return all(entry is not None and entry["started_ms"] == started_ms for entry in entries)
 
-        rng = simulation.rng_for(f"{spec.name} {self.starts}")
+        rng = simulation.rng_for(f"{spec.name} {self.start_count}")
         self.upstream = Upstream(spec, process.loop, simulation.recorder, rng, started_at, knows_start)
-        simulation.invariants.upstream_places[spec.name] = (spec.cell, spec.zone)
+        simulation.invariants.upstream_locations[spec.name] = (spec.cell, spec.zone)
         if self.sidecar is not None:
             rotation = ConnectionRotation([self.sidecar.address])
-            prefix = f"{spec.name}.{self.starts}-"
+            prefix = f"{spec.name}.{self.start_count}-"
             self.clients = Clients(process.loop, simulation.recorder, rng, rotation, prefix)
             self.upstream.call_next_tier = self.call_next_tier
             if not self.sidecar.alive:
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -37,7 +37,7 @@
 SHUTDOWN_TIME = 4_500_000  # microseconds for the balancers to end after SIGTERM
 READINESS_INTERVAL = 250_000  # microseconds between two polls of the balancers' readiness
 MAX_EXACT_BALANCERS = 16  # up to which upstreams that warm up bear no more than is allowed
-LONG_BODY = 120_000  # bytes
+LONG_BODY_SIZE = 120_000  # bytes
 BODY_SIZES = (0, 20, 600, 2_500)  # bytes of requests that have a body
 CHUNK_INTERVALS = (2_000, 20_000, 60_000)  # microseconds
 BURST_FRACTION = 10  # a burst lasts this part of the load's time
@@ -248,10 +248,10 @@
         if self.is_stopping:
             return
         for balancer in self.balancers:
-            self.spawn(self.poller_process, self._poll(balancer))
+            self.spawn(self.poller_process, self._poll_balancer(balancer))
         self.call_later(READINESS_INTERVAL, self.poll_readiness)
 
-    async def _poll(self, balancer: BalancerHost) -> None:
+    async def _poll_balancer(self, balancer: BalancerHost) -> None:
         status, _ = await call(self.poller_process.loop, balancer.address, "GET", "/-/ready")
         if status != OK:
             self.rotation.not_ready.add(balancer.address)
@@ -289,7 +289,7 @@
         if name != "query":
             request.body = b"x" * rng.choice(BODY_SIZES)
             if rng.random() < load.long_bodies:
-                request.body = b"y" * LONG_BODY
+                request.body = b"y" * LONG_BODY_SIZE
         if rng.random() < load.long_answers:
             request.query_string = b"?long"
         if name == "mark" and load.ordering_keys:
--- a/tests/simulation/run_under_test.py
+++ b/tests/simulation/run_under_test.py
@@ -23,7 +23,7 @@
         self.scheduler = Scheduler()
         self.recorder = Recorder(self.scheduler)
         self.invariants = InvariantChecker(self.scheduler, self.recorder, CLASSES, GRACE)
-        self.invariants.upstream_places = {"s-0": (0, "a"), "s-1": (1, "a"), "s-2": (0, "b")}
+        self.invariants.upstream_locations = {"s-0": (0, "a"), "s-1": (1, "a"), "s-2": (0, "b")}
         process = SimpleNamespace(name="b0/1")
         far = SimpleNamespace(
             sock=SimpleNamespace(process=process),
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -3,7 +3,7 @@
 import pytest
 from run_under_test import GRACE, RunUnderTest, S
 
-from dahliabend.simulation.observed_run import SLACK
+from dahliabend.simulation.observed_run import TIME_TOLERANCE
 
 
 def test_one_answer_in_time_made_by_an_upstream_violates_nothing():
@@ -12,8 +12,8 @@
 
 
 def test_missing_late_and_duplicate_answers_are_violations():
-    assert RunUnderTest().request().after(S + SLACK).violated == ["one answer"]
-    assert RunUnderTest().request(expires=S // 2).after(S // 2 + SLACK).violated == ["one answer"]
+    assert RunUnderTest().request().after(S + TIME_TOLERANCE).violated == ["one answer"]
+    assert RunUnderTest().request(expires=S // 2).after(S // 2 + TIME_TOLERANCE).violated == ["one answer"]
     run = RunUnderTest().request()("answer", "t", 503, b"")
     assert not run.violated
     assert run("answer", "t", 503, b"").violated == ["one answer"]
@@ -30,8 +30,8 @@
 
 def test_a_stall_moves_the_deadline():
     run = RunUnderTest().request()("stalled", "b0/1", S)
-    assert not run.after(S + SLACK + 1).violated
-    assert run.after(S + SLACK).violated == ["one answer"]
+    assert not run.after(S + TIME_TOLERANCE + 1).violated
+    assert run.after(S + TIME_TOLERANCE).violated == ["one answer"]
 
 
 def test_an_answer_that_no_upstream_made_is_a_violation():
@@ -63,7 +63,7 @@
     assert again("submit", "s-1") == ["no effect twice"]
     assert again("mark", "s-1") == ["no effect twice"]  # another cell
     assert not again("mark", "s-2")
-    assert again("mark", "s-2", S // 2 + SLACK + 1) == ["no effect twice"]  # past its window
+    assert again("mark", "s-2", S // 2 + TIME_TOLERANCE + 1) == ["no effect twice"]  # past its window
     run = RunUnderTest().request("submit").attempt()("unrun", "t", "s-0", 2)
     assert not run.attempt("s-1", 3).violated
 
@@ -84,7 +84,7 @@
     ):
         run = RunUnderTest()(*kind).after(GRACE).request()
         assert not run.attempt().close_connection().violated
-        assert run.after(SLACK + 1).attempt("s-0", 3).violated == [rule]
+        assert run.after(TIME_TOLERANCE + 1).attempt("s-0", 3).violated == [rule]
     back = (
         RunUnderTest()("told", "b0/1", "s-0", "draining")("told", "b0/1", "s-0", "up").after(3 * S).request()
     )
@@ -143,7 +143,7 @@
         second(run).after(1_000)
         if answered:
             run("answer", "t", 503, b"")
-        assert run.after(SLACK).violated == broken
+        assert run.after(TIME_TOLERANCE).violated == broken
 
 
 def test_an_attempt_over_a_tenth_of_a_second_after_the_client_disconnected():
@@ -166,8 +166,8 @@
             run("had", "b0", "s-0", "up")
         return run.after(wait).request().attempt().violated
 
-    assert not sent(6 * S + GRACE + SLACK)
-    assert sent(6 * S + GRACE + SLACK + 1) == ["told in time"]
+    assert not sent(6 * S + GRACE + TIME_TOLERANCE)
+    assert sent(6 * S + GRACE + TIME_TOLERANCE + 1) == ["told in time"]
     assert not sent(20 * S, "up")
 
 
