--- a/tests/simulation/connection_pair.py
+++ b/tests/simulation/connection_pair.py
@@ -1,4 +1,4 @@
-"""Two simulated machines with a connection between them."""
+"""Two simulated hosts with a connection between them."""
 
 import asyncio
 from random import Random
@@ -12,10 +12,10 @@
 
 
 class Peer(asyncio.Protocol):
-    """Keeps what it was told."""
+    """Records the calls of its transport."""
 
     def __init__(self):
-        self.received, self.paused, self.ended, self.error = b"", 0, False, None
+        self.received, self.paused, self.has_eof, self.error = b"", 0, False, None
 
     def connection_made(self, transport):
         self.transport = transport
@@ -30,7 +30,7 @@
         self.paused -= 1
 
     def eof_received(self):
-        self.ended = True
+        self.has_eof = True
         return True
 
     def connection_lost(self, error):
@@ -38,45 +38,47 @@
 
 
 class ConnectionPair:
-    """Two machines, and one connection between them."""
+    """Two simulated processes on separate hosts, and one connection between them."""
 
     def __init__(self, listens=True, **profile):
         self.scheduler = Scheduler(100_000)
         self.network = Network(self.scheduler, NetworkProfile(jitter=0.0, **profile), Random(1))
         self.network.transport_factory = Transport
         self.network.zones = {"10.0.0.1": "a", "10.0.0.2": "b"}
-        self.one, self.two = (
+        self.client_process, self.server_process = (
             Process(self.scheduler, n, a) for n, a in (("one", "10.0.0.1"), ("two", ADDRESS[0]))
         )
-        self.one.loop.network = self.two.loop.network = self.network
-        self.servers, self.near = [], Peer()
-        self.failed = None
+        self.client_process.loop.network = self.server_process.loop.network = self.network
+        self.servers, self.client = [], Peer()
+        self.connect_error = None
         if listens:
-            self.spawn(self.two, self.two.loop.create_server(self.accepted, *ADDRESS))
-        self.go(0)
-        self.far = None
+            self.spawn(
+                self.server_process, self.server_process.loop.create_server(self.server_accepted, *ADDRESS)
+            )
+        self.advance(0)
+        self.server = None
 
-    def accepted(self):
-        self.far = Peer()
-        return self.far
+    def server_accepted(self):
+        self.server = Peer()
+        return self.server
 
     def spawn(self, process, coroutine):
         process.run(process.loop.create_task, coroutine)
 
-    def dial(self):
-        async def connect():
+    def connect(self):
+        async def open_connection():
             try:
-                await self.one.loop.create_connection(lambda: self.near, *ADDRESS)
+                await self.client_process.loop.create_connection(lambda: self.client, *ADDRESS)
             except OSError as error:
-                self.failed = error
+                self.connect_error = error
 
-        self.spawn(self.one, connect())
+        self.spawn(self.client_process, open_connection())
         return self
 
-    def up(self):
-        self.dial()
-        self.go(50_000)
+    def connect_and_wait(self):
+        self.connect()
+        self.advance(50_000)
         return self
 
-    def go(self, span):
-        self.scheduler.run_until(self.scheduler.now + span)
+    def advance(self, duration):
+        self.scheduler.run_until(self.scheduler.now + duration)
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -1,8 +1,8 @@
-"""Defects planted into the program, to show that the checks can fail.
+"""Defects that are planted into the balancer, to show that the invariants detect them.
 
     python tests/simulation/defects.py --seeds 500 --jobs 8
 
-prints for each how many seeds were needed until a check named it.
+prints for each defect how many seeds were run until an invariant was violated.
 """
 
 import argparse
@@ -42,174 +42,181 @@
 @dataclass(frozen=True, slots=True)
 class Defect:
     plant: Callable
-    rules: tuple[str, ...]  # any of which has to be named
-    kinds: tuple[str, ...] = ()  # faults that it is looked for with; all, if none is named
-    seed: int = 0  # from which the tests look
+    rules: tuple[str, ...]  # at least one of these has to be violated
+    kinds: tuple[str, ...] = ()  # faults of the scenarios that are run; empty: all
+    seed: int = 0  # first seed that the tests run
 
 
 @contextmanager
-def instead(owner, name: str, made) -> Iterator[None]:
-    own, before = name in vars(owner), vars(owner).get(name)
-    setattr(owner, name, made)
+def replace_attribute(owner, name: str, replacement) -> Iterator[None]:
+    had_own_value, previous_value = name in vars(owner), vars(owner).get(name)
+    setattr(owner, name, replacement)
     try:
         yield
     finally:
-        if own:
-            setattr(owner, name, before)
+        if had_own_value:
+            setattr(owner, name, previous_value)
         else:
             delattr(owner, name)
 
 
-def answer_twice():
-    real = ClientConnection.send_response
+def send_second_response():
+    original = ClientConnection.send_response
 
-    def answer(self, status, headers, body):
-        real(self, status, headers, body)
+    def send_response(self, status, headers, body):
+        original(self, status, headers, body)
         if status == 503:
             self.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
-    return instead(ClientConnection, "send_response", answer)
+    return replace_attribute(ClientConnection, "send_response", send_response)
 
 
-def resend_what_may_have_run():
+def retry_after_possible_execution():
     def may_attempt(request, now):
         has_more = len(request.attempts) < request.max_attempts
         return has_more and not request.is_body_consumed and not request.in_flight
 
-    return instead(balancer, "may_attempt", may_attempt)
+    return replace_attribute(balancer, "may_attempt", may_attempt)
 
 
-def use_those_that_drain():
-    return instead(
+def use_draining_endpoints():
+    return replace_attribute(
         endpoint_list, "_STATE_NAMES", {**endpoint_list._STATE_NAMES, "draining": EndpointState.READY}
     )
 
 
-def no_cold_budget():
-    return instead(SlowStart, "warm_share", lambda self, endpoint, now, max_ready: 1.0)
+def disable_slow_start():
+    return replace_attribute(SlowStart, "warm_share", lambda self, endpoint, now, max_ready: 1.0)
 
 
-def keep_a_descriptor():
-    real = DescriptorBudget.release
+def leak_descriptors():
+    original = DescriptorBudget.release
 
     def release(self, number):
         if number % 5:
-            real(self, number)
+            original(self, number)
 
-    return instead(DescriptorBudget, "release", release)
+    return replace_attribute(DescriptorBudget, "release", release)
 
 
-def keep_a_slot():
-    real = Router.forget_if_finished
+def leak_request_slots():
+    original = Router.forget_if_finished
 
     def forget_if_finished(self, request):
         if not request.incoming.trace_id.endswith(b"7"):
-            real(self, request)
+            original(self, request)
 
-    return instead(Router, "forget_if_finished", forget_if_finished)
+    return replace_attribute(Router, "forget_if_finished", forget_if_finished)
 
 
-def keep_a_deadline():
+def leak_timers():
     def mark_finished(self):
         self.phase, self.connection = Phase.FINISHED, None
         self.endpoint.resources.timers.cancel(self.timeout_timer)
         self.endpoint.resources.timers.schedule(clock() + 3600 * S, int)
 
-    return instead(UpstreamRequest, "mark_finished", mark_finished)
+    return replace_attribute(UpstreamRequest, "mark_finished", mark_finished)
 
 
-def keep_a_task():
-    real = Listener.start
+def leak_task():
+    original = Listener.start
 
     async def start(self, sock, connection):
-        await real(self, sock, connection)
+        await original(self, sock, connection)
         await self.timers.loop.create_future()
 
-    return instead(Listener, "start", start)
+    return replace_attribute(Listener, "start", start)
 
 
-def answer_late():
-    real = Router.respond
+def delay_failure_responses():
+    original = Router.respond
 
     def respond(self, request, how, status, headers, body):
         if how == "succeeded":
-            real(self, request, how, status, headers, body)
+            original(self, request, how, status, headers, body)
         else:
-            self.timers.schedule(clock() + 2 * S, real, self, request, how, status, headers, body)
+            self.timers.schedule(clock() + 2 * S, original, self, request, how, status, headers, body)
 
-    return instead(Router, "respond", respond)
+    return replace_attribute(Router, "respond", respond)
 
 
-def two_hops_at_once():
+def leave_given_up_attempts_open():
     def give_up(self, outcome):
         if self.is_finished:
             return
-        written = self.connection is not None and self.connection.is_flushed
+        is_flushed = self.connection is not None and self.connection.is_flushed
         if self.connection is not None:
-            self.connection.handler = None  # left open: the upstream goes on with it
+            self.connection.handler = None  # left open, so the upstream continues with it
         if self.connect_task is not None:
             self.connect_task.cancel()
-        self.finish_soon(outcome if written or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
+        self.finish_soon(outcome if is_flushed or outcome is Outcome.CANCELLED else Outcome.UNREACHABLE)
 
-    return instead(UpstreamRequest, "give_up", give_up)
+    return replace_attribute(UpstreamRequest, "give_up", give_up)
 
 
 @contextmanager
-def reuse_of_a_slot():
-    """Numbers that don't tell one stay from the next, and a caller that leaves with its last one."""
-    real_answer, real_connection_closed = ClientConnection.send_response, ClientConnection.connection_closed
+def accept_stale_handles():
+    """Handles without a check of their generation, and a client that cancels its previous request too."""
+    original_send_response, original_connection_closed = (
+        ClientConnection.send_response,
+        ClientConnection.connection_closed,
+    )
 
     def get(self, number):
         slot = number % self.capacity
         return self.items[slot] if slot < len(self.items) else None
 
-    def answer(self, status, headers, body):
-        self.before = self.request_handle if self.request_handle >= 0 else getattr(self, "before", -1)
-        real_answer(self, status, headers, body)
+    def send_response(self, status, headers, body):
+        self.previous_handle = (
+            self.request_handle if self.request_handle >= 0 else getattr(self, "previous_handle", -1)
+        )
+        original_send_response(self, status, headers, body)
 
     def connection_closed(self):
-        real_connection_closed(self)
-        if getattr(self, "before", -1) >= 0:
-            self.dispatcher.client_disconnected(self.before)
+        original_connection_closed(self)
+        if getattr(self, "previous_handle", -1) >= 0:
+            self.dispatcher.client_disconnected(self.previous_handle)
 
     with (
-        instead(HandleTable, "get", get),
-        instead(ClientConnection, "send_response", answer),
-        instead(ClientConnection, "connection_closed", connection_closed),
+        replace_attribute(HandleTable, "get", get),
+        replace_attribute(ClientConnection, "send_response", send_response),
+        replace_attribute(ClientConnection, "connection_closed", connection_closed),
     ):
         yield
 
 
-def mix_answers():
-    real = UpstreamConnection.on_message_begin
+def mix_response_bodies():
+    original = UpstreamConnection.on_message_begin
 
     def on_message_begin(self):
-        before = list(getattr(self, "body", []))
-        real(self)
-        self.body = before
+        previous_body = list(getattr(self, "body", []))
+        original(self)
+        self.body = previous_body
 
-    return instead(UpstreamConnection, "on_message_begin", on_message_begin)
+    return replace_attribute(UpstreamConnection, "on_message_begin", on_message_begin)
 
 
-def forget_exclusions_over_an_upgrade():
-    real = HotRestart.exclusions
-    return instead(HotRestart, "exclusions", lambda self: real(self) if self.process_key[0] < 2 else set())
+def lose_exclusions_in_hot_restart():
+    original = HotRestart.exclusions
+    return replace_attribute(
+        HotRestart, "exclusions", lambda self: original(self) if self.process_key[0] < 2 else set()
+    )
 
 
-def roll_back_what_may_have_run():
+def reject_after_possible_execution():
     def give_up(self, request, wait=0):
         request.is_answered = True
         self.cancel(request)
         self.port.reject(request.request_id, 0)
 
-    return instead(Balancer, "give_up", give_up)
+    return replace_attribute(Balancer, "give_up", give_up)
 
 
-def leave_the_group():
-    return instead(selection, "is_deduplicated_at", lambda request, endpoint, first: True)
+def ignore_deduplication_scope():
+    return replace_attribute(selection, "is_deduplicated_at", lambda request, endpoint, first: True)
 
 
-def pass_on_cut_answers():
+def forward_truncated_responses():
     def connection_closed(self):
         self.parser = None
         self.pool.remove_connection(self)
@@ -219,208 +226,224 @@
         elif handler is not None:
             handler.connection_failed(self.is_flushed)
 
-    return instead(UpstreamConnection, "connection_closed", connection_closed)
+    return replace_attribute(UpstreamConnection, "connection_closed", connection_closed)
 
 
-def close_callers_at_the_end():
-    return instead(
+def abort_clients_on_shutdown():
+    return replace_attribute(
         PlatformServer,
         "close_idle_clients",
         lambda self: [c.abort() for c in self.client_connections(self.descriptors.connections)],
     )
 
 
-def dial_for_ever():
-    real = UpstreamRequest.connect
+def disable_connect_timeout():
+    original = UpstreamRequest.connect
 
     async def connect(self, link):
         resources = self.endpoint.resources
-        before, resources.connect_timeout = resources.connect_timeout, 3600 * S
+        configured_timeout, resources.connect_timeout = resources.connect_timeout, 3600 * S
         self.expires_at = self.send_deadline = self.expires_at + 3600 * S
         try:
-            await real(self, link)
+            await original(self, link)
         finally:
-            resources.connect_timeout = before
+            resources.connect_timeout = configured_timeout
 
-    return instead(UpstreamRequest, "connect", connect)
+    return replace_attribute(UpstreamRequest, "connect", connect)
 
 
 @contextmanager
-def heed_no_limit_of_descriptors():
+def ignore_descriptor_limit():
     with (
-        instead(DescriptorBudget, "is_full_after_eviction", lambda self, now=0: False),
-        instead(DescriptorBudget, "is_exhausted", lambda self: False),
-        instead(DescriptorBudget, "reserve_in_use", property(lambda self: False)),
-        instead(DescriptorBudget, "mark_idle", lambda self, number, now: None),
+        replace_attribute(DescriptorBudget, "is_full_after_eviction", lambda self, now=0: False),
+        replace_attribute(DescriptorBudget, "is_exhausted", lambda self: False),
+        replace_attribute(DescriptorBudget, "reserve_in_use", property(lambda self: False)),
+        replace_attribute(DescriptorBudget, "mark_idle", lambda self, number, now: None),
     ):
         yield
 
 
-def send_after_the_end():
-    """What was given up goes out all the same, once its connection is up."""
+def respond_before_the_attempt_ends():
+    """An attempt that is given up while it connects is still sent, after its request was answered."""
 
     def give_up(self, outcome):
         if not self.is_finished and self.connect_task is not None:
             self.owner.respond(self.request, "failed", 502, b"", b"early\n")
 
-    return instead(Attempt, "give_up", give_up)
+    return replace_attribute(Attempt, "give_up", give_up)
 
 
-def forget_what_is_excluded():
-    """By the decisions and by the connections: either alone would keep the rule."""
-    real = Router.endpoints_changed
+def lose_exclusions_on_list_update():
+    """Both the policy and the router lose the exclusions: either of them alone would respect them."""
+    original = Router.endpoints_changed
 
     def endpoints_changed(self, rows, full):
-        before, self.excluded = self.excluded, set()
-        real(self, rows, full)
-        self.excluded = before
+        excluded, self.excluded = self.excluded, set()
+        original(self, rows, full)
+        self.excluded = excluded
 
-    return instead(Router, "endpoints_changed", endpoints_changed)
+    return replace_attribute(Router, "endpoints_changed", endpoints_changed)
 
 
-def use_connections_again_at_once():
-    return instead(EndpointResources, "reuse_delay", property(lambda self: 0))
+def reuse_connections_immediately():
+    return replace_attribute(EndpointResources, "reuse_delay", property(lambda self: 0))
 
 
 @contextmanager
-def send_for_those_who_have_gone():
-    """What waits for its connection goes out on it, whoever waits for it still."""
+def send_unawaited_attempts():
+    """An attempt is sent once its connection is up, even if its client has disconnected."""
     with (
-        instead(Attempt, "is_awaited", lambda self: True),
-        instead(UpstreamRequest, "cancel_unsent", lambda self: None),
+        replace_attribute(Attempt, "is_awaited", lambda self: True),
+        replace_attribute(UpstreamRequest, "cancel_unsent", lambda self: None),
     ):
         yield
 
 
-def repeat_past_the_window():
-    return instead(attempt, "deduplication_deadline", lambda state: attempt.NO_DEADLINE)
+def retry_after_deduplication_window():
+    return replace_attribute(attempt, "deduplication_deadline", lambda state: attempt.NO_DEADLINE)
 
 
-def tell_the_time_of_the_choice():
-    real = Attempt.build_head
-    return instead(Attempt, "build_head", lambda self, left: real(self, self.expires_at - self.started_at))
+def announce_time_left_at_selection():
+    original = Attempt.build_head
+    return replace_attribute(
+        Attempt, "build_head", lambda self, left: original(self, self.expires_at - self.started_at)
+    )
 
 
-def read_on_only_when_there_is_room():
-    return instead(ClientConnection, "transport_paused", lambda self: None)
+def stop_reading_when_paused():
+    return replace_attribute(ClientConnection, "transport_paused", lambda self: None)
 
 
-def wait_for_silent_watches():
-    return instead(discovery, "SILENCE_TIMEOUT", 3600 * S)
+def disable_silence_timeout():
+    return replace_attribute(discovery, "SILENCE_TIMEOUT", 3600 * S)
 
 
-def pass_over_a_count_begun_anew():
-    real = EndpointList.apply
+def ignore_restarted_versions():
+    original = EndpointList.apply
 
     def apply(self, message, first):
         if int(message["version"]) > self.version or message.get("full"):
-            real(self, message, first)
+            original(self, message, first)
 
-    return instead(EndpointList, "apply", apply)
+    return replace_attribute(EndpointList, "apply", apply)
 
 
-def keep_what_a_whole_list_leaves_out():
-    real = Router.endpoints_changed
-    return instead(Router, "endpoints_changed", lambda self, rows, full: real(self, rows, False))
+def keep_entries_missing_from_full_list():
+    original = Router.endpoints_changed
+    return replace_attribute(
+        Router, "endpoints_changed", lambda self, rows, full: original(self, rows, False)
+    )
 
 
-def serve_on_what_was_shut():
-    """A connection that lingers reads on as if nothing had ended."""
-    real = ClientConnection.linger
+def serve_lingering_connections():
+    """A connection that lingers after its shutdown serves further requests."""
+    original = ClientConnection.linger
 
     def linger(self):
-        real(self)
+        original(self)
         self.state = ServingState.WAITING
 
-    return instead(ClientConnection, "linger", linger)
+    return replace_attribute(ClientConnection, "linger", linger)
 
 
-def wait_for_discovery():
-    """Ready only once a watch has been heard, whatever was known at the start."""
-    real = Router.ready
-    heard = discovery.WatchState.ACTIVE
-    return instead(Router, "ready", lambda self: real(self) and self.discovery.state is heard)
+def require_a_watch_for_readiness():
+    """The balancer becomes ready only once a watch is active, whatever endpoints it knew at its start."""
+    original = Router.ready
+    active_state = discovery.WatchState.ACTIVE
+    return replace_attribute(
+        Router, "ready", lambda self: original(self) and self.discovery.state is active_state
+    )
 
 
-def turn_all_away_after_a_while():
-    real = Balancer.admit
+def reject_everything_after_a_while():
+    original = Balancer.admit
 
     def admit(self, now, *arguments, **more):
-        self.crowded = getattr(self, "crowded", now)
-        if now - self.crowded >= 3 * S:
+        self.first_admission_at = getattr(self, "first_admission_at", now)
+        if now - self.first_admission_at >= 3 * S:
             self.concurrency.limit = 0.0
-        return real(self, now, *arguments, **more)
+        return original(self, now, *arguments, **more)
 
-    return instead(Balancer, "admit", admit)
+    return replace_attribute(Balancer, "admit", admit)
 
 
-def leave_out_the_rest():
-    return instead(KeyQueues, "pause", lambda self, request, now: None)
+def skip_key_pause():
+    return replace_attribute(KeyQueues, "pause", lambda self, request, now: None)
 
 
-def forget_the_line_at_a_time_out():
-    return instead(KeyQueues, "pause", lambda self, request, now: self.queues.pop(request.key, None))
+def drop_key_queue_on_timeout():
+    return replace_attribute(
+        KeyQueues, "pause", lambda self, request, now: self.queues.pop(request.key, None)
+    )
 
 
-def last_come_first_served():
+def ignore_key_order():
     def turns_ahead(self, key):
         if queue := self.queues.get(key):
             queue.current, queue.paused_until = None, 0
         return 0
 
-    return instead(KeyQueues, "turns_ahead", turns_ahead)
+    return replace_attribute(KeyQueues, "turns_ahead", turns_ahead)
 
 
 DEFECTS = {
-    "a key's rest left out": Defect(leave_out_the_rest, ("order",)),
-    "a key's line forgotten at a time-out": Defect(forget_the_line_at_a_time_out, ("order",)),
-    "a key's turns not waited for": Defect(last_come_first_served, ("order",)),
-    "answer twice": Defect(answer_twice, ("one answer",)),
-    "resend of what may have run": Defect(resend_what_may_have_run, ("no effect twice",)),
-    "those that drain are used": Defect(use_those_that_drain, ("drain",)),
-    "no budget for cold ones": Defect(no_cold_budget, ("cold",), ("crash", "restart", "crowd"), 190),
-    "a leaked descriptor": Defect(keep_a_descriptor, ("left behind", "descriptors")),
-    "a leaked slot": Defect(keep_a_slot, ("left behind",)),
-    "a leaked deadline": Defect(keep_a_deadline, ("left behind",)),
-    "a leaked task": Defect(keep_a_task, ("left behind",)),
-    "a late answer": Defect(answer_late, ("one answer",)),
-    "two hops at once": Defect(two_hops_at_once, ("two at once",)),
-    "a reused slot takes an old event": Defect(reuse_of_a_slot, ("one answer",)),
-    "bytes mixed between answers": Defect(mix_answers, ("whole answer",)),
+    "a key's rest left out": Defect(skip_key_pause, ("order",)),
+    "a key's line forgotten at a time-out": Defect(drop_key_queue_on_timeout, ("order",)),
+    "a key's turns not waited for": Defect(ignore_key_order, ("order",)),
+    "answer twice": Defect(send_second_response, ("one answer",)),
+    "resend of what may have run": Defect(retry_after_possible_execution, ("no effect twice",)),
+    "those that drain are used": Defect(use_draining_endpoints, ("drain",)),
+    "no budget for cold ones": Defect(disable_slow_start, ("cold",), ("crash", "restart", "crowd"), 190),
+    "a leaked descriptor": Defect(leak_descriptors, ("left behind", "descriptors")),
+    "a leaked slot": Defect(leak_request_slots, ("left behind",)),
+    "a leaked deadline": Defect(leak_timers, ("left behind",)),
+    "a leaked task": Defect(leak_task, ("left behind",)),
+    "a late answer": Defect(delay_failure_responses, ("one answer",)),
+    "two hops at once": Defect(leave_given_up_attempts_open, ("two at once",)),
+    "a reused slot takes an old event": Defect(accept_stale_handles, ("one answer",)),
+    "bytes mixed between answers": Defect(mix_response_bodies, ("whole answer",)),
     "exclusion forgotten over an upgrade": Defect(
-        forget_exclusions_over_an_upgrade, ("exclusion",), ("upgrade", "exclude"), 58
+        lose_exclusions_in_hot_restart, ("exclusion",), ("upgrade", "exclude"), 58
     ),
     "exclusion forgotten at the next list": Defect(
-        forget_what_is_excluded, ("exclusion",), ("exclude", "flap")
+        lose_exclusions_on_list_update, ("exclusion",), ("exclude", "flap")
+    ),
+    "rollback of what may have run": Defect(reject_after_possible_execution, ("rollback",)),
+    "journalled, resent outside its group": Defect(ignore_deduplication_scope, ("no effect twice",)),
+    "cut answers passed on": Defect(
+        forward_truncated_responses, ("whole answer",), ("garble", "crash", "reset")
     ),
-    "rollback of what may have run": Defect(roll_back_what_may_have_run, ("rollback",)),
-    "journalled, resent outside its group": Defect(leave_the_group, ("no effect twice",)),
-    "cut answers passed on": Defect(pass_on_cut_answers, ("whole answer",), ("garble", "crash", "reset")),
-    "callers closed at SIGTERM": Defect(close_callers_at_the_end, ("one answer",), seed=25),
-    "a connect without an end": Defect(dial_for_ever, ("one answer",), seed=70),
+    "callers closed at SIGTERM": Defect(abort_clients_on_shutdown, ("one answer",), seed=25),
+    "a connect without an end": Defect(disable_connect_timeout, ("one answer",), seed=70),
     "descriptors without a limit": Defect(
-        heed_no_limit_of_descriptors, ("descriptors",), ("crowd", "rude", "hang"), 50
+        ignore_descriptor_limit, ("descriptors",), ("crowd", "rude", "hang"), 50
+    ),
+    "connections used again at once": Defect(reuse_connections_immediately, ("whole answer",), ("twice",)),
+    "sent for those who have gone": Defect(send_unawaited_attempts, ("after the end",), ("slow-dial",)),
+    "repeats past their window": Defect(
+        retry_after_deduplication_window, ("no effect twice",), ("slow-dial",), 20
+    ),
+    "the time of the choice told": Defect(announce_time_left_at_selection, ("time told",), ("slow-dial",)),
+    "a leaving behind unread bytes": Defect(stop_reading_when_paused, ("after the end",), ("flood",)),
+    "silent watches waited for": Defect(disable_silence_timeout, ("told in time",), ("deaf",)),
+    "a count begun anew passed over": Defect(ignore_restarted_versions, ("told in time",), ("anew",)),
+    "what a whole list leaves out is kept": Defect(
+        keep_entries_missing_from_full_list, ("drain",), ("whole",)
+    ),
+    "what was shut served on": Defect(serve_lingering_connections, ("after the shutdown",), ("behind",)),
+    "not ready without discovery": Defect(require_a_watch_for_readiness, ("ready",), ("away",)),
+    "all turned away after a while": Defect(reject_everything_after_a_while, ("serves nobody",), ("deaf",)),
+    "no budget for cold ones, of many balancers": Defect(
+        disable_slow_start, ("cold",), ("crash", "crowd"), 100
     ),
-    "connections used again at once": Defect(use_connections_again_at_once, ("whole answer",), ("twice",)),
-    "sent for those who have gone": Defect(send_for_those_who_have_gone, ("after the end",), ("slow-dial",)),
-    "repeats past their window": Defect(repeat_past_the_window, ("no effect twice",), ("slow-dial",), 20),
-    "the time of the choice told": Defect(tell_the_time_of_the_choice, ("time told",), ("slow-dial",)),
-    "a leaving behind unread bytes": Defect(read_on_only_when_there_is_room, ("after the end",), ("flood",)),
-    "silent watches waited for": Defect(wait_for_silent_watches, ("told in time",), ("deaf",)),
-    "a count begun anew passed over": Defect(pass_over_a_count_begun_anew, ("told in time",), ("anew",)),
-    "what a whole list leaves out is kept": Defect(keep_what_a_whole_list_leaves_out, ("drain",), ("whole",)),
-    "what was shut served on": Defect(serve_on_what_was_shut, ("after the shutdown",), ("behind",)),
-    "not ready without discovery": Defect(wait_for_discovery, ("ready",), ("away",)),
-    "all turned away after a while": Defect(turn_all_away_after_a_while, ("serves nobody",), ("deaf",)),
-    "no budget for cold ones, of many balancers": Defect(no_cold_budget, ("cold",), ("crash", "crowd"), 100),
     "an answer before its hop has ended": Defect(
-        send_after_the_end, ("after the end", "left behind"), seed=30
+        respond_before_the_attempt_ends, ("after the end", "left behind"), seed=30
     ),
 }
 
 
-# Scripts in `regressions`, each shrunk from a run with the mend taken out, and what stands for that.
-SHOWN = {
+# Scenarios in `regressions`, each shrunk from a run without a fix, and the defect that undoes this fix.
+DEFECT_BY_SCRIPT = {
     "second-answer-on-a-used-connection": "connections used again at once",
     "client-gone-while-the-connection-comes-up": "sent for those who have gone",
     "time-told-before-the-connection-was-up": "the time of the choice told",
@@ -432,36 +455,38 @@
 }
 
 
-def caught(name: str, seeds: range) -> sweep.SeedResult | None:
-    """The first of these seeds at which a check names that defect."""
+def first_detection(name: str, seeds: range) -> sweep.SeedResult | None:
+    """Return the result of the first of these seeds at which an invariant detects the defect."""
     defect = DEFECTS[name]
     with defect.plant():
         return next(
-            sweep.matching_runs(lambda seen: bool(set(defect.rules) & set(seen.rules)), seeds, defect.kinds),
+            sweep.matching_runs(
+                lambda detection: bool(set(defect.rules) & set(detection.rules)), seeds, defect.kinds
+            ),
             None,
         )
 
 
-def need(name: str, count: int) -> tuple[str, sweep.SeedResult | None]:
-    return name, caught(name, range(count))
+def detect_from_first_seed(name: str, count: int) -> tuple[str, sweep.SeedResult | None]:
+    return name, first_detection(name, range(count))
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=500)
     parser.add_argument("--jobs", type=int, default=8)
-    given = parser.parse_args()
-    missed = 0
+    options = parser.parse_args()
+    undetected_count = 0
     print("| defect | seeds needed | rule named |\n| --- | --- | --- |")
-    with ProcessPoolExecutor(given.jobs) as pool:
-        for name, seen in pool.map(need, DEFECTS, [given.seeds] * len(DEFECTS)):
-            if seen is None:
-                missed += 1
-                print(f"| {name} | not in {given.seeds} | |", flush=True)
+    with ProcessPoolExecutor(options.jobs) as pool:
+        for name, detection in pool.map(detect_from_first_seed, DEFECTS, [options.seeds] * len(DEFECTS)):
+            if detection is None:
+                undetected_count += 1
+                print(f"| {name} | not in {options.seeds} | |", flush=True)
             else:
-                rule = sorted(set(DEFECTS[name].rules) & set(seen.rules))
-                print(f"| {name} | {seen.seed + 1} | {', '.join(rule)} |", flush=True)
-    return 1 if missed else 0
+                rule = sorted(set(DEFECTS[name].rules) & set(detection.rules))
+                print(f"| {name} | {detection.seed + 1} | {', '.join(rule)} |", flush=True)
+    return 1 if undetected_count else 0
 
 
 if __name__ == "__main__":
--- a/tests/simulation/run_under_test.py
+++ b/tests/simulation/run_under_test.py
@@ -1,4 +1,4 @@
-"""Events as a recorder has them, given to the invariants at chosen times."""
+"""Passes events to the invariants at chosen times, as a simulation's recorder does."""
 
 from types import SimpleNamespace
 
@@ -13,19 +13,19 @@
     "submit": RequestClassRules("submit", "at_most_once", "all", 0, S),
     "mark": RequestClassRules("mark", "deduplicated", "cell", S // 2, S),
 }
-GRACE = 1_500_000
+DRAIN_TIME = 1_500_000
 
 
 class RunUnderTest:
-    """Invariants, and the events that they get at which time. Connections 1 to 9 are open."""
+    """Invariants on a virtual clock, and the events that they receive. Connections 1 to 9 are open."""
 
     def __init__(self):
         self.scheduler = Scheduler()
         self.recorder = Recorder(self.scheduler)
-        self.invariants = InvariantChecker(self.scheduler, self.recorder, CLASSES, GRACE)
+        self.invariants = InvariantChecker(self.scheduler, self.recorder, CLASSES, DRAIN_TIME)
         self.invariants.upstream_locations = {"s-0": (0, "a"), "s-1": (1, "a"), "s-2": (0, "b")}
         process = SimpleNamespace(name="b0/1")
-        far = SimpleNamespace(
+        balancer_end = SimpleNamespace(
             sock=SimpleNamespace(process=process),
             local=("b", 1),
             reset_received=False,
@@ -34,15 +34,15 @@
         )
         for number in range(1, 10):
             self.invariants.connections[number] = SimpleNamespace(
-                peer=far, closed_at=0, reset_received=False, fin_received=False, is_closed=False
+                peer=balancer_end, closed_at=0, reset_received=False, fin_received=False, is_closed=False
             )
 
-    def __call__(self, kind, *values):
-        self.recorder(kind, *values)
+    def __call__(self, event_kind, *values):
+        self.recorder(event_kind, *values)
         return self
 
-    def after(self, span):
-        self.scheduler.run_until(self.scheduler.now + span)
+    def advance(self, duration):
+        self.scheduler.run_until(self.scheduler.now + duration)
         return self
 
     def request(self, name="query", expires=S):
@@ -57,5 +57,5 @@
         return self
 
     @property
-    def violated(self):
+    def violated_rules(self):
         return [violation.rule for violation in self.invariants.violations]
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line, as its users call it."""
+"""Runs commands in subprocesses, as users do."""
 
 import json
 import os
@@ -7,11 +7,11 @@
 
 
 def run(*arguments, **environment):
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dahliabend", *arguments], capture_output=True, text=True,
         env={**os.environ, **environment},
     )  # fmt: skip
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 def test_a_replay_prints_its_time_line_and_digest(tmp_path):
@@ -64,7 +64,7 @@
 
 
 def test_serving_imports_nothing_of_the_command_line():
-    """It ends at its first fault, and by then has imported all that it will."""
+    """Without PROXY_CONFIG, serving exits with an error after it has imported all that it needs."""
     code = (
         "import sys; sys.argv = ['dahliabend']\n"
         "from dahliabend.__main__ import main\n"
@@ -74,9 +74,9 @@
         "own = tuple('dahliabend.' + name for name in names)\n"
         "print(sorted(m for m in sys.modules if m.split('.')[0] in tops or m.startswith(own)))"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True,
         env={name: value for name, value in os.environ.items() if name != "PROXY_CONFIG"},
     )  # fmt: skip
-    assert done.stdout.strip() == "[]"
-    assert "PROXY_CONFIG" in done.stderr
+    assert completed.stdout.strip() == "[]"
+    assert "PROXY_CONFIG" in completed.stderr
--- a/tests/simulation/test_loopback.py
+++ b/tests/simulation/test_loopback.py
@@ -1,4 +1,4 @@
-"""The emulator's peers on real loopback sockets, before the program as it is started in service."""
+"""Runs the simulation's peers on real loopback sockets, with the balancer in a process of its own."""
 
 import asyncio
 import json
@@ -21,23 +21,23 @@
 REQUESTS = 60
 
 
-def place(address):
+def parse_address(address):
     host, port = address.split(":")
     return host, int(port)
 
 
-async def play(path):
-    """What peers saw of some requests, one upstream reset in the middle of them."""
-    loop, seen, rng = asyncio.get_running_loop(), [], Random(5)
+async def run_requests(path):
+    """Send requests, reset an upstream's connections halfway, and return the events that peers recorded."""
+    loop, events, rng = asyncio.get_running_loop(), [], Random(5)
 
     def recorder(*event):
-        seen.append(event)
+        events.append(event)
 
-    listen, listing, *upstreams = free_addresses(5)
+    listen_address, discovery_address, *upstreams = free_addresses(5)
     registry, servers = Registry(), []
     for number, address in enumerate(upstreams):
         spec = UpstreamSpec(
-            f"s-{number}", *place(address), "a", number, mean_work=3_000, answers_health_checks=True
+            f"s-{number}", *parse_address(address), "a", number, mean_work=3_000, answers_health_checks=True
         )
         server = Upstream(spec, loop, recorder, rng, 0, lambda: False)
         await server.open()
@@ -46,16 +46,16 @@
             {"id": spec.name, "addr": address, "zone": "a", "cell": number, "state": "up", "started_ms": 0}
         )
     agent = Agent(registry, loop, recorder, rng, 1_000)
-    await agent.open(*place(listing))
-    path.write_text(json.dumps({"listen": listen, "discovery": listing, "settings": CONF}))
+    await agent.open(*parse_address(discovery_address))
+    path.write_text(json.dumps({"listen": listen_address, "discovery": discovery_address, "settings": CONF}))
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "dahliabend", stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, "PROXY_CONFIG": str(path)},
     )  # fmt: skip
     try:
-        while (await call(loop, place(listen), "GET", "/-/ready"))[0] != 200:
+        while (await call(loop, parse_address(listen_address), "GET", "/-/ready"))[0] != 200:
             await asyncio.sleep(0.02)
-        clients = Clients(loop, recorder, rng, ConnectionRotation([place(listen)]), "c")
+        clients = Clients(loop, recorder, rng, ConnectionRotation([parse_address(listen_address)]), "c")
         for number in range(REQUESTS):
             name = "submit" if number % 3 else "query"
             clients.send(
@@ -71,18 +71,18 @@
     finally:
         process.terminate()
         await process.wait()
-    return seen
+    return events
 
 
 def test_peers_behave_on_loopback_sockets_as_in_the_simulation(tmp_path):
-    seen = asyncio.run(asyncio.wait_for(play(tmp_path / "config.json"), 20))
-    answers = Counter(event[1] for event in seen if event[0] == "answer")
-    effects = Counter(event[1] for event in seen if event[0] == "effect")
-    made = {(event[1], event[2]) for event in seen if event[0] == "made"}
-    submits = {event[1] for event in seen if event[0] == "asked" and event[2] == "submit"}
+    events = asyncio.run(asyncio.wait_for(run_requests(tmp_path / "config.json"), 20))
+    answers = Counter(event[1] for event in events if event[0] == "answer")
+    effects = Counter(event[1] for event in events if event[0] == "effect")
+    made = {(event[1], event[2]) for event in events if event[0] == "made"}
+    submits = {event[1] for event in events if event[0] == "asked" and event[2] == "submit"}
     assert len(answers) == REQUESTS
     assert set(answers.values()) == {1}
-    assert all(effects[trace] <= 1 for trace in submits)
-    served = [event for event in seen if event[0] == "answer" and event[2] == 200]
+    assert all(effects[trace_id] <= 1 for trace_id in submits)
+    served = [event for event in events if event[0] == "answer" and event[2] == 200]
     assert len(served) > REQUESTS // 2
     assert all((event[1], event[3]) in made for event in served)
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -1,4 +1,4 @@
-"""The modelled network keeps what TCP promises, and shows what it does not."""
+"""The simulated network keeps the guarantees of TCP, and has the failures that TCP allows."""
 
 import asyncio
 import socket
@@ -10,73 +10,73 @@
 
 
 def test_bytes_arrive_complete_and_in_order_whatever_the_segments():
-    pair = ConnectionPair(max_segment=7, receive_window=50, send_buffer=100).up()
+    pair = ConnectionPair(max_segment=7, receive_window=50, send_buffer=100).connect_and_wait()
     sent = bytes(range(256)) * 4
-    pair.one.run(pair.near.transport.write, sent)
+    pair.client_process.run(pair.client.transport.write, sent)
     assert (
-        pair.near.transport.get_write_buffer_size() == len(sent) - 100
-    )  # the system took what it has room for
-    pair.go(10_000_000)
-    assert pair.far.received == sent
-    assert not pair.near.transport.get_write_buffer_size()
+        pair.client.transport.get_write_buffer_size() == len(sent) - 100
+    )  # the send buffer holds the first 100 bytes
+    pair.advance(10_000_000)
+    assert pair.server.received == sent
+    assert not pair.client.transport.get_write_buffer_size()
 
 
 def test_a_partial_write_pauses_the_writer_until_all_is_accepted():
-    pair = ConnectionPair(send_buffer=100, receive_window=100).up()
-    pair.near.transport.set_write_buffer_limits(high=0)
-    pair.two.run(pair.far.transport.pause_reading)
-    pair.one.run(pair.near.transport.write, b"x" * 300)
-    pair.go(1_000_000)
-    assert pair.near.paused == 1
-    assert pair.near.transport.get_write_buffer_size() == 100
-    pair.two.run(pair.far.transport.resume_reading)
-    pair.go(1_000_000)
-    assert pair.near.paused == 0
-    assert len(pair.far.received) == 300
+    pair = ConnectionPair(send_buffer=100, receive_window=100).connect_and_wait()
+    pair.client.transport.set_write_buffer_limits(high=0)
+    pair.server_process.run(pair.server.transport.pause_reading)
+    pair.client_process.run(pair.client.transport.write, b"x" * 300)
+    pair.advance(1_000_000)
+    assert pair.client.paused == 1
+    assert pair.client.transport.get_write_buffer_size() == 100
+    pair.server_process.run(pair.server.transport.resume_reading)
+    pair.advance(1_000_000)
+    assert pair.client.paused == 0
+    assert len(pair.server.received) == 300
 
 
 def test_a_reset_loses_what_was_not_read():
-    pair = ConnectionPair().up()
-    pair.two.run(pair.far.transport.pause_reading)
-    pair.one.run(pair.near.transport.write, b"unread")
-    pair.go(100_000)
-    pair.one.terminate("killed")
-    pair.go(100_000)
-    assert pair.far.received == b""
-    assert pair.far.error is None
-    pair.two.run(pair.far.transport.resume_reading)
-    pair.go(100_000)
-    assert pair.far.received == b""
-    assert isinstance(pair.far.error, ConnectionResetError)
+    pair = ConnectionPair().connect_and_wait()
+    pair.server_process.run(pair.server.transport.pause_reading)
+    pair.client_process.run(pair.client.transport.write, b"unread")
+    pair.advance(100_000)
+    pair.client_process.terminate("killed")
+    pair.advance(100_000)
+    assert pair.server.received == b""
+    assert pair.server.error is None
+    pair.server_process.run(pair.server.transport.resume_reading)
+    pair.advance(100_000)
+    assert pair.server.received == b""
+    assert isinstance(pair.server.error, ConnectionResetError)
 
 
 def test_a_half_closed_connection_still_works_in_the_other_direction():
-    pair = ConnectionPair().up()
-    pair.one.run(pair.near.transport.write_eof)
-    pair.go(100_000)
-    assert pair.far.ended
-    pair.two.run(pair.far.transport.write, b"still here")
-    pair.go(100_000)
-    assert pair.near.received == b"still here"
+    pair = ConnectionPair().connect_and_wait()
+    pair.client_process.run(pair.client.transport.write_eof)
+    pair.advance(100_000)
+    assert pair.server.has_eof
+    pair.server_process.run(pair.server.transport.write, b"still here")
+    pair.advance(100_000)
+    assert pair.client.received == b"still here"
 
 
 def test_closing_with_unread_bytes_resets_the_connection():
-    pair = ConnectionPair().up()
-    pair.two.run(pair.far.transport.pause_reading)
-    pair.one.run(pair.near.transport.write, b"request")
-    pair.go(100_000)
-    pair.two.run(pair.far.transport.abort)
-    pair.go(100_000)
-    assert isinstance(pair.near.error, ConnectionResetError)
+    pair = ConnectionPair().connect_and_wait()
+    pair.server_process.run(pair.server.transport.pause_reading)
+    pair.client_process.run(pair.client.transport.write, b"request")
+    pair.advance(100_000)
+    pair.server_process.run(pair.server.transport.abort)
+    pair.advance(100_000)
+    assert isinstance(pair.client.error, ConnectionResetError)
 
 
 def test_data_for_a_closed_connection_is_answered_by_a_reset():
-    pair = ConnectionPair().up()
-    pair.two.run(pair.far.transport.abort)
-    pair.one.run(pair.near.transport.write, b"crossing")
-    pair.go(100_000)
-    assert pair.near.ended
-    assert isinstance(pair.near.error, ConnectionResetError)
+    pair = ConnectionPair().connect_and_wait()
+    pair.server_process.run(pair.server.transport.abort)
+    pair.client_process.run(pair.client.transport.write, b"crossing")
+    pair.advance(100_000)
+    assert pair.client.has_eof
+    assert isinstance(pair.client.error, ConnectionResetError)
 
 
 @pytest.mark.parametrize("how", ["nobody", "refusing", "limit"])
@@ -86,9 +86,9 @@
         pair.network.refusing_addresses.add(ADDRESS)
     if how == "limit":
         pair.network.connection_limits[ADDRESS] = 0
-    pair.up()
-    assert isinstance(pair.failed, ConnectionRefusedError)
-    assert not pair.one.sockets
+    pair.connect_and_wait()
+    assert isinstance(pair.connect_error, ConnectionRefusedError)
+    assert not pair.client_process.sockets
 
 
 def test_a_connect_that_times_out_leaves_nothing_behind():
@@ -96,46 +96,46 @@
     pair.network.unresponsive_addresses.add(ADDRESS)
 
     async def connect():
-        await asyncio.wait_for(pair.one.loop.create_connection(lambda: pair.near, *ADDRESS), 0.2)
+        await asyncio.wait_for(pair.client_process.loop.create_connection(lambda: pair.client, *ADDRESS), 0.2)
 
-    pair.spawn(pair.one, connect())
-    pair.one.loop.exception_handler = lambda *_: None
-    pair.go(100_000)
-    assert len(pair.one.sockets) == 1
+    pair.spawn(pair.client_process, connect())
+    pair.client_process.loop.exception_handler = lambda *_: None
+    pair.advance(100_000)
+    assert len(pair.client_process.sockets) == 1
     pair.network.unresponsive_addresses.clear()
-    pair.go(5_000_000)
-    assert not pair.one.sockets
-    assert pair.far is None
+    pair.advance(5_000_000)
+    assert not pair.client_process.sockets
+    assert pair.server is None
 
 
 def test_a_full_listen_queue_delays_connections():
     pair = ConnectionPair()
     listening = pair.network.listeners[ADDRESS]
     listening.backlog = 0
-    pair.up()
-    assert pair.far is None
-    assert pair.failed is None
+    pair.connect_and_wait()
+    assert pair.server is None
+    assert pair.connect_error is None
     listening.backlog = 1
-    pair.go(1_000_000)
-    assert pair.far is not None
+    pair.advance(1_000_000)
+    assert pair.server is not None
 
 
 @pytest.mark.parametrize("resets", [False, True])
 def test_a_cut_zone_blocks_bytes_and_its_return_resets_or_resumes(resets):
-    pair = ConnectionPair().up()
+    pair = ConnectionPair().connect_and_wait()
     pair.network.cut_zone("b")
-    pair.one.run(pair.near.transport.write, b"lost?")
-    pair.go(3_000_000)
-    assert pair.far.received == b""
-    assert pair.near.error is None
+    pair.client_process.run(pair.client.transport.write, b"lost?")
+    pair.advance(3_000_000)
+    assert pair.server.received == b""
+    assert pair.client.error is None
     pair.network.restore_zone("b", resets)
-    pair.go(1_000_000)
+    pair.advance(1_000_000)
     if resets:
-        assert isinstance(pair.near.error, ConnectionResetError)
-        assert pair.far.received == b""
+        assert isinstance(pair.client.error, ConnectionResetError)
+        assert pair.server.received == b""
     else:
-        assert pair.far.received == b"lost?"
-        assert pair.near.error is None
+        assert pair.server.received == b"lost?"
+        assert pair.client.error is None
 
 
 @pytest.mark.parametrize("resets", [False, True])
@@ -144,26 +144,26 @@
     pair.network.tap_factory = lambda end: type(
         "Tap", (), {"data_sent": lambda *_: None, "data_received": lambda *_: None}
     )()
-    pair.up()
-    pair.go(1_000_000)
-    assert pair.near.error is None
-    pair.one.run(pair.near.transport.write, b"into nothing")
-    pair.go(1_000_000)
-    assert pair.far.received == b""
-    assert (pair.near.error is not None) == resets
+    pair.connect_and_wait()
+    pair.advance(1_000_000)
+    assert pair.client.error is None
+    pair.client_process.run(pair.client.transport.write, b"into nothing")
+    pair.advance(1_000_000)
+    assert pair.server.received == b""
+    assert (pair.client.error is not None) == resets
 
 
 def test_a_peek_shows_data_the_end_and_a_reset():
-    pair = ConnectionPair().up()
-    pair.two.run(pair.far.transport.pause_reading)
-    sock = pair.far.transport.get_extra_info("socket")
+    pair = ConnectionPair().connect_and_wait()
+    pair.server_process.run(pair.server.transport.pause_reading)
+    sock = pair.server.transport.get_extra_info("socket")
     with pytest.raises(BlockingIOError):
         sock.recv(1, socket.MSG_PEEK)
-    pair.one.run(pair.near.transport.write, b"ab")
-    pair.go(100_000)
+    pair.client_process.run(pair.client.transport.write, b"ab")
+    pair.advance(100_000)
     assert sock.recv(1, socket.MSG_PEEK) == b"a" == sock.recv(1, socket.MSG_PEEK)
-    pair.one.run(pair.near.transport.close)
-    pair.go(100_000)
+    pair.client_process.run(pair.client.transport.close)
+    pair.advance(100_000)
     assert sock.recv(9) == b"ab"
     assert sock.recv(1, socket.MSG_PEEK) == b""
     sock.end.reset_arrived()
@@ -173,12 +173,12 @@
 
 def test_a_process_cannot_exceed_its_descriptor_limit():
     pair = ConnectionPair()
-    noted = []
-    pair.network.on_event = lambda *what: noted.append(what[0])
-    pair.one.max_sockets = 0
+    event_kinds = []
+    pair.network.on_event = lambda *what: event_kinds.append(what[0])
+    pair.client_process.max_sockets = 0
     with pytest.raises(OSError, match="too many open files"):
-        pair.network.socket(pair.one)
-    assert noted == ["exhausted"]
+        pair.network.socket(pair.client_process)
+    assert event_kinds == ["exhausted"]
 
 
 def test_simultaneous_calls_run_in_the_order_scheduled_and_a_killed_process_runs_none():
@@ -209,9 +209,9 @@
     scheduler = Scheduler(max_steps=1_000)
     process = Process(scheduler, "one", "a")
 
-    def again():
-        process.loop.call_soon(again)
+    def reschedule():
+        process.loop.call_soon(reschedule)
 
-    again()
+    reschedule()
     with pytest.raises(StepLimitError):
         scheduler.run_until(CLOCK_START + 1)
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios as files: read whole, or refused by path with the reason."""
+"""Scenario files are read completely, or rejected with the path and the reason."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "message"),
     [
         ('{"length": "2"}', "no span of time"),
         ('{"length": 2000}', "no unit"),
@@ -30,10 +30,10 @@
         ('{"length": ', "truncated"),
     ],
 )
-def test_an_invalid_scenario_is_rejected_by_path(text, why):
-    with pytest.raises(ValueError, match=r".") as refused:
+def test_an_invalid_scenario_is_rejected_by_path(text, message):
+    with pytest.raises(ValueError, match=r".") as raised:
         SCENARIO_FILES.decode(text.encode())
-    assert why in str(refused.value)
+    assert message in str(raised.value)
 
 
 def test_an_error_names_its_file(tmp_path):
@@ -57,7 +57,7 @@
 
 
 def test_a_drawn_scenario_is_valid_and_the_same_each_time():
-    seen = set()
+    drawn_faults = set()
     for seed in range(400):
         scenario = draw(seed)
         assert SCENARIO_FILES.decode(SCENARIO_FILES.encode(scenario)) == scenario == draw(seed)
@@ -65,8 +65,8 @@
         assert scenario.load.requests >= 100
         assert scenario.length >= 5 * S
         assert scenario.faults
-        seen |= {fault.what for fault in scenario.faults}
-    assert seen == set(GROUP_OF)
+        drawn_faults |= {fault.what for fault in scenario.faults}
+    assert drawn_faults == set(GROUP_OF)
 
 
 def test_faults_may_be_restricted():
