--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -25,7 +25,7 @@
 RESERVED_DESCRIPTORS = 4  # of the limit, not available for sockets
 FIRST_PROCESS_ID = 1_000
 LATE_VALUE = 0.25  # the share of a request's value that an answer after the latency objective earns
-MICROSECONDS_PER_MILLISECOND = 1_000  # microseconds
+MICROSECONDS_PER_MILLISECOND = 1_000
 # Log events about single requests, which are left out because the peers record the requests themselves.
 UNRECORDED_LOG_EVENTS = frozenset(
     {
@@ -42,7 +42,7 @@
 RECORDED_FIELD_NAMES = {"reason": "why", "version": "version", "restored": "kept", "status": "status"}
 
 
-class LogOwner(Protocol):
+class RecorderOwner(Protocol):
     """The owner of the recorder to which a program's log is written."""
 
     recorder: Recorder
@@ -51,7 +51,7 @@
 class ProgramLog:
     """A structured log that records a program's log events in the time line."""
 
-    def __init__(self, simulation: LogOwner, process: str) -> None:
+    def __init__(self, simulation: RecorderOwner, process: str) -> None:
         self.recorder = simulation.recorder
         self.process = process
         self.verbose = False
--- a/dahliabend/simulation/client_invariants.py
+++ b/dahliabend/simulation/client_invariants.py
@@ -165,9 +165,10 @@
             run.report("one answer", f"{trace_id}: began past its limit")
 
     def response_truncated(self, trace_id: str) -> None:
-        """Check a response whose connection ended before it was complete, which the client can detect.
+        """Check a response whose connection ended before it was complete.
 
-        It is a violation only if the upstream had delivered the whole answer to the balancer.
+        The client can detect the truncation, so it is a violation only if the upstream had delivered the
+        whole answer to the balancer.
         """
         run = self.run
         request = run.requests[trace_id]
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -36,7 +36,7 @@
 SETTLE_MARGIN = 1_500_000  # microseconds beyond what deadlines and idle timeouts need
 SHUTDOWN_TIME = 4_500_000  # microseconds for the balancers to end after SIGTERM
 READINESS_INTERVAL = 250_000  # microseconds between two polls of the balancers' readiness
-MAX_EXACT_BALANCERS = 16  # with more, upstreams that warm up tolerate a random excess, see counts_requests
+MAX_EXACT_BALANCERS = 16  # with more, upstreams that warm up tolerate a random excess of work
 LONG_BODY_SIZE = 120_000  # bytes
 BODY_SIZES = (0, 20, 600, 2_500)  # bytes
 CHUNK_INTERVALS = (2_000, 20_000, 60_000)  # microseconds between pieces of a request sent slowly
@@ -177,9 +177,9 @@
             self.balancers.append(BalancerHost(self, f"b{number}", host, self.registry, 0, number))
         if self.spec.shares_listener:
             for balancer in self.balancers:
-                self._listen_for(balancer)
+                self._open_platform_listener(balancer)
 
-    def _listen_for(self, balancer: BalancerHost) -> None:
+    def _open_platform_listener(self, balancer: BalancerHost) -> None:
         """Open a listener at a balancer's address as the platform does, which its processes inherit."""
         platform = Process(self.scheduler, f"platform-{balancer.name}", balancer.host, "a")
         sock = Socket(self.network, platform)
