--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -134,28 +134,28 @@
 
 def _add_later_fault(rng: Random, scenario: Scenario, kinds: tuple[str, ...]) -> None:
     """Add one of the later faults, to about a third of the seeds or, if `kinds` asks for any, to all."""
-    possible = [what for what in LATER_FAULTS if what in kinds] if kinds else LATER_FAULTS
+    possible = [fault_kind for fault_kind in LATER_FAULTS if fault_kind in kinds] if kinds else LATER_FAULTS
     if not possible or (not kinds and rng.random() > LATER_FAULT_SHARE):
         return
     world = scenario.world
     faults = scenario.faults
-    what = rng.choice(possible)
+    fault_kind = rng.choice(possible)
     at = Duration(rng.randrange(300, 1_500) * MS + rng.randrange(1_000))
     counts = {"upstream": world.upstreams, "discovery": world.balancers, "clients": 1}
-    count = counts[GROUP_OF[what]]
+    count = counts[GROUP_OF[fault_kind]]
     target = rng.randrange(count)
     size = round(rng.uniform(0.3, 1), 3)
-    fault = Fault(what, whom=target, at=at, span=Duration(2 * S), size=size)
+    fault = Fault(fault_kind, whom=target, at=at, span=Duration(2 * S), size=size)
     faults.append(fault)
-    if what == "slow-dial":
-        _add_retries_of_slow_connects(rng, scenario, fault, count)
-    if what == "behind":  # a balancer shuts down meanwhile, which closes its connections
+    if fault_kind == "slow-dial":
+        _vary_slow_connects(rng, scenario, fault, count)
+    if fault_kind == "behind":  # a balancer shuts down meanwhile, which closes its connections
         balancer = rng.randrange(world.balancers)
         faults.append(Fault("term", whom=balancer, at=Duration(at + S // 5)))
-    if what == "away":  # a process that starts meanwhile has to use the stored endpoint list
+    if fault_kind == "away":  # a process that starts meanwhile has to use the stored endpoint list
         fault.span = Duration(8 * S)
         faults.append(Fault("kill", whom=target, at=Duration(at + S // 2), span=Duration(300 * MS)))
-    if what in DISCOVERY_SILENCES:
+    if fault_kind in DISCOVERY_SILENCES:
         withdraw_at = Duration(at + rng.randrange(50, 900) * MS)
         faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=withdraw_at))
         scenario.length = Duration(12 * S)
@@ -163,8 +163,11 @@
         scenario.load.requests *= 2
 
 
-def _add_retries_of_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
-    """Have clients disconnect, attempts fail and deduplication windows end while connections come up."""
+def _vary_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
+    """Vary what happens while connections come up slowly.
+
+    Clients disconnect, attempts are repeated, and deduplication windows end.
+    """
     world = scenario.world
     load = scenario.load
     begins_at = fault.at or Duration(0)
@@ -188,8 +191,8 @@
     possible = [kind for kind in requested if _is_possible(kind, world) and kind not in LATER_FAULTS]
     if not possible:
         return []
-    what = rng.choice(possible)
-    target = GROUP_OF[what]
+    fault_kind = rng.choice(possible)
+    target = GROUP_OF[fault_kind]
     counts = {
         "upstream": world.upstreams + world.second_tier_upstreams,
         "balancer": world.balancers,
@@ -197,15 +200,15 @@
         "operator": world.balancers,
     }
     fault = Fault(
-        what=what,
-        whom=1 if what == "cut-zone" else rng.randrange(counts.get(target, 1)),
+        what=fault_kind,
+        whom=1 if fault_kind == "cut-zone" else rng.randrange(counts.get(target, 1)),
         at=Duration(rng.randrange(200, 2_500) * MS + rng.randrange(1_000)),
         span=Duration(rng.choice((100, 400, 900, 1_600)) * MS + rng.randrange(1_000)),
         size=round(rng.uniform(0.2, 1.0), 3),
     )
-    if what == "exclude":  # longer than the grace period, within which nothing is a violation
+    if fault_kind == "exclude":  # longer than the grace period, within which nothing is a violation
         fault.span = Duration(world.drain_time + rng.randrange(300, 1_500) * MS)
-    if what == "crowd":
+    if fault_kind == "crowd":
         fault.size = round(2 * fault.size, 3)
     if target == "hop" or rng.random() < EVENT_TRIGGER_SHARE:
         fault.at = None
@@ -218,13 +221,13 @@
 
 def _draw_companion(rng: Random, world: WorldSpec, fault: Fault, kinds: Sequence[str]) -> list[Fault]:
     """Draw a second fault: a slow start after a kill, or a fault at the end of a drain's grace period."""
-    what = fault.what
-    if what == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
+    fault_kind = fault.what
+    if fault_kind == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
         span = Duration(rng.randrange(60, 500) * MS)
         return [Fault("stall", whom=fault.whom, on="listening", span=span)]
-    if what in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
+    if fault_kind in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
         possible = [kind for kind in EDGE_FAULTS if not kinds or kind in kinds]
-        edge_kind = rng.choice(possible or [what])
+        edge_kind = rng.choice(possible or [fault_kind])
         edge_fault = Fault(
             what=edge_kind,
             whom=0 if GROUP_OF[edge_kind] in ("balancer", "discovery") else fault.whom,
@@ -237,7 +240,7 @@
     return []
 
 
-def _is_possible(what: str, world: WorldSpec) -> bool:
-    if what == "cut-zone":
+def _is_possible(fault_kind: str, world: WorldSpec) -> bool:
+    if fault_kind == "cut-zone":
         return world.zones >= MIN_ZONES_TO_CUT
-    return what != "upgrade" or world.shares_listener
+    return fault_kind != "upgrade" or world.shares_listener
--- a/dahliabend/simulation/sweep.py
+++ b/dahliabend/simulation/sweep.py
@@ -62,12 +62,12 @@
 
 def run_seed(scenario: Scenario) -> SeedResult:
     """Run a scenario and return its summary; an error of the simulation itself counts as a violated rule."""
-    began = time.process_time()
+    started_at = time.process_time()
     faults: list[str] = [fault.what for fault in scenario.faults]
     try:
         result = run_scenario(scenario)
     except Exception as error:  # the sweep reports any error and continues
-        cpu = time.process_time() - began
+        cpu = time.process_time() - started_at
         return SeedResult(scenario.seed, faults, {SIMULATION_ERROR_RULE: repr(error)}, {}, "", 0, 0, cpu)
     rules: dict[str, str] = {}
     for violation in result.violations:
@@ -80,7 +80,7 @@
         result.digest,
         result.steps,
         result.span,
-        time.process_time() - began,
+        time.process_time() - started_at,
     )
 
 
@@ -111,7 +111,7 @@
         prepare: `module:function`, called at the start of each task in its worker process.
     """
     summary = Summary()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     results: list[SeedResult] = []
     with ProcessPoolExecutor(jobs) as pool:
         tasks = [
@@ -125,7 +125,7 @@
                     on_result(result)
     for result in sorted(results, key=lambda result: result.seed):
         summary.add(result)
-    summary.wall = time.perf_counter() - began
+    summary.wall = time.perf_counter() - started_at
     return summary
 
 
--- a/tests/simulation/test_sweep.py
+++ b/tests/simulation/test_sweep.py
@@ -119,19 +119,19 @@
     )  # fmt: skip
 
 
-@pytest.mark.parametrize("edge", [-1, 0, 1])
+@pytest.mark.parametrize("offset", [-1, 0, 1])
 @pytest.mark.parametrize("what", ["stall", "end-watch", "crash", "hang", "kill"])
-def test_a_fault_at_the_end_of_a_drain_violates_nothing(what, edge):
+def test_a_fault_at_the_end_of_a_drain_violates_nothing(what, offset):
     simulation = Simulation(
         build_scenario(
             Fault("drain", at=Duration(S)),
-            Fault(what, on="told", after=Duration(1_500 * MS + edge), size=1.0, span=Duration(300 * MS)),
+            Fault(what, on="told", after=Duration(1_500 * MS + offset), size=1.0, span=Duration(300 * MS)),
         )
     )
     result = simulation.run()
-    at = [line[0] for line in result.lines if line[1] == "fault"]
+    fault_times = [line[0] for line in result.lines if line[1] == "fault"]
     drained_at = next(line[0] for line in result.lines if line[1] == "told" and line[4] == "draining")
-    assert at[1] == drained_at + 1_500 * MS + edge
+    assert fault_times[1] == drained_at + 1_500 * MS + offset
     assert not result.violations
 
 
@@ -158,10 +158,12 @@
 
     Meanwhile clients send requests on connections that a balancer has half-closed.
     """
-    terms = [Fault("term", whom=n, on=on, name=name, nth=9 + 8 * n, after=Duration(after)) for n in (0, 1)]
+    terminations = [
+        Fault("term", whom=n, on=on, name=name, nth=9 + 8 * n, after=Duration(after)) for n in (0, 1)
+    ]
     half_close = Fault("behind", at=Duration(200 * MS), size=1.0)
     result = run_scenario(
-        build_scenario(half_close, *terms, load={"new_connection_share": 0.3, "chunked_share": 0.1})
+        build_scenario(half_close, *terminations, load={"new_connection_share": 0.3, "chunked_share": 0.1})
     )
     ended = [line[0] for line in result.lines if line[1] == "ended" and line[2] in ("b0/1", "b1/1")]
     assert not result.violations, [str(violation) for violation in result.violations]
