--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -256,9 +256,9 @@
             self.network.refusing_addresses.add(address)
             self.call_later(duration, self.network.refusing_addresses.discard, address)
         else:
-            switch, value, normal = BEHAVIOR_SWITCHES[fault_kind]
-            setattr(upstream, switch, value)
-            self.call_later(duration, setattr, upstream, switch, normal)
+            attribute, value, normal_value = BEHAVIOR_SWITCHES[fault_kind]
+            setattr(upstream, attribute, value)
+            self.call_later(duration, setattr, upstream, attribute, normal_value)
 
     def kill(self, name: str) -> None:
         """Kill an upstream's process; `restart` starts another one."""
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -310,7 +310,7 @@
     )
 
 
-def stop_reading_when_paused():
+def disable_hangup_detection():
     return replace_attribute(ClientConnection, "transport_paused", lambda self: None)
 
 
@@ -358,11 +358,11 @@
 def reject_everything_after_a_while():
     original = Balancer.admit
 
-    def admit(self, now, *arguments, **more):
+    def admit(self, now, *arguments, **keywords):
         self.first_admission_at = getattr(self, "first_admission_at", now)
         if now - self.first_admission_at >= 3 * S:
             self.concurrency.limit = 0.0
-        return original(self, now, *arguments, **more)
+        return original(self, now, *arguments, **keywords)
 
     return replace_attribute(Balancer, "admit", admit)
 
@@ -424,7 +424,7 @@
         retry_after_deduplication_window, ("no effect twice",), ("slow-dial",), 20
     ),
     "the time of the choice told": Defect(announce_time_left_at_selection, ("time told",), ("slow-dial",)),
-    "a leaving behind unread bytes": Defect(stop_reading_when_paused, ("after the end",), ("flood",)),
+    "a leaving behind unread bytes": Defect(disable_hangup_detection, ("after the end",), ("flood",)),
     "silent watches waited for": Defect(disable_silence_timeout, ("told in time",), ("deaf",)),
     "a count begun anew passed over": Defect(ignore_restarted_versions, ("told in time",), ("anew",)),
     "what a whole list leaves out is kept": Defect(
