--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -1,4 +1,4 @@
-"""A balancer of a simulation through its processes: its configuration, starts, signals and ends."""
+"""A balancer of a simulation: its configuration, and the starts, signals and ends of its processes."""
 
 import asyncio
 import signal
@@ -20,13 +20,13 @@
 AGENT_PORT = 8500
 ADMIN_PORT = 9000
 MIN_TERMINATION_TIME = 3_700_000  # microseconds from SIGTERM to SIGKILL
-MAX_COUNTED_DEADLINE = 3_000_000  # microseconds: longer deadlines don't lengthen the grace
-TERMINATION_MARGIN = 700_000  # microseconds over the deadline of requests
-RESERVED_DESCRIPTORS = 4
+MAX_COUNTED_DEADLINE = 3_000_000  # microseconds: longer deadlines do not extend the time until SIGKILL
+TERMINATION_MARGIN = 700_000  # microseconds until SIGKILL beyond the deadline of requests
+RESERVED_DESCRIPTORS = 4  # of the limit, not available for sockets
 FIRST_PROCESS_ID = 1_000
-LATE_VALUE = 0.25  # the share of its value that an answer after the latency objective earns
-MILLISECOND = 1_000  # microseconds
-# Events of the program's log about single requests: the peers record these themselves.
+LATE_VALUE = 0.25  # the share of a request's value that an answer after the latency objective earns
+MICROSECONDS_PER_MILLISECOND = 1_000
+# Log events about single requests, which are left out because the peers record the requests themselves.
 UNRECORDED_LOG_EVENTS = frozenset(
     {
         "attempt.failed",
@@ -37,21 +37,21 @@
         "metrics.reported",
     }
 )
-# The time line keeps the names that events and fields had before: a digest tells one run from another.
+# The time line uses the former names of log events and fields: a new name would change the digests.
 RECORDED_EVENT_NAMES = {event: former for former, event in EVENTS_BY_FORMER_NAME.items()}
 RECORDED_FIELD_NAMES = {"reason": "why", "version": "version", "restored": "kept", "status": "status"}
 
 
-class LogOwner(Protocol):
-    """Where a program's log goes."""
+class RecorderOwner(Protocol):
+    """The owner of the recorder to which a program's log is written."""
 
     recorder: Recorder
 
 
 class ProgramLog:
-    """A program's structured log, into the time line."""
+    """A structured log that records a program's log events in the time line."""
 
-    def __init__(self, simulation: LogOwner, process: str) -> None:
+    def __init__(self, simulation: RecorderOwner, process: str) -> None:
         self.recorder = simulation.recorder
         self.process = process
         self.verbose = False
@@ -68,7 +68,7 @@
             self.recorder("log", self.process, name, orjson.dumps(shown, default=str).decode())
 
     def debug(self, event: str, **fields: Any) -> None:  # noqa: ANN401 -- the log takes any value
-        """Debug events are not recorded."""
+        """Ignore a debug event."""
 
     def loop_failed(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Record an exception that reached the process's event loop."""
@@ -76,7 +76,7 @@
 
 
 class BalancerHost:
-    """One balancer, its discovery agent, and the processes that it had."""
+    """One balancer with its discovery agent, and its successive processes."""
 
     def __init__(
         self,
@@ -87,15 +87,15 @@
         tier: int,
         index: int,
     ) -> None:
-        """Create a balancer that has not started.
+        """Create a balancer without a process, and start its discovery agent.
 
         Args:
-            simulation: that it belongs to.
-            name: of the balancer.
-            host: its address, which its agent has too.
-            registry: of the upstreams of its tier.
-            tier: 0 for clients' requests, 1 for those of upstreams.
-            index: of this balancer in its tier.
+            simulation: the simulation to which the balancer belongs.
+            name: the balancer's name.
+            host: the IP address of the balancer and of its agent.
+            registry: the endpoint list of its tier.
+            tier: 0 if the balancer serves clients, 1 if it serves upstreams.
+            index: the index of the balancer in its tier.
         """
         self.simulation = simulation
         self.name = name
@@ -105,20 +105,20 @@
         self.address: Address = (host, SECOND_TIER_PORT if tier else CLIENT_PORT)
         self.admin_address: Address = (host, ADMIN_PORT)
         self.agent_port = AGENT_PORT
-        self.starts = 0
+        self.start_count = 0
         self.process: Process | None = None
         self.program: PlatformServer | None = None
         zone = simulation.network.zones[host]
         self.agent_process = Process(simulation.scheduler, f"{name}-agent", host, zone)
         rng = simulation.rng_for(f"agent {name}")
-        notice = simulation.spec.discovery_delay
-        self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, notice)
+        discovery_delay = simulation.spec.discovery_delay
+        self.agent = Agent(registry, self.agent_process.loop, simulation.recorder, rng, discovery_delay)
         self.agent.name = name
         simulation.spawn(self.agent_process, self.agent.open(host, self.agent_port))
         self.settings = platform_settings(simulation, tier, index)
 
     def program_config(self) -> dict[str, Any]:
-        """The program's configuration file."""
+        """Return the content of the program's configuration file."""
         simulation = self.simulation
         return {
             "name": self.name,
@@ -132,32 +132,32 @@
 
     @property
     def config_path(self) -> str:
-        """Where the program's configuration file is."""
+        """The path of the program's configuration file."""
         return f"/run/{self.name}.json"
 
     def write_config(self, text: bytes | None = None) -> None:
-        """Write the program's configuration file, or another text in its place."""
+        """Write the program's configuration file, with the given text or the current configuration."""
         content = orjson.dumps(self.program_config()) if text is None else text
         self.simulation.host.files[self.config_path] = content
 
     def start(self) -> None:
-        """Start a process, beside the one that may still run."""
+        """Start a process; an earlier one may still run."""
         simulation = self.simulation
-        self.starts += 1
+        self.start_count += 1
         self.write_config()
         process = Process(
             simulation.scheduler,
-            f"{self.name}/{self.starts}",
+            f"{self.name}/{self.start_count}",
             self.host,
             simulation.network.zones[self.host],
             simulation.spec.max_descriptors - RESERVED_DESCRIPTORS,
         )
-        process.process_id = FIRST_PROCESS_ID + self.starts
+        process.process_id = FIRST_PROCESS_ID + self.start_count
         process.loop.network = simulation.network
         process.on_exit = lambda reason: simulation.recorder("ended", process.name, reason)
         environment = {"PROXY_CONFIG": self.config_path}
         if simulation.spec.admin and not self.tier:
-            self.admin_address = (self.host, ADMIN_PORT + self.starts)
+            self.admin_address = (self.host, ADMIN_PORT + self.start_count)
             environment["PROXY_ADMIN"] = format_address(self.admin_address)
         if simulation.spec.shares_listener and not self.tier:
             environment |= {"PROXY_FD": "3", "TMPDIR": f"/tmp/{self.name}"}
@@ -172,10 +172,11 @@
             self.start()
 
     def _run_program(self, process: Process, environment: dict[str, str]) -> None:
+        """Run the balancer's program as the main task of a process."""
         log: Any = ProgramLog(self.simulation, process.name)  # stands in for the program's log
 
         async def main() -> None:
-            """Run the program as its command does."""
+            """Run the program as the command line does."""
             program = PlatformServer(read_server_settings(environment), environment, log)
             if self.process is process:
                 self.program = program
@@ -187,17 +188,17 @@
 
     @property
     def alive(self) -> bool:
-        """Whether its newest process runs."""
+        """Whether the newest process runs."""
         return self.process is not None and self.process.alive
 
     def kill(self) -> None:
-        """Kill its newest process."""
+        """Kill the newest process. Its exclusions are lost unless processes share the listener."""
         if not self.simulation.spec.shares_listener:
             self.simulation.invariants.endpoints.forget_exclusions(self.name)
         self.signal(signal.SIGKILL)
 
     def signal(self, signal_number: int) -> None:
-        """Send its newest process a signal."""
+        """Send a signal to the newest process."""
         if self.process is not None:
             self.process.signal(signal_number)
 
@@ -210,27 +211,27 @@
 
 
 def terminate_when_done(process: Process, task: asyncio.Task[None], recorder: Recorder) -> None:
-    """Have a process end as its main task ends."""
+    """Have a process end when its main task ends; record a crash if the task failed."""
 
-    def ended(task: asyncio.Task[None]) -> None:
+    def main_task_done(task: asyncio.Task[None]) -> None:
         """End the process with the task's result."""
         error = None if task.cancelled() else task.exception()
         if error is not None:
             recorder("crashed", process.name, repr(error))
         process.terminate("crashed" if error else "returned")
 
-    task.add_done_callback(ended)
+    task.add_done_callback(main_task_done)
 
 
 def platform_settings(simulation: SimulationEnvironment, tier: int, index: int) -> dict[str, Any]:
-    """The settings that the platform hands to a balancer, with the keys of the wire."""
+    """Return the settings that the platform sends to a balancer, with their keys on the wire."""
     spec = simulation.spec
     load = simulation.load
-    objective = spec.latency_objective / MILLISECOND
-    deadline = spec.deadline / MILLISECOND
+    objective = spec.latency_objective / MICROSECONDS_PER_MILLISECOND
+    deadline = spec.deadline / MICROSECONDS_PER_MILLISECOND
 
-    def request_class(name: str, semantics: str, value: float, **more: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
-        """One request class of the settings."""
+    def request_class(name: str, semantics: str, value: float, **extra_settings: Any) -> dict[str, Any]:  # noqa: ANN401 -- settings
+        """Return one request class of the settings."""
         return {
             "name": name,
             "service-goal": objective,
@@ -238,10 +239,10 @@
             "semantics": semantics,
             "revenue": value,
             "tardy-revenue": LATE_VALUE,
-            **more,
+            **extra_settings,
         }
 
-    window = spec.deduplication_window / MILLISECOND
+    window = spec.deduplication_window / MICROSECONDS_PER_MILLISECOND
     deduplication = {"dedup-window": window, "in-order": load.ordering_keys > 0}
     return {
         "balancers": spec.upstreams if tier else spec.balancers,
@@ -261,14 +262,14 @@
             "probing": spec.answers_health_checks,
             "retry-after": spec.sends_retry_after,
             "max-retry-after": 3000.0,
-            "conn-idle": spec.idle_timeout / MILLISECOND,
-            "dial-timeout": spec.connect_timeout / MILLISECOND,
+            "conn-idle": spec.idle_timeout / MICROSECONDS_PER_MILLISECOND,
+            "dial-timeout": spec.connect_timeout / MICROSECONDS_PER_MILLISECOND,
         },
         "contract": {
             "cold-share": spec.initial_capacity,
-            "cold": spec.warmup_time / MILLISECOND,
+            "cold": spec.warmup_time / MICROSECONDS_PER_MILLISECOND,
             "fall-multiple": spec.overload_multiple,
             "answer-slack": 20.0,
-            "order-pause": spec.order_pause / MILLISECOND,
+            "order-pause": spec.order_pause / MICROSECONDS_PER_MILLISECOND,
         },
     }
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -1,6 +1,7 @@
-"""Draws scenarios from seeds.
+"""Draws random scenarios from seeds.
 
-What a seed drew once it always draws: later additions have random generators of their own.
+A seed must draw the same scenario for ever, so additions to the generator use random generators of their own
+and leave the earlier draws as they were.
 """
 
 from collections.abc import Sequence
@@ -11,8 +12,8 @@
     ATTEMPT_EVENTS,
     FAULTS_BY_TARGET,
     GROUP_OF,
+    MIN_ZONES_TO_CUT,
     MS,
-    TWO_ZONES,
     Fault,
     FaultKind,
     LoadSpec,
@@ -22,27 +23,32 @@
     check,
 )
 
-# Faults that were added later, and are drawn apart.
+# Faults added to the generator later, which are drawn with a separate random generator.
 LATER_FAULTS: tuple[FaultKind, ...] = (
     "twice", "slow-dial", "withdraw", "deaf", "whole", "anew", "flood", "behind", "leave", "away",
 )  # fmt: skip
-# Faults of discovery after each of which an upstream is withdrawn, in a longer run.
+# Faults of discovery during which an upstream is withdrawn, in a longer run.
 DISCOVERY_SILENCES = ("deaf", "whole", "anew", "away")
 ALL_FAULTS: tuple[FaultKind, ...] = tuple(kind for kinds in FAULTS_BY_TARGET.values() for kind in kinds)
 KINDS_BY_NAME: dict[str, FaultKind] = {kind: kind for kind in ALL_FAULTS}
 EDGE_FAULTS: tuple[FaultKind, ...] = ("stall", "hang", "crash", "reset", "end-watch")
-DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds round the end of a drain's grace
-ORDERED_SHARE = 0.25  # of the seeds: requests with ordering keys
+DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds relative to the end of a drain's grace period
+ORDERED_SHARE = 0.25  # of the seeds have requests with ordering keys
 LATER_FAULT_SHARE = 0.35  # of the seeds
 SHORT_DEADLINE_SHARE = 0.15  # of the seeds
-MANY_BALANCERS_SHARE = 0.18  # of the seeds, with those of short deadlines
+MANY_BALANCERS_SHARE = 0.18  # of the seeds, cumulative: includes the seeds with short deadlines
 EVENT_TRIGGER_SHARE = 0.2  # of the faults
 SLOW_START_SHARE = 0.4  # of the kills
-EDGE_FAULT_SHARE = 0.6  # of the drains and restarts
+EDGE_FAULT_SHARE = 0.6  # of the drains and planned restarts
 
 
 def draw(seed: int, kinds: tuple[str, ...] = ()) -> Scenario:
-    """Draw a scenario with one to three faults, of these kinds if any are given."""
+    """Draw a scenario with one to three faults and what accompanies them.
+
+    Args:
+        seed: of all random generators.
+        kinds: the faults to draw from; empty: all.
+    """
     rng = Random(f"scenario {seed}")
     world = _draw_world(rng)
     load = _draw_load(rng)
@@ -109,7 +115,7 @@
 
 
 def _vary_sizes(rng: Random, scenario: Scenario) -> None:
-    """Give some seeds short deadlines, or many balancers with a cold upstream under a burst."""
+    """Give some seeds short deadlines, others many balancers and a burst while an upstream warms up."""
     world = scenario.world
     load = scenario.load
     drawn = rng.random()
@@ -127,60 +133,66 @@
 
 
 def _add_later_fault(rng: Random, scenario: Scenario, kinds: tuple[str, ...]) -> None:
-    """Give a third of the seeds, or those where they are asked for, one of the later faults."""
-    possible = [what for what in LATER_FAULTS if what in kinds] if kinds else LATER_FAULTS
+    """Add one of the later faults, to about a third of the seeds or, if `kinds` asks for any, to all."""
+    possible = [fault_kind for fault_kind in LATER_FAULTS if fault_kind in kinds] if kinds else LATER_FAULTS
     if not possible or (not kinds and rng.random() > LATER_FAULT_SHARE):
         return
     world = scenario.world
     faults = scenario.faults
-    what = rng.choice(possible)
+    fault_kind = rng.choice(possible)
     at = Duration(rng.randrange(300, 1_500) * MS + rng.randrange(1_000))
     counts = {"upstream": world.upstreams, "discovery": world.balancers, "clients": 1}
-    count = counts[GROUP_OF[what]]
+    count = counts[GROUP_OF[fault_kind]]
     target = rng.randrange(count)
     size = round(rng.uniform(0.3, 1), 3)
-    fault = Fault(what, whom=target, at=at, span=Duration(2 * S), size=size)
+    fault = Fault(fault_kind, whom=target, at=at, span=Duration(2 * S), size=size)
     faults.append(fault)
-    if what == "slow-dial":
-        _add_retries_of_slow_connects(rng, scenario, fault, count)
-    if what == "behind":  # the balancers end their connections meanwhile
+    if fault_kind == "slow-dial":
+        _vary_slow_connects(rng, scenario, fault, count)
+    if fault_kind == "behind":  # a balancer shuts down meanwhile, which closes its connections
         balancer = rng.randrange(world.balancers)
         faults.append(Fault("term", whom=balancer, at=Duration(at + S // 5)))
-    if what == "away":  # a process that starts meanwhile goes by what was known before
+    if fault_kind == "away":  # a process that starts meanwhile has to use the stored endpoint list
         fault.span = Duration(8 * S)
         faults.append(Fault("kill", whom=target, at=Duration(at + S // 2), span=Duration(300 * MS)))
-    if what in DISCOVERY_SILENCES:
-        soon = Duration(at + rng.randrange(50, 900) * MS)
-        faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=soon))
+    if fault_kind in DISCOVERY_SILENCES:
+        withdraw_at = Duration(at + rng.randrange(50, 900) * MS)
+        faults.append(Fault("withdraw", whom=rng.randrange(world.upstreams), at=withdraw_at))
         scenario.length = Duration(12 * S)
         scenario.load.send_time = Duration(11 * S)
         scenario.load.requests *= 2
 
 
-def _add_retries_of_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
-    """Have clients disconnect, attempts repeat and deduplication windows end while connections come up."""
+def _vary_slow_connects(rng: Random, scenario: Scenario, fault: Fault, count: int) -> None:
+    """Vary what happens while connections come up slowly.
+
+    Clients disconnect, attempts are repeated, and deduplication windows end.
+    """
     world = scenario.world
     load = scenario.load
-    begin = fault.at or Duration(0)
+    begins_at = fault.at or Duration(0)
     world.connect_timeout = Duration(rng.choice((75, 400, 900)) * MS)
     load.disconnect_share = 0.4
     world.may_cancel = world.may_cancel and _happens(rng, 0.5)
     world.deduplication_window = Duration(rng.choice((150, 400, 1_200)) * MS)
     load.deduplicated_share = 0.4
     upstream = rng.randrange(count)
-    scenario.faults.append(Fault("fail", whom=upstream, at=begin, span=Duration(2 * S), size=0.5))
-    fault.at = Duration(rng.randrange(200) * MS)  # most connections come up in the first seconds
-    scenario.faults.append(Fault("reset", whom=fault.whom, at=Duration(begin + S // 2)))
+    scenario.faults.append(Fault("fail", whom=upstream, at=begins_at, span=Duration(2 * S), size=0.5))
+    fault.at = Duration(rng.randrange(200) * MS)  # most connections are opened in the first seconds
+    scenario.faults.append(Fault("reset", whom=fault.whom, at=Duration(begins_at + S // 2)))
 
 
 def _draw_fault(rng: Random, world: WorldSpec, kinds: Sequence[str]) -> list[Fault]:
-    """Draw a fault, sometimes with another one that comes at its worst moment."""
-    asked = [KINDS_BY_NAME[name] for name in kinds] or ALL_FAULTS
-    possible = [kind for kind in asked if _is_possible(kind, world) and kind not in LATER_FAULTS]
+    """Draw a fault, sometimes with a second one that begins at the most critical moment of the first.
+
+    Return no fault if none of the kinds is possible in that world.
+    """
+    requested = [KINDS_BY_NAME[name] for name in kinds] or ALL_FAULTS
+    possible = [kind for kind in requested if _is_possible(kind, world) and kind not in LATER_FAULTS]
     if not possible:
         return []
-    what = rng.choice(possible)
-    target = GROUP_OF[what]
+    fault_kind = rng.choice(possible)
+    target = GROUP_OF[fault_kind]
     counts = {
         "upstream": world.upstreams + world.second_tier_upstreams,
         "balancer": world.balancers,
@@ -188,15 +200,15 @@
         "operator": world.balancers,
     }
     fault = Fault(
-        what=what,
-        whom=1 if what == "cut-zone" else rng.randrange(counts.get(target, 1)),
+        what=fault_kind,
+        whom=1 if fault_kind == "cut-zone" else rng.randrange(counts.get(target, 1)),
         at=Duration(rng.randrange(200, 2_500) * MS + rng.randrange(1_000)),
         span=Duration(rng.choice((100, 400, 900, 1_600)) * MS + rng.randrange(1_000)),
         size=round(rng.uniform(0.2, 1.0), 3),
     )
-    if what == "exclude":  # what comes within the grace violates nothing
+    if fault_kind == "exclude":  # longer than the grace period, within which nothing is a violation
         fault.span = Duration(world.drain_time + rng.randrange(300, 1_500) * MS)
-    if what == "crowd":
+    if fault_kind == "crowd":
         fault.size = round(2 * fault.size, 3)
     if target == "hop" or rng.random() < EVENT_TRIGGER_SHARE:
         fault.at = None
@@ -208,17 +220,17 @@
 
 
 def _draw_companion(rng: Random, world: WorldSpec, fault: Fault, kinds: Sequence[str]) -> list[Fault]:
-    """A second fault: a slow start after a kill, or one exactly as the grace of a drain ends."""
-    what = fault.what
-    if what == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
+    """Draw a second fault: a slow start after a kill, or a fault at the end of a drain's grace period."""
+    fault_kind = fault.what
+    if fault_kind == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
         span = Duration(rng.randrange(60, 500) * MS)
         return [Fault("stall", whom=fault.whom, on="listening", span=span)]
-    if what in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
+    if fault_kind in ("drain", "restart") and rng.random() < EDGE_FAULT_SHARE:
         possible = [kind for kind in EDGE_FAULTS if not kinds or kind in kinds]
-        other = rng.choice(possible or [what])
+        edge_kind = rng.choice(possible or [fault_kind])
         edge_fault = Fault(
-            what=other,
-            whom=0 if GROUP_OF[other] in ("balancer", "discovery") else fault.whom,
+            what=edge_kind,
+            whom=0 if GROUP_OF[edge_kind] in ("balancer", "discovery") else fault.whom,
             on="told",
             after=Duration(world.drain_time + rng.choice(DRAIN_EDGE_OFFSETS)),
             span=Duration(200 * MS),
@@ -228,7 +240,7 @@
     return []
 
 
-def _is_possible(what: str, world: WorldSpec) -> bool:
-    if what == "cut-zone":
-        return world.zones >= TWO_ZONES
-    return what != "upgrade" or world.shares_listener
+def _is_possible(fault_kind: str, world: WorldSpec) -> bool:
+    if fault_kind == "cut-zone":
+        return world.zones >= MIN_ZONES_TO_CUT
+    return fault_kind != "upgrade" or world.shares_listener
