--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -49,7 +49,7 @@
     return call_with_cluster
 
 
-def _load_cluster(what: str, instances: int, period: str, minutes: float) -> script.Fleet:
+def _load_cluster(what: str, instances: int, period: str, minutes: float) -> script.ClusterScript:
     """A seed's, or a file's."""
     if what.isascii() and what.isdigit():
         return script.draw(int(what), instances, Duration.parse(period), minutes)
@@ -69,7 +69,7 @@
 @click.option("--upstreams", type=click.IntRange(1, MAX_UPSTREAMS), default=4, show_default=True)
 @click.option("--quiet", is_flag=True, help="Only what came of it.")
 def run(
-    cluster: script.Fleet, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
+    cluster: script.ClusterScript, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
 ) -> None:
     """Runs WHAT between real processes; exits with 1 if a rule was broken.
 
@@ -110,7 +110,7 @@
 
 
 def _run_processes(
-    cluster: script.Fleet, traffic: float, upstreams: int, print_line: Callable[[str], None]
+    cluster: script.ClusterScript, traffic: float, upstreams: int, print_line: Callable[[str], None]
 ) -> Outcome:
     from dahliabend.process_tests.runner import ProcessTestRunner
 
@@ -120,7 +120,7 @@
 @process_tests.command("model")
 @_with_cluster
 @json_option
-def model_command(cluster: script.Fleet, *, as_json: bool) -> None:
+def model_command(cluster: script.ClusterScript, *, as_json: bool) -> None:
     """Runs WHAT on the modelled network and prints its time line; exits with 1 if a rule was broken."""
     outcome = model.run_script(cluster)
     if as_json:
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -7,7 +7,7 @@
 
 from dahliabend.process_tests.load_observer import DRAIN_TIME, LIMIT, SLACK, LoadObserver
 from dahliabend.simulation.addresses import Address, format_address
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.peers.client_request import ClientRequest
 from dahliabend.simulation.peers.clients import Clients
 from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
@@ -64,14 +64,14 @@
 """
 
 
-def pools_text(fleet: Fleet, discovery_address: Address) -> str:
+def pools_text(script: ClusterScript, discovery_address: Address) -> str:
     """The part of each instance's file that describes pools, classes and routes."""
-    subset = f'[pools.main.subset]\nleast = {fleet.subset}\ndegree = {fleet.subset}\nhold = "5s"'
+    subset = f'[pools.main.subset]\nleast = {script.subset}\ndegree = {script.subset}\nhold = "5s"'
     return POOLS_TEMPLATE.format(
         discovery=format_address(discovery_address),
-        balancers=fleet.instances,
-        subset=subset if fleet.subset else "",
-        limit=f'rate = "{fleet.limit}/s"\nshared = true' if fleet.limit else "",
+        balancers=script.instances,
+        subset=subset if script.subset else "",
+        limit=f'rate = "{script.limit}/s"\nshared = true' if script.limit else "",
     )
 
 
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -14,7 +14,7 @@
 import orjson
 
 from dahliabend.simulation.addresses import Address, format_address
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.peers.operators import call
 
 START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
@@ -91,15 +91,15 @@
         """Its operator's file."""
         return self.directory / f"{self.name}.toml"
 
-    def write(self, fleet: Fleet, addresses: list[Address], pools: str) -> None:
+    def write(self, script: ClusterScript, addresses: list[Address], pools: str) -> None:
         """Write its file.
 
         Args:
-            fleet: the script's cluster.
+            script: the script's cluster.
             addresses: where the members are reached, by number.
             pools: the rest of the file.
         """
-        seeds = ", ".join(f'"{format_address(addresses[number])}"' for number in fleet.seeds)
+        seeds = ", ".join(f'"{format_address(addresses[number])}"' for number in script.seeds)
         self.path.write_text(f"""
 [listeners.callers]
 address = "{format_address(self.client_address)}"
@@ -109,13 +109,13 @@
 name = "{self.name}"
 address = "{format_address(self.datagram_address)}"
 advertise = "{format_address(addresses[self.number])}"
-zone = "z{self.number % fleet.zones}"
+zone = "z{self.number % script.zones}"
 seeds = [{seeds}]
 key-files = ["key"]
 keep = "{self.name}.keep"
-period = "{fleet.period}"
-signals = {str(fleet.signals).lower()}
-probing = "{fleet.probing}"
+period = "{script.period}"
+signals = {str(script.signals).lower()}
+probing = "{script.probing}"
 {pools}""")
 
     async def start(self) -> None:
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -32,7 +32,7 @@
     check_membership_changes,
 )
 from dahliabend.simulation.cluster.model import CHECKS_PER_PERIOD, ScenarioRunner, subject_number
-from dahliabend.simulation.cluster.script import LINK_FAULTS, Fleet, S, Step
+from dahliabend.simulation.cluster.script import LINK_FAULTS, ClusterScript, S, Step
 
 CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two looks at this process's own clock
 MAX_CLOCK_DELAY = 150_000  # microseconds by which such a look may be late
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        script: ClusterScript,
         traffic: float = 0.0,
         upstreams: int = 4,
         on_log: Callable[[str], None] | None = None,
@@ -57,15 +57,15 @@
         """Prepare a run.
 
         Args:
-            fleet: the cluster and its script.
+            script: the cluster and its script.
             traffic: requests a second; 0: none.
             upstreams: how many there are.
             on_log: called with each line of the time line.
         """
-        super().__init__(fleet, SwimConfig(period=fleet.period))
+        super().__init__(script, SwimConfig(period=script.period))
         self.on_log = on_log or (lambda _: None)
-        self.rng = Random(f"rig {fleet.seed}")
-        self.proxy = FaultProxy(Random(f"relay {fleet.seed}"))
+        self.rng = Random(f"rig {script.seed}")
+        self.proxy = FaultProxy(Random(f"relay {script.seed}"))
         self.proxy.tap = self._keep_for_replay
         self.instances: list[Instance] = []
         self.rate = traffic
@@ -113,7 +113,7 @@
     async def _watch_clock(self) -> None:
         """Record when this process could not run: no link between the instances worked then."""
         loop = asyncio.get_running_loop()
-        everyone = range(self.fleet.instances)
+        everyone = range(self.script.instances)
         last = loop.time()
         while True:
             await asyncio.sleep(CLOCK_CHECK_INTERVAL / S)
@@ -148,12 +148,12 @@
 
     async def _run_steps(self) -> None:
         self._clock_watch = asyncio.get_running_loop().create_task(self._watch_clock())
-        await self.start([n for n in range(self.fleet.instances) if n not in self.fleet.late])
+        await self.start([n for n in range(self.script.instances) if n not in self.script.late])
         if self.load is not None:
             self.load.begin(self.is_available)
-            if self.fleet.probing:
+            if self.script.probing:
                 await self.load.end_faults()  # else the policy asks for health checks of its own
-        for step in self.fleet.steps:
+        for step in self.script.steps:
             await self.apply_step(step)
             await self.run(step.wait)
             await self.wait_for_condition(step)
@@ -171,21 +171,21 @@
 
     async def _build(self, directory: Path) -> None:
         """Write the instances' files, and start the proxy, the upstreams and discovery."""
-        fleet = self.fleet
-        self.proxy.mean_delay = fleet.delay
-        addresses = await self.proxy.open(fleet.instances)
+        script = self.script
+        self.proxy.mean_delay = script.delay
+        addresses = await self.proxy.open(script.instances)
         (directory / "key").write_text(self._key + "\n")
-        own_count = PORTS_PER_INSTANCE * fleet.instances
+        own_count = PORTS_PER_INSTANCE * script.instances
         ports = free_ports(own_count + self.upstream_count + 1)
-        load_rng = Random(f"traffic {fleet.seed}")
+        load_rng = Random(f"traffic {script.seed}")
         load = LoadGenerator(load_rng, max(self.rate, MIN_RATE), self.upstream_count, ports[own_count:])
         await load.open()
         self.upstream_names = [spec.name for spec in load.specs]
-        pools = pools_text(fleet, load.discovery_address)
-        for number in range(fleet.instances):
+        pools = pools_text(script, load.discovery_address)
+        for number in range(script.instances):
             own_ports = ports[PORTS_PER_INSTANCE * number : PORTS_PER_INSTANCE * (number + 1)]
             instance = Instance(number, directory, own_ports, self.record_log)
-            instance.write(fleet, addresses, pools)
+            instance.write(script, addresses, pools)
             self.proxy.set_target(number, instance.datagram_address)
             self.instances.append(instance)
             if self.rate:
@@ -309,7 +309,7 @@
 
     def inject_foreign_datagrams(self) -> None:
         """Send each instance datagrams that no member sent, and replays."""
-        for number in range(self.fleet.instances):
+        for number in range(self.script.instances):
             for payload in foreign_datagrams(self.rng, self._key, self._replayed):
                 self.proxy.inject(number, payload)
 
@@ -385,8 +385,8 @@
     def _check_load(self, end: int) -> None:
         """Check what the upstreams recorded."""
         observer = self.load.observer if self.load is not None else LoadObserver()
-        if self.load is not None and self.fleet.probing and self.first_agreement is not None:
+        if self.load is not None and self.script.probing and self.first_agreement is not None:
             times = {name: observer.health_check_times.get(name, []) for name in self.upstream_names}
-            check_health_checks(times, self.fleet.probing, self.first_agreement, end, self.outcome)
-        if self.fleet.limit:
-            check_rate_limit(observer.submit_times, self.fleet.limit, len(self.instances), end, self.outcome)
+            check_health_checks(times, self.script.probing, self.first_agreement, end, self.outcome)
+        if self.script.limit:
+            check_rate_limit(observer.submit_times, self.script.limit, len(self.instances), end, self.outcome)
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -62,7 +62,7 @@
         self.admitted = 0
         self.idle_connections: dict[int, list[int]] = {}  # by upstream: since when each is idle
         self.busy_connections: Counter[int] = Counter()
-        seed = hash((model.fleet.seed, number, generation))
+        seed = hash((model.script.seed, number, generation))
         self.balancer = Balancer(model.settings(), self, seed=seed)
         self.demand = DemandEstimator() if model.announces_demand else None
         self.gossip = self._create_gossip(generation)
@@ -83,7 +83,7 @@
         number = self.number
         if not model.has_gossip:
             return None
-        rng = Random(f"signals {model.fleet.seed} {number} {generation}")
+        rng = Random(f"signals {model.script.seed} {number} {generation}")
         if number in model.lies:
             return LyingGossip(f"b{number}", generation, rng, model.lies[number], model.upstreams_by_name)
         return HealthGossip(f"b{number}", generation, rng)
--- a/dahliabend/simulation/cluster/instance_environment.py
+++ b/dahliabend/simulation/cluster/instance_environment.py
@@ -7,7 +7,7 @@
 
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.model import PolicySettings
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetControllerSettings
@@ -33,7 +33,7 @@
 class InstanceEnvironment(Protocol):
     """The workload model as its balancer instances see it. Times are microseconds of the virtual clock."""
 
-    fleet: Fleet
+    script: ClusterScript
     subset: SubsetControllerSettings | None
     announces_demand: bool
     has_gossip: bool
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -19,7 +19,7 @@
     Outcome,
     check_membership_changes,
 )
-from dahliabend.simulation.cluster.script import LINK_FAULTS, Fleet, S, Step
+from dahliabend.simulation.cluster.script import LINK_FAULTS, ClusterScript, S, Step
 from dahliabend.simulation.cluster.simulated_cluster import DEFAULT_DELAY, SimulatedCluster
 
 CHECKS_PER_PERIOD = 4  # how often a condition is checked while it is waited for
@@ -38,10 +38,10 @@
 class ScenarioRunner:
     """The schedule of a script, what really happened, and what the instances reported."""
 
-    def __init__(self, fleet: Fleet, config: SwimConfig) -> None:
-        self.fleet = fleet
+    def __init__(self, script: ClusterScript, config: SwimConfig) -> None:
+        self.script = script
         self.config = config
-        self.actual_history = ActualHistory(fleet.instances)
+        self.actual_history = ActualHistory(script.instances)
         self.membership_changes: list[MembershipChange] = []
         self.outcome = Outcome()
         self.link_faults: list[Step] = []  # those in force
@@ -49,7 +49,7 @@
 
     def blocked_links(self) -> set[Link]:
         """The links that lose every datagram now."""
-        everyone = range(self.fleet.instances)
+        everyone = range(self.script.instances)
         found: set[Link] = set()
         for step in self.link_faults:
             if step.what == "cut":
@@ -83,24 +83,26 @@
         """Microseconds within which the step's condition has to hold."""
         if step.within:
             return step.within
-        bounds = Bounds(self.config, self.fleet.instances, self.fleet.instances)
+        bounds = Bounds(self.config, self.script.instances, self.script.instances)
         return bounds.detection if step.until == "out" else bounds.agreement
 
 
 class ClusterModel(ScenarioRunner):
     """The script's instances as protocol state machines on a simulated network."""
 
-    def __init__(self, fleet: Fleet, config: SwimConfig | None = None, starts_warm: bool = False) -> None:
+    def __init__(
+        self, script: ClusterScript, config: SwimConfig | None = None, starts_warm: bool = False
+    ) -> None:
         """Prepare a run; `starts_warm`: the instances know each other from the start."""
-        super().__init__(fleet, config or SwimConfig(period=fleet.period))
-        self.cluster = SimulatedCluster(0, fleet.seed, config=self.config, start_instances=False)
-        if fleet.delay:
-            self.cluster.delay = (max(1, fleet.delay // 2), max(2, fleet.delay * 3 // 2))
+        super().__init__(script, config or SwimConfig(period=script.period))
+        self.cluster = SimulatedCluster(0, script.seed, config=self.config, start_instances=False)
+        if script.delay:
+            self.cluster.delay = (max(1, script.delay // 2), max(2, script.delay * 3 // 2))
         else:
             self.cluster.delay = DEFAULT_DELAY
         self.cluster.on_events = self.record_events
         self.base_delay = self.cluster.delay
-        self.generations = [0] * fleet.instances
+        self.generations = [0] * script.instances
         self.starts_warm = starts_warm
 
     @property
@@ -119,12 +121,12 @@
 
     def run_script(self) -> Outcome:
         """Run the whole script and check what was reported."""
-        for number in range(self.fleet.instances):
-            if number not in self.fleet.late:
+        for number in range(self.script.instances):
+            if number not in self.script.late:
                 self.start_instance(number)
         if self.starts_warm:
             self.assume_full_membership()
-        for step in self.fleet.steps:
+        for step in self.script.steps:
             self.apply_step(step)
             self.run(step.wait)
             self.wait_for_condition(step)
@@ -146,8 +148,8 @@
         """Start an instance of the next generation, from a snapshot if one is given."""
         self.generations[number] += 1
         self.actual_history.start(self.now, number)
-        seeds = [f"b{seed}" for seed in self.fleet.seeds]
-        zone = f"z{number % self.fleet.zones}"
+        seeds = [f"b{seed}" for seed in self.script.seeds]
+        zone = f"z{number % self.script.zones}"
         self.cluster.start_instance(f"b{number}", self.generations[number], seeds, state, zone)
 
     def stop_instance(self, number: int) -> MembershipProtocol | None:
@@ -230,7 +232,7 @@
 
     def inject_foreign_datagrams(self) -> None:
         """Send each instance datagrams that no member sent, and one of a member that is a replay."""
-        rng = Random(f"strangers {self.fleet.seed} {self.now}")
+        rng = Random(f"strangers {self.script.seed} {self.now}")
         for name, machine in list(self.cluster.machines.items()):
             for _ in range(FOREIGN_DATAGRAMS):
                 junk = rng.randbytes(rng.choice(FOREIGN_SIZES))
@@ -279,6 +281,6 @@
         return are_complete and len({view.checksum for view in views}) <= 1
 
 
-def run_script(fleet: Fleet, config: SwimConfig | None = None, starts_warm: bool = False) -> Outcome:
+def run_script(script: ClusterScript, config: SwimConfig | None = None, starts_warm: bool = False) -> Outcome:
     """Run a script on the simulated network."""
-    return ClusterModel(fleet, config, starts_warm).run_script()
+    return ClusterModel(script, config, starts_warm).run_script()
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -69,7 +69,7 @@
     within: Duration = Duration(0)  # for the condition; 0: what the settings imply
 
 
-class Fleet(Table):
+class ClusterScript(Table):
     """A cluster and its script; all times are microseconds."""
 
     seed: int = 0
@@ -91,23 +91,23 @@
     why: str = ""
 
 
-def check(fleet: Fleet) -> None:
+def check(script: ClusterScript) -> None:
     """Check what the types cannot.
 
     Raises:
         ValueError: with the path of what is wrong.
     """
-    _check_range("instances", fleet.instances, 1, MAX_INSTANCES)
-    _check_range("zones", fleet.zones, 1, MAX_ZONES)
-    _check_range("period", fleet.period, MIN_PERIOD, MAX_PERIOD)
-    _check_range("delay", fleet.delay, 0, MAX_DELAY)
-    _check_instances(fleet, "seeds", fleet.seeds)
-    _check_instances(fleet, "late", fleet.late)
-    for number, step in enumerate(fleet.steps):
+    _check_range("instances", script.instances, 1, MAX_INSTANCES)
+    _check_range("zones", script.zones, 1, MAX_ZONES)
+    _check_range("period", script.period, MIN_PERIOD, MAX_PERIOD)
+    _check_range("delay", script.delay, 0, MAX_DELAY)
+    _check_instances(script, "seeds", script.seeds)
+    _check_instances(script, "late", script.late)
+    for number, step in enumerate(script.steps):
         path = f"steps[{number}]"
-        _check_targets(fleet, step, path)
+        _check_targets(script, step, path)
         _check_amounts(step, path)
-        _check_condition(fleet, step, path)
+        _check_condition(script, step, path)
         if min(step.span, step.wait, step.within, step.delay) < 0:
             raise ValueError(f"$.{path}: a span of time is below 0")
 
@@ -117,20 +117,20 @@
         raise ValueError(f"$.{path}: {value} is not between {minimum} and {maximum}")
 
 
-def _check_instances(fleet: Fleet, path: str, numbers: list[int]) -> None:
+def _check_instances(script: ClusterScript, path: str, numbers: list[int]) -> None:
     for number in numbers:
-        if not 0 <= number < fleet.instances:
+        if not 0 <= number < script.instances:
             raise ValueError(f"$.{path}: there is no instance {number}")
 
 
-def _check_targets(fleet: Fleet, step: Step, path: str) -> None:
-    _check_instances(fleet, f"{path}.whom", step.whom)
+def _check_targets(script: ClusterScript, step: Step, path: str) -> None:
+    _check_instances(script, f"{path}.whom", step.whom)
     if step.what != "bad":
-        _check_instances(fleet, f"{path}.to", step.to)
+        _check_instances(script, f"{path}.to", step.to)
     elif not step.to or step.span <= 0:
         raise ValueError(f"$.{path}.to: which upstreams, and for which span?")
     for part in step.parts:
-        _check_instances(fleet, f"{path}.parts", part)
+        _check_instances(script, f"{path}.parts", part)
     if step.what in INSTANCE_FAULTS and not step.whom:
         raise ValueError(f"$.{path}.whom: {step.what} names nobody")
     if step.what == "split" and len(step.parts) < MIN_SPLIT_PARTS:
@@ -144,48 +144,50 @@
         raise ValueError(f"$.{path}.span: for how long?")
 
 
-def _check_condition(fleet: Fleet, step: Step, path: str) -> None:
-    if step.until == "believed" and not fleet.signals:
+def _check_condition(script: ClusterScript, step: Step, path: str) -> None:
+    if step.until == "believed" and not script.signals:
         raise ValueError(f"$.{path}.until: believed says something only where the fleet has signals")
-    if step.until == "even" and not fleet.subset:
+    if step.until == "even" and not script.subset:
         raise ValueError(f"$.{path}.until: even says something only where the fleet has a subset")
     if step.until == "out" and not step.whom:
         raise ValueError(f"$.{path}.until: out names nobody")
 
 
-SCRIPT_FILES = FileFormat(Fleet, check)
+SCRIPT_FILES = FileFormat(ClusterScript, check)
 
 
-def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> Fleet:
+def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> ClusterScript:
     """Draw a script: faults one after the other, some at the same time, for so many minutes; then calm."""
     rng = Random(f"fleet {seed}")
-    fleet = Fleet(seed=seed, instances=instances, period=Duration(period), zones=rng.choice((1, 2, 3)))
-    fleet.steps.append(Step(until="agree"))
+    script = ClusterScript(
+        seed=seed, instances=instances, period=Duration(period), zones=rng.choice((1, 2, 3))
+    )
+    script.steps.append(Step(until="agree"))
     spent = 0
     while spent < minutes * 60 * S:
-        step = _draw_step(rng, fleet)
-        fleet.steps.append(step)
+        step = _draw_step(rng, script)
+        script.steps.append(step)
         spent += step.wait
-    fleet.steps += [Step("mend"), Step(wait=Duration(period * SETTLE_PERIODS), until="agree")]
-    check(fleet)
-    return fleet
+    script.steps += [Step("mend"), Step(wait=Duration(period * SETTLE_PERIODS), until="agree")]
+    check(script)
+    return script
 
 
-def _draw_step(rng: Random, fleet: Fleet) -> Step:
-    everyone = list(range(fleet.instances))
-    few = rng.sample(everyone, rng.randint(1, max(1, fleet.instances // 5)))
+def _draw_step(rng: Random, script: ClusterScript) -> Step:
+    everyone = list(range(script.instances))
+    few = rng.sample(everyone, rng.randint(1, max(1, script.instances // 5)))
     one = few[:1]
 
     def periods(minimum: float, maximum: float) -> Duration:
         """Draw a number of periods."""
-        return Duration(round(fleet.period * rng.uniform(minimum, maximum)))
+        return Duration(round(script.period * rng.uniform(minimum, maximum)))
 
     what = rng.choice(DRAWN_FAULTS)
     step = Step(what, span=periods(1, 60), wait=periods(2, 60))
     match what:
         case "split":
             rng.shuffle(everyone)
-            at = rng.randint(1, fleet.instances - 1)
+            at = rng.randint(1, script.instances - 1)
             step.parts = [sorted(everyone[:at]), sorted(everyone[at:])]
         case "lose" | "double":
             step.size = round(rng.uniform(0.05, 0.3), 2)
@@ -193,7 +195,7 @@
             step.delay = periods(0.02, 0.2)
         case "cut":
             step.whom = one
-            step.to = [n for n in few[1:] or [(one[0] + 1) % fleet.instances] if n != one[0]]
+            step.to = [n for n in few[1:] or [(one[0] + 1) % script.instances] if n != one[0]]
         case "block":
             step.whom = one
             step.span = periods(0.5, 4)
--- a/dahliabend/simulation/cluster/subset_model.py
+++ b/dahliabend/simulation/cluster/subset_model.py
@@ -12,7 +12,7 @@
 from dahliabend.membership.snapshot import MembershipSnapshot
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.model import ClusterModel
-from dahliabend.simulation.cluster.script import Fleet, S
+from dahliabend.simulation.cluster.script import ClusterScript, S
 from dahliabend.subsetting.controller import SubsetController
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetControllerSettings
@@ -60,10 +60,14 @@
     """As the cluster model, and every second all subset controllers step."""
 
     def __init__(
-        self, fleet: Fleet, upstreams: int, subset: SubsetControllerSettings, config: SwimConfig | None = None
+        self,
+        script: ClusterScript,
+        upstreams: int,
+        subset: SubsetControllerSettings,
+        config: SwimConfig | None = None,
     ) -> None:
         """Prepare a run with so many upstreams."""
-        super().__init__(fleet, config)
+        super().__init__(script, config)
         self.subset = subset
         self.history = SubsetHistory()
         self.pool = [Participant(f"u{n}") for n in range(upstreams)]
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -27,7 +27,7 @@
 )
 from dahliabend.simulation.cluster.instance_environment import WorkloadMetrics
 from dahliabend.simulation.cluster.model import ClusterModel
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.cluster.upstream_model import MS, S, SimulatedUpstream, UpstreamProfile
 from dahliabend.subsetting.demand import UNKNOWN_DEMAND_WEIGHT
 from dahliabend.subsetting.selection import Participant
@@ -45,7 +45,7 @@
     """As the cluster model, under load. Without a subset each balancer uses all upstreams.
 
     Args:
-        fleet: the cluster; its steps are not used.
+        script: the cluster; its steps are not used.
         upstreams: at the start.
         rate: requests a second.
         subset: settings of the subset controllers; None: each balancer uses all upstreams.
@@ -60,7 +60,7 @@
 
     def __init__(  # noqa: PLR0913 -- the settings of an experiment, all but one with a default
         self,
-        fleet: Fleet,
+        script: ClusterScript,
         upstreams: int = 60,
         rate: float = 330.0,
         subset: SubsetControllerSettings | None = None,
@@ -74,7 +74,7 @@
         check_period: int = 0,
     ) -> None:
         """Prepare a run; the arguments are described at the class."""
-        super().__init__(fleet, config)
+        super().__init__(script, config)
         self.profile = profile or UpstreamProfile()
         self.rate = rate
         self.subset = subset
@@ -86,8 +86,8 @@
         self.zone_names = [f"z{n}" for n in range(zones)]
         self.metrics = WorkloadMetrics()
         self.clock = S
-        self.arrivals_rng = Random(f"arrivals {fleet.seed}")
-        self.rng = Random(f"nodes {fleet.seed}")
+        self.arrivals_rng = Random(f"arrivals {script.seed}")
+        self.rng = Random(f"nodes {script.seed}")
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.sequence = 0
         self.upstreams: list[SimulatedUpstream] = []  # all there ever were, by index
@@ -162,7 +162,7 @@
     def settings(self) -> PolicySettings:
         """The policy's settings of each balancer."""
         return PolicySettings(
-            instance_count=self.fleet.instances,
+            instance_count=self.script.instances,
             instance_index=-1,
             tier=0,
             zone=0,
@@ -194,7 +194,7 @@
 
     def start(self) -> None:
         """Start the whole cluster, with full membership, and then the clients."""
-        for number in range(self.fleet.instances):
+        for number in range(self.script.instances):
             self.start_instance(number)
         if self.uses_membership:
             self.assume_full_membership()
@@ -244,7 +244,7 @@
         """Start an upstream; `started_at` None: now, with a warm-up."""
         started_at = self.clock if started_at is None else started_at
         zone = self.zone_of(int(name[1:]))
-        rng = Random(f"{self.fleet.seed} {name} {started_at}")
+        rng = Random(f"{self.script.seed} {name} {started_at}")
         upstream = SimulatedUpstream(len(self.upstreams), name, zone, self.profile, started_at, rng)
         self.upstreams.append(upstream)
         self.upstreams_by_name[name] = upstream
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -22,7 +22,7 @@
 
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.model import ClusterModel
-from dahliabend.simulation.cluster.script import Fleet, S
+from dahliabend.simulation.cluster.script import ClusterScript, S
 from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster
 
 WAYS: dict[str, dict[str, int]] = {
@@ -73,7 +73,7 @@
 def detect(task: DetectionTask) -> Row:
     """Kill one instance, and measure when the others notice."""
     way, count, seed = task
-    model = ClusterModel(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), starts_warm=True)
+    model = ClusterModel(ClusterScript(seed=seed, instances=count), SwimConfig(**WAYS[way]), starts_warm=True)
     for number in range(count):
         model.start_instance(number)
     model.assume_full_membership()
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -18,7 +18,7 @@
 import subset_work as workload
 from subset_work import BALANCERS, UPSTREAMS, Row, S, Scenario
 
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.cluster.workload_model import (
     WorkloadModel,
     upstream_names,
@@ -69,7 +69,7 @@
     """Run a scenario in one way with one seed, with subsets or without."""
     scenario, has_subsets, way, seed = task
     model = WorkloadModel(
-        Fleet(seed=seed, instances=BALANCERS, delay=workload.MESSAGE_DELAY),
+        ClusterScript(seed=seed, instances=BALANCERS, delay=workload.MESSAGE_DELAY),
         UPSTREAMS,
         workload.RATE,
         workload.WAYS["subsets"].subset if has_subsets else None,
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -14,7 +14,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.cluster.script import Fleet, S, Step, What
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step, What
 from dahliabend.simulation.cluster.subset_model import SubsetModel, WorstSample
 from dahliabend.subsetting.settings import SubsetControllerSettings
 
@@ -46,8 +46,8 @@
 
 def measure(seed: int, scenario: Scenario) -> Measurement:
     """Run a scenario with one seed."""
-    fleet = Fleet(seed=seed, instances=scenario.balancers, delay=MESSAGE_DELAY)
-    model = SubsetModel(fleet, scenario.upstreams, SubsetControllerSettings())
+    cluster_script = ClusterScript(seed=seed, instances=scenario.balancers, delay=MESSAGE_DELAY)
+    model = SubsetModel(cluster_script, scenario.upstreams, SubsetControllerSettings())
     for number in range(scenario.balancers):
         model.start_instance(number)
     model.assume_full_membership()
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.cluster.script import Fleet, S, Step, What
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step, What
 from dahliabend.simulation.cluster.workload_model import (
     WorkloadModel,
     upstream_names,
@@ -204,7 +204,7 @@
     """Run a scenario in one way with one seed."""
     scenario, way, seed = task
     model = WorkloadModel(
-        Fleet(seed=seed, instances=BALANCERS, delay=MESSAGE_DELAY),
+        ClusterScript(seed=seed, instances=BALANCERS, delay=MESSAGE_DELAY),
         UPSTREAMS,
         RATES.get(scenario, RATE),
         WAYS[way].subset,
--- a/tests/health_gossip/test_peer_reports_in_policy.py
+++ b/tests/health_gossip/test_peer_reports_in_policy.py
@@ -7,13 +7,13 @@
 from dahliabend.model import EndpointState
 from dahliabend.policy.balancer import Balancer
 from dahliabend.policy.throttling import MIN_SAMPLES, WINDOW_TICKS
-from dahliabend.simulation.cluster.script import Fleet
+from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.cluster.workload_model import WorkloadModel
 
 
 def test_policy_ejects_an_upstream_by_peer_reports_as_by_own_attempts():
     port = SimpleNamespace(set_timer=lambda *_: None, check_health=lambda *_: None)
-    balancer = Balancer(WorkloadModel(Fleet(instances=1), 1).settings(), port, 1)
+    balancer = Balancer(WorkloadModel(ClusterScript(instances=1), 1).settings(), port, 1)
     rows = [(n, EndpointState.READY, 0, 1.0, 0, 0, b"u%d" % n) for n in range(3)]
     balancer.update_endpoints(SECOND, rows, full=True)
     balancer.add_peer_report(1, MIN_SAMPLES, MIN_SAMPLES)
--- a/tests/pins/test_scenario_files.py
+++ b/tests/pins/test_scenario_files.py
@@ -16,7 +16,14 @@
 KEYS = "scenario_file_keys.json"
 SCENARIOS = "scenario_files.json"
 SCRIPTS = "cluster_script_files.json"
-TABLES = (Scenario, WorldSpec, LoadSpec, Fault, script.Fleet, script.Step)
+TABLES = {
+    "Scenario": Scenario,
+    "WorldSpec": WorldSpec,
+    "LoadSpec": LoadSpec,
+    "Fault": Fault,
+    "Fleet": script.ClusterScript,
+    "Step": script.Step,
+}
 SCENARIO_SEEDS = (0, 1, 5, 44, 120)
 SCRIPT_SEEDS = (0, 3)
 
@@ -24,8 +31,8 @@
 def table_keys() -> dict[str, dict[str, str]]:
     """By table and key: the default, as text."""
     return {
-        table.__name__: {f.encode_name: str(f.default) for f in msgspec.structs.fields(table)}
-        for table in TABLES
+        name: {f.encode_name: str(f.default) for f in msgspec.structs.fields(table)}
+        for name, table in TABLES.items()
     }
 
 
--- a/tests/process_tests/test_runner.py
+++ b/tests/process_tests/test_runner.py
@@ -15,8 +15,8 @@
 
 
 def test_membership_between_real_processes_behaves_as_simulated():
-    fleet = SCRIPT_FILES.read(str(SCRIPT))
-    model, runner = ClusterModel(fleet), ProcessTestRunner(fleet, traffic=20)
+    cluster_script = SCRIPT_FILES.read(str(SCRIPT))
+    model, runner = ClusterModel(cluster_script), ProcessTestRunner(cluster_script, traffic=20)
     assert model.run_script().violations == []
     assert asyncio.run(runner.run_script()).violations == []
     # A busy machine lets others pause too, and a real start takes some periods: more may be told there.
--- a/tests/simulation/cluster/test_cluster.py
+++ b/tests/simulation/cluster/test_cluster.py
@@ -9,7 +9,7 @@
 from dahliabend.simulation.cluster.actual_history import ActualHistory
 from dahliabend.simulation.cluster.invariants import MembershipChange, Outcome, check_membership_changes
 from dahliabend.simulation.cluster.model import ClusterModel, run_script
-from dahliabend.simulation.cluster.script import Fleet, S, Step
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step
 
 AGREE = Step(until="agree")
 
@@ -31,45 +31,47 @@
 
 THREE = [0, 1, 2], [3, 4, 5], [6, 7, 8]
 HARD = {
-    "each of two thinks the other dead": Fleet(
+    "each of two thinks the other dead": ClusterScript(
         instances=2, steps=[AGREE, Step("split", parts=[[0], [1]], span=s(60), wait=s(60)), AGREE]
     ),
-    "stopped for a moment": Fleet(steps=[AGREE, Step("stop", whom=[2], span=s(0.2), wait=s(1)), AGREE]),
-    "stopped for half a suspicion": Fleet(
+    "stopped for a moment": ClusterScript(
+        steps=[AGREE, Step("stop", whom=[2], span=s(0.2), wait=s(1)), AGREE]
+    ),
+    "stopped for half a suspicion": ClusterScript(
         steps=[AGREE, Step("stop", whom=[2], span=s(8), wait=s(30)), AGREE]
     ),
-    "half stopped at once": Fleet(
+    "half stopped at once": ClusterScript(
         instances=10,
         steps=[AGREE, Step("stop", whom=[0, 2, 4, 6, 8], span=s(60), wait=s(61)), AGREE],
     ),
-    "a cut one way from one to all": Fleet(
+    "a cut one way from one to all": ClusterScript(
         steps=[AGREE, Step("cut", whom=[1], span=s(90), wait=s(90)), AGREE]
     ),
-    "cuts one way around a ring": Fleet(
+    "cuts one way around a ring": ClusterScript(
         instances=6,
         steps=[AGREE, *(Step("cut", whom=[n], to=[(n + 1) % 6]) for n in range(6)), Step(wait=s(180)),
                Step("mend"), AGREE],
     ),
-    "three in ten lost and late": Fleet(
+    "three in ten lost and late": ClusterScript(
         steps=[AGREE, Step("lose", size=0.3), Step("delay", delay=s(0.2), wait=s(240)),
                Step("mend"), AGREE]
     ),
-    "three parts that heal in another order": Fleet(
+    "three parts that heal in another order": ClusterScript(
         instances=9,
         steps=[AGREE, Step("split", parts=[THREE[0], THREE[1], THREE[2]], span=s(80), wait=s(60)),
                Step("split", parts=[THREE[0] + THREE[2], THREE[1]], span=s(120), wait=s(120)), AGREE],
     ),
-    "one that flaps faster than a suspicion lasts": Fleet(
+    "one that flaps faster than a suspicion lasts": ClusterScript(
         steps=[AGREE, *(Step("kill", whom=[3], span=s(1), wait=s(2)) for _ in range(20)), AGREE]
     ),
-    "back within a probe": Fleet(
+    "back within a probe": ClusterScript(
         steps=[AGREE, *(Step("restart", whom=[n], wait=s(0.4)) for n in range(5)), AGREE]
     ),
-    "seeds that left and came back at one time": Fleet(
+    "seeds that left and came back at one time": ClusterScript(
         steps=[AGREE, Step("leave", whom=[0, 1], span=s(20), wait=s(40)), AGREE]
     ),
-    "64 at once": Fleet(instances=64, steps=[AGREE, Step(wait=s(20)), AGREE]),
-    "strangers, old news, too much at once": Fleet(
+    "64 at once": ClusterScript(instances=64, steps=[AGREE, Step(wait=s(20)), AGREE]),
+    "strangers, old news, too much at once": ClusterScript(
         steps=[AGREE, *(Step("strangers", wait=s(1)) for _ in range(10)), AGREE]
     ),
 }  # fmt: skip
@@ -81,12 +83,12 @@
 
 
 def test_dead_seeds_do_not_matter_to_members_that_know_others():
-    fleet = Fleet(
+    cluster_script = ClusterScript(
         instances=6, late=[5], seeds=[0, 1],
         steps=[AGREE, Step("kill", whom=[0, 1], until="out"), Step("lose", size=0.2), Step(wait=s(30)),
                Step("start", whom=[0], wait=s(10)), Step("start", whom=[5]), Step("mend"), AGREE],
     )  # fmt: skip
-    assert run_script(fleet).violations == []
+    assert run_script(cluster_script).violations == []
 
 
 def test_invariants_find_a_false_death_a_late_detection_and_differing_views():
@@ -108,11 +110,11 @@
         "seen late",
         "seen late",
     ]
-    fleet = Fleet(
+    cluster_script = ClusterScript(
         instances=3,
         steps=[AGREE, Step("split", parts=[[0], [1, 2]], wait=s(60)), Step(until="agree", within=s(1))],
     )
-    assert "agree" in run_script(fleet).violations[0]
+    assert "agree" in run_script(cluster_script).violations[0]
 
 
 def test_seeds_find_deaths_declared_by_hearsay():
--- a/tests/simulation/cluster/test_subset_model.py
+++ b/tests/simulation/cluster/test_subset_model.py
@@ -3,14 +3,14 @@
 import pytest
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.cluster.script import Fleet, S, Step
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step
 from dahliabend.simulation.cluster.subset_model import SubsetModel
 from dahliabend.subsetting.settings import SubsetControllerSettings
 
 
 def started_model(seed=0, many=30, pool=24):
     model = SubsetModel(
-        Fleet(seed=seed, instances=many, delay=Duration(2_000)),
+        ClusterScript(seed=seed, instances=many, delay=Duration(2_000)),
         pool,
         SubsetControllerSettings(min_size=8, degree=8),
     )
--- a/tests/simulation/cluster/test_workload_model.py
+++ b/tests/simulation/cluster/test_workload_model.py
@@ -7,7 +7,7 @@
 
 from dahliabend.config.operator_file.units import Duration
 from dahliabend.model import Outcome
-from dahliabend.simulation.cluster.script import Fleet, S, Step
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step
 from dahliabend.simulation.cluster.upstream_model import SimulatedUpstream, UpstreamProfile
 from dahliabend.simulation.cluster.workload_model import WorkloadModel
 from dahliabend.subsetting.settings import SubsetControllerSettings
@@ -17,7 +17,7 @@
 
 
 def started_model(subset=None, seed=1, warm=10, rate=165.0):
-    model = WorkloadModel(Fleet(seed=seed, instances=MANY, delay=Duration(2_000)), POOL, rate, subset)
+    model = WorkloadModel(ClusterScript(seed=seed, instances=MANY, delay=Duration(2_000)), POOL, rate, subset)
     model.start()
     model.run(warm * S)
     model.reset_metrics()
@@ -80,7 +80,7 @@
     shares = []
     for demand in (False, True):
         model = WorkloadModel(
-            Fleet(seed=2, instances=MANY, delay=Duration(2_000)),
+            ClusterScript(seed=2, instances=MANY, delay=Duration(2_000)),
             POOL,
             225.0,
             SUBSETS,
