--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -31,7 +31,7 @@
     Outcome,
     check_membership_changes,
 )
-from dahliabend.simulation.cluster.model import CHECKS_PER_PERIOD, ScenarioRunner, subject_number
+from dahliabend.simulation.cluster.model import CHECKS_PER_PERIOD, ScenarioRunner, instance_number
 from dahliabend.simulation.cluster.script import LINK_FAULTS, ClusterScript, S, Step
 
 CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two looks at this process's own clock
@@ -97,7 +97,7 @@
             subject = record["member"]
             kind = record["change"]
             reported_by = record["reported_by"]
-            change = MembershipChange(self.now, instance.number, kind, subject_number(subject), reported_by)
+            change = MembershipChange(self.now, instance.number, kind, instance_number(subject), reported_by)
             self.membership_changes.append(change)
             self.log(self.now, f"{instance.name}: {subject} {kind}, by {reported_by}")
 
--- a/dahliabend/simulation/cluster/actual_history.py
+++ b/dahliabend/simulation/cluster/actual_history.py
@@ -1,17 +1,17 @@
-"""What really happened in a run: which instances ran, which links worked, and when.
+"""Ground truth of a run: which instances ran and which links worked at each time.
 
-The scenario runner records each change as it makes it; the invariants query the record afterwards.
+The scenario runner records each change when it makes it; the invariants query the history afterwards.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-Link = tuple[int, int]  # from one instance to another, one way
-Span = tuple[int, int]  # begin and end, microseconds
+Link = tuple[int, int]  # (sender, receiver): one direction
+Span = tuple[int, int]  # (begin, end) in microseconds
 
 
 class Moment(NamedTuple):
-    """The state of the cluster from one time on."""
+    """The state of the cluster from the time `at` until the next moment."""
 
     at: int
     running: frozenset[int]
@@ -20,13 +20,13 @@
 
     @property
     def awake(self) -> frozenset[int]:
-        """Instances that run and are not stopped."""
+        """The instances that run and are not stopped."""
         return self.running - self.stopped
 
 
 @dataclass(slots=True)
 class ActualHistory:
-    """The history of one run. Times are microseconds of the runner's clock."""
+    """The history of one run. Times are in microseconds of the runner's clock."""
 
     instance_count: int
     running_since: dict[int, int] = field(default_factory=dict)
@@ -43,7 +43,7 @@
         self._record(now)
 
     def end(self, now: int, instance: int) -> None:
-        """Record that an instance ended, however it did."""
+        """Record that an instance ended, by itself or by a signal."""
         self.running_since.pop(instance, None)
         self.stopped.discard(instance)
         self._record(now)
@@ -64,29 +64,29 @@
         self._record(now)
 
     def last_change(self) -> int:
-        """The time of the newest record, 0 if there is none."""
+        """Return the time of the newest moment, 0 if there is none."""
         return self.history[-1].at if self.history else 0
 
-    def absences(self, of: int, to: int, until: int) -> list[Span]:
-        """Spans in which one instance was absent for another.
+    def absences(self, subject: int, observer: int, until: int) -> list[Span]:
+        """Return the spans in which the subject was absent for the observer.
 
-        It is absent if it does not run, is stopped, or cannot be reached both ways, directly or through
-        other awake instances. Adjoining spans are merged.
+        It is absent if it does not run, is stopped, or cannot be reached over links that work in both
+        directions, directly or through other awake instances. Adjacent spans are merged.
         """
-        found: list[Span] = []
+        spans: list[Span] = []
         for moment, end in self._moments_with_ends(until):
             awake = moment.awake
             blocked = moment.blocked_links
-            if of in awake and (not blocked or of in _reachable(to, awake, blocked)):
+            if subject in awake and (not blocked or subject in _reachable(observer, awake, blocked)):
                 continue
-            if found and found[-1][1] == moment.at:
-                found[-1] = found[-1][0], end
+            if spans and spans[-1][1] == moment.at:
+                spans[-1] = spans[-1][0], end
             else:
-                found.append((moment.at, end))
-        return found
+                spans.append((moment.at, end))
+        return spans
 
     def presence(self, instance: int, until: int) -> list[Span]:
-        """Spans in which the instance's process existed."""
+        """Return the spans in which the instance's process existed."""
         return [
             (moment.at, end) for moment, end in self._moments_with_ends(until) if instance in moment.running
         ]
@@ -103,13 +103,13 @@
 
 
 def _reachable(start: int, awake: frozenset[int], blocked: frozenset[Link]) -> set[int]:
-    """Instances reachable over links that work in both directions, through awake instances."""
-    seen = {start}
-    waiting = [start]
-    while waiting:
-        at = waiting.pop()
-        for other in awake - seen:
-            if (at, other) not in blocked and (other, at) not in blocked:
-                seen.add(other)
-                waiting.append(other)
-    return seen
+    """Return the instances reachable over links that work in both directions, through awake instances."""
+    reachable = {start}
+    to_visit = [start]
+    while to_visit:
+        instance = to_visit.pop()
+        for neighbor in awake - reachable:
+            if (instance, neighbor) not in blocked and (neighbor, instance) not in blocked:
+                reachable.add(neighbor)
+                to_visit.append(neighbor)
+    return reachable
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -1,6 +1,6 @@
-"""One balancer process of the workload model: the real policy, subset controller and health gossip.
+"""A balancer process of the workload model with the real policy, subset controller and health gossip.
 
-Attempts go to simulated upstreams; there are no bytes. The instance is the policy's port.
+Attempts go to simulated upstreams without any bytes on a network. The instance implements the policy's port.
 """
 
 from collections import Counter
@@ -29,14 +29,14 @@
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.usable_endpoints import count_usable_endpoints
 
-SUBSET_INTERVAL = 250 * MS  # between two steps of a subset controller
-ONE_WAY_DELAY = 1 * MS  # of a message to an upstream, or back
+SUBSET_INTERVAL = 250 * MS  # between steps of the subset controller
+ONE_WAY_DELAY = 1 * MS  # of a message to or from an upstream
 CONNECT_TIME = 3 * MS
-CONNECT_TIMEOUT = 250 * MS
+CONNECT_TIMEOUT = 250 * MS  # for a host that does not answer
 IDLE_TIMEOUT = 15 * S  # of connections to upstreams
 LATENCY_OBJECTIVE = 1_500 * MS
 DEADLINE = 3 * S
-UNHEALTHY_FAILURE_SHARE = 0.5  # an upstream that fails more of its requests fails its health checks
+UNHEALTHY_FAILURE_SHARE = 0.5  # fraction of failing requests above which health checks fail
 REQUEST_CLASSES = (
     RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 1.0, 0.0),
     RequestClass(
@@ -44,24 +44,25 @@
     ),
 )
 POOL = "main"
+# Outcomes after which a connection is used again.
 REUSABLE_AFTER = frozenset({Outcome.SUCCEEDED, Outcome.FAILED, Outcome.REJECTED})
 
 ResultCallback = Callable[[int, Outcome], None]
 
 
 class BalancerInstance:
-    """One balancer's process, from its start until its end."""
+    """One process of a balancer, from its start until its end."""
 
     def __init__(self, model: InstanceEnvironment, number: int, generation: int) -> None:
         self.model = model
         self.number = number
         self.is_alive = True
-        self.rows: dict[str, EndpointUpdate] = {}  # the endpoint list as it knows it
+        self.endpoint_updates: dict[str, EndpointUpdate] = {}  # by name: the endpoint list known here
         self.requests: dict[int, PendingRequest] = {}
-        self.next_ref = 0
+        self.next_request_id = 0
         self.admitted = 0
-        self.idle_connections: dict[int, list[int]] = {}  # by upstream: since when each is idle
-        self.busy_connections: Counter[int] = Counter()
+        self.idle_connections: dict[int, list[int]] = {}  # by upstream: when each became idle
+        self.busy_connections: Counter[int] = Counter()  # by upstream
         seed = hash((model.script.seed, number, generation))
         self.balancer = Balancer(model.settings(), self, seed=seed)
         self.demand = DemandEstimator() if model.announces_demand else None
@@ -88,10 +89,10 @@
             return LyingGossip(f"b{number}", generation, rng, model.lies[number], model.upstreams_by_name)
         return HealthGossip(f"b{number}", generation, rng)
 
-    # The policy's port.
+    # Port of the policy
 
     def send(self, request_id: int, upstream: int, timeout: int) -> None:
-        """Send an attempt; a connection is opened where none is idle."""
+        """Send an attempt on an idle connection, or on a new one if none is idle."""
         model = self.model
         now = model.now
         request = self.requests[request_id]
@@ -120,7 +121,7 @@
         return True
 
     def attempt_arrived(self, request_id: int, number: int) -> None:
-        """An attempt has come to its upstream."""
+        """Handle the arrival of an attempt at its upstream."""
         request = self.requests.get(request_id)
         if request is None or request.attempts[number].is_finished:
             return
@@ -128,20 +129,20 @@
         upstream = request.attempts[number].upstream
         result = upstream.request_arrived(model.now, self.number)
         if result.outcome is Outcome.SUCCEEDED:
-            request.effects += 1
+            request.executions += 1
             effect = REQUEST_CLASSES[request.class_index].effect
-            if request.effects > 1 and effect is Idempotency.NON_IDEMPOTENT:
+            if request.executions > 1 and effect is Idempotency.NON_IDEMPOTENT:
                 model.report_violation(f"no effect twice: at {upstream.name}")
             model.call_at(result.at, self.work_done, upstream)
         if result.outcome is not None:
             model.call_at(result.at + ONE_WAY_DELAY, self.attempt_ended, request_id, number, result.outcome)
 
     def work_done(self, upstream: SimulatedUpstream) -> None:
-        """An upstream has finished a request."""
+        """Handle the end of a request's work at its upstream."""
         upstream.in_flight -= not upstream.is_gone
 
     def attempt_ended(self, request_id: int, number: int, outcome: Outcome) -> None:
-        """An attempt has ended; the first end counts."""
+        """Handle the end of an attempt. Only the first outcome of an attempt counts."""
         request = self.requests.get(request_id)
         model = self.model
         if request is None or request.attempts[number].is_finished or not self.is_alive:
@@ -164,17 +165,21 @@
 
     def _release_connection(self, upstream: int, outcome: Outcome) -> None:
         self.busy_connections[upstream] -= 1
+        # An upstream without an entry has left the endpoint list or the subset.
         if outcome in REUSABLE_AFTER and upstream in self.idle_connections:
-            self.idle_connections[upstream].append(self.model.now)  # else it has left the list or the subset
+            self.idle_connections[upstream].append(self.model.now)
 
     def _serve(self, request: PendingRequest) -> None:
-        """Answer a request by its first successful attempt."""
+        """Answer a request on its first successful attempt."""
         if not request.is_answered:
             is_in_time = self.model.now - request.arrived_at <= LATENCY_OBJECTIVE
             self.answer(request, "served" if is_in_time else "late")
 
     def answer(self, request: PendingRequest, result: str) -> None:
-        """Answer a request: "served", "late", "rolled back" (rejected) or "abandoned" (failed)."""
+        """Answer a request and count the result.
+
+        Results are "served", "late", "rolled back" (rejected) and "abandoned" (failed).
+        """
         model = self.model
         if request.is_answered:
             model.report_violation("a second answer")
@@ -200,11 +205,11 @@
             self.model.call_at(self.model.now, self.attempt_ended, request_id, attempt, Outcome.CANCELLED)
 
     def check_health(self, upstream: int) -> None:
-        """Check an upstream's health, or have the lease holder do it."""
+        """Run a health check of an upstream, or request it from the holder of its lease."""
         name = self.model.upstreams[upstream].name
 
         def on_result(_: int, outcome: Outcome) -> None:
-            """Hand the result to the policy."""
+            """Pass the result to the policy."""
             self.health_check_finished(upstream, outcome)
 
         checks = self.leased_checks
@@ -212,7 +217,7 @@
             self.run_check(upstream, on_result)
 
     def run_leased_check(self, task: str, on_result: ResultCallback) -> None:
-        """Run the health check of a leased task, which is named for its upstream."""
+        """Run the health check of a leased task, whose name is that of the upstream."""
         upstream = self.model.upstreams_by_name.get(task)
         if upstream is not None:
             self.run_check(upstream.index, on_result)
@@ -233,68 +238,72 @@
         model.call_at(model.now + delay, self.check_ended, on_result, outcome)
 
     def check_ended(self, on_result: ResultCallback, outcome: Outcome) -> None:
-        """A health check's response or time-out has come."""
+        """Handle the response or time-out of a health check."""
         if self.is_alive:
             on_result(self.model.now, outcome)
 
     def health_check_finished(self, upstream: int, outcome: Outcome) -> None:
-        """Hand a health check's result to the policy."""
+        """Pass the result of a health check to the policy."""
         if self.is_alive:
             self.balancer.health_check_finished(self.model.now, upstream, outcome)
 
     def close_idle_connections(self, upstream: int, age: int) -> None:
-        """Close the connections that have been idle for so long."""
+        """Close the connections to an upstream that have been idle for at least `age` microseconds."""
         idle = self.idle_connections.get(upstream, [])
         self.idle_connections[upstream] = [since for since in idle if self.model.now - since < age]
 
     def set_timer(self, at: int, token: int) -> None:
-        """Have the policy's timer fire at a time."""
+        """Set a timer of the policy."""
         self.model.call_at(at, self.timer_fired, token)
 
     def timer_fired(self, token: int) -> None:
-        """A timer of the policy has fired."""
+        """Pass an expired timer to the policy."""
         if self.is_alive:
             self.balancer.timer_fired(self.model.now, token)
 
     def poll_endpoints(self) -> None:
-        """Nothing to do: changes of the endpoint list are pushed."""
+        """Do nothing: changes of the endpoint list are pushed."""
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
-        """Nothing to do: the settings have no peers."""
+        """Do nothing: the settings have no peers."""
 
-    # Inputs.
+    # Inputs
 
     def admit(self, class_index: int) -> None:
-        """Take a client's request."""
+        """Admit a request of a client."""
         now = self.model.now
         request = PendingRequest(now, class_index)
         self.admitted += 1
-        request_id = self.next_ref
-        self.next_ref += 1
+        request_id = self.next_request_id
+        self.next_request_id += 1
         self.requests[request_id] = request
         request.state = self.balancer.admit(now, request_id, class_index, 0, now + DEADLINE)
         if request.state.is_finished:
             self.requests.pop(request_id, None)
 
     def endpoints_changed(self, changed: dict[str, EndpointUpdate]) -> None:
-        """Take a change of the endpoint list."""
+        """Apply a change of the endpoint list."""
         if not self.is_alive:
             return
-        self.rows.update(changed)
-        self.rows = {name: row for name, row in self.rows.items() if row.state is not EndpointState.REMOVED}
+        self.endpoint_updates.update(changed)
+        self.endpoint_updates = {
+            name: update
+            for name, update in self.endpoint_updates.items()
+            if update.state is not EndpointState.REMOVED
+        }
         if self.controller is not None:
             zones = self.model.zone_names
             ready = [
-                Participant(name, zones[row.zone], row.weight)
-                for name, row in self.rows.items()
-                if row.state is EndpointState.READY
+                Participant(name, zones[update.zone], update.weight)
+                for name, update in self.endpoint_updates.items()
+                if update.state is EndpointState.READY
             ]
             self.controller.update_upstreams(self.model.now, ready)
             self._step_subset()
         self._update_policy()
 
     def subset_timer_fired(self) -> None:
-        """Announce the demand and step the subset controller, periodically."""
+        """Announce the demand and step the subset controller; repeats itself periodically."""
         if not self.is_alive or self.controller is None:
             return
         model = self.model
@@ -307,7 +316,7 @@
             self._update_policy()
 
     def gossip_timer_fired(self) -> None:
-        """Use what other instances reported, run due health checks, and send own reports, periodically."""
+        """Apply peer reports, run due health checks and send own reports; repeats itself periodically."""
         model = self.model
         gossip = self.gossip
         machine = model.machine(self.number)
@@ -319,7 +328,7 @@
         indices = {model.upstreams[upstream.index].name: upstream.index for upstream in ready}
 
         def on_suspected(name: str, sampled: int, failed: int) -> None:
-            """Hand the counts of others to the policy."""
+            """Pass the counts that peers reported to the policy."""
             model.counts["believed"] += 1
             self.balancer.add_peer_report(indices[name], sampled, failed)
 
@@ -332,26 +341,30 @@
             model.send_gossip(machine.name, name, payload)
 
     def _run_leased_checks(self, machine: MembershipProtocol) -> None:
-        """Run the health checks that are due to this instance."""
+        """Run the health checks that are due and whose leases this instance holds."""
         if self.leased_checks is not None:
             now = self.model.now
-            settled = machine.last_stable_view(now)
-            members = settled.members if settled else ()
-            candidates = [Candidate(m.name, m.zone) for m in members if m.is_reachable]
-            tasks = {name: "" for name, row in self.rows.items() if row.state is EndpointState.READY}
+            settled_view = machine.last_stable_view(now)
+            members = settled_view.members if settled_view else ()
+            candidates = [Candidate(member.name, member.zone) for member in members if member.is_reachable]
+            tasks = {
+                name: ""
+                for name, update in self.endpoint_updates.items()
+                if update.state is EndpointState.READY
+            }
             is_settled = bool(candidates) and now >= machine.unsettled_until
             self.leased_checks.tick(now, candidates, is_settled, tasks)
 
     def _step_subset(self) -> bool:
-        """Step the subset controller; whether the subset has changed."""
+        """Step the subset controller, and return whether the subset has changed."""
         model = self.model
         controller = self.controller
         if controller is None:
             return False
         machine = model.machine(self.number)
-        settled = machine.last_stable_view(model.now) if machine is not None else None
-        if machine is not None and settled is not None:
-            controller.update_membership(model.now, settled, machine.view(model.now))
+        settled_view = machine.last_stable_view(model.now) if machine is not None else None
+        if machine is not None and settled_view is not None:
+            controller.update_membership(model.now, settled_view, machine.view(model.now))
         if self.weights:
             balancer = self.balancer
             usable = count_usable_endpoints(
@@ -370,19 +383,18 @@
         return True
 
     def _update_policy(self) -> None:
-        """Hand the endpoints, or those of the subset, to the policy."""
-        rows = list(self.rows.values())
+        """Pass the endpoints, or those of the subset if there is one, to the policy."""
+        updates = list(self.endpoint_updates.values())
         if self.controller is not None:
-            rows = []
-            known = self.balancer.selection.endpoints
-            for name, row in self.rows.items():
+            updates = []
+            listed = self.balancer.selection.endpoints
+            for name, update in self.endpoint_updates.items():
                 weight = self.weights.get(name)
                 if weight is not None:
-                    rows.append(row._replace(weight=weight))
-                elif row.state is not EndpointState.READY and row.endpoint in known:
-                    rows.append(row)
-        self.balancer.update_endpoints(self.model.now, rows, full=True)
-        for index in [
-            index for index in self.idle_connections if index not in self.balancer.selection.endpoints
-        ]:
+                    updates.append(update._replace(weight=weight))
+                elif update.state is not EndpointState.READY and update.endpoint in listed:
+                    updates.append(update)
+        self.balancer.update_endpoints(self.model.now, updates, full=True)
+        unlisted = [i for i in self.idle_connections if i not in self.balancer.selection.endpoints]
+        for index in unlisted:
             del self.idle_connections[index]
--- a/dahliabend/simulation/cluster/instance_environment.py
+++ b/dahliabend/simulation/cluster/instance_environment.py
@@ -1,4 +1,4 @@
-"""What a balancer instance may use of the workload model that it belongs to, and the counters of a run."""
+"""The interface of the workload model for its balancer instances, and the metrics of a run."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,23 +15,23 @@
 
 @dataclass(slots=True)
 class WorkloadMetrics:
-    """The measurements of a run. Times are microseconds."""
+    """The metrics of a run. Times are in microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    latencies: list[int] = field(default_factory=list)  # of requests served in time
-    samples: list[dict[str, int]] = field(default_factory=list)  # the counts, each second
+    latencies: list[int] = field(default_factory=list)  # of requests served within the latency objective
+    samples: list[dict[str, int]] = field(default_factory=list)  # the counts at each second
     violations: list[str] = field(default_factory=list)
-    mean_connections: list[float] = field(default_factory=list)  # of an upstream, each second
-    max_connections: int = 0
+    mean_connections: list[float] = field(default_factory=list)  # mean over the upstreams, at each second
+    max_connections: int = 0  # of one upstream
 
     @property
     def served_share(self) -> float:
-        """The share of all requests that was served within the latency objective."""
+        """The fraction of all requests that was served within the latency objective."""
         return self.counts["served"] / max(1, self.counts["asked"])
 
 
 class InstanceEnvironment(Protocol):
-    """The workload model as its balancer instances see it. Times are microseconds of the virtual clock."""
+    """The workload model as its balancer instances use it. Times are microseconds of the virtual clock."""
 
     script: ClusterScript
     subset: SubsetControllerSettings | None
@@ -47,7 +47,7 @@
 
     @property
     def now(self) -> int:
-        """The time."""
+        """The time of the virtual clock, in microseconds."""
 
     @property
     def counts(self) -> Counter[str]:
@@ -57,16 +57,16 @@
         """Record a violated invariant."""
 
     def call_at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401 -- passed on
-        """Schedule a call."""
+        """Schedule a call at the time `when`."""
 
     def machine(self, number: int) -> MembershipProtocol | None:
-        """The membership protocol of a balancer."""
+        """Return the membership protocol of a balancer, None if it does not run."""
 
     def send_gossip(self, source: str, target: str, payload: bytes) -> None:
-        """Send a datagram of health reports."""
+        """Send a datagram with health reports from one balancer to another, by their names."""
 
     def settings(self) -> PolicySettings:
-        """The policy's settings of each balancer."""
+        """Return the policy settings, which all balancers share."""
 
     def participant(self, number: int) -> Participant:
-        """A balancer as the subset controllers know it."""
+        """Return a balancer as a participant of the subset selection."""
--- a/dahliabend/simulation/cluster/lease_search.py
+++ b/dahliabend/simulation/cluster/lease_search.py
@@ -1,9 +1,9 @@
 """Explicit-state search over the lease election of three instances with one leased task.
 
-Time advances in ticks of an eighth of a period. In each tick every instance that is not stopped looks whether
-the task is due to it; its announcements go to all others and arrive after one tick, or two, or are lost while
-losses are left. `search` explores all interleavings to a depth, and gives the shortest trace to a violated
-invariant.
+Time advances in ticks of an eighth of a period. In each tick every instance that is not stopped runs the task
+if it holds the lease and the task is due. Its announcements go to all others; each arrives after one or two
+ticks, or is lost while losses are left. `search` explores all interleavings to a depth, and returns the
+shortest trace to a violated invariant.
 """
 
 from collections import deque
@@ -23,27 +23,27 @@
 TASK = "d"
 NAMES = ("b0", "b1", "b2")
 MEMBERS = tuple(Candidate(name, zone="") for name in NAMES)
-MIN_RUN_DISTANCE = 2  # ticks between two runs, without a cut, a loss or a stop
-STOP_LENGTHS = (6, 14)  # ticks
-CUT_LINKS = ((0, 1), (1, 2), (2, 0))
-MAX_REMEMBERED_RUNS = 3  # of the newest runs in a state
+MIN_RUN_DISTANCE = 2  # ticks between two runs if there are no faults
+STOP_LENGTHS = (6, 14)  # ticks; one shorter and one longer than a period
+CUT_LINKS = ((0, 1), (1, 2), (2, 0))  # (sender, receiver)
+MAX_REMEMBERED_RUNS = 3  # newest runs of the task kept in a state
 MAX_STATES = 1_000_000
 NO_INSTANCE = -1
 NO_LINK = (NO_INSTANCE, NO_INSTANCE)
 
-MakeElection = Callable[[str, int], LeaseElection]
+ElectionFactory = Callable[[str, int], LeaseElection]
 
 
-class Letter(NamedTuple):
-    """An announcement on its way."""
+class AnnouncementInTransit(NamedTuple):
+    """A lease announcement on its way to one instance."""
 
     target: str
     announcement: LeaseAnnouncement
-    is_late: bool  # it has been on its way for a tick already
+    is_late: bool  # it has been in transit for a tick already
 
 
 class ElectionValues(NamedTuple):
-    """The state of one instance's election, as plain values."""
+    """The state of an instance's election, as hashable values."""
 
     fencing_token: int
     holder: str
@@ -57,29 +57,29 @@
 class Run(NamedTuple):
     """One run of the task."""
 
-    at: int
+    at: int  # microseconds
     fencing_token: int
     holder: str
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """A state of the whole system; two that differ only in their history are equal."""
+    """A state of the whole system. Two states that differ only in their history are equal."""
 
     now: int
     elections: tuple[ElectionValues, ...]
-    in_transit: tuple[Letter, ...]  # arrives in the next tick but one at the latest
+    in_transit: tuple[AnnouncementInTransit, ...]  # each arrives within two ticks
     losses_left: int
     stops_left: int
     cuts_left: int
     stopped: int = NO_INSTANCE
     stopped_until: int = 0
     cut_link: tuple[int, int] = NO_LINK
-    runs: tuple[Run, ...] = ()  # the newest
+    runs: tuple[Run, ...] = ()  # the newest ones
 
 
 class Trace(NamedTuple):
-    """The moves that led to a state, the last one first."""
+    """The moves that led to a state, as a linked list from the last one."""
 
     move: str
     before: "Trace | None"
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search saw."""
+    """The extent of a search, and the violation that it found."""
 
     states: int
     depth: int
@@ -101,43 +101,43 @@
     stops: int = 0,
     cuts: int = 0,
     max_states: int = MAX_STATES,
-    make: MakeElection = LeaseElection,
+    election_factory: ElectionFactory = LeaseElection,
 ) -> SearchResult:
     """Search breadth first, so that the first violation has the shortest trace.
 
-    Two runs under one fencing token are always a violation; without a cut also three within a period, without
-    any fault also two close together.
+    Runs by two holders with one fencing token are always a violation. Without cut links, three runs within a
+    period are one too; without any fault, so are two runs less than `MIN_RUN_DISTANCE` ticks apart.
 
     Args:
-        depth: ticks.
-        losses: announcements that may be lost.
-        stops: times that an instance may be stopped.
-        cuts: links that may be cut one way.
-        max_states: states remembered at the most.
-        make: constructor of the election under test.
+        depth: Maximum number of ticks.
+        losses: Number of announcements that may be lost.
+        stops: Number of times that an instance may be stopped.
+        cuts: Number of links that may be cut in one direction.
+        max_states: Maximum number of states remembered.
+        election_factory: Constructor of the election under test.
     """
-    first = initial_state(losses, stops, cuts)
+    start = initial_state(losses, stops, cuts)
     has_faults = bool(losses or stops or cuts)
-    seen = {first}
-    queue: deque[tuple[State, int, Trace | None]] = deque([(first, 0, None)])
-    reached = 0
+    visited = {start}
+    queue: deque[tuple[State, int, Trace | None]] = deque([(start, 0, None)])
+    deepest = 0
     while queue:
         state, level, trace = queue.popleft()
-        reached = level
+        deepest = level
         if level == depth:
             continue
-        for move, after in moves(state, make):
+        for move, after in moves(state, election_factory):
             violation = find_violation(after, state, has_faults=has_faults, has_cuts=bool(cuts))
             if violation:
-                return SearchResult(len(seen), level + 1, violation, _moves_of(Trace(move, trace)))
-            if after not in seen and len(seen) < max_states:
-                seen.add(after)
+                return SearchResult(len(visited), level + 1, violation, _move_list(Trace(move, trace)))
+            if after not in visited and len(visited) < max_states:
+                visited.add(after)
                 queue.append((after, level + 1, Trace(move, trace)))
-    return SearchResult(len(seen), reached)
+    return SearchResult(len(visited), deepest)
 
 
 def initial_state(losses: int, stops: int, cuts: int) -> State:
-    """The first candidate has just run the task, and all know it."""
+    """Return the state in which the first candidate has just run the task, and all know it."""
     holder = next(name for name in NAMES if _rank(name) == 0)
     values = ElectionValues(1, holder, 1, PERIOD, PERIOD, PERIOD, 0)
     first_run = Run(PERIOD, 1, holder)
@@ -145,7 +145,7 @@
 
 
 def _rank(name: str) -> int:
-    """The instance's place among the candidates for the task."""
+    """Return the rank of an instance among the candidates for the task."""
     election = LeaseElection(name, PERIOD)
     election.update_tasks(PERIOD, {TASK: ""})
     election.update_members(PERIOD, MEMBERS, settled=True)
@@ -165,8 +165,8 @@
     )
 
 
-def _unpack(number: int, values: ElectionValues, make: MakeElection) -> LeaseElection:
-    election = make(NAMES[number], PERIOD)
+def _unpack(number: int, values: ElectionValues, election_factory: ElectionFactory) -> LeaseElection:
+    election = election_factory(NAMES[number], PERIOD)
     election.task_zones = {TASK: ""}
     election.members = MEMBERS
     election.view_settled = True
@@ -179,56 +179,58 @@
     return election
 
 
-def moves(state: State, make: MakeElection) -> Iterator[tuple[str, State]]:
-    """All ways in which the next tick may go, each with a description."""
-    for fault, begun in _faults(state):
-        choices = [(True,) if letter.is_late else (True, False) for letter in begun.in_transit]
+def moves(state: State, election_factory: ElectionFactory) -> Iterator[tuple[str, State]]:
+    """Yield all possible states after the next tick, each with a description of the move."""
+    for fault, before_tick in _faults(state):
+        choices = [(True,) if sent.is_late else (True, False) for sent in before_tick.in_transit]
         for arrives in product(*choices):
-            for loses_one in [False, True] if begun.losses_left and begun.in_transit else [False]:
-                description = f"{sum(arrives)} of {len(arrives)} words come"
+            for loses_one in [False, True] if before_tick.losses_left and before_tick.in_transit else [False]:
+                description = f"{sum(arrives)} of {len(arrives)} announcements arrive"
                 if loses_one:
                     description += ", one is lost"
-                yield fault + description, advance(begun, arrives, loses_one, make)
+                yield fault + description, advance(before_tick, arrives, loses_one, election_factory)
 
 
 def _faults(state: State) -> Iterator[tuple[str, State]]:
-    """The state as it is, and with each fault that may begin now."""
+    """Yield the state without a new fault, and with each fault that may begin now."""
     yield "", state
     if state.stops_left and state.stopped == NO_INSTANCE:
         for number, ticks in product(range(len(NAMES)), STOP_LENGTHS):
             until = state.now + ticks * TICK
             after = replace(state, stopped=number, stopped_until=until, stops_left=state.stops_left - 1)
-            yield f"stop {NAMES[number]} for {ticks} eighths; ", after
+            yield f"stop {NAMES[number]} for {ticks} ticks; ", after
     if state.cuts_left and state.cut_link == NO_LINK:
         for source, target in CUT_LINKS:
             after = replace(state, cut_link=(source, target), cuts_left=state.cuts_left - 1)
             yield f"cut {NAMES[source]} to {NAMES[target]}; ", after
 
 
-def advance(state: State, arrives: tuple[bool, ...], loses_one: bool, make: MakeElection) -> State:
-    """The state after one more tick.
+def advance(
+    state: State, arrives: tuple[bool, ...], loses_one: bool, election_factory: ElectionFactory
+) -> State:
+    """Return the state after one more tick.
 
     Args:
-        state: before the tick.
-        arrives: whether each announcement on its way arrives now.
-        loses_one: whether the first of them is lost instead.
-        make: constructor of the election under test.
+        state: The state before the tick.
+        arrives: For each announcement in transit, whether it arrives now.
+        loses_one: Whether the first of them is lost instead.
+        election_factory: Constructor of the election under test.
     """
     now = state.now + TICK
-    elections = [_unpack(number, values, make) for number, values in enumerate(state.elections)]
+    elections = [_unpack(number, values, election_factory) for number, values in enumerate(state.elections)]
     stopped = state.stopped if state.stopped_until > now else NO_INSTANCE
-    waiting: list[Letter] = []
-    for index, (letter, is_here) in enumerate(zip(state.in_transit, arrives, strict=True)):
-        number = NAMES.index(letter.target)
-        aged = _aged(letter.announcement)
+    delayed: list[AnnouncementInTransit] = []
+    for index, (pending, has_arrived) in enumerate(zip(state.in_transit, arrives, strict=True)):
+        number = NAMES.index(pending.target)
+        aged = _aged(pending.announcement)
         if loses_one and index == 0:
             continue
-        if not is_here or number == stopped:  # on its way, or unread in the socket
-            waiting.append(Letter(letter.target, aged, is_late=True))
+        if not has_arrived or number == stopped:  # still in transit, or unread in the socket
+            delayed.append(AnnouncementInTransit(pending.target, aged, is_late=True))
         else:
             elections[number].apply_announcement(now, aged)
     runs = list(state.runs)
-    sent: list[Letter] = []
+    sent: list[AnnouncementInTransit] = []
     for number, election in enumerate(elections):
         if number == stopped:
             continue
@@ -240,7 +242,7 @@
         state,
         now=now,
         elections=tuple(map(_pack, elections)),
-        in_transit=_newest_letters([*waiting, *sent]),
+        in_transit=_newest_announcements([*delayed, *sent]),
         losses_left=state.losses_left - loses_one,
         stopped=stopped,
         runs=tuple(runs[-MAX_REMEMBERED_RUNS:]),
@@ -249,25 +251,25 @@
 
 def _announcements(
     number: int, election: LeaseElection, now: int, cut_link: tuple[int, int]
-) -> Iterator[Letter]:
-    for other, name in enumerate(NAMES):
-        if other != number and (number, other) != cut_link:
+) -> Iterator[AnnouncementInTransit]:
+    for target, name in enumerate(NAMES):
+        if target != number and (number, target) != cut_link:
             for announcement in election.announcements(now):
-                yield Letter(name, announcement, is_late=False)
+                yield AnnouncementInTransit(name, announcement, is_late=False)
 
 
-def _newest_letters(letters: list[Letter]) -> tuple[Letter, ...]:
-    """One letter of each holder to each target: the newest. Fewer states, the same futures."""
-    newest: dict[tuple[str, str], Letter] = {}
-    for letter in letters:
-        key = letter.target, letter.announcement.holder
-        is_late = letter.is_late or (key in newest and newest[key].is_late)
-        newest[key] = letter._replace(is_late=is_late)
-    return tuple(sorted(newest.values(), key=lambda letter: (letter.target, letter.announcement.holder)))
+def _newest_announcements(pending: list[AnnouncementInTransit]) -> tuple[AnnouncementInTransit, ...]:
+    """Keep the newest announcement of each holder to each target, for fewer states with the same futures."""
+    newest: dict[tuple[str, str], AnnouncementInTransit] = {}
+    for sent in pending:
+        key = sent.target, sent.announcement.holder
+        is_late = sent.is_late or (key in newest and newest[key].is_late)
+        newest[key] = sent._replace(is_late=is_late)
+    return tuple(sorted(newest.values(), key=lambda sent: (sent.target, sent.announcement.holder)))
 
 
 def _aged(announcement: LeaseAnnouncement) -> LeaseAnnouncement:
-    """The announcement, one tick older."""
+    """Return the announcement with its age increased by one tick."""
     return LeaseAnnouncement(
         announcement.task,
         announcement.fencing_token,
@@ -279,31 +281,31 @@
 
 
 def find_violation(state: State, before: State, *, has_faults: bool, has_cuts: bool) -> str:
-    """The invariant that does not hold, in a line; "" if all hold."""
+    """Return a description of a violated invariant, "" if all hold."""
     for values, old in zip(state.elections, before.elections, strict=True):
         if values.fencing_token < old.fencing_token:
-            return f"a number went back: {tuple(old[:2])} to {tuple(values[:2])}"
+            return f"a fencing token decreased: {tuple(old[:2])} to {tuple(values[:2])}"
     holders: dict[int, str] = {}
     for run in state.runs:
         first_holder = holders.setdefault(run.fencing_token, run.holder)
         if first_holder != run.holder:
-            return f"{run.holder} and {first_holder} both did it under number {run.fencing_token}"
+            return f"{run.holder} and {first_holder} both ran the task with fencing token {run.fencing_token}"
         if run.at > state.now:
-            return "done in the time to come"
+            return f"run at {run.at} us is later than now, {state.now} us"
     return _find_close_runs(state.runs, has_faults, has_cuts)
 
 
 def _find_close_runs(runs: tuple[Run, ...], has_faults: bool, has_cuts: bool) -> str:
     if not has_faults and len(runs) > 1 and runs[-1].at - runs[-2].at < MIN_RUN_DISTANCE * TICK:
-        return f"done twice within {MIN_RUN_DISTANCE} eighths: {tuple(map(tuple, runs[-2:]))}"
+        return f"two runs within {MIN_RUN_DISTANCE} ticks: {tuple(map(tuple, runs[-2:]))}"
     if not has_cuts and len(runs) == MAX_REMEMBERED_RUNS and runs[-1].at - runs[0].at < PERIOD:
-        return f"three times within a period: {tuple(map(tuple, runs))}"
+        return f"three runs within a period: {tuple(map(tuple, runs))}"
     return ""
 
 
-def _moves_of(trace: Trace | None) -> tuple[str, ...]:
-    found = []
+def _move_list(trace: Trace | None) -> tuple[str, ...]:
+    descriptions = []
     while trace is not None:
-        found.append(trace.move)
+        descriptions.append(trace.move)
         trace = trace.before
-    return tuple(reversed(found))
+    return tuple(reversed(descriptions))
--- a/dahliabend/simulation/cluster/lying_gossip.py
+++ b/dahliabend/simulation/cluster/lying_gossip.py
@@ -1,4 +1,4 @@
-"""An instance whose health reports are false, to test how much the others believe."""
+"""Health gossip with false reports, to test how far other instances trust a faulty one."""
 
 from collections.abc import Collection
 from random import Random
@@ -6,29 +6,30 @@
 from dahliabend.health_gossip.gossip import HealthGossip
 from dahliabend.health_gossip.reports import HealthReport, UpstreamCounts
 
-SAMPLED = 3  # attempts that a false row claims
-MAX_FALSE_ROWS = 40
+SAMPLED = 3  # attempts that a false report claims for each upstream
+MAX_FALSE_COUNTS = 40  # upstreams in a false report
 POOL = "main"
 
 
 class LyingGossip(HealthGossip):
-    """Reports what is not so.
+    """Health gossip that replaces its reports by false ones.
 
-    The lies: `dead`, every upstream fails; `well`, none does; `old`, its first report for ever, as new.
+    The values of `lie`: with "dead" every upstream is reported as failing, with "well" none; with "old" the
+    first report is repeated forever with new sequence numbers.
     """
 
     def __init__(self, name: str, generation: int, rng: Random, lie: str, upstreams: Collection[str]) -> None:
-        """Create the instance `name`; `upstreams` may change while it runs."""
+        """Create the gossip of the instance `name`; `upstreams` is read for each report and may change."""
         super().__init__(name, generation, rng)
         self.lie = lie
         self.upstreams = upstreams
         self.first_counts: list[UpstreamCounts] = []
 
     def report(self, now: int) -> HealthReport:
-        """The false report, in the place of the true one."""
-        true = super().report(now)
-        self.first_counts = self.first_counts or true.counts
+        """Return a false report with the header of the true one."""
+        true_report = super().report(now)
+        self.first_counts = self.first_counts or true_report.counts
         failed = SAMPLED if self.lie == "dead" else 0
-        rows = [UpstreamCounts(POOL, name, SAMPLED, failed) for name in sorted(self.upstreams)]
-        counts = self.first_counts if self.lie == "old" else rows[:MAX_FALSE_ROWS]
-        return HealthReport(true.origin, true.generation, true.sequence, 0, 0, counts)
+        false_counts = [UpstreamCounts(POOL, name, SAMPLED, failed) for name in sorted(self.upstreams)]
+        counts = self.first_counts if self.lie == "old" else false_counts[:MAX_FALSE_COUNTS]
+        return HealthReport(true_report.origin, true_report.generation, true_report.sequence, 0, 0, counts)
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -1,7 +1,7 @@
-"""Runs a cluster's script on the simulated network.
+"""Run of a cluster script on the simulated network.
 
-`ScenarioRunner` holds what the simulated run shares with the one of `dahliabend.process_tests`: the schedule,
-the ground truth and what the instances reported.
+`ScenarioRunner` is the base class of this runner and of the one in `dahliabend.process_tests`: it holds the
+schedule, the ground truth and the membership changes that the instances reported.
 """
 
 from random import Random
@@ -22,21 +22,21 @@
 from dahliabend.simulation.cluster.script import LINK_FAULTS, ClusterScript, S, Step
 from dahliabend.simulation.cluster.simulated_cluster import DEFAULT_DELAY, SimulatedCluster
 
-CHECKS_PER_PERIOD = 4  # how often a condition is checked while it is waited for
-FOREVER = 10**15  # microseconds
+CHECKS_PER_PERIOD = 4  # checks of a condition that is being waited for, in each protocol period
+FOREVER = 10**15  # microseconds; longer than any run
 MAX_LOG_LINES = 100_000
-MAX_VIEWS_TEXT = 400  # characters of the views that a violation shows
-FOREIGN_DATAGRAMS = 20  # sent to each instance by one step
-FOREIGN_SIZES = (0, 1, 40, 1_400, 9_000)  # bytes
+MAX_VIEWS_TEXT = 400  # characters of a violation that lists views
+FOREIGN_DATAGRAMS = 20  # sent to each instance by one `strangers` step
+FOREIGN_SIZES = (0, 1, 40, 1_400, 9_000)  # bytes of a random datagram
 
 
-def subject_number(name: str) -> int:
-    """The number of the instance of that name, -1 for a name that is none of the cluster's."""
+def instance_number(name: str) -> int:
+    """Return the number of an instance by its name, -1 for a name without one."""
     return int(name[1:]) if name[1:].isdigit() else -1
 
 
 class ScenarioRunner:
-    """The schedule of a script, what really happened, and what the instances reported."""
+    """The schedule of a script, the actual history of the cluster, and what the instances reported."""
 
     def __init__(self, script: ClusterScript, config: SwimConfig) -> None:
         self.script = script
@@ -44,23 +44,23 @@
         self.actual_history = ActualHistory(script.instances)
         self.membership_changes: list[MembershipChange] = []
         self.outcome = Outcome()
-        self.link_faults: list[Step] = []  # those in force
-        self.pending_reversals: list[tuple[int, Step]] = []  # when each step is undone, in order of time
+        self.link_faults: list[Step] = []  # steps whose link faults are in force
+        self.pending_reversals: list[tuple[int, Step]] = []  # (time, step to revert), sorted by time
 
     def blocked_links(self) -> set[Link]:
-        """The links that lose every datagram now."""
-        everyone = range(self.script.instances)
-        found: set[Link] = set()
+        """Return the links that lose every datagram now."""
+        all_instances = range(self.script.instances)
+        blocked: set[Link] = set()
         for step in self.link_faults:
             if step.what == "cut":
-                found |= {(a, b) for a in step.whom for b in step.to or everyone if a != b}
+                blocked |= {(a, b) for a in step.whom for b in step.to or all_instances if a != b}
             elif step.what == "split":
-                part = {number: at for at, numbers in enumerate(step.parts) for number in numbers}
-                found |= {(a, b) for a in part for b in part if part[a] != part[b]}
-        return found
+                part_of = {number: index for index, numbers in enumerate(step.parts) for number in numbers}
+                blocked |= {(a, b) for a in part_of for b in part_of if part_of[a] != part_of[b]}
+        return blocked
 
     def strongest_fault(self, what: str) -> Step | None:
-        """The worst link fault of one kind that is in force."""
+        """Return the worst link fault of the type `what` that is in force, None if there is none."""
         steps = [step for step in self.link_faults if step.what == what]
         return max(steps, key=lambda step: (step.size, step.delay), default=None)
 
@@ -74,13 +74,13 @@
         self.log(now, f"STEP {step.what} {step.whom or step.parts or ''}")
 
     def schedule_reversal(self, now: int, step: Step) -> None:
-        """Have a step undone after its span, if it has one."""
+        """Schedule the reversal of a step for the end of its span, if it has one."""
         if step.span and step.what not in ("calm", "mend"):
             self.pending_reversals.append((now + step.span, step))
             self.pending_reversals.sort(key=lambda entry: entry[0])
 
     def condition_bound(self, step: Step) -> int:
-        """Microseconds within which the step's condition has to hold."""
+        """Return the time in microseconds within which the step's condition has to hold."""
         if step.within:
             return step.within
         bounds = Bounds(self.config, self.script.instances, self.script.instances)
@@ -93,7 +93,7 @@
     def __init__(
         self, script: ClusterScript, config: SwimConfig | None = None, starts_warm: bool = False
     ) -> None:
-        """Prepare a run; `starts_warm`: the instances know each other from the start."""
+        """Create a run; `starts_warm`: all instances know each other from the start."""
         super().__init__(script, config or SwimConfig(period=script.period))
         self.cluster = SimulatedCluster(0, script.seed, config=self.config, start_instances=False)
         if script.delay:
@@ -107,20 +107,20 @@
 
     @property
     def now(self) -> int:
-        """Microseconds of the virtual clock."""
+        """The time of the virtual clock, in microseconds."""
         return self.cluster.now
 
     def record_events(self, name: str, machine: MembershipProtocol) -> None:
-        """Take an instance's events into the list of reported changes."""
+        """Move an instance's membership events to the list of reported changes."""
         observer = int(name[1:])
         for event in machine.take_events():
-            subject = subject_number(event.name)
+            subject = instance_number(event.name)
             change = MembershipChange(self.now, observer, event.kind.value, subject, event.reported_by)
             self.membership_changes.append(change)
             self.log(self.now, f"{name}: {event.name} {event.kind}, by {event.reported_by}")
 
     def run_script(self) -> Outcome:
-        """Run the whole script and check what was reported."""
+        """Run all steps, then check the reported membership changes against the actual history."""
         for number in range(self.script.instances):
             if number not in self.script.late:
                 self.start_instance(number)
@@ -136,7 +136,7 @@
         return self.outcome
 
     def assume_full_membership(self) -> None:
-        """Make every instance know all others, with no updates left to spread, as after a long time."""
+        """Give every instance the full view, with no updates left to disseminate, as in a settled cluster."""
         machines = list(self.cluster.machines.values())
         updates = [machine.self_update for machine in machines]
         encoded = {update.name: encode_update(update) for update in updates}
@@ -145,7 +145,7 @@
         self.cluster.in_transit.clear()
 
     def start_instance(self, number: int, state: MembershipSnapshot | None = None) -> None:
-        """Start an instance of the next generation, from a snapshot if one is given."""
+        """Start the next generation of an instance, from a snapshot if one is given."""
         self.generations[number] += 1
         self.actual_history.start(self.now, number)
         seeds = [f"b{seed}" for seed in self.script.seeds]
@@ -153,12 +153,12 @@
         self.cluster.start_instance(f"b{number}", self.generations[number], seeds, state, zone)
 
     def stop_instance(self, number: int) -> MembershipProtocol | None:
-        """End an instance at once."""
+        """End an instance at once, without a leave message; None if it does not run."""
         self.actual_history.end(self.now, number)
         return self.cluster.stop_instance(f"b{number}")
 
     def apply_step(self, step: Step) -> None:
-        """Do what a step says."""
+        """Apply a step's fault or action, and schedule its reversal."""
         self.log_step(self.now, step)
         if step.what == "mend":
             self._revert_all()
@@ -202,7 +202,7 @@
         self.apply_link_faults()
 
     def revert_step(self, step: Step) -> None:
-        """Undo what a step did."""
+        """Revert a step: end its link fault, resume or start again the instances that it stopped or ended."""
         if step in self.link_faults:
             self.link_faults.remove(step)
             self.apply_link_faults()
@@ -217,32 +217,32 @@
                 self.start_instance(number)
 
     def apply_link_faults(self) -> None:
-        """Bring the network in line with the link faults in force."""
+        """Configure the simulated network with the link faults in force."""
         blocked = self.blocked_links()
         self.cluster.blocked_links = {(f"b{a}", f"b{b}") for a, b in blocked}
         if blocked != self.actual_history.blocked_links:
             self.actual_history.set_blocked_links(self.now, blocked)
-        lose = self.strongest_fault("lose")
+        loss = self.strongest_fault("lose")
         delay = self.strongest_fault("delay")
-        double = self.strongest_fault("double")
-        self.cluster.loss = lose.size if lose else 0.0
-        self.cluster.duplication = double.size if double else 0.0
+        duplication = self.strongest_fault("double")
+        self.cluster.loss = loss.size if loss else 0.0
+        self.cluster.duplication = duplication.size if duplication else 0.0
         shortest, longest = self.base_delay
         self.cluster.delay = (shortest, longest + (delay.delay if delay else 0))
 
     def inject_foreign_datagrams(self) -> None:
-        """Send each instance datagrams that no member sent, and one of a member that is a replay."""
+        """Send each instance random datagrams, and an old one of the member b0 as a replay."""
         rng = Random(f"strangers {self.script.seed} {self.now}")
         for name, machine in list(self.cluster.machines.items()):
             for _ in range(FOREIGN_DATAGRAMS):
-                junk = rng.randbytes(rng.choice(FOREIGN_SIZES))
-                machine.receive_datagram(self.now, junk, "b0")
-            data, _ = codec.encode_packet("b0", 1, 1, Ping(1, name), [])
-            machine.receive_datagram(self.now, data, "b0")
+                payload = rng.randbytes(rng.choice(FOREIGN_SIZES))
+                machine.receive_datagram(self.now, payload, "b0")
+            replay, _ = codec.encode_packet("b0", 1, 1, Ping(1, name), [])
+            machine.receive_datagram(self.now, replay, "b0")
             self.cluster.transmit(name)
 
     def run(self, span: int) -> None:
-        """Let so many microseconds pass, and undo the steps whose span ends."""
+        """Run for `span` microseconds, and revert the steps whose spans end."""
         end = self.now + span
         while self.pending_reversals and self.pending_reversals[0][0] <= end:
             at, step = self.pending_reversals.pop(0)
@@ -251,7 +251,7 @@
         self.cluster.run(max(0, end - self.now))
 
     def wait_for_condition(self, step: Step) -> None:
-        """Let time pass until the step's condition holds; it is a violation if that takes too long."""
+        """Run until the step's condition holds; report a violation if it does not within its time limit."""
         if not step.until:
             return
         limit = self.now + self.condition_bound(step)
@@ -264,23 +264,23 @@
             self.run(self.config.period // CHECKS_PER_PERIOD)
 
     def awake_names(self) -> list[str]:
-        """The instances that run and are not stopped."""
+        """Return the names of the instances that run and are not stopped."""
         return [name for name in self.cluster.machines if self.cluster.paused_until.get(name, 0) <= self.now]
 
     def condition_holds(self, step: Step) -> bool:
-        """Whether the step's condition holds now."""
+        """Return whether the step's condition holds now."""
         if step.until == "believed":
-            return True  # there is no traffic to upstreams here
-        awake = self.awake_names()
+            return True  # this model has no upstreams, so no health reports
+        awake_names = self.awake_names()
         if step.until == "out":
-            gone = {f"b{number}" for number in step.whom}
-            return all(not gone & self.cluster.view_of(name) for name in awake if name not in gone)
-        views = [self.cluster.machines[name].view(self.now) for name in awake]
-        wanted = set(self.cluster.machines)
-        are_complete = all(view.stable and view.names() == wanted for view in views)
+            absent = {f"b{number}" for number in step.whom}
+            return all(not absent & self.cluster.view_of(name) for name in awake_names if name not in absent)
+        views = [self.cluster.machines[name].view(self.now) for name in awake_names]
+        expected = set(self.cluster.machines)
+        are_complete = all(view.stable and view.names() == expected for view in views)
         return are_complete and len({view.checksum for view in views}) <= 1
 
 
 def run_script(script: ClusterScript, config: SwimConfig | None = None, starts_warm: bool = False) -> Outcome:
-    """Run a script on the simulated network."""
+    """Run a script on the simulated network and return what was reported and found."""
     return ClusterModel(script, config, starts_warm).run_script()
--- a/dahliabend/simulation/cluster/pending_request.py
+++ b/dahliabend/simulation/cluster/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that a balancer instance holds, and its attempts."""
+"""State of a request at a balancer instance of the workload model."""
 
 from dataclasses import dataclass, field
 
@@ -8,20 +8,20 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt of a request."""
+    """One attempt of a request, sent to an upstream."""
 
     upstream: SimulatedUpstream
-    sent_at: int
+    sent_at: int  # microseconds
     is_finished: bool = False
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that a balancer holds."""
+    """A request that a balancer instance has admitted and not finished."""
 
-    arrived_at: int
-    class_index: int
+    arrived_at: int  # microseconds
+    class_index: int  # into `REQUEST_CLASSES`
     is_answered: bool = False
-    effects: int = 0  # how often it was executed
+    executions: int = 0
     state: RequestState | None = None
     attempts: list[AttemptRecord] = field(default_factory=list)
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -1,24 +1,25 @@
-"""Scripts of a cluster and its faults, as data.
+"""Cluster scripts: a cluster and the faults injected into it, as data.
 
-One file runs on the simulated network and between real processes. Steps follow each other: a step does
-something, for its `span` where that ends by itself; then it waits `wait`, and until its condition holds. A
-condition that does not hold within its time is a violation.
+The same file runs on the simulated network and with real processes. Steps run one after the other: a step
+applies a fault or an action, which is reverted after its `span` if it has one; the script then waits for
+`wait`, and until the step's condition holds. A condition that does not hold within its time limit is a
+violation.
 
-The keys of the files are published; these are the terms of the code for them:
+The keys of the files are published. Their meaning in the terms of the code:
 
 | key or value | meaning |
 | --- | --- |
 | `whom` | the instances that a step acts on |
-| `strangers` | datagrams from outside of the cluster |
-| `hand` | a restart that hands over the protocol's state |
-| `block` | a short stop, as of a blocked event loop |
+| `strangers` | datagrams that do not come from a member: noise and replays |
+| `hand` | a restart that passes the membership state to the new process |
+| `block` | a short stop, like that of a blocked event loop |
 | `lose`, `double` | datagram loss, datagram duplication |
-| `mend` | all faults in force are undone |
+| `mend` | all faults in force are reverted |
 | `bad` | upstreams that fail nine attempts in ten |
-| `out` | those named are in nobody's view |
-| `agree` | all that run have the same view, and each other in it |
-| `even` | that, and the shares of all subsets add up; upstreams are not disturbed from then on |
-| `believed` | a balancer acted on the health reports of others |
+| `out` | condition: no other instance has those of `whom` in its view |
+| `agree` | condition: all instances that are not stopped have the same stable view: all running instances |
+| `even` | condition: `agree`, and all subsets together load each upstream alike; upstream faults end |
+| `believed` | condition: a balancer has acted on the health reports of others |
 """
 
 from random import Random
@@ -38,14 +39,14 @@
 MAX_PERIOD = 60 * S
 MAX_DELAY = 10 * S
 MIN_SPLIT_PARTS = 2
-SETTLE_PERIODS = 30  # at the end of a drawn script
+SETTLE_PERIODS = 30  # without faults at the end of a generated script
 
 What = Literal[
     "calm", "kill", "start", "restart", "stop", "block", "leave", "hand", "cut", "split", "lose", "delay",
     "double", "strangers", "mend", "bad",
 ]  # fmt: skip
-INSTANCE_FAULTS = {"kill", "start", "restart", "stop", "block", "leave", "hand"}  # these name instances
-LINK_FAULTS = {"cut", "split", "lose", "delay", "double"}  # these change links between instances
+INSTANCE_FAULTS = {"kill", "start", "restart", "stop", "block", "leave", "hand"}  # act on instances
+LINK_FAULTS = {"cut", "split", "lose", "delay", "double"}  # act on links between instances
 DRAWN_FAULTS: tuple[What, ...] = (
     "kill", "restart", "stop", "stop", "block", "leave", "hand", "cut", "cut", "split", "lose", "delay",
     "double", "strangers",
@@ -53,49 +54,48 @@
 
 
 class Step(Table):
-    """One step of a script; all times are microseconds."""
+    """One step of a script. All times are in microseconds."""
 
     what: What = "calm"
-    whom: list[int] = msgspec.field(default_factory=list)  # empty for link faults: all
-    # Of a cut: only what goes from `whom` to these is lost; empty: to all. Of bad: upstreams.
+    whom: list[int] = msgspec.field(default_factory=list)  # for link faults, empty means all
+    # Of `cut`: only datagrams from `whom` to these are lost; empty means to all. Of `bad`: the upstreams.
     to: list[int] = msgspec.field(default_factory=list)
-    # Of a split: no link between these.
+    # Of `split`: groups of instances without links between the groups.
     parts: list[list[int]] = msgspec.field(default_factory=list)
-    size: float = 0.0  # of lose, double: the share of datagrams
-    delay: Duration = Duration(0)  # at the most, drawn evenly: datagrams overtake each other
-    span: Duration = Duration(0)  # 0: until `mend`, or for good
+    size: float = 0.0  # of `lose`, `double`: the fraction of datagrams
+    delay: Duration = Duration(0)  # maximum, drawn uniformly: reorders datagrams
+    span: Duration = Duration(0)  # 0: until `mend`, or to the end
     wait: Duration = Duration(0)
     until: Literal["", "out", "agree", "even", "believed"] = ""
-    within: Duration = Duration(0)  # for the condition; 0: what the settings imply
+    within: Duration = Duration(0)  # time limit of the condition; 0: the bound that the settings imply
 
 
 class ClusterScript(Table):
-    """A cluster and its script; all times are microseconds."""
+    """A cluster and the steps to run on it. All times are in microseconds."""
 
     seed: int = 0
     instances: int = 5
     period: Duration = Duration(S)
     seeds: list[int] = msgspec.field(
         default_factory=lambda: [0, 1]
-    )  # instances that the others contact first
+    )  # instances that a starting instance contacts
     zones: int = 1
-    late: list[int] = msgspec.field(default_factory=list)  # not started at first
-    delay: Duration = Duration(MS)  # of a datagram, in the mean
-    subset: int = 0  # between processes: minimum and degree of the pool's subsets; 0: none
-    signals: bool = False  # between processes: health gossip
-    probing: Duration = Duration(
-        0
-    )  # between processes: leased health checks, each upstream once in this time
-    limit: int = 0  # between processes: submits a second, of the whole cluster; 0: no limit
+    late: list[int] = msgspec.field(default_factory=list)  # instances not started at the beginning
+    delay: Duration = Duration(MS)  # mean of a datagram
+    subset: int = 0  # real processes only: minimum size and degree of subsets; 0: none
+    signals: bool = False  # real processes only: health gossip
+    # Real processes only: the period in which leased health checks check each upstream once; 0: none.
+    probing: Duration = Duration(0)
+    limit: int = 0  # real processes only: submits per second, of the whole cluster; 0: no limit
     steps: list[Step] = msgspec.field(default_factory=list)
     why: str = ""
 
 
 def check(script: ClusterScript) -> None:
-    """Check what the types cannot.
+    """Check a script for values that the field types cannot exclude.
 
     Raises:
-        ValueError: with the path of what is wrong.
+        ValueError: A value is invalid; the message starts with its path.
     """
     _check_range("instances", script.instances, 1, MAX_INSTANCES)
     _check_range("zones", script.zones, 1, MAX_ZONES)
@@ -157,7 +157,7 @@
 
 
 def draw(seed: int, instances: int = 5, period: int = S, minutes: float = 2.0) -> ClusterScript:
-    """Draw a script: faults one after the other, some at the same time, for so many minutes; then calm."""
+    """Generate a script: `minutes` of random faults, some of which overlap, and then time to settle."""
     rng = Random(f"fleet {seed}")
     script = ClusterScript(
         seed=seed, instances=instances, period=Duration(period), zones=rng.choice((1, 2, 3))
@@ -174,36 +174,37 @@
 
 
 def _draw_step(rng: Random, script: ClusterScript) -> Step:
-    everyone = list(range(script.instances))
-    few = rng.sample(everyone, rng.randint(1, max(1, script.instances // 5)))
-    one = few[:1]
+    all_instances = list(range(script.instances))
+    some_instances = rng.sample(all_instances, rng.randint(1, max(1, script.instances // 5)))
+    one_instance = some_instances[:1]
 
     def periods(minimum: float, maximum: float) -> Duration:
-        """Draw a number of periods."""
+        """Return a random time between two numbers of periods."""
         return Duration(round(script.period * rng.uniform(minimum, maximum)))
 
     what = rng.choice(DRAWN_FAULTS)
     step = Step(what, span=periods(1, 60), wait=periods(2, 60))
     match what:
         case "split":
-            rng.shuffle(everyone)
-            at = rng.randint(1, script.instances - 1)
-            step.parts = [sorted(everyone[:at]), sorted(everyone[at:])]
+            rng.shuffle(all_instances)
+            split_at = rng.randint(1, script.instances - 1)
+            step.parts = [sorted(all_instances[:split_at]), sorted(all_instances[split_at:])]
         case "lose" | "double":
             step.size = round(rng.uniform(0.05, 0.3), 2)
         case "delay":
             step.delay = periods(0.02, 0.2)
         case "cut":
-            step.whom = one
-            step.to = [n for n in few[1:] or [(one[0] + 1) % script.instances] if n != one[0]]
+            step.whom = one_instance
+            next_instance = (one_instance[0] + 1) % script.instances
+            step.to = [n for n in some_instances[1:] or [next_instance] if n != one_instance[0]]
         case "block":
-            step.whom = one
+            step.whom = one_instance
             step.span = periods(0.5, 4)
         case "strangers":
             step.span = Duration(0)
         case "restart" | "hand":
-            step.whom = one
+            step.whom = one_instance
             step.span = Duration(0)
         case _:
-            step.whom = few
+            step.whom = some_instances
     return step
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -1,7 +1,7 @@
 """Membership protocol instances on a simulated network with one virtual clock.
 
-The network delays, loses, duplicates and reorders datagrams; links can be blocked one way, and instances
-can be paused or stopped.
+The network delays, loses, duplicates and reorders datagrams. Links can be blocked in one direction, and
+instances can be paused or stopped.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,12 +15,12 @@
 from dahliabend.membership.swim_config import SwimConfig
 
 S = 1_000_000  # microseconds in a second
-DEFAULT_DELAY = (200, 20_000)  # microseconds that a datagram takes, from and below
-ANY_SEED = 1  # the seed whose instances draw by their names alone
+DEFAULT_DELAY = (200, 20_000)  # microseconds of a datagram: minimum, and maximum exclusive
+ANY_SEED = 1  # the default; the instances' generators then depend on name and generation only
 
 
 class Datagram(NamedTuple):
-    """A datagram on its way; ordered by arrival."""
+    """A datagram in transit; ordered by arrival."""
 
     arrives_at: int
     sequence: int
@@ -30,7 +30,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer that an instance asked for; ordered by time."""
+    """A timer that an instance has set; ordered by due time."""
 
     due: int
     name: str
@@ -38,7 +38,7 @@
 
 
 class SimulatedCluster:
-    """Instances by name. A name is the instance's address too, unless it was added under another one."""
+    """Protocol instances by name on a simulated network. An instance's name is also its address."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         """Create a cluster and start `count` instances.
 
         Args:
-            count: instances b0, b1, and so on.
-            seed: of the network's and the instances' random generators.
-            loss: the share of datagrams that is lost.
-            config: of the membership protocol.
-            start_instances: False starts none of them.
+            count: Number of instances; they are named b0, b1, and so on.
+            seed: Seed of the network's and the instances' random generators.
+            loss: Fraction of datagrams that is lost.
+            config: Settings of the membership protocol.
+            start_instances: Whether to start the instances; False leaves the cluster empty.
         """
         self.rng = Random(seed)
         self.now = S
@@ -64,13 +64,13 @@
         self.seed = seed
         self.config = config or SwimConfig(sync_interval=10)
         self.delay = DEFAULT_DELAY
-        self.duplication = 0.0  # the share of datagrams that arrive twice
+        self.duplication = 0.0  # the fraction of datagrams that arrive twice
         self.in_transit: list[Datagram] = []
-        self.blocked_links: set[tuple[str, str]] = set()  # links that lose all, from one name to another
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver): all is lost
         self.paused_until: dict[str, int] = {}
         self.machines: dict[str, MembershipProtocol] = {}
         self.timers: list[Timer] = []
-        self.armed: dict[str, int] = {}  # the time of each instance's valid timer
+        self.armed: dict[str, int] = {}  # by name: the due time of the instance's valid timer
         self.bytes = 0
         self.datagrams = 0
         self.on_events: Callable[[str, MembershipProtocol], None] | None = None
@@ -85,7 +85,7 @@
         state: MembershipSnapshot | None = None,
         zone: str = "",
     ) -> MembershipProtocol:
-        """Start an instance, from a predecessor's snapshot if one is given."""
+        """Start an instance, from the snapshot of its predecessor if one is given."""
         own_seed = f"{name} {generation}" if self.seed == ANY_SEED else f"{self.seed} {name} {generation}"
         machine = MembershipProtocol(name, generation, name, self.config, Random(own_seed), zone)
         self.machines[name] = machine
@@ -96,13 +96,13 @@
         return machine
 
     def stop_instance(self, name: str) -> MembershipProtocol | None:
-        """End an instance at once; None if there is none of that name."""
+        """End an instance at once and return its protocol; None if there is no instance of that name."""
         self.paused_until.pop(name, None)
         self.armed.pop(name, None)
         return self.machines.pop(name, None)
 
     def transmit(self, name: str) -> None:
-        """Take over what an instance left after an input: its timer, its events and its datagrams."""
+        """Process what an instance produced: set its timer, report its events, send its datagrams."""
         machine = self.machines[name]
         if self.armed.get(name) != machine.timer_due:
             self.armed[name] = machine.timer_due
@@ -124,7 +124,7 @@
         heappush(self.in_transit, Datagram(arrives_at, self.sequence, name, address, payload))
 
     def run(self, span: int) -> "SimulatedCluster":
-        """Let so many microseconds pass."""
+        """Run for `span` microseconds."""
         end = self.now + span
         timers = self.timers
         in_transit = self.in_transit
@@ -146,7 +146,7 @@
         if target not in self.machines:
             return
         paused_until = self.paused_until.get(target, 0)
-        if paused_until > self.now:  # read once the instance resumes, after its timers
+        if paused_until > self.now:  # delivered once the instance resumes, after its timers
             heappush(self.in_transit, datagram._replace(arrives_at=paused_until + 1))
             return
         self.machines[target].receive_datagram(self.now, datagram.payload, datagram.source)
@@ -155,7 +155,7 @@
     def _fire(self, timer: Timer) -> None:
         name = timer.name
         if self.machines.get(name) is not timer.machine or self.armed.get(name) != timer.due:
-            return  # of an earlier instance, or replaced by another timer
+            return  # the timer is of an earlier process of this name, or was replaced
         paused_until = self.paused_until.get(name, 0)
         if paused_until > self.now:
             self.armed[name] = paused_until
@@ -166,20 +166,20 @@
         self.transmit(name)
 
     def pause(self, name: str, span: int) -> None:
-        """Stop an instance for so many microseconds; its timers and datagrams wait."""
+        """Stop an instance for `span` microseconds; its timers and datagrams wait until it resumes."""
         self.paused_until[name] = self.now + span
 
     def view_of(self, name: str) -> set[str]:
-        """The names in one instance's view."""
+        """Return the names in an instance's view."""
         return self.machines[name].view(self.now).names()
 
     def agrees(self, names: Iterable[str] | None = None) -> bool:
-        """Whether each of these instances, or of all, sees exactly these."""
-        wanted = set(names or self.machines)
-        return all(self.view_of(name) == wanted for name in wanted)
+        """Return whether each of these instances (default: all) has exactly these in its view."""
+        expected = set(names or self.machines)
+        return all(self.view_of(name) == expected for name in expected)
 
     def declared_dead(self) -> set[str]:
-        """The names that any instance declared dead at any time."""
+        """Return the names that any running instance has declared dead, by its events not yet taken."""
         machines = self.machines.values()
         return {
             event.name for machine in machines for event in machine.events if event.kind is EventKind.DIED
--- a/dahliabend/simulation/cluster/subset_model.py
+++ b/dahliabend/simulation/cluster/subset_model.py
@@ -1,7 +1,7 @@
-"""The subsets of a whole cluster while faults are injected.
+"""Model of the subsets of a whole cluster while faults are injected.
 
 Membership runs on the simulated network, with a subset controller for each instance. There are no requests:
-demand is given, and load is the sum of what the subsets' weights send to each upstream.
+all instances have the same demand, and the load of an upstream is the sum of its weights in their subsets.
 """
 
 from dataclasses import dataclass, field
@@ -22,42 +22,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSample:
-    """One second of the cluster."""
+    """The state of the subsets at one second of a run."""
 
-    at: int
-    running: int
-    imbalance: float  # the most loaded upstream over the mean
-    min_subset: int  # upstreams of the smallest subset
-    moved: int  # pairs that changed, over the cluster
-    max_connections: int  # the most balancers at one upstream
+    at: int  # microseconds
+    running: int  # instances that run and are not stopped
+    imbalance: float  # load of the most loaded upstream, divided by the mean
+    min_subset: int  # size of the smallest subset
+    moved: int  # pairs of instance and upstream added or dropped since the last sample
+    max_connections: int  # maximum number of instances that use the same upstream
 
 
 class WorstSample(NamedTuple):
-    """The worst values of a stretch of time."""
+    """The worst values within a time range."""
 
     imbalance: float
     min_subset: int
-    moved: int  # in all
+    moved: int  # sum over the range
 
 
 @dataclass(slots=True)
 class SubsetHistory:
-    """A sample for each second of a run."""
+    """The samples of a run, one for each second."""
 
     samples: list[ClusterSample] = field(default_factory=list)
 
     def worst(self, begin: int = 0, end: int = END_OF_TIME) -> WorstSample:
-        """The worst imbalance and subset size, and the sum of moved pairs, between two times."""
-        some = [sample for sample in self.samples if begin <= sample.at < end]
+        """Return the worst imbalance and subset size and the sum of moved pairs, from `begin` to `end`."""
+        selected = [sample for sample in self.samples if begin <= sample.at < end]
         return WorstSample(
-            max(sample.imbalance for sample in some),
-            min(sample.min_subset for sample in some),
-            sum(sample.moved for sample in some),
+            max(sample.imbalance for sample in selected),
+            min(sample.min_subset for sample in selected),
+            sum(sample.moved for sample in selected),
         )
 
 
 class SubsetModel(ClusterModel):
-    """As the cluster model, and every second all subset controllers step."""
+    """A cluster model with a subset controller for each instance, stepped once a second."""
 
     def __init__(
         self,
@@ -66,17 +66,17 @@
         subset: SubsetControllerSettings,
         config: SwimConfig | None = None,
     ) -> None:
-        """Prepare a run with so many upstreams."""
+        """Create a run with the given number of upstreams."""
         super().__init__(script, config)
         self.subset = subset
         self.history = SubsetHistory()
         self.pool = [Participant(f"u{n}") for n in range(upstreams)]
         self.controllers: dict[int, SubsetController] = {}
-        self.weights: dict[int, dict[str, float]] = {}  # by instance, of the upstreams in its subset
+        self.weights: dict[int, dict[str, float]] = {}  # by instance: of the upstreams in its subset
         self.upstreams_created = upstreams
 
     def replace_upstreams(self, count: int) -> None:
-        """Replace the oldest upstreams by as many new ones."""
+        """Replace the `count` oldest upstreams by new ones."""
         new = [Participant(f"u{self.upstreams_created + n}") for n in range(count)]
         self.pool = self.pool[count:] + new
         self.upstreams_created += count
@@ -88,14 +88,14 @@
         self.weights.pop(number, None)
 
     def run(self, span: int) -> None:
-        """Let so many microseconds pass, with a step of all controllers each second."""
+        """Run for `span` microseconds, with a step of all controllers after each second."""
         end = self.now + span
         while self.now < end:
             super().run(min(S, end - self.now))
             self.step_controllers()
 
     def step_controllers(self) -> None:
-        """Have the controllers of all instances that run step, and take a sample."""
+        """Step the controllers of all instances that run and are not stopped, and take a sample."""
         moved = 0
         for name in self.awake_names():
             number = int(name[1:])
@@ -113,13 +113,13 @@
         self._take_sample(moved)
 
     def _take_sample(self, moved: int) -> None:
-        """All running instances have the same demand; one that is stopped sends nothing."""
+        """Take a sample; all awake instances have the same demand, and one that is stopped sends nothing."""
         running = [int(name[1:]) for name in self.awake_names()]
         load = dict.fromkeys((upstream.name for upstream in self.pool), 0.0)
         connections = dict.fromkeys(load, 0)
         sizes = []
         for number in running:
-            weights = {name: w for name, w in self.weights.get(number, {}).items() if name in load}
+            weights = {name: weight for name, weight in self.weights.get(number, {}).items() if name in load}
             total = sum(weights.values())
             sizes.append(len(weights))
             for name, weight in weights.items():
--- a/dahliabend/simulation/cluster/upstream_model.py
+++ b/dahliabend/simulation/cluster/upstream_model.py
@@ -1,6 +1,6 @@
-"""A simulated upstream: cores, a queue, a warm-up, and ways to fail.
+"""A simulated upstream with cores, a queue, a warm-up, and faults that can be switched on.
 
-Work that was begun is done, whether anybody still waits for its response or not.
+A request that was accepted is executed to its end, even if nobody waits for the response any more.
 """
 
 from collections import deque
@@ -13,43 +13,45 @@
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
-FAILURE_TIME_DIVISOR = 50  # a failure takes the mean work divided by this
+FAILURE_TIME_DIVISOR = 50  # a failed request takes the mean work divided by this
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamProfile:
-    """What an upstream can do. Times in microseconds, of a core or of the clock."""
+    """The capacity and warm-up of an upstream. Times are in microseconds, of a core or of the clock."""
 
     cores: int = 2
-    work: int = 200 * MS  # of a core for a request, in the mean; half of it is constant, half drawn
-    depth: int = 6  # requests that it accepts at once for each core; more are rejected
+    work: int = 200 * MS  # mean core time of a request; half of it is constant, half exponential
+    depth: int = 6  # concurrent requests accepted for each core; more are rejected
     warmup_time: int = 8 * S
-    initial_capacity: float = 0.2  # the share of its capacity at the start of the warm-up
-    overload_multiple: float = 4.0  # times its capacity while warming up: it fails for good beyond that
+    initial_capacity: float = 0.2  # fraction of the full capacity at the start of the warm-up
+    # While warming up, an upstream hangs forever once the work that arrives in a window exceeds this multiple
+    # of its capacity.
+    overload_multiple: float = 4.0
     overload_window: int = 2 * S
 
 
 class Arrival(NamedTuple):
-    """Work that came while an upstream warmed up."""
+    """Work that arrived during an upstream's warm-up."""
 
-    at: int
-    work: int
+    at: int  # microseconds
+    work: int  # microseconds of a core
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ends and when; an outcome of None never comes back."""
+    """How and when an attempt ends. `outcome` is None if the upstream never responds."""
 
     outcome: Outcome | None
     at: int
 
 
 class SimulatedUpstream:
-    """One process of an upstream. `index` is its own for good; a place in the endpoint list is its `name`."""
+    """One process of an upstream. Its `index` is never reused; a later process may have the same `name`."""
 
     def __init__(
         self, index: int, name: str, zone: str, profile: UpstreamProfile, started_at: int, rng: Random
     ) -> None:
-        """Create a process; `started_at` 0: long ago, it is warm."""
+        """Create a process; `started_at` is in microseconds, 0 for one that is already warm."""
         self.index = index
         self.name = name
         self.zone = zone
@@ -59,20 +61,20 @@
         self.state = EndpointState.READY
         self.core_free_at = [0] * profile.cores  # a heap
         self.in_flight = 0
-        # Switches for faults.
-        self.failing = 0.0  # the share of requests that fail
-        self.slower = 1.0  # how many times longer work takes
-        self.hung = False
+        # Faults
+        self.failing = 0.0  # fraction of requests that fail
+        self.slower = 1.0  # factor by which work takes longer
+        self.hung = False  # accepts requests and never responds
         self.deaf_to: set[int] = set()  # balancers whose requests do not arrive
         self.is_gone = False
-        self.is_silent = False  # its machine is gone too: connections are not even refused
-        # Warm-up.
+        self.is_silent = False  # its host is gone too, so that connections time out instead of being refused
+        # Warm-up
         self.recent_arrivals: deque[Arrival] = deque()
-        self.recent_work = 0
+        self.recent_work = 0  # the sum over `recent_arrivals`
         self.is_overloaded = False
 
     def warmup_factor(self, now: int) -> float:
-        """The share of its capacity that it has."""
+        """Return the fraction of the full capacity that is available at a time."""
         profile = self.profile
         age = now - self.started_at
         if not self.started_at or age >= profile.warmup_time:
@@ -80,7 +82,7 @@
         return profile.initial_capacity + (1 - profile.initial_capacity) * age / profile.warmup_time
 
     def record_work(self, now: int, work: int, warmup_factor: float) -> None:
-        """Count work that arrives during the warm-up, also what is rejected; too much ends the process."""
+        """Count work that arrives during the warm-up, also if rejected; on overload the process hangs."""
         profile = self.profile
         self.recent_arrivals.append(Arrival(now, work))
         self.recent_work += work
@@ -92,7 +94,7 @@
             self.hung = True
 
     def request_arrived(self, now: int, source: int = -1) -> AttemptResult:
-        """Take a request from a balancer, and tell how the attempt ends."""
+        """Process a request from the balancer `source`, and return how and when the attempt ends."""
         if self.is_gone:
             return AttemptResult(Outcome.UNREACHABLE, now)
         if source in self.deaf_to:
@@ -113,7 +115,7 @@
         return AttemptResult(Outcome.SUCCEEDED, end)
 
     def end(self, now: int) -> None:
-        """End the process; whoever drives it resets the attempts in flight."""
+        """End the process; the caller has to reset the attempts in flight."""
         self.is_gone = True
         self.in_flight = 0
         self.core_free_at = [now] * self.profile.cores
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -1,9 +1,9 @@
-"""A cluster of balancers under load on the simulated network.
+"""Model of a cluster of balancers under load on the simulated network.
 
-Each balancer has the real policy, membership and subsets; the upstreams are simulated, and requests arrive
-whether or not others are answered. One seed gives the same arrivals with any settings, so that runs can be
-compared in pairs. A second of 40 balancers, 60 upstreams and 330 requests takes some 60 ms. Bytes are not
-simulated: what the network code does with them is for `dahliabend emulate`.
+Each balancer has the real policy, membership and subsets; the upstreams are simulated. The load is open-loop:
+requests arrive whether or not earlier ones are answered. A seed gives the same arrivals with any settings, so
+that runs can be compared in pairs. Simulating one second of 40 balancers, 60 upstreams and 330 requests takes
+about 60 ms. Bytes are not simulated; `dahliabend emulate` covers the network code.
 """
 
 from __future__ import annotations
@@ -33,29 +33,29 @@
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetControllerSettings
 
-MEMBERSHIP_STEP = 250 * MS  # the members' clock follows the requests' in such steps
-DISCOVERY_DELAY = 200 * MS, 1_500 * MS  # until a balancer learns of a change of the endpoint list
-CLIENT_FAILOVER_TIME = 1 * S  # until clients send no more to a balancer that is gone
-DRAIN_TIME = 3 * S
+MEMBERSHIP_STEP = 250 * MS  # by which the clock of the membership protocol follows that of the requests
+DISCOVERY_DELAY = 200 * MS, 1_500 * MS  # until a balancer receives a change of the endpoint list
+CLIENT_FAILOVER_TIME = 1 * S  # until clients stop sending to a balancer that has ended
+DRAIN_TIME = 3 * S  # of an upstream that is taken out
 SAMPLE_INTERVAL = S
-SUBMIT_SHARE = 0.3  # of the requests
+SUBMIT_SHARE = 0.3  # fraction of requests that are not idempotent
 
 
 class WorkloadModel(ClusterModel):
-    """As the cluster model, under load. Without a subset each balancer uses all upstreams.
+    """A cluster model whose instances are balancers under load.
 
     Args:
-        script: the cluster; its steps are not used.
-        upstreams: at the start.
-        rate: requests a second.
-        subset: settings of the subset controllers; None: each balancer uses all upstreams.
-        profile: what each upstream can do.
-        config: of the membership protocol.
-        zones: that balancers and upstreams are spread over.
-        announces_demand: balancers announce how many requests they get.
-        has_gossip: balancers exchange health reports.
-        lies: balancers whose reports are false, and how; see `LyingGossip`.
-        check_period: of leased health checks, in microseconds; 0: none.
+        script: The cluster; its steps are not run.
+        upstreams: Number of upstreams at the start.
+        rate: Requests per second, over the cluster.
+        subset: Settings of the subset controllers; None: each balancer uses all upstreams.
+        profile: Capacity and warm-up of each upstream.
+        config: Settings of the membership protocol.
+        zones: Number of zones that balancers and upstreams are spread over.
+        announces_demand: Whether balancers announce how many requests they receive.
+        has_gossip: Whether balancers exchange health reports.
+        lies: By balancer: the type of its false reports, see `LyingGossip`.
+        check_period: Period of leased health checks in microseconds; 0: none.
     """
 
     def __init__(  # noqa: PLR0913 -- the settings of an experiment, all but one with a default
@@ -73,13 +73,13 @@
         lies: dict[int, str] | None = None,
         check_period: int = 0,
     ) -> None:
-        """Prepare a run; the arguments are described at the class."""
+        """Create a run; the class documents the arguments."""
         super().__init__(script, config)
         self.profile = profile or UpstreamProfile()
         self.rate = rate
         self.subset = subset
         self.announces_demand = announces_demand
-        self.skewed_share = 0.0  # of the clients, which send to the first balancer alone
+        self.skewed_share = 0.0  # fraction of requests sent to the first balancer only
         self.has_gossip = has_gossip
         self.lies = lies or {}
         self.check_period = check_period
@@ -88,13 +88,14 @@
         self.clock = S
         self.arrivals_rng = Random(f"arrivals {script.seed}")
         self.rng = Random(f"nodes {script.seed}")
+        # A heap of (time, sequence number, callback, arguments).
         self.events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.sequence = 0
-        self.upstreams: list[SimulatedUpstream] = []  # all there ever were, by index
-        self.upstreams_by_name: dict[str, SimulatedUpstream] = {}  # the processes that run now
+        self.upstreams: list[SimulatedUpstream] = []  # all processes ever started, by index
+        self.upstreams_by_name: dict[str, SimulatedUpstream] = {}  # the running processes
         self.balancers: dict[int, BalancerInstance] = {}
         self.targets: list[int] = []  # balancers that clients send to
-        self.measured_since = 0  # requests that arrived earlier are not counted
+        self.measured_since = 0  # answers to requests that arrived earlier are not counted
         self.is_finished = False
         for number in range(upstreams):
             self.start_upstream(f"u{number}", started_at=0)
@@ -108,20 +109,20 @@
         """Record a violated invariant."""
         self.metrics.violations.append(f"{self.clock / S:.3f} s: {what}")
 
-    # One clock over the requests and the members, which follow in steps.
+    # Clock and events
 
     @property
     def now(self) -> int:
-        """Microseconds of the virtual clock."""
+        """The time of the virtual clock, in microseconds."""
         return self.clock
 
     def call_at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401 -- passed on
-        """Schedule a call."""
+        """Schedule a call at the time `when`."""
         self.sequence += 1
         heappush(self.events, (when, self.sequence, call, arguments))
 
     def run(self, span: int) -> None:
-        """Let so many microseconds pass."""
+        """Run for `span` microseconds: the requests, and the membership protocol after them in steps."""
         end = self.clock + span
         events = self.events
         while self.clock < end:
@@ -137,30 +138,30 @@
 
     @property
     def uses_membership(self) -> bool:
-        """Whether anything follows the members; if not, their clock stands still."""
+        """Whether anything uses the membership; if not, the protocol is not run."""
         return self.subset is not None or self.has_gossip
 
     def machine(self, number: int) -> MembershipProtocol | None:
-        """The membership protocol of a balancer."""
+        """Return the membership protocol of a balancer, None if it does not run."""
         return self.cluster.machines.get(f"b{number}")
 
     def send_gossip(self, source: str, target: str, payload: bytes) -> None:
-        """Send a datagram of health reports."""
+        """Send a datagram with health reports from one balancer to another, by their names."""
         self.counts["signal bytes"] += len(payload)
         cluster = self.cluster
         if (source, target) not in cluster.blocked_links and self.rng.random() >= cluster.loss:
             self.call_at(self.clock + ONE_WAY_DELAY, self.gossip_arrived, int(target[1:]), payload)
 
     def gossip_arrived(self, number: int, payload: bytes) -> None:
-        """A datagram of health reports has come to a balancer."""
+        """Deliver a datagram with health reports to a balancer."""
         balancer = self.balancers.get(number)
         if balancer is not None and balancer.gossip is not None:
             balancer.gossip.receive(self.clock, payload)
 
-    # Balancers.
+    # Balancers
 
     def settings(self) -> PolicySettings:
-        """The policy's settings of each balancer."""
+        """Return the policy settings, which all balancers share."""
         return PolicySettings(
             instance_count=self.script.instances,
             instance_index=-1,
@@ -185,15 +186,15 @@
         )
 
     def participant(self, number: int) -> Participant:
-        """A balancer as the subset controllers know it."""
+        """Return a balancer as a participant of the subset selection."""
         return Participant(f"b{number}", self.zone_of(number))
 
     def zone_of(self, number: int) -> str:
-        """The zone of a balancer or upstream."""
+        """Return the zone of a balancer or upstream by its number."""
         return self.zone_names[number % len(self.zone_names)]
 
     def start(self) -> None:
-        """Start the whole cluster, with full membership, and then the clients."""
+        """Start all balancers with the full membership view, then the clients."""
         for number in range(self.script.instances):
             self.start_instance(number)
         if self.uses_membership:
@@ -202,22 +203,22 @@
         self.call_at(self.clock, self.take_sample)
 
     def start_instance(self, number: int, state: MembershipSnapshot | None = None) -> None:
-        """Start a balancer."""
+        """Start a balancer, from a membership snapshot if one is given."""
         super().start_instance(number, state)
         if self.announces_demand:
             self.cluster.machines[f"b{number}"].update_self(self.clock, weight=UNKNOWN_DEMAND_WEIGHT)
         balancer = BalancerInstance(self, number, self.generations[number])
         self.balancers[number] = balancer
-        rows = {name: self.endpoint_update(upstream) for name, upstream in self.upstreams_by_name.items()}
-        balancer.endpoints_changed(rows)
+        updates = {name: self.endpoint_update(upstream) for name, upstream in self.upstreams_by_name.items()}
+        balancer.endpoints_changed(updates)
         balancer.subset_timer_fired()
         if balancer.gossip is not None:
-            first = self.clock + self.rng.randrange(GOSSIP_INTERVAL)
-            self.call_at(first, balancer.gossip_timer_fired)
+            first_gossip_at = self.clock + self.rng.randrange(GOSSIP_INTERVAL)
+            self.call_at(first_gossip_at, balancer.gossip_timer_fired)
         self.targets.append(number)
 
     def stop_instance(self, number: int) -> MembershipProtocol | None:
-        """End a balancer at once; the requests that it holds are lost."""
+        """End a balancer at once; its pending requests are lost."""
         balancer = self.balancers.pop(number)
         balancer.is_alive = False
         self.counts["lost"] += sum(
@@ -228,20 +229,20 @@
         return super().stop_instance(number)
 
     def clients_fail_over(self, number: int) -> None:
-        """Clients have noticed that a balancer is gone."""
+        """Remove a balancer from the clients' targets, unless it runs again."""
         if number not in self.balancers:
-            self.targets = [other for other in self.targets if other != number]
+            self.targets = [target for target in self.targets if target != number]
 
-    # Upstreams.
+    # Upstreams
 
     def endpoint_update(self, upstream: SimulatedUpstream) -> EndpointUpdate:
-        """An upstream as the endpoint list has it."""
+        """Return the entry of an upstream in the endpoint list."""
         zone = self.zone_names.index(upstream.zone)
         name = upstream.name.encode()
         return EndpointUpdate(upstream.index, upstream.state, upstream.started_at, 1.0, 0, zone, name)
 
     def start_upstream(self, name: str, started_at: int | None = None) -> SimulatedUpstream:
-        """Start an upstream; `started_at` None: now, with a warm-up."""
+        """Start an upstream process; `started_at` in microseconds, None for now, 0 for one already warm."""
         started_at = self.clock if started_at is None else started_at
         zone = self.zone_of(int(name[1:]))
         rng = Random(f"{self.script.seed} {name} {started_at}")
@@ -252,21 +253,21 @@
         return upstream
 
     def announce(self, upstream: SimulatedUpstream) -> None:
-        """Have each balancer learn an upstream's state, after a delay of its own."""
-        row = self.endpoint_update(upstream)
+        """Publish an upstream's state to each balancer, with a random delay for each."""
+        update = self.endpoint_update(upstream)
         for balancer in self.balancers.values():
-            at = self.clock + self.rng.randint(*DISCOVERY_DELAY)
-            self.call_at(at, balancer.endpoints_changed, {upstream.name: row})
+            received_at = self.clock + self.rng.randint(*DISCOVERY_DELAY)
+            self.call_at(received_at, balancer.endpoints_changed, {upstream.name: update})
 
     def drain_upstream(self, name: str) -> None:
-        """List an upstream as draining, and stop it once the drain time is over."""
+        """Publish an upstream as draining, and stop it after the drain time."""
         upstream = self.upstreams_by_name[name]
         upstream.state = EndpointState.DRAINING
         self.announce(upstream)
         self.call_at(self.clock + DRAIN_TIME, self.stop_upstream, upstream)
 
     def stop_upstream(self, upstream: SimulatedUpstream, is_silent: bool = False) -> None:
-        """End an upstream's process; `is_silent`: its machine too, so that connections are not refused."""
+        """End an upstream's process; `is_silent`: its host too, so that connections time out."""
         upstream.end(self.clock)
         upstream.state = EndpointState.REMOVED
         upstream.is_silent = is_silent
@@ -274,10 +275,10 @@
             del self.upstreams_by_name[upstream.name]
         self.announce(upstream)
 
-    # Clients.
+    # Clients
 
     def request_arrived(self) -> None:
-        """A client sends a request; the next arrival is scheduled."""
+        """Send a client's request to a balancer, and schedule the next arrival."""
         if self.is_finished:
             return
         wait = max(1, round(self.arrivals_rng.expovariate(self.rate / S)))
@@ -295,26 +296,26 @@
             balancer.admit(class_index)
 
     def take_sample(self) -> None:
-        """Add a line to the measurements, periodically."""
+        """Add a sample to the metrics; repeats itself periodically."""
         self.call_at(self.clock + SAMPLE_INTERVAL, self.take_sample)
         connections = Counter[int]()
         for balancer in self.balancers.values():
             connections.update({index: len(idle) for index, idle in balancer.idle_connections.items()})
             connections.update(balancer.busy_connections)
-        here = [connections[upstream.index] for upstream in self.upstreams_by_name.values()]
+        connection_counts = [connections[upstream.index] for upstream in self.upstreams_by_name.values()]
         metrics = self.metrics
-        metrics.mean_connections.append(sum(here) / max(1, len(here)))
-        metrics.max_connections = max(metrics.max_connections, max(here, default=0))
+        metrics.mean_connections.append(sum(connection_counts) / max(1, len(connection_counts)))
+        metrics.max_connections = max(metrics.max_connections, max(connection_counts, default=0))
         metrics.samples.append({"at": self.clock, **self.counts})
 
     def finish(self) -> None:
-        """End the arrivals, and let the requests that are open get their answers."""
+        """Stop the arrivals, run until all open requests are answered, and count overloaded upstreams."""
         self.is_finished = True
         self.run(DEADLINE + S)
         self.counts["fallen"] = sum(upstream.is_overloaded for upstream in self.upstreams)
 
     def reset_metrics(self) -> None:
-        """Begin the measurements now."""
+        """Clear the metrics; they cover requests that arrive from now on."""
         self.measured_since = self.clock
         metrics = self.metrics
         metrics.counts.clear()
@@ -325,5 +326,5 @@
 
 
 def upstream_names(numbers: Iterable[int]) -> list[str]:
-    """The names of upstreams by their numbers."""
+    """Return the names of the upstreams with these numbers."""
     return [f"u{number}" for number in numbers]
--- a/tests/simulation/cluster/test_membership_search.py
+++ b/tests/simulation/cluster/test_membership_search.py
@@ -1,4 +1,4 @@
-"""All interleavings of three machines to a depth, and three planted defects that it finds."""
+"""Search over the membership protocol: the invariants hold, and three planted defects are found."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from dahliabend.membership.protocol import MembershipProtocol
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.simulation.cluster.membership_search import (
-    find_unsafe_change,
-    find_unsettled,
+    find_liveness_violation,
+    find_safety_violation,
     initial_state,
     search,
 )
@@ -16,8 +16,8 @@
 DEPTH = 6
 
 
-class Hearsay(MembershipProtocol):
-    """Declares dead whom another has declared dead."""
+class DeclaresDeadByHearsay(MembershipProtocol):
+    """Declares a member dead because another member declared it dead, without a suspicion."""
 
     def apply_update(self, now, update):
         member = self.members.get(update.name)
@@ -28,7 +28,7 @@
 
 
 class IgnoresPauses(MembershipProtocol):
-    """Goes on after a pause as if nothing had been, and declares dead without another look."""
+    """Ignores that it was stopped, and declares suspects dead without probing them again."""
 
     def recover_from_pause(self, now): ...
 
@@ -39,7 +39,7 @@
 
 
 class AcceptsOldUpdates(MembershipProtocol):
-    """Takes over what is older than what it knows."""
+    """Applies updates with an older incarnation than the known one."""
 
     def apply_update(self, now, update):
         member = self.members.get(update.name)
@@ -50,31 +50,35 @@
 
 
 @pytest.mark.parametrize("suspected", [False, True])
-def test_no_order_of_events_violates_an_invariant(suspected):
-    result = search(initial_state(QUICK, is_suspected=suspected), DEPTH, find_unsafe_change, settle_every=40)
+def test_no_interleaving_violates_an_invariant(suspected):
+    result = search(
+        initial_state(QUICK, is_suspected=suspected), DEPTH, find_safety_violation, settle_check_interval=40
+    )
     assert not result.violation
     assert result.deepest == DEPTH
     assert result.states > 500
-    assert all(result.moves[kind] for kind in ("comes", "lost", "wakes", "stopped"))
+    assert all(result.moves[move] for move in ("delivered", "lost", "fires", "stopped"))
 
 
 @pytest.mark.parametrize(
     ("defect", "expected"),
     [
-        (Hearsay, "which it had not suspected"),
-        (IgnoresPauses, "as it woke"),
-        (AcceptsOldUpdates, "went back"),
+        (DeclaresDeadByHearsay, "dead without a suspicion"),
+        (IgnoresPauses, "dead as it resumed"),
+        (AcceptsOldUpdates, "decreased"),
     ],
 )
-def test_each_planted_defect_is_found_with_a_shortest_trace(defect, expected):
-    result = search(initial_state(QUICK, make=defect, is_suspected=True, losses=0), 12, find_unsafe_change)
+def test_planted_defect_is_found_with_a_shortest_trace(defect, expected):
+    result = search(
+        initial_state(QUICK, protocol_factory=defect, is_suspected=True, losses=0), 12, find_safety_violation
+    )
     assert expected in result.violation
     assert 0 < len(result.trace) <= 12
     correct = search(
-        initial_state(QUICK, is_suspected=True), min(DEPTH, len(result.trace)), find_unsafe_change
+        initial_state(QUICK, is_suspected=True), min(DEPTH, len(result.trace)), find_safety_violation
     )
     assert not correct.violation
 
 
-def test_a_cluster_left_alone_settles():
-    assert find_unsettled(initial_state(QUICK, is_suspected=True)) == ""
+def test_cluster_without_further_faults_settles():
+    assert find_liveness_violation(initial_state(QUICK, is_suspected=True)) == ""
--- a/tests/simulation/cluster/test_workload_model.py
+++ b/tests/simulation/cluster/test_workload_model.py
@@ -1,4 +1,4 @@
-"""Clusters under load: the real policy on simulated upstreams, one seed the same run, no violation."""
+"""Clusters under load: the real policy with simulated upstreams, deterministic for a seed, no violation."""
 
 from collections import Counter
 from random import Random
@@ -12,44 +12,49 @@
 from dahliabend.simulation.cluster.workload_model import WorkloadModel
 from dahliabend.subsetting.settings import SubsetControllerSettings
 
-MANY, POOL = 20, 30
-SUBSETS = SubsetControllerSettings(min_size=8, degree=8, balancers=MANY)
+BALANCERS = 20
+UPSTREAMS = 30
+SUBSETS = SubsetControllerSettings(min_size=8, degree=8, balancers=BALANCERS)
 
 
-def started_model(subset=None, seed=1, warm=10, rate=165.0):
-    model = WorkloadModel(ClusterScript(seed=seed, instances=MANY, delay=Duration(2_000)), POOL, rate, subset)
+def started_model(subset=None, seed=1, warm_up=10, rate=165.0):
+    model = WorkloadModel(
+        ClusterScript(seed=seed, instances=BALANCERS, delay=Duration(2_000)), UPSTREAMS, rate, subset
+    )
     model.start()
-    model.run(warm * S)
+    model.run(warm_up * S)
     model.reset_metrics()
     return model
 
 
-def test_one_seed_gives_one_run_and_all_are_answered_once():
+def test_same_seed_gives_the_same_run_and_each_request_one_answer():
     runs = []
     for _ in range(2):
         model = started_model(SUBSETS)
         model.run(5 * S)
         model.finish()
         counts = model.counts
-        assert counts["asked"] == sum(counts[how] for how in ("served", "late", "rolled back", "abandoned"))
+        assert counts["asked"] == sum(
+            counts[result] for result in ("served", "late", "rolled back", "abandoned")
+        )
         runs.append((counts, model.metrics.latencies))
         assert model.metrics.violations == []
     assert runs[0] == runs[1]
 
 
-def test_a_subset_rejects_no_more_requests_than_using_all():
+def test_subsets_serve_no_smaller_share_with_fewer_connections():
     shares = Counter()
-    for way in (None, SUBSETS):
-        model = started_model(way)
+    for subset in (None, SUBSETS):
+        model = started_model(subset)
         model.run(15 * S)
         model.finish()
-        shares[way is not None] = model.metrics.served_share
-        assert model.metrics.max_connections <= (MANY if way is None else 14)
+        shares[subset is not None] = model.metrics.served_share
+        assert model.metrics.max_connections <= (BALANCERS if subset is None else 14)
     assert shares[True] >= shares[False] - 0.001
 
 
 @pytest.mark.parametrize("subset", [None, SUBSETS])
-def test_killed_balancers_lose_their_requests_and_the_others_go_on(subset):
+def test_killed_balancers_lose_only_their_pending_requests(subset):
     model = started_model(subset)
     model.apply_step(Step("kill", whom=[0, 1, 2, 3]))
     model.run(3 * S)
@@ -62,29 +67,27 @@
     assert model.counts["served"] >= 0.97 * (model.counts["asked"] - lost)
 
 
-def test_a_balancer_whose_whole_subset_hangs_widens_and_serves_again():
+def test_balancer_whose_whole_subset_hangs_widens_it():
     model = started_model(SUBSETS)
-    mine = model.balancers[0]
-    for name in mine.weights:
+    instance = model.balancers[0]
+    for name in instance.weights:
         model.upstreams_by_name[name].hung = True
     model.run(12 * S)
-    # While all that it knows is silent nobody is set aside: without another sign it would never widen.
-    assert mine.controller.extra > 0
-    assert (
-        sum(not model.upstreams[u.index].hung and u.answered_at > 0 for u in mine.balancer.selection.ready)
-        >= 4
-    )
+    # While no upstream responds, none is ejected; the missing responses alone have to widen the subset.
+    assert instance.controller.extra > 0
+    answering = [u for u in instance.balancer.selection.ready if u.answered_at > 0]
+    assert sum(not model.upstreams[u.index].hung for u in answering) >= 4
 
 
-def test_announced_demand_widens_the_subset_of_a_busy_balancer():
+def test_announced_demand_widens_the_subset_of_a_loaded_balancer():
     shares = []
-    for demand in (False, True):
+    for announces_demand in (False, True):
         model = WorkloadModel(
-            ClusterScript(seed=2, instances=MANY, delay=Duration(2_000)),
-            POOL,
+            ClusterScript(seed=2, instances=BALANCERS, delay=Duration(2_000)),
+            UPSTREAMS,
             225.0,
             SUBSETS,
-            announces_demand=demand,
+            announces_demand=announces_demand,
         )
         model.skewed_share = 1 / 3
         model.start()
@@ -94,15 +97,15 @@
         model.finish()
         shares.append(model.metrics.served_share)
         size = len(model.balancers[0].weights)
-        assert size > 20 if demand else size < 16
+        assert size > 20 if announces_demand else size < 16
     assert shares[1] > shares[0]
 
 
-def test_a_replaced_pool_is_followed_and_no_warming_upstream_is_overloaded():
+def test_replaced_upstreams_leave_the_subsets_and_none_is_overloaded_in_its_warmup():
     model = started_model(SUBSETS)
     for number in range(18):
         model.drain_upstream(f"u{number}")
-        model.start_upstream(f"u{number + POOL}")
+        model.start_upstream(f"u{number + UPSTREAMS}")
         model.run(S // 3)
     model.run(20 * S)
     model.finish()
@@ -113,7 +116,7 @@
     )
 
 
-def test_an_overloaded_warming_upstream_fails_for_good():
+def test_upstream_overloaded_in_its_warmup_hangs_forever():
     upstream = SimulatedUpstream(
         0, "u0", "z0", UpstreamProfile(cores=1, overload_multiple=2.0), 5 * S, Random(1)
     )
