--- a/dahliabend/process_tests/__init__.py
+++ b/dahliabend/process_tests/__init__.py
@@ -1,5 +1,5 @@
-"""Tests of real processes on loopback, with faults between them, and checks of what they report.
+"""Tests of real processes on the loopback interface with injected faults, and checks of their reports.
 
-Each pair of instances communicates through a fault proxy. The scripts are those of
+The instances exchange datagrams through a fault proxy. The scripts are those of
 `dahliabend.simulation.cluster`.
 """
--- a/dahliabend/process_tests/admin_answers.py
+++ b/dahliabend/process_tests/admin_answers.py
@@ -1,4 +1,4 @@
-"""What instances answer to admin calls, as far as the process tests look at it, by the published keys."""
+"""Responses of the admin interface, with the fields that the process tests read, by their published keys."""
 
 import msgspec
 
@@ -17,12 +17,12 @@
     members: list[MemberRow]
 
     def names(self) -> set[str]:
-        """The names of its members."""
+        """Return the names of the members in the view."""
         return {member.name for member in self.members}
 
 
 class PoolSubset(msgspec.Struct, rename={"chosen_by": "by"}):
-    """The upstreams of a pool that an instance uses, and what chose them."""
+    """The upstreams of a pool that an instance uses, and by what they were selected."""
 
     chosen_by: str
     weights: dict[str, float]
--- a/dahliabend/process_tests/checks.py
+++ b/dahliabend/process_tests/checks.py
@@ -1,4 +1,4 @@
-"""Checks of views, subsets, leased health checks and rate limits, by what instances and upstreams report."""
+"""Checks of views, subsets, leased health checks and rate limits, on reports of instances and upstreams."""
 
 import asyncio
 from collections.abc import Iterable
@@ -9,27 +9,27 @@
 from dahliabend.simulation.cluster.invariants import Outcome
 
 S = 1_000_000  # microseconds in a second
-OBSERVATION_DELAY = 0.5  # seconds that a busy machine may add until a peer's record
-MAX_CHECKS_PER_PERIOD = 2
-MAX_GAP_PERIODS = 2
-SETTLE_PERIODS = 2  # after the first view in which all agreed
+OBSERVATION_DELAY = 0.5  # seconds by which a busy machine may delay a peer's record of an event
+MAX_CHECKS_PER_PERIOD = 2  # of one upstream
+MAX_GAP_PERIODS = 2  # between two checks of one upstream
+SETTLE_PERIODS = 2  # after the first agreement of all views, before checks are counted
 LIMIT_WINDOW = 4.0  # seconds over which requests under a rate limit are counted
-MAX_IMBALANCE = 21 / 20  # of the mean: the most that an upstream may be used where subsets add up
+MAX_IMBALANCE = 21 / 20  # maximum load of an upstream for even subsets, as a multiple of the mean
 
 
 def check_health_checks(
     times_by_upstream: dict[str, list[float]], period: int, first_agreement: float, at: int, outcome: Outcome
 ) -> None:
-    """Check that each upstream is checked about once a period.
+    """Check that each upstream is health-checked about once a period.
 
-    That is never more than twice in a period, with no gap over two.
+    It may be checked at most twice within a period, with no gap longer than two periods.
 
     Args:
-        times_by_upstream: when each upstream was checked, in seconds of the loop's clock.
-        period: of the health checks, in microseconds.
-        first_agreement: when all had one view for the first time, in seconds of the loop's clock.
-        at: the time of violations, in microseconds of the run's clock.
-        outcome: that violations and counts are added to.
+        times_by_upstream: Times at which each upstream was checked, in seconds of the loop's clock.
+        period: Period of the health checks, in microseconds.
+        first_agreement: When all instances first had the same view, in seconds of the loop's clock.
+        at: Time to report violations with, in microseconds of the run's clock.
+        outcome: The outcome to which violations and counts are added.
     """
     seconds = period / S
     begin = first_agreement + SETTLE_PERIODS * seconds
@@ -54,14 +54,16 @@
 def check_rate_limit(
     submit_times: list[float], limit: int, instance_count: int, at: int, outcome: Outcome
 ) -> None:
-    """Check that in any window no more is executed than a tenth above a shared limit, and the saved burst.
+    """Check that a shared rate limit holds in any window of `LIMIT_WINDOW`.
+
+    The executed requests may exceed the limit by a tenth, and by the burst that each instance may save up.
 
     Args:
-        submit_times: when requests under the limit were executed, in seconds.
-        limit: requests a second.
-        instance_count: of the cluster.
-        at: the time of violations, in microseconds of the run's clock.
-        outcome: that violations and counts are added to.
+        submit_times: When requests under the limit were executed, in seconds.
+        limit: Requests per second.
+        instance_count: Number of instances in the cluster.
+        at: Time to report violations with, in microseconds of the run's clock.
+        outcome: The outcome to which violations and counts are added.
     """
     times = sorted(submit_times)
     max_requests = 0
@@ -78,7 +80,7 @@
 
 
 def are_subsets_even(upstreams: list[str], subsets: dict[str, PoolSubset]) -> bool:
-    """Whether the subsets of all instances, which have the same demand, use each upstream alike."""
+    """Return whether the subsets load each upstream alike, if all instances have the same demand."""
     load = dict.fromkeys(upstreams, 0.0)
     for subset in subsets.values():
         total = sum(subset.weights.values())
@@ -87,12 +89,12 @@
     return max(load.values()) <= MAX_IMBALANCE * sum(load.values()) / len(load)
 
 
-def are_out(views: dict[str, MembershipView], gone: set[str]) -> bool:
-    """Whether none of these is in the view of any other."""
-    return all(not gone & view.names() for name, view in views.items() if name not in gone)
+def are_out_of_views(views: dict[str, MembershipView], absent: set[str]) -> bool:
+    """Return whether none of the absent instances is in the view of any other instance."""
+    return all(not absent & view.names() for name, view in views.items() if name not in absent)
 
 
-def do_agree(views: dict[str, MembershipView], members: set[str]) -> bool:
-    """Whether all views are stable, equal, and have exactly these members."""
+def do_views_agree(views: dict[str, MembershipView], members: set[str]) -> bool:
+    """Return whether all views are stable, equal, and have exactly these members."""
     are_complete = all(view.stable and view.names() == members for view in views.values())
     return are_complete and len({view.checksum for view in views.values()}) <= 1
--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -1,7 +1,8 @@
-"""A proxy of datagrams between the instances, which loses, delays, duplicates and blocks them.
+"""A proxy for datagrams between instances that loses, delays, duplicates and blocks them.
 
-Each instance is reached at an endpoint of the proxy's. A datagram of a for b arrives at b's endpoint; it goes
-on to b from a's endpoint, so that b answers there. All faults are drawn from one seeded generator.
+The proxy has an endpoint for each instance, whose address the instance advertises. A datagram from a to b
+arrives at b's endpoint and is forwarded to b from a's endpoint, so that b replies to that one. All faults are
+drawn from one seeded generator.
 """
 
 import asyncio
@@ -14,33 +15,33 @@
 from dahliabend.simulation.cluster.actual_history import Link
 from dahliabend.simulation.cluster.script import S
 
-MAX_IN_TRANSIT = 20_000  # datagrams: more are lost, as in a full queue
-MIN_TIMER_DELAY = 200  # microseconds: for a shorter delay a timer would be too late
-UNKNOWN = -1
+MAX_IN_TRANSIT = 20_000  # datagrams; further ones are dropped, as by a full queue
+MIN_TIMER_DELAY = 200  # microseconds; timers are too late for shorter delays
+UNKNOWN_SENDER = -1
 LOOPBACK = "127.0.0.1"
 
 DatagramTap = Callable[[int, int, bytes], None]  # sender, receiver, payload
 
 
 class FaultProxy:
-    """Owns the sockets of its endpoints from `open` until `close`."""
+    """The proxy. It owns the sockets of its endpoints from `open` until `close`."""
 
     def __init__(self, rng: Random, host: str = LOOPBACK) -> None:
         self.rng = rng
         self.host = host
         self.endpoints: list[ProxyEndpoint] = []
         self.blocked_links: set[Link] = set()
-        self.loss = 0.0  # the share of datagrams that is lost
-        self.duplication = 0.0  # the share that arrives twice
+        self.loss = 0.0  # fraction of datagrams that is lost
+        self.duplication = 0.0  # fraction of datagrams that arrives twice
         self.mean_delay = 0  # microseconds
         self.max_extra_delay = 0  # microseconds
-        self.in_transit = 0
+        self.in_transit = 0  # datagrams that wait for their delay
         self.forwarded = 0
         self.dropped = 0
         self.tap: DatagramTap | None = None
 
     async def open(self, count: int) -> list[Address]:
-        """Open an endpoint for each instance, and return their addresses."""
+        """Open an endpoint for each of `count` instances, and return the addresses."""
         loop = asyncio.get_running_loop()
         for number in range(count):
             _, endpoint = await loop.create_datagram_endpoint(
@@ -50,16 +51,17 @@
         return [endpoint.transport.get_extra_info("sockname") for endpoint in self.endpoints]
 
     def set_target(self, number: int, address: Address) -> None:
-        """Set where an instance's own socket is."""
+        """Set the address of an instance's own socket."""
         self.endpoints[number].target = address
 
     def _sender_at(self, address: Address) -> int:
-        return next((endpoint.number for endpoint in self.endpoints if endpoint.target == address), UNKNOWN)
+        senders = (endpoint.number for endpoint in self.endpoints if endpoint.target == address)
+        return next(senders, UNKNOWN_SENDER)
 
     def datagram_arrived(self, source: Address, receiver: int, payload: bytes) -> None:
-        """A datagram has come to an instance's endpoint."""
+        """Drop a datagram that arrived at an instance's endpoint, or forward it after its delay."""
         sender = self._sender_at(source)
-        is_lost = sender == UNKNOWN or (sender, receiver) in self.blocked_links
+        is_lost = sender == UNKNOWN_SENDER or (sender, receiver) in self.blocked_links
         if is_lost or self.rng.random() < self.loss:
             self.dropped += 1
             return
@@ -86,7 +88,7 @@
         self.forward(sender, receiver, payload)
 
     def forward(self, sender: int, receiver: int, payload: bytes) -> None:
-        """Send a datagram on to its receiver, from the sender's endpoint."""
+        """Send a datagram to its receiver from the sender's endpoint."""
         transport = self.endpoints[sender].transport
         target = self.endpoints[receiver].target
         if target is not None and not transport.is_closing():
@@ -94,7 +96,7 @@
             transport.sendto(payload, target)
 
     def inject(self, receiver: int, payload: bytes) -> None:
-        """Send a datagram to an instance that comes from no other instance."""
+        """Send an instance a datagram that no other instance sent."""
         self.forward(receiver, receiver, payload)
 
     def close(self) -> None:
@@ -112,12 +114,12 @@
         self.target: Address | None = None  # the instance's own socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """As asyncio."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """As asyncio."""
+        """Pass a datagram to the proxy."""
         self.proxy.datagram_arrived(addr, self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens at the target just now: the datagram is lost."""
+        """Ignore the error: no process listens at the target now, and the datagram is lost."""
--- a/dahliabend/process_tests/foreign_datagrams.py
+++ b/dahliabend/process_tests/foreign_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that an instance has to reject: noise, another key, another version, replays."""
+"""Datagrams that an instance has to reject: random bytes, another key, another version, replays."""
 
 from random import Random
 
@@ -9,17 +9,17 @@
 KEY_BYTES = 32
 NOISE_DATAGRAMS = 20
 NOISE_SIZES = (1, 40, 1_400, 9_000)  # bytes
-MAX_REPLAYED = 20
-NEWER_VERSION = b"\x07"  # of the datagrams' format
+MAX_REPLAYED = 20  # for each instance
+NEWER_VERSION = b"\x07"  # of the datagram format
 
 
 def foreign_datagrams(rng: Random, key: str, replayed: list[bytes]) -> list[bytes]:
-    """The datagrams to send to one instance.
+    """Return foreign datagrams to send to one instance.
 
     Args:
-        rng: of the noise.
-        key: of the cluster.
-        replayed: datagrams that members sent before.
+        rng: Generator of the random datagrams.
+        key: Key of the cluster.
+        replayed: Datagrams that members sent before.
     """
     noise = [rng.randbytes(rng.choice(NOISE_SIZES)) for _ in range(NOISE_DATAGRAMS)]
     valid, _ = encode_packet("b0", 1, 1, Ping(1, "b1"), [])
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -1,4 +1,4 @@
-"""Upstreams, clients and discovery on real sockets, for tests of real processes."""
+"""Upstreams, clients and discovery on real sockets, for the process tests."""
 
 import asyncio
 import time
@@ -18,23 +18,23 @@
 S = 1_000_000  # microseconds in a second
 LOOPBACK = "127.0.0.1"
 DISCOVERY_DELAY = 20_000  # microseconds
-UPSTREAM_WORK = 3_000  # microseconds
+UPSTREAM_WORK = 3_000  # microseconds of a request, in the mean
 UPSTREAM_IDLE_TIMEOUT = 20 * S
 WARMUP_TIME = 4 * S
-INITIAL_CAPACITY = 0.2
+INITIAL_CAPACITY = 0.2  # fraction of the full capacity at the start of the warm-up
 UPSTREAM_CORES = 4
-SUBMIT_SHARE = 0.4  # of the requests
-FAULT_INTERVAL = (6, 15)  # seconds between two faults of upstreams
-FAULT_TIME = 2.0  # seconds
-RESTART_TIME = 0.5  # seconds that a replaced upstream is gone
+SUBMIT_SHARE = 0.4  # fraction of requests that are not idempotent
+FAULT_INTERVAL = (6, 15)  # seconds between upstream faults, minimum and maximum
+FAULT_TIME = 2.0  # seconds that an upstream fails or hangs
+RESTART_TIME = 0.5  # seconds between the end of a replaced upstream and its restart
 FAULTS = ("replace", "replace", "fail", "hang", "reset")
-# Faults that are switches of an upstream: the switch, its value while the fault lasts, and after it.
-SWITCHES: dict[str, tuple[str, object, object]] = {
+# Faults that are attributes of an upstream: the attribute, its value during the fault and after it.
+FAULT_ATTRIBUTES: dict[str, tuple[str, object, object]] = {
     "fail": ("failing", 0.9, 0.0),
     "hang": ("hung", True, False),
 }
-DRAIN_TICK = 0.05  # seconds
-DRAIN_TICKS = 100  # that open requests are waited for at the end
+DRAIN_TICK = 0.05  # seconds between checks for open requests at the end
+DRAIN_TICKS = 100  # maximum number of these checks
 BODY = b"x" * 50
 POOLS_TEMPLATE = """
 [pools.main]
@@ -65,7 +65,7 @@
 
 
 def pools_text(script: ClusterScript, discovery_address: Address) -> str:
-    """The part of each instance's file that describes pools, classes and routes."""
+    """Return the part of the instances' configuration files with pools, request classes and routes."""
     subset = f'[pools.main.subset]\nleast = {script.subset}\ndegree = {script.subset}\nhold = "5s"'
     return POOLS_TEMPLATE.format(
         discovery=format_address(discovery_address),
@@ -76,16 +76,16 @@
 
 
 class LoadGenerator:
-    """Sends requests to instances, and injects faults of upstreams."""
+    """Upstreams, discovery, clients that send requests to instances, and faults of the upstreams."""
 
     def __init__(self, rng: Random, rate: float, upstreams: int, ports: list[int]) -> None:
-        """Prepare the load.
+        """Create the load generator.
 
         Args:
-            rng: of arrivals and faults.
-            rate: requests a second.
-            upstreams: how many there are.
-            ports: for the upstreams, and one for discovery.
+            rng: Generator of arrivals and faults.
+            rate: Requests per second.
+            upstreams: Number of upstreams.
+            ports: Ports of the upstreams, and one for discovery.
         """
         self.rng = rng
         self.rate = rate
@@ -110,7 +110,7 @@
         self.discovery_address: Address = (LOOPBACK, ports[upstreams])
         self.clients: dict[int, Clients] = {}  # by instance
         self._tasks: list[asyncio.Task[None]] = []
-        self._fault_lock = asyncio.Lock()  # held by the fault in force
+        self._fault_lock = asyncio.Lock()  # held while a fault is in force
         self._are_faults_over = False
 
     async def open(self) -> None:
@@ -122,12 +122,12 @@
         await agent.open(*self.discovery_address)
 
     async def start_upstream(self, spec: UpstreamSpec, started_at: int) -> Upstream:
-        """Start an upstream, in the place of the one of that name; `started_at` as in `Upstream`."""
+        """Start an upstream, which replaces one of the same name; `started_at` as in `Upstream`."""
         loop = asyncio.get_running_loop()
         rng = Random(f"{spec.name} {started_at}")
         upstream = Upstream(spec, loop, self.observer, rng, started_at, lambda _: True)
         await upstream.open()
-        self.upstreams = [other for other in self.upstreams if other.spec.name != spec.name] + [upstream]
+        self.upstreams = [u for u in self.upstreams if u.spec.name != spec.name] + [upstream]
         self.publish(spec, "up", started_at)
         return upstream
 
@@ -152,7 +152,7 @@
         self.clients[instance] = Clients(loop, self.observer, rng, rotation, f"c{instance}-")
 
     def begin(self, is_available: Callable[[int], bool]) -> None:
-        """Begin to send requests, to the instances that are available."""
+        """Begin to send requests to the instances that are available, and to inject faults."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._send_requests(is_available)),
@@ -176,7 +176,10 @@
             clients.send(request)
 
     async def _inject_faults(self) -> None:
-        """An upstream drains, goes and comes back cold; fails, hangs, or resets all its connections."""
+        """Inject faults of random upstreams, one at a time.
+
+        An upstream drains, ends and restarts with a warm-up; or it fails, hangs or resets all connections.
+        """
         while True:
             await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL))
             async with self._fault_lock:
@@ -190,10 +193,10 @@
         elif what == "reset":
             upstream.reset_all()
         else:
-            switch, value, normal = SWITCHES[what]
-            setattr(upstream, switch, value)
+            attribute, value, normal = FAULT_ATTRIBUTES[what]
+            setattr(upstream, attribute, value)
             await asyncio.sleep(FAULT_TIME)
-            setattr(upstream, switch, normal)
+            setattr(upstream, attribute, normal)
 
     async def _replace(self, upstream: Upstream) -> None:
         spec = upstream.spec
@@ -206,12 +209,12 @@
         await self.start_upstream(spec, round(asyncio.get_running_loop().time() * S))
 
     async def end_faults(self) -> None:
-        """Inject no more faults, once the one in force has ended."""
+        """Wait for the end of the fault in force, and inject no more faults."""
         if not self._are_faults_over:
             self._are_faults_over = await self._fault_lock.acquire()
 
     async def end(self) -> None:
-        """Send no more requests, wait for the open ones, and check that all were answered."""
+        """Stop sending requests, wait for the open ones, and check that all were answered."""
         for task in self._tasks:
             task.cancel()
         for _ in range(DRAIN_TICKS):
--- a/dahliabend/process_tests/load_observer.py
+++ b/dahliabend/process_tests/load_observer.py
@@ -1,9 +1,9 @@
-"""Invariants of requests between real processes, from what their peers saw.
+"""Invariants of requests between real processes, as observed by clients, upstreams and discovery.
 
-One answer each, within its limit; nothing that must not be repeated is executed twice; each 200 holds what an
-upstream made; nothing is sent to an endpoint that drains after the grace; no upstream that warms up is
-overloaded. What no peer on sockets can see, as when an attempt's first byte was written, is checked in the
-simulation.
+Each request has one answer within its time limit; no non-idempotent request is executed twice; the body of
+each 200 was produced by an upstream; no request is sent to a draining endpoint after the drain time; no
+upstream is overloaded during its warm-up. What peers cannot observe on sockets, such as when the first byte
+of an attempt was written, is checked in the simulation.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-MS = 1_000
-S = 1_000_000  # microseconds
-LIMIT = 2 * S  # of a request
+MS = 1_000  # microseconds in a millisecond
+S = 1_000_000  # microseconds in a second
+LIMIT = 2 * S  # time limit of a request
 DRAIN_TIME = 1_500 * MS
-SLACK = 400 * MS  # covers a loaded machine
-EXCUSE_MARGIN = 1.0  # seconds before a request in which a fault of its instance excuses it
-MAX_TEXT = 200  # characters of a violation
+SLACK = 400 * MS  # tolerance for a loaded machine
+EXCUSE_MARGIN = 1.0  # seconds before a request within which an interruption of its instance excuses it
+MAX_TEXT = 200  # characters of a violation text
 OK = 200
 
 
@@ -30,19 +30,22 @@
 
 
 class LoadObserver:
-    """Call it as a recorder. Times are seconds of the running loop's clock."""
+    """Checks the events of clients, upstreams and discovery; it is called as their recorder.
+
+    Times are in seconds of the running loop's clock.
+    """
 
     def __init__(self) -> None:
         self.requests: dict[str, ObservedRequest] = {}
         self.instances: dict[str, int] = {}  # by trace id: the instance that a request was sent to
-        self.answers: Counter[str] = Counter()
-        self.answers_made: dict[str, set[bytes]] = {}
+        self.answers: Counter[str] = Counter()  # by trace id
+        self.upstream_bodies: dict[str, set[bytes]] = {}  # by trace id: bodies that upstreams sent
         self.executions: Counter[str] = Counter()  # by trace id
         self.executions_by_upstream: Counter[str] = Counter()
-        self.submit_times: list[float] = []
-        self.health_check_times: dict[str, list[float]] = {}
-        self.draining_since: dict[str, float] = {}
-        self.interruptions: dict[int, list[float]] = {}  # by instance: when it was killed or stopped
+        self.submit_times: list[float] = []  # of executions
+        self.health_check_times: dict[str, list[float]] = {}  # by upstream
+        self.draining_since: dict[str, float] = {}  # by upstream
+        self.interruptions: dict[int, list[float]] = {}  # by instance: when it was killed, stopped or resumed
         self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         self._handlers: dict[str, Callable[..., None]] = {
@@ -60,13 +63,13 @@
         }
 
     def __call__(self, kind: str, *values: object) -> None:
-        """Handle an event; see `dahliabend.simulation.recorder` for the kinds."""
+        """Handle an event of a kind that `dahliabend.simulation.recorder` documents."""
         handler = self._handlers.get(kind)
         if handler is not None:
             handler(*values)
 
-    def interrupted(self, instance: int) -> None:
-        """An instance is killed, stopped or resumed now: what it holds may have no answer in time."""
+    def record_interruption(self, instance: int) -> None:
+        """Record that an instance is killed, stopped or resumed; its requests may lack an answer in time."""
         self.interruptions.setdefault(instance, []).append(_now())
 
     def check_answered(self) -> None:
@@ -84,7 +87,7 @@
         self.counts["asked"] += 1
 
     def _answer_made(self, trace_id: str, body: bytes) -> None:
-        self.answers_made.setdefault(trace_id, set()).add(body)
+        self.upstream_bodies.setdefault(trace_id, set()).add(body)
 
     def _request_executed(self, trace_id: str, upstream: str) -> None:
         now = _now()
@@ -92,8 +95,8 @@
         self.executions_by_upstream[upstream] += 1
         since = self.draining_since.get(upstream)
         if since is not None and now > since + (DRAIN_TIME + SLACK) / S:
-            late = now - since
-            self.violations.append(f"drain: {trace_id} ran at {upstream} {late:.2f} s after it was told")
+            delay = now - since
+            self.violations.append(f"drain: {trace_id} ran at {upstream} {delay:.2f} s after it was told")
         if self.requests[trace_id].class_name == "submit":
             self.submit_times.append(now)
             if self.executions[trace_id] > 1:
@@ -106,7 +109,7 @@
         latency = _now() - request.at
         if self.answers[trace_id] > 1:
             self.violations.append(f"one answer: {trace_id} had {self.answers[trace_id]}")
-        if status == OK and body not in self.answers_made.get(trace_id, ()):
+        if status == OK and body not in self.upstream_bodies.get(trace_id, ()):
             self.violations.append(f"whole answer: {trace_id} got what no upstream made")
         if latency > (request.timeout + SLACK) / S and not self._is_excused(trace_id):
             late = latency - request.timeout / S
@@ -122,7 +125,7 @@
 
     def _excuse_missing_answer(self, trace_id: str) -> None:
         if trace_id in self.requests and self._is_excused(trace_id):
-            self.answers[trace_id] += 1  # its instance was interrupted: no answer is due
+            self.answers[trace_id] += 1  # no answer is required, as the instance was interrupted
 
     def _upstream_overloaded(self, upstream: str, times: float) -> None:
         self.violations.append(f"cold: {upstream} fell over, sent {times:.1f} times what it bears")
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -1,4 +1,4 @@
-"""Instances as real processes: their files, their starts, signals and ends, and their logs."""
+"""Balancer instances as real processes: configuration files, start and end, signals, logs, admin calls."""
 
 import asyncio
 import os
@@ -17,45 +17,47 @@
 from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.peers.operators import call
 
-START_TIMEOUT = 30.0  # seconds until a process has to accept clients, or to be gone
+START_TIMEOUT = 30.0  # seconds within which a process has to open its sockets, or to end
 FIRST_PORT = 20_000
-LAST_PORT = 30_000  # below those that the system hands out
-PORT_STRIDE = 97  # spreads processes that look for ports at the same time
-MAX_ERROR_TEXT = 300  # characters
+LAST_PORT = 30_000  # exclusive; below the ephemeral ports of the system
+PORT_STRIDE = 97  # separates test processes that search for ports at the same time
+MAX_ERROR_TEXT = 300  # characters of a log line kept as an error
 LOOPBACK = "127.0.0.1"
 OK = 200
 
 LogRecord = dict[str, Any]
-Answer = TypeVar("Answer", bound=msgspec.Struct)
+AdminAnswer = TypeVar("AdminAnswer", bound=msgspec.Struct)
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of 127.0.0.1 that nobody uses now, for TCP and UDP; they may be bound again and again.
+    """Return ports of 127.0.0.1 that are free for TCP and UDP.
+
+    They are outside of the ephemeral range, so that instances can bind them again after a restart.
 
     Raises:
-        OSError: there are not so many.
+        OSError: Fewer than `count` ports are free.
     """
-    found: list[int] = []
+    ports: list[int] = []
     port_count = LAST_PORT - FIRST_PORT
     offset = os.getpid() * PORT_STRIDE % port_count
     with ExitStack() as stack:
         for step in range(port_count):
             port = FIRST_PORT + (offset + step) % port_count
             sockets = [
-                stack.enter_context(socket.socket(socket.AF_INET, kind))
-                for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
+                stack.enter_context(socket.socket(socket.AF_INET, socket_type))
+                for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
             ]
             with suppress(OSError):
                 for sock in sockets:
                     sock.bind((LOOPBACK, port))
-                found.append(port)
-            if len(found) == count:
-                return found
+                ports.append(port)
+            if len(ports) == count:
+                return ports
     raise OSError("no free ports on 127.0.0.1")
 
 
 class Instance:
-    """One member of the cluster, through its processes."""
+    """One member of the cluster, over all processes that it runs in one after the other."""
 
     def __init__(
         self,
@@ -67,10 +69,10 @@
         """Create an instance that has not started.
 
         Args:
-            number: of the instance.
-            directory: of its files.
-            ports: for clients, operators and datagrams.
-            on_log: called with each record of its log.
+            number: Number of the instance.
+            directory: Directory of the instance's files.
+            ports: Ports for clients, for the admin interface, and for datagrams.
+            on_log: Called with each record of the instance's log.
         """
         self.number = number
         self.name = f"b{number}"
@@ -88,16 +90,16 @@
 
     @property
     def path(self) -> Path:
-        """Its operator's file."""
+        """The configuration file of the instance."""
         return self.directory / f"{self.name}.toml"
 
     def write(self, script: ClusterScript, addresses: list[Address], pools: str) -> None:
-        """Write its file.
+        """Write the instance's configuration file.
 
         Args:
-            script: the script's cluster.
-            addresses: where the members are reached, by number.
-            pools: the rest of the file.
+            script: The script with the settings of the cluster.
+            addresses: Addresses that the members advertise, by number.
+            pools: Text with pools, request classes and routes.
         """
         seeds = ", ".join(f'"{format_address(addresses[number])}"' for number in script.seeds)
         self.path.write_text(f"""
@@ -119,7 +121,7 @@
 {pools}""")
 
     async def start(self) -> None:
-        """Start a process; `wait_until_open` waits until it communicates."""
+        """Start a process, without waiting for its sockets as `wait_until_open` does."""
         loop = asyncio.get_running_loop()
         self.opened = loop.create_future()
         self.process = await asyncio.create_subprocess_exec(
@@ -136,16 +138,16 @@
         self.reader = loop.create_task(self._read_log(self.process))
 
     async def wait_until_open(self) -> None:
-        """Wait until the process communicates with the other members.
+        """Wait until the process has opened its membership socket.
 
         Raises:
-            TimeoutError: that took too long.
-            OSError: the process ended.
+            TimeoutError: The process did not open it within `START_TIMEOUT`.
+            OSError: The process ended.
         """
         await asyncio.wait_for(self.opened, START_TIMEOUT)
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
-        """Handle each record as it comes: the clock of this process orders them."""
+        """Handle each log record when it arrives, so that the clock of this process orders all records."""
         if process.stderr is None:
             return
         while line := await process.stderr.readline():
@@ -164,33 +166,33 @@
             self.opened.set_exception(OSError(f"{self.name} ended at its start: {self.errors[-1:]}"))
 
     @property
-    def alive(self) -> bool:
-        """Whether its process runs."""
+    def is_alive(self) -> bool:
+        """Whether the instance's process exists."""
         return self.process is not None and self.process.returncode is None
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs and is not stopped."""
-        return self.alive and not self.is_stopped
+        """Whether the instance's process exists and is not stopped."""
+        return self.is_alive and not self.is_stopped
 
     def send(self, signal_number: int) -> None:
-        """Send its process a signal."""
-        if self.process is not None and self.alive:
+        """Send a signal to the process, if it exists."""
+        if self.process is not None and self.is_alive:
             with suppress(ProcessLookupError):
                 self.process.send_signal(signal_number)
 
     def stop(self) -> None:
-        """Stop its process."""
+        """Stop the process by SIGSTOP."""
         self.is_stopped = True
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Have its stopped process run again."""
+        """Resume the stopped process by SIGCONT."""
         self.is_stopped = False
         self.send(signal.SIGCONT)
 
     async def end(self, signal_number: int = signal.SIGTERM) -> int:
-        """End its process by a signal, and return the exit status."""
+        """End the process by a signal, or by SIGKILL after `START_TIMEOUT`, and return the exit status."""
         if self.process is None:
             return 0
         self.send(signal.SIGCONT)
@@ -208,8 +210,8 @@
             self.errors.append(f"{self.name} ended with {status}")
         return status
 
-    async def ask(self, path: str, answer_type: type[Answer]) -> Answer | None:
-        """The answer of its admin interface, None if there is none."""
+    async def ask(self, path: str, answer_type: type[AdminAnswer]) -> AdminAnswer | None:
+        """Return the decoded response of the admin interface, None if its status is not 200."""
         loop = asyncio.get_running_loop()
         status, body = await call(loop, self.admin_address, "GET", path)
         return msgspec.json.decode(body, type=answer_type) if status == OK else None
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -1,7 +1,7 @@
-"""Runs a cluster's script with real processes, and has their reports checked as those of the simulation.
+"""Run of a cluster script with real processes, whose reports are checked like those of the simulation.
 
-What the test machine does badly is part of what really happened: while this process could not run, no link
-between the instances worked.
+Pauses of this process are part of the actual history: while it could not run, the fault proxy forwarded
+nothing, so that no link between the instances worked.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.process_tests.admin_answers import MembershipView, PoolSubset, ReportUse, SubsetAnswer
 from dahliabend.process_tests.checks import (
-    are_out,
+    are_out_of_views,
     are_subsets_even,
     check_health_checks,
     check_rate_limit,
-    do_agree,
+    do_views_agree,
 )
 from dahliabend.process_tests.fault_proxy import FaultProxy
 from dahliabend.process_tests.foreign_datagrams import KEY_BYTES, foreign_datagrams
@@ -34,14 +34,14 @@
 from dahliabend.simulation.cluster.model import CHECKS_PER_PERIOD, ScenarioRunner, instance_number
 from dahliabend.simulation.cluster.script import LINK_FAULTS, ClusterScript, S, Step
 
-CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two looks at this process's own clock
-MAX_CLOCK_DELAY = 150_000  # microseconds by which such a look may be late
-BOUND_FACTOR = 4  # times what the settings allow: a condition's bound that luck does not reach
-MAX_PARALLEL_CALLS = 6  # of admin interfaces
-MAX_REPLAYED = 64  # datagrams kept to be sent again
-FAILING_SHARE = 0.9  # of the requests of a failing upstream
-MIN_RATE = 0.01  # requests a second
-PORTS_PER_INSTANCE = 3
+CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two checks for pauses of this process
+MAX_CLOCK_DELAY = 150_000  # microseconds by which such a check may be late
+BOUND_FACTOR = 4  # times the bound of a condition, so that random delays do not exceed the limit
+MAX_PARALLEL_CALLS = 6  # to admin interfaces
+MAX_REPLAYED = 64  # datagrams kept for replay
+FAILING_SHARE = 0.9  # fraction of requests that fail at a failing upstream
+MIN_RATE = 0.01  # requests per second
+PORTS_PER_INSTANCE = 3  # for clients, the admin interface, and datagrams
 
 
 class ProcessTestRunner(ScenarioRunner):
@@ -54,13 +54,13 @@
         upstreams: int = 4,
         on_log: Callable[[str], None] | None = None,
     ) -> None:
-        """Prepare a run.
+        """Create a run.
 
         Args:
-            script: the cluster and its script.
-            traffic: requests a second; 0: none.
-            upstreams: how many there are.
-            on_log: called with each line of the time line.
+            script: The cluster and its steps.
+            traffic: Requests per second; 0: none.
+            upstreams: Number of upstreams.
+            on_log: Called with each line of the time line.
         """
         super().__init__(script, SwimConfig(period=script.period))
         self.on_log = on_log or (lambda _: None)
@@ -72,8 +72,8 @@
         self.upstream_count = upstreams
         self.upstream_names: list[str] = []
         self.load: LoadGenerator | None = None
-        self.first_agreement: float | None = None  # when all had one view for the first time
-        self.subsets: dict[str, PoolSubset] = {}  # of each instance, as it was last asked
+        self.first_agreement: float | None = None  # when all views first agreed, seconds of the loop's clock
+        self.subsets: dict[str, PoolSubset] = {}  # by instance name: its last answer
         self._replayed: list[bytes] = []
         self._key = secrets.token_hex(KEY_BYTES)
         self._clock_watch: asyncio.Task[None] | None = None
@@ -81,13 +81,13 @@
 
     @property
     def now(self) -> int:
-        """Microseconds of the run's clock."""
+        """The time of the run's clock, in microseconds."""
         return round((asyncio.get_running_loop().time() - self._started_at) * S) + S
 
-    # Observations.
+    # Observations
 
     def record_log(self, instance: Instance, record: LogRecord) -> None:
-        """Take a record of an instance's log."""
+        """Process a record of an instance's log: membership changes and uses of health reports."""
         event = record.get("event")
         if event == "upstream.suspected":
             self.outcome.counts["believed"] += 1
@@ -111,26 +111,26 @@
             self._replayed.append(payload)
 
     async def _watch_clock(self) -> None:
-        """Record when this process could not run: no link between the instances worked then."""
+        """Record pauses of this process as blocked links: the fault proxy forwards nothing meanwhile."""
         loop = asyncio.get_running_loop()
-        everyone = range(self.script.instances)
-        last = loop.time()
+        all_instances = range(self.script.instances)
+        checked_at = loop.time()
         while True:
             await asyncio.sleep(CLOCK_CHECK_INTERVAL / S)
-            delay = (loop.time() - last) * S - CLOCK_CHECK_INTERVAL
-            last = loop.time()
+            delay = (loop.time() - checked_at) * S - CLOCK_CHECK_INTERVAL
+            checked_at = loop.time()
             if delay > MAX_CLOCK_DELAY:
                 self.outcome.counts["rig late"] += 1
-                all_links = {(a, b) for a in everyone for b in everyone if a != b}
+                all_links = {(a, b) for a in all_instances for b in all_instances if a != b}
                 since = max(self.actual_history.last_change(), self.now - round(delay))
                 self.actual_history.set_blocked_links(since, all_links)
                 self.actual_history.set_blocked_links(self.now, self.blocked_links())
                 self.log(self.now, f"RIG late by {delay / S:.2f} s")
 
-    # The run.
+    # Run
 
     async def run_script(self) -> Outcome:
-        """Run the whole script and check what was reported."""
+        """Run all steps, then check all reports against the actual history."""
         self._started_at = asyncio.get_running_loop().time()
         with tempfile.TemporaryDirectory(prefix="dahliabend-rig-") as directory:
             try:
@@ -152,7 +152,7 @@
         if self.load is not None:
             self.load.begin(self.is_available)
             if self.script.probing:
-                await self.load.end_faults()  # else the policy asks for health checks of its own
+                await self.load.end_faults()  # on a fault the policy would request health checks of its own
         for step in self.script.steps:
             await self.apply_step(step)
             await self.run(step.wait)
@@ -170,21 +170,23 @@
                 self.outcome.report("rule", end, violation)
 
     async def _build(self, directory: Path) -> None:
-        """Write the instances' files, and start the proxy, the upstreams and discovery."""
+        """Write the instances' configuration files, and start the proxy, the upstreams and discovery."""
         script = self.script
         self.proxy.mean_delay = script.delay
         addresses = await self.proxy.open(script.instances)
         (directory / "key").write_text(self._key + "\n")
-        own_count = PORTS_PER_INSTANCE * script.instances
-        ports = free_ports(own_count + self.upstream_count + 1)
+        instance_port_count = PORTS_PER_INSTANCE * script.instances
+        ports = free_ports(instance_port_count + self.upstream_count + 1)
         load_rng = Random(f"traffic {script.seed}")
-        load = LoadGenerator(load_rng, max(self.rate, MIN_RATE), self.upstream_count, ports[own_count:])
+        load = LoadGenerator(
+            load_rng, max(self.rate, MIN_RATE), self.upstream_count, ports[instance_port_count:]
+        )
         await load.open()
         self.upstream_names = [spec.name for spec in load.specs]
         pools = pools_text(script, load.discovery_address)
         for number in range(script.instances):
-            own_ports = ports[PORTS_PER_INSTANCE * number : PORTS_PER_INSTANCE * (number + 1)]
-            instance = Instance(number, directory, own_ports, self.record_log)
+            instance_ports = ports[PORTS_PER_INSTANCE * number : PORTS_PER_INSTANCE * (number + 1)]
+            instance = Instance(number, directory, instance_ports, self.record_log)
             instance.write(script, addresses, pools)
             self.proxy.set_target(number, instance.datagram_address)
             self.instances.append(instance)
@@ -196,21 +198,24 @@
     async def _close(self) -> None:
         if self._clock_watch is not None:
             self._clock_watch.cancel()
-        await asyncio.gather(*(instance.end() for instance in self.instances if instance.alive))
+        await asyncio.gather(*(instance.end() for instance in self.instances if instance.is_alive))
         for instance in self.instances:
             if instance.reader is not None:
                 instance.reader.cancel()
         self.proxy.close()
 
     def is_available(self, number: int) -> bool:
-        """Whether clients may send requests to an instance."""
+        """Return whether clients may send requests to an instance."""
         instance = self.instances[number]
         return instance.is_running and instance.opened.done()
 
-    # Steps.
+    # Steps
 
     async def start(self, numbers: list[int]) -> None:
-        """Start instances at the same time. One exists from when it communicates: none can know it before."""
+        """Start instances at the same time, and wait until they have opened their sockets.
+
+        An instance is recorded as started only then, as no other can know it before.
+        """
         for number in numbers:
             await self.instances[number].start()
         for number in numbers:
@@ -218,17 +223,17 @@
             self.actual_history.start(self.now, number)
 
     async def end(self, number: int, signal_number: int) -> None:
-        """End an instance by a signal."""
+        """Record the end of an instance and end it by a signal."""
         self.actual_history.end(self.now, number)
-        self._interrupted(number)
+        self._record_interruption(number)
         await self.instances[number].end(signal_number)
 
-    def _interrupted(self, number: int) -> None:
+    def _record_interruption(self, number: int) -> None:
         if self.load is not None:
-            self.load.observer.interrupted(number)
+            self.load.observer.record_interruption(number)
 
     async def apply_step(self, step: Step) -> None:
-        """Do what a step says."""
+        """Apply a step's fault or action, and schedule its reversal."""
         self.log_step(self.now, step)
         if step.what == "mend":
             await self._revert_all()
@@ -241,7 +246,7 @@
             self._set_failing(step, FAILING_SHARE)
         starting: list[int] = []
         for number in step.whom if step.what not in LINK_FAULTS else ():
-            if self.instances[number].alive:
+            if self.instances[number].is_alive:
                 if await self._apply_to_running(step.what, number):
                     starting.append(number)
             elif step.what == "start":
@@ -250,13 +255,13 @@
         self.schedule_reversal(self.now, step)
 
     async def _apply_to_running(self, what: str, number: int) -> bool:
-        """Apply a step to an instance that runs; whether it has to be started afterwards."""
+        """Apply a step to a running instance, and return whether it has to be started afterwards."""
         if what in ("kill", "restart"):
             await self.end(number, signal.SIGKILL)
         elif what in ("stop", "block"):
             self.instances[number].stop()
             self.actual_history.stop(self.now, number)
-            self._interrupted(number)
+            self._record_interruption(number)
         elif what == "leave":
             await self.end(number, signal.SIGTERM)
         elif what == "hand":
@@ -272,7 +277,7 @@
         self.apply_link_faults()
 
     async def revert_step(self, step: Step) -> None:
-        """Undo what a step did."""
+        """Revert a step: end its faults, resume or start again the instances that it stopped or ended."""
         if step in self.link_faults:
             self.link_faults.remove(step)
             self.apply_link_faults()
@@ -281,11 +286,11 @@
         starting: list[int] = []
         for number in step.whom if step.what not in LINK_FAULTS else ():
             instance = self.instances[number]
-            if step.what in ("stop", "block") and instance.is_stopped and instance.alive:
+            if step.what in ("stop", "block") and instance.is_stopped and instance.is_alive:
                 instance.resume()
                 self.actual_history.resume(self.now, number)
-                self._interrupted(number)
-            elif step.what in ("kill", "leave") and not instance.alive:
+                self._record_interruption(number)
+            elif step.what in ("kill", "leave") and not instance.is_alive:
                 starting.append(number)
         await self.start(starting)
 
@@ -295,26 +300,26 @@
                 upstream.failing = share
 
     def apply_link_faults(self) -> None:
-        """Bring the proxy in line with the link faults in force."""
+        """Configure the proxy with the link faults in force."""
         blocked = self.blocked_links()
         self.proxy.blocked_links = blocked
         if blocked != self.actual_history.blocked_links:
             self.actual_history.set_blocked_links(self.now, blocked)
-        lose = self.strongest_fault("lose")
+        loss = self.strongest_fault("lose")
         delay = self.strongest_fault("delay")
-        double = self.strongest_fault("double")
-        self.proxy.loss = lose.size if lose else 0.0
-        self.proxy.duplication = double.size if double else 0.0
+        duplication = self.strongest_fault("double")
+        self.proxy.loss = loss.size if loss else 0.0
+        self.proxy.duplication = duplication.size if duplication else 0.0
         self.proxy.max_extra_delay = delay.delay if delay else 0
 
     def inject_foreign_datagrams(self) -> None:
-        """Send each instance datagrams that no member sent, and replays."""
+        """Send each instance datagrams that no member sent, and replays of others."""
         for number in range(self.script.instances):
             for payload in foreign_datagrams(self.rng, self._key, self._replayed):
                 self.proxy.inject(number, payload)
 
     async def run(self, span: int) -> None:
-        """Let so many microseconds pass, and undo the steps whose span ends."""
+        """Wait for `span` microseconds, and revert the steps whose spans end."""
         end = self.now + span
         while self.pending_reversals and self.pending_reversals[0][0] <= end:
             at, step = self.pending_reversals.pop(0)
@@ -322,10 +327,10 @@
             await self.revert_step(step)
         await asyncio.sleep(max(0, end - self.now) / S)
 
-    # Conditions and checks.
+    # Conditions and checks
 
     async def wait_for_condition(self, step: Step) -> None:
-        """Let time pass until the step's condition holds; it is a violation if that takes too long."""
+        """Wait until the step's condition holds; report a violation if it does not within its time limit."""
         if not step.until:
             return
         if step.until == "even" and self.load is not None:
@@ -340,39 +345,46 @@
             self.first_agreement = asyncio.get_running_loop().time()
 
     async def condition_holds(self, step: Step) -> bool:
-        """Whether the step's condition holds now."""
+        """Return whether the step's condition holds now."""
         if step.until == "believed":
             return await self._are_reports_used()
         views = await self._views()
         if views is None:
             return False
         if step.until == "out":
-            return are_out(views, {f"b{number}" for number in step.whom})
-        members = {instance.name for instance in self.instances if instance.alive}
-        return do_agree(views, members) and (step.until != "even" or await self._are_subsets_even())
+            return are_out_of_views(views, {f"b{number}" for number in step.whom})
+        members = {instance.name for instance in self.instances if instance.is_alive}
+        return do_views_agree(views, members) and (step.until != "even" or await self._are_subsets_even())
 
     async def _views(self) -> dict[str, MembershipView] | None:
-        """The views of all instances that run, None if one does not answer."""
-        asked = [each for each in self.instances if each.is_running and each.opened.done()]
+        """Return the views of all running instances, None if one does not answer."""
+        running = [instance for instance in self.instances if instance.is_running and instance.opened.done()]
         views: dict[str, MembershipView] = {}
-        for at in range(0, len(asked), MAX_PARALLEL_CALLS):
-            some = asked[at : at + MAX_PARALLEL_CALLS]
+        for begin in range(0, len(running), MAX_PARALLEL_CALLS):
+            batch = running[begin : begin + MAX_PARALLEL_CALLS]
             answers = await asyncio.gather(
-                *(instance.ask("/api/members", MembershipView) for instance in some)
+                *(instance.ask("/api/members", MembershipView) for instance in batch)
             )
-            for instance, view in zip(some, answers, strict=True):
+            for instance, view in zip(batch, answers, strict=True):
                 if view is None:
                     return None
                 views[instance.name] = view
         return views
 
     async def _are_reports_used(self) -> bool:
-        """Whether the policy of any instance has used the health reports of others."""
-        answers = [await each.ask("/api/signals", ReportUse) for each in self.instances if each.is_running]
+        """Return whether the policy of any instance has used the health reports of others."""
+        answers = [
+            await instance.ask("/api/signals", ReportUse)
+            for instance in self.instances
+            if instance.is_running
+        ]
         return None not in answers and any(answer.used_reports for answer in answers if answer is not None)
 
     async def _are_subsets_even(self) -> bool:
-        """Whether the subsets add up: faults of upstreams end before, as these disturb them."""
+        """Return whether the subsets together load each upstream alike.
+
+        Upstream faults have ended before, as they change the subsets.
+        """
         self.subsets = {}
         for instance in self.instances:
             if instance.is_running:
@@ -383,7 +395,7 @@
         return are_subsets_even(self.upstream_names, self.subsets)
 
     def _check_load(self, end: int) -> None:
-        """Check what the upstreams recorded."""
+        """Check health checks and rate limits by what the upstreams recorded."""
         observer = self.load.observer if self.load is not None else LoadObserver()
         if self.load is not None and self.script.probing and self.first_agreement is not None:
             times = {name: observer.health_check_times.get(name, []) for name in self.upstream_names}
--- a/dahliabend/simulation/cluster/__init__.py
+++ b/dahliabend/simulation/cluster/__init__.py
@@ -1,6 +1,7 @@
 """Clusters of balancers that gossip with each other, on a simulated network.
 
 Scripts describe a cluster and the faults injected into it. The actual history records which instances ran and
-which links worked; the invariants check what each instance reported against it. `dahliabend.process_tests` runs the same scripts with
-real processes. The search modules explore all interleavings of three instances to a given depth.
+which links worked; the invariants check what each instance reported against it. `dahliabend.process_tests`
+runs the same scripts with real processes. The search modules explore all interleavings of three instances to
+a given depth.
 """
