--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from dahliabend.process_tests.load_observer import DRAIN_TIME, LIMIT, SLACK, LoadObserver
+from dahliabend.process_tests.load_observer import DRAIN_TIME, REQUEST_TIMEOUT, TOLERANCE, LoadObserver
 from dahliabend.simulation.addresses import Address, format_address
 from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.peers.client_request import ClientRequest
@@ -169,9 +169,11 @@
             clients = self.clients[instance]
             trace_id = clients.next_trace_id()
             if self.rng.random() < SUBMIT_SHARE:
-                request = ClientRequest(trace_id, "submit", LIMIT, LIMIT, path="/submit", body=BODY)
+                request = ClientRequest(
+                    trace_id, "submit", REQUEST_TIMEOUT, REQUEST_TIMEOUT, path="/submit", body=BODY
+                )
             else:
-                request = ClientRequest(trace_id, "query", LIMIT, LIMIT, path="/q")
+                request = ClientRequest(trace_id, "query", REQUEST_TIMEOUT, REQUEST_TIMEOUT, path="/q")
             self.observer.instances[trace_id] = instance
             clients.send(request)
 
@@ -201,7 +203,7 @@
     async def _replace(self, upstream: Upstream) -> None:
         spec = upstream.spec
         self.publish(spec, "draining")
-        await asyncio.sleep(2 * (DRAIN_TIME + SLACK) / S)
+        await asyncio.sleep(2 * (DRAIN_TIME + TOLERANCE) / S)
         self.publish(spec, "removed")
         upstream.server.close()
         upstream.reset_all()
--- a/dahliabend/process_tests/load_observer.py
+++ b/dahliabend/process_tests/load_observer.py
@@ -13,9 +13,9 @@
 
 MS = 1_000  # microseconds in a millisecond
 S = 1_000_000  # microseconds in a second
-LIMIT = 2 * S  # time limit of a request
+REQUEST_TIMEOUT = 2 * S
 DRAIN_TIME = 1_500 * MS
-SLACK = 400 * MS  # tolerance for a loaded machine
+TOLERANCE = 400 * MS  # for a loaded machine
 EXCUSE_MARGIN = 1.0  # seconds before a request within which an interruption of its instance excuses it
 MAX_TEXT = 200  # characters of a violation text
 OK = 200
@@ -94,7 +94,7 @@
         self.executions[trace_id] += 1
         self.executions_by_upstream[upstream] += 1
         since = self.draining_since.get(upstream)
-        if since is not None and now > since + (DRAIN_TIME + SLACK) / S:
+        if since is not None and now > since + (DRAIN_TIME + TOLERANCE) / S:
             delay = now - since
             self.violations.append(f"drain: {trace_id} ran at {upstream} {delay:.2f} s after it was told")
         if self.requests[trace_id].class_name == "submit":
@@ -111,7 +111,7 @@
             self.violations.append(f"one answer: {trace_id} had {self.answers[trace_id]}")
         if status == OK and body not in self.upstream_bodies.get(trace_id, ()):
             self.violations.append(f"whole answer: {trace_id} got what no upstream made")
-        if latency > (request.timeout + SLACK) / S and not self._is_excused(trace_id):
+        if latency > (request.timeout + TOLERANCE) / S and not self._is_excused(trace_id):
             late = latency - request.timeout / S
             self.violations.append(f"one answer: {trace_id} late by {late:.2f} s")
 
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -93,7 +93,7 @@
         """The configuration file of the instance."""
         return self.directory / f"{self.name}.toml"
 
-    def write(self, script: ClusterScript, addresses: list[Address], pools: str) -> None:
+    def write_config(self, script: ClusterScript, addresses: list[Address], pools: str) -> None:
         """Write the instance's configuration file.
 
         Args:
@@ -210,7 +210,7 @@
             self.errors.append(f"{self.name} ended with {status}")
         return status
 
-    async def ask(self, path: str, answer_type: type[AdminAnswer]) -> AdminAnswer | None:
+    async def call_admin(self, path: str, answer_type: type[AdminAnswer]) -> AdminAnswer | None:
         """Return the decoded response of the admin interface, None if its status is not 200."""
         loop = asyncio.get_running_loop()
         status, body = await call(loop, self.admin_address, "GET", path)
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -187,7 +187,7 @@
         for number in range(script.instances):
             instance_ports = ports[PORTS_PER_INSTANCE * number : PORTS_PER_INSTANCE * (number + 1)]
             instance = Instance(number, directory, instance_ports, self.record_log)
-            instance.write(script, addresses, pools)
+            instance.write_config(script, addresses, pools)
             self.proxy.set_target(number, instance.datagram_address)
             self.instances.append(instance)
             if self.rate:
@@ -363,7 +363,7 @@
         for begin in range(0, len(running), MAX_PARALLEL_CALLS):
             batch = running[begin : begin + MAX_PARALLEL_CALLS]
             answers = await asyncio.gather(
-                *(instance.ask("/api/members", MembershipView) for instance in batch)
+                *(instance.call_admin("/api/members", MembershipView) for instance in batch)
             )
             for instance, view in zip(batch, answers, strict=True):
                 if view is None:
@@ -374,7 +374,7 @@
     async def _are_reports_used(self) -> bool:
         """Return whether the policy of any instance has used the health reports of others."""
         answers = [
-            await instance.ask("/api/signals", ReportUse)
+            await instance.call_admin("/api/signals", ReportUse)
             for instance in self.instances
             if instance.is_running
         ]
@@ -388,7 +388,7 @@
         self.subsets = {}
         for instance in self.instances:
             if instance.is_running:
-                answer = await instance.ask("/api/subsets", SubsetAnswer)
+                answer = await instance.call_admin("/api/subsets", SubsetAnswer)
                 if answer is None:
                     return False
                 self.subsets[instance.name] = answer.pools["main"]
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -26,7 +26,7 @@
     observer: int  # the instance that reported it
     kind: str  # "joined", "returned", "suspected", "died", "left", "paused"
     subject: int  # number of the instance that changed; -1: none of this cluster
-    reported_by: str = ""  # name of the instance whose update caused the change
+    reported_by: str = ""  # the member that reported the change to the observer
 
 
 @dataclass(slots=True)
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -76,12 +76,11 @@
     seed: int = 0
     instances: int = 5
     period: Duration = Duration(S)
-    seeds: list[int] = msgspec.field(
-        default_factory=lambda: [0, 1]
-    )  # instances that a starting instance contacts
+    # Instances that a starting instance contacts first.
+    seeds: list[int] = msgspec.field(default_factory=lambda: [0, 1])
     zones: int = 1
     late: list[int] = msgspec.field(default_factory=list)  # instances not started at the beginning
-    delay: Duration = Duration(MS)  # mean of a datagram
+    delay: Duration = Duration(MS)  # mean delay of a datagram
     subset: int = 0  # real processes only: minimum size and degree of subsets; 0: none
     signals: bool = False  # real processes only: health gossip
     # Real processes only: the period in which leased health checks check each upstream once; 0: none.
