--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -49,7 +49,7 @@
     return call_with_cluster
 
 
-def _load_cluster(file_or_seed: str, instances: int, period: str, minutes: float) -> script.Fleet:
+def _load_cluster(file_or_seed: str, instances: int, period: str, minutes: float) -> script.ClusterScript:
     """Generate the cluster of a seed, or read that of a file."""
     if file_or_seed.isascii() and file_or_seed.isdigit():
         return script.draw(int(file_or_seed), instances, Duration.parse(period), minutes)
@@ -71,7 +71,7 @@
 @click.option("--upstreams", type=click.IntRange(1, MAX_UPSTREAMS), default=4, show_default=True)
 @click.option("--quiet", is_flag=True, help="Only the results.")
 def run(
-    cluster: script.Fleet, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
+    cluster: script.ClusterScript, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
 ) -> None:
     """Run a cluster of real processes; exit with 1 after a violation of an invariant.
 
@@ -113,7 +113,7 @@
 
 
 def _run_processes(
-    cluster: script.Fleet, traffic: float, upstreams: int, print_line: Callable[[str], None]
+    cluster: script.ClusterScript, traffic: float, upstreams: int, print_line: Callable[[str], None]
 ) -> Outcome:
     from dahliabend.process_tests.runner import ProcessTestRunner
 
@@ -123,7 +123,7 @@
 @process_tests.command("model")
 @_with_cluster
 @json_option
-def model_command(cluster: script.Fleet, *, as_json: bool) -> None:
+def model_command(cluster: script.ClusterScript, *, as_json: bool) -> None:
     """Run a cluster on a simulated network and print its time line; exit with 1 after a violation."""
     outcome = model.run_script(cluster)
     if as_json:
