--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls of the admin API of a running balancer."""
+"""Client of the admin API of a running balancer."""
 
 import json
 from http.client import HTTPConnection, HTTPException
@@ -23,7 +23,8 @@
         where: The address itself, or the path of the balancer's operator's file.
 
     Raises:
-        click.ClickException: The text is no address, and the file has faults or no listener for operators.
+        click.ClickException: The text is not an address, and the file has faults or no listener for
+            operators.
     """
     try:
         return parse_address(where)
--- a/dahliabend/cli/membership.py
+++ b/dahliabend/cli/membership.py
@@ -6,7 +6,7 @@
 import click
 from rich.table import Table
 
-from dahliabend.cli.operators_api import fetch, format_age
+from dahliabend.cli.admin_client import fetch, format_age
 from dahliabend.cli.output import json_option, print_json, print_table
 
 KEY_BYTES = 32
@@ -29,12 +29,12 @@
     if where is None:
         raise click.UsageError("FILE or HOST:PORT of the balancer to query is missing")
     view = fetch(where, "/api/members")
-    is_healthy = view["stable"] and not view["cut"] and not view["outcast"]
+    is_reliable = view["stable"] and not view["cut"] and not view["outcast"]
     if as_json:
         print_json(view)
     else:
         _print_view(view)
-    raise click.exceptions.Exit(0 if is_healthy else 1)
+    raise click.exceptions.Exit(0 if is_reliable else 1)
 
 
 def _print_view(view: dict[str, Any]) -> None:
--- a/dahliabend/cli/peer_state.py
+++ b/dahliabend/cli/peer_state.py
@@ -3,7 +3,7 @@
 import click
 from rich.table import Table
 
-from dahliabend.cli.operators_api import balancer_argument, fetch, format_age
+from dahliabend.cli.admin_client import balancer_argument, fetch, format_age
 from dahliabend.cli.output import json_option, print_json, print_table
 from dahliabend.leases.fencing import TOKEN_SUFFIX_BITS
 
@@ -49,8 +49,8 @@
     for row in leases_status["duties"]:
         age = "" if row["age_ms"] is None else f"{format_age(row['age_ms'])} ago"
         place = "none" if row["place"] < 0 else str(row["place"])
-        epoch = str(row["fence"] >> TOKEN_SUFFIX_BITS)
-        table.add_row(row["duty"], row["owner"], epoch, age, row["result"], place)
+        claim_count = str(row["fence"] >> TOKEN_SUFFIX_BITS)
+        table.add_row(row["duty"], row["owner"], claim_count, age, row["result"], place)
     print_table(table, TABLE_WIDTH)
     state = "settled" if leases_status["settled"] else "not settled"
     click.echo(
--- a/dahliabend/cli/process_tests.py
+++ b/dahliabend/cli/process_tests.py
@@ -1,4 +1,4 @@
-"""`dahliabend process-test`: runs a cluster with faults between its members, in processes or simulated."""
+"""`dahliabend process-test`: runs a script of a cluster with faults, in real processes or simulated."""
 
 import asyncio
 import functools
@@ -32,25 +32,25 @@
 )
 
 
-def _with_cluster(command: Callable[..., None]) -> Callable[..., None]:
-    """Decorate a command so that it gets the cluster that its argument and options select."""
+def _with_script(command: Callable[..., None]) -> Callable[..., None]:
+    """Decorate a command so that it gets the script that its argument and options select."""
 
     @click.argument("file_or_seed", metavar="FILE|SEED")
     @instances_option
     @period_option
     @minutes_option
     @functools.wraps(command)
-    def call_with_cluster(
+    def call_with_script(
         *, file_or_seed: str, instances: int, period: str, minutes: float, **options: object
     ) -> None:
-        """Generate the cluster or read its file, and call the command with it."""
-        command(_load_cluster(file_or_seed, instances, period, minutes), **options)
+        """Generate the script or read it from its file, and call the command with it."""
+        command(_load_script(file_or_seed, instances, period, minutes), **options)
 
-    return call_with_cluster
+    return call_with_script
 
 
-def _load_cluster(file_or_seed: str, instances: int, period: str, minutes: float) -> script.ClusterScript:
-    """Generate the cluster of a seed, or read that of a file."""
+def _load_script(file_or_seed: str, instances: int, period: str, minutes: float) -> script.ClusterScript:
+    """Generate the script of a seed, or read it from a file."""
     if file_or_seed.isascii() and file_or_seed.isdigit():
         return script.draw(int(file_or_seed), instances, Duration.parse(period), minutes)
     return script.SCRIPT_FILES.read(file_or_seed)
@@ -62,7 +62,7 @@
 
 
 @process_tests.command()
-@_with_cluster
+@_with_script
 @json_option
 @click.option(
     "--times", type=click.IntRange(1), default=1, show_default=True, help="Runs, one after the other."
@@ -71,7 +71,13 @@
 @click.option("--upstreams", type=click.IntRange(1, MAX_UPSTREAMS), default=4, show_default=True)
 @click.option("--quiet", is_flag=True, help="Only the results.")
 def run(
-    cluster: script.ClusterScript, *, as_json: bool, times: int, traffic: float, upstreams: int, quiet: bool
+    cluster_script: script.ClusterScript,
+    *,
+    as_json: bool,
+    times: int,
+    traffic: float,
+    upstreams: int,
+    quiet: bool,
 ) -> None:
     """Run a cluster of real processes; exit with 1 after a violation of an invariant.
 
@@ -89,7 +95,7 @@
     )
     outcomes = []
     with progress:
-        task = progress.add_task("steps", total=len(cluster.steps) * times)
+        task = progress.add_task("steps", total=len(cluster_script.steps) * times)
 
         def print_line(line: str) -> None:
             """Print a line of the time line, and advance the progress bar at a new step."""
@@ -99,7 +105,7 @@
                 progress.console.print(line, highlight=False, markup=False)
 
         for _ in range(times):
-            outcome = _run_processes(cluster, traffic, upstreams, print_line)
+            outcome = _run_processes(cluster_script, traffic, upstreams, print_line)
             outcomes.append(outcome)
             if not as_json:
                 _print_outcome(outcome)
@@ -113,19 +119,19 @@
 
 
 def _run_processes(
-    cluster: script.ClusterScript, traffic: float, upstreams: int, print_line: Callable[[str], None]
+    cluster_script: script.ClusterScript, traffic: float, upstreams: int, print_line: Callable[[str], None]
 ) -> Outcome:
     from dahliabend.process_tests.runner import ProcessTestRunner
 
-    return asyncio.run(ProcessTestRunner(cluster, traffic, upstreams, print_line).run_script())
+    return asyncio.run(ProcessTestRunner(cluster_script, traffic, upstreams, print_line).run_script())
 
 
 @process_tests.command("model")
-@_with_cluster
+@_with_script
 @json_option
-def model_command(cluster: script.ClusterScript, *, as_json: bool) -> None:
+def model_command(cluster_script: script.ClusterScript, *, as_json: bool) -> None:
     """Run a cluster on a simulated network and print its time line; exit with 1 after a violation."""
-    outcome = model.run_script(cluster)
+    outcome = model.run_script(cluster_script)
     if as_json:
         click.echo(orjson.dumps(_outcome_json(outcome), option=orjson.OPT_INDENT_2))
     else:
@@ -142,8 +148,8 @@
 @minutes_option
 def script_command(seed: int, instances: int, period: str, minutes: float) -> None:
     """Print the script of a seed as a file that can be edited."""
-    cluster = script.draw(seed, instances, Duration.parse(period), minutes)
-    click.echo(script.SCRIPT_FILES.encode(cluster).decode(), nl=False)
+    cluster_script = script.draw(seed, instances, Duration.parse(period), minutes)
+    click.echo(script.SCRIPT_FILES.encode(cluster_script).decode(), nl=False)
 
 
 def _outcome_json(outcome: Outcome) -> dict[str, Any]:
--- a/dahliabend/cli/subsetting.py
+++ b/dahliabend/cli/subsetting.py
@@ -10,7 +10,7 @@
 import click
 from rich.table import Table
 
-from dahliabend.cli.operators_api import fetch
+from dahliabend.cli.admin_client import fetch
 from dahliabend.cli.output import json_option, print_json, print_table
 from dahliabend.subsetting.selection import (
     MIN_BALANCERS_PER_UPSTREAM,
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scenario:
+class HypotheticalFleet:
     """A hypothetical set of balancers and upstreams, and the parameters of subset selection.
 
     Attributes:
@@ -54,7 +54,7 @@
         """Return whether a balancer or an upstream has this name."""
         return any(each.name == name for each in (*self.balancers, *self.upstreams))
 
-    def without(self, name: str) -> "Scenario":
+    def without(self, name: str) -> "HypotheticalFleet":
         """Return a copy without the balancer or upstream of this name."""
         return replace(
             self,
@@ -63,8 +63,8 @@
         )
 
 
-def _with_scenario(command: Callable[..., None]) -> Callable[..., None]:
-    """Decorate a command so that it gets the scenario that its options describe."""
+def _with_hypothetical_fleet(command: Callable[..., None]) -> Callable[..., None]:
+    """Decorate a command so that it gets the hypothetical fleet that its options describe."""
 
     @click.option(
         "--balancers",
@@ -82,7 +82,7 @@
     @click.option("--least", type=click.IntRange(1), default=MIN_SUBSET_SIZE, show_default=True)
     @click.option("--degree", type=click.IntRange(1), default=MIN_BALANCERS_PER_UPSTREAM, show_default=True)
     @functools.wraps(command)
-    def call_with_scenario(
+    def call_with_fleet(
         *,
         balancers: int | None,
         upstreams: int | None,
@@ -91,24 +91,24 @@
         degree: int,
         **options: object,
     ) -> None:
-        """Create the scenario if both numbers are given, and call the command with it."""
-        scenario = None
+        """Create the hypothetical fleet if both numbers are given, and call the command with it."""
+        fleet = None
         if balancers is not None and upstreams is not None:
-            scenario = Scenario(
+            fleet = HypotheticalFleet(
                 balancers=[Participant(f"b{number}", f"z{number % zones}") for number in range(balancers)],
                 upstreams=[Participant(f"u{number}", f"z{number % zones}") for number in range(upstreams)],
                 least=least,
                 degree=degree,
                 has_zones=zones > 1,
             )
-        command(scenario=scenario, **options)
+        command(fleet=fleet, **options)
 
-    return call_with_scenario
+    return call_with_fleet
 
 
 @click.command()
 @click.argument("where", metavar="[FILE|HOST:PORT]", required=False)
-@_with_scenario
+@_with_hypothetical_fleet
 @click.option(
     "--lose", "lost_names", multiple=True, help="Show what the loss of this one changes; may be repeated."
 )
@@ -119,7 +119,7 @@
 def subset(
     where: str | None,
     *,
-    scenario: Scenario | None,
+    fleet: HypotheticalFleet | None,
     lost_names: tuple[str, ...],
     chart: Path | None,
     as_json: bool,
@@ -132,14 +132,14 @@
     if where is not None:
         _show_pools(where, as_json=as_json)
         return
-    if scenario is None:
+    if fleet is None:
         raise click.UsageError("either FILE or HOST:PORT, or --balancers and --upstreams")
-    assignment = scenario.assign()
-    summary = _summarize(scenario, assignment)
+    assignment = fleet.assign()
+    summary = _summarize(fleet, assignment)
     for name in lost_names:
-        if not scenario.has(name):
+        if not fleet.has(name):
             raise click.BadParameter(f"{name!r} is no balancer and no upstream", param_hint="--lose")
-        summary[f"without {name}"] = _summarize_loss(scenario, assignment, name)
+        summary[f"without {name}"] = _summarize_loss(fleet, assignment, name)
     if chart is not None:
         _write_chart(assignment, chart)
     if as_json:
@@ -149,8 +149,8 @@
         _print_summary(summary)
 
 
-def _summarize(scenario: Scenario, assignment: Assignment) -> dict[str, Any]:
-    upstreams = sorted(scenario.upstreams, key=lambda each: each.name)
+def _summarize(fleet: HypotheticalFleet, assignment: Assignment) -> dict[str, Any]:
+    upstreams = sorted(fleet.upstreams, key=lambda each: each.name)
     load = assignment.shares.sum(axis=0) / normalized_weights(upstreams)
     is_used = assignment.shares > 0
     upstream_counts = is_used.sum(axis=1)
@@ -163,8 +163,8 @@
     }
 
 
-def _summarize_loss(scenario: Scenario, before: Assignment, name: str) -> dict[str, Any]:
-    remaining = scenario.without(name)
+def _summarize_loss(fleet: HypotheticalFleet, before: Assignment, name: str) -> dict[str, Any]:
+    remaining = fleet.without(name)
     after = remaining.assign()
     pairs = before.pairs()
     own_pairs = sum(name in pair for pair in pairs)
--- a/dahliabend/health_gossip/aggregation.py
+++ b/dahliabend/health_gossip/aggregation.py
@@ -1,4 +1,4 @@
-"""Aggregation of the reports of other instances: which upstreams are suspected. Free of I/O.
+"""Aggregation of the reports of other instances: which upstreams are suspected. The module does no I/O.
 
 A report is an observation, never a command. Only a few attempts of each origin count, so that a single origin
 has little influence whatever it reports. If a quorum of origins reports an upstream as failing, and is not
@@ -25,7 +25,7 @@
         min_origin_fraction: Minimum number of these origins as a fraction of those that report on the pool.
         max_attempts_per_origin: Maximum number of attempts that count for one origin.
         failure_threshold: Minimum fraction of failures among the counted attempts.
-        evidence_attempts: Number of attempts of this instance that a suspicion counts like.
+        evidence_attempts: A suspicion counts like this number of attempts of this instance.
         max_upstream_fraction: If more than this fraction of a pool would be suspected, no upstream is.
     """
 
@@ -42,7 +42,7 @@
 
     Attributes:
         upstream: Name of the upstream.
-        attempts: Number of attempts of this instance that the suspicion counts like.
+        attempts: The suspicion counts like this number of attempts of this instance.
         failures: Number of these attempts that count as failed.
         origins: Number of origins that report the upstream as failing.
     """
@@ -97,8 +97,8 @@
                 SuspectedUpstream(upstream, settings.evidence_attempts, failures, tally.failing_origins)
             )
     suspected.sort(key=lambda suspicion: (-suspicion.failures, -suspicion.origins, suspicion.upstream))
-    # More at the same time are a fault of the whole tier, or false reports; only this instance's own
-    # observations count then.
+    # If more upstreams are suspected at once, the whole tier has a fault or the reports are false; only this
+    # instance's own observations count then.
     return suspected if len(suspected) <= settings.max_upstream_fraction * len(upstreams) else []
 
 
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -33,8 +33,8 @@
 GOSSIP_INTERVAL = 500 * MICROSECONDS_PER_MS
 REPORT_WINDOW = 3_000 * MICROSECONDS_PER_MS  # time that a report covers, and for which it counts
 FANOUT = 3  # members that are sent a datagram at each tick
-MAX_DATAGRAM_BYTES = 1_200  # bytes of encoded reports in one datagram
-MAX_LIST_BYTES = MAX_DATAGRAM_BYTES // 2  # bytes of one list in this instance's own report
+MAX_PAYLOAD_BYTES = 1_200  # encoded reports in one datagram
+MAX_LIST_BYTES = MAX_PAYLOAD_BYTES // 2  # bytes of one list in this instance's own report
 MAX_FORWARDS = 2  # how often this instance forwards the same report of another one
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -56,14 +56,14 @@
 
     Attributes:
         own_name: Name of this instance among the members.
-        generation: Start time of this process; later processes of the same name have higher values.
+        generation: Start time of this process, raised above earlier ones of the same name.
         observations: Outcomes of this instance's own attempts, by pool.
         report_table: Latest reports of the other instances.
         sequence: Number of this instance's last report.
         outbox: Datagrams to send; the owner empties the list.
-        last_reported: Time at which each upstream was last reported to the policy as suspected.
-        undecodable: Number of datagrams that could not be decoded.
-        suspected_count: Number of suspected upstreams reported to the policy so far.
+        last_notified: Time at which the policy was last notified that each upstream is suspected.
+        undecodable: Number of received datagrams that could not be decoded.
+        suspected_count: Number of suspected upstreams of which the policy has been notified so far.
         leases: Returns the leases to announce at a given time; None if this instance takes part in none.
         on_lease: Called with the time and each lease that another instance announces.
         quotas: Returns the shares of limits to announce; None if this instance has none.
@@ -77,7 +77,7 @@
 
         Args:
             own_name: Name of this instance among the members.
-            generation: Start time of this process; has to rise with each process of the same name.
+            generation: Start time of this process, raised above earlier ones of the same name.
             random: Generator of the random choice of members.
             settings: Thresholds for suspecting an upstream.
         """
@@ -87,7 +87,7 @@
         self.report_table = ReportTable(own_name, REPORT_WINDOW)
         self.sequence = 0
         self.outbox: list[OutgoingDatagram] = []
-        self.last_reported: dict[UpstreamKey, int] = {}
+        self.last_notified: dict[UpstreamKey, int] = {}
         self.undecodable = 0
         self.suspected_count = 0
         self.leases: Callable[[int], list[LeaseAnnouncement]] | None = None
@@ -186,7 +186,7 @@
     def _pack(self, now: int, own_report: HealthReport) -> list[msgspec.Raw]:
         """Encode this instance's report, then those of others to forward, as many as fit into a datagram."""
         packed: list[msgspec.Raw] = []
-        free = MAX_DATAGRAM_BYTES
+        free = MAX_PAYLOAD_BYTES
         encoded = _encode(own_report)
         if len(encoded) <= free:
             free -= len(encoded)
@@ -221,36 +221,36 @@
         members: set[str],
         on_suspected: Callable[[str, int, int], object],
     ) -> list[SuspectedUpstream]:
-        """Report the suspected upstreams of a pool to its policy, each at most once per `REPORT_WINDOW`.
+        """Notify the policy of a pool of its suspected upstreams, of each at most once per `REPORT_WINDOW`.
 
         Args:
             now: Current time in microseconds.
             pool: Name of the pool.
             upstreams: Names of the upstreams in use.
             members: Names of the members whose reports count.
-            on_suspected: Called with the name of an upstream, and with the attempts and failures that the
-                suspicion counts like.
+            on_suspected: Called with the name of an upstream, and with attempts and failures: the suspicion
+                counts like these.
 
         Returns:
-            The upstreams that were reported.
+            The upstreams of which the policy was notified.
         """
         own_counts = self.observations[pool].counts(now) if pool in self.observations else {}
         reports = self.report_table.fresh(now, members - {self.own_name})
-        reported = []
+        notified = []
         for suspected in aggregate(self._settings, pool, upstreams, reports, own_counts):
             key = UpstreamKey(pool, suspected.upstream)
-            if now - self.last_reported.get(key, -REPORT_WINDOW) >= REPORT_WINDOW:
-                self.last_reported[key] = now
+            if now - self.last_notified.get(key, -REPORT_WINDOW) >= REPORT_WINDOW:
+                self.last_notified[key] = now
                 on_suspected(suspected.upstream, suspected.attempts, suspected.failures)
-                reported.append(suspected)
-        self.suspected_count += len(reported)
-        for key in [key for key, at in self.last_reported.items() if now - at >= REPORT_WINDOW]:
-            del self.last_reported[key]
-        return reported
+                notified.append(suspected)
+        self.suspected_count += len(notified)
+        for key in [key for key, at in self.last_notified.items() if now - at >= REPORT_WINDOW]:
+            del self.last_notified[key]
+        return notified
 
 
 def _forwarded_copy(now: int, received: ReceivedReport) -> HealthReport:
-    """Return a report with its age and relay count updated for forwarding."""
+    """Return a report with its age and its number of forwards updated."""
     report = received.report
     age_ms = (now - received.created_at) // MICROSECONDS_PER_MS
     return msgspec.structs.replace(report, age_ms=age_ms, relay_count=report.relay_count + 1)
--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -57,11 +57,12 @@
 
     Attributes:
         origin: Name of the reporting instance.
-        generation: Start time of the reporting process; with `sequence` it orders the reports of one origin.
+        generation: Start time of the reporting process, raised above earlier ones of the same name; with
+            `sequence` it orders the reports of one origin.
         sequence: Number of the report within the generation.
         age_ms: Milliseconds from the creation of the report until it was sent; clocks are not compared
             between instances.
-        relay_count: How often the report was forwarded.
+        relay_count: How often the report has been forwarded on its way, by any instance.
         counts: Outcomes at upstreams.
         leases: Leases that the origin holds or claims.
         quotas: Shares that the origin holds of fleet-wide limits.
--- a/dahliabend/leases/__init__.py
+++ b/dahliabend/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases of periodic tasks, and shares of fleet-wide limits, both without I/O.
+"""Leases of periodic tasks, and shares of fleet-wide limits. The package does no I/O.
 
 `lease` defines the types, `fencing` the fencing tokens and `candidate_order` the order in which members may
 take a lease; `election` decides which member holds it. `leased_health_checks` uses leases for health checks
--- a/dahliabend/leases/candidate_order.py
+++ b/dahliabend/leases/candidate_order.py
@@ -34,9 +34,9 @@
     'b0'
     """
 
-    def rank(member: Candidate) -> tuple[bool, bytes]:
+    def sort_key(member: Candidate) -> tuple[bool, bytes]:
         """Return the sort key of a member; the member with the highest key comes first."""
         digest = blake2b(f"{task}\0{member.name}".encode(), digest_size=HASH_BYTES).digest()
         return member.zone == zone, digest
 
-    return [member.name for member in sorted(members, key=rank, reverse=True)]
+    return [member.name for member in sorted(members, key=sort_key, reverse=True)]
--- a/dahliabend/leases/election.py
+++ b/dahliabend/leases/election.py
@@ -3,8 +3,8 @@
 The holder announces each completed run with its fencing token, which renews the lease; a higher token
 overrides a lower one. If the holder's announcements stop, the next candidate claims the lease with a new
 token some time before the task is due, and runs the task only if no other member has overridden the claim by
-then. A holder that has stopped is replaced within one period. After a pause, and while the view is not
-settled, an instance claims and runs nothing, so that it first receives what the others have announced.
+then. A holder that has stopped is replaced within one period. After a pause, and while its member table is
+not settled, an instance claims and runs nothing, so that it first receives what the others have announced.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,7 +23,7 @@
 # Time for which another member's claim is not overridden. Without it, if the task were overdue for all
 # candidates, two of them would override each other forever and neither would run the task.
 CLAIM_TIMEOUT = 1 / 2
-LISTEN_TIME = 3 / 10  # quiet time after a pause; longer than the delay of an announcement
+QUIET_TIME = 3 / 10  # after a pause; longer than the delay of an announcement
 PAUSE_THRESHOLD = 1 / 4  # a longer gap between two ticks counts as a pause of this instance
 MAX_TASKS = 4_096
 NOT_A_CANDIDATE = -1
@@ -39,7 +39,7 @@
         leases: Lease of each task.
         members: All members, sorted.
         ranks: Cache of this instance's rank among the candidates of each task.
-        view_settled: Whether the members are known and this instance has received datagrams from them.
+        view_settled: Whether the members are known and the member table of this instance is settled.
         last_tick_at: Time of the last tick; 0 before the first one.
         quiet_until: Time before which this instance claims no lease and runs no task.
         rejected: Number of invalid announcements received.
@@ -62,13 +62,13 @@
     # Input
 
     def update_members(self, now: int, members: Iterable[Candidate], settled: bool) -> None:
-        """Set the members from the last settled view of the fleet.
+        """Set the members from the last stable view.
 
         Args:
             now: Current time in microseconds.
             members: All members.
-            settled: Whether the view is reliable; false until this instance has received datagrams from
-                another member since it started or was paused.
+            settled: Whether the members are known and the member table of this instance is settled: up to
+                date since the instance started or was paused.
         """
         view = tuple(sorted(members))
         if view != self.members:
@@ -108,12 +108,12 @@
         return True
 
     def enter_quiet_period(self, now: int) -> None:
-        """Release this instance's leases, and neither claim leases nor run tasks for `LISTEN_TIME`.
+        """Release this instance's leases, and neither claim leases nor run tasks for `QUIET_TIME`.
 
         While this instance was paused another one may have taken a lease, and its announcement may not have
         been read yet. This instance then has to claim the leases again, like any other candidate.
         """
-        self.quiet_until = max(self.quiet_until, now + round(LISTEN_TIME * self.period))
+        self.quiet_until = max(self.quiet_until, now + round(QUIET_TIME * self.period))
         for lease in self.leases.values():
             if lease.holder == self.own_name:
                 lease.release()
--- a/dahliabend/leases/fencing.py
+++ b/dahliabend/leases/fencing.py
@@ -1,6 +1,6 @@
-"""Fencing tokens: numbers that rise each time a lease changes its holder.
+"""Fencing tokens: numbers that rise with each claim of a lease.
 
-The upper bits count the changes. The lower bits are a hash of the holder's name, so that two members that
+The upper bits count the claims. The lower bits are a hash of the holder's name, so that two members that
 claim a lease at the same time do so with different tokens, unless the hashes of their names collide.
 """
 
@@ -19,6 +19,6 @@
     >>> next_fencing_token(0, "a") >> TOKEN_SUFFIX_BITS
     1
     """
-    change = (current >> TOKEN_SUFFIX_BITS) + 1
+    claim_count = (current >> TOKEN_SUFFIX_BITS) + 1
     suffix = crc32(instance_name.encode()) % (1 << TOKEN_SUFFIX_BITS)
-    return change << TOKEN_SUFFIX_BITS | suffix
+    return claim_count << TOKEN_SUFFIX_BITS | suffix
--- a/dahliabend/leases/lease.py
+++ b/dahliabend/leases/lease.py
@@ -54,7 +54,7 @@
         last_run_at: Time of the last run by any member; before the first, the time at which this instance
             learned of the task.
         result: Result of the last run, as the task defines it.
-        heard_at: Time at which this instance learned of the last claim or announcement.
+        heard_at: Time at which this instance received the last claim or announcement, or claimed the lease.
     """
 
     fencing_token: int
--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -22,8 +22,8 @@
 StartCheck = Callable[[str, ResultCallback], None]  # name of the task, callback for its result
 
 
-class PendingRequest(NamedTuple):
-    """A health check that the policy waits for."""
+class PendingCheck(NamedTuple):
+    """A health check whose result the balancing policy of the pool waits for."""
 
     requested_at: int  # microseconds
     on_result: ResultCallback
@@ -34,7 +34,7 @@
 
     Attributes:
         election: The leases of the tasks.
-        pending: Checks that the policy waits for, by task.
+        pending: Checks whose results the balancing policies of the pools wait for, by task.
         last_failure_reporter: By task, the member whose failed check was last delivered to the policy.
         last_tokens: Fencing token under which this instance last ran the check, by task.
         checks_run: Number of checks started by this instance.
@@ -51,7 +51,7 @@
             log: Writes a structured event.
         """
         self.election = LeaseElection(own_name, period)
-        self.pending: dict[str, PendingRequest] = {}
+        self.pending: dict[str, PendingCheck] = {}
         self.last_failure_reporter: dict[str, str] = {}
         self.last_tokens: dict[str, int] = {}
         self.checks_run = 0
@@ -66,7 +66,7 @@
         """
         if task not in self.election.leases or len(self.election.members) < MIN_MEMBERS:
             return False
-        self.pending.setdefault(task, PendingRequest(now, on_result))
+        self.pending.setdefault(task, PendingCheck(now, on_result))
         return True
 
     def tick(
@@ -77,7 +77,8 @@
         Args:
             now: Current time in microseconds.
             members: All members.
-            settled: Whether the view is reliable, as for `LeaseElection.update_members`.
+            settled: Whether the members are known and the member table is settled, as for
+                `LeaseElection.update_members`.
             task_zones: All tasks, each with its zone.
         """
         self.election.update_members(now, members, settled)
@@ -99,25 +100,25 @@
             self.election.apply_announcement(now, announcement)
 
     def deliver_results(self, now: int) -> None:
-        """Answer the pending requests for which a check has been run since they were made.
+        """Deliver results to the pending checks whose tasks have been run since they were requested.
 
-        A request that has waited longer than `MAX_WAIT_PERIODS` is answered by a check of this instance.
+        A check that has been pending for longer than `MAX_WAIT_PERIODS` is run by this instance.
         """
-        for task, request in list(self.pending.items()):
+        for task, check in list(self.pending.items()):
             lease = self.election.leases.get(task)
             if lease is None:
                 del self.pending[task]
-            elif lease.completed_runs and lease.last_run_at >= request.requested_at:
+            elif lease.completed_runs and lease.last_run_at >= check.requested_at:
                 del self.pending[task]
-                self._deliver(now, task, request.on_result, Outcome(lease.result), lease.holder)
-            elif now - request.requested_at > MAX_WAIT_PERIODS * self.election.period:
+                self._deliver(now, task, check.on_result, Outcome(lease.result), lease.holder)
+            elif now - check.requested_at > MAX_WAIT_PERIODS * self.election.period:
                 del self.pending[task]
-                self._start_check(task, request.on_result)
+                self._start_check(task, check.on_result)
 
     def _deliver(
         self, now: int, task: str, on_result: ResultCallback, outcome: Outcome, reporter: str
     ) -> None:
-        """Answer a request, but repeat the check here at the second failure in a row from the same member.
+        """Deliver a result, but repeat the check here at the second failure in a row from the same member.
 
         Otherwise a member that cannot reach an upstream would keep it out of use in all instances.
         """
@@ -138,7 +139,7 @@
         self.deliver_results(now)
 
     def _forget_removed_tasks(self) -> None:
-        by_task: tuple[dict[str, PendingRequest] | dict[str, str] | dict[str, int], ...] = (
+        by_task: tuple[dict[str, PendingCheck] | dict[str, str] | dict[str, int], ...] = (
             self.pending,
             self.last_failure_reporter,
             self.last_tokens,
--- a/dahliabend/leases/shared_limits.py
+++ b/dahliabend/leases/shared_limits.py
@@ -1,4 +1,4 @@
-"""Division of a fleet-wide limit among the instances by their demand, without I/O.
+"""Division of a fleet-wide limit among the instances by their demand. The module does no I/O.
 
 Every instance announces its share and its demand, both as fractions of the limit, and computes the same
 division. A share shrinks immediately, and grows only into capacity that no instance holds, slowly enough that
@@ -13,14 +13,14 @@
 
 STEP_INTERVAL = 500_000  # microseconds between two steps
 ANNOUNCEMENT_LIFETIME_STEPS = 6  # number of steps for which an announcement counts
-MIN_SHARE_FRACTION = 1 / 4  # of an equal share: the minimum share, whatever the demand of the instance
-OVERCOMMIT_LIMIT = 11 / 10  # of the limit: never exceeded, even while a partition looks like dead members
-SHRINK_TOLERANCE = 1 / 50  # of the share: a smaller surplus is not released
+MIN_SHARE_FRACTION = 1 / 4  # minimum share, as a fraction of an equal share, whatever the demand
+OVERCOMMIT_LIMIT = 11 / 10  # of the limit; not exceeded even if members that seem dead are behind a partition
+SHRINK_TOLERANCE = 1 / 50  # fraction of the share; a smaller surplus is not released
 DIVISION_DECIMALS = 12  # shares are rounded, so that all instances compute the same division
 
 
 @dataclass(slots=True)
-class PeerQuota:
+class PeerShare:
     """The last announcement of another instance.
 
     Attributes:
@@ -43,7 +43,7 @@
         floor: Minimum share of each instance; an equal share if the budget is too small for it.
 
     Returns:
-        The share of each instance. A budget above the whole demand is spread evenly.
+        The share of each instance. What the budget exceeds the whole demand by is spread evenly.
 
     >>> divide_limit({"a": 0.1, "b": 0.9, "c": 0.7}, 1.0, 0.05)
     {'a': 0.1, 'b': 0.45, 'c': 0.45}
@@ -73,7 +73,7 @@
         share: Fraction of the limit that this instance may use.
         demand: Demand of this instance as a fraction of the limit, at most 1.
         peers: Last announcement of each other member, by name.
-        members: Names of the members in the last settled view.
+        members: Names of the members in the last stable view.
         lost_members: Names of members that disappeared from the view without leaving.
         partitioned: Whether the view may be that of one side of a network partition.
     """
@@ -83,7 +83,7 @@
         self.instance_count = instance_count
         self.share = MIN_SHARE_FRACTION / instance_count
         self.demand = 0.0
-        self.peers: dict[str, PeerQuota] = {}
+        self.peers: dict[str, PeerShare] = {}
         self.members: set[str] = set()
         self.lost_members: set[str] = set()
         self.partitioned = False
@@ -98,10 +98,10 @@
             demand: Its demand as a fraction of the limit.
         """
         if origin != self.own_name and 0 <= share <= OVERCOMMIT_LIMIT and demand >= 0:
-            self.peers[origin] = PeerQuota(share, min(demand, 1.0), now)
+            self.peers[origin] = PeerShare(share, min(demand, 1.0), now)
 
     def update_members(self, members: Collection[str], left: Collection[str], partitioned: bool) -> None:
-        """Set the members from the settled view; an empty view is ignored.
+        """Set the members from the last stable view; an empty view is ignored.
 
         Args:
             members: Names of all members, this instance among them.
--- a/dahliabend/membership/anti_entropy.py
+++ b/dahliabend/membership/anti_entropy.py
@@ -15,7 +15,8 @@
 UPDATES_PER_SYNC_DATAGRAM = 48  # upper estimate of the updates that fit into one datagram
 MAX_SYNC_UPDATES = MAX_SYNC_DATAGRAMS * UPDATES_PER_SYNC_DATAGRAM
 MAX_SYNC_DEPARTED = MAX_SYNC_UPDATES // 8  # updates about departed members among them
-SUFFICIENT_TABLE_RATIO = 9 / 10  # a table with this part of the other member's count needs no further sync
+# Fraction of the other member's number of members; a table with as many needs no further sync.
+SUFFICIENT_TABLE_RATIO = 9 / 10
 DEAD_SYNCS_PER_INTERVAL = 6  # syncs with a dead member per periodic sync
 
 
@@ -74,25 +75,26 @@
     def sync_periodically(self) -> None:
         """Sync with a present member, a dead one, and a seed that is not present.
 
-        The dead member: after a partition each side has declared the other dead, and only a sync between the
-        sides merges them again. The seed: if all members start at once and the first datagrams are lost, they
-        would otherwise remain separate clusters.
+        The dead member is included because after a partition each side has declared the other dead, and only
+        a sync between the sides merges them again. The seed is included because members that all start at
+        once and lose their first datagrams would otherwise remain separate clusters.
         """
         for name in self._sample(self._table.present, 1):
             self._request(self._table.members[name].address)
         self._sync_with_dead_member()
         if self.seeds:
-            # Seeds that left and came back at the same time know only each other.
+            # Only seeds that are not present: seeds that left and came back at the same time know only each
+            # other.
             present_addresses = {member.address for member in self._table.members_named(self._table.present)}
             for seed in self._sample([seed for seed in self.seeds if seed not in present_addresses], 1):
                 self._request(seed)
         if not self._table.present:
-            self.sync_without_members()
+            self.sync_with_absent_members()
 
-    def sync_without_members(self) -> None:
+    def sync_with_absent_members(self) -> None:
         """Sync with seeds and departed members, for use while no other member is present.
 
-        They may have declared this member dead.
+        The departed members may have declared this one dead.
         """
         addresses = self.seeds + [member.address for member in self._table.members.values()]
         for address in self._sample(addresses, self._config.indirect_probes):
@@ -144,7 +146,7 @@
         self.send_updates(address, [encode_update(self._local.update)])
 
     def send_updates(self, address: str, updates: Sequence[bytes]) -> None:
-        """Send these encoded updates in a sync message, with no piggybacked ones."""
+        """Send these encoded updates in a sync message, with no others."""
         self._disseminator.send(address, self._sync_message(reply_requested=False), updates)
 
     def _sync_message(self, *, reply_requested: bool) -> Sync:
@@ -156,7 +158,7 @@
     def _sync_with_present_member(self) -> None:
         names = self._sample(self._table.present, 1)
         if not names:
-            self.sync_without_members()
+            self.sync_with_absent_members()
         for name in names:
             self._request(self._table.members[name].address)
 
--- a/dahliabend/membership/authentication.py
+++ b/dahliabend/membership/authentication.py
@@ -12,7 +12,8 @@
 from dahliabend.membership.codec import MAX_DATAGRAM_BYTES, TAG_BYTES
 
 MIN_KEY_BYTES = 32
-# Authenticated before the data, so that a tag made with the same key for another purpose is not valid here.
+# Fed into the HMAC before the data, so that a tag made with the same key for another purpose is not valid
+# here.
 DOMAIN_SEPARATOR = b"dahliabend members 1\0"
 
 
--- a/dahliabend/membership/components.py
+++ b/dahliabend/membership/components.py
@@ -6,7 +6,7 @@
 from dahliabend.membership.anti_entropy import AntiEntropy
 from dahliabend.membership.conflicts import ConflictReporter
 from dahliabend.membership.dissemination import Disseminator
-from dahliabend.membership.events import EventLog
+from dahliabend.membership.events import EventQueue
 from dahliabend.membership.failure_detector import FailureDetector
 from dahliabend.membership.local_health import LocalHealth
 from dahliabend.membership.local_member import LocalMember
@@ -15,7 +15,7 @@
 from dahliabend.membership.replay_window import ReplayFilter
 from dahliabend.membership.schedule import Schedule
 from dahliabend.membership.self_updates import Reachability, Refuter, SelfAnnouncer
-from dahliabend.membership.suspicion import SuspicionTimers
+from dahliabend.membership.suspicion import SuspicionDeadlines
 from dahliabend.membership.swim_config import SwimConfig
 from dahliabend.membership.update_rules import UpdateRules
 from dahliabend.membership.view_builder import ViewBuilder
@@ -26,7 +26,7 @@
 
     Attributes:
         local: The local member.
-        events: Events for the owner.
+        events: Events for the owner, which is the code that calls the protocol.
         health: Local health score.
         schedule: Times at which the protocol acts next.
         table: The other members.
@@ -39,7 +39,7 @@
         detector: Sends pings and handles their answers.
         suspicions: Deadlines of suspicions.
         receiver: Checks incoming datagrams.
-        rules: Decides which update about another member overrides which.
+        rules: Decides whether an update about another member overrides the known one.
         views: Builds views for the owner.
     """
 
@@ -49,7 +49,7 @@
         self._config = config
         self._random = random
         self.local = local
-        self.events = EventLog()
+        self.events = EventQueue()
         self.health = LocalHealth(config)
         self.schedule = Schedule(config)
         self.table = MemberTable(config)
@@ -71,7 +71,7 @@
             self.disseminator,
             first_probe_number,
         )
-        self.suspicions = SuspicionTimers(config, self.table, self.schedule)
+        self.suspicions = SuspicionDeadlines(config, self.table, self.schedule)
         replay_filter = ReplayFilter()
         self.receiver = PacketReceiver(local, self.table, self.anti_entropy, replay_filter)
         self.rules = UpdateRules(
--- a/dahliabend/membership/conflicts.py
+++ b/dahliabend/membership/conflicts.py
@@ -1,20 +1,20 @@
 """Reports of name conflicts: two processes that use the same member name at the same time."""
 
-from dahliabend.membership.events import EventKind, EventLog
+from dahliabend.membership.events import EventKind, EventQueue
 from dahliabend.membership.member_table import MemberTable
 from dahliabend.membership.messages import Update
 from dahliabend.membership.swim_config import SwimConfig
 
 
 class ConflictReporter:
-    """Reports name conflicts as events, each name at most once per `SwimConfig.max_suspicion_time`.
+    """Reports name conflicts as events, each name at most once per `SwimConfig.small_cluster_suspicion_time`.
 
     Without the event one of the two processes would replace the other unnoticed.
     """
 
     __slots__ = ("_config", "_events", "_reported_at", "_table")
 
-    def __init__(self, config: SwimConfig, table: MemberTable, events: EventLog) -> None:
+    def __init__(self, config: SwimConfig, table: MemberTable, events: EventQueue) -> None:
         self._config = config
         self._table = table
         self._events = events
@@ -31,7 +31,7 @@
             now: Current time in microseconds.
             update: The update about the second process.
         """
-        interval = self._config.max_suspicion_time
+        interval = self._config.small_cluster_suspicion_time
         if now - self._reported_at.get(update.name, -interval) < interval:
             return
         if len(self._reported_at) > len(self._table):
--- a/dahliabend/membership/dissemination.py
+++ b/dahliabend/membership/dissemination.py
@@ -123,5 +123,6 @@
                 self._transmissions[name] = transmissions
 
     def _transmission_limit(self) -> int:
-        cluster_size = len(self._table) + 2
-        return ceil(self._config.retransmit_multiplier * log10(cluster_size)) + 1
+        # The other known members and this one; one more keeps the logarithm above 0 if there are no others.
+        known_members = len(self._table) + 2
+        return ceil(self._config.retransmit_multiplier * log10(known_members)) + 1
--- a/dahliabend/membership/events.py
+++ b/dahliabend/membership/events.py
@@ -12,11 +12,11 @@
     REFUTED = "refuted"
     LEFT = "left"
     DIED = "died"
-    RETURNED = "returned"  # a dead or departed member is back, or a new process has taken a member's place
+    RETURNED = "returned"  # a departed member is back, or a new process has taken a member's place
     CONFLICT = "conflict"  # two processes use the same name
     UNREACHABLE = "unreached"  # this member can no longer reach the named member directly
     REACHABLE = "reached"  # this member can reach the named member directly again
-    PAUSED = "paused"  # this process was stopped for longer than a protocol period
+    PAUSED = "paused"  # this process was paused for longer than a protocol period
     EXCLUDED = "outcast"  # others have declared this member dead
     READMITTED = "counted"  # others count this member as present again
 
@@ -40,7 +40,7 @@
     incarnation: int = 0
 
 
-class EventLog:
+class EventQueue:
     """Queue of the events that the owner has not taken yet."""
 
     __slots__ = ("pending",)
--- a/dahliabend/membership/failure_detector.py
+++ b/dahliabend/membership/failure_detector.py
@@ -15,7 +15,7 @@
 from dahliabend.membership.schedule import Schedule
 from dahliabend.membership.swim_config import SwimConfig
 
-MAX_RELAYED_PINGS_PER_MEMBER = 4  # bound of the pings in flight for others, per known member
+MAX_RELAYED_PINGS_PER_MEMBER = 4  # bound of the relayed pings in flight, per known member
 
 
 @dataclass(slots=True)
@@ -24,7 +24,7 @@
 
     Attributes:
         name: Name of the probed member.
-        probe_number: Number of the ping.
+        probe_number: Number in the ping and in the ping requests, which the answers repeat.
         deadline: Time in microseconds by which an ack has to arrive; the probe has failed afterwards.
         indirect_at: Time in microseconds at which other members are asked for indirect pings; None once they
             have been asked.
@@ -38,12 +38,12 @@
     pending_nacks: int = 0
 
 
-class RelayedProbe(NamedTuple):
-    """A ping sent on behalf of another member.
+class RelayedPing(NamedTuple):
+    """A relayed ping: sent on behalf of another member, for which it is an indirect ping.
 
     Attributes:
         requester: Address of the member that requested the ping.
-        probe_number: Number of the request.
+        probe_number: Number in the ping request, which the answer to the requester repeats.
         deadline: Time in microseconds at which the requester is sent a `Nack`, unless an ack has arrived.
     """
 
@@ -53,7 +53,7 @@
 
 
 class FailureDetector:
-    """Probes one member in each protocol period, and pings on behalf of others.
+    """Probes one member in each protocol period, and relays pings of other members.
 
     Attributes:
         probe: The probe in flight, if there is one.
@@ -84,13 +84,13 @@
         self._schedule = schedule
         self._disseminator = disseminator
         self._last_probe_number = first_probe_number
-        self._relayed: dict[int, RelayedProbe] = {}  # by number of the ping that this member sent
+        self._relayed: dict[int, RelayedPing] = {}  # by the number in the relayed ping
         self.probe: Probe | None = None
         self.probe_round = ProbeRound(random, table)
 
     @property
     def relayed_count(self) -> int:
-        """Number of pings in flight on behalf of other members."""
+        """Number of relayed pings in flight."""
         return len(self._relayed)
 
     def begin_probe(self, now: int) -> bool:
@@ -142,7 +142,7 @@
         return probe
 
     def relay_ping(self, now: int, request: PingRequest, requester: str) -> None:
-        """Ping a member on behalf of another one; ignored if too many such pings are in flight.
+        """Ping a member on behalf of another one; ignored if too many relayed pings are in flight.
 
         Args:
             now: Current time in microseconds.
@@ -153,7 +153,7 @@
             return
         number = self._next_probe_number()
         deadline = now + self._health.timeout(self._config.ping_timeout_ratio)
-        self._relayed[number] = RelayedProbe(requester, request.probe_number, deadline)
+        self._relayed[number] = RelayedPing(requester, request.probe_number, deadline)
         self._disseminator.send_piggybacked(request.address, Ping(number, request.name))
         self._schedule.bring_forward(deadline)
 
@@ -178,7 +178,7 @@
             self.probe.pending_nacks -= 1
 
     def expire_relayed(self, now: int) -> None:
-        """Send a nack for each ping on behalf of another member that has passed its deadline.
+        """Send a nack for each relayed ping that has passed its deadline.
 
         Args:
             now: Current time in microseconds.
@@ -191,7 +191,7 @@
             self._disseminator.send_piggybacked(relayed.requester, Nack(relayed.probe_number))
 
     def abort(self) -> None:
-        """Discard the probe and the pings on behalf of others, after a pause of this process."""
+        """Discard the probe and the relayed pings, after a pause of this process."""
         self.probe = None
         self._relayed.clear()
 
--- a/dahliabend/membership/local_member.py
+++ b/dahliabend/membership/local_member.py
@@ -16,7 +16,7 @@
         name: Name of this member.
         update: Its newest update about itself.
         is_leaving: Whether it has announced that it leaves.
-        exclusion: Why the other members may not count it as present; empty if they do.
+        exclusion: Why the other members might not count it as present; empty if nothing suggests so.
     """
 
     name: str
--- a/dahliabend/membership/member_table.py
+++ b/dahliabend/membership/member_table.py
@@ -17,19 +17,21 @@
     Attributes:
         update: The newest update about the member.
         encoded_update: The same update, encoded for a datagram.
-        since: Time in microseconds at which the member took its status in its generation.
+        since: Time in microseconds since which the member has had this status; a new generation of the member
+            starts it again.
         suspected_at: Time in microseconds at which the suspicion began.
-        confirmations: Names of the members that have reported the suspicion independently.
+        reporters: Names of the members that have reported the suspicion independently, the first included.
         expired_once: Whether the suspicion was found expired once; the second time the member is declared
             dead.
-        indirect_only_score: Score that rises with each probe that was answered only through other members.
+        indirect_only_score: Score that rises with each probe that was answered only through other members,
+            and falls with each direct ack.
     """
 
     update: Update
     encoded_update: bytes
     since: int
     suspected_at: int = 0
-    confirmations: set[str] = field(default_factory=set)
+    reporters: set[str] = field(default_factory=set)
     expired_once: bool = False
     indirect_only_score: int = 0
 
@@ -50,15 +52,15 @@
             self.encoded_update,
             self.since,
             self.suspected_at,
-            self.confirmations.copy(),
+            self.reporters.copy(),
             self.expired_once,
             self.indirect_only_score,
         )
 
     def state_key(self) -> tuple[object, ...]:
         """Return everything that later behaviour depends on, as a hashable value."""
-        confirmations = tuple(sorted(self.confirmations))
-        return self.update, self.suspected_at, self.expired_once, confirmations, self.indirect_only_score
+        reporters = tuple(sorted(self.reporters))
+        return self.update, self.suspected_at, self.expired_once, reporters, self.indirect_only_score
 
 
 class PresenceChange(Enum):
@@ -147,7 +149,7 @@
         name = update.name
         member = self.members.get(name)
         previous = member.update if member is not None else None
-        self.count_unreachable_reports(previous, update)
+        self.update_unreachable_reports(previous, update)
         self.members[name] = _updated_member(now, member, update)
         if update.status is MemberStatus.SUSPECT:
             self.suspects[name] = None
@@ -189,7 +191,7 @@
             del self.departed[name]
             self.partitions.forget(name)
 
-    def count_unreachable_reports(self, before: Update | None, after: Update) -> None:
+    def update_unreachable_reports(self, before: Update | None, after: Update) -> None:
         """Update, by a member's new update, how many members report each name as unreachable.
 
         Args:
@@ -202,7 +204,7 @@
             self._add_unreachable_reports(after.unreachable_peers, 1)
 
     def is_unreachable(self, name: str) -> bool:
-        """Return whether more than half of the other members report that they cannot reach this one."""
+        """Return whether more than half of the other members report that they cannot reach the named one."""
         others = len(self.present)
         return others > 1 and self._unreachable_reports.get(name, 0) > others / 2
 
@@ -244,7 +246,7 @@
             member.since = previous.since
     if update.status is MemberStatus.SUSPECT:
         member.suspected_at = now
-        member.confirmations = {update.reported_by}
+        member.reporters = {update.reported_by}
     return member
 
 
--- a/dahliabend/membership/messages.py
+++ b/dahliabend/membership/messages.py
@@ -26,8 +26,9 @@
 
     Attributes:
         name: Name of the member that the update is about.
-        generation: Distinguishes successive processes of the same name; a later process has a higher one.
-        incarnation: Number of the member's updates about itself in this generation, refutations included.
+        generation: Start time of the member's process, raised above those of earlier ones of the same name.
+        incarnation: Number that rises with each of the member's updates about itself in this generation,
+            refutations included.
         status: Status of the member.
         address: Host and port that the member listens on.
         zone: Zone that the member runs in.
@@ -121,7 +122,7 @@
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram: a message and the updates that are piggybacked on it.
+    """One datagram: a message and the updates that it carries.
 
     Attributes:
         version: Version of this format.
@@ -129,7 +130,7 @@
         generation: Generation of the sender.
         sequence_number: Number of the datagram within the sender's generation.
         message: The message.
-        updates: The piggybacked updates.
+        updates: The updates: those piggybacked on the message, or those chosen for a `Sync`.
     """
 
     version: int
--- a/dahliabend/membership/partition_detector.py
+++ b/dahliabend/membership/partition_detector.py
@@ -24,8 +24,9 @@
             name: Name of the member.
             cluster_size: Number of members still present, this one included.
         """
-        # Twice the longest suspicion: a member with a bad health score takes longer to declare others dead.
-        since = now - 2 * self._config.max_suspicion_time
+        # Twice the longest suspicion of a small cluster: a member with a bad health score takes longer to
+        # declare others dead.
+        since = now - 2 * self._config.small_cluster_suspicion_time
         self._recent_losses = {other: at for other, at in self._recent_losses.items() if at > since}
         self._recent_losses[name] = now
         if self._exceeds_partition_ratio(len(self._recent_losses), cluster_size):
--- a/dahliabend/membership/protocol.py
+++ b/dahliabend/membership/protocol.py
@@ -49,7 +49,7 @@
 
         Args:
             name: Name of this member.
-            generation: Number of this process; higher than those of earlier processes of this name.
+            generation: Start time of this process, raised above the generations of earlier ones of this name.
             address: Host and port that the other members send to.
             config: Parameters of the protocol.
             random: Generator of all random choices.
@@ -85,7 +85,7 @@
 
     @property
     def exclusion(self) -> Exclusion:
-        """Why other members may not count this one as present, as far as known; empty if they do."""
+        """Why other members might not count this one as present; empty if nothing suggests so."""
         return self._components.local.exclusion
 
     @property
@@ -105,7 +105,7 @@
 
     @property
     def unsettled_until(self) -> int:
-        """Time until which the member table is not trusted, after a start or a pause of this process."""
+        """Time before which this member itself suspects nobody and declares nobody dead."""
         return self._schedule.unsettled_until
 
     @property
@@ -181,7 +181,7 @@
         self._schedule.restart(now + self._random.randrange(self.config.period))
         self._components.anti_entropy.set_seeds(seeds)
         if self.seeds:
-            self._schedule.unsettled_until = now + self.config.max_suspicion_time
+            self._schedule.unsettled_until = now + self.config.small_cluster_suspicion_time
         self._components.disseminator.enqueue(self._components.local.update)
         self._components.anti_entropy.contact_seeds()
 
@@ -225,7 +225,7 @@
     def restore(self, now: int, state: MembershipSnapshot) -> None:
         """Continue in place of a predecessor process of the same name and address; call it before `start`.
 
-        What the predecessor knew about other members is not trusted until they have been asked.
+        The member table of the predecessor is not settled until other members have been asked for theirs.
 
         Args:
             now: Current time.
@@ -308,11 +308,11 @@
         self._schedule.timer_due = max(now + 1, min(deadlines))
 
     def recover_from_pause(self, now: int) -> None:
-        """Reset all timeouts after this process was stopped for longer than a protocol period.
+        """Reset all timeouts after this process was paused for longer than a protocol period.
 
         The probe in flight is discarded, suspicions start again, and no member is declared dead before this
         member has requested the tables of others. Otherwise every member that was suspected when the process
-        was stopped would be declared dead.
+        was paused would be declared dead.
 
         Args:
             now: Current time.
@@ -323,12 +323,12 @@
         self._components.table.partitions.forget_recent()
         self._components.events.record(now, EventKind.PAUSED, self.name, self.name)
         if self._components.table.present or self.seeds:
-            self._schedule.unsettled_until = now + self.config.max_suspicion_time
+            self._schedule.unsettled_until = now + self.config.small_cluster_suspicion_time
         self._schedule.restart(now)
         self._components.anti_entropy.sync_periodically()
 
     def _check_timer_lateness(self, now: int) -> None:
-        """Treat a late timer as a sign that this process is slow or was stopped."""
+        """Treat a late timer as a sign that this process is slow or was paused."""
         late = now - self.timer_due
         tolerance = self.config.late_timer_ratio * self.config.period
         if late > self.config.period:
@@ -345,7 +345,7 @@
             and not self._components.local.is_leaving
             and not self._components.detector.begin_probe(now)
         ):
-            self._components.anti_entropy.sync_without_members()
+            self._components.anti_entropy.sync_with_absent_members()
         self._components.anti_entropy.sync(
             self._schedule.period_count, is_settled=self._schedule.is_settled(now)
         )
--- a/dahliabend/membership/receiver.py
+++ b/dahliabend/membership/receiver.py
@@ -60,7 +60,7 @@
     def credible_updates(self, packet: Packet) -> Sequence[Update]:
         """Return the updates of a packet without those that its sender cannot know reliably.
 
-        A sender that counts as dead, or that most members cannot reach, may itself have lost contact: its
+        A sender that has departed, or that most members cannot reach, may itself have lost contact: its
         reports that other members are suspected or dead are ignored.
         """
         sender = self._table.members.get(packet.sender)
@@ -80,11 +80,12 @@
         self.last_received_at = original.last_received_at
 
     def _check_freshness(self, packet: Packet, source: str) -> None:
-        origin = f"{packet.sender} {source}"  # a process of the same name elsewhere counts as another sender
-        if self.replay_filter.is_stale_generation(origin, packet.generation):
+        # A process of the same name elsewhere counts as another sender.
+        sender_key = f"{packet.sender} {source}"
+        if self.replay_filter.is_stale_generation(sender_key, packet.generation):
             self._send_known_generation(packet.sender, source)
             raise DatagramError(DropReason.STALE_GENERATION)
-        if not self.replay_filter.accept(origin, packet.generation, packet.sequence_number):
+        if not self.replay_filter.accept(sender_key, packet.generation, packet.sequence_number):
             raise DatagramError(DropReason.REPLAYED)
 
     def _send_known_generation(self, name: str, source: str) -> None:
--- a/dahliabend/membership/schedule.py
+++ b/dahliabend/membership/schedule.py
@@ -1,4 +1,4 @@
-"""The times at which the protocol acts next, and from which it trusts its member table."""
+"""The times at which the protocol acts next, and from which its member table is settled."""
 
 from dahliabend.membership.swim_config import SwimConfig
 
@@ -10,8 +10,8 @@
         timer_due: Time at which the owner has to call `timer_fired`.
         period_due: Time at which the next protocol period begins.
         period_count: Number of protocol periods that have begun.
-        unsettled_until: Time before which no member is suspected or declared dead: this member has just
-            started or was stopped, and first requests the tables of others.
+        unsettled_until: Time before which this member itself suspects nobody and declares nobody dead: it has
+            just started, was paused or was slow, and first requests the tables of others.
     """
 
     __slots__ = ("_period", "period_count", "period_due", "timer_due", "unsettled_until")
@@ -34,7 +34,7 @@
         self.period_count += 1
 
     def is_settled(self, now: int) -> bool:
-        """Return whether the member table can be trusted at this time."""
+        """Return whether the member table is settled: up to date after a start or a pause of this process."""
         return now >= self.unsettled_until
 
     def bring_forward(self, at: int) -> None:
--- a/dahliabend/membership/self_updates.py
+++ b/dahliabend/membership/self_updates.py
@@ -4,7 +4,7 @@
 from dahliabend.membership.codec import MAX_UNREACHABLE_PEERS
 from dahliabend.membership.conflicts import ConflictReporter
 from dahliabend.membership.dissemination import Disseminator
-from dahliabend.membership.events import EventKind, EventLog
+from dahliabend.membership.events import EventKind, EventQueue
 from dahliabend.membership.local_health import LocalHealth
 from dahliabend.membership.local_member import LocalMember
 from dahliabend.membership.member_table import MemberTable
@@ -31,11 +31,11 @@
         """Disseminate a new incarnation of this member with new values of these fields of `Update`."""
         before = self._local.update
         self._local.update_fields(incarnation=before.incarnation + 1, **fields)
-        self._table.count_unreachable_reports(before, self._local.update)
+        self._table.update_unreachable_reports(before, self._local.update)
         self._table.version += 1
         self._disseminator.enqueue(self._local.update)
 
-    def announce_not_unreachable(self, name: str) -> None:
+    def withdraw_unreachable_report(self, name: str) -> None:
         """Withdraw the report, if there is one, that this member cannot reach the named one."""
         unreachable = self._local.update.unreachable_peers
         if name not in unreachable:
@@ -47,14 +47,14 @@
     """Tracks which members this one can reach directly.
 
     Unreachability is reported as a relation between two members, separately from their status: a loss of
-    connection in one direction must neither get a member declared dead nor make it suspected, and refuting
-    the suspicion, again and again.
+    connection in one direction must not get a member declared dead, nor have it suspected again and again,
+    each time until it refutes the suspicion.
     """
 
     __slots__ = ("_announcer", "_events", "_local", "_table")
 
     def __init__(
-        self, local: LocalMember, table: MemberTable, announcer: SelfAnnouncer, events: EventLog
+        self, local: LocalMember, table: MemberTable, announcer: SelfAnnouncer, events: EventQueue
     ) -> None:
         self._local = local
         self._table = table
@@ -79,7 +79,7 @@
         unreachable = self._local.update.unreachable_peers
         if name in unreachable:
             if member.indirect_only_score == 0:
-                self._announcer.announce_not_unreachable(name)
+                self._announcer.withdraw_unreachable_report(name)
                 self._events.record(now, EventKind.REACHABLE, name, self._local.name)
         elif member.indirect_only_score == UNREACHABLE_SCORE and len(unreachable) < MAX_UNREACHABLE_PEERS:
             self._announcer.announce(unreachable_peers=(*unreachable, name))
@@ -99,7 +99,7 @@
         anti_entropy: AntiEntropy,
         health: LocalHealth,
         conflicts: ConflictReporter,
-        events: EventLog,
+        events: EventQueue,
     ) -> None:
         self._local = local
         self._table = table
--- a/dahliabend/membership/suspicion.py
+++ b/dahliabend/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Timeouts of suspicions: how long a member stays suspected before it is declared dead."""
+"""Deadlines of suspicions: when a suspected member is declared dead."""
 
 from math import log, log10
 
@@ -7,8 +7,8 @@
 from dahliabend.membership.swim_config import SwimConfig
 
 
-class SuspicionTimers:
-    """Deadlines of suspicions (Lifeguard, 2017): the more members confirm a suspicion, the sooner it ends."""
+class SuspicionDeadlines:
+    """Computes the deadlines of suspicions (Lifeguard, 2017): the more confirmations, the earlier."""
 
     __slots__ = ("_config", "_schedule", "_table")
 
@@ -19,15 +19,15 @@
 
     @property
     def confirmations_needed(self) -> int:
-        """Number of independent confirmations at which a suspicion is the shortest."""
+        """Number of confirmations, besides the first report, at which a suspicion is the shortest."""
         return max(1, min(self._config.indirect_probes, len(self._table) - 1))
 
     def deadline(self, member: Member) -> int:
-        """Return the time, in microseconds, at which the suspicion of this member ends."""
+        """Return the time, in microseconds, at which a suspected member may be declared dead."""
         config = self._config
         scale = max(1.0, log10(len(self._table) + 1))
         shortest = config.suspicion_multiplier * scale * config.period
-        confirmed = log(max(1, len(member.confirmations))) / log(self.confirmations_needed + 1)
+        confirmed = log(max(1, len(member.reporters))) / log(self.confirmations_needed + 1)
         factor = config.max_suspicion_factor - (config.max_suspicion_factor - 1) * min(1.0, confirmed)
         return member.suspected_at + round(shortest * factor)
 
@@ -60,27 +60,28 @@
         Returns:
             Whether the confirmation should be disseminated: it is new, and more of them are still useful.
         """
-        if reported_by in member.confirmations or len(member.confirmations) > self._config.indirect_probes:
+        if reported_by in member.reporters or len(member.reporters) > self._config.indirect_probes:
             return False
-        member.confirmations.add(reported_by)
+        member.reporters.add(reported_by)
         return True
 
-    def shorten(self, now: int, member: Member, reported_by: str, confirmations: int) -> None:
-        """Shorten a suspicion to match its confirmations.
+    def shorten(self, now: int, member: Member, reported_by: str, min_reporters: int) -> None:
+        """Make the timer due at the deadline of a suspicion that has been confirmed.
 
         Args:
             now: Current time in microseconds.
             member: The suspected member.
             reported_by: Name of the member that confirms the suspicion.
-            confirmations: Number of confirmations that the suspicion has at least from now on.
+            min_reporters: Minimum number of reporters from now on, the first one included; missing ones are
+                filled in with made-up names.
         """
-        for number in range(len(member.confirmations), confirmations):
-            member.confirmations.add(f"{reported_by}/{number}")
+        for number in range(len(member.reporters), min_reporters):
+            member.reporters.add(f"{reported_by}/{number}")
         self._schedule.bring_forward(max(now, self.deadline(member)))
 
     def restart(self, now: int) -> None:
         """Restart all suspicions after a pause of this process, which may have missed refutations."""
         for member in self._table.suspected_members():
             member.suspected_at = now
-            member.confirmations = set()
+            member.reporters = set()
             member.expired_once = False
--- a/dahliabend/membership/swim_config.py
+++ b/dahliabend/membership/swim_config.py
@@ -12,14 +12,14 @@
         ping_timeout_ratio: Fraction of the period after which a ping counts as unanswered and indirect pings
             are requested.
         indirect_probes: Number of members that are asked for an indirect ping.
-        suspicion_multiplier: Minimum duration of a suspicion in periods, multiplied by the decimal logarithm
-            of the cluster size.
+        suspicion_multiplier: Factor: a suspicion lasts at least this many periods, multiplied by the decimal
+            logarithm of the cluster size if that is above 1.
         max_suspicion_factor: Factor by which a suspicion lasts longer if no other member has confirmed it.
         max_health_score: Upper bound of the local health score, which extends timeouts; 0: they never grow.
         late_timer_ratio: Fraction of the period by which a timer may be late before the local health score
             rises.
-        retransmit_multiplier: How often an update is sent, multiplied by the decimal logarithm of the cluster
-            size.
+        retransmit_multiplier: Factor: an update is sent this many times the decimal logarithm of the cluster
+            size, rounded up, plus 1.
         sync_interval: Number of periods between two anti-entropy syncs.
         dead_retention: Time in microseconds for which dead members and those that left are remembered.
         partition_ratio: Fraction of the cluster whose loss within a short time counts as a partition.
@@ -40,6 +40,6 @@
     max_members: int = 10_000
 
     @property
-    def max_suspicion_time(self) -> int:
-        """The longest suspicion in a small cluster, in microseconds."""
+    def small_cluster_suspicion_time(self) -> int:
+        """Longest suspicion with up to ten known members, in microseconds; with more it can be longer."""
         return round(self.suspicion_multiplier * self.max_suspicion_factor * self.period)
--- a/dahliabend/membership/update_rules.py
+++ b/dahliabend/membership/update_rules.py
@@ -4,13 +4,13 @@
 
 from dahliabend.membership.conflicts import ConflictReporter
 from dahliabend.membership.dissemination import Disseminator
-from dahliabend.membership.events import EventKind, EventLog
+from dahliabend.membership.events import EventKind, EventQueue
 from dahliabend.membership.member_table import Member, MemberTable, PresenceChange
 from dahliabend.membership.messages import PRESENT_STATUSES, MemberStatus, Update
 from dahliabend.membership.probe_round import ProbeRound
 from dahliabend.membership.replay_window import ReplayFilter
 from dahliabend.membership.self_updates import SelfAnnouncer
-from dahliabend.membership.suspicion import SuspicionTimers
+from dahliabend.membership.suspicion import SuspicionDeadlines
 
 # Number of senders for which replay windows are kept; a member may send from several addresses.
 MIN_REPLAY_SENDERS = 64
@@ -28,12 +28,12 @@
     def __init__(
         self,
         table: MemberTable,
-        suspicions: SuspicionTimers,
+        suspicions: SuspicionDeadlines,
         probe_round: ProbeRound,
         disseminator: Disseminator,
         announcer: SelfAnnouncer,
         conflicts: ConflictReporter,
-        events: EventLog,
+        events: EventQueue,
         replay_filter: ReplayFilter,
     ) -> None:
         self._table = table
@@ -78,7 +78,7 @@
         if transition is PresenceChange.ARRIVED:
             self._probe_round.insert(name)
         elif transition is PresenceChange.DEPARTED:
-            self._announcer.announce_not_unreachable(name)
+            self._announcer.withdraw_unreachable_report(name)
         self._replay_filter.max_senders = MIN_REPLAY_SENDERS + REPLAY_SENDERS_PER_MEMBER * len(self._table)
         if event is not None:
             self._events.record(now, event, name, update.reported_by, update.incarnation)
@@ -112,15 +112,15 @@
         elif is_newer or (update.status > member.update.status and update.status is not MemberStatus.SUSPECT):
             self.store(now, update, _event_kind(member, update))
 
-    def _confirm_suspicion(self, now: int, member: Member, update: Update, confirmations: int) -> None:
-        """Apply a report that a member is suspected, counting it as `confirmations` confirmations."""
+    def _confirm_suspicion(self, now: int, member: Member, update: Update, min_reporters: int) -> None:
+        """Apply a report that a member is suspected; the suspicion then has at least `min_reporters`."""
         current = member.update
         if current.status is not MemberStatus.SUSPECT or update.incarnation > current.incarnation:
             self.store(now, update, EventKind.SUSPECTED)
             member = self._table.members[update.name]
         elif self._suspicions.add_confirmation(member, update.reported_by):
             self._disseminator.enqueue(update)
-        self._suspicions.shorten(now, member, update.reported_by, confirmations)
+        self._suspicions.shorten(now, member, update.reported_by, min_reporters)
 
 
 def _event_kind(member: Member, update: Update) -> EventKind | None:
--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -15,7 +15,7 @@
 
 
 class Exclusion(StrEnum):
-    """Why other members may not count this one as present; the values are shown to operators.
+    """Why other members might not count this one as present; the values are shown to operators.
 
     `NONE` is falsy.
     """
@@ -35,13 +35,14 @@
         address: Host and port that it listens on.
         zone: Zone that it runs in.
         weight: Its share of the work, relative to the other members.
-        generation: Distinguishes successive processes of the same name.
-        incarnation: Number of the member's updates about itself in this generation.
+        generation: Start time of the member's process, raised above earlier ones of the same name.
+        incarnation: Number that rises with each of the member's updates about itself in this generation.
         state: State of the member. `UNREACHABLE` means that more than half of the others cannot reach it: it
             is not dead, as its datagrams still arrive, but nothing should be sent to it.
-        since: Time at which the viewing instance first saw the member in this status, in microseconds of that
-            instance's clock; 0 for the instance itself.
-        reported_by: Name of the member that reported this status.
+        since: Time since which the viewing instance has seen the member as alive, or as suspected, in
+            microseconds of that instance's clock; 0 for the instance itself. That the member becomes
+            `UNREACHABLE` does not change it.
+        reported_by: Name of the member that reported it as alive or suspected.
         unreachable_peers: Names of the members that it cannot reach directly.
     """
 
@@ -71,11 +72,12 @@
         at: Time of the view in microseconds.
         members: The members sorted by name, this instance included.
         checksum: Checksum of the members and their states; equal in instances with equal views.
-        stable: Whether no member is suspected, and this instance has requested the tables of others since it
-            started or was stopped.
+        stable: Whether no member is suspected, and this instance's member table is settled: up to date since
+            the instance started or was paused.
         possibly_partitioned: Whether this instance may be cut off from the others: many members were lost at
-            the same time, or no datagram has arrived for as long as a suspicion lasts at most.
-        exclusion: Why the other members may not count this instance as present; empty if they do.
+            the same time, or no datagram has arrived for `SwimConfig.small_cluster_suspicion_time`.
+        exclusion: Why the other members might not count this instance as present; empty if nothing suggests
+            so.
         time_since_contact: Microseconds since a datagram of any member arrived.
         confidence: From 0 to 1: the fraction of the members that is not suspected, lowered by this instance's
             local health score.
--- a/dahliabend/membership/view_builder.py
+++ b/dahliabend/membership/view_builder.py
@@ -58,14 +58,14 @@
         version, members, digest = self._cached_members()
         table = self._table
         silence = now - self._receiver.last_received_at
-        is_alone = bool(table.present) and silence > self._config.max_suspicion_time
+        is_silent = bool(table.present) and silence > self._config.small_cluster_suspicion_time
         return MembershipView(
             version=version,
             at=now,
             members=members,
             checksum=digest,
             stable=not table.suspects and self._schedule.is_settled(now),
-            possibly_partitioned=is_alone or table.partitions.is_partitioned(len(members)),
+            possibly_partitioned=is_silent or table.partitions.is_partitioned(len(members)),
             exclusion=self._exclusion(),
             time_since_contact=silence,
             confidence=(1 - len(table.suspects) / len(members)) * self._health.confidence,
@@ -79,7 +79,7 @@
         return self._last_stable
 
     def copy_state(self, original: "ViewBuilder") -> None:
-        """Share the state of another builder, which is immutable."""
+        """Share the immutable state of another builder."""
         self._members = original._members
         self._last_stable = original._last_stable
 
--- a/dahliabend/subsetting/__init__.py
+++ b/dahliabend/subsetting/__init__.py
@@ -1,4 +1,4 @@
-"""Subsetting: which upstreams of a pool each balancer of a large fleet uses. Free of I/O.
+"""Subsetting: which upstreams of a pool each balancer of a large fleet uses. The package does no I/O.
 
 `selection` computes the assignment for the whole fleet from the view of the fleet and the endpoint list, with
 `rendezvous` for the choice of pairs, `fitting` for their weights and `zones` for the traffic between zones.
--- a/dahliabend/subsetting/baselines.py
+++ b/dahliabend/subsetting/baselines.py
@@ -36,7 +36,7 @@
 
 
 def random_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """Let every balancer choose its subset at random, and again when the number of upstreams changes."""
+    """Let every balancer choose its subset at random, and a new one when the number of upstreams changes."""
     size = subset_size(len(balancers), len(upstreams))
     used = np.zeros((len(balancers), len(upstreams)), dtype=bool)
     for row, balancer in enumerate(balancers):
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -1,9 +1,9 @@
-"""Control of one balancer's subset over time: it moves towards its target in bounded steps. Free of I/O.
+"""Control of one balancer's subset over time: it moves towards its target in bounded steps.
 
 A doubtful view of the fleet does not shrink the subset: for some time the target is the union of the subsets
 by this view and by the last trusted one. New upstreams are added at a bounded rate, and old ones are dropped
 only once as many new ones have been in use for some time. Upstreams that are removed from the endpoint list
-are dropped and replaced immediately.
+are dropped and replaced immediately. The module does no I/O.
 """
 
 from collections.abc import Sequence
@@ -18,8 +18,8 @@
 # Fraction of the endpoint list: if as many upstreams disappear at once, the list was replaced, and their
 # departures do not count for flap damping.
 MAX_FLAPPING_FRACTION = 1 / 2
-WEIGHT_TOLERANCE = 1 / 50  # of a weight: smaller changes are not published by themselves
-SMALLEST_SHARE = 1e-9  # divisor in place of 0
+WEIGHT_TOLERANCE = 1 / 50  # fraction of a weight; smaller changes are not published by themselves
+MIN_DIVISOR = 1e-9  # upstreams; avoids a division by 0
 UNREACHABLE_STATE = "unreached"  # state of a member that most other members cannot reach
 
 
@@ -77,7 +77,7 @@
     # Input
 
     def update_view(self, now: int, balancers: Sequence[Participant], *, trusted: bool) -> None:
-        """Set the settled view of the fleet.
+        """Set the view of the fleet.
 
         Args:
             now: Current time in microseconds.
@@ -87,20 +87,20 @@
         if self.view.update(now, balancers, trusted=trusted):
             self._target_stale = True
 
-    def update_membership(self, now: int, settled: MembershipInfo, latest: MembershipInfo) -> None:
-        """Set the view of the fleet from the settled view of membership.
+    def update_membership(self, now: int, stable: MembershipInfo, latest: MembershipInfo) -> None:
+        """Set the view of the fleet from the last stable view of the membership.
 
         Args:
             now: Current time in microseconds.
-            settled: The last settled view.
-            latest: The latest view; like the settled one it can make the view of the fleet doubtful.
+            stable: The last stable view.
+            latest: The latest view; like the stable one it can make the view of the fleet doubtful.
         """
         balancers = [
             Participant(member.name, member.zone, member.weight)
-            for member in settled.members
+            for member in stable.members
             if member.state != UNREACHABLE_STATE
         ]
-        doubtful = settled.possibly_partitioned or latest.possibly_partitioned or latest.exclusion
+        doubtful = stable.possibly_partitioned or latest.possibly_partitioned or latest.exclusion
         self.update_view(now, balancers, trusted=not doubtful)
 
     def update_upstreams(self, now: int, upstreams: Sequence[Participant]) -> None:
@@ -126,7 +126,7 @@
         size = max(1, len(self.target.weights))
         max_extra = round(size * (self.settings.max_widening - 1))
         if usable < self.settings.widen_threshold * size and self.extra < max_extra:
-            increase = max(1, round(size * self.settings.move_fraction))
+            increase = max(1, round(size * self.settings.change_fraction))
             self.extra = min(max_extra, self.extra + increase)
         elif self.extra and usable >= size + self.extra - 1:
             self.extra -= 1
@@ -138,8 +138,7 @@
 
         Args:
             now: Current time in microseconds.
-            pinned: Names of upstreams that are not dropped because an operator has excluded them from
-                traffic.
+            pinned: Names of upstreams that an operator has excluded from traffic; they stay in the subset.
 
         Returns:
             The subset if it has changed, else None.
@@ -153,7 +152,7 @@
         self._next_step_at = now + self.settings.step_interval
         for name in lost:
             del self.active[name]
-        max_changes = max(1, round(len(desired) * self.settings.move_fraction))
+        max_changes = max(1, round(len(desired) * self.settings.change_fraction))
         missing = [name for name in desired if name not in self.active]
         added = self._add(now, desired, missing, max_changes)
         dropped: list[str] = []
@@ -169,7 +168,7 @@
             self._target_stale = True
 
     def _refresh_target(self, now: int) -> None:
-        if self.view.trust_after(now, self.settings.hold_time):
+        if self.view.trust_doubtful_if_due(now, self.settings.hold_time):
             self._target_stale = True
         if self.flap_damping.suppressed:
             self._apply_flap_damping(now)
@@ -191,11 +190,15 @@
         return added
 
     def _drop(self, now: int, desired: list[str], pinned: frozenset[str], max_changes: int) -> list[str]:
-        """Drop unwanted upstreams: at most `max_changes`, and only as many as settled ones replace."""
+        """Drop unwanted upstreams: at most `max_changes`.
+
+        The number of upstreams that have been in use for `settle_time` does not fall below the desired size
+        less `max_changes`.
+        """
         unwanted = [name for name in self.active if name not in desired and name not in pinned]
-        unsettled = sum(now - since < self.settings.settle_time for since in self.active.values())
+        recently_added = sum(now - since < self.settings.settle_time for since in self.active.values())
         min_remaining = len(desired) - max_changes
-        max_dropped = max(0, min(max_changes, len(self.active) - unsettled - min_remaining))
+        max_dropped = max(0, min(max_changes, len(self.active) - recently_added - min_remaining))
         dropped = unwanted[:max_dropped]
         for name in dropped:
             del self.active[name]
@@ -217,7 +220,7 @@
             dropped=dropped,
             source=self.target.source,
             balancers=self.target.balancers,
-            balancers_per_upstream=len(weights) / max(SMALLEST_SHARE, share_of_pool),
+            balancers_per_upstream=len(weights) / max(MIN_DIVISOR, share_of_pool),
         )
 
     def _active_weights(self) -> dict[str, float]:
--- a/dahliabend/subsetting/demand.py
+++ b/dahliabend/subsetting/demand.py
@@ -1,7 +1,8 @@
-"""Estimate of a balancer's demand, which it announces as its weight in the membership. Free of I/O.
+"""Estimate of a balancer's demand, which it announces as its weight in the membership.
 
 Only significant changes are announced: an increase immediately, so that the balancer gets more upstreams
-while it needs them; a decrease only once it has lasted, so that a lull does not move connections.
+while it needs them; a decrease only once it has lasted, so that a lull does not move connections. The
+module does no I/O.
 """
 
 from dataclasses import dataclass
@@ -9,7 +10,7 @@
 SECOND = 1_000_000  # microseconds
 MIN_DEMAND = 1.0  # requests per second with which a balancer without requests is counted
 UNKNOWN_DEMAND_WEIGHT = 1e-3  # a balancer with at most this weight counts with the mean of the others
-NOISE_DEVIATIONS = 4.0  # standard deviations of a request count; a smaller change may be random
+NOISE_DEVIATIONS = 4.0  # standard deviations of the averaged request rate; a smaller change may be random
 ANNOUNCED_DECIMALS = 2
 
 
@@ -102,8 +103,9 @@
 
     def _has_risen(self, rate: float) -> bool:
         """Return whether the rate exceeds the announced one by more than random variation explains."""
-        expected_count = max(self.announced, MIN_DEMAND) * SECOND / self.settings.averaging_time
-        noise = NOISE_DEVIATIONS * float(expected_count**0.5)
+        # The number of requests in the averaging time is taken as Poisson distributed.
+        rate_variance = max(self.announced, MIN_DEMAND) * SECOND / self.settings.averaging_time
+        noise = NOISE_DEVIATIONS * float(rate_variance**0.5)
         return rate > max(self.announced * self.settings.rise, self.announced + noise)
 
     def _announce(self, now: int, rate: float) -> float:
--- a/dahliabend/subsetting/flap_damping.py
+++ b/dahliabend/subsetting/flap_damping.py
@@ -1,8 +1,8 @@
 """Flap damping: upstreams that repeatedly leave the endpoint list stay unused for a while after each return.
 
 As for routes in RFC 2439, each departure adds a penalty that decays over time. Without damping, each
-departure and each return would change two fair shares of the fleet's pairs, a fair share being the average
-number of pairs of one upstream.
+departure and each return would change about twice as many pairs of a balancer and an upstream as one upstream
+has on average.
 """
 
 from collections.abc import Iterable
--- a/dahliabend/subsetting/fleet_view.py
+++ b/dahliabend/subsetting/fleet_view.py
@@ -49,7 +49,7 @@
 
     @property
     def exclusion(self) -> str:
-        """Why the other members may not count this balancer as present; empty if they do."""
+        """Why the other members might not count this balancer as present; empty if nothing suggests so."""
 
 
 def fill_unknown_demand(balancers: Sequence[Participant]) -> Sequence[Participant]:
@@ -83,7 +83,7 @@
         self.doubtful_since = 0
 
     def update(self, now: int, balancers: Sequence[Participant], *, trusted: bool) -> bool:
-        """Set the trusted or the doubtful view from a settled view.
+        """Set the trusted or the doubtful view from the last stable view of the membership.
 
         Returns:
             Whether the views have changed.
@@ -93,7 +93,7 @@
             return self._set_trusted(view)
         return self._set_doubtful(now, view)
 
-    def trust_after(self, now: int, hold_time: int) -> bool:
+    def trust_doubtful_if_due(self, now: int, hold_time: int) -> bool:
         """Trust the doubtful view once views have been doubtful for `hold_time` microseconds.
 
         Returns:
--- a/dahliabend/subsetting/settings.py
+++ b/dahliabend/subsetting/settings.py
@@ -28,7 +28,7 @@
         hold_time: Time for which a doubtful view does not shrink the subset.
         step_interval: Time between two steps.
         settle_time: Time for which new upstreams are in use before old ones are dropped.
-        move_fraction: Fraction of the subset that may be added, and dropped, in one step.
+        change_fraction: Fraction of the subset that may be added, and dropped, in one step.
         max_widening: Maximum size of a widened subset, as a multiple of its normal size.
         widen_threshold: Fraction of the subset; with fewer usable upstreams the subset is widened.
     """
@@ -41,6 +41,6 @@
     hold_time: int = 60_000_000
     step_interval: int = 1_000_000
     settle_time: int = 2_000_000
-    move_fraction: float = 1 / 8
+    change_fraction: float = 1 / 8
     max_widening: float = 2.0
     widen_threshold: float = 1 / 2
--- a/tests/health_gossip/gossip_cluster.py
+++ b/tests/health_gossip/gossip_cluster.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from random import Random
 
-from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MAX_DATAGRAM_BYTES, HealthGossip
+from dahliabend.health_gossip.gossip import GOSSIP_INTERVAL, MAX_PAYLOAD_BYTES, HealthGossip
 
 FRAMING_BYTES = 50  # bytes of a datagram besides its reports
 
@@ -27,7 +27,7 @@
                 datagrams, instance.outbox = instance.outbox, []
                 for target, payload in datagrams:
                     sent += len(payload)
-                    assert len(payload) <= MAX_DATAGRAM_BYTES + FRAMING_BYTES
+                    assert len(payload) <= MAX_PAYLOAD_BYTES + FRAMING_BYTES
                     if not is_dropped(name, target):
                         self.instances[target].receive(at, payload)
         return sent
--- a/tests/health_gossip/test_gossip.py
+++ b/tests/health_gossip/test_gossip.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dahliabend.health_gossip.gossip import FANOUT, MAX_DATAGRAM_BYTES, HealthGossip
+from dahliabend.health_gossip.gossip import FANOUT, MAX_PAYLOAD_BYTES, HealthGossip
 from dahliabend.model import Outcome
 
 
@@ -37,7 +37,7 @@
     for name in failing_at:
         cluster.instances[name].record_outcome(4 * SECOND, POOL, "u1", Outcome.RESET)
     sent = cluster.run(4 * SECOND, 4)
-    assert 0 < sent <= 20 * 4 * FANOUT * MAX_DATAGRAM_BYTES
+    assert 0 < sent <= 20 * 4 * FANOUT * MAX_PAYLOAD_BYTES
     for name in cluster.names:
         reported = suspected_by(cluster, name, 6 * SECOND)
         assert reported == [("u1", 5, 5)] or name in failing_at
