--- a/dahliabend/health_gossip/aggregation.py
+++ b/dahliabend/health_gossip/aggregation.py
@@ -1,9 +1,9 @@
-"""Aggregation of the reports of other instances: which upstreams are suspected. The module does no I/O.
+"""Aggregation of the reports of other balancers: which upstreams are suspected. The module does no I/O.
 
 A report is an observation, never a command. Only a few attempts of each origin count, so that a single origin
 has little influence whatever it reports. If a quorum of origins reports an upstream as failing, and is not
-outvoted, this counts like failures seen by this instance. Recent successes of this instance take precedence:
-an upstream that fails only for some instances stays in use by those for which it works.
+outvoted, this counts like failures seen by this balancer. Recent successes of this balancer take precedence:
+an upstream that fails only for some balancers stays in use by those for which it works.
 """
 
 from collections.abc import Iterable, Mapping
@@ -25,7 +25,7 @@
         min_origin_fraction: Minimum number of these origins as a fraction of those that report on the pool.
         max_attempts_per_origin: Maximum number of attempts that count for one origin.
         failure_threshold: Minimum fraction of failures among the counted attempts.
-        evidence_attempts: A suspicion counts like this number of attempts of this instance.
+        evidence_attempts: A suspicion counts like this number of attempts of this balancer.
         max_upstream_fraction: If more than this fraction of a pool would be suspected, no upstream is.
     """
 
@@ -38,11 +38,11 @@
 
 
 class SuspectedUpstream(NamedTuple):
-    """An upstream that other instances report as failing.
+    """An upstream that other balancers report as failing.
 
     Attributes:
         upstream: Name of the upstream.
-        attempts: The suspicion counts like this number of attempts of this instance.
+        attempts: The suspicion counts like this number of attempts of this balancer.
         failures: Number of these attempts that count as failed.
         origins: Number of origins that report the upstream as failing.
     """
@@ -76,7 +76,7 @@
         pool: Name of the pool.
         upstreams: Names of the upstreams in use.
         reports: Latest report of each origin whose reports count.
-        own_counts: Attempts and failures of this instance by upstream; an upstream at which most of them
+        own_counts: Attempts and failures of this balancer by upstream; an upstream at which most of them
             succeeded is not suspected.
     """
     reporting_origins = sum(
@@ -98,7 +98,7 @@
             )
     suspected.sort(key=lambda suspicion: (-suspicion.failures, -suspicion.origins, suspicion.upstream))
     # If more upstreams are suspected at once, the whole tier has a fault or the reports are false; only this
-    # instance's own observations count then.
+    # balancer's own observations count then.
     return suspected if len(suspected) <= settings.max_upstream_fraction * len(upstreams) else []
 
 
--- a/dahliabend/health_gossip/gossip.py
+++ b/dahliabend/health_gossip/gossip.py
@@ -1,9 +1,9 @@
-"""Exchange of health reports: an instance sends its own, and merges, evaluates and forwards those of others.
+"""Exchange of health reports: a balancer sends its own, and merges, evaluates and forwards those of others.
 
 The owner passes in outcomes, datagrams and the current time, and sends the datagrams in `outbox`. At each
-tick this instance's report and the newest reports of others are sent to a few random members, so that the
+tick this balancer's report and the newest reports of others are sent to a few random members, so that the
 bytes sent are bounded whatever the size of the fleet. A report lists upstreams that fail, and upstreams that
-work for this instance while another one reports them as failing. If nothing fails, nothing is sent.
+work for this balancer while another one reports them as failing. If nothing fails, nothing is sent.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,8 +34,8 @@
 REPORT_WINDOW = 3_000 * MICROSECONDS_PER_MS  # time that a report covers, and for which it counts
 FANOUT = 3  # members that are sent a datagram at each tick
 MAX_PAYLOAD_BYTES = 1_200  # encoded reports in one datagram
-MAX_LIST_BYTES = MAX_PAYLOAD_BYTES // 2  # bytes of one list in this instance's own report
-MAX_FORWARDS = 2  # how often this instance forwards the same report of another one
+MAX_LIST_BYTES = MAX_PAYLOAD_BYTES // 2  # bytes of one list in this balancer's own report
+MAX_FORWARDS = 2  # how often this balancer forwards the same report of another one
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(list[HealthReport]).decode
@@ -52,31 +52,31 @@
 
 
 class HealthGossip:
-    """The health reports that one instance sends and receives. Times are in microseconds.
+    """The health reports that one balancer sends and receives. Times are in microseconds.
 
     Attributes:
-        own_name: Name of this instance among the members.
+        own_name: Name of this balancer among the members.
         generation: Start time of this process, raised above earlier ones of the same name.
-        observations: Outcomes of this instance's own attempts, by pool.
-        report_table: Latest reports of the other instances.
-        sequence: Number of this instance's last report.
+        observations: Outcomes of this balancer's own attempts, by pool.
+        report_table: Latest reports of the other balancers.
+        sequence: Number of this balancer's last report.
         outbox: Datagrams to send; the owner empties the list.
         last_notified: Time at which the policy was last notified that each upstream is suspected.
         undecodable: Number of received datagrams that could not be decoded.
         suspected_count: Number of suspected upstreams of which the policy has been notified so far.
-        leases: Returns the leases to announce at a given time; None if this instance takes part in none.
-        on_lease: Called with the time and each lease that another instance announces.
-        quotas: Returns the shares of limits to announce; None if this instance has none.
-        on_quota: Called with the time, the origin and each share that another instance announces.
+        leases: Returns the leases to announce at a given time; None if this balancer takes part in none.
+        on_lease: Called with the time and each lease that another balancer announces.
+        quotas: Returns the shares of limits to announce; None if this balancer has none.
+        on_quota: Called with the time, the origin and each share that another balancer announces.
     """
 
     def __init__(
         self, own_name: str, generation: int, random: Random, settings: QuorumSettings | None = None
     ) -> None:
-        """Create the gossip of one instance.
+        """Create the gossip of one balancer.
 
         Args:
-            own_name: Name of this instance among the members.
+            own_name: Name of this balancer among the members.
             generation: Start time of this process, raised above earlier ones of the same name.
             random: Generator of the random choice of members.
             settings: Thresholds for suspecting an upstream.
@@ -101,7 +101,7 @@
     # Input
 
     def record_outcome(self, now: int, pool: str, upstream: str, outcome: Outcome) -> None:
-        """Record the outcome of an attempt of this instance."""
+        """Record the outcome of an attempt of this balancer."""
         observations = self.observations.get(pool)
         if observations is None:
             observations = LocalObservations(REPORT_WINDOW)
@@ -151,7 +151,7 @@
             self.outbox.append(OutgoingDatagram(name, payload))
 
     def report(self, now: int) -> HealthReport:
-        """Create this instance's next report, with as many entries of each list as fit."""
+        """Create this balancer's next report, with as many entries of each list as fit."""
         self.sequence += 1
         leases = _fit_into_list(self.leases(now)) if self.leases is not None else []
         quotas = self.quotas()[:MAX_ENTRIES] if self.quotas is not None else []
@@ -184,7 +184,7 @@
         return entries
 
     def _pack(self, now: int, own_report: HealthReport) -> list[msgspec.Raw]:
-        """Encode this instance's report, then those of others to forward, as many as fit into a datagram."""
+        """Encode this balancer's report, then those of others to forward, as many as fit into a datagram."""
         packed: list[msgspec.Raw] = []
         free = MAX_PAYLOAD_BYTES
         encoded = _encode(own_report)
@@ -200,7 +200,7 @@
         return packed
 
     def _forwardable(self, now: int) -> list[ReceivedReport]:
-        """Return the reports to forward: first those forwarded least by this instance, then by all others."""
+        """Return the reports to forward: first those forwarded least by this balancer, then by all others."""
         candidates = [
             received
             for received in self.report_table.fresh(now).values()
--- a/dahliabend/health_gossip/local_observations.py
+++ b/dahliabend/health_gossip/local_observations.py
@@ -1,7 +1,7 @@
-"""Outcomes of this instance's attempts at each upstream of a pool, within a sliding window.
+"""Outcomes of this balancer's attempts at each upstream of a pool, within a sliding window.
 
 Only outcomes that depend on the upstream itself count: a success, an error, a reset, no connection, no answer
-in time. Rejections do not count: how loaded an upstream is depends on what each instance sends to it.
+in time. Rejections do not count: how loaded an upstream is depends on what each balancer sends to it.
 """
 
 from collections import deque
--- a/dahliabend/health_gossip/report_table.py
+++ b/dahliabend/health_gossip/report_table.py
@@ -26,8 +26,8 @@
 
     Attributes:
         report: The report as received.
-        created_at: Time at which the origin created the report, in microseconds of this instance's clock.
-        forward_count: How often this instance has forwarded the report.
+        created_at: Time at which the origin created the report, in microseconds of this balancer's clock.
+        forward_count: How often this balancer has forwarded the report.
         counts: Entries of the report by upstream.
     """
 
@@ -38,10 +38,10 @@
 
 
 class ReportTable:
-    """The unexpired reports of other instances.
+    """The unexpired reports of other balancers.
 
     Attributes:
-        own_name: Name of this instance, whose own reports are not stored.
+        own_name: Name of this balancer, whose own reports are not stored.
         lifetime: Time in microseconds for which a report counts after its creation.
         capacity: Maximum number of origins.
         origins: Latest report of each origin.
@@ -59,7 +59,7 @@
         """Store a report if it is newer than the last one of its origin.
 
         Returns:
-            Whether the report was stored. It is not if it is this instance's own, outdated, expired or
+            Whether the report was stored. It is not if it is this balancer's own, outdated, expired or
             invalid, or if the table is full.
         """
         if report.origin == self.own_name:
--- a/dahliabend/health_gossip/reports.py
+++ b/dahliabend/health_gossip/reports.py
@@ -39,7 +39,7 @@
 
 
 class QuotaAnnouncement(msgspec.Struct, array_like=True, frozen=True):
-    """The sender's share of one fleet-wide limit.
+    """The sender's share of one shared limit.
 
     Attributes:
         limit: Name of the limit.
@@ -53,19 +53,19 @@
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True):
-    """The report of one instance about upstreams, leases and shares of limits.
+    """The report of one balancer about upstreams, leases and shares of limits.
 
     Attributes:
-        origin: Name of the reporting instance.
+        origin: Name of the reporting balancer.
         generation: Start time of the reporting process, raised above earlier ones of the same name; with
             `sequence` it orders the reports of one origin.
         sequence: Number of the report within the generation.
         age_ms: Milliseconds from the creation of the report until it was sent; clocks are not compared
-            between instances.
-        relay_count: How often the report has been forwarded on its way, by any instance.
+            between balancers.
+        relay_count: How often the report has been forwarded on its way, by any balancer.
         counts: Outcomes at upstreams.
         leases: Leases that the origin holds or claims.
-        quotas: Shares that the origin holds of fleet-wide limits.
+        quotas: Shares that the origin holds of shared limits.
     """
 
     origin: str
--- a/dahliabend/leases/candidate_order.py
+++ b/dahliabend/leases/candidate_order.py
@@ -22,7 +22,7 @@
 def rank_candidates(task: str, members: Iterable[Candidate], zone: str = "") -> list[str]:
     """Return the names of the members in the order in which they may take a task's lease.
 
-    Instances with the same view get the same order.
+    Balancers with the same view get the same order.
 
     Args:
         task: Name of the leased task.
--- a/dahliabend/leases/election.py
+++ b/dahliabend/leases/election.py
@@ -4,7 +4,7 @@
 overrides a lower one. If the holder's announcements stop, the next candidate claims the lease with a new
 token some time before the task is due, and runs the task only if no other member has overridden the claim by
 then. A holder that has stopped is replaced within one period. After a pause, and while its member table is
-not settled, an instance claims and runs nothing, so that it first receives what the others have announced.
+not settled, a balancer claims and runs nothing, so that it first receives what the others have announced.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,24 +24,24 @@
 # candidates, two of them would override each other forever and neither would run the task.
 CLAIM_TIMEOUT = 1 / 2
 QUIET_TIME = 3 / 10  # after a pause; longer than the delay of an announcement
-PAUSE_THRESHOLD = 1 / 4  # a longer gap between two ticks counts as a pause of this instance
+PAUSE_THRESHOLD = 1 / 4  # a longer gap between two ticks counts as a pause of this balancer
 MAX_TASKS = 4_096
 NOT_A_CANDIDATE = -1
 
 
 class LeaseElection:
-    """The leases as one instance sees them. Times are in microseconds.
+    """The leases as one balancer sees them. Times are in microseconds.
 
     Attributes:
-        own_name: Name of this instance among the members.
+        own_name: Name of this balancer among the members.
         period: Time in which each task is run once.
         task_zones: Zone of each task.
         leases: Lease of each task.
         members: All members, sorted.
-        ranks: Cache of this instance's rank among the candidates of each task.
-        view_settled: Whether the members are known and the member table of this instance is settled.
+        ranks: Cache of this balancer's rank among the candidates of each task.
+        view_settled: Whether the members are known and the member table of this balancer is settled.
         last_tick_at: Time of the last tick; 0 before the first one.
-        quiet_until: Time before which this instance claims no lease and runs no task.
+        quiet_until: Time before which this balancer claims no lease and runs no task.
         rejected: Number of invalid announcements received.
     """
 
@@ -67,8 +67,8 @@
         Args:
             now: Current time in microseconds.
             members: All members.
-            settled: Whether the members are known and the member table of this instance is settled: up to
-                date since the instance started or was paused.
+            settled: Whether the members are known and the member table of this balancer is settled: up to
+                date since the balancer started or was paused.
         """
         view = tuple(sorted(members))
         if view != self.members:
@@ -91,7 +91,7 @@
                 self.leases[task] = Lease(fencing_token=0, holder="", completed_runs=0, last_run_at=now)
 
     def apply_announcement(self, now: int, announcement: LeaseAnnouncement) -> bool:
-        """Apply the announcement of another member; ignored if the task is unknown to this instance.
+        """Apply the announcement of another member; ignored if the task is unknown to this balancer.
 
         Returns:
             Whether the announcement changed the lease.
@@ -108,10 +108,10 @@
         return True
 
     def enter_quiet_period(self, now: int) -> None:
-        """Release this instance's leases, and neither claim leases nor run tasks for `QUIET_TIME`.
+        """Release this balancer's leases, and neither claim leases nor run tasks for `QUIET_TIME`.
 
-        While this instance was paused another one may have taken a lease, and its announcement may not have
-        been read yet. This instance then has to claim the leases again, like any other candidate.
+        While this balancer was paused another one may have taken a lease, and its announcement may not have
+        been read yet. This balancer then has to claim the leases again, like any other candidate.
         """
         self.quiet_until = max(self.quiet_until, now + round(QUIET_TIME * self.period))
         for lease in self.leases.values():
@@ -121,10 +121,10 @@
     # Output
 
     def rank(self, task: str) -> int:
-        """Return this instance's rank among the candidates of a task.
+        """Return this balancer's rank among the candidates of a task.
 
         Returns:
-            0 for the first candidate; `NOT_A_CANDIDATE` if this instance is not in the view.
+            0 for the first candidate; `NOT_A_CANDIDATE` if this balancer is not in the view.
         """
         if task not in self.ranks:
             names = rank_candidates(task, self.members, self.task_zones.get(task, ""))
@@ -135,7 +135,7 @@
         """Claim leases and return the tasks to run now; the caller calls `complete` after each run.
 
         To be called several times per period: a gap of more than `PAUSE_THRESHOLD` counts as a pause of this
-        instance.
+        balancer.
         """
         if self.last_tick_at and now - self.last_tick_at > PAUSE_THRESHOLD * self.period:
             self.enter_quiet_period(now)
@@ -174,7 +174,7 @@
         return True
 
     def announcements(self, now: int) -> list[LeaseAnnouncement]:
-        """Return an announcement of each lease that this instance holds or claims, the latest run first."""
+        """Return an announcement of each lease that this balancer holds or claims, the latest run first."""
         own_leases = [(task, lease) for task, lease in self.leases.items() if lease.holder == self.own_name]
         own_leases.sort(key=lambda item: (-item[1].last_run_at, item[0]))
         return [
--- a/dahliabend/leases/fencing.py
+++ b/dahliabend/leases/fencing.py
@@ -9,16 +9,16 @@
 TOKEN_SUFFIX_BITS = 16
 
 
-def next_fencing_token(current: int, instance_name: str) -> int:
-    """Return the token with which an instance claims a lease.
+def next_fencing_token(current: int, balancer_name: str) -> int:
+    """Return the token with which a balancer claims a lease.
 
     Args:
         current: The current token of the lease.
-        instance_name: Name of the instance that claims the lease.
+        balancer_name: Name of the balancer that claims the lease.
 
     >>> next_fencing_token(0, "a") >> TOKEN_SUFFIX_BITS
     1
     """
     claim_count = (current >> TOKEN_SUFFIX_BITS) + 1
-    suffix = crc32(instance_name.encode()) % (1 << TOKEN_SUFFIX_BITS)
+    suffix = crc32(balancer_name.encode()) % (1 << TOKEN_SUFFIX_BITS)
     return claim_count << TOKEN_SUFFIX_BITS | suffix
--- a/dahliabend/leases/lease.py
+++ b/dahliabend/leases/lease.py
@@ -45,16 +45,16 @@
 
 @dataclass(slots=True)
 class Lease:
-    """One lease as this instance knows it. Times are in microseconds of this instance's clock.
+    """One lease as this balancer knows it. Times are in microseconds of this balancer's clock.
 
     Attributes:
         fencing_token: Fencing token of the holder.
         holder: Name of the member that holds or claims the lease; empty if no member does.
         completed_runs: Number of runs by the holder under this token; 0 while it only claims the lease.
-        last_run_at: Time of the last run by any member; before the first, the time at which this instance
+        last_run_at: Time of the last run by any member; before the first, the time at which this balancer
             learned of the task.
         result: Result of the last run, as the task defines it.
-        heard_at: Time at which this instance received the last claim or announcement, or claimed the lease.
+        heard_at: Time at which this balancer received the last claim or announcement, or claimed the lease.
     """
 
     fencing_token: int
@@ -67,7 +67,7 @@
     def is_older_than(self, announcement: LeaseAnnouncement) -> bool:
         """Whether an announcement is news: a higher token, or more runs of the same holder and token.
 
-        Of two holders with the same token the one whose name sorts last wins, so that all instances agree.
+        Of two holders with the same token the one whose name sorts last wins, so that all balancers agree.
         """
         if announcement.fencing_token != self.fencing_token:
             return announcement.fencing_token > self.fencing_token
@@ -78,7 +78,7 @@
     def apply(self, now: int, announcement: LeaseAnnouncement) -> None:
         """Apply an announcement of another member.
 
-        Only ages are compared between instances, never clocks. The time of the last run is never in the
+        Only ages are compared between balancers, never clocks. The time of the last run is never in the
         future and never goes back.
 
         Args:
--- a/dahliabend/leases/leased_health_checks.py
+++ b/dahliabend/leases/leased_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that one instance performs for all; the results are announced with the leases.
+"""Health checks that one balancer performs for all; the results are announced with the leases.
 
 The module does no I/O: its owner starts each check, reports the outcome later, and chooses the task names.
 """
@@ -12,8 +12,8 @@
 from dahliabend.leases.lease import DueTask, LeaseAnnouncement
 from dahliabend.model import Outcome
 
-MAX_WAIT_PERIODS = 2  # time to wait for another instance's result before this instance runs the check itself
-MIN_MEMBERS = 2  # with fewer members there is no other instance to share checks with
+MAX_WAIT_PERIODS = 2  # time to wait for another balancer's result before this balancer runs the check itself
+MIN_MEMBERS = 2  # with fewer members there is no other balancer to share checks with
 REPORTABLE_RESULTS = frozenset(
     int(outcome) for outcome in Outcome if outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT)
 )
@@ -30,22 +30,22 @@
 
 
 class LeasedHealthChecks:
-    """Health checks that one instance shares with the others by leases. Times are in microseconds.
+    """Health checks that one balancer shares with the others by leases. Times are in microseconds.
 
     Attributes:
         election: The leases of the tasks.
         pending: Checks whose results the balancing policies of the pools wait for, by task.
         last_failure_reporter: By task, the member whose failed check was last delivered to the policy.
-        last_tokens: Fencing token under which this instance last ran the check, by task.
-        checks_run: Number of checks started by this instance.
+        last_tokens: Fencing token under which this balancer last ran the check, by task.
+        checks_run: Number of checks started by this balancer.
         log: Writes a structured event.
     """
 
     def __init__(self, own_name: str, period: int, run_check: StartCheck, log: Callable[..., None]) -> None:
-        """Create the checks of one instance.
+        """Create the checks of one balancer.
 
         Args:
-            own_name: Name of this instance among the members.
+            own_name: Name of this balancer among the members.
             period: Time in which each task is run once, in microseconds.
             run_check: Starts the health check of a task.
             log: Writes a structured event.
@@ -62,7 +62,7 @@
         """Request the next result of a task.
 
         Returns:
-            False if the check is not shared with another instance; the caller then has to run it itself.
+            False if the check is not shared with another balancer; the caller then has to run it itself.
         """
         if task not in self.election.leases or len(self.election.members) < MIN_MEMBERS:
             return False
@@ -72,7 +72,7 @@
     def tick(
         self, now: int, members: Iterable[Candidate], settled: bool, task_zones: Mapping[str, str]
     ) -> None:
-        """Start the checks that are due in this instance, and deliver the results that have arrived.
+        """Start the checks that are due at this balancer, and deliver the results that have arrived.
 
         Args:
             now: Current time in microseconds.
@@ -102,7 +102,7 @@
     def deliver_results(self, now: int) -> None:
         """Deliver results to the pending checks whose tasks have been run since they were requested.
 
-        A check that has been pending for longer than `MAX_WAIT_PERIODS` is run by this instance.
+        A check that has been pending for longer than `MAX_WAIT_PERIODS` is run by this balancer.
         """
         for task, check in list(self.pending.items()):
             lease = self.election.leases.get(task)
@@ -120,7 +120,7 @@
     ) -> None:
         """Deliver a result, but repeat the check here at the second failure in a row from the same member.
 
-        Otherwise a member that cannot reach an upstream would keep it out of use in all instances.
+        Otherwise a member that cannot reach an upstream would keep it out of use for all balancers.
         """
         previous_reporter = self.last_failure_reporter.pop(task, None)
         if outcome is not Outcome.SUCCEEDED and reporter != self.election.own_name:
--- a/dahliabend/leases/shared_limits.py
+++ b/dahliabend/leases/shared_limits.py
@@ -1,8 +1,8 @@
-"""Division of a fleet-wide limit among the instances by their demand. The module does no I/O.
+"""Division of a shared limit among the balancers by their demand. The module does no I/O.
 
-Every instance announces its share and its demand, both as fractions of the limit, and computes the same
-division. A share shrinks immediately, and grows only into capacity that no instance holds, slowly enough that
-instances which do not yet know of each other's growth do not exceed that capacity together. An instance that
+Every balancer announces its share and its demand, both as fractions of the limit, and computes the same
+division. A share shrinks immediately, and grows only into capacity that no balancer holds, slowly enough that
+balancers which do not yet know of each other's growth do not exceed that capacity together. A balancer that
 lacks recent announcements of some others uses at most an equal share. The share of a member that was lost
 without leaving stays reserved, except that a tenth more than the limit may be used: the member may be on the
 other side of a partition and still admit requests.
@@ -16,17 +16,17 @@
 MIN_SHARE_FRACTION = 1 / 4  # minimum share, as a fraction of an equal share, whatever the demand
 OVERCOMMIT_LIMIT = 11 / 10  # of the limit; not exceeded even if members that seem dead are behind a partition
 SHRINK_TOLERANCE = 1 / 50  # fraction of the share; a smaller surplus is not released
-DIVISION_DECIMALS = 12  # shares are rounded, so that all instances compute the same division
+DIVISION_DECIMALS = 12  # shares are rounded, so that all balancers compute the same division
 
 
 @dataclass(slots=True)
 class PeerShare:
-    """The last announcement of another instance.
+    """The last announcement of another balancer.
 
     Attributes:
-        share: Fraction of the limit that the instance holds or is about to take.
-        demand: Demand of the instance as a fraction of the limit, at most 1.
-        at: Time of the announcement, in microseconds of this instance's clock.
+        share: Fraction of the limit that the balancer holds or is about to take.
+        demand: Demand of the balancer as a fraction of the limit, at most 1.
+        at: Time of the announcement, in microseconds of this balancer's clock.
     """
 
     share: float
@@ -38,12 +38,12 @@
     """Divide a budget by water-filling: the smallest demands are met first, the others get equal shares.
 
     Args:
-        demands: Demand of each instance; at least one entry.
+        demands: Demand of each balancer; at least one entry.
         budget: Amount to divide, in the unit of the demands.
-        floor: Minimum share of each instance; an equal share if the budget is too small for it.
+        floor: Minimum share of each balancer; an equal share if the budget is too small for it.
 
     Returns:
-        The share of each instance. What the budget exceeds the whole demand by is spread evenly.
+        The share of each balancer. What the budget exceeds the whole demand by is spread evenly.
 
     >>> divide_limit({"a": 0.1, "b": 0.9, "c": 0.7}, 1.0, 0.05)
     {'a': 0.1, 'b': 0.45, 'c': 0.45}
@@ -65,13 +65,13 @@
 
 
 class QuotaShare:
-    """One instance's share of one limit.
+    """One balancer's share of one limit.
 
     Attributes:
-        own_name: Name of this instance among the members.
-        instance_count: Configured number of instances, used until a view is known.
-        share: Fraction of the limit that this instance may use.
-        demand: Demand of this instance as a fraction of the limit, at most 1.
+        own_name: Name of this balancer among the members.
+        instance_count: Configured number of balancers, used until a view is known.
+        share: Fraction of the limit that this balancer may use.
+        demand: Demand of this balancer as a fraction of the limit, at most 1.
         peers: Last announcement of each other member, by name.
         members: Names of the members in the last stable view.
         lost_members: Names of members that disappeared from the view without leaving.
@@ -89,11 +89,11 @@
         self.partitioned = False
 
     def update_peer(self, now: int, origin: str, share: float, demand: float) -> None:
-        """Store the announcement of another instance; values out of range are ignored.
+        """Store the announcement of another balancer; values out of range are ignored.
 
         Args:
             now: Time of the announcement in microseconds.
-            origin: Name of the other instance.
+            origin: Name of the other balancer.
             share: Fraction of the limit that it holds or is about to take.
             demand: Its demand as a fraction of the limit.
         """
@@ -104,7 +104,7 @@
         """Set the members from the last stable view; an empty view is ignored.
 
         Args:
-            members: Names of all members, this instance among them.
+            members: Names of all members, this balancer among them.
             left: Names of the members that have announced that they leave.
             partitioned: Whether the view may be that of one side of a network partition.
         """
@@ -122,16 +122,16 @@
 
         Args:
             now: Current time in microseconds.
-            demand: Demand of this instance as a fraction of the limit.
+            demand: Demand of this balancer as a fraction of the limit.
 
         Returns:
-            The share that this instance may use from now on.
+            The share that this balancer may use from now on.
         """
         self.demand = min(max(demand, 0.0), 1.0)
         peer_names = sorted(self.members - {self.own_name})
         if not peer_names:
             # No other member is known: an equal share by the configured or the last known number of
-            # instances, whichever is larger.
+            # balancers, whichever is larger.
             self.share = 1.0 / max(self.instance_count, self._fleet_size())
         elif not self._has_recent_announcements(now, peer_names):
             self.share = min(self.share, 1.0 / self._fleet_size())
@@ -164,7 +164,7 @@
             self.share = target
         elif target > self.share:
             peer_shares = {name: self.peers[name].share for name in peer_names}
-            # Other growing instances may not know of this growth yet. The free capacity is therefore divided
+            # Other growing balancers may not know of this growth yet. The free capacity is therefore divided
             # by their number and by the steps for which an announcement counts.
             growing = 1 + sum(targets[name] > share for name, share in peer_shares.items())
             free = budget - self.share - sum(peer_shares.values())
--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -1,4 +1,4 @@
-"""Immutable views of the membership, as one instance sees it at one time, for other components."""
+"""Immutable views of the membership, as one member sees it at one time, for other components."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -39,9 +39,9 @@
         incarnation: Number that rises with each of the member's updates about itself in this generation.
         state: State of the member. `UNREACHABLE` means that more than half of the others cannot reach it: it
             is not dead, as its datagrams still arrive, but nothing should be sent to it.
-        since: Time since which the viewing instance has seen the member as alive, or as suspected, in
-            microseconds of that instance's clock; 0 for the instance itself. That the member becomes
-            `UNREACHABLE` does not change it.
+        since: Time since which the viewing member has seen this one as alive, or as suspected, in microseconds
+            of the viewing member's clock; 0 for the viewing member itself. A change to `UNREACHABLE` or
+            back does not change it.
         reported_by: Name of the member that reported it as alive or suspected.
         unreachable_peers: Names of the members that it cannot reach directly.
     """
@@ -68,18 +68,18 @@
     """All present members at one time.
 
     Attributes:
-        version: Number of changes that this instance has seen.
+        version: Number of changes that this member has seen.
         at: Time of the view in microseconds.
-        members: The members sorted by name, this instance included.
-        checksum: Checksum of the members and their states; equal in instances with equal views.
-        stable: Whether no member is suspected, and this instance's member table is settled: up to date since
-            the instance started or was paused.
-        possibly_partitioned: Whether this instance may be cut off from the others: many members were lost at
+        members: The members sorted by name, this member included.
+        checksum: Checksum of the members and their states; equal in members with equal views.
+        stable: Whether no member is suspected, and this member's table is settled: up to date since
+            this member started or was paused.
+        possibly_partitioned: Whether this member may be cut off from the others: many members were lost at
             the same time, or no datagram has arrived for `SwimConfig.small_cluster_suspicion_time`.
-        exclusion: Why the other members might not count this instance as present; empty if nothing suggests
+        exclusion: Why the other members might not count this member as present; empty if nothing suggests
             so.
         time_since_contact: Microseconds since a datagram of any member arrived.
-        confidence: From 0 to 1: the fraction of the members that is not suspected, lowered by this instance's
+        confidence: From 0 to 1: the fraction of the members that is not suspected, lowered by this member's
             local health score.
     """
 
