--- a/dahliabend/membership/view.py
+++ b/dahliabend/membership/view.py
@@ -40,8 +40,8 @@
         state: State of the member. `UNREACHABLE` means that more than half of the others cannot reach it: it
             is not dead, as its datagrams still arrive, but nothing should be sent to it.
         since: Time since which the viewing member has seen this one as alive, or as suspected, in
-            microseconds of the viewing member's clock; 0 for the viewing member itself. A change to `UNREACHABLE` or
-            back does not change it.
+            microseconds of the viewing member's clock; 0 for the viewing member itself. A change to
+            `UNREACHABLE` or back does not change it.
         reported_by: Name of the member that reported it as alive or suspected.
         unreachable_peers: Names of the members that it cannot reach directly.
     """
