--- a/dahliabend/simulator_adapter/__main__.py
+++ b/dahliabend/simulator_adapter/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m dahliabend.simulator_adapter`: batches on standard input, replies on standard output."""
+"""The command `python -m dahliabend.simulator_adapter`.
+
+It reads batches from standard input and writes a reply to each to standard output.
+"""
 
 import sys
 
@@ -8,10 +11,10 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends.
+    """Reply to each batch until the input ends.
 
     Returns:
-        The exit status: 1 if the input breaks the wire format or nobody reads the replies, else 0.
+        The exit status: 1 if the input is malformed or standard output was closed by its reader, else 0.
     """
     host = Host()
     source = sys.stdin.buffer
--- a/dahliabend/simulator_adapter/codec.py
+++ b/dahliabend/simulator_adapter/codec.py
@@ -1,4 +1,4 @@
-"""Batches from the simulator and replies to it, as bytes. Nothing is guessed: bad input raises."""
+"""Decoding of the simulator's batches and encoding of the replies. Malformed input raises an error."""
 
 import math
 from collections.abc import Iterator, Sequence
@@ -13,33 +13,33 @@
     Record,
 )
 
-# Makes a record of a kind from its fields. They fit it by its format, so its own constructor, which is dearer
-# and runs for each record, would check nothing more.
+# Creates a record from its type and fields. The format already guarantees the number of fields, so the named
+# tuple's own constructor would check nothing more, and it is slower; this runs once for each record.
 _new_record = tuple.__new__
-COUNT_BYTES = 4  # of the number of records or actions, which the length before it counts in
+COUNT_BYTES = 4  # size of the count of records or actions; the length field before it includes these bytes
 MAX_BATCH_BYTES = 1 << 30
-REPLY_HEADER = Struct(">II")  # bytes behind this field, number of actions
+REPLY_HEADER = Struct(">II")  # number of bytes after this field, number of actions
 
 
 class Batch(NamedTuple):
-    """What the simulator sends at one moment."""
+    """Records that the simulator sends together, all at the same simulated time."""
 
-    clock: float  # milliseconds
+    clock: float  # simulated time in milliseconds
     record_count: int
-    body: bytes
+    body: bytes  # the encoded records
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """Read the next batch.
+    """Read the next batch from a stream, without decoding its records.
 
     Args:
-        stream: What the simulator writes to, blocking.
+        stream: A blocking stream that the simulator writes to.
 
     Returns:
-        The batch, its records not yet decoded; None if the input has ended.
+        The batch, or None at the end of the input.
 
     Raises:
-        SimulatorProtocolError: The batch is cut short, or its header is not that of a batch.
+        SimulatorProtocolError: The batch is truncated or its header is invalid.
     """
     header = stream.read(BATCH_HEADER.size)
     if not header:
@@ -50,7 +50,9 @@
     if not math.isfinite(clock):
         raise SimulatorProtocolError(f"batch header: clock is {clock}")
     if not COUNT_BYTES <= length <= MAX_BATCH_BYTES:
-        raise SimulatorProtocolError(f"batch header: length {length} cannot hold a batch")
+        raise SimulatorProtocolError(
+            f"batch header: length {length} is not between {COUNT_BYTES} and {MAX_BATCH_BYTES}"
+        )
     body_bytes = length - COUNT_BYTES
     body = stream.read(body_bytes)
     if len(body) < body_bytes:
@@ -62,7 +64,8 @@
     """Decode the records of a batch one by one.
 
     Raises:
-        SimulatorProtocolError: A record's code is unknown, or lengths and counts do not fit each other.
+        SimulatorProtocolError: A record has an unknown code, or its length does not match its fields or the
+            batch.
     """
     body = batch.body
     end = len(body)
@@ -76,7 +79,7 @@
         record_format = RECORD_FORMATS.get(code)
         if record_format is None:
             raise SimulatorProtocolError(f"record {number} at byte {position}: unknown code {code}")
-        wire_name, kind, fixed_part, item_bytes = record_format
+        wire_name, record_type, fixed_part, item_bytes = record_format
         start = position + header_bytes
         position = start + size
         fixed_bytes = fixed_part.size
@@ -89,7 +92,7 @@
             raise _record_error(number, wire_name, start, f"{size} bytes do not fit its fields")
         if item_bytes:
             fields = (*fields, body[start + fixed_bytes : position])
-        yield _new_record(kind, fields)
+        yield _new_record(record_type, fields)
     if position != end:
         raise SimulatorProtocolError(
             f"{end - position} bytes left over behind the last of {batch.record_count} records"
@@ -101,6 +104,6 @@
 
 
 def encode_reply(actions: Sequence[bytes]) -> bytes:
-    """Encode the reply to one batch from its encoded actions, in the order in which they were taken."""
+    """Encode the reply to one batch from its encoded actions, in the given order."""
     body = b"".join(actions)
     return REPLY_HEADER.pack(len(body) + COUNT_BYTES, len(actions)) + body
--- a/dahliabend/simulator_adapter/host.py
+++ b/dahliabend/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decisions in one process; they share nothing but the code."""
+"""Host that runs many balancer instances in one process. Instances share no state."""
 
 from dahliabend.config.policy_settings import to_microseconds
 from dahliabend.errors import SimulatorProtocolError
@@ -23,25 +23,25 @@
 
 
 class Host:
-    """All instances of one simulation.
+    """The balancer instances of one simulation.
 
     Attributes:
-        instances: Those that run, by the simulator's number.
+        instances: Running instances, by the number that the simulator gave them.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self._endpoint_lists: dict[int, bytes] = {}  # encoded entries, by the number of the list
-        self._actions: list[bytes] = []  # of the batch in hand
+        self._endpoint_lists: dict[int, bytes] = {}  # encoded entries, by list number
+        self._actions: list[bytes] = []  # encoded actions of the current batch
 
     def handle_batch(self, batch: Batch) -> bytes:
         """Pass the records of a batch to their instances.
 
         Returns:
-            The encoded reply: the actions of all instances, in order.
+            The encoded reply: the actions of all instances, in the order in which they were taken.
 
         Raises:
-            SimulatorProtocolError: A record breaks the wire format or names what does not exist.
+            SimulatorProtocolError: A record is malformed, or refers to an unknown instance or list.
         """
         now = to_microseconds(batch.clock)
         self._actions.clear()
@@ -70,7 +70,7 @@
             self.instances[number] = Instance(number, record.seed, record.settings, self._actions)
         except SimulatorProtocolError:
             raise
-        except Exception as error:  # whatever the decisions raise is theirs, and reported as that
+        except Exception as error:  # a bug in the policy: report a fault and keep the other instances running
             self._actions.append(_fault(number, error))
 
     def _forward(self, now: int, record: InstanceRecord) -> None:
@@ -83,15 +83,18 @@
             self._check_codes(record)
         try:
             instance.handle(now, record, self._endpoint_lists)
-        except Exception as error:  # whatever the decisions raise is theirs, and reported as that
+        except Exception as error:  # a bug in the policy: report a fault and keep the other instances running
             self._actions.append(_fault(number, error))
 
     def _check_codes(self, record: AttemptFinished | HealthCheckFinished | DiscoveryUpdate) -> None:
-        """Raise for values outside the wire's tables, which are no fault of the decisions."""
+        """Raise `SimulatorProtocolError` if a record has a code that the protocol does not define.
+
+        Such a value is an error in the input, so it is not reported as a fault of the policy.
+        """
         wire_name = WIRE_NAMES[type(record)]
         if not isinstance(record, DiscoveryUpdate):
             if not Outcome.SUCCEEDED <= record.outcome <= Outcome.NOT_SENT:
-                raise SimulatorProtocolError(f"{wire_name}: unknown outcome")
+                raise SimulatorProtocolError(f"{wire_name}: unknown outcome {record.outcome}")
             return
         if record.scope > UpdateScope.FAILED:
             raise SimulatorProtocolError(f"{wire_name}: unknown scope {record.scope}")
--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One balancer of the simulation: records become calls of the policy, and its calls become actions."""
+"""A simulated balancer instance, which passes records to the policy and encodes the policy's actions."""
 
 from collections.abc import Mapping
 
@@ -27,27 +27,27 @@
 
 
 class Instance:
-    """One balancer and the port through which it acts.
+    """A balancer and the policy port through which it acts.
 
-    The simulator names endpoints by their address, the policy by an index.
+    The simulator identifies endpoints by address, the policy by index.
 
     Attributes:
-        number: The simulator's number of this instance.
-        requests: What is in flight, by the simulator's number of the request.
-        balancer: The decisions.
+        number: The number that the simulator gave this instance.
+        requests: Requests in flight, by the simulator's request number.
+        balancer: The policy, which takes all decisions.
     """
 
     def __init__(self, number: int, seed: int, settings: bytes, encoded_actions: list[bytes]) -> None:
         """Start a balancer.
 
         Args:
-            number: The simulator's number of this instance.
-            seed: Of its random numbers.
-            settings: JSON, as `config.policy_settings.read_policy_settings` takes it.
-            encoded_actions: Where the actions of this instance are added.
+            number: The number that the simulator gave this instance.
+            seed: The seed of its random numbers.
+            settings: JSON in the format of `config.policy_settings.read_policy_settings`.
+            encoded_actions: The list to which the instance appends its encoded actions.
 
         Raises:
-            SimulatorProtocolError: The settings cannot be used.
+            SimulatorProtocolError: The settings are invalid.
         """
         self.number = number
         self.requests: dict[int, RequestState] = {}
@@ -60,7 +60,7 @@
             raise SimulatorProtocolError(f"settings of instance {number}: {error}") from None
         self.balancer = Balancer(policy_settings, self, seed)
 
-    # The port: what the policy does.
+    # Policy port
 
     def send(self, request_id: int, endpoint: int, timeout: int) -> None:
         """Send an attempt of a request to an endpoint."""
@@ -70,7 +70,10 @@
         )
 
     def reject(self, request_id: int, retry_after: int) -> None:
-        """Answer that a request did not run; it is forgotten here if it had been waiting for its turn."""
+        """Respond that a request was not executed, and drop its state if it is finished.
+
+        It is finished here if it was rejected while it waited for an earlier request of its ordering key.
+        """
         self._actions.append(
             actions.reject(self.number, request_id, retry_after / MICROSECONDS_PER_MILLISECOND)
         )
@@ -78,7 +81,7 @@
             del self.requests[request_id]
 
     def fail(self, request_id: int) -> None:
-        """Answer that a request may have run."""
+        """Respond that a request failed and may have been executed."""
         self._actions.append(actions.fail(self.number, request_id))
 
     def cancel(self, request_id: int, attempt: int) -> None:
@@ -86,34 +89,34 @@
         self._actions.append(actions.cancel(self.number, request_id, attempt))
 
     def check_health(self, endpoint: int) -> None:
-        """Check the health of an endpoint."""
+        """Start a health check of an endpoint."""
         self._actions.append(actions.check_health(self.number, self._addresses[endpoint]))
 
-    def close_idle_connections(self, endpoint: int, age: int) -> None:  # noqa: ARG002 - the port has it
-        """Close the idle connections to an endpoint: the simulator closes all, whatever their age."""
+    def close_idle_connections(self, endpoint: int, age: int) -> None:  # noqa: ARG002 - required by the port
+        """Close all idle connections to an endpoint; the simulator's action takes no age."""
         self._actions.append(actions.close_idle_connections(self.number, self._addresses[endpoint]))
 
     def set_timer(self, at: int, token: int) -> None:
-        """Fire a timer at a time in microseconds."""
+        """Set a timer to fire at a time in microseconds."""
         self._actions.append(actions.set_timer(self.number, token, at / MICROSECONDS_PER_MILLISECOND))
 
     def poll_endpoints(self) -> None:
-        """Ask discovery for the endpoint list."""
+        """Request the endpoint list from discovery."""
         self._actions.append(actions.poll_endpoints(self.number))
 
     def send_to_peer(self, peer: int, payload: bytes) -> None:
         """Send a message to another instance."""
         self._actions.append(actions.send_to_peer(self.number, peer, payload))
 
-    # What happens to the instance.
+    # Records
 
     def handle(self, now: int, record: InstanceRecord, endpoint_lists: Mapping[int, bytes]) -> None:
-        """Pass a record on to the policy.
+        """Pass a record to the policy.
 
         Args:
-            now: The batch's clock, in microseconds.
-            record: What happened; its values are within the wire's tables.
-            endpoint_lists: The encoded entries of each list that was sent, by its number.
+            now: The clock of the batch, in microseconds.
+            record: The record, with codes that have been checked against the protocol.
+            endpoint_lists: The encoded entries of all endpoint lists received so far, by list number.
         """
         match record:
             case RequestReceived():
@@ -124,12 +127,14 @@
                 self.balancer.timer_fired(now, record.token)
             case HealthCheckFinished():
                 index = self._indices.get(record.address)
-                if index is not None:  # else it is in no list of this instance, which never checked it
+                if (
+                    index is not None
+                ):  # an address that was in no list of this instance was never checked by it
                     self.balancer.health_check_finished(now, index, Outcome(record.outcome))
             case DiscoveryUpdate():
                 self._update_endpoints(now, record, endpoint_lists)
             case PeerMessage():
-                pass  # nothing is sent to peers here, so nothing of theirs is read
+                pass  # simulated instances send no messages to peers, so received ones are ignored
 
     def _receive_request(self, now: int, record: RequestReceived) -> None:
         request = self.balancer.admit(
@@ -147,7 +152,7 @@
     def _advance_request(
         self, now: int, record: AttemptFinished | ResponseStarted | ClientDisconnected
     ) -> None:
-        """Pass an event of a request on to it; the simulator may still name one that is finished."""
+        """Pass an event to its request. Events of requests that are already finished are ignored."""
         request = self.requests.get(record.request)
         if request is None:
             return
@@ -170,7 +175,7 @@
             self.balancer.endpoint_poll_failed(now)
             return
         entries = endpoint_lists.get(record.list_number, b"")
-        rows = [
+        updates = [
             EndpointUpdate(
                 self._index_of(address),
                 EndpointState(state),
@@ -182,7 +187,7 @@
             )
             for started_at, weight, cell, zone, address, state, _ in ENDPOINT_ENTRY.iter_unpack(entries)
         ]
-        self.balancer.update_endpoints(now, rows, full=record.scope != UpdateScope.DELTA)
+        self.balancer.update_endpoints(now, updates, full=record.scope != UpdateScope.DELTA)
 
     def _index_of(self, address: bytes) -> int:
         index = self._indices.get(address)
--- a/dahliabend/simulator_adapter/wire_format.py
+++ b/dahliabend/simulator_adapter/wire_format.py
@@ -1,21 +1,22 @@
-"""Records of the simulator's wire: their codes, names and layouts, each beside its standard name.
+"""Records and action codes of the simulator's wire protocol: codes, layouts and names.
 
 All numbers are big-endian, all times are milliseconds as doubles, addresses are opaque strings of six bytes.
-The simulator's own names stand in `RECORD_FORMATS` and in the comments of `ActionCode`, and nowhere else.
+The simulator has its own names for records and actions. They appear only in `RECORD_FORMATS` and in the
+comments of `ActionCode`; all other code uses the standard names.
 """
 
 from enum import IntEnum
 from struct import Struct
 from typing import NamedTuple
 
-BATCH_HEADER = Struct(">dII")  # clock, bytes behind this field, number of records
-RECORD_HEADER = Struct(">BI")  # code, bytes of the record behind this header
+BATCH_HEADER = Struct(">dII")  # clock, number of bytes after this field, number of records
+RECORD_HEADER = Struct(">BI")  # code, number of bytes of the record after this header
 ENDPOINT_ENTRY = Struct(">dfHB6sBH")  # started at, weight, cell, zone, address, state, reserved
-REPORT_FIELD_BYTES = 4  # of each figure of a load report; load reports are read by nobody here
+REPORT_FIELD_BYTES = 4  # size of each field of a load report; the adapter ignores load reports
 
 
 class DiscoveryUpdate(NamedTuple):
-    """An endpoint list takes effect at one instance, or discovery failed there."""
+    """Delivery of an endpoint list to an instance, or a failed discovery request of that instance."""
 
     instance: int
     sequence: int
@@ -24,7 +25,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """Another instance's message."""
+    """A message from another instance."""
 
     instance: int
     sender: int
@@ -33,7 +34,7 @@
 
 
 class AttemptFinished(NamedTuple):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     instance: int
     request: int
@@ -47,7 +48,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The head of an attempt's response has come."""
+    """Arrival of the response head of an attempt."""
 
     instance: int
     request: int
@@ -57,7 +58,7 @@
 
 
 class InstanceStart(NamedTuple):
-    """A new instance, in place of one that may have had its number."""
+    """Start of an instance; it replaces a running instance with the same number."""
 
     instance: int
     seed: int
@@ -66,7 +67,7 @@
 
 
 class EndpointList(NamedTuple):
-    """An endpoint list, for any instance; a later `DiscoveryUpdate` names it by its number."""
+    """The entries of an endpoint list, to which later `DiscoveryUpdate` records refer by list number."""
 
     list_number: int
     entry_count: int
@@ -74,7 +75,7 @@
 
 
 class HealthCheckFinished(NamedTuple):
-    """How a health check ended."""
+    """The outcome of a health check."""
 
     instance: int
     address: bytes
@@ -85,27 +86,27 @@
 
 
 class InstanceStop(NamedTuple):
-    """An instance is gone, with all that it knew."""
+    """Stop of an instance, whose state is lost."""
 
     instance: int
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request has gone."""
+    """Disconnection of the client of a request."""
 
     instance: int
     request: int
 
 
 class TimerFired(NamedTuple):
-    """The time that a `set_timer` action named has come."""
+    """Expiry of a timer that a `set_timer` action set."""
 
     instance: int
     token: int
 
 
 class RequestReceived(NamedTuple):
-    """A client's request."""
+    """Arrival of a client's request."""
 
     instance: int
     request: int
@@ -117,8 +118,8 @@
     options: int
 
 
-# A bit of `RequestReceived.options`.
-IS_REPEATED = 2  # the client sent the same request before
+# Bit of `RequestReceived.options`
+IS_REPEATED = 2  # the client has sent the same request before
 
 InstanceRecord = (
     DiscoveryUpdate
@@ -134,21 +135,23 @@
 
 
 class UpdateScope(IntEnum):
-    """What a `DiscoveryUpdate` says of the endpoint list that it names."""
+    """How a `DiscoveryUpdate` applies the endpoint list to which it refers."""
 
-    DELTA = 0
+    DELTA = 0  # changed entries only
     FULL = 1
-    CACHED = 2
-    FAILED = 3  # discovery did not answer; the list is not read
+    CACHED = 2  # applied like `FULL`
+    FAILED = 3  # discovery did not respond; the list number is ignored
 
 
 class RecordFormat(NamedTuple):
-    """One kind of record on the wire."""
+    """The encoding of one record type."""
 
-    wire_name: str  # of the simulator, as errors name it
-    kind: type[Record]
+    wire_name: str  # the simulator's name for the record, used in error messages
+    record_type: type[Record]
     fixed_part: Struct
-    item_bytes: int = 0  # of each item behind the fixed part, counted by its last field; 0: there are none
+    item_bytes: int = (
+        0  # size of each item after the fixed part, whose last field counts them; 0 if there are none
+    )
 
 
 RECORD_FORMATS: dict[int, RecordFormat] = {
@@ -164,12 +167,16 @@
     25: RecordFormat("BELL", TimerFired, Struct(">IQ")),
     26: RecordFormat("JOB_IN", RequestReceived, Struct(">IQBIQddB")),
 }
-WIRE_NAMES: dict[type[Record], str] = {form.kind: form.wire_name for form in RECORD_FORMATS.values()}
-RECORD_CODES: dict[type[Record], int] = {form.kind: code for code, form in RECORD_FORMATS.items()}
+WIRE_NAMES: dict[type[Record], str] = {
+    record_format.record_type: record_format.wire_name for record_format in RECORD_FORMATS.values()
+}
+RECORD_CODES: dict[type[Record], int] = {
+    record_format.record_type: code for code, record_format in RECORD_FORMATS.items()
+}
 
 
 class ActionCode(IntEnum):
-    """Codes of the actions in a reply, with the simulator's name where it differs."""
+    """Codes of the actions in a reply. Comments give the simulator's name where it differs."""
 
     CLOSE_IDLE_CONNECTIONS = 16  # hang up
     FAULT = 17
--- a/tests/simulator_adapter/simulator_frames.py
+++ b/tests/simulator_adapter/simulator_frames.py
@@ -1,4 +1,4 @@
-"""Batches as the simulator writes them: the wire note's examples, and frames made of single records."""
+"""Batches in the simulator's format: the examples of its protocol description, and other frames."""
 
 import json
 from io import BytesIO
@@ -27,22 +27,22 @@
 
 
 def frame(*records, clock=100.0):
-    """One batch of encoded records."""
+    """Return one batch of encoded records."""
     body = b"".join(records)
     return pack(">dII", clock, len(body) + 4, len(records)) + body
 
 
 def instance_start(number=3, settings=None):
-    """A record that starts an instance."""
+    """Return a record that starts an instance."""
     text = json.dumps(settings or SETTINGS).encode()
     return pack(">BIIQI", RECORD_CODES[InstanceStart], 16 + len(text), number, 9, len(text)) + text
 
 
 def request_received(request, number=3):
-    """A record of a request of the first class, which has to be answered by 2000 ms."""
+    """Return a record of a request of the first class with a deadline at 2000 ms."""
     return pack(">BIIQBIQddB", RECORD_CODES[RequestReceived], 42, number, request, 0, 0, 0, 2000.0, 0.0, 0)
 
 
 def replies_of(host, *frames):
-    """The reply to each batch, in order."""
+    """Return the host's replies to the batches, in order."""
     return [host.handle_batch(read_batch(BytesIO(raw))) for raw in frames]
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter against the wire note's example bytes, and against what must not be guessed."""
+"""The adapter against the examples of the protocol description, and its errors for malformed input."""
 
 import json
 import subprocess
@@ -35,7 +35,7 @@
 )
 
 
-def test_the_examples_of_the_wire_note_are_read_and_written_to_the_byte():
+def test_examples_of_the_protocol_description_are_decoded_and_encoded_byte_for_byte():
     assert read_batch(BytesIO(EMPTY_BATCH)) == Batch(8412.25, 0, b"")
     assert encode_reply([]) == bytes.fromhex("0000000400000000")
     batch = read_batch(BytesIO(EXAMPLE_BATCH))
@@ -53,38 +53,38 @@
     assert actions.send_to_peer(3, 0xFFFFFFFF, b"hi p")[:5] == bytes.fromhex("1b0000000e")
 
 
-def test_a_request_is_sent_on_and_an_event_of_one_that_is_finished_changes_nothing():
+def test_request_is_sent_to_an_endpoint_and_events_of_unknown_requests_endpoints_and_timers_change_nothing():
     host = Host()
     replies = replies_of(
         host, frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE, request_received(5)), EMPTY_BATCH
     )
     assert replies[0].count(pack(">BI", 26, 26)) == 1
     assert replies[1] == encode_reply([])
-    # Of an endpoint in no list.
-    health = pack(">BII6sBdB", RECORD_CODES[HealthCheckFinished], 20, 3, b"nobody", 1, 1.0, 0)
-    assert replies_of(host, frame(health))[0] == encode_reply([])
-    # Of a request already dropped, and of a timer that was never set.
-    gone = pack(">BIIQ", RECORD_CODES[ClientDisconnected], 12, 3, 77)
+    # A health check of an endpoint that is in no list
+    health_check = pack(">BII6sBdB", RECORD_CODES[HealthCheckFinished], 20, 3, b"nobody", 1, 1.0, 0)
+    assert replies_of(host, frame(health_check))[0] == encode_reply([])
+    # A disconnection for a request that is no longer in flight, and a timer that was never set
+    disconnected = pack(">BIIQ", RECORD_CODES[ClientDisconnected], 12, 3, 77)
     timer = pack(">BIIQ", RECORD_CODES[TimerFired], 12, 3, 99)
-    assert replies_of(host, frame(gone, timer))
+    assert replies_of(host, frame(disconnected, timer))
 
 
-def test_an_instance_stopped_and_started_in_one_batch_takes_the_new_list_of_a_reused_number():
+def test_instance_restarted_in_one_batch_uses_the_new_endpoint_list_under_a_reused_list_number():
     host = Host()
-    kill = pack(">BII", RECORD_CODES[InstanceStop], 4, 3)
-    none = pack(">BIHI", RECORD_CODES[EndpointList], 6, 0, 0)
+    stop = pack(">BII", RECORD_CODES[InstanceStop], 4, 3)
+    empty_list = pack(">BIHI", RECORD_CODES[EndpointList], 6, 0, 0)
     first, second = replies_of(
         host,
         frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE, request_received(5)),
-        frame(kill, instance_start(), none, CACHED_UPDATE, request_received(6)),
+        frame(stop, instance_start(), empty_list, CACHED_UPDATE, request_received(6)),
     )
     assert pack(">BI", 26, 26) in first
-    assert pack(">BIIQ", 21, 20, 3, 6) in second, "without an endpoint it is rejected"
+    assert pack(">BIIQ", 21, 20, 3, 6) in second, "a request without an endpoint must be rejected"
     assert not host.instances[3].requests
 
 
 @pytest.mark.parametrize(
-    ("raw", "part"),
+    ("raw", "expected_text"),
     [
         (EMPTY_BATCH[:9], "batch header"), (EXAMPLE_BATCH[:-1], "cut short"),
         (frame(b"\x63\0\0\0\0"), "unknown code 99"),
@@ -98,48 +98,50 @@
         (frame(instance_start(settings={**SETTINGS, "profiles": []})), "settings"),
     ],
 )  # fmt: skip
-def test_malformed_input_ends_with_one_plain_message(raw, part):
-    done = subprocess.run(
+def test_malformed_input_exits_with_status_1_and_one_line_on_standard_error(raw, expected_text):
+    completed = subprocess.run(
         [sys.executable, "-m", "dahliabend.simulator_adapter"], input=EMPTY_BATCH + raw, capture_output=True
     )
-    assert done.returncode == 1
-    assert part in done.stderr.decode()
-    assert done.stderr.count(b"\n") == 1
-    assert done.stdout == encode_reply([])
-
-
-def test_settings_take_optional_keys_and_refuse_unknown_values():
-    own = read_policy_settings(json.dumps(SETTINGS).encode())
-    assert own.request_classes[0].latency_objective == 2_000_000
-    assert not own.can_health_check
-    assert own.tenant_quotas == ()
-    assert own.cross_zone_cost == 0  # as where crossing costs nothing: the zone's share is never read
+    assert completed.returncode == 1
+    assert expected_text in completed.stderr.decode()
+    assert completed.stderr.count(b"\n") == 1
+    assert completed.stdout == encode_reply([])
+
+
+def test_settings_default_optional_keys_and_reject_unknown_values():
+    settings = read_policy_settings(json.dumps(SETTINGS).encode())
+    assert settings.request_classes[0].latency_objective == 2_000_000
+    assert not settings.can_health_check
+    assert settings.tenant_quotas == ()
+    assert settings.cross_zone_cost == 0  # the default: requests to other zones cost nothing extra
     profile = {**SETTINGS["profiles"][0], "semantics": "maybe"}
     with pytest.raises(ValueError, match="semantics"):
         read_policy_settings(json.dumps({**SETTINGS, "profiles": [profile]}).encode())
 
 
-def test_an_error_in_the_decisions_is_reported_as_a_fault():
+def test_exception_in_the_policy_is_reported_as_a_fault_action():
     host = Host()
     replies_of(host, frame(instance_start(), ENDPOINT_LIST, CACHED_UPDATE))
     host.instances[3].balancer.admit = None
     assert b"TypeError" in replies_of(host, frame(request_received(5)))[0]
 
 
-def test_no_load_report_whatever_it_says_changes_a_decision():
-    def replies(load):
-        host, got = Host(), []
+def test_load_reports_do_not_change_any_decision():
+    def replies_with_load_report(load):
+        host, replies = Host(), []
         replies_of(host, frame(ENDPOINT_LIST, instance_start(), CACHED_UPDATE))
         for request_id in range(1, 60):
             reply = replies_of(host, frame(request_received(request_id), clock=100.0 + request_id))[0]
-            got.append(reply)
-            at = reply.index(pack(">BI", 26, 26)) + 5 + 4 + 8
-            took = 40.0 if request_id % 3 else 400.0
-            fields = pack(">IQHdBB6sBff", 3, request_id, 0, took, 1, 1, reply[at : at + 6], 2, *load)
-            returned = pack(">BI", RECORD_CODES[AttemptFinished], len(fields)) + fields
-            got += replies_of(host, frame(returned, clock=100.5 + request_id))
-        return got
-
-    usual = replies((1.0, 0.1))
-    for load in ((0.0, 0.0), (0.4, 0.05), (900.0, 1.0)):  # nothing, too little, full while it is not
-        assert replies(load) == usual
+            replies.append(reply)
+            # The address follows the header of the action, the instance and the request.
+            address_start = reply.index(pack(">BI", 26, 26)) + 5 + 4 + 8
+            address = reply[address_start : address_start + 6]
+            duration = 40.0 if request_id % 3 else 400.0
+            fields = pack(">IQHdBB6sBff", 3, request_id, 0, duration, 1, 1, address, 2, *load)
+            finished = pack(">BI", RECORD_CODES[AttemptFinished], len(fields)) + fields
+            replies += replies_of(host, frame(finished, clock=100.5 + request_id))
+        return replies
+
+    expected = replies_with_load_report((1.0, 0.1))
+    for load in ((0.0, 0.0), (0.4, 0.05), (900.0, 1.0)):  # no load, too low, full although it is not
+        assert replies_with_load_report(load) == expected
