--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -75,16 +75,16 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
         self.open = []
-        Thread(target=self.accept, daemon=True).start()
+        Thread(target=self.accept_connections, daemon=True).start()
 
-    def accept(self):
+    def accept_connections(self):
         with suppress(OSError):
             while True:
                 conn, _ = self.sock.accept()
                 self.open.append(conn)
-                Thread(target=self.guard, args=(conn,), daemon=True).start()
+                Thread(target=self.handle_connection, args=(conn,), daemon=True).start()
 
-    def guard(self, conn):
+    def handle_connection(self, conn):
         with suppress(OSError), conn:
             self.serve(conn)
 
@@ -95,57 +95,59 @@
             sock.close()
 
 
-def answer(body=b"done", head="HTTP/1.1 200 OK", extra=""):
-    return f"{head}\r\n{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body
+def make_response(body=b"done", head="HTTP/1.1 200 OK", extra_headers=""):
+    return f"{head}\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class Upstream(Server):
     """Requests go into `came`, a connection's end into `ended`; `play(conn, request)`, false to close."""
 
-    def __init__(self, play=None):
-        self.came, self.ended = Queue(), Queue()
-        self.play = play or (lambda conn, request: conn.sendall(answer(request[2] or b"done")) is None)
+    def __init__(self, respond=None):
+        self.received_requests, self.ended_connections = Queue(), Queue()
+        self.respond = respond or (
+            lambda conn, request: conn.sendall(make_response(request[2] or b"done")) is None
+        )
         super().__init__()
 
     def serve(self, conn):
         with conn.makefile("rb") as file:
             while request := read_message(file):
                 if request[0].startswith("GET /-/"):
-                    conn.sendall(answer(b"ok"))
+                    conn.sendall(make_response(b"ok"))
                     continue
-                self.came.put(request)
-                if not self.play(conn, request):
+                self.received_requests.put(request)
+                if not self.respond(conn, request):
                     return
-        self.ended.put(True)
+        self.ended_connections.put(True)
 
 
-class Agent(Server):
+class DiscoveryAgent(Server):
     """Discovery: `asked` has the path of each watch; `tell` writes a line to the newest."""
 
     def __init__(self, *servers):
-        self.asked, self.watches, self.servers = Queue(), [], servers
+        self.watch_requests, self.watch_connections, self.servers = Queue(), [], servers
         super().__init__()
 
     def serve(self, conn):
         with conn.makefile("rb") as file:
             request = read_message(file)
             conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.watches.append(conn)
-            if len(self.watches) == 1:
-                self.tell(1, True, *self.servers)
-            self.asked.put(request[0])
+            self.watch_connections.append(conn)
+            if len(self.watch_connections) == 1:
+                self.send_update(1, True, *self.servers)
+            self.watch_requests.put(request[0])
             file.read()
 
-    def tell(self, version, full, *servers):
+    def send_update(self, version, full, *servers):
         line = json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
-        self.watches[-1].sendall(b"%x\r\n%b\r\n" % (len(line), line))
+        self.watch_connections[-1].sendall(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-def entry(name, upstream, state="up"):
+def server_entry(name, upstream, state="up"):
     return {"id": name, "addr": upstream.address, "zone": "a", "cell": 0, "state": state, "started_ms": 0}
 
 
-class Caller:
+class Client:
     """One connection to a balancer."""
 
     def __init__(self, address):
@@ -153,14 +155,23 @@
         self.sock = socket.create_connection((host, int(port)), PATIENCE)
         self.file = self.sock.makefile("rb")
 
-    def send(self, profile="query", method="GET", body=b"", expires="2000", trace="t1", extra=""):
-        head = f"{method} /{profile}?a=b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: {trace}\r\n{extra}"
-        head += f"X-Expires-In-Ms: {expires}\r\n" if expires else ""
+    def send(
+        self,
+        request_class="query",
+        method="GET",
+        body=b"",
+        timeout_ms="2000",
+        trace_id="t1",
+        extra_headers="",
+    ):
+        head = f"{method} /{request_class}?a=b HTTP/1.1\r\nHost: api\r\nX-Trace-Id: {trace_id}\r\n"
+        head += extra_headers
+        head += f"X-Expires-In-Ms: {timeout_ms}\r\n" if timeout_ms else ""
         self.sock.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
 
-    def ask(self, *args, **more):
+    def request(self, *args, **options):
         """The status, headers and body that come back."""
-        self.send(*args, **more)
+        self.send(*args, **options)
         return self.read()
 
     def read(self):
@@ -174,9 +185,9 @@
         return [f"127.0.0.1:{server.getsockname()[1]}" for server in servers]
 
 
-def call(admin, path, method="GET", body=b""):
+def call_admin(admin, path, method="GET", body=b""):
     """An operator's call: the status and what comes with it."""
-    caller = Caller(admin)
+    caller = Client(admin)
     caller.sock.sendall(
         b"%b %b HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (method.encode(), path.encode(), len(body)) + body
     )
@@ -185,7 +196,7 @@
     return status, json.loads(text) if "json" in headers.get("content-type", "") else headers
 
 
-def until(check):
+def wait_until(check):
     """Its first true value; asked again until PATIENCE is over."""
     end = time.monotonic() + PATIENCE
     while not (value := check()):
@@ -195,33 +206,34 @@
 
 
 @contextmanager
-def program(*upstreams, ready=True, agent=None, conf=None, beside=None, **more):
+def start_balancer(*upstreams, ready=True, agent=None, settings=None, inherited=None, **top_level_keys):
     """A running balancer before these upstreams: its address, its process and its discovery. The process has
     its configuration's `path` and content, and a queue of its log's lines. `beside`: a listening socket that
     it inherits, and the folder that it shares; discovery and upstreams are then left open."""
-    own = agent or Agent(*(entry(f"s-{n}", u) for n, u in enumerate(upstreams)))
+    discovery = agent or DiscoveryAgent(*(server_entry(f"s-{n}", u) for n, u in enumerate(upstreams)))
     address, admin = free_addresses()
-    env, passed = {"PROXY_DISCOVERY": own.address}, ()
-    if beside:
-        address, passed = f"127.0.0.1:{beside[0].getsockname()[1]}", (beside[0].fileno(),)
-        env |= {"PROXY_FD": str(passed[0]), "TMPDIR": beside[1]}
-    raw = {
+    env, passed_descriptors = {"PROXY_DISCOVERY": discovery.address}, ()
+    if inherited:
+        listener, directory = inherited
+        address, passed_descriptors = f"127.0.0.1:{listener.getsockname()[1]}", (listener.fileno(),)
+        env |= {"PROXY_FD": str(passed_descriptors[0]), "TMPDIR": directory}
+    config = {
         "listen": address,
-        "discovery": own.address,
+        "discovery": discovery.address,
         "admin": admin,
-        "settings": {**CONF, **(conf or {})},
-        **more,
+        "settings": {**CONF, **(settings or {})},
+        **top_level_keys,
     }
     with NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(raw, file)
+        json.dump(config, file)
         file.flush()
         process = Popen(
             [sys.executable, "-m", "dahliabend"],
             stderr=PIPE,
-            pass_fds=passed,
+            pass_fds=passed_descriptors,
             env={**os.environ, "PROXY_CONFIG": file.name, **env},
         )
-        process.path, process.conf, process.log, process.admin = file.name, raw, Queue(), admin
+        process.config_path, process.config, process.log, process.admin = file.name, config, Queue(), admin
         try:
             first = b""
             while b'"server.started"' not in first:
@@ -230,17 +242,17 @@
                 process.log.put(first)
             Thread(target=lambda: [process.log.put(line) for line in process.stderr], daemon=True).start()
             end = time.monotonic() + PATIENCE
-            while ready and call(admin, "/api/ready")[0] != 200:
+            while ready and call_admin(admin, "/api/ready")[0] != 200:
                 assert time.monotonic() < end, "never ready"
-            yield address, process, own
+            yield address, process, discovery
         finally:
             process.kill()
             process.wait()
-            for server in () if beside else (own, *upstreams):
+            for server in () if inherited else (discovery, *upstreams):
                 server.close()
 
 
-def logged(process, event):
+def wait_for_event(process, event):
     """The next line of that event in the program's log."""
     end = time.monotonic() + PATIENCE
     while (line := json.loads(process.log.get(timeout=PATIENCE)))["event"] != event:
@@ -248,15 +260,15 @@
     return line
 
 
-def replace(process, **changes):
+def reload_configuration(process, **changes):
     """The file that the process reads, replaced as a whole, and its signal to read it."""
-    with open(f"{process.path}.new", "w") as file:
-        json.dump({**process.conf, **changes}, file)
-    os.replace(file.name, process.path)
+    with open(f"{process.config_path}.new", "w") as file:
+        json.dump({**process.config, **changes}, file)
+    os.replace(file.name, process.config_path)
     process.send_signal(signal.SIGHUP)
 
 
-def is_ready(address):
-    caller = Caller(address)
+def readiness_status(address):
+    caller = Client(address)
     caller.sock.sendall(b"GET /-/ready HTTP/1.1\r\nHost: api\r\n\r\n")
     return caller.read()[0]
--- a/tests/http/test_long_messages.py
+++ b/tests/http/test_long_messages.py
@@ -3,23 +3,23 @@
 import os
 
 import pytest
-from helpers import PATIENCE, Caller, Upstream, answer, call, program, until
+from helpers import PATIENCE, Client, Upstream, call_admin, make_response, start_balancer, wait_until
 from http_messages import CHUNKED, LONG, SIZED, chunked
 
 
 def test_a_long_body_passes_unchanged_with_a_length_or_in_chunks_and_the_connection_stays_open():
-    upstream = Upstream(lambda conn, request: conn.sendall(answer(b"%d" % len(request[2]))) is None)
-    with program(upstream) as (address, process, _):
-        client = Caller(address)
+    upstream = Upstream(lambda conn, request: conn.sendall(make_response(b"%d" % len(request[2]))) is None)
+    with start_balancer(upstream) as (address, process, _):
+        client = Client(address)
         for raw, body in (
             (SIZED % (b"t1", len(LONG)) + LONG, LONG), (CHUNKED % b"t2" + chunked(LONG), LONG),
             (CHUNKED % b"t3" + chunked(b"short", 2), b"short"),
         ):  # fmt: skip
             client.sock.sendall(raw)
             assert client.read()[::2] == (200, b"%d" % len(body))
-            assert upstream.came.get(timeout=PATIENCE)[2] == body
-        assert client.ask()[0] == 200
-        assert call(process.admin, "/api/telemetry")[1]["relayed"] == 4
+            assert upstream.received_requests.get(timeout=PATIENCE)[2] == body
+        assert client.request()[0] == 200
+        assert call_admin(process.admin, "/api/telemetry")[1]["relayed"] == 4
 
 
 def respond_and_keep_open(raw):
@@ -33,20 +33,20 @@
 @pytest.mark.parametrize(
     "respond",
     [
-        respond_and_keep_open(answer(LONG)),
+        respond_and_keep_open(make_response(LONG)),
         respond_and_keep_open(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG)),
         respond_and_close(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG),
     ],
 )  # fmt: skip
 def test_a_long_response_passes_unchanged_in_every_framing(respond):
-    with program(Upstream(respond)) as (address, _, _):
-        client = Caller(address)
+    with start_balancer(Upstream(respond)) as (address, _, _):
+        client = Client(address)
         for trace in ("t1", "t2"):
-            assert client.ask(trace=trace)[::2] == (200, LONG)
+            assert client.request(trace_id=trace)[::2] == (200, LONG)
 
 
 def close_within_sized_response(conn, request):
-    conn.sendall(answer(LONG)[:100_000])
+    conn.sendall(make_response(LONG)[:100_000])
 
 
 def close_within_chunked_response(conn, request):
@@ -56,21 +56,21 @@
 @pytest.mark.parametrize("respond", [close_within_sized_response, close_within_chunked_response])
 def test_a_connection_lost_within_a_long_response_is_seen_by_the_client_and_not_retried(respond):
     upstream = Upstream(respond)
-    with program(upstream) as (address, process, _):
-        client = Caller(address)
+    with start_balancer(upstream) as (address, process, _):
+        client = Client(address)
         client.send()
         assert client.read() is None  # the response is incomplete
-        assert upstream.came.qsize() == 1
-        query_counts = call(process.admin, "/api/telemetry")[1]["operations"]["query"]
+        assert upstream.received_requests.qsize() == 1
+        query_counts = call_admin(process.admin, "/api/telemetry")[1]["operations"]["query"]
         assert (query_counts["fulfilled"], query_counts["faulted"]) == (0, 1)
 
 
 def test_a_partly_consumed_body_is_rejected_when_its_attempt_fails():
     upstream = Upstream()
     # The upstream closes the connection in the middle of the body.
-    upstream.serve = lambda conn: (conn.recv(1000), upstream.ended.put(True))
-    with program(upstream) as (address, _, _):
-        client = Caller(address)
+    upstream.serve = lambda conn: (conn.recv(1000), upstream.ended_connections.put(True))
+    with start_balancer(upstream) as (address, _, _):
+        client = Client(address)
         client.sock.sendall(SIZED % (b"t", len(LONG)) + LONG[:300_000])
         assert client.read()[0] == 503
         assert client.read() is None
@@ -78,11 +78,11 @@
 
 def test_many_long_messages_at_once_with_slow_readers_stay_within_memory():
     body = LONG * 8  # 16 MiB
-    with program(Upstream(respond_and_keep_open(answer(body)))) as (address, process, _):
-        clients = [Caller(address) for _ in range(40)]
+    with start_balancer(Upstream(respond_and_keep_open(make_response(body)))) as (address, process, _):
+        clients = [Client(address) for _ in range(40)]
         for n, client in enumerate(clients):
-            client.send("submit", "POST", b"x" * 200_000, trace=f"t{n}")
-        until(lambda: call(process.admin, "/api/telemetry")[1]["relayed"] >= 40)
+            client.send("submit", "POST", b"x" * 200_000, trace_id=f"t{n}")
+        wait_until(lambda: call_admin(process.admin, "/api/telemetry")[1]["relayed"] >= 40)
         assert clients[0].read()[2] == body  # while no other client reads
         with open(f"/proc/{process.pid}/statm") as file:
             assert int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") < 80 << 20
@@ -93,8 +93,8 @@
         (respond_and_close(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG), True),
         (close_within_chunked_response, False),
     ):
-        with program(Upstream(respond)) as (address, _, _):
-            client = Caller(address)
+        with start_balancer(Upstream(respond)) as (address, _, _):
+            client = Client(address)
             client.sock.sendall(
                 b"GET http://api/query HTTP/1.0\r\nX-Trace-Id: o\r\nX-Expires-In-Ms: 2000\r\n\r\n"
             )
--- a/tests/late_upstream.py
+++ b/tests/late_upstream.py
@@ -8,8 +8,8 @@
     PATIENCE,
     Server,
     Upstream,
-    answer,
-    until,
+    make_response,
+    wait_until,
 )
 
 LONG_PROFILES = [
@@ -17,7 +17,7 @@
 ]
 
 
-def capabilities(**changes):
+def settings_with_capabilities(**changes):
     return {"caps": {**CONF["caps"], **changes}, "profiles": LONG_PROFILES}
 
 
@@ -25,33 +25,33 @@
     """Its connections come up late: the system's queue is full, so it drops a first packet, and the next one
     comes a second later. `open_up` takes them all in."""
 
-    def __init__(self, play=None):
-        self.up = Event()
+    def __init__(self, respond=None):
+        self.listening = Event()
         self.fillers = []
-        super().__init__(play)
+        super().__init__(respond)
 
-    def fill(self):
+    def fill_accept_queue(self):
         self.sock.listen(0)
         for _ in range(4):
             self.fillers.append(socket.socket())
             self.fillers[-1].setblocking(False)
             self.fillers[-1].connect_ex(self.sock.getsockname())
 
-    def accept(self):
-        self.fill()
-        self.up.set()
-        assert Event.wait(self.opened, PATIENCE)
-        super().accept()
+    def accept_connections(self):
+        self.fill_accept_queue()
+        self.listening.set()
+        assert Event.wait(self.accept_event, PATIENCE)
+        super().accept_connections()
 
     @property
-    def opened(self):
-        return self.__dict__.setdefault("_opened", Event())
+    def accept_event(self):
+        return self.__dict__.setdefault("_accept_event", Event())
 
-    def open_up(self):
-        self.opened.set()
+    def accept_all(self):
+        self.accept_event.set()
 
     def close(self):
-        self.opened.set()
+        self.accept_event.set()
         for filler in self.fillers:
             filler.close()
         super().close()
@@ -61,25 +61,25 @@
     """Its first connection comes up at once, and ends with its first request; those after it come up late."""
 
     def __init__(self):
-        super().__init__(self.first)
+        super().__init__(self.respond_to_first)
 
-    def accept(self):
+    def accept_connections(self):
         conn, _ = self.sock.accept()
-        Thread(target=self.guard, args=(conn,), daemon=True).start()
-        assert Event.wait(self.opened, PATIENCE)
-        Server.accept(self)
-
-    def first(self, conn, request):
-        if self.opened.is_set():
-            return conn.sendall(answer()) is None
-        self.fill()
+        Thread(target=self.handle_connection, args=(conn,), daemon=True).start()
+        assert Event.wait(self.accept_event, PATIENCE)
+        Server.accept_connections(self)
+
+    def respond_to_first(self, conn, request):
+        if self.accept_event.is_set():
+            return conn.sendall(make_response()) is None
+        self.fill_accept_queue()
         return False
 
 
-def late_upstream(play=None):
-    made = LateUpstream(play)
-    assert made.up.wait(PATIENCE)
-    return made
+def late_upstream(respond=None):
+    upstream = LateUpstream(respond)
+    assert upstream.listening.wait(PATIENCE)
+    return upstream
 
 
 def wait_until_connecting(up):
@@ -92,4 +92,4 @@
         own = {filler.getsockname()[1] for filler in up.fillers}  # read after: one may just have begun
         return [line for line in lines if int(line[1].partition(":")[2], 16) not in own]
 
-    until(more)
+    wait_until(more)
--- a/tests/proxy/test_key_order_over_sockets.py
+++ b/tests/proxy/test_key_order_over_sockets.py
@@ -4,7 +4,16 @@
 import signal
 from queue import Empty, Queue
 
-from helpers import CONF, PATIENCE, Caller, Upstream, answer, logged, program, replace
+from helpers import (
+    CONF,
+    PATIENCE,
+    Client,
+    Upstream,
+    make_response,
+    reload_configuration,
+    start_balancer,
+    wait_for_event,
+)
 
 ORDERED = copy.deepcopy(CONF)
 ORDERED["profiles"].append(
@@ -36,11 +45,11 @@
             self.releases[request[1]["x-trace-id"]].get(timeout=PATIENCE)
         except Empty:
             return False  # the test has ended
-        return conn.sendall(answer()) is None
+        return conn.sendall(make_response()) is None
 
     def next_trace_id(self):
         """Return the trace id of the next request that arrives."""
-        return self.upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"]
+        return self.upstream.received_requests.get(timeout=PATIENCE)[1]["x-trace-id"]
 
     def release(self, *trace_ids):
         for trace_id in trace_ids:
@@ -48,23 +57,23 @@
 
 
 def send_ordered_request(address, trace_id, key="9", timeout_ms=LONG_TIMEOUT_MS):
-    caller = Caller(address)
-    caller.send("amend", "POST", expires=timeout_ms, trace=trace_id, extra=f"X-Item: {key}\r\n")
+    caller = Client(address)
+    caller.send("amend", "POST", timeout_ms=timeout_ms, trace_id=trace_id, extra_headers=f"X-Item: {key}\r\n")
     return caller
 
 
 def test_one_request_per_key_is_sent_at_a_time_even_across_a_reload():
     holding = HoldingUpstream()
-    with program(holding.upstream, conf=ORDERED_WITH_LONG_DEADLINES) as (address, process, _):
+    with start_balancer(holding.upstream, settings=ORDERED_WITH_LONG_DEADLINES) as (address, process, _):
         first = send_ordered_request(address, "a")
         assert holding.next_trace_id() == "a"
         second = send_ordered_request(address, "b")
         with_key_8 = send_ordered_request(address, "c", key="8")
         assert holding.next_trace_id() == "c"
-        new_settings = copy.deepcopy(process.conf["settings"])
+        new_settings = copy.deepcopy(process.config["settings"])
         new_settings["caps"]["most-hops"] = 3
-        replace(process, settings=new_settings)
-        logged(process, "reload.applied")
+        reload_configuration(process, settings=new_settings)
+        wait_for_event(process, "reload.applied")
         third = send_ordered_request(address, "d")
         with_key_7 = send_ordered_request(address, "e", key="7")
         assert holding.next_trace_id() == "e"  # requests with key 9 are queued, before and after the reload
@@ -80,7 +89,7 @@
 
 def test_a_queued_request_is_rejected_at_its_deadline_and_its_trace_id_can_be_used_again():
     holding = HoldingUpstream()
-    with program(holding.upstream, conf=ORDERED_WITH_LONG_DEADLINES) as (address, _, _):
+    with start_balancer(holding.upstream, settings=ORDERED_WITH_LONG_DEADLINES) as (address, _, _):
         first = send_ordered_request(address, "a")
         assert holding.next_trace_id() == "a"
         queued = send_ordered_request(address, "b", timeout_ms="1000")
@@ -95,7 +104,7 @@
 
 def test_sigterm_answers_queued_requests_before_the_process_exits():
     holding = HoldingUpstream()
-    with program(holding.upstream, conf=ORDERED) as (address, process, _):
+    with start_balancer(holding.upstream, settings=ORDERED) as (address, process, _):
         first = send_ordered_request(address, "a")
         assert holding.next_trace_id() == "a"
         queued = send_ordered_request(address, "b")
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -8,27 +8,30 @@
 
 from helpers import (
     PATIENCE,
-    Caller,
+    Client,
     Upstream,
-    answer,
-    call,
-    entry,
-    logged,
-    program,
-    until,
+    call_admin,
+    make_response,
+    server_entry,
+    start_balancer,
+    wait_for_event,
+    wait_until,
 )
 from late_upstream import (
     LONG_PROFILES,
     LateAfterFirstUpstream,
-    capabilities,
     late_upstream,
+    settings_with_capabilities,
     wait_until_connecting,
 )
 
 
 def received_trace_ids(upstream):
     """Return the trace ids of the requests that an upstream has received and the test has not read yet."""
-    return [upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"] for _ in range(upstream.came.qsize())]
+    return [
+        upstream.received_requests.get(timeout=PATIENCE)[1]["x-trace-id"]
+        for _ in range(upstream.received_requests.qsize())
+    ]
 
 
 def wait_for_disconnect(conn, request):
@@ -38,76 +41,82 @@
 
 def test_a_client_that_disconnects_behind_unread_requests_is_noticed():
     upstream = Upstream(wait_for_disconnect)
-    with program(upstream, conf={"profiles": LONG_PROFILES}) as (address, process, _):
-        caller = Caller(address)
+    with start_balancer(upstream, settings={"profiles": LONG_PROFILES}) as (address, process, _):
+        caller = Client(address)
         caller.send("submit", "POST", b"x", "60000")
-        upstream.came.get(timeout=PATIENCE)
+        upstream.received_requests.get(timeout=PATIENCE)
         for n in range(200):  # far more than the buffers hold
-            caller.send("query", body=b"y" * 400, expires="60000", trace=f"more{n}")
+            caller.send("query", body=b"y" * 400, timeout_ms="60000", trace_id=f"more{n}")
         caller.sock.shutdown(socket.SHUT_RDWR)
-        assert upstream.ended.get(timeout=PATIENCE)  # otherwise the attempt lasts a minute
-        assert logged(process, "request.client_disconnected")["trace_id"] == "t1"
-        assert Caller(address).ask(trace="other", expires="300")[0] == 503
-        assert upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"] == "other"
+        assert upstream.ended_connections.get(timeout=PATIENCE)  # otherwise the attempt lasts a minute
+        assert wait_for_event(process, "request.client_disconnected")["trace_id"] == "t1"
+        assert Client(address).request(trace_id="other", timeout_ms="300")[0] == 503
+        assert upstream.received_requests.get(timeout=PATIENCE)[1]["x-trace-id"] == "other"
 
 
 def test_nothing_is_sent_for_a_client_that_disconnects_while_the_upstream_connection_is_opened():
     upstream = late_upstream()
-    conf = capabilities(**{"may-cancel": False, "dial-timeout": 5000.0})
-    with program(upstream, conf=conf) as (address, process, _):
-        caller = Caller(address)
+    conf = settings_with_capabilities(**{"may-cancel": False, "dial-timeout": 5000.0})
+    with start_balancer(upstream, settings=conf) as (address, process, _):
+        caller = Client(address)
         caller.send("submit", "POST", b"x", "8000", "t1")
         wait_until_connecting(upstream)
         caller.sock.close()
         caller.file.close()
-        assert logged(process, "attempt.failed")["outcome"] == "CANCELLED"  # connecting has been cancelled
-        upstream.open_up()
-        assert Caller(address).ask("submit", "POST", b"y", trace="t2")[0] == 200
+        assert (
+            wait_for_event(process, "attempt.failed")["outcome"] == "CANCELLED"
+        )  # connecting has been cancelled
+        upstream.accept_all()
+        assert Client(address).request("submit", "POST", b"y", trace_id="t2")[0] == 200
         assert received_trace_ids(upstream) == ["t2"]
 
 
 def test_an_upstream_that_begins_draining_while_its_connection_is_opened_receives_nothing():
     draining, ready = late_upstream(), Upstream()
-    conf = capabilities(**{"dial-timeout": 5000.0})
-    with closing(ready), program(draining, conf=conf) as (address, process, agent):
-        caller = Caller(address)
+    conf = settings_with_capabilities(**{"dial-timeout": 5000.0})
+    with closing(ready), start_balancer(draining, settings=conf) as (address, process, agent):
+        caller = Client(address)
         caller.send("submit", "POST", b"x", "8000")
         wait_until_connecting(draining)
-        agent.tell(2, False, entry("s-0", draining, "draining"), entry("s-1", ready))
-        while logged(process, "endpoint_list.applied")["version"] != 2:
+        agent.send_update(2, False, server_entry("s-0", draining, "draining"), server_entry("s-1", ready))
+        while wait_for_event(process, "endpoint_list.applied")["version"] != 2:
             pass
-        draining.open_up()
+        draining.accept_all()
         assert caller.read()[0] == 200
-        assert draining.came.empty()
-        assert ready.came.get(timeout=PATIENCE)[1]["x-trace-id"] == "t1"
+        assert draining.received_requests.empty()
+        assert ready.received_requests.get(timeout=PATIENCE)[1]["x-trace-id"] == "t1"
 
 
 def test_a_retry_whose_connection_is_open_only_after_the_deduplication_window_is_not_sent():
     profiles = [{**LONG_PROFILES[0], "name": "book", "semantics": "deduplicated", "dedup-window": 700.0}]
-    conf = {**capabilities(**{"dial-timeout": 5000.0}), "profiles": profiles}
+    conf = {**settings_with_capabilities(**{"dial-timeout": 5000.0}), "profiles": profiles}
     upstream = LateAfterFirstUpstream()
-    with program(upstream, conf=conf) as (address, _, _):
-        caller = Caller(address)
+    with start_balancer(upstream, settings=conf) as (address, _, _):
+        caller = Client(address)
         caller.send("book", "POST", b"x", "8000")
-        upstream.came.get(timeout=PATIENCE)
+        upstream.received_requests.get(timeout=PATIENCE)
         # The retry's first connection packet is dropped; the system sends the next one after the window.
         wait_until_connecting(upstream)
-        upstream.open_up()
+        upstream.accept_all()
         assert caller.read()[0] == 503
-        assert Caller(address).ask("book", "POST", b"y", "8000", "t2")[0] == 200
+        assert Client(address).request("book", "POST", b"y", "8000", "t2")[0] == 200
         assert received_trace_ids(upstream) == ["t2"]
 
 
 def test_the_forwarded_timeout_is_the_time_left_after_connecting():
     upstream = late_upstream()
-    with program(upstream, conf=capabilities(**{"dial-timeout": 5000.0})) as (address, _process, _):
-        caller = Caller(address)
+    with start_balancer(upstream, settings=settings_with_capabilities(**{"dial-timeout": 5000.0})) as (
+        address,
+        _process,
+        _,
+    ):
+        caller = Client(address)
         caller.send("submit", "POST", b"x", "8000")
         wait_until_connecting(upstream)
-        upstream.open_up()
+        upstream.accept_all()
         assert caller.read()[0] == 200
         # The first connection packet is dropped; the system repeats it after a second at the earliest.
-        assert 0 < int(upstream.came.get(timeout=PATIENCE)[1]["x-expires-in-ms"]) <= 8000 - 900
+        assert 0 < int(upstream.received_requests.get(timeout=PATIENCE)[1]["x-expires-in-ms"]) <= 8000 - 900
 
 
 def test_a_surplus_response_is_never_taken_for_the_response_to_the_next_request():
@@ -115,29 +124,33 @@
 
     def respond_twice(conn, request):
         if conn in used_connections.queue:  # a surplus response to the previous request on this connection
-            conn.sendall(answer(b"the one before"))
+            conn.sendall(make_response(b"the one before"))
         used_connections.put(conn)
-        conn.sendall(answer(request[2]))
+        conn.sendall(make_response(request[2]))
         return True
 
-    with program(Upstream(respond_twice), conf=capabilities(**{"dial-timeout": 4000.0})) as (address, _, _):
-        caller = Caller(address)
-        caller.send("submit", "POST", b"one", trace="t1")
-        caller.send("submit", "POST", b"two", trace="t2")  # arrives before the first one is answered
+    with start_balancer(
+        Upstream(respond_twice), settings=settings_with_capabilities(**{"dial-timeout": 4000.0})
+    ) as (address, _, _):
+        caller = Client(address)
+        caller.send("submit", "POST", b"one", trace_id="t1")
+        caller.send("submit", "POST", b"two", trace_id="t2")  # arrives before the first one is answered
         assert [caller.read()[2] for _ in range(2)] == [b"one", b"two"]
 
 
 def test_input_after_the_final_request_neither_resets_its_response_nor_is_forwarded():
     body, may_respond = b"z" * 200_000, Event()
-    slow = Upstream(lambda conn, request: may_respond.wait(PATIENCE) and conn.sendall(answer(body)) is None)
-    with program(slow, conf={"profiles": LONG_PROFILES}) as (address, process, _):
+    slow = Upstream(
+        lambda conn, request: may_respond.wait(PATIENCE) and conn.sendall(make_response(body)) is None
+    )
+    with start_balancer(slow, settings={"profiles": LONG_PROFILES}) as (address, process, _):
 
         def is_response_written():
             with suppress(OSError, TypeError):  # the process may have exited already
-                return not call(process.admin, "/api/telemetry")[1]["open_requests"]
+                return not call_admin(process.admin, "/api/telemetry")[1]["open_requests"]
             return True
 
-        caller = Caller.__new__(Caller)
+        caller = Client.__new__(Client)
         caller.sock = socket.socket()
         # Most of the response stays in the balancer's send buffer.
         caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -145,16 +158,16 @@
         caller.sock.settimeout(PATIENCE)
         caller.file = caller.sock.makefile("rb")
         caller.send("submit", "POST", b"x", "60000")
-        slow.came.get(timeout=PATIENCE)
+        slow.received_requests.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
-        logged(process, "shutdown.started")
+        wait_for_event(process, "shutdown.started")
         caller.sock.sendall(b"POST /submit HTTP/1.1\r\nX-Trace-Id: t2\r\n")
         may_respond.set()
-        until(is_response_written)
+        wait_until(is_response_written)
         caller.sock.sendall(b"X-Expires-In-Ms: 2000\r\nContent-Length: 1\r\n\r\ny")
         assert caller.read()[2] == body
         assert caller.sock.recv(1) == b""
         caller.file.close()
         caller.sock.close()
         assert process.wait(PATIENCE) == 0
-        assert slow.came.empty()
+        assert slow.received_requests.empty()
--- a/tests/server/fake_upstream_responses.py
+++ b/tests/server/fake_upstream_responses.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from socket import socket
 
-from helpers import answer
+from helpers import make_response
 
 Request = tuple[str, dict[str, str], bytes]  # request line, headers and body
 
@@ -20,7 +20,7 @@
 
 def send_truncated(conn: socket, request: Request) -> None:
     """Send a response without its last two bytes, and close the connection."""
-    conn.sendall(answer(b"whole", extra="")[:-2])
+    conn.sendall(make_response(b"whole", extra_headers="")[:-2])
 
 
 def send_unframed(conn: socket, request: Request) -> None:
@@ -28,6 +28,6 @@
     conn.sendall(b"HTTP/1.1 200 OK\r\n\r\nno length, so no end but the connection's")
 
 
-def respond_with(head: str, extra: str = "", body: bytes = b"") -> Callable[[socket, Request], bool]:
+def respond_with(head: str, extra_headers: str = "", body: bytes = b"") -> Callable[[socket, Request], bool]:
     """Return a handler that sends this response."""
-    return lambda conn, request: conn.sendall(answer(body, head, extra)) is None
+    return lambda conn, request: conn.sendall(make_response(body, head, extra_headers)) is None
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -4,7 +4,7 @@
 import signal
 from threading import Event, Thread
 
-from helpers import PATIENCE, Caller, Upstream, call, logged, until
+from helpers import PATIENCE, Client, Upstream, call_admin, wait_for_event, wait_until
 from processes_on_one_listener import set_excluded, start_processes, telemetry_value
 
 from dahliabend.server.hot_restart import VERSION, HotRestart
@@ -16,11 +16,11 @@
     def send_requests(address, reuses_connection, number):
         client, n = None, 0
         while not stop.is_set():
-            client, n = client or Caller(address), n + 1
-            response = client.ask(trace=f"l{number}-{n}")
+            client, n = client or Client(address), n + 1
+            response = client.request(trace_id=f"l{number}-{n}")
             if response is None and reuses_connection:  # closed between requests: clients retry once
-                client = Caller(address)
-                response = client.ask(trace=f"l{number}-{n}")
+                client = Client(address)
+                response = client.request(trace_id=f"l{number}-{n}")
             statuses.append(response and response[0])
             if not reuses_connection or response is None or "connection" in response[1]:
                 client = None
@@ -34,11 +34,11 @@
         try:
             for _ in range(2):
                 new_process = start()[1]
-                assert logged(new_process, "hot_restart.resumed")["restored"] == 2
+                assert wait_for_event(new_process, "hot_restart.resumed")["restored"] == 2
                 old_process.send_signal(signal.SIGTERM)
                 assert old_process.wait(PATIENCE) == 0
                 count, old_process = len(statuses), new_process
-                until(lambda count=count: len(statuses) > count + 50)
+                wait_until(lambda count=count: len(statuses) > count + 50)
         finally:
             stop.set()
             for thread in threads:
@@ -54,18 +54,18 @@
         new = start()[1]
         assert telemetry_value(new, "out_of_rotation") == 1
         assert set_excluded(old, True, "s-1") == 200
-        assert until(lambda: telemetry_value(new, "out_of_rotation") == 2)
+        assert wait_until(lambda: telemetry_value(new, "out_of_rotation") == 2)
         assert set_excluded(new, False, "s-0") == 200
-        assert until(lambda: telemetry_value(old, "out_of_rotation") == 1)
+        assert wait_until(lambda: telemetry_value(old, "out_of_rotation") == 1)
         assert set_excluded(new, True, "s-9") == 404
         old.kill()  # SIGKILL: no handover of state
         last = start()[1]
         new.send_signal(signal.SIGTERM)
         assert new.wait(PATIENCE) == 0
         assert telemetry_value(last, "out_of_rotation") == 1
-        second.came.queue.clear()
-        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9
-        assert second.came.empty()
+        second.received_requests.queue.clear()
+        assert [Client(address).request(trace_id=f"t{n}")[0] for n in range(9)] == [200] * 9
+        assert second.received_requests.empty()
         assert set_excluded(last, False, "s-1") == 200
         assert telemetry_value(last, "out_of_rotation") == 0
 
@@ -76,12 +76,12 @@
         dying = start(ready=False)[1]
         dying.kill()
         dying.wait()
-        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(9)] == [200] * 9
+        assert [Client(address).request(trace_id=f"t{n}")[0] for n in range(9)] == [200] * 9
         new = start()[1]
         old.send_signal(signal.SIGTERM)
         assert old.wait(PATIENCE) == 0
-        assert Caller(address).ask()[0] == 200
-        assert call(new.admin, "/api/ready")[0] == 200
+        assert Client(address).request()[0] == 200
+        assert call_admin(new.admin, "/api/ready")[0] == 200
 
 
 def test_truncated_state_and_state_of_another_version_is_ignored(tmp_path):
--- a/tests/server/test_server_forwarding.py
+++ b/tests/server/test_server_forwarding.py
@@ -18,14 +18,14 @@
 from helpers import (
     CONF,
     PATIENCE,
-    Agent,
-    Caller,
+    Client,
+    DiscoveryAgent,
     Upstream,
-    answer,
-    entry,
-    is_ready,
-    program,
-    until,
+    make_response,
+    readiness_status,
+    server_entry,
+    start_balancer,
+    wait_until,
 )
 
 SETTLE = CONF["caps"]["dial-timeout"] / 8 / 1000  # seconds to wait for a possible second response
@@ -33,15 +33,20 @@
 
 def test_requests_and_responses_pass_unchanged_over_reused_connections():
     upstream = Upstream()
-    with program(upstream) as (address, _, _):
-        client, body = Caller(address), b"x" * 65536
+    with start_balancer(upstream) as (address, _, _):
+        client, body = Client(address), b"x" * 65536
         for trace in ("t1", "t2"):
-            response = client.ask(
-                "submit", "POST", body, "1500", trace, extra="X-Own: 7\r\nConnection: x-hop\r\nX-Hop: 1\r\n"
+            response = client.request(
+                "submit",
+                "POST",
+                body,
+                "1500",
+                trace,
+                extra_headers="X-Own: 7\r\nConnection: x-hop\r\nX-Hop: 1\r\n",
             )
             assert response[0] == 200
             assert response[2] == body
-            first, headers, sent = upstream.came.get(timeout=PATIENCE)
+            first, headers, sent = upstream.received_requests.get(timeout=PATIENCE)
             assert first == "POST /submit?a=b HTTP/1.1"
             assert sent == body
             assert headers["x-trace-id"] == trace
@@ -68,37 +73,37 @@
 
     def respond_to_first(conn, request):
         requests.append(request)
-        return respond(conn, request) if len(requests) == 1 else conn.sendall(answer()) is None
+        return respond(conn, request) if len(requests) == 1 else conn.sendall(make_response()) is None
 
-    with program(Upstream(respond_to_first), Upstream(respond_to_first)) as (address, _, _):
-        status = Caller(address).ask("submit", "POST", b"x")[0]
+    with start_balancer(Upstream(respond_to_first), Upstream(respond_to_first)) as (address, _, _):
+        status = Client(address).request("submit", "POST", b"x")[0]
         assert (status, len(requests)) == ((200, 2) if retried else (502, 1))
 
 
 def test_a_response_longer_than_the_request_limit_passes_complete():
-    with program(Upstream(respond_with("HTTP/1.1 200 OK", body=b"x" * 380_000))) as (address, _, _):
-        assert Caller(address).ask("submit", "POST")[::2] == (200, b"x" * 380_000)
+    with start_balancer(Upstream(respond_with("HTTP/1.1 200 OK", body=b"x" * 380_000))) as (address, _, _):
+        assert Client(address).request("submit", "POST")[::2] == (200, b"x" * 380_000)
 
 
 def test_an_attempt_whose_connection_is_refused_is_retried():
     with (
         socket.socket() as bound,
-        program(upstream := Upstream(), ready=False, agent=Agent()) as (address, _, agent),
+        start_balancer(upstream := Upstream(), ready=False, agent=DiscoveryAgent()) as (address, _, agent),
     ):
         bound.bind(("127.0.0.1", 0))  # bound but not listening: reserves a port that refuses connections
         refusing = SimpleNamespace(address=f"127.0.0.1:{bound.getsockname()[1]}")
-        agent.asked.get(timeout=PATIENCE)
-        agent.tell(2, True, entry("s-0", refusing), entry("s-1", upstream))
-        assert until(lambda: is_ready(address) == 200)
-        assert [Caller(address).ask("submit", "POST", trace=f"t{n}")[0] for n in range(4)] == [200] * 4
+        agent.watch_requests.get(timeout=PATIENCE)
+        agent.send_update(2, True, server_entry("s-0", refusing), server_entry("s-1", upstream))
+        assert wait_until(lambda: readiness_status(address) == 200)
+        assert [Client(address).request("submit", "POST", trace_id=f"t{n}")[0] for n in range(4)] == [200] * 4
 
 
 def test_a_client_is_answered_by_its_deadline_when_the_upstream_is_silent():
     silent = Event()
-    with program(Upstream(lambda conn, request: silent.wait(PATIENCE))) as (address, _, _):
-        client = Caller(address)
-        assert client.ask("submit", "POST", expires="300")[0] == 502
-        response = client.ask("query", expires="300")
+    with start_balancer(Upstream(lambda conn, request: silent.wait(PATIENCE))) as (address, _, _):
+        client = Client(address)
+        assert client.request("submit", "POST", timeout_ms="300")[0] == 502
+        response = client.request("query", timeout_ms="300")
         assert response[0] == 503
         assert 0 < float(response[1]["retry-after"]) <= 3
         silent.set()
@@ -111,9 +116,9 @@
             pending.setblocking(False)
             pending.connect_ex(full_listener.getsockname())
         silent = SimpleNamespace(address=f"127.0.0.1:{full_listener.getsockname()[1]}", close=lambda: None)
-        with program(silent) as (address, _, _):
-            assert Caller(address).ask("submit", "POST")[0] == 503
-            assert Caller(address).ask("submit", "POST", expires="90")[0] == 503
+        with start_balancer(silent) as (address, _, _):
+            assert Client(address).request("submit", "POST")[0] == 503
+            assert Client(address).request("submit", "POST", timeout_ms="90")[0] == 503
 
 
 HEAD = "POST /submit HTTP/1.1\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 900\r\n"
@@ -139,24 +144,24 @@
 )  # fmt: skip
 def test_malformed_requests_get_an_error_and_disturb_no_other_client(running_balancer, raw, status):
     address, upstream = running_balancer
-    other, bad = Caller(address), Caller(address)
+    other, bad = Client(address), Client(address)
     bad.sock.sendall(raw.encode("latin-1"))
     response = bad.read()
     assert response[0] == status
-    assert other.ask()[0] == 200
-    assert upstream.came.get(timeout=PATIENCE)[1]["x-trace-id"] == "t1"
+    assert other.request()[0] == 200
+    assert upstream.received_requests.get(timeout=PATIENCE)[1]["x-trace-id"] == "t1"
 
 
 @pytest.fixture(scope="module")
 def running_balancer():
     upstream = Upstream()
-    with program(upstream) as (address, _, _):
+    with start_balancer(upstream) as (address, _, _):
         yield address, upstream
 
 
 def test_pipelined_and_trickled_requests_are_answered_in_order(running_balancer):
     address, upstream = running_balancer
-    client = Caller(address)
+    client = Client(address)
     raw = (HEAD + "Content-Length: 1\r\n\r\n%d").encode()
     client.sock.sendall(b"".join(raw % n for n in range(5)))
     assert [client.read()[2] for _ in range(5)] == [b"%d" % n for n in range(5)]
@@ -164,66 +169,68 @@
         client.sock.sendall(bytes([n]))
     assert client.read()[::2] == (200, b"7")
     for _ in range(6):
-        upstream.came.get(timeout=PATIENCE)
+        upstream.received_requests.get(timeout=PATIENCE)
 
 
 def test_a_trace_id_in_use_is_rejected_and_the_first_request_goes_on():
     proceed = Event()
     upstream = Upstream(
-        lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer(b"first")) is None
+        lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(make_response(b"first")) is None
     )
-    with program(upstream) as (address, _, _):
-        first, other = Caller(address), Caller(address)
+    with start_balancer(upstream) as (address, _, _):
+        first, other = Client(address), Client(address)
         first.send("submit", "POST")
-        upstream.came.get(timeout=PATIENCE)
-        assert other.ask("submit", "POST")[0] == 409
-        assert upstream.came.empty()
+        upstream.received_requests.get(timeout=PATIENCE)
+        assert other.request("submit", "POST")[0] == 409
+        assert upstream.received_requests.empty()
         proceed.set()
         assert first.read()[::2] == (200, b"first")
-        assert other.ask("submit", "POST")[0] == 200
+        assert other.request("submit", "POST")[0] == 200
 
 
 def test_an_idle_client_connection_is_closed(running_balancer):
-    client = Caller(running_balancer[0])
-    assert client.ask()[0] == 200
-    assert running_balancer[1].came.get(timeout=PATIENCE)
+    client = Client(running_balancer[0])
+    assert client.request()[0] == 200
+    assert running_balancer[1].received_requests.get(timeout=PATIENCE)
     assert client.read() is None
 
 
 def test_the_attempt_is_cancelled_when_its_client_disconnects():
     upstream = Upstream(lambda conn, request: True)
-    with program(upstream) as (address, _, _):
-        client = Caller(address)
+    with start_balancer(upstream) as (address, _, _):
+        client = Client(address)
         client.send()
-        upstream.came.get(timeout=PATIENCE)
+        upstream.received_requests.get(timeout=PATIENCE)
         client.file.close()
         client.sock.close()
-        assert upstream.ended.get(timeout=PATIENCE)
+        assert upstream.ended_connections.get(timeout=PATIENCE)
 
 
 def test_idle_upstream_connections_are_closed_before_the_idle_timeout():
     upstream = Upstream()
     caps = {**CONF["caps"], "conn-idle": 400.0}
-    with program(upstream, conf={"caps": caps}) as (address, _, _):
-        assert Caller(address).ask()[0] == 200
-        assert upstream.ended.get(timeout=PATIENCE)
+    with start_balancer(upstream, settings={"caps": caps}) as (address, _, _):
+        assert Client(address).request()[0] == 200
+        assert upstream.ended_connections.get(timeout=PATIENCE)
 
 
 def test_no_request_is_lost_when_descriptors_are_scarce():
     proceed = Event()
-    upstream = Upstream(lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(answer()) is None)
-    with program(upstream, limits={"sockets": 64}, conf={"balancers": 1}) as (address, process, _):
-        idle_clients = [Caller(address) for _ in range(20)]
+    upstream = Upstream(
+        lambda conn, request: proceed.wait(PATIENCE) and conn.sendall(make_response()) is None
+    )
+    with start_balancer(upstream, limits={"sockets": 64}, settings={"balancers": 1}) as (address, process, _):
+        idle_clients = [Client(address) for _ in range(20)]
         proceed.set()
-        assert [client.ask(trace="k")[0] for client in idle_clients] == [200] * 20
+        assert [client.request(trace_id="k")[0] for client in idle_clients] == [200] * 20
         proceed.clear()
         # All clients send before the first is accepted: idle connections may be evicted.
         process.send_signal(signal.SIGSTOP)
-        clients = [Caller(address) for _ in range(150)]
+        clients = [Client(address) for _ in range(150)]
         for n, client in enumerate(clients):
-            client.send(trace=f"t{n}", expires="3000")  # the idle connections are evicted for these
+            client.send(trace_id=f"t{n}", timeout_ms="3000")  # the idle connections are evicted for these
         process.send_signal(signal.SIGCONT)
-        upstream.came.get(timeout=PATIENCE)
+        upstream.received_requests.get(timeout=PATIENCE)
         proceed.set()
         statuses = [(client.read() or (0,))[0] for client in clients]
         assert set(statuses) <= {200, 503}
@@ -231,8 +238,8 @@
 
 
 def test_slow_senders_do_not_keep_other_clients_out():
-    with program(Upstream(), limits={"sockets": 80}) as (address, _, _):
-        slow = [Caller(address) for _ in range(60)]
+    with start_balancer(Upstream(), limits={"sockets": 80}) as (address, _, _):
+        slow = [Client(address) for _ in range(60)]
         for client in slow:
             client.sock.sendall(b"POST /submit HTTP/1.1\r\nX-Tr")
-        assert [Caller(address).ask(trace=f"t{n}")[0] for n in range(5)] == [200] * 5
+        assert [Client(address).request(trace_id=f"t{n}")[0] for n in range(5)] == [200] * 5
--- a/tests/server/test_server_lifecycle.py
+++ b/tests/server/test_server_lifecycle.py
@@ -12,12 +12,12 @@
 from helpers import (
     CONF,
     PATIENCE,
-    Caller,
+    Client,
     Upstream,
-    answer,
-    entry,
-    is_ready,
-    program,
+    make_response,
+    readiness_status,
+    server_entry,
+    start_balancer,
 )
 
 
@@ -26,37 +26,37 @@
     upstream, agent = Upstream(), SilentDiscovery()
     if not silent:
         agent.close()
-    known_endpoints = {"version": 41, "full": True, "servers": [entry("s-1", upstream)]}
-    with program(upstream, agent=agent, known=known_endpoints) as (address, _, _):
-        assert Caller(address).ask()[0] == 200
+    known_endpoints = {"version": 41, "full": True, "servers": [server_entry("s-1", upstream)]}
+    with start_balancer(upstream, agent=agent, known=known_endpoints) as (address, _, _):
+        assert Client(address).request()[0] == 200
 
 
 def test_a_server_without_upstreams_is_not_ready():
-    with program(ready=False) as (address, _, _):
-        assert is_ready(address) == 503
-        assert Caller(address).ask()[0] == 503
+    with start_balancer(ready=False) as (address, _, _):
+        assert readiness_status(address) == 503
+        assert Client(address).request()[0] == 503
 
 
 def test_sigterm_drains_requests_in_flight_and_late_connections():
     proceed = Event()
 
     def wait(conn, request):
-        return proceed.wait(PATIENCE) and conn.sendall(answer()) is None
+        return proceed.wait(PATIENCE) and conn.sendall(make_response()) is None
 
     upstream = Upstream(wait)
-    with program(upstream) as (address, process, _):
-        idle, busy = Caller(address), Caller(address)
+    with start_balancer(upstream) as (address, process, _):
+        idle, busy = Client(address), Client(address)
         proceed.set()
-        assert idle.ask()[0] == 200
-        assert upstream.came.get(timeout=PATIENCE)
+        assert idle.request()[0] == 200
+        assert upstream.received_requests.get(timeout=PATIENCE)
         proceed.clear()
-        busy.send(expires="3000")
-        upstream.came.get(timeout=PATIENCE)
+        busy.send(timeout_ms="3000")
+        upstream.received_requests.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
         assert idle.read() is None  # an idle connection is closed at once
-        late_client = Caller(address)
-        late_client.send(trace="t2", expires="3000")
-        upstream.came.get(timeout=PATIENCE)
+        late_client = Client(address)
+        late_client.send(trace_id="t2", timeout_ms="3000")
+        upstream.received_requests.get(timeout=PATIENCE)
         proceed.set()
         for client in (busy, late_client):
             response = client.read()
@@ -70,10 +70,10 @@
     silent = Event()
     upstream = Upstream(lambda conn, request: silent.wait(PATIENCE))
     profiles = [{**p, "hard-limit": 9000.0, "tardy-revenue": 0.5} for p in CONF["profiles"]]
-    with program(upstream, conf={"profiles": profiles}) as (address, process, _):
-        client = Caller(address)
-        client.send("submit", "POST", expires="9000")
-        upstream.came.get(timeout=PATIENCE)
+    with start_balancer(upstream, settings={"profiles": profiles}) as (address, process, _):
+        client = Client(address)
+        client.send("submit", "POST", timeout_ms="9000")
+        upstream.received_requests.get(timeout=PATIENCE)
         process.send_signal(signal.SIGTERM)
         assert client.read()[0] == 502
         assert process.wait(PATIENCE) == 0
