--- a/tests/pins/golden_files.py
+++ b/tests/pins/golden_files.py
@@ -1,7 +1,7 @@
-"""Golden files: what the program wrote when they were made, compared in full with what it writes now.
+"""Golden files: recorded output of the program, which tests compare in full with its present output.
 
-Each test module here has a function that produces its text. Run as a script, the module writes its golden
-files anew, to be read in the diff before they are committed:
+Each test module here has a function that produces its text. Run as a script, the module rewrites its golden
+files; review their diff before you commit them:
 
     PYTHONPATH=. python tests/pins/test_platform_config.py
 """
@@ -14,16 +14,16 @@
 
 
 def as_json(content: Mapping) -> str:
-    """The text of a golden file in JSON, with the keys in the order in which they were produced."""
+    """Return the text of a golden file in JSON, with the keys in the order in which they were produced."""
     return json.dumps(content, indent=1) + "\n"
 
 
 def read_golden(name: str) -> str:
-    """The committed text of a golden file."""
+    """Return the committed text of a golden file."""
     return (DATA / name).read_text()
 
 
 def write_golden(name: str, text: str) -> None:
-    """Replaces a golden file."""
+    """Replace a golden file."""
     DATA.mkdir(exist_ok=True)
     (DATA / name).write_text(text)
--- a/tests/pins/http_harness.py
+++ b/tests/pins/http_harness.py
@@ -1,6 +1,6 @@
-"""The network code on a clock that stands still, with transports that keep what is written to them.
+"""The network code on a clock that tests advance, with transports that record what is written to them.
 
-Nothing is dialled: each upstream has connections at rest, in the order in which they are to be used.
+No connection is established: each upstream starts with idle connections, in the order in which they are used.
 """
 
 import json
@@ -28,7 +28,7 @@
 
 
 class FakeClock:
-    """Monotonic time in nanoseconds, moved by hand."""
+    """A monotonic clock in nanoseconds that tests advance."""
 
     def __init__(self) -> None:
         self.now = START
@@ -42,23 +42,23 @@
 
 @contextmanager
 def stopped_clock() -> Iterator[FakeClock]:
-    """The program's monotonic clock and Unix time stand still."""
-    fake, ticks, wall = FakeClock(), host_info.monotonic_ns, host_info.time_ns
-    host_info.monotonic_ns, host_info.time_ns = fake, lambda: 1_700_000_000_000_000_000 + fake.now
+    """Replace the program's monotonic clock and Unix time by a clock that only tests advance."""
+    fake_clock, real_monotonic_ns, real_time_ns = FakeClock(), host_info.monotonic_ns, host_info.time_ns
+    host_info.monotonic_ns, host_info.time_ns = fake_clock, lambda: 1_700_000_000_000_000_000 + fake_clock.now
     try:
-        yield fake
+        yield fake_clock
     finally:
-        host_info.monotonic_ns, host_info.time_ns = ticks, wall
+        host_info.monotonic_ns, host_info.time_ns = real_monotonic_ns, real_time_ns
 
 
 class FakeLoop:
-    """Keeps what is to run on the loop's next turn; its timers ring when `Deadlines` is asked."""
+    """An event loop that runs callbacks on request; timers fire only when `TimerQueue.run_due` is called."""
 
     def __init__(self) -> None:
-        self.soon: deque[tuple[Callable, tuple]] = deque()
+        self.callbacks: deque[tuple[Callable, tuple]] = deque()
 
     def call_soon(self, call: Callable, *arguments: object) -> None:
-        self.soon.append((call, arguments))
+        self.callbacks.append((call, arguments))
 
     def call_later(self, delay: float, call: Callable) -> SimpleNamespace:
         return SimpleNamespace(cancel=lambda: None)
@@ -67,18 +67,18 @@
         raise context["exception"]
 
     def create_task(self, task) -> SimpleNamespace:
-        """A dialling that never gets anywhere."""
+        """Return a task that never finishes, so no connection attempt succeeds."""
         task.close()
         return SimpleNamespace(add_done_callback=lambda _: None, cancel=lambda: None)
 
-    def turn(self) -> None:
-        while self.soon:
-            call, arguments = self.soon.popleft()
+    def run_callbacks(self) -> None:
+        while self.callbacks:
+            call, arguments = self.callbacks.popleft()
             call(*arguments)
 
 
 class FakeTransport:
-    """Keeps what is written; the other end takes everything at once."""
+    """A transport that records what is written and accepts everything at once."""
 
     def __init__(self, connection: Connection) -> None:
         self.written, self.ended = b"", False
@@ -105,100 +105,100 @@
 
     abort = close
 
-    def take(self) -> str:
-        """What was written since the last call, and whether the connection has been closed."""
+    def take_written(self) -> str:
+        """Return what was written since the last call, with `<closed>` if the connection has been closed."""
         written, self.written = self.written, b""
         return written.decode("latin-1") + ("<closed>" if self.ended else "")
 
 
 def feed(connection: Connection, data: bytes, loop: FakeLoop) -> None:
-    """Bytes come in on that connection; where it reads no more for now, on the loop's next turn."""
+    """Deliver data to a connection; run the loop's callbacks whenever the connection pauses reading."""
     while data and not connection.closed:
-        room = connection.get_buffer(-1)
-        part = min(len(room), len(data))
-        if not part:
-            if not loop.soon:
-                raise RuntimeError(f"{len(data)} bytes are never read")
-            loop.turn()
+        buffer = connection.get_buffer(-1)
+        size = min(len(buffer), len(data))
+        if not size:
+            if not loop.callbacks:
+                raise RuntimeError(f"the connection stopped reading with {len(data)} bytes left")
+            loop.run_callbacks()
             continue
-        room[:part] = data[:part]
-        connection.buffer_updated(part)
-        data = data[part:]
+        buffer[:size] = data[:size]
+        connection.buffer_updated(size)
+        data = data[size:]
 
 
-class Proxy:
-    """A router before some upstreams, each with connections at rest."""
+class FakeProxy:
+    """A router with some upstreams, each with idle connections."""
 
     def __init__(
-        self, fake_clock: FakeClock, node: ServerSettings, upstreams: int, connections: int = 4
+        self, fake_clock: FakeClock, settings: ServerSettings, upstreams: int, connections: int = 4
     ) -> None:
         self.clock, self.loop = fake_clock, FakeLoop()
         self.deadlines, self.descriptors = TimerQueue(self.loop), DescriptorBudget(200)
         resources = EndpointResources(
-            self.deadlines, self.descriptors, node.connect_timeout, node.idle_reuse_time, ignore
+            self.deadlines, self.descriptors, settings.connect_timeout, settings.idle_reuse_time, ignore
         )
         table = EndpointTable(resources)
         self.metrics = Metrics()
-        self.router = Router(node, self.deadlines, table, self.metrics, ignore)
+        self.router = Router(settings, self.deadlines, table, self.metrics, ignore)
         self.router.discovery = SimpleNamespace(first_attempt_finished=True, poll=ignore)
-        self.links: list[tuple[str, UpstreamConnection, FakeTransport]] = []
-        rows = [server(number) for number in range(upstreams)]
-        self.router.endpoints_changed([row_of(row) for row in rows], full=True)
-        for row in rows:
+        self.upstream_connections: list[tuple[str, UpstreamConnection, FakeTransport]] = []
+        raw_entries = [raw_list_entry(number) for number in range(upstreams)]
+        self.router.endpoints_changed([list_entry(raw_entry) for raw_entry in raw_entries], full=True)
+        for raw_entry in raw_entries:
             for _ in range(connections):
-                self.open_link(row["id"])
-        self.clock.advance(200)  # a connection is used again only after a while
+                self.add_idle_connection(raw_entry["id"])
+        self.clock.advance(200)  # a connection is reused only after a delay
 
-    def open_link(self, name: str) -> None:
+    def add_idle_connection(self, name: str) -> None:
         upstream = self.router.table.get_or_create(name)
-        link = UpstreamConnection(self.descriptors, upstream)
-        upstream.connections.add(link)
-        self.links.append((name, link, FakeTransport(link)))
-        upstream.return_connection(link)
+        connection = UpstreamConnection(self.descriptors, upstream)
+        upstream.connections.add(connection)
+        self.upstream_connections.append((name, connection, FakeTransport(connection)))
+        upstream.return_connection(connection)
 
     def client(self) -> tuple[ClientConnection, FakeTransport]:
-        """A client's connection."""
-        caller = ClientConnection(self.descriptors, self.deadlines, self.router, 3_000_000)
-        return caller, FakeTransport(caller)
-
-    def asked(self) -> list[tuple[str, UpstreamConnection, str]]:
-        """What went to upstreams since the last call."""
-        found = []
-        for name, link, transport in self.links:
-            if written := transport.take().replace("<closed>", ""):
-                found.append((name, link, written))
-        return found
+        """Return a new client connection and its transport."""
+        client = ClientConnection(self.descriptors, self.deadlines, self.router, 3_000_000)
+        return client, FakeTransport(client)
+
+    def take_upstream_writes(self) -> list[tuple[str, UpstreamConnection, str]]:
+        """Return what was written to upstreams since the last call: upstream, connection and text."""
+        writes = []
+        for name, connection, transport in self.upstream_connections:
+            if written := transport.take_written().replace("<closed>", ""):
+                writes.append((name, connection, written))
+        return writes
 
     def advance(self, milliseconds: int) -> None:
-        """Time passes, and what was due by then happens."""
+        """Advance the clock, then run the timers that are due and the loop's callbacks."""
         self.clock.advance(milliseconds)
         self.deadlines.run_due()
-        self.loop.turn()
+        self.loop.run_callbacks()
 
 
 def ignore(*_: object, **__: object) -> None: ...
 
 
-def server(number: int) -> dict:
-    """One server of the list."""
+def raw_list_entry(number: int) -> dict:
+    """Return one server of an endpoint list, as discovery sends it."""
     return {"id": f"s-{number}", "addr": f"10.0.0.{number}:8000", "zone": "north", "cell": number}
 
 
-def row_of(entry: Mapping) -> EndpointListEntry:
-    """The server as the list's reader is told of it; it has run for long."""
+def list_entry(entry: Mapping) -> EndpointListEntry:
+    """Return the parsed entry of a server that started long ago."""
     host, _, port = entry["addr"].partition(":")
     address = (host, int(port))
     return EndpointListEntry(entry["id"], address, EndpointState.READY, 0, 1.0, entry["cell"], entry["zone"])
 
 
-def node_of(settings: Mapping, path: str) -> ServerSettings:
-    """The configuration with these settings, written to that path first."""
-    tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": settings}
+def server_settings_of(settings: Mapping, path: str) -> ServerSettings:
+    """Write a platform configuration with these settings to a path, and read it."""
+    configuration = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": settings}
     with open(path, "w") as file:
-        json.dump(tree, file)
+        json.dump(configuration, file)
     return config.read_server_settings({"PROXY_CONFIG": path})
 
 
-def feed_now(connection: Connection, data: bytes) -> None:
-    """Bytes come in on a connection that reads all at once."""
+def feed_at_once(connection: Connection, data: bytes) -> None:
+    """Deliver data to a connection that never pauses reading."""
     feed(connection, data, FakeLoop())
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -1,6 +1,6 @@
-"""The operators' admin calls: bytes of each answer, and the keys and types of the larger JSON answers.
+"""Admin calls: the bytes of each response, and the keys and types of the larger JSON responses.
 
-The program is built as it is at its start, but opens no socket; calls come through its admin connections.
+The program is built as at its start but opens no sockets; the tests feed calls to its admin connections.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 import pytest
 from golden_files import as_json, read_golden, write_golden
-from http_harness import FakeTransport, feed_now, row_of, server
+from http_harness import FakeTransport, feed_at_once, list_entry, raw_list_entry
 from msgspec.structs import replace
 
 from dahliabend.config import platform as config
@@ -110,7 +110,7 @@
 
 
 class QuietLog:
-    """Takes the program's log lines and keeps none."""
+    """A log that discards all events."""
 
     verbose = False
 
@@ -118,50 +118,50 @@
     def debug(self, event: str, **fields: object) -> None: ...
 
 
-def answer_to(program: PlatformServer, text: str) -> str:
-    """All that an admin connection writes once this has come in."""
+def response_to(program: PlatformServer, text: str) -> str:
+    """Return what a new admin connection writes after it has received a text."""
     operator = program.accept_operator()
     transport = FakeTransport(operator)
-    feed_now(operator, text.encode())
-    written = transport.take()
+    feed_at_once(operator, text.encode())
+    written = transport.take_written()
     operator.connection_lost(None)
     return written
 
 
-def call(program: PlatformServer, method: str, path: str, body: str = "") -> str:
-    """An operator's call, whole."""
-    return answer_to(program, f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}")
+def call_admin(program: PlatformServer, method: str, path: str, body: str = "") -> str:
+    """Make a complete admin call; return the response."""
+    return response_to(program, f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}")
 
 
-def shape(value: object) -> object:
-    """Keys as they are, and the type in place of each value; of a list the first item."""
+def shape_of(value: object) -> object:
+    """Replace each value by the name of its type, and each list by its first item."""
     if isinstance(value, dict):
-        return {key: shape(item) for key, item in value.items()}
+        return {key: shape_of(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [shape(item) for item in value[:1]]
+        return [shape_of(item) for item in value[:1]]
     return type(value).__name__
 
 
 def platform_program(directory: Path) -> PlatformServer:
-    """The program as the platform's configuration has it, with two upstreams listed."""
+    """Return the program with a platform configuration and two upstreams."""
     path = directory / "proxy.json"
     tree = {"listen": "10.0.1.1:80", "discovery": "10.0.1.2:81", "seed": "7", "settings": SETTINGS}
     path.write_text(json.dumps(tree))
     program = PlatformServer(config.read_server_settings({"PROXY_CONFIG": str(path)}), {}, QuietLog())
-    program.router.endpoints_changed([row_of(server(number)) for number in range(2)], full=True)
+    program.router.endpoints_changed([list_entry(raw_list_entry(number)) for number in range(2)], full=True)
     return program
 
 
 def operator_program(directory: Path, text: str) -> OperatorFileServer:
-    """The program as an operator's file has it."""
+    """Return the program with an operator file."""
     (directory / "key").write_text("k" * 32 + "\n")
     path = directory / "file.toml"
     path.write_text(text)
     return OperatorFileServer(str(path), {"DAHLIABEND_SEED": "7"}, QuietLog())
 
 
-def hear_others(program: OperatorFileServer) -> None:
-    """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
+def add_cluster_state(program: OperatorFileServer) -> None:
+    """Add the state that cluster calls show: present and departed members, health reports and leases."""
     cluster, exchange, now = program.cluster, program.cluster.gossip, clock()
     for name in ("b2", "b3", "b4", "b5"):
         alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
@@ -180,36 +180,37 @@
     exchange.tick()
 
 
-def in_a_loop(act: Callable[[Path], dict]) -> dict:
-    """What `act` returns, called within an event loop and given an empty directory."""
+def run_in_event_loop(produce: Callable[[Path], dict]) -> dict:
+    """Call `produce` with an empty directory inside an event loop; return its result."""
 
     async def run() -> dict:
         with tempfile.TemporaryDirectory() as directory:
-            return act(Path(directory))
+            return produce(Path(directory))
 
     return asyncio.run(run())
 
 
-def answers(directory: Path) -> dict:
-    """Each call's answer, byte for byte, in one order of calls."""
+def produce_responses(directory: Path) -> dict:
+    """Return the response to each call, byte for byte, in the order of the calls."""
     program = platform_program(directory)
-    found = [
-        [f"{method} {path}", body[:40], call(program, method, path, body)] for method, path, body in CALLS
+    results = [
+        [f"{method} {path}", body[:40], call_admin(program, method, path, body)]
+        for method, path, body in CALLS
     ]
-    found.append(["not HTTP", "", answer_to(program, "hello\r\n\r\n")])
+    results.append(["not HTTP", "", response_to(program, "hello\r\n\r\n")])
     expecting = "PUT /api/exclude HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n{}"
-    found.append(["Expect: 100-continue", "{}", answer_to(program, expecting)])
-    # Ready once it listens and has asked for the list.
+    results.append(["Expect: 100-continue", "{}", response_to(program, expecting)])
+    # The program is ready once it listens and has requested the endpoint list.
     program.discovery.first_attempt_finished = True
     program.listener.sock = program
-    found.append(["GET /api/ready", "ready", call(program, "GET", "/api/ready")])
+    results.append(["GET /api/ready", "ready", call_admin(program, "GET", "/api/ready")])
     program.evacuate()
-    found.append(["GET /api/ready", "evacuated", call(program, "GET", "/api/ready")])
-    return {"answers": found}
+    results.append(["GET /api/ready", "evacuated", call_admin(program, "GET", "/api/ready")])
+    return {"answers": results}
 
 
-def counts(directory: Path) -> dict:
-    """The counts after answers of each status, and what telemetry tells of them."""
+def produce_counts(directory: Path) -> dict:
+    """Return the counters of a new program, and those in telemetry after responses of each status."""
     program = platform_program(directory)
     metrics = program.metrics
     for status in (200, 200, 400, 404, 405, 408, 409, 413, 429, 431, 500, 502, 503, 504):
@@ -222,39 +223,39 @@
     return {
         "new": Metrics().snapshot(),
         "counted": json.loads(
-            call(program, "GET", "/api/telemetry").partition("\r\n\r\n")[2].partition("<")[0]
+            call_admin(program, "GET", "/api/telemetry").partition("\r\n\r\n")[2].partition("<")[0]
         ),
     }
 
 
-def shapes(directory: Path) -> dict:
-    """Status and JSON of each call that reads, where an operator's file is in force."""
-    found = {}
+def produce_shapes(directory: Path) -> dict:
+    """Return the status and the JSON types of each GET call of a program with an operator file."""
+    results = {}
     for title, text in (("members", OPERATOR_FILE), ("no members", WITHOUT_MEMBERS)):
         program = operator_program(directory, text)
         if program.cluster is not None:
-            hear_others(program)
+            add_cluster_state(program)
         for method, path in ALL_CALLS:
             if method == "GET":
-                head, _, body = call(program, method, path).partition("\r\n\r\n")
-                told = json.loads(body.partition("<end")[0])
-                found[f"{title}: {path}"] = [head.partition("\r\n")[0], shape(told)]
-    return found
+                head, _, body = call_admin(program, method, path).partition("\r\n\r\n")
+                content = json.loads(body.partition("<end")[0])
+                results[f"{title}: {path}"] = [head.partition("\r\n")[0], shape_of(content)]
+    return results
 
 
-GOLDEN = {ANSWERS: answers, COUNTS: counts, SHAPES: shapes}
+GOLDEN = {ANSWERS: produce_responses, COUNTS: produce_counts, SHAPES: produce_shapes}
 
 
 @pytest.mark.parametrize("name", GOLDEN)
-def test_admin_calls_are_answered_as_before(name: str) -> None:
-    assert json.loads(as_json(in_a_loop(GOLDEN[name]))) == json.loads(read_golden(name))
+def test_responses_to_admin_calls_equal_the_golden_files(name: str) -> None:
+    assert json.loads(as_json(run_in_event_loop(GOLDEN[name]))) == json.loads(read_golden(name))
 
 
-def test_every_call_that_the_program_knows_is_in_the_golden_file() -> None:
-    known = in_a_loop(lambda directory: platform_program(directory).admin_api.calls)
-    assert {(method.decode(), path.decode()) for path, (method, _) in known.items()} == set(ALL_CALLS)
+def test_every_admin_call_of_the_program_is_in_the_golden_file() -> None:
+    calls = run_in_event_loop(lambda directory: platform_program(directory).admin_api.calls)
+    assert {(method.decode(), path.decode()) for path, (method, _) in calls.items()} == set(ALL_CALLS)
 
 
 if __name__ == "__main__":
     for golden, produce in GOLDEN.items():
-        write_golden(golden, as_json(in_a_loop(produce)))
+        write_golden(golden, as_json(run_in_event_loop(produce)))
--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -1,4 +1,4 @@
-"""The checker's messages for operators' files with one planted fault of each kind, against golden text."""
+"""The checker's messages for operator files with one generated fault each, compared with golden text."""
 
 from corpus import FAULTS, generate_operator_files
 from golden_files import read_golden, write_golden
@@ -9,16 +9,16 @@
 
 
 def produce() -> str:
-    """The messages for one file of each kind of fault, and for the sound file before it."""
+    """Return the messages for one file with each fault, and for the valid file before it."""
     lines = []
     for seed in range(2 * len(FAULTS)):
-        made = generate_operator_files(seed)
-        plan = loaded_file.load_file("file.toml", environment={}, read=made.read)
+        files = generate_operator_files(seed)
+        plan = loaded_file.load_file("file.toml", environment={}, read=files.read)
         lines += [f"seed {seed}: {'usable' if plan.is_usable else 'refused'}", *map(str, plan.faults)]
     return "\n".join(lines) + "\n"
 
 
-def test_messages_name_file_line_key_and_reason_exactly_as_before() -> None:
+def test_messages_with_file_line_key_and_reason_equal_the_golden_text() -> None:
     assert produce() == read_golden(GOLDEN)
 
 
--- a/tests/pins/test_gossip_payloads.py
+++ b/tests/pins/test_gossip_payloads.py
@@ -1,7 +1,7 @@
-"""What balancers tell each other inside membership datagrams: health of upstreams, leases, shared limits.
+"""Payloads that balancers gossip inside membership datagrams: health of upstreams, leases, shared limits.
 
-Pinned are the bytes and how they are read, the fencing numbers and holders of leases over a takeover, and the
-order in which members come to a task: all balancers have to work out the same one.
+Pinned are the bytes and their decoding, the fencing tokens and holders of leases across a takeover, and the
+ranking of members for a task, which all balancers must compute alike.
 """
 
 import json
@@ -22,12 +22,12 @@
 GOSSIP_GOLDEN = "gossip_payloads.json"
 LEASES_GOLDEN = "leases.json"
 SECOND = 1_000_000
-BEAT = SECOND // 2
+GOSSIP_INTERVAL = SECOND // 2
 START = 100 * SECOND
 MEMBERS = ["b1", "b2", "b3", "b4", "b5"]
 
-# Values go by name: one that changes its place in the encoded array shows.
-FROM_OTHERS = [
+# Arguments are passed by name, so that a field that moves to another place in the encoded array is noticed.
+REPORTS_OF_PEERS = [
     HealthReport(
         origin="b2",
         generation=9,
@@ -64,13 +64,13 @@
 ]
 
 
-def plain(value) -> list:
-    """A message as the arrays that stand for it on the wire."""
+def to_arrays(value) -> list:
+    """Return a message as the arrays into which it is encoded."""
     return msgspec.to_builtins(value)
 
 
 def produce_gossip() -> str:
-    """Reports of one member over three beats, with those of others passed on, and how a report is read."""
+    """Return the reports of one member over three gossip rounds, with relayed ones, and decoded reports."""
     gossip = HealthGossip("b1", 1_764_653_000_000_000, Random(5))
     leases = [
         LeaseAnnouncement(
@@ -85,64 +85,63 @@
     ]
     gossip.leases = lambda now: leases
     gossip.quotas = lambda: [QuotaAnnouncement(limit="submits", share=0.333333, demand=0.4)]
-    heard: list = []
-    gossip.on_lease = lambda now, done: heard.append([now, plain(done)])
-    gossip.on_quota = lambda now, origin, parted: heard.append([now, origin, plain(parted)])
+    announcements: list = []
+    gossip.on_lease = lambda now, lease: announcements.append([now, to_arrays(lease)])
+    gossip.on_quota = lambda now, origin, quota: announcements.append([now, origin, to_arrays(quota)])
     for number, outcome in enumerate(Outcome):
         gossip.record_outcome(START + number, "records", "s-1", outcome)
     gossip.record_outcome(START, "records", "s-2", Outcome.SUCCEEDED)
     gossip.record_outcome(START, "archive", "a-1", Outcome.RESET)
     sent = []
-    for beat in range(3):
-        now = START + beat * BEAT
-        if beat == 1:
-            gossip.receive(now, msgspec.msgpack.encode(FROM_OTHERS))
+    for gossip_round in range(3):
+        now = START + gossip_round * GOSSIP_INTERVAL
+        if gossip_round == 1:
+            gossip.receive(now, msgspec.msgpack.encode(REPORTS_OF_PEERS))
             gossip.receive(now, b"unreadable")
         gossip.tick(now, MEMBERS)
         sent.append([[name, data.hex()] for name, data in gossip.outbox])
         gossip.outbox = []
-    held = {
-        name: [origin.created_at, plain(origin.report)]
-        for name, origin in sorted(gossip.report_table.fresh(START + 2 * BEAT).items())
+    reports = {
+        name: [origin.created_at, to_arrays(origin.report)]
+        for name, origin in sorted(gossip.report_table.fresh(START + 2 * GOSSIP_INTERVAL).items())
     }
-    return as_json({"sent": sent, "heard": heard, "held": held, "unread": gossip.undecodable})
+    return as_json({"sent": sent, "heard": announcements, "held": reports, "unread": gossip.undecodable})
 
 
-def test_reports_are_encoded_and_passed_on_as_before() -> None:
+def test_reports_are_encoded_and_relayed_as_in_the_golden_file() -> None:
     assert produce_gossip() == read_golden(GOSSIP_GOLDEN)
 
 
-def test_a_payload_of_the_version_before_is_read() -> None:
-    """The newest payload of the golden file, as another member gets it."""
+def test_recorded_payload_is_decoded_by_another_member() -> None:
     payload = json.loads(read_golden(GOSSIP_GOLDEN))["sent"][1][0][1]
-    reader, leases, parts = HealthGossip("b5", 1, Random(1)), [], []
-    reader.on_lease = lambda now, done: leases.append(plain(done))
-    reader.on_quota = lambda now, origin, parted: parts.append([now, origin, plain(parted)])
-    reader.receive(START + SECOND, bytes.fromhex(payload))
-    held = reader.report_table.fresh(START + SECOND)
-    assert plain(held["b1"].report.counts) == [["records", "s-1", 5, 4], ["archive", "a-1", 1, 1]]
-    rows = [["records", "s-1", 5, 4], ["records", "s-9", 2, 2]]
-    assert plain(held["b2"].report) == ["b2", 9, 4, 250, 1, rows, [], []]
+    receiver, leases, quotas = HealthGossip("b5", 1, Random(1)), [], []
+    receiver.on_lease = lambda now, lease: leases.append(to_arrays(lease))
+    receiver.on_quota = lambda now, origin, quota: quotas.append([now, origin, to_arrays(quota)])
+    receiver.receive(START + SECOND, bytes.fromhex(payload))
+    reports = receiver.report_table.fresh(START + SECOND)
+    assert to_arrays(reports["b1"].report.counts) == [["records", "s-1", 5, 4], ["archive", "a-1", 1, 1]]
+    counts = [["records", "s-1", 5, 4], ["records", "s-9", 2, 2]]
+    assert to_arrays(reports["b2"].report) == ["b2", 9, 4, 250, 1, counts, [], []]
     assert leases == [
         ["probe records s-2", 3 << 16 | 12, "b1", 9, 120, 5],
         ["probe records s-3", 9, "b1", 0, 0, 0],
         ["probe records s-1", 5 << 16 | 77, "b3", 6, 40, 1],
     ]
-    assert parts == [
+    assert quotas == [
         [START + SECOND, "b1", ["submits", 0.333333, 0.4]],
         [START + SECOND, "b3", ["submits", 0.25, 0.5]],
         [START + SECOND, "b3", ["rest", 0.125, 0.0]],
     ]
 
 
-def test_fields_that_an_older_report_lacks_take_their_defaults() -> None:
-    reader = HealthGossip("b5", 1, Random(1))
-    reader.receive(START, msgspec.msgpack.encode([["b2", 9, 4, 0, 0, [["records", "s-1", 5, 4]]]]))
-    assert plain(reader.report_table.fresh(START)["b2"].report)[6:] == [[], []]
+def test_fields_missing_from_a_report_of_an_older_version_take_their_defaults() -> None:
+    receiver = HealthGossip("b5", 1, Random(1))
+    receiver.receive(START, msgspec.msgpack.encode([["b2", 9, 4, 0, 0, [["records", "s-1", 5, 4]]]]))
+    assert to_arrays(receiver.report_table.fresh(START)["b2"].report)[6:] == [[], []]
 
 
-def test_the_numbers_of_outcomes_stay() -> None:
-    """A lease's result is one of them: how the health check ended."""
+def test_outcomes_keep_their_numbers() -> None:
+    """The result in a lease announcement is such a number, the outcome of the health check."""
     numbers = [
         Outcome.SUCCEEDED,
         Outcome.FAILED,
@@ -156,54 +155,59 @@
     assert [int(number) for number in numbers] == [1, 2, 3, 4, 5, 6, 7, 8]
 
 
-def test_the_name_of_a_health_checks_lease_stays() -> None:
+def test_lease_of_a_health_check_keeps_its_task_name() -> None:
     assert health_check_task("records-next", SimpleNamespace(name="s-1")) == "probe records-next s-1"
 
 
 def produce_leases() -> str:
-    """Three members do four tasks; one stops, another joins. Who works when, under which number."""
+    """Return which member runs which of four leased tasks when, and its fencing token.
+
+    Three members share the tasks; then one stops, and another joins.
+    """
     zones = {f"probe records s-{number}": "ab"[number % 2] for number in range(4)}
     members = [Candidate("b1", "a"), Candidate("b2", "b"), Candidate("b3", "b")]
     instances = {name: LeaseElection(name, 4 * SECOND) for name, _ in members}
     wire: list[LeaseAnnouncement] = []
-    worked, told_last = [], {}
-    for beat in range(60):
-        now = START + beat * BEAT
-        if beat == 25:  # b2 stops without a word; the others know after three seconds
+    runs, last_announcements = [], {}
+    for tick in range(60):
+        now = START + tick * GOSSIP_INTERVAL
+        if tick == 25:  # b2 stops without leaving; the others remove it after three seconds
             del instances["b2"]
-        if beat == 31:
+        if tick == 31:
             members.remove(Candidate("b2", "b"))
-        if beat == 44:
+        if tick == 44:
             instances["b4"] = LeaseElection("b4", 4 * SECOND)
             members.append(Candidate("b4", "b"))
-        told, wire = wire, []
+        received, wire = wire, []
         for name, instance in instances.items():
             instance.update_members(now, members, True)
             instance.update_tasks(now, zones)
-            for done in told:
-                instance.apply_announcement(now, done)
+            for announcement in received:
+                instance.apply_announcement(now, announcement)
             for due in instance.tick(now):
-                worked.append([beat, name, due.task, due.fencing_token, instance.complete(now, due, 1)])
+                runs.append([tick, name, due.task, due.fencing_token, instance.complete(now, due, 1)])
             wire += instance.announcements(now)
-            told_last[name] = [plain(done) for done in instance.announcements(now)]
+            last_announcements[name] = [to_arrays(lease) for lease in instance.announcements(now)]
     names = [f"b{number}" for number in range(8)]
-    orders = {
+    rankings = {
         f"{task}, zone {zone!r}": rank_candidates(
             task, [Candidate(name, "ab"[n % 2]) for n, name in enumerate(names)], zone
         )
         for task in (*zones, "probe archive bälter")
         for zone in ("", "a")
     }
-    return as_json({"worked": worked, "told_at_the_end": told_last, "orders": orders})
+    return as_json({"worked": runs, "told_at_the_end": last_announcements, "orders": rankings})
 
 
-def test_leases_change_hands_under_the_same_numbers_as_before() -> None:
+def test_leases_have_the_recorded_holders_and_fencing_tokens() -> None:
     assert produce_leases() == read_golden(LEASES_GOLDEN)
 
 
-def test_the_golden_leases_change_hands() -> None:
-    worked = json.loads(read_golden(LEASES_GOLDEN))["worked"]
-    holders = {task: {name for _, name, each, *_ in worked if each == task} for _, _, task, *_ in worked}
+def test_golden_file_contains_leases_that_change_their_holder() -> None:
+    runs = json.loads(read_golden(LEASES_GOLDEN))["worked"]
+    holders = {
+        task: {name for _, name, other_task, *_ in runs if other_task == task} for _, _, task, *_ in runs
+    }
     assert len(holders) == 4
     assert {"b1", "b2", "b3", "b4"} == set.union(*holders.values())
     assert any(len(names) > 1 for names in holders.values())
--- a/tests/pins/test_log_events.py
+++ b/tests/pins/test_log_events.py
@@ -1,7 +1,7 @@
-"""Names, levels and fields of every event in the log, and the form of a line, against golden files.
+"""Names, levels and fields of all log events, and the format of log lines, compared with golden files.
 
-An event or field is renamed only together with `log_events.json`, in a commit of its own that has a table of
-the old and the new names: operators search their logs for these.
+Operators search their logs for these names. Rename an event or field only together with `log_events.json`, in
+a commit of its own whose message has a table of the old and new names.
 """
 
 import json
@@ -23,19 +23,19 @@
 
 
 def produce_events() -> str:
-    """Of each event its level and its fields in their order, as `dahliabend events --json` tells them."""
-    done = subprocess.run(
+    """Return the level and the ordered fields of each event, from `dahliabend events --json`."""
+    completed = subprocess.run(
         [sys.executable, "-m", "dahliabend", "events", "--json"], capture_output=True, cwd=ROOT, check=True
     )
     events = {
         name: {"level": event["level"], "fields": event["fields"]}
-        for name, event in json.loads(done.stdout).items()
+        for name, event in json.loads(completed.stdout).items()
     }
     return as_json({"context": list(CONTEXT), "events": events})
 
 
 def without_time(line: str) -> str:
-    """The line with its time replaced, which has to be in ISO 8601 and in UTC."""
+    """Replace the time of a line, which must be in ISO 8601 and UTC."""
     at = json.loads(line)["at"]
     assert at.endswith(("Z", "+00:00"))
     assert at[10] == "T"
@@ -43,7 +43,7 @@
 
 
 def produce_lines() -> str:
-    """Lines of a balancer that goes by the platform's file, then of one with an operator's file."""
+    """Return log lines of a balancer with a platform configuration, then of one with an operator file."""
     plain, structured = PlainLog("b1", sink=-1), StructuredLog("b1", sink=-1)
     for log in (plain, structured):
         log.write = lambda: None
@@ -71,11 +71,11 @@
     return "\n".join(without_time(line) for line in lines) + "\n"
 
 
-def test_events_keep_their_names_levels_and_fields() -> None:
+def test_names_levels_and_fields_of_events_equal_the_golden_file() -> None:
     assert produce_events() == read_golden(EVENTS_GOLDEN)
 
 
-def test_a_line_keeps_its_form() -> None:
+def test_log_lines_equal_the_golden_file() -> None:
     assert produce_lines() == read_golden(LINES_GOLDEN)
 
 
--- a/tests/pins/test_membership_datagrams.py
+++ b/tests/pins/test_membership_datagrams.py
@@ -1,6 +1,6 @@
-"""Membership datagrams byte for byte: each kind of message, its seal, and what a state machine sends.
+"""Membership datagrams byte for byte: each message type, its authentication, and a member's transcript.
 
-Fleets run two versions side by side during a roll-out: each has to read what the other sends.
+Clusters run two versions at once during a roll-out, and each version must read the datagrams of the other.
 """
 
 import json
@@ -33,7 +33,7 @@
 START = 5 * SECOND
 NAME, ADDRESS, SEEDS = "b1", "10.0.0.1:7946", ["10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"]
 
-# Values go by name: one that changes its place in the encoded array shows.
+# Arguments are passed by name, so that a field that moves to another place in the encoded array is noticed.
 UPDATES = {
     "alive": Update(
         name="b2", generation=7, incarnation=3, status=MemberStatus.ALIVE,
@@ -68,37 +68,37 @@
 
 
 def encode(body: Message, updates: list[Update]) -> bytes:
-    """A datagram of one sender that carries all of these updates."""
-    data, carried = codec.encode_packet(
-        NAME, GENERATION, SEQUENCE_NUMBER, body, [codec.encode_update(each) for each in updates]
+    """Return a datagram that carries all of these updates."""
+    data, update_count = codec.encode_packet(
+        NAME, GENERATION, SEQUENCE_NUMBER, body, [codec.encode_update(update) for update in updates]
     )
-    assert carried == len(updates)
+    assert update_count == len(updates)
     return data
 
 
 def messages() -> dict[str, tuple[Message, list[Update]]]:
-    """Each kind of body without updates, and each kind of update behind a ping."""
-    made: dict[str, tuple[Message, list[Update]]] = {name: (body, []) for name, body in BODIES.items()}
-    made |= {f"ping with one {name}": (BODIES["ping"], [update]) for name, update in UPDATES.items()}
-    made["acknowledgement with all updates"] = (BODIES["acknowledgement"], list(UPDATES.values()))
-    return made
+    """Return each message without updates, a ping with each update, and one message with all updates."""
+    cases: dict[str, tuple[Message, list[Update]]] = {name: (body, []) for name, body in BODIES.items()}
+    cases |= {f"ping with one {name}": (BODIES["ping"], [update]) for name, update in UPDATES.items()}
+    cases["acknowledgement with all updates"] = (BODIES["acknowledgement"], list(UPDATES.values()))
+    return cases
 
 
 def produce_kinds() -> str:
-    """Each message in hexadecimal, plain and sealed with the old key."""
-    authenticator, made = DatagramAuthenticator([OLD_KEY, NEW_KEY]), {}
+    """Return each message in hexadecimal, without authentication and signed with the old key."""
+    authenticator, datagrams = DatagramAuthenticator([OLD_KEY, NEW_KEY]), {}
     for name, (body, updates) in messages().items():
         data = encode(body, updates)
-        made[name] = {"datagram": data.hex(), "sealed": authenticator.sign(data).hex()}
-    return as_json(made)
+        datagrams[name] = {"datagram": data.hex(), "sealed": authenticator.sign(data).hex()}
+    return as_json(datagrams)
 
 
-def test_each_kind_of_message_is_encoded_and_sealed_as_before() -> None:
+def test_each_message_is_encoded_and_signed_as_in_the_golden_file() -> None:
     assert produce_kinds() == read_golden(KINDS_GOLDEN)
 
 
 @pytest.mark.parametrize("name", messages())
-def test_a_datagram_of_the_version_before_is_opened_and_read(name: str) -> None:
+def test_recorded_datagram_is_verified_and_decoded(name: str) -> None:
     golden = json.loads(read_golden(KINDS_GOLDEN))[name]
     data = DatagramAuthenticator([NEW_KEY, OLD_KEY]).verify(bytes.fromhex(golden["sealed"]))
     assert data is not None
@@ -114,16 +114,16 @@
     )
 
 
-def test_the_numbers_of_a_members_states_stay() -> None:
+def test_member_statuses_keep_their_numbers() -> None:
     states = [MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.DEAD, MemberStatus.LEFT]
     assert [int(state) for state in states] == [0, 1, 2, 3]
 
 
-def test_a_key_file_is_read_without_the_space_around_it() -> None:
+def test_key_file_is_read_without_surrounding_whitespace() -> None:
     assert parse_key(b"\n " + OLD_KEY + b" \n") == OLD_KEY
 
 
-def test_the_bounds_of_a_datagram_stay() -> None:
+def test_datagram_limits_keep_their_values() -> None:
     assert (
         codec.PROTOCOL_VERSION,
         codec.MAX_DATAGRAM_BYTES,
@@ -131,56 +131,59 @@
         codec.MAX_TEXT_LENGTH,
         codec.MAX_UNREACHABLE_PEERS,
     ) == (1, 1_400, 16, 64, 8)
-    many = [codec.encode_update(UPDATES["alive"])] * 100
-    data, carried = codec.encode_packet(NAME, GENERATION, SEQUENCE_NUMBER, BODIES["ping"], many)
-    assert (len(data), carried) == (1_347, 28)
+    encoded_updates = [codec.encode_update(UPDATES["alive"])] * 100
+    data, update_count = codec.encode_packet(
+        NAME, GENERATION, SEQUENCE_NUMBER, BODIES["ping"], encoded_updates
+    )
+    assert (len(data), update_count) == (1_347, 28)
 
 
-# The transcript is of one member of four over fifty seconds: b4 was reached only by way of another for a
-# while, b3 joined, was killed and came back, b2 left. Each input is a time, what came, and what goes with it.
+# The transcript covers fifty seconds of one member in a cluster of four. For a while b4 was reachable only
+# through another member; b3 joined, was killed and came back; b2 left. An input is a time, a name and its
+# arguments.
 
 
 def new_member() -> MembershipProtocol:
-    """The member whose transcript is pinned, not started yet."""
-    terms = SwimConfig(sync_interval=10, suspicion_multiplier=2.0)
-    return MembershipProtocol(NAME, 1_000, ADDRESS, terms, Random(11), "zone-a", 2.0)
-
-
-def feed(machine: MembershipProtocol, at: int, what: str, arguments: list) -> None:
-    """One input of the transcript."""
-    if what == "start":
-        machine.start(at, arguments)
-    elif what == "received":
-        machine.receive_datagram(at, bytes.fromhex(arguments[0]), arguments[1])
-    elif what == "timer":
-        machine.timer_fired(at)
-    elif what == "weight":
-        machine.update_self(at, weight=arguments[0])
-    elif what == "say":
-        machine.send_user_message(arguments[0], bytes.fromhex(arguments[1]))
-    elif what == "leave":
-        machine.leave(at)
+    """Return the member whose transcript is pinned, before its start."""
+    config = SwimConfig(sync_interval=10, suspicion_multiplier=2.0)
+    return MembershipProtocol(NAME, 1_000, ADDRESS, config, Random(11), "zone-a", 2.0)
+
+
+def apply_input(protocol: MembershipProtocol, at: int, name: str, arguments: list) -> None:
+    """Apply one input of the transcript to the member."""
+    if name == "start":
+        protocol.start(at, arguments)
+    elif name == "received":
+        protocol.receive_datagram(at, bytes.fromhex(arguments[0]), arguments[1])
+    elif name == "timer":
+        protocol.timer_fired(at)
+    elif name == "weight":
+        protocol.update_self(at, weight=arguments[0])
+    elif name == "say":
+        protocol.send_user_message(arguments[0], bytes.fromhex(arguments[1]))
+    elif name == "leave":
+        protocol.leave(at)
     else:
-        raise ValueError(what)
+        raise ValueError(f"unknown input {name!r} in the transcript")
 
 
-def outputs(machine: MembershipProtocol) -> dict[str, list]:
-    """What one input led to, and takes it from the machine; only what there is."""
-    found = {
-        "datagrams": [[address, data.hex()] for address, data in machine.outgoing],
-        "events": [[e.at, e.kind, e.name, e.reported_by, e.incarnation] for e in machine.events],
-        "payloads": [data.hex() for data in machine.user_messages],
+def take_outputs(protocol: MembershipProtocol) -> dict[str, list]:
+    """Take the outputs of one input from the member; return those that are not empty."""
+    outputs = {
+        "datagrams": [[address, data.hex()] for address, data in protocol.outgoing],
+        "events": [[e.at, e.kind, e.name, e.reported_by, e.incarnation] for e in protocol.events],
+        "payloads": [data.hex() for data in protocol.user_messages],
     }
-    machine.take_outgoing()
-    machine.take_events()
-    machine.take_user_messages()
-    return {name: values for name, values in found.items() if values}
+    protocol.take_outgoing()
+    protocol.take_events()
+    protocol.take_user_messages()
+    return {name: values for name, values in outputs.items() if values}
 
 
-def final_state(machine: MembershipProtocol, at: int) -> dict:
-    """What the member knows at the end: its view, and what it would hand over."""
-    view = machine.view(at)
-    rows = [
+def final_state(protocol: MembershipProtocol, at: int) -> dict:
+    """Return the state of the member at the end: its view, and what it would hand over."""
+    view = protocol.view(at)
+    members = [
         [
             m.name,
             m.address,
@@ -196,30 +199,30 @@
         for m in view.members
     ]
     return {
-        "members": rows, "mark": view.checksum, "version": view.version, "stable": view.stable,
+        "members": members, "mark": view.checksum, "version": view.version, "stable": view.stable,
         "cut": view.possibly_partitioned,
         "outcast": view.exclusion, "age": view.time_since_contact, "confidence": view.confidence,
-        "timer": machine.timer_due,
-        "serial": machine.sequence_number, "refused": dict(machine.dropped_datagrams),
+        "timer": protocol.timer_due,
+        "serial": protocol.sequence_number, "refused": dict(protocol.dropped_datagrams),
     }  # fmt: skip
 
 
 def replay(golden: dict) -> dict:
-    """The same inputs again, with what comes of them now."""
-    machine, steps, at = new_member(), [], 0
+    """Apply the inputs of a transcript to a new member; return the transcript with the present outputs."""
+    protocol, steps, at = new_member(), [], 0
     for step in golden["steps"]:
-        at, what, arguments = step["input"]
-        feed(machine, at, what, arguments)
-        steps.append({"input": step["input"], **outputs(machine)})
-    return {"steps": steps, "end": final_state(machine, at)}
+        at, name, arguments = step["input"]
+        apply_input(protocol, at, name, arguments)
+        steps.append({"input": step["input"], **take_outputs(protocol)})
+    return {"steps": steps, "end": final_state(protocol, at)}
 
 
-def test_the_state_machine_gives_the_same_datagrams_and_events_for_the_same_inputs() -> None:
+def test_replayed_inputs_lead_to_the_recorded_datagrams_events_and_state() -> None:
     golden = json.loads(read_golden(TRANSCRIPT_GOLDEN))
     assert replay(golden) == golden
 
 
-def test_the_transcript_holds_every_kind_of_message_and_most_events() -> None:
+def test_transcript_contains_every_message_type_and_most_events() -> None:
     golden = json.loads(read_golden(TRANSCRIPT_GOLDEN))
     datagrams = [data for step in golden["steps"] for _, data in step.get("datagrams", [])]
     sent = [codec.decode_packet(bytes.fromhex(data)) for data in datagrams]
--- a/tests/pins/test_operator_file_output.py
+++ b/tests/pins/test_operator_file_output.py
@@ -1,6 +1,6 @@
-"""What the command line prints about operators' files, and the checker's messages, against golden text.
+"""Output of the command line for operator files, and the checker's messages, compared with golden text.
 
-The working directory is the repository's root, so that the files stand in the text by their relative names.
+Commands run in the root of the repository, so that the output has relative paths.
 """
 
 import json
@@ -55,46 +55,47 @@
 }  # fmt: skip
 
 
-def run(arguments: list[str]) -> str:
-    """A command line, what it printed and its exit status, as they would stand in a terminal."""
+def run_command(arguments: list[str]) -> str:
+    """Run a command; return its command line, output and exit status as text."""
     environment = {name: value for name, value in os.environ.items() if name not in ("CALLERS", "COLUMNS")}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dahliabend", *arguments], capture_output=True, text=True, cwd=ROOT,
         env=environment, check=False,
     )  # fmt: skip
-    line = " ".join(f"'{each}'" if " " in each else each for each in arguments)
-    return f"$ dahliabend {line}\n{done.stdout}{done.stderr}[exit status {done.returncode}]\n\n"
+    line = " ".join(f"'{argument}'" if " " in argument else argument for argument in arguments)
+    output = completed.stdout + completed.stderr
+    return f"$ dahliabend {line}\n{output}[exit status {completed.returncode}]\n\n"
 
 
 def produce(name: str) -> str:
-    """The text of one golden file: its commands one after another."""
+    """Return the text of one golden file: the output of its commands in order."""
     with ThreadPoolExecutor(4) as pool:
-        return "".join(pool.map(run, COMMANDS[name]))
+        return "".join(pool.map(run_command, COMMANDS[name]))
 
 
 @pytest.mark.parametrize("name", COMMANDS)
-def test_commands_print_exactly_what_they_printed(name: str) -> None:
+def test_output_of_commands_equals_the_golden_file(name: str) -> None:
     assert produce(name) == read_golden(name)
 
 
-def test_every_broken_operator_file_in_the_data_is_checked() -> None:
+def test_every_operator_file_in_the_data_is_used() -> None:
     files = {path.stem for path in (DATA / "operator_files").glob("*.toml")}
     assert files == {*BROKEN, "changed_example"}
 
 
 def produce_relation() -> str:
-    """Who uses whom, with the shares rounded: their last digits are the machine's."""
+    """Return the subsets of all balancers, with rounded shares because the last digits differ by machine."""
     arguments = ["subset", "--balancers", "5", "--upstreams", "9", "--zones", "2", "--least", "3", "--json"]
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dahliabend", *arguments], capture_output=True, cwd=ROOT, check=True
     )
-    made = json.loads(done.stdout)
-    for shares in made["relation"].values():
+    subsets = json.loads(completed.stdout)
+    for shares in subsets["relation"].values():
         shares.update({name: round(share, 9) for name, share in shares.items()})
-    return as_json(made)
+    return as_json(subsets)
 
 
-def test_the_relation_of_balancers_and_upstreams_is_the_same() -> None:
+def test_subsets_and_shares_equal_the_golden_file() -> None:
     assert produce_relation() == read_golden(RELATION_GOLDEN)
 
 
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's JSON configuration: the value each key leads to, and the fault told for each bad key."""
+"""The platform's JSON configuration: the setting that each key sets, and the message for each invalid key."""
 
 import copy
 import json
@@ -50,22 +50,22 @@
 }
 
 
-def profile_values(profile: RequestClass) -> dict[str, object]:
-    """One request class by wire key; times are in microseconds."""
+def request_class_values(request_class: RequestClass) -> dict[str, object]:
+    """Return the settings of a request class by configuration key; times are in microseconds."""
     return {
-        "semantics": int(profile.effect),
-        "group": int(profile.deduplication_scope),
-        "dedup-window": profile.deduplication_window,
-        "service-goal": profile.latency_objective,
-        "hard-limit": profile.deadline,
-        "revenue": profile.priority_weight,
-        "tardy-revenue": profile.late_weight,
-        "in-order": profile.is_ordered,
+        "semantics": int(request_class.effect),
+        "group": int(request_class.deduplication_scope),
+        "dedup-window": request_class.deduplication_window,
+        "service-goal": request_class.latency_objective,
+        "hard-limit": request_class.deadline,
+        "revenue": request_class.priority_weight,
+        "tardy-revenue": request_class.late_weight,
+        "in-order": request_class.is_ordered,
     }
 
 
-def settings_values(settings: PolicySettings) -> dict[str, object]:
-    """The decisions' settings by wire key; times are in microseconds."""
+def policy_values(settings: PolicySettings) -> dict[str, object]:
+    """Return the settings of the policy by configuration key; times are in microseconds."""
     values: dict[str, object] = {
         "balancers": settings.instance_count,
         "self-index": settings.instance_index,
@@ -89,44 +89,45 @@
         "contract.order-pause": settings.key_pause,
         "contract.drain-binds-alone": settings.can_use_removed_endpoints,
     }
-    for number, profile in enumerate(settings.request_classes):
-        values |= {f"profiles[{number}].{key}": value for key, value in profile_values(profile).items()}
+    for number, request_class in enumerate(settings.request_classes):
+        class_values = request_class_values(request_class)
+        values |= {f"profiles[{number}].{key}": value for key, value in class_values.items()}
     return values
 
 
-def node_values(node: ServerSettings) -> dict[str, object]:
-    """All that a balancer on sockets goes by, by wire key; times are in microseconds."""
+def server_values(settings: ServerSettings) -> dict[str, object]:
+    """Return all settings of a balancer on sockets by configuration key; times are in microseconds."""
     return {
-        "listen": list(node.listen),
-        "discovery": list(node.discovery),
-        "admin": list(node.admin) if node.admin else None,
-        "name": node.name,
-        "seed": node.seed,
-        "limits.sockets": node.descriptor_limit,
-        "known": node.known_endpoints,
-        "log is debug": node.verbose,
-        "inherited descriptor": node.listener_descriptor,
-        "shared directory": node.shared_directory,
-        "keys": sorted(node.named_keys),
-        "settings.profiles.name": {name.decode(): index for name, index in node.class_indices.items()},
-        "settings.profiles.hard-limit": list(node.class_deadlines),
-        "settings.tenants.name": {name.decode(): index for name, index in node.tenant_indices.items()},
-        "settings.localities": node.zone_indices,
-        "settings.contract.answer-slack": node.deadline_slack,
-        "settings.caps.dial-timeout": node.connect_timeout,
-        "settings.caps.dial-timeout of a probe": node.health_check_timeout,
-        "settings.caps.conn-idle": node.idle_reuse_time,
-        "settings.caps.most-held": node.max_in_flight,
-        "settings.report": list(node.report_fields),
-        "settings not acted on": list(node.unsupported_keys),
-        **{f"settings.{key}": value for key, value in settings_values(node.settings).items()},
+        "listen": list(settings.listen),
+        "discovery": list(settings.discovery),
+        "admin": list(settings.admin) if settings.admin else None,
+        "name": settings.name,
+        "seed": settings.seed,
+        "limits.sockets": settings.descriptor_limit,
+        "known": settings.known_endpoints,
+        "log is debug": settings.verbose,
+        "inherited descriptor": settings.listener_descriptor,
+        "shared directory": settings.shared_directory,
+        "keys": sorted(settings.named_keys),
+        "settings.profiles.name": {name.decode(): index for name, index in settings.class_indices.items()},
+        "settings.profiles.hard-limit": list(settings.class_deadlines),
+        "settings.tenants.name": {name.decode(): index for name, index in settings.tenant_indices.items()},
+        "settings.localities": settings.zone_indices,
+        "settings.contract.answer-slack": settings.deadline_slack,
+        "settings.caps.dial-timeout": settings.connect_timeout,
+        "settings.caps.dial-timeout of a probe": settings.health_check_timeout,
+        "settings.caps.conn-idle": settings.idle_reuse_time,
+        "settings.caps.most-held": settings.max_in_flight,
+        "settings.report": list(settings.report_fields),
+        "settings not acted on": list(settings.unsupported_keys),
+        **{f"settings.{key}": value for key, value in policy_values(settings.settings).items()},
     }
 
 
 def read_file(
     tree: object, variables: Mapping[str, str] | None = None, reread: frozenset[str] | None = None
 ) -> ServerSettings:
-    """The configuration that a file with this content gives; `reread`: the keys of the file in force."""
+    """Read a configuration file with this content; `reread` has the keys of the previous file at a reload."""
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / "proxy.json"
         path.write_text(json.dumps(tree))
@@ -139,8 +140,8 @@
             raise ValueError(str(error).replace(str(path), "FILE")) from None
 
 
-def fault_of(call: Callable[[], object]) -> str:
-    """The one line that tells what is wrong, or that nothing is."""
+def message_of(call: Callable[[], object]) -> str:
+    """Return the message of the error that a call raises, or `accepted`."""
     try:
         call()
     except ValueError as error:
@@ -149,7 +150,7 @@
 
 
 def paths(tree: object, above: KeyPath = ()) -> Iterator[KeyPath]:
-    """Each key and list item below, the tables first."""
+    """Yield the path of each key and list item, each table before its keys."""
     items: list[tuple[str | int, object]] = []
     if isinstance(tree, dict):
         items = list(tree.items())
@@ -160,84 +161,86 @@
         yield from paths(value, (*above, key))
 
 
-def changed(tree: object, path: KeyPath, value: object) -> object:
-    """A copy with that key set to the value, or left out where the value is MISSING."""
+def with_value(tree: object, path: KeyPath, value: object) -> object:
+    """Return a copy with a key set to a value, or without the key if the value is `MISSING`."""
     copied = copy.deepcopy(tree)
-    place = copied
+    container = copied
     for key in path[:-1]:
-        place = place[key]
+        container = container[key]
     if value == MISSING:
-        del place[path[-1]]
+        del container[path[-1]]
     else:
-        place[path[-1]] = value
+        container[path[-1]] = value
     return copied
 
 
 def produce_values() -> str:
-    """What the full file leads to."""
-    return as_json(node_values(read_file(json.loads(read_golden(INPUT)))))
+    """Return the settings of a file with all keys."""
+    return as_json(server_values(read_file(json.loads(read_golden(INPUT)))))
 
 
 def produce_defaults() -> str:
-    """What a file with the required keys alone leads to."""
-    return as_json(node_values(read_file(REQUIRED_ONLY)))
+    """Return the settings of a file with only the required keys."""
+    return as_json(server_values(read_file(REQUIRED_ONLY)))
 
 
-def message_in(reader: Callable[[], object]) -> str:
-    """As `fault_of`, in the form that the file and the simulator share."""
-    return fault_of(reader).removeprefix("FILE: ").replace("$.settings.", "$.").replace("settings.", "")
+def common_message_of(call: Callable[[], object]) -> str:
+    """Return the message without the file name and the `settings` table, as the simulator has it."""
+    return message_of(call).removeprefix("FILE: ").replace("$.settings.", "$.").replace("settings.", "")
 
 
 def produce_faults() -> str:
-    """The message for each key that is missing or has a bad value; the simulator's too where it differs."""
+    """Return the message for each missing key and invalid value, also the simulator's if it differs."""
     tree = json.loads(read_golden(INPUT))
     tree["settings"]["profiles"] = tree["settings"]["profiles"][:1]
     tree["settings"]["tenants"] = tree["settings"]["tenants"][:1]
-    told: dict[str, dict[str, str]] = {}
+    messages_by_key: dict[str, dict[str, str]] = {}
     for path in paths(tree):
-        messages = told[".".join(map(str, path))] = {}
+        messages = messages_by_key[".".join(map(str, path))] = {}
         for value in (MISSING, *BAD_VALUES):
-            shown = value if value == MISSING else json.dumps(value)
-            bad = changed(tree, path, value)
-            messages[shown] = fault_of(lambda bad=bad: read_file(bad))
+            value_text = value if value == MISSING else json.dumps(value)
+            bad = with_value(tree, path, value)
+            messages[value_text] = message_of(lambda bad=bad: read_file(bad))
             if path[0] != "settings" or len(path) == 1:
                 continue
             text = json.dumps(bad["settings"]).encode()
-            simulator = message_in(lambda text=text: read_policy_settings(text))
-            if simulator != message_in(lambda bad=bad: read_file(bad)):
-                messages[f"{shown} in the simulator"] = simulator
-    return as_json(told)
+            simulator_message = common_message_of(lambda text=text: read_policy_settings(text))
+            if simulator_message != common_message_of(lambda bad=bad: read_file(bad)):
+                messages[f"{value_text} in the simulator"] = simulator_message
+    return as_json(messages_by_key)
 
 
 def produce_reload_faults() -> str:
-    """The message for each key that a running balancer's file had and the file read anew has not."""
+    """Return the message for each key that is missing from a reloaded file but was in the previous one."""
     tree = json.loads(read_golden(INPUT))
-    needed = read_file(tree).named_keys
-    told = {}
+    previous_keys = read_file(tree).named_keys
+    messages = {}
     for path in paths(tree):
         name = ".".join(map(str, path))
-        if name in needed:
-            left_out = changed(tree, path, MISSING)
-            told[name] = fault_of(lambda left_out=left_out: read_file(left_out, reread=needed))
-    return as_json(told)
+        if name in previous_keys:
+            without_key = with_value(tree, path, MISSING)
+            messages[name] = message_of(
+                lambda without_key=without_key: read_file(without_key, reread=previous_keys)
+            )
+    return as_json(messages)
 
 
 def produce_environment() -> str:
-    """What each environment variable changes, or the message where it is bad."""
+    """Return the settings that each environment variable changes, or the message if it is invalid."""
     tree = json.loads(read_golden(INPUT))
-    usual = node_values(read_file(tree))
-    told: dict[str, object] = {"PROXY_CONFIG missing": fault_of(lambda: config.read_server_settings({}))}
-    told["PROXY_CONFIG names no file"] = fault_of(
+    default_values = server_values(read_file(tree))
+    effects: dict[str, object] = {"PROXY_CONFIG missing": message_of(lambda: config.read_server_settings({}))}
+    effects["PROXY_CONFIG names no file"] = message_of(
         lambda: config.read_server_settings({"PROXY_CONFIG": "/none/proxy.json"})
     )
     for title, variables in VARIABLES.items():
         try:
-            values = node_values(read_file(tree, variables))
+            values = server_values(read_file(tree, variables))
         except ValueError as error:
-            told[title] = str(error)
+            effects[title] = str(error)
         else:
-            told[title] = {key: value for key, value in values.items() if value != usual[key]}
-    return as_json(told)
+            effects[title] = {key: value for key, value in values.items() if value != default_values[key]}
+    return as_json(effects)
 
 
 GOLDEN = {
@@ -250,17 +253,17 @@
 
 
 @pytest.mark.parametrize("name", GOLDEN)
-def test_the_platform_configuration_is_read_as_before(name: str) -> None:
+def test_settings_and_messages_equal_the_golden_files(name: str) -> None:
     assert json.loads(GOLDEN[name]()) == json.loads(read_golden(name))
 
 
-def test_the_simulator_reads_the_same_settings_as_the_sockets() -> None:
+def test_simulator_and_configuration_file_lead_to_the_same_settings() -> None:
     tree = json.loads(read_golden(INPUT))
-    from_wire = read_policy_settings(json.dumps(tree["settings"]).encode())
-    assert settings_values(from_wire) == settings_values(read_file(tree).settings)
+    simulator_settings = read_policy_settings(json.dumps(tree["settings"]).encode())
+    assert policy_values(simulator_settings) == policy_values(read_file(tree).settings)
 
 
-def test_messages_of_the_simulator_name_keys_without_the_settings_table() -> None:
+def test_messages_of_the_simulator_have_keys_without_the_settings_table() -> None:
     tree = json.loads(read_golden(INPUT))["settings"]
     tree["caps"]["most-hops"] = 0
     with pytest.raises(ValueError, match=r"^caps.most-hops: 0 is not between 1 and 65536$"):
--- a/tests/pins/test_scenario_files.py
+++ b/tests/pins/test_scenario_files.py
@@ -1,6 +1,6 @@
 """Stored scenarios and cluster scripts: the keys of their tables with defaults, and the files of some seeds.
 
-Guards files that were stored, and seeds that were noted, against a renamed field: they stay readable.
+A renamed field or a changed random draw would make stored files unreadable and noted seeds useless.
 """
 
 import json
@@ -22,33 +22,33 @@
 
 
 def table_keys() -> dict[str, dict[str, str]]:
-    """By table and key: the default, as text."""
+    """Return the default of each key as text, by table and key."""
     return {
-        table.__name__: {f.encode_name: str(f.default) for f in msgspec.structs.fields(table)}
+        table.__name__: {field.encode_name: str(field.default) for field in msgspec.structs.fields(table)}
         for table in TABLES
     }
 
 
 def scenario_files() -> dict[str, object]:
-    """By seed: the file of its scenario."""
+    """Return the file of each scenario, by seed."""
     return {
         str(seed): json.loads(SCENARIO_FILES.encode(scenario_generator.draw(seed))) for seed in SCENARIO_SEEDS
     }
 
 
 def script_files() -> dict[str, object]:
-    """By seed: the file of its cluster script."""
+    """Return the file of each cluster script, by seed."""
     return {str(seed): json.loads(script.SCRIPT_FILES.encode(script.draw(seed))) for seed in SCRIPT_SEEDS}
 
 
 @pytest.mark.parametrize(
     ("name", "produce"), [(KEYS, table_keys), (SCENARIOS, scenario_files), (SCRIPTS, script_files)]
 )
-def test_files_have_the_keys_and_values_that_they_always_had(name, produce):
+def test_files_have_the_recorded_keys_and_values(name, produce):
     assert as_json(produce()) == read_golden(name)
 
 
-def test_a_stored_file_is_read_as_the_scenario_that_its_seed_draws():
+def test_stored_file_is_decoded_as_the_scenario_drawn_from_its_seed():
     for seed, content in json.loads(read_golden(SCENARIOS)).items():
         assert SCENARIO_FILES.decode(json.dumps(content).encode()) == scenario_generator.draw(int(seed))
 
--- a/tests/pins/test_simulator_wire.py
+++ b/tests/pins/test_simulator_wire.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: a recorded transcript of batches is replayed, and each reply compared byte for byte.
+"""The simulator's protocol: recorded batches are replayed, and the replies compared byte for byte.
 
-The transcript was recorded by `record`: a small model of clients and servers drives three instances with
-the real decisions, through rejections, retries, failures, cancels, probes, timers and changing lists.
+The transcript was recorded by `record_transcript`: a small model of clients and upstreams drives three
+instances of the real policy through rejections, retries, failures, cancellations, health checks, timers and
+changing lists.
 """
 
 import heapq
@@ -21,16 +22,20 @@
 
 TRANSCRIPT = "simulator_transcript.txt"
 
-# The wire's codes, as numbers: they are what is pinned.
-LIST, DELIVERY, NOTE, RESULT, HEAD, START, PROBE_RESULT, KILL, CLIENT_LEFT, TIMER, REQUEST = (
-    21, 16, 17, 18, 19, 20, 22, 23, 24, 25, 26,
-)  # fmt: skip
-CLOSE_IDLE, FAULT, SET_TIMER, FAIL, REJECT, ASK_LIST, PROBE, CANCEL, SEND = 16, 17, 18, 19, 21, 22, 23, 24, 26
-ANSWERED, ERROR, FULL, TIMED_OUT, UNREACHABLE, RESET, CANCELLED = range(1, 8)
-GONE, READY, DRAINING = range(3)
-CHANGES, WHOLE, CACHED, FAILED = range(4)
-SERVER = Struct(">dfHB6sBH")
-END = 5000.0
+# The protocol's codes are repeated here as numbers, because the numbers themselves are pinned.
+# Records
+DISCOVERY_UPDATE, PEER_MESSAGE, ATTEMPT_FINISHED, RESPONSE_STARTED, INSTANCE_START = 16, 17, 18, 19, 20
+ENDPOINT_LIST, HEALTH_CHECK_FINISHED, INSTANCE_STOP, CLIENT_DISCONNECTED = 21, 22, 23, 24
+TIMER_FIRED, REQUEST_RECEIVED = 25, 26
+# Actions
+CLOSE_IDLE_CONNECTIONS, FAULT, SET_TIMER, FAIL, REJECT = 16, 17, 18, 19, 21
+POLL_ENDPOINTS, CHECK_HEALTH, CANCEL, SEND_ATTEMPT = 22, 23, 24, 26
+# Outcomes of attempts and health checks, states of endpoints, scopes of discovery updates
+SUCCEEDED, ATTEMPT_FAILED, REJECTED, TIMED_OUT, UNREACHABLE, RESET, CANCELLED = range(1, 8)
+REMOVED, READY, DRAINING = range(3)
+DELTA_LIST, FULL_LIST, CACHED_LIST, POLL_FAILED = range(4)
+ENDPOINT_ENTRY = Struct(">dfHB6sBH")
+END_TIME = 5000.0
 
 SETTINGS = {
     "balancers": 2, "tier": 0, "locality": 0, "self-index": 0, "discovery": "pushed",
@@ -51,228 +56,260 @@
     "contract": {"cold-share": 0.3, "cold": 1500, "fall-multiple": 2.5, "ask-within": 2000,
                  "order-pause": 60},
 }  # fmt: skip
-ON_REQUEST = {
+POLLING_SETTINGS = {
     **SETTINGS, "self-index": 1, "discovery": "on_request", "fees": {"cross-zone": 0},
     "caps": {"most-hops": 2},
 }  # fmt: skip
 
 
 def frame(clock: float, records: list[bytes]) -> bytes:
-    """One batch as it comes in."""
+    """Return one batch of encoded records."""
     body = b"".join(records)
     return pack(">dII", clock, len(body) + 4, len(records)) + body
 
 
-def record_of(code: int, layout: str, *fields: object, rest: bytes = b"") -> bytes:
-    """One record of a batch."""
+def encode_record(code: int, layout: str, *fields: object, rest: bytes = b"") -> bytes:
+    """Return one encoded record: its header, the fields in the given layout, then `rest`."""
     body = pack(layout, *fields) + rest
     return pack(">BI", code, len(body)) + body
 
 
-def start(instance: int, settings: dict) -> bytes:
-    """An instance with these settings."""
+def instance_start(instance: int, settings: dict) -> bytes:
+    """Return a record that starts an instance with these settings."""
     text = json.dumps(settings, separators=(",", ":")).encode()
-    return record_of(START, ">IQI", instance, 77 + instance, len(text), rest=text)
+    return encode_record(INSTANCE_START, ">IQI", instance, 77 + instance, len(text), rest=text)
 
 
-def server_list(number: int, rows: list[tuple]) -> bytes:
-    """A list of servers: each its start, weight, cell, zone, address and state."""
-    return record_of(LIST, ">HI", number, len(rows), rest=b"".join(SERVER.pack(*row, 0) for row in rows))
+def endpoint_list(number: int, entries: list[tuple]) -> bytes:
+    """Return an endpoint list; an entry is start time, weight, cell, zone, address and state."""
+    return encode_record(
+        ENDPOINT_LIST,
+        ">HI",
+        number,
+        len(entries),
+        rest=b"".join(ENDPOINT_ENTRY.pack(*entry, 0) for entry in entries),
+    )
 
 
-def actions(reply: bytes) -> Iterator[tuple[int, bytes]]:
-    """Each action's code and fields."""
+def decode_actions(reply: bytes) -> Iterator[tuple[int, bytes]]:
+    """Yield the code and the encoded fields of each action of a reply."""
     length, count = unpack_from(">II", reply)
     assert length == len(reply) - 4
-    at = 8
+    position = 8
     for _ in range(count):
-        code, size = unpack_from(">BI", reply, at)
-        yield code, reply[at + 5 : at + 5 + size]
-        at += 5 + size
-    assert at == len(reply)
+        code, size = unpack_from(">BI", reply, position)
+        yield code, reply[position + 5 : position + 5 + size]
+        position += 5 + size
+    assert position == len(reply)
 
 
 class Recorder:
-    """A model of what the balancers stand among; it writes down each batch and its reply."""
+    """A model of clients, upstreams and discovery that records each batch and its reply."""
 
     def __init__(self) -> None:
-        self.host, self.chance = Host(), Random(20)
+        self.host, self.rng = Host(), Random(20)
         self.events: list[tuple[float, int, bytes]] = []
-        self.order = 0
+        self.event_count = 0
         self.batches: list[tuple[bytes, bytes]] = []
-        self.attempts: dict[tuple[int, int], int] = {}
-        self.open: dict[tuple[int, int, int], bytes] = {}
+        self.attempt_counts: dict[tuple[int, int], int] = {}
+        self.open_attempts: dict[tuple[int, int, int], bytes] = {}
         self.streams: set[tuple[int, int]] = set()
-        self.lists = 0
+        self.list_count = 0
 
-    def at(self, when: float, record: bytes) -> None:
-        """The record comes in then, in batches a millisecond apart."""
-        self.order += 1
-        heapq.heappush(self.events, (float(round(when)), self.order, record))
+    def schedule(self, when: float, record: bytes) -> None:
+        """Schedule a record for the batch of the millisecond nearest to a time."""
+        self.event_count += 1
+        heapq.heappush(self.events, (float(round(when)), self.event_count, record))
 
     def run(self) -> None:
-        """All that happens until the end."""
-        while self.events and self.events[0][0] <= END:
+        """Exchange batches until `END_TIME`."""
+        while self.events and self.events[0][0] <= END_TIME:
             now, records = self.events[0][0], []
             while self.events and self.events[0][0] == now:
                 records.append(heapq.heappop(self.events)[2])
             self.exchange(now, records)
 
     def exchange(self, now: float, records: list[bytes]) -> None:
-        batch = frame(now, [record for record in records if self.still_holds(record)])
+        batch = frame(now, [record for record in records if self.is_valid(record)])
         reply = self.host.handle_batch(read_batch(BytesIO(batch)))
         self.batches.append((batch, reply))
-        for code, fields in actions(reply):
-            self.react(now, code, fields)
+        for code, fields in decode_actions(reply):
+            self.apply_action(now, code, fields)
 
-    def still_holds(self, record: bytes) -> bool:
-        """A result of an attempt that was cancelled meanwhile does not come."""
-        if record[0] not in (RESULT, HEAD):
+    def is_valid(self, record: bytes) -> bool:
+        """Return whether a scheduled record still applies: results of attempts that have ended do not."""
+        if record[0] not in (ATTEMPT_FINISHED, RESPONSE_STARTED):
             return True
         key = unpack_from(">IQH", record, 5)
-        if record[0] == HEAD:
-            return key in self.open
-        return self.open.pop(key, None) is not None
+        if record[0] == RESPONSE_STARTED:
+            return key in self.open_attempts
+        return self.open_attempts.pop(key, None) is not None
 
-    def react(self, now: float, code: int, fields: bytes) -> None:
-        if code == SEND:
+    def apply_action(self, now: float, code: int, fields: bytes) -> None:
+        if code == SEND_ATTEMPT:
             instance, request_id, address, timeout = unpack_from(">IQ6sd", fields)
-            attempt = self.attempts.get((instance, request_id), -1) + 1
-            self.attempts[instance, request_id] = attempt
-            self.open[instance, request_id, attempt] = address
-            self.serve(now, instance, request_id, attempt, address, timeout)
+            attempt = self.attempt_counts.get((instance, request_id), -1) + 1
+            self.attempt_counts[instance, request_id] = attempt
+            self.open_attempts[instance, request_id, attempt] = address
+            self.schedule_response(now, instance, request_id, attempt, address, timeout)
         elif code == CANCEL:
             instance, request_id, attempt = unpack_from(">IQH", fields)
-            if (instance, request_id, attempt) in self.open:
-                address = self.open[instance, request_id, attempt]
-                self.result(now + 1, instance, request_id, attempt, 5.0, CANCELLED, address)
+            if (instance, request_id, attempt) in self.open_attempts:
+                address = self.open_attempts[instance, request_id, attempt]
+                self.schedule_result(now + 1, instance, request_id, attempt, 5.0, CANCELLED, address)
         elif code == SET_TIMER:
             instance, token, when = unpack_from(">IQd", fields)
-            self.at(max(now + 1, when), record_of(TIMER, ">IQ", instance, token))
-        elif code == PROBE:
+            self.schedule(max(now + 1, when), encode_record(TIMER_FIRED, ">IQ", instance, token))
+        elif code == CHECK_HEALTH:
             instance, address = unpack_from(">I6s", fields)
-            how = UNREACHABLE if self.state_of(address, now) == UNREACHABLE else ANSWERED
-            load = pack(">f", 0.5)
-            self.at(now + 6, record_of(PROBE_RESULT, ">I6sBdB", instance, address, how, 6.0, 1, rest=load))
-        elif code == ASK_LIST:
+            outcome = UNREACHABLE if self.outcome_at(address, now) == UNREACHABLE else SUCCEEDED
+            load_report = pack(">f", 0.5)
+            self.schedule(
+                now + 6,
+                encode_record(
+                    HEALTH_CHECK_FINISHED, ">I6sBdB", instance, address, outcome, 6.0, 1, rest=load_report
+                ),
+            )
+        elif code == POLL_ENDPOINTS:
             (instance,) = unpack_from(">I", fields)
-            self.deliver(now + 3, instance, CACHED, servers(now))
+            self.schedule_list(now + 3, instance, CACHED_LIST, endpoint_entries(now))
 
-    def state_of(self, address: bytes, now: float) -> int:
-        """How a server answers: most well, some only for a time."""
+    def outcome_at(self, address: bytes, now: float) -> int:
+        """Return the outcome of attempts at an upstream at a time; some upstreams fail for a while."""
         number = address[3]
         if number == 2 and 900 <= now < 1800:
             return UNREACHABLE
         if number == 3 and 1200 <= now < 2200:
-            return ERROR
+            return ATTEMPT_FAILED
         if number == 4 and 1500 <= now < 2300:
             return TIMED_OUT
         if 2700 <= now < 3300:
-            return FULL
-        return RESET if number == 5 and 600 <= now < 700 else ANSWERED
+            return REJECTED
+        return RESET if number == 5 and 600 <= now < 700 else SUCCEEDED
 
-    def serve(
+    def schedule_response(
         self, now: float, instance: int, request_id: int, attempt: int, address: bytes, timeout: float
     ) -> None:
-        how = self.state_of(address, now)
-        took = {
-            ANSWERED: self.chance.uniform(20, 60), ERROR: 3.0, FULL: 2.0, TIMED_OUT: timeout,
+        outcome = self.outcome_at(address, now)
+        duration = {
+            SUCCEEDED: self.rng.uniform(20, 60), ATTEMPT_FAILED: 3.0, REJECTED: 2.0, TIMED_OUT: timeout,
             UNREACHABLE: 25.0, RESET: 12.0,
-        }[how]  # fmt: skip
-        if now > 3900 and how == ANSWERED:
-            took *= 6  # all get slow
-        if how == ANSWERED and took >= timeout:
-            how, took = TIMED_OUT, timeout
-        if how == ANSWERED and (instance, request_id) in self.streams:
-            self.at(
-                now + took / 2, record_of(HEAD, ">IQH6sd", instance, request_id, attempt, address, took / 2)
+        }[outcome]  # fmt: skip
+        if now > 3900 and outcome == SUCCEEDED:
+            duration *= 6  # all upstreams become slow
+        if outcome == SUCCEEDED and duration >= timeout:
+            outcome, duration = TIMED_OUT, timeout
+        if outcome == SUCCEEDED and (instance, request_id) in self.streams:
+            self.schedule(
+                now + duration / 2,
+                encode_record(
+                    RESPONSE_STARTED, ">IQH6sd", instance, request_id, attempt, address, duration / 2
+                ),
             )
-        self.result(now + took, instance, request_id, attempt, took, how, address)
-
-    def result(
-        self, when: float, instance: int, request_id: int, attempt: int, took: float, how: int, address: bytes
+        self.schedule_result(now + duration, instance, request_id, attempt, duration, outcome, address)
+
+    def schedule_result(
+        self,
+        when: float,
+        instance: int,
+        request_id: int,
+        attempt: int,
+        duration: float,
+        outcome: int,
+        address: bytes,
     ) -> None:
-        complete = how == ANSWERED
-        fields = instance, request_id, attempt, took, complete, how, address, 1
-        self.at(when, record_of(RESULT, ">IQHdBB6sB", *fields, rest=pack(">f", 0.25)))
-
-    def deliver(self, when: float, instance: int, scope: int, rows: list[tuple]) -> None:
-        if scope != FAILED:
-            self.lists += 1
-            self.at(when, server_list(self.lists, rows))
-        self.at(when, record_of(DELIVERY, ">IIBH", instance, self.lists, scope, self.lists))
-
-    def request(self, when: float, instance: int, request_id: int, kind: int) -> None:
-        again, key = self.chance.random() < 0.1, 1 + request_id % 3 if kind == 3 else 0
-        limit = when + (700 if kind != 4 else 900)
-        if kind == 4:
+        complete = outcome == SUCCEEDED
+        fields = instance, request_id, attempt, duration, complete, outcome, address, 1
+        self.schedule(when, encode_record(ATTEMPT_FINISHED, ">IQHdBB6sB", *fields, rest=pack(">f", 0.25)))
+
+    def schedule_list(self, when: float, instance: int, scope: int, entries: list[tuple]) -> None:
+        if scope != POLL_FAILED:
+            self.list_count += 1
+            self.schedule(when, endpoint_list(self.list_count, entries))
+        self.schedule(
+            when, encode_record(DISCOVERY_UPDATE, ">IIBH", instance, self.list_count, scope, self.list_count)
+        )
+
+    def schedule_request(self, when: float, instance: int, request_id: int, class_index: int) -> None:
+        is_repeated, key = self.rng.random() < 0.1, 1 + request_id % 3 if class_index == 3 else 0
+        deadline = when + (700 if class_index != 4 else 900)
+        if class_index == 4:
             self.streams.add((instance, request_id))
-        fields = instance, request_id, kind, request_id % 3 // 2, key, limit, 0.0, 2 * again
-        self.at(when, record_of(REQUEST, ">IQBIQddB", *fields))
+        fields = instance, request_id, class_index, request_id % 3 // 2, key, deadline, 0.0, 2 * is_repeated
+        self.schedule(when, encode_record(REQUEST_RECEIVED, ">IQBIQddB", *fields))
         if request_id % 23 == 0:
-            self.at(when + 15, record_of(CLIENT_LEFT, ">IQ", instance, request_id))
+            self.schedule(when + 15, encode_record(CLIENT_DISCONNECTED, ">IQ", instance, request_id))
 
 
-def servers(now: float, count: int = 6) -> list[tuple]:
-    """The list's rows; the last server has just started."""
-    rows = [(-9000.0, 1.0, n % 3, n % 2, bytes((10, 0, 0, n, 31, 64)), READY) for n in range(1, count)]
-    return [*rows, (now - 100.0, 2.0, count % 3, count % 2, bytes((10, 0, 0, count, 31, 64)), READY)]
+def endpoint_entries(now: float, count: int = 6) -> list[tuple]:
+    """Return the entries of an endpoint list, of which the last has just started."""
+    entries = [(-9000.0, 1.0, n % 3, n % 2, bytes((10, 0, 0, n, 31, 64)), READY) for n in range(1, count)]
+    return [*entries, (now - 100.0, 2.0, count % 3, count % 2, bytes((10, 0, 0, count, 31, 64)), READY)]
 
 
-def record() -> str:
-    """The transcript as text: for each batch, a line with what comes in and one with what goes out."""
+def record_transcript() -> str:
+    """Return the transcript as text: a line `in` for each batch and a line `out` for its reply, in hex."""
     recorder = Recorder()
-    recorder.at(1, start(1, SETTINGS))
-    recorder.at(1, start(2, ON_REQUEST))
-    recorder.at(1, start(3, SETTINGS))
-    recorder.request(2, 3, 1, 0)  # before it has any server
-    recorder.deliver(4, 1, WHOLE, servers(4))
-    recorder.deliver(4, 2, WHOLE, servers(4)[:4])
-    recorder.at(5, record_of(NOTE, ">IIH", 1, 2, 4, rest=b"note"))
+    recorder.schedule(1, instance_start(1, SETTINGS))
+    recorder.schedule(1, instance_start(2, POLLING_SETTINGS))
+    recorder.schedule(1, instance_start(3, SETTINGS))
+    recorder.schedule_request(2, 3, 1, 0)  # before the instance has any endpoint
+    recorder.schedule_list(4, 1, FULL_LIST, endpoint_entries(4))
+    recorder.schedule_list(4, 2, FULL_LIST, endpoint_entries(4)[:4])
+    recorder.schedule(5, encode_record(PEER_MESSAGE, ">IIH", 1, 2, 4, rest=b"note"))
     request_id, when = 0, 10.0
     while when < 4700:
         request_id += 1
-        when += recorder.chance.expovariate(1 / 22) if not 3800 < when < 4300 else 6
-        kind = recorder.chance.choices(range(5), (5, 3, 2, 2, 1))[0]
-        recorder.request(when, 2 if request_id % 5 == 0 else 1, request_id, kind)
-    drained = [(*servers(4)[0][:5], DRAINING)]
-    recorder.deliver(2400, 1, CHANGES, drained)
-    recorder.deliver(2600, 1, CHANGES, [(*drained[0][:5], GONE)])
-    recorder.deliver(3400, 1, FAILED, [])
-    recorder.deliver(3500, 1, WHOLE, servers(3500, 7))
-    recorder.request(4720, 1, 9001, 200)  # a class that there is not
-    recorder.at(4730, record_of(KILL, ">I", 2))
-    recorder.at(4740, start(2, ON_REQUEST))
-    recorder.deliver(4741, 2, WHOLE, [])
-    recorder.request(4750, 2, 9002, 2)
+        when += recorder.rng.expovariate(1 / 22) if not 3800 < when < 4300 else 6
+        class_index = recorder.rng.choices(range(5), (5, 3, 2, 2, 1))[0]
+        recorder.schedule_request(when, 2 if request_id % 5 == 0 else 1, request_id, class_index)
+    draining_entry = [(*endpoint_entries(4)[0][:5], DRAINING)]
+    recorder.schedule_list(2400, 1, DELTA_LIST, draining_entry)
+    recorder.schedule_list(2600, 1, DELTA_LIST, [(*draining_entry[0][:5], REMOVED)])
+    recorder.schedule_list(3400, 1, POLL_FAILED, [])
+    recorder.schedule_list(3500, 1, FULL_LIST, endpoint_entries(3500, 7))
+    recorder.schedule_request(4720, 1, 9001, 200)  # a request class that does not exist
+    recorder.schedule(4730, encode_record(INSTANCE_STOP, ">I", 2))
+    recorder.schedule(4740, instance_start(2, POLLING_SETTINGS))
+    recorder.schedule_list(4741, 2, FULL_LIST, [])
+    recorder.schedule_request(4750, 2, 9002, 2)
     recorder.run()
     return "".join(f"in {batch.hex()}\nout {reply.hex()}\n" for batch, reply in recorder.batches)
 
 
-def transcript() -> list[tuple[bytes, bytes]]:
-    """The recorded batches and replies."""
+def read_transcript() -> list[tuple[bytes, bytes]]:
+    """Return the recorded batches and replies."""
     lines = [line.split() for line in read_golden(TRANSCRIPT).splitlines()]
     assert [line[0] for line in lines] == ["in", "out"] * (len(lines) // 2)
     data = [bytes.fromhex(line[1]) for line in lines]
     return list(zip(data[::2], data[1::2], strict=True))
 
 
-def test_each_reply_of_the_recorded_transcript_is_the_same_to_the_byte() -> None:
-    host, batches = Host(), transcript()
+def test_replayed_batches_get_the_recorded_replies_byte_for_byte() -> None:
+    host, batches = Host(), read_transcript()
     stream = BytesIO(b"".join(batch for batch, _ in batches))
     for number, (_, expected) in enumerate(batches):
-        got = host.handle_batch(read_batch(stream))
-        assert got.hex() == expected.hex(), f"reply to batch {number}"
+        reply = host.handle_batch(read_batch(stream))
+        assert reply.hex() == expected.hex(), f"reply to batch {number}"
     assert read_batch(stream) is None
 
 
-def test_the_transcript_holds_every_action_of_the_balancer_and_every_record_of_the_simulator() -> None:
-    came, went = set(), set()
-    for batch, reply in transcript():
-        came |= {RECORD_CODES[type(record)] for record in decode_records(read_batch(BytesIO(batch)))}
-        went |= {code for code, _ in actions(reply)}
-    assert came == set(range(16, 27))
-    assert went == {FAULT, SET_TIMER, FAIL, REJECT, ASK_LIST, PROBE, CANCEL, SEND}
+def test_transcript_contains_every_record_and_every_action_that_the_policy_takes() -> None:
+    record_codes, action_codes = set(), set()
+    for batch, reply in read_transcript():
+        record_codes |= {RECORD_CODES[type(record)] for record in decode_records(read_batch(BytesIO(batch)))}
+        action_codes |= {code for code, _ in decode_actions(reply)}
+    assert record_codes == set(range(16, 27))
+    assert action_codes == {
+        FAULT,
+        SET_TIMER,
+        FAIL,
+        REJECT,
+        POLL_ENDPOINTS,
+        CHECK_HEALTH,
+        CANCEL,
+        SEND_ATTEMPT,
+    }
 
 
 @pytest.mark.parametrize(
@@ -285,9 +322,9 @@
         (encoders.fault(3, "text"), "110000000a00000003000474657874"),
     ],
 )
-def test_actions_that_no_transcript_holds_are_encoded_as_before(encoded: bytes, expected: str) -> None:
+def test_actions_missing_from_the_transcript_are_encoded_as_before(encoded: bytes, expected: str) -> None:
     assert encoded.hex() == expected
 
 
 if __name__ == "__main__":
-    write_golden(TRANSCRIPT, record())
+    write_golden(TRANSCRIPT, record_transcript())
