--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,10 +1,11 @@
-"""What a request costs a balancer on real sockets, paired over two trees.
+"""CPU time of a request in a balancer on real sockets, compared between two source trees.
 
     python benchmarks/path.py --rounds 8 BEFORE AFTER
 
-Each tree is a checkout with its own `.venv`, or takes this interpreter. In turn each serves the same number
-of requests over a few persistent connections on loopback; printed are the balancer's CPU microseconds a
-request, by round, and the median of the ratios.
+Each tree is a checkout; it uses its own `.venv` if it has one, otherwise the interpreter of this script. In
+each round both serve the same number of requests over a few persistent connections on loopback, one after the
+other. The script prints the CPU microseconds of a balancer per request in each round, and the median of the
+ratios.
 """
 
 import argparse
@@ -25,15 +26,15 @@
 
 
 class UpstreamServer(asyncio.Protocol):
-    """An upstream that answers at once."""
+    """An upstream that responds immediately."""
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """As asyncio."""
+        """Store the transport of a new connection."""
         self.transport = transport
         self.received = b""
 
     def data_received(self, data: bytes) -> None:
-        """As asyncio."""
+        """Respond to each request that is complete."""
         self.received += data
         while b"\r\n\r\n" in self.received:
             _, _, self.received = self.received.partition(b"\r\n\r\n")
@@ -47,11 +48,11 @@
         self.servers = servers
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """As asyncio."""
+        """Store the transport of a new connection."""
         self.transport = transport
 
     def data_received(self, _data: bytes) -> None:
-        """As asyncio."""
+        """Start a watch: send the complete list, then keepalives."""
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.write_line(json.dumps({"version": 1, "full": True, "servers": self.servers}).encode() + b"\n")
         self.send_keepalive()
@@ -61,7 +62,7 @@
         self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
     def send_keepalive(self) -> None:
-        """Write an empty line, each second."""
+        """Write an empty line, and schedule the next one a second later."""
         if not self.transport.is_closing():
             self.write_line(b"\n")
             asyncio.get_running_loop().call_later(1, self.send_keepalive)
@@ -81,7 +82,7 @@
 
 
 def configuration(listen: str, discovery: str) -> dict:
-    """The platform's configuration of a balancer with one request class, in the platform's own words."""
+    """Return the platform's JSON configuration of a balancer with one request class."""
     request_class = {"name": "query", "service-goal": 1e3, "hard-limit": 3e3, "semantics": "idempotent"}
     return {
         "listen": listen,
@@ -94,7 +95,7 @@
 
 
 async def free_address() -> tuple[str, int]:
-    """An address on loopback that nobody listens on."""
+    """Return a loopback address on which nothing listens."""
     server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
     address = server.sockets[0].getsockname()
     server.close()
@@ -102,7 +103,7 @@
 
 
 async def warm_up(address: tuple[str, int]) -> None:
-    """Send requests until the balancer has started and answered some."""
+    """Retry until the balancer has started and answered `WARMUP_REQUESTS` requests."""
     for _ in range(START_ATTEMPTS):
         try:
             await send_requests(address, WARMUP_REQUESTS, b"w")
@@ -113,12 +114,18 @@
 
 
 async def measure(tree: Path, count: int, command: Callable[[dict], list[str]] | None = None) -> float:
-    """CPU microseconds a request; `command`: from the configuration to the program's arguments."""
+    """Return the CPU microseconds of a balancer per request.
+
+    Args:
+        tree: The checkout from which the balancer runs.
+        count: The number of requests.
+        command: A function that takes the configuration and returns the program's arguments; None for none.
+    """
     loop = asyncio.get_running_loop()
     upstream = await loop.create_server(UpstreamServer, "127.0.0.1", 0)
     port = upstream.sockets[0].getsockname()[1]
-    row = {"id": "s", "addr": f"127.0.0.1:{port}", "zone": "a", "cell": 0, "state": "up", "started_ms": 0}
-    discovery = await loop.create_server(lambda: DiscoveryServer([row]), "127.0.0.1", 0)
+    entry = {"id": "s", "addr": f"127.0.0.1:{port}", "zone": "a", "cell": 0, "state": "up", "started_ms": 0}
+    discovery = await loop.create_server(lambda: DiscoveryServer([entry]), "127.0.0.1", 0)
     discovery_port = discovery.sockets[0].getsockname()[1]
     address = await free_address()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
@@ -133,25 +140,27 @@
             stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
         await warm_up(address)
-        before = cpu_seconds(process.pid)
-        requests_each = count // CONNECTIONS
-        await asyncio.gather(*(send_requests(address, requests_each, b"%d" % n) for n in range(CONNECTIONS)))
-        spent = cpu_seconds(process.pid) - before
+        start_seconds = cpu_seconds(process.pid)
+        requests_per_connection = count // CONNECTIONS
+        await asyncio.gather(
+            *(send_requests(address, requests_per_connection, b"%d" % n) for n in range(CONNECTIONS))
+        )
+        spent_seconds = cpu_seconds(process.pid) - start_seconds
         process.terminate()
         await process.wait()
     upstream.close()
     discovery.close()
-    return spent / (requests_each * CONNECTIONS) * MICROSECONDS_PER_SECOND
+    return spent_seconds / (requests_per_connection * CONNECTIONS) * MICROSECONDS_PER_SECOND
 
 
 def cpu_seconds(pid: int) -> float:
-    """The CPU time of a process."""
+    """Return the user and system CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("before", type=Path)
     parser.add_argument("after", type=Path)
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -1,11 +1,16 @@
-"""Membership over sizes and bad networks, simulated: `python experiments/fleets.py OUT [--jobs 4] [--small | --large]`.
-
-Writes OUT/members.json, OUT/members.md and charts. Detection: all instances know each other, ten calm periods, then
-one is killed; the time until the first and until the last of the others has it out of its view; bytes a second an
-instance in the calm before. False deaths: no instance ends; datagrams are lost, and in half of the runs one instance is
-stopped for 3 s of every 20; each reported death is false. Beside it the same protocol without local health awareness,
-and without indirect probes. `--large` has false deaths alone, at 500 and 2,000 instances, which takes an hour or two of
-one machine, and writes OUT/members-large.md as the cells come.
+"""Simulated membership by cluster size and datagram loss: `python experiments/fleets.py OUT [--jobs 4] [--small | --large]`.
+
+Writes OUT/members.json, OUT/members.md and charts. Two quantities are measured.
+
+Detection: all instances know each other, and after ten periods without faults one is killed. Measured are the times
+until the first and the last of the others removes it from its view, and the bytes per second and instance before.
+
+False deaths: no instance ends, datagrams are lost, and in half of the runs one instance is stopped for 3 s of every 20,
+so each reported death is false. The protocol is compared with variants without local health awareness and without
+indirect probes.
+
+`--large` measures only false deaths, at 500 and 2,000 instances. It takes an hour or two on one machine, and updates
+OUT/members-large.md after each run.
 """
 
 import argparse
@@ -25,39 +30,39 @@
 from dahliabend.simulation.cluster.script import Fleet, S
 from dahliabend.simulation.cluster.simulated_cluster import SimulatedCluster
 
-WAYS: dict[str, dict[str, int]] = {
+VARIANTS: dict[str, dict[str, int]] = {
     "as it is": {},
     "no health awareness": {"max_health_score": 0},
     "nobody else asked": {"indirect_probes": 0},
 }
-DEFAULT_WAY = "as it is"
+DEFAULT_VARIANT = "as it is"
 SIZES = {5: 100, 50: 100, 500: 100, 2000: 20}  # instances: seeds
 SMALL_SIZES = {5: 5, 50: 2}
-MAX_COMPARED_SIZE = 50  # instances up to which all ways are measured
+MAX_COMPARED_SIZE = 50  # instances up to which all variants are measured
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
 FALSE_DEATH_RUNS = {5: (40, 300), 50: (5, 60)}  # instances: seeds, seconds
 LARGE_RUNS = {2000: 40, 500: 40}  # instances: seconds, one seed
-MAX_LARGE_COMPARED_SIZE = 500  # beyond, the protocol as it is, stops and two losses alone
+MAX_LARGE_COMPARED_SIZE = 500  # larger clusters run only the default variant, with stops, at `LARGE_LOSSES`
 LARGE_LOSSES = (0.1, 0.3)
-CALM, LONGEST = 10 * S, 120 * S
+CALM_TIME, MAX_DETECTION_TIME = 10 * S, 120 * S
 STOP_PERIOD_SECONDS, STOP_SECONDS = 20, 3
 HOUR_SECONDS = 3600
 
-Row = dict[str, Any]  # of the results, as JSON
+Row = dict[str, Any]  # the results of one run, as written to the JSON file
 
 
 class DetectionTask(NamedTuple):
-    """One kill."""
+    """A run in which one instance is killed."""
 
-    way: str
+    variant: str
     count: int
     seed: int
 
 
 class FalseDeathTask(NamedTuple):
-    """One run in which no instance ends."""
+    """A run in which no instance ends."""
 
-    way: str
+    variant: str
     count: int
     seed: int
     loss: float
@@ -66,45 +71,47 @@
 
     @property
     def key(self) -> tuple[int, float, bool, str]:
-        """Its cell of the page's table."""
+        """The cell of the results table that the run fills."""
         return self.count, self.loss, self.has_stops, self.way
 
 
 def detect(task: DetectionTask) -> Row:
     """Kill one instance, and measure when the others notice."""
-    way, count, seed = task
-    model = ClusterModel(Fleet(seed=seed, instances=count), SwimConfig(**WAYS[way]), starts_warm=True)
+    variant, count, seed = task
+    model = ClusterModel(Fleet(seed=seed, instances=count), SwimConfig(**VARIANTS[variant]), starts_warm=True)
     for number in range(count):
         model.start_instance(number)
     model.assume_full_membership()
     cluster = model.cluster
     cluster.bytes = 0
-    cluster.run(CALM)
-    rate = cluster.bytes / (CALM / S) / count
+    cluster.run(CALM_TIME)
+    rate = cluster.bytes / (CALM_TIME / S) / count
     killed_at, killed = cluster.now, cluster.rng.randrange(count)
     model.stop_instance(killed)
-    noticed: dict[int, int] = {}
-    while cluster.now < killed_at + LONGEST and len(noticed) < count - 1:
+    removal_times: dict[int, int] = {}
+    while cluster.now < killed_at + MAX_DETECTION_TIME and len(removal_times) < count - 1:
         cluster.run(S)
         deaths = [change for change in model.membership_changes if change.kind == "died"]
-        noticed = {change.observer: change.at for change in deaths if change.subject == killed}
-    false = sum(change.kind == "died" and change.subject != killed for change in model.membership_changes)
-    times = sorted(noticed.values())
+        removal_times = {change.observer: change.at for change in deaths if change.subject == killed}
+    false_deaths = sum(
+        change.kind == "died" and change.subject != killed for change in model.membership_changes
+    )
+    times = sorted(removal_times.values())
     return {
-        "way": way,
+        "way": variant,
         "count": count,
         "seed": seed,
         "rate": rate,
-        "false": false,
-        "known": len(noticed),
+        "false": false_deaths,
+        "known": len(removal_times),
         "first": (times[0] - killed_at) / S if times else None,
         "full": (times[-1] - killed_at) / S if times else None,
     }
 
 
 def count_false_deaths(task: FalseDeathTask) -> Row:
-    """Run without an end of any instance, and count the reported deaths."""
-    config = SwimConfig(sync_interval=10, **WAYS[task.way])
+    """Run a cluster in which no instance ends, and count the reported deaths."""
+    config = SwimConfig(sync_interval=10, **VARIANTS[task.variant])
     cluster = SimulatedCluster(task.count, task.seed, task.loss, config)
     for _ in range(task.seconds // STOP_PERIOD_SECONDS):
         if task.has_stops:
@@ -112,7 +119,7 @@
         cluster.run(STOP_PERIOD_SECONDS * S)
     machines = cluster.machines.values()
     return {
-        "way": task.way,
+        "way": task.variant,
         "count": task.count,
         "seed": task.seed,
         "loss": task.loss,
@@ -124,16 +131,16 @@
 
 
 def large_tasks() -> Iterator[FalseDeathTask]:
-    """The runs of large clusters, the longest first."""
+    """Yield the runs of large clusters, longest first."""
     for count, seconds in LARGE_RUNS.items():
-        for loss, way, has_stops in product(reversed(LOSSES), WAYS, (False, True)):
-            is_needed = way == DEFAULT_WAY and has_stops and loss in LARGE_LOSSES
+        for loss, variant, has_stops in product(reversed(LOSSES), VARIANTS, (False, True)):
+            is_needed = variant == DEFAULT_VARIANT and has_stops and loss in LARGE_LOSSES
             if count <= MAX_LARGE_COMPARED_SIZE or is_needed:
-                yield FalseDeathTask(way, count, 0, loss, has_stops, seconds)
+                yield FalseDeathTask(variant, count, 0, loss, has_stops, seconds)
 
 
 def run_large(out: Path, jobs: int) -> None:
-    """Measure large clusters. Results are kept as they come, and cells that are done are not run again."""
+    """Measure large clusters; write the results after each run, and skip runs whose results are already there."""
     results = out / "members-large.json"
     rows: list[Row] = json.loads(results.read_text()) if results.exists() else []
     done = {(row["count"], row["loss"], row["stops"], row["way"]): row for row in rows}
@@ -146,7 +153,7 @@
 
 
 def large_page(rows: list[Row]) -> str:
-    """The results of large clusters as a page."""
+    """Return the results of large clusters as a Markdown page."""
     text = [
         "# False deaths in large fleets",
         "",
@@ -166,23 +173,23 @@
 
 
 def yes_or_no(value: bool) -> str:
-    """A flag as text."""
+    """Return a flag as text."""
     return "yes" if value else "no"
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The value that a share of the others is below."""
+    """Return a percentile of the values; `share` is from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
 def times_of(rows: list[Row], key: str) -> list[float]:
-    """The times of a key, without those that never came."""
+    """Return the times in a column, without those of runs in which the event did not occur."""
     return [row[key] for row in rows if row[key] is not None]
 
 
-def page(detected: list[Row], false: list[Row]) -> str:
-    """The results as a page."""
+def results_page(detections: list[Row], false_deaths: list[Row]) -> str:
+    """Return the results as a Markdown page."""
     out = [
         "# Membership, measured",
         "",
@@ -194,47 +201,47 @@
         "| instances | seeds | way | first, p50 / p99 (s) | all, p50 / p99 (s) | bytes a second an instance | false |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for count in sorted({row["count"] for row in detected}):
-        for way in WAYS:
-            rows = [row for row in detected if row["count"] == count and row["way"] == way]
+    for count in sorted({row["count"] for row in detections}):
+        for variant in VARIANTS:
+            rows = [row for row in detections if row["count"] == count and row["way"] == variant]
             if rows:
-                out.append(detection_row(count, way, rows))
-    for count in sorted({row["count"] for row in false}):
-        out += false_death_table(count, [row for row in false if row["count"] == count])
+                out.append(detection_row(count, variant, rows))
+    for count in sorted({row["count"] for row in false_deaths}):
+        out += false_death_table(count, [row for row in false_deaths if row["count"] == count])
     return "\n".join(out) + "\n"
 
 
-def detection_row(count: int, way: str, rows: list[Row]) -> str:
-    """One row of the table of detections."""
+def detection_row(count: int, variant: str, rows: list[Row]) -> str:
+    """Return one row of the table of detections."""
     first, full = times_of(rows, "first"), times_of(rows, "full")
     return (
-        f"| {count} | {len(rows)} | {way} | {percentile(first, 0.5):.1f} / {percentile(first, 0.99):.1f} | "
+        f"| {count} | {len(rows)} | {variant} | {percentile(first, 0.5):.1f} / {percentile(first, 0.99):.1f} | "
         f"{percentile(full, 0.5):.1f} / {percentile(full, 0.99):.1f} | "
         f"{sum(row['rate'] for row in rows) / len(rows):.0f} | {sum(row['false'] for row in rows)} |"
     )
 
 
 def false_death_table(count: int, rows: list[Row]) -> list[str]:
-    """The table of false deaths in clusters of one size."""
-    hours = sum(row["hours"] for row in rows) / (len(WAYS) * len(LOSSES) * 2)
+    """Return the lines of the table of false deaths in clusters of one size."""
+    hours = sum(row["hours"] for row in rows) / (len(VARIANTS) * len(LOSSES) * 2)
     out = [
         "",
         f"## False deaths, {count} instances, {hours:.1f} instance-hours a cell",
         "",
-        "| datagrams lost | one stops 3 s in 20 | " + " | ".join(WAYS) + " | bytes a second, as it is |",
-        "| --- | --- |" + " --- |" * (len(WAYS) + 1),
+        "| datagrams lost | one stops 3 s in 20 | " + " | ".join(VARIANTS) + " | bytes a second, as it is |",
+        "| --- | --- |" + " --- |" * (len(VARIANTS) + 1),
     ]
     for loss, has_stops in product(LOSSES, (False, True)):
         cell = [row for row in rows if row["loss"] == loss and row["stops"] == has_stops]
-        deaths = [str(sum(row["deaths"] for row in cell if row["way"] == way)) for way in WAYS]
-        rates = [row["rate"] for row in cell if row["way"] == DEFAULT_WAY]
+        deaths = [str(sum(row["deaths"] for row in cell if row["way"] == variant)) for variant in VARIANTS]
+        rates = [row["rate"] for row in cell if row["way"] == DEFAULT_VARIANT]
         rate = sum(rates) / max(1, len(rates))
         out.append(f"| {loss:.0%} | {yes_or_no(has_stops)} | {' | '.join(deaths)} | {rate:.0f} |")
     return out
 
 
-def write_charts(directory: Path, detected: list[Row], false: list[Row]) -> None:
-    """Draw the results."""
+def write_charts(directory: Path, detections: list[Row], false_deaths: list[Row]) -> None:
+    """Write the charts of the results."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -242,7 +249,7 @@
     from matplotlib import pyplot
 
     def finish(name: str, x_label: str, y_label: str, *, is_logarithmic: bool = True) -> None:
-        """Save the chart."""
+        """Label and save the current chart."""
         pyplot.xlabel(x_label)
         pyplot.ylabel(y_label)
         if is_logarithmic:
@@ -252,66 +259,70 @@
         pyplot.savefig(directory / name, metadata={"Date": None})
         pyplot.close()
 
-    sizes = sorted({row["count"] for row in detected})
-    default = [row for row in detected if row["way"] == DEFAULT_WAY]
+    sizes = sorted({row["count"] for row in detections})
+    default = [row for row in detections if row["way"] == DEFAULT_VARIANT]
     by_size = [[row for row in default if row["count"] == size] for size in sizes]
     for key, label in (("first", "the first knows"), ("full", "all know")):
         times = [[row[key] for row in rows if row[key]] for rows in by_size]
-        pyplot.plot(sizes, [percentile(each, 0.5) for each in times], marker="o", label=f"{label}, p50")
-        late = [percentile(each, 0.99) for each in times]
+        pyplot.plot(
+            sizes, [percentile(size_times, 0.5) for size_times in times], marker="o", label=f"{label}, p50"
+        )
+        late = [percentile(size_times, 0.99) for size_times in times]
         pyplot.plot(sizes, late, marker="x", linestyle=":", label=f"{label}, p99")
     finish("members-detection.svg", "instances", "seconds after the kill")
     rates = [sum(row["rate"] for row in rows) / len(rows) for rows in by_size]
     pyplot.plot(sizes, rates, marker="o", label="calm")
     finish("members-bytes.svg", "instances", "bytes a second an instance")
-    for way in WAYS:
-        cells = [[row for row in false if row["way"] == way and row["loss"] == loss] for loss in LOSSES]
+    for variant in VARIANTS:
+        cells = [
+            [row for row in false_deaths if row["way"] == variant and row["loss"] == loss] for loss in LOSSES
+        ]
         per_hour = [sum(r["deaths"] for r in cell) / sum(r["hours"] for r in cell) for cell in cells]
-        pyplot.plot([100 * loss for loss in LOSSES], per_hour, marker="o", label=way)
+        pyplot.plot([100 * loss for loss in LOSSES], per_hour, marker="o", label=variant)
     finish("members-false.svg", "datagrams lost, %", "false deaths an instance-hour", is_logarithmic=False)
 
 
 def run_default(out: Path, jobs: int, *, is_small: bool) -> None:
     """Measure detections and false deaths of small and medium clusters."""
-    detections = [
-        DetectionTask(way, count, seed)
+    detection_tasks = [
+        DetectionTask(variant, count, seed)
         for count, seeds in (SMALL_SIZES if is_small else SIZES).items()
-        for way in WAYS
+        for variant in VARIANTS
         for seed in range(seeds)
-        if count <= MAX_COMPARED_SIZE or way == DEFAULT_WAY
+        if count <= MAX_COMPARED_SIZE or variant == DEFAULT_VARIANT
     ]
     runs = [
-        FalseDeathTask(way, count, seed, loss, has_stops, seconds)
+        FalseDeathTask(variant, count, seed, loss, has_stops, seconds)
         for count, (seeds, seconds) in FALSE_DEATH_RUNS.items()
-        for way in WAYS
+        for variant in VARIANTS
         for loss in LOSSES
         for has_stops in (False, True)
         for seed in range(1 if is_small else seeds)
     ]
     with Pool(jobs) as pool:
-        detected = list(pool.imap_unordered(detect, reversed(detections)))
-        false = list(pool.imap_unordered(count_false_deaths, runs))
-    detected.sort(key=lambda row: (row["count"], row["way"], row["seed"]))
-    (out / "members.json").write_text(json.dumps({"detected": detected, "false": false}) + "\n")
-    (out / "members.md").write_text(page(detected, false))
-    write_charts(out, detected, false)
+        detections = list(pool.imap_unordered(detect, reversed(detection_tasks)))
+        false_deaths = list(pool.imap_unordered(count_false_deaths, runs))
+    detections.sort(key=lambda row: (row["count"], row["way"], row["seed"]))
+    (out / "members.json").write_text(json.dumps({"detected": detections, "false": false_deaths}) + "\n")
+    (out / "members.md").write_text(results_page(detections, false_deaths))
+    write_charts(out, detections, false_deaths)
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--small", action="store_true", help="A few seeds, up to 50 instances.")
     parser.add_argument("--large", action="store_true", help="False deaths at 500 and 2,000 instances alone.")
-    given = parser.parse_args()
-    given.out.mkdir(parents=True, exist_ok=True)
-    if given.large:
-        run_large(given.out, given.jobs)
+    arguments = parser.parse_args()
+    arguments.out.mkdir(parents=True, exist_ok=True)
+    if arguments.large:
+        run_large(arguments.out, arguments.jobs)
         return
-    began = time()
-    run_default(given.out, given.jobs, is_small=given.small)
-    print(f"{time() - began:.0f} s")
+    started_at = time()
+    run_default(arguments.out, arguments.jobs, is_small=arguments.small)
+    print(f"{time() - started_at:.0f} s")
 
 
 if __name__ == "__main__":
--- a/experiments/keys.py
+++ b/experiments/keys.py
@@ -1,7 +1,8 @@
-"""Memory of a balancer over a million ordering keys: `python experiments/keys.py`.
+"""Memory use of a balancer over a million requests with ordering keys: `python experiments/keys.py`.
 
-200 requests are in flight at a time, each with a key of its own or one of 20 popular ones; a third end in a timeout,
-reset or cancel. Prints what is traced after each 100,000, in KiB, and how many key queues and rests there are then.
+200 requests are in flight at a time, each with a unique key or one of 20 popular ones; a third end with a timeout,
+reset or cancellation. The script prints the traced memory in KiB and the numbers of key queues and key pauses after
+each 100,000 requests.
 """
 
 import sys
@@ -22,7 +23,7 @@
 KEYS = 1_000_000
 MAX_IN_FLIGHT = 200
 POPULAR_KEYS = 20
-POPULAR_INTERVAL = 10  # every so many requests one has a popular key
+POPULAR_INTERVAL = 10  # one in this many requests has a popular key
 FIRST_UNIQUE_KEY = 1_000
 FAILURE_SHARE = 1 / 3
 REPORT_INTERVAL = 100_000
@@ -30,13 +31,13 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Run the experiment."""
     policy, port = make_balancer(
         request_classes=(replace(DEDUPLICATED, is_ordered=True), IDEMPOTENT),
         key_pause=100 * MS,
         max_attempts=1,
     )
-    policy.concurrency.limit = 1e9  # no limit of concurrency
+    policy.concurrency.limit = 1e9  # effectively unlimited
     rng = Random(1)
     now = 100 * S
     in_flight: deque[RequestState] = deque()
@@ -61,9 +62,9 @@
         policy.timer_fired(now, TimerToken.KEY_PAUSE)
         port.clear()
         if number % REPORT_INTERVAL == 0:
-            traced = tracemalloc.get_traced_memory()[0] // 1024
+            traced_kib = tracemalloc.get_traced_memory()[0] // 1024
             print(
-                f"{number:9,} keys: {traced:6,} KiB, {len(policy.key_queues.queues)} lines, {len(policy.key_queues.pauses)} rests"
+                f"{number:9,} keys: {traced_kib:6,} KiB, {len(policy.key_queues.queues)} queues, {len(policy.key_queues.pauses)} pauses"
             )
 
 
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -1,8 +1,9 @@
-"""Health gossip beside none, with liars: `python experiments/signals.py OUT [--seeds 40] [--jobs 4] [--scenarios ...]`.
+"""Health gossip compared with none, also with false reports: `python experiments/signals.py OUT [--seeds 40] [--jobs 4]`.
 
-Writes OUT/signals.json and OUT/signals.md. Scenarios, sizes, measurements and intervals as in `subset_work.py`, with
-subsets and without. Besides the scenarios there, `cut`: eight balancers lose contact with a third of the upstreams,
-which serve the others as usual. Liars report all as dead, all as well, or their first report for ever.
+Writes OUT/signals.json and OUT/signals.md. Scenarios, sizes, measurements and intervals are those of `subset_work.py`,
+with subsets and without. In one more scenario, `cut`, eight balancers lose contact with a third of the upstreams, which
+serve the other balancers as usual. Lying balancers report all upstreams as dead, all as well, or repeat their first
+report for ever.
 """
 
 import argparse
@@ -25,16 +26,16 @@
 )
 
 
-class Way(NamedTuple):
-    """What balancers report to each other."""
+class Variant(NamedTuple):
+    """How balancers report the health of upstreams to each other."""
 
     has_gossip: bool
-    lies: dict[int, str]  # by balancer, see `LyingGossip`
-    check_period: int  # of leased health checks; 0: none
+    lies: dict[int, str]  # kind of lie by number of the balancer, see `LyingGossip`
+    check_period: int  # period of leased health checks in microseconds; 0 disables them
 
 
-def cut(model: WorkloadModel, rng: Random) -> None:
-    """Eight balancers lose contact with a third of the upstreams, for 20 s."""
+def lose_contact(model: WorkloadModel, rng: Random) -> None:
+    """Cut eight balancers off from a third of the upstreams for 20 s."""
     names = upstream_names(rng.sample(range(UPSTREAMS), UPSTREAMS // 3))
     upstreams = [model.upstreams_by_name[name] for name in names]
     for upstream in upstreams:
@@ -45,52 +46,52 @@
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "calm": workload.calm,
-    "bad": workload.bad,
-    "half": workload.half,
-    "zone": workload.zone,
-    "join": workload.join,
-    "herd": workload.herd,
-    "split": workload.split,
-    "cut": cut,
+    "calm": workload.run_without_fault,
+    "bad": workload.degrade_upstreams,
+    "half": workload.hang_half_of_upstreams,
+    "zone": workload.lose_zone,
+    "join": workload.replace_most_upstreams,
+    "herd": workload.kill_third_of_balancers,
+    "split": workload.split_membership,
+    "cut": lose_contact,
 }
-WAYS = {
-    "none": Way(False, {}, 0),
-    "signals": Way(True, {}, 0),
-    "signals, probing in 4 s": Way(True, {}, 4 * S),
-    "1 liar, dead": Way(True, {1: "dead"}, 0),
-    "2 liars, dead": Way(True, {1: "dead", 2: "dead"}, 0),
-    "2 liars, well and old": Way(True, {1: "well", 2: "old"}, 0),
+VARIANTS = {
+    "none": Variant(False, {}, 0),
+    "signals": Variant(True, {}, 0),
+    "signals, probing in 4 s": Variant(True, {}, 4 * S),
+    "1 liar, dead": Variant(True, {1: "dead"}, 0),
+    "2 liars, dead": Variant(True, {1: "dead", 2: "dead"}, 0),
+    "2 liars, well and old": Variant(True, {1: "well", 2: "old"}, 0),
 }
 BASE = "none"
 
 
 def run_one(task: tuple[str, bool, str, int]) -> Row:
-    """Run a scenario in one way with one seed, with subsets or without."""
-    scenario, has_subsets, way, seed = task
+    """Run a scenario with one variant and seed, with subsets or without; return its results."""
+    scenario, has_subsets, variant, seed = task
     model = WorkloadModel(
         Fleet(seed=seed, instances=BALANCERS, delay=workload.MESSAGE_DELAY),
         UPSTREAMS,
         workload.RATE,
-        workload.WAYS["subsets"].subset if has_subsets else None,
+        workload.VARIANTS["subsets"].subset if has_subsets else None,
         zones=workload.ZONES,
-        has_gossip=WAYS[way].has_gossip,
-        lies=WAYS[way].lies,
-        check_period=WAYS[way].check_period,
+        has_gossip=VARIANTS[variant].has_gossip,
+        lies=VARIANTS[variant].lies,
+        check_period=VARIANTS[variant].check_period,
     )
     model.start()
     model.run(workload.WARMUP_SECONDS * S)
     model.reset_metrics()
-    begin = model.now
+    start = model.now
     SCENARIOS[scenario](model, Random(f"{scenario} {seed}"))
     model.run(workload.SETTLE_SECONDS * S)
-    seconds = (model.now - begin) / S
+    seconds = (model.now - start) / S
     model.finish()
     metrics, counts = model.metrics, model.counts
     return {
         "scenario": scenario,
         "subsets": has_subsets,
-        "way": way,
+        "way": variant,
         "seed": seed,
         "share": 100 * metrics.served_share,
         "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
@@ -102,8 +103,8 @@
     }
 
 
-def page(rows: list[Row]) -> str:
-    """The results as a page."""
+def results_page(rows: list[Row]) -> str:
+    """Return the results as a Markdown page."""
     out = [
         "# Signals at work",
         "",
@@ -117,49 +118,51 @@
     ]
     for scenario in SCENARIOS:
         for has_subsets in (False, True):
-            first = workload.select(rows, scenario=scenario, subsets=has_subsets, way=BASE)
-            for way in WAYS:
-                some = workload.select(rows, scenario=scenario, subsets=has_subsets, way=way)
-                if some:
-                    out.append(table_row(scenario, has_subsets, way, some, first))
-    broken = sum(bool(row["broken"]) for row in rows)
-    return "\n".join([*out, "", f"Rules checked: {len(rows)} runs, {broken} broke one."]) + "\n"
-
-
-def table_row(scenario: str, has_subsets: bool, way: str, rows: dict[int, Row], first: dict[int, Row]) -> str:
-    """One row of the page's table; `first`: the rows of the base."""
-    both = sorted(rows.keys() & first.keys())
+            base_rows = workload.select(rows, scenario=scenario, subsets=has_subsets, way=BASE)
+            for variant in VARIANTS:
+                variant_rows = workload.select(rows, scenario=scenario, subsets=has_subsets, way=variant)
+                if variant_rows:
+                    out.append(table_row(scenario, has_subsets, variant, variant_rows, base_rows))
+    runs_with_violations = sum(bool(row["broken"]) for row in rows)
+    return "\n".join([*out, "", f"Rules checked: {len(rows)} runs, {runs_with_violations} broke one."]) + "\n"
+
+
+def table_row(
+    scenario: str, has_subsets: bool, variant: str, rows: dict[int, Row], base_rows: dict[int, Row]
+) -> str:
+    """Return one row of the table, with differences to the results of the base variant by seed."""
+    common_seeds = sorted(rows.keys() & base_rows.keys())
     cells = []
     for key, digits in (("share", 2), ("p99", 0)):
-        differences = [rows[seed][key] - first[seed][key] for seed in both]
-        beside = workload.format_difference(differences, digits) if way != BASE else ""
-        cells.append(f"{workload.mean_of(rows, key):.{digits}f}{beside}")
+        differences = [rows[seed][key] - base_rows[seed][key] for seed in common_seeds]
+        difference = workload.format_difference(differences, digits) if variant != BASE else ""
+        cells.append(f"{workload.mean_of(rows, key):.{digits}f}{difference}")
     probes, believed, size = (workload.mean_of(rows, key) for key in ("probes", "believed", "bytes"))
     fallen = sum(row["fallen"] for row in rows.values())
     return (
-        f"| {scenario} | {'yes' if has_subsets else 'no'} | {way} | {len(rows)} | {cells[0]} | {cells[1]} | "
+        f"| {scenario} | {'yes' if has_subsets else 'no'} | {variant} | {len(rows)} | {cells[0]} | {cells[1]} | "
         f"{probes:.1f} | {fallen} | {believed:.0f} | {size:.0f} |"
     )
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--scenarios", nargs="*", default=list(SCENARIOS))
-    parser.add_argument("--ways", nargs="*", default=list(WAYS))
-    given = parser.parse_args()
-    given.out.mkdir(parents=True, exist_ok=True)
+    parser.add_argument("--ways", nargs="*", default=list(VARIANTS))
+    arguments = parser.parse_args()
+    arguments.out.mkdir(parents=True, exist_ok=True)
     tasks = [
-        (scenario, has_subsets, way, seed)
-        for seed in range(given.seeds)
-        for scenario in given.scenarios
+        (scenario, has_subsets, variant, seed)
+        for seed in range(arguments.seeds)
+        for scenario in arguments.scenarios
         for has_subsets in (False, True)
-        for way in given.ways
+        for variant in arguments.ways
     ]
-    workload.run_all(run_one, tasks, given.jobs, given.out / "signals", page)
+    workload.run_all(run_one, tasks, arguments.jobs, arguments.out / "signals", results_page)
 
 
 if __name__ == "__main__":
--- a/experiments/subset_days.py
+++ b/experiments/subset_days.py
@@ -1,8 +1,9 @@
-"""Subsets of a whole cluster while faults are injected: `python experiments/subset_days.py OUT [--seeds 5]`.
+"""Subsets of all balancers of a cluster while faults are injected: `python experiments/subset_days.py OUT [--seeds 5]`.
 
-Writes OUT/subset-days.md. 60 balancers and 40 upstreams (200 and 100 for the split 150/50), period 1 s, degree 12,
-minimum 12, `hold` 60 s. Each second the load of all subsets is summed: the most loaded upstream over the mean, the
-smallest subset, pairs moved. Before, during (until 30 s after the end), and in the last 30 s.
+Writes OUT/subset-days.md. The cluster has 60 balancers and 40 upstreams (200 and 100 for the split 150/50), period 1 s,
+degree 12, minimum 12, `hold` 60 s. Each second the load of all subsets is summed up. Measured are the load of the most
+loaded upstream over the mean, the smallest subset, and the pairs of a balancer and an upstream that changed: before the
+fault, during it (until 30 s after its end), and in the last 30 s.
 """
 
 import sys
@@ -28,7 +29,7 @@
 
 
 class Scenario(NamedTuple):
-    """What happens, and in which cluster."""
+    """A fault, and the size of the cluster in which it is injected."""
 
     act: Action
     balancers: int = BALANCERS
@@ -36,12 +37,12 @@
 
 
 class Measurement(NamedTuple):
-    """The worst seconds of one run."""
+    """The worst seconds of each phase of one run."""
 
     before: WorstSample
     during: WorstSample
     after: WorstSample
-    subset_size: int  # of one balancer, at the end
+    subset_size: int  # size of the subset of balancer 0 at the end
 
 
 def measure(seed: int, scenario: Scenario) -> Measurement:
@@ -74,53 +75,53 @@
     model.run(wait * S)
 
 
-def herd(model: SubsetModel, rng: Random) -> None:
-    """A third of the balancers dies at once and returns."""
+def kill_third_of_balancers(model: SubsetModel, rng: Random) -> None:
+    """Kill a third of the balancers at once, and start them again."""
     third = rng.sample(range(60), 20)
     apply_step(model, "kill", third, wait=45)
     apply_step(model, "start", third, wait=15)
 
 
-def rolling(model: SubsetModel, _rng: Random) -> None:
-    """All balancers restart in turn, and half of the upstreams is replaced."""
+def restart_all_balancers(model: SubsetModel, _rng: Random) -> None:
+    """Restart all balancers in turn, and replace half of the upstreams meanwhile."""
     for number in range(60):
         apply_step(model, "restart", [number], wait=1)
         if number % 3 == 0:
             model.replace_upstreams(1)
 
 
-def replaced(model: SubsetModel, rng: Random) -> None:
-    """Six in ten upstreams are replaced in 7 s."""
+def replace_most_upstreams(model: SubsetModel, rng: Random) -> None:
+    """Replace six in ten upstreams within 7 s."""
     for _ in range(7):
         model.replace_upstreams(3 + rng.randrange(2))
         model.run(S)
 
 
-def split(model: SubsetModel, _rng: Random) -> None:
-    """Membership in parts of 150 and 50 for 90 s."""
+def split_membership(model: SubsetModel, _rng: Random) -> None:
+    """Partition the membership into 150 and 50 balancers for 90 s."""
     apply_step(model, "split", parts=[list(range(150)), list(range(150, 200))], span=90, wait=95)
 
 
-def short_split(model: SubsetModel, _rng: Random) -> None:
-    """Membership in parts of 45 and 15 for 40 s."""
+def split_membership_briefly(model: SubsetModel, _rng: Random) -> None:
+    """Partition the membership into 45 and 15 balancers for 40 s."""
     apply_step(model, "split", parts=[list(range(45)), list(range(45, 60))], span=40, wait=45)
 
 
-def paused(model: SubsetModel, rng: Random) -> None:
-    """One balancer is stopped for a minute; a quarter of the upstreams is replaced meanwhile."""
+def pause_balancer(model: SubsetModel, rng: Random) -> None:
+    """Stop one balancer for a minute, and replace a quarter of the upstreams meanwhile."""
     apply_step(model, "stop", [rng.randrange(60)], span=60, wait=10)
     model.replace_upstreams(10)
     model.run(55 * S)
 
 
-def flaps(model: SubsetModel, _rng: Random) -> None:
-    """One balancer comes and goes, 2 s down in 4."""
+def flap_balancer(model: SubsetModel, _rng: Random) -> None:
+    """Kill and start one balancer repeatedly, 2 s down in every 4 s."""
     for _ in range(15):
         apply_step(model, "kill", [7], span=2, wait=4)
 
 
-def flapping_upstreams(model: SubsetModel, rng: Random) -> None:
-    """Upstreams leave the list for a second, one after the other."""
+def flap_upstreams(model: SubsetModel, rng: Random) -> None:
+    """Remove one upstream after the other from the endpoint list for a second."""
     for _ in range(20):
         removed = model.pool.pop(rng.randrange(len(model.pool)))
         model.run(S)
@@ -128,41 +129,41 @@
         model.run(2 * S)
 
 
-def lost(model: SubsetModel, _rng: Random) -> None:
-    """Three in ten datagrams are lost for a minute."""
+def lose_datagrams(model: SubsetModel, _rng: Random) -> None:
+    """Drop three in ten datagrams for a minute."""
     apply_step(model, "lose", size=0.3, span=60, wait=65)
 
 
 SCENARIOS = {
-    "a third dies at once and returns": Scenario(herd),
-    "all restarted in turn, half of the pool replaced": Scenario(rolling),
-    "six in ten upstreams replaced in 7 s": Scenario(replaced),
-    "parts of 150 and 50, 90 s": Scenario(split, LARGE_BALANCERS, LARGE_UPSTREAMS),
-    "parts of 45 and 15, 40 s": Scenario(short_split),
-    "one stopped for a minute, a quarter replaced meanwhile": Scenario(paused),
-    "one flaps, 2 s down in 4": Scenario(flaps),
-    "upstreams flap, one out in turn": Scenario(flapping_upstreams),
-    "three in ten datagrams lost": Scenario(lost),
+    "a third dies at once and returns": Scenario(kill_third_of_balancers),
+    "all restarted in turn, half of the pool replaced": Scenario(restart_all_balancers),
+    "six in ten upstreams replaced in 7 s": Scenario(replace_most_upstreams),
+    "parts of 150 and 50, 90 s": Scenario(split_membership, LARGE_BALANCERS, LARGE_UPSTREAMS),
+    "parts of 45 and 15, 40 s": Scenario(split_membership_briefly),
+    "one stopped for a minute, a quarter replaced meanwhile": Scenario(pause_balancer),
+    "one flaps, 2 s down in 4": Scenario(flap_balancer),
+    "upstreams flap, one out in turn": Scenario(flap_upstreams),
+    "three in ten datagrams lost": Scenario(lose_datagrams),
 }
 
 
 def table_row(name: str, scenario: Scenario, seeds: int) -> str:
-    """Run a scenario with its seeds; the worst of these as a row of the page's table."""
+    """Run a scenario with its seeds; return the worst values as a row of the table."""
     seed_count = 1 if scenario.balancers == LARGE_BALANCERS else seeds
-    found = [measure(seed, scenario) for seed in range(seed_count)]
+    measurements = [measure(seed, scenario) for seed in range(seed_count)]
     phases = [
-        [each.before for each in found],
-        [each.during for each in found],
-        [each.after for each in found],
+        [measurement.before for measurement in measurements],
+        [measurement.during for measurement in measurements],
+        [measurement.after for measurement in measurements],
     ]
     imbalance = ", ".join(f"{max(sample.imbalance for sample in phase):.2f}" for phase in phases)
     smallest = ", ".join(str(min(sample.min_subset for sample in phase)) for phase in phases)
-    moved = max(each.during.moved / each.subset_size for each in found)
-    return f"| {name} | {len(found)} | {imbalance} | {smallest} | {moved:.0f} |"
+    moved = max(measurement.during.moved / measurement.subset_size for measurement in measurements)
+    return f"| {name} | {len(measurements)} | {imbalance} | {smallest} | {moved:.0f} |"
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     directory = Path(sys.argv[1])
     seeds = int(sys.argv[3]) if "--seeds" in sys.argv else DEFAULT_SEEDS
     out = [
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -1,9 +1,9 @@
-"""Subsets beside none, under load: `python experiments/subset_work.py OUT [--seeds 200] [--jobs 4] [--way NAME=...]`.
+"""Subsets compared with none, under load: `python experiments/subset_work.py OUT [--seeds 200] [--jobs 4] [--scenarios ...]`.
 
-Writes OUT/subset-work.json and OUT/subset-work.md. 40 balancers, 60 upstreams of two cores, open arrivals at 55% of
-what these bear, the real policy, membership and subset controllers on the simulated network. Each seed is run in each
-way with the same arrivals; the differences are paired, with 95% intervals by bootstrap over the seeds. Measurements
-count from the begin of the fault until 25 s after its end.
+Writes OUT/subset-work.json and OUT/subset-work.md. The model has 40 balancers, 60 upstreams of two cores, open arrivals
+at 55% of the capacity of the upstreams, and the real policy, membership and subset controllers on the simulated
+network. Each seed is run with each variant and the same arrivals; the differences are paired, with 95% intervals by
+bootstrap over the seeds. Measurements count from the beginning of the fault until 25 s after its end.
 """
 
 import argparse
@@ -30,19 +30,19 @@
 
 BALANCERS, UPSTREAMS, ZONES = 40, 60, 3
 RATE = 330.0  # requests a second
-RATES = {"uneven": 450.0, "most": 120.0}  # of scenarios with another one
+RATES = {"uneven": 450.0, "most": 120.0}  # requests a second in scenarios with another rate
 WARMUP_SECONDS, SETTLE_SECONDS = 20, 25
 RUNS_PER_WRITE = 24
-REPLACE_CYCLE = 4  # restarts, of which all but one replace an upstream
+REPLACE_CYCLE = 4  # all but one of this many restarts also replace an upstream
 BOOTSTRAP_DRAWS = 2_000
 CONFIDENCE = (2.5, 97.5)  # percentiles
 MESSAGE_DELAY = Duration(2_000)
 
-Row = dict[str, Any]  # of the results, as JSON
+Row = dict[str, Any]  # the results of one run, as written to the JSON file
 Scenario = Callable[[WorkloadModel, Random], None]
 
 
-class Way(NamedTuple):
+class Variant(NamedTuple):
     """How balancers choose their upstreams."""
 
     subset: SubsetControllerSettings | None
@@ -50,17 +50,17 @@
 
 
 class Interval(NamedTuple):
-    """A mean, and where 95% of the means of drawn samples lie."""
+    """A mean with its 95% bootstrap interval."""
 
     mean: float
     low: float
     high: float
 
 
-WAYS = {
-    "none": Way(None, False),
-    "subsets": Way(SubsetControllerSettings(balancers=BALANCERS), False),
-    "with demand": Way(SubsetControllerSettings(balancers=BALANCERS), True),
+VARIANTS = {
+    "none": Variant(None, False),
+    "subsets": Variant(SubsetControllerSettings(balancers=BALANCERS), False),
+    "with demand": Variant(SubsetControllerSettings(balancers=BALANCERS), True),
 }
 
 
@@ -72,19 +72,19 @@
     model.run(wait * S)
 
 
-def replace(model: WorkloadModel, number: int) -> None:
-    """Replace an upstream by another one."""
+def replace_upstream(model: WorkloadModel, number: int) -> None:
+    """Drain an upstream, and start another one in its place."""
     model.drain_upstream(f"u{number}")
     model.start_upstream(f"u{number + UPSTREAMS if number < UPSTREAMS else number - UPSTREAMS}")
 
 
-def calm(model: WorkloadModel, _rng: Random) -> None:
-    """No fault for 20 s."""
+def run_without_fault(model: WorkloadModel, _rng: Random) -> None:
+    """Run without a fault for 20 s."""
     model.run(20 * S)
 
 
-def bad(model: WorkloadModel, rng: Random) -> None:
-    """Four fail eight in ten at once, four work at a third of their pace; for 20 s."""
+def degrade_upstreams(model: WorkloadModel, rng: Random) -> None:
+    """Make four upstreams fail eight in ten requests at once, and four work three times slower, for 20 s."""
     names = upstream_names(rng.sample(range(UPSTREAMS), 8))
     upstreams = [model.upstreams_by_name[name] for name in names]
     for upstream in upstreams[:4]:
@@ -97,27 +97,29 @@
         upstream.slower = 1.0
 
 
-def herd(model: WorkloadModel, rng: Random) -> None:
-    """A third of the balancers dies at once, and returns."""
+def kill_third_of_balancers(model: WorkloadModel, rng: Random) -> None:
+    """Kill a third of the balancers at once, and start them again."""
     third = rng.sample(range(BALANCERS), BALANCERS // 3)
     apply_step(model, "kill", third, wait=12)
     apply_step(model, "start", third)
 
 
-def rolling(model: WorkloadModel, rng: Random) -> None:
-    """All balancers restart in turn, and half of the upstreams is replaced."""
+def restart_all_balancers(model: WorkloadModel, rng: Random) -> None:
+    """Restart all balancers in turn, and replace half of the upstreams meanwhile."""
     old = rng.sample(range(UPSTREAMS), UPSTREAMS // 2)
     for number in range(BALANCERS):
         apply_step(model, "restart", [number])
         if old and number % REPLACE_CYCLE != REPLACE_CYCLE - 1:
-            replace(model, old.pop())
+            replace_upstream(model, old.pop())
         model.run(S // 2)
 
 
-def zone(model: WorkloadModel, rng: Random) -> None:
-    """One of three zones is lost, machines and all, and returns cold."""
+def lose_zone(model: WorkloadModel, rng: Random) -> None:
+    """Stop all balancers and upstreams of one of three zones, and start them again cold."""
     lost = rng.randrange(ZONES)
-    upstreams = [each for each in model.upstreams_by_name.values() if int(each.name[1:]) % ZONES == lost]
+    upstreams = [
+        upstream for upstream in model.upstreams_by_name.values() if int(upstream.name[1:]) % ZONES == lost
+    ]
     for upstream in upstreams:
         model.stop_upstream(upstream, is_silent=True)
     balancers = list(range(lost, BALANCERS, ZONES))
@@ -127,39 +129,39 @@
     apply_step(model, "start", balancers)
 
 
-def split(model: WorkloadModel, rng: Random) -> None:
-    """Membership in two parts for 25 s; both see all upstreams, of which a tenth is replaced meanwhile."""
-    everyone = list(range(BALANCERS))
-    rng.shuffle(everyone)
-    apply_step(model, "split", parts=[everyone[:30], everyone[30:]], span=25)
+def split_membership(model: WorkloadModel, rng: Random) -> None:
+    """Partition the membership in two for 25 s, and replace a tenth of the upstreams, which both parts reach."""
+    balancers = list(range(BALANCERS))
+    rng.shuffle(balancers)
+    apply_step(model, "split", parts=[balancers[:30], balancers[30:]], span=25)
     for number in rng.sample(range(UPSTREAMS), 6):
         model.run(4 * S)
-        replace(model, number)
+        replace_upstream(model, number)
     model.run(2 * S)
 
 
-def join(model: WorkloadModel, rng: Random) -> None:
-    """Six in ten replaced within 7 s; some of the others fail."""
+def replace_most_upstreams(model: WorkloadModel, rng: Random) -> None:
+    """Replace six in ten upstreams within 7 s, while three of the others fail six in ten requests."""
     order = rng.sample(range(UPSTREAMS), UPSTREAMS)
     for name in upstream_names(order[-3:]):
         model.upstreams_by_name[name].failing = 0.6
     for number in order[: UPSTREAMS * 6 // 10]:
-        replace(model, number)
+        replace_upstream(model, number)
         model.run(7 * S * 10 // (UPSTREAMS * 6))
 
 
-def half(model: WorkloadModel, rng: Random) -> None:
-    """Half of the upstreams hangs for 12 s: takes all and answers nothing."""
-    hang(model, rng.sample(range(UPSTREAMS), UPSTREAMS // 2))
+def hang_half_of_upstreams(model: WorkloadModel, rng: Random) -> None:
+    """Make half of the upstreams hang for 12 s: they accept requests and send no response."""
+    hang_upstreams(model, rng.sample(range(UPSTREAMS), UPSTREAMS // 2))
 
 
-def most(model: WorkloadModel, rng: Random) -> None:
-    """Seven in ten hang for 12 s, at a low rate: subsets widen."""
-    hang(model, rng.sample(range(UPSTREAMS), UPSTREAMS * 7 // 10))
+def hang_most_upstreams(model: WorkloadModel, rng: Random) -> None:
+    """Make seven in ten upstreams hang for 12 s at a low request rate, so that subsets grow."""
+    hang_upstreams(model, rng.sample(range(UPSTREAMS), UPSTREAMS * 7 // 10))
 
 
-def hang(model: WorkloadModel, numbers: Sequence[int]) -> None:
-    """Have upstreams hang for 12 s."""
+def hang_upstreams(model: WorkloadModel, numbers: Sequence[int]) -> None:
+    """Make upstreams hang for 12 s."""
     upstreams = [model.upstreams_by_name[name] for name in upstream_names(numbers)]
     for upstream in upstreams:
         upstream.hung = True
@@ -168,8 +170,8 @@
         upstream.hung = False
 
 
-def flap(model: WorkloadModel, rng: Random) -> None:
-    """One upstream comes and goes, 1 s out of 3, for a minute."""
+def flap_upstream(model: WorkloadModel, rng: Random) -> None:
+    """Stop and start one upstream repeatedly for a minute, 1 s down in every 3 s."""
     name = f"u{rng.randrange(UPSTREAMS)}"
     for _ in range(20):
         model.stop_upstream(model.upstreams_by_name[name])
@@ -178,38 +180,38 @@
         model.run(2 * S)
 
 
-def uneven(model: WorkloadModel, _rng: Random) -> None:
-    """A quarter of all requests goes to one balancer, for 40 s, with 75% of what all bear in all."""
+def skew_traffic(model: WorkloadModel, _rng: Random) -> None:
+    """Send a quarter of all requests to one balancer for 40 s, at 75% of the capacity of all upstreams."""
     model.skewed_share = 1 / 4
     model.run(40 * S)
     model.skewed_share = 0.0
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "half": half,
-    "most": most,
-    "flap": flap,
-    "uneven": uneven,
-    "calm": calm,
-    "bad": bad,
-    "herd": herd,
-    "rolling": rolling,
-    "zone": zone,
-    "split": split,
-    "join": join,
+    "half": hang_half_of_upstreams,
+    "most": hang_most_upstreams,
+    "flap": flap_upstream,
+    "uneven": skew_traffic,
+    "calm": run_without_fault,
+    "bad": degrade_upstreams,
+    "herd": kill_third_of_balancers,
+    "rolling": restart_all_balancers,
+    "zone": lose_zone,
+    "split": split_membership,
+    "join": replace_most_upstreams,
 }
 
 
 def run_one(task: tuple[str, str, int]) -> Row:
-    """Run a scenario in one way with one seed."""
-    scenario, way, seed = task
+    """Run a scenario with one variant and seed; return its results."""
+    scenario, variant, seed = task
     model = WorkloadModel(
         Fleet(seed=seed, instances=BALANCERS, delay=MESSAGE_DELAY),
         UPSTREAMS,
         RATES.get(scenario, RATE),
-        WAYS[way].subset,
+        VARIANTS[variant].subset,
         zones=ZONES,
-        announces_demand=WAYS[way].announces_demand,
+        announces_demand=VARIANTS[variant].announces_demand,
     )
     model.start()
     model.run(WARMUP_SECONDS * S)
@@ -218,38 +220,38 @@
     model.run(SETTLE_SECONDS * S)
     model.finish()
     metrics, counts = model.metrics, model.counts
-    asked = counts["asked"]
+    requests = counts["asked"]
     return {
         "scenario": scenario,
-        "way": way,
+        "way": variant,
         "seed": seed,
         "share": metrics.served_share,
         "p99": float(np.percentile(metrics.latencies, 99)) / 1000,
         "links": float(np.mean(metrics.mean_connections)),
         "most links": metrics.max_connections,
-        "shakes": 1000 * counts["shakes"] / asked,
-        "probes": 1000 * counts["probes"] / asked,
+        "shakes": 1000 * counts["shakes"] / requests,
+        "probes": 1000 * counts["probes"] / requests,
         "fallen": counts["fallen"],
         "moved": counts["moved"],
         "broken": metrics.violations[:5],
     }
 
 
-def bootstrap(values: np.ndarray) -> Interval:
-    """The mean of paired differences, with its interval."""
-    drawn = np.random.default_rng(1).choice(values, (BOOTSTRAP_DRAWS, len(values))).mean(axis=1)
-    low, high = (float(each) for each in np.percentile(drawn, CONFIDENCE))
+def bootstrap_mean(values: np.ndarray) -> Interval:
+    """Return the mean of paired differences, with its 95% bootstrap interval."""
+    sample_means = np.random.default_rng(1).choice(values, (BOOTSTRAP_DRAWS, len(values))).mean(axis=1)
+    low, high = (float(bound) for bound in np.percentile(sample_means, CONFIDENCE))
     return Interval(float(values.mean()), low, high)
 
 
 def format_difference(values: Sequence[float], digits: int) -> str:
-    """Paired differences as text."""
-    mean, low, high = bootstrap(np.array(values))
+    """Return the mean and the interval of paired differences as text."""
+    mean, low, high = bootstrap_mean(np.array(values))
     return f" ({mean:+.{digits}f}; {low:+.{digits}f} to {high:+.{digits}f})"
 
 
-def page(rows: list[Row], base: str) -> str:
-    """The results as a page, with differences to the way `base`."""
+def results_page(rows: list[Row], base: str) -> str:
+    """Return the results as a Markdown page, with differences to the variant `base`."""
     out = [
         "# Subsets at work",
         "",
@@ -263,39 +265,45 @@
         "| moved |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    ways = list(dict.fromkeys(row["way"] for row in rows))
+    variants = list(dict.fromkeys(row["way"] for row in rows))
     for scenario in SCENARIOS:
-        by_way = {way: select(rows, scenario=scenario, way=way) for way in ways}
-        out += [table_row(scenario, way, by_way, base) for way in ways if by_way[way]]
-    broken = sum(bool(row["broken"]) for row in rows)
+        rows_by_variant = {variant: select(rows, scenario=scenario, way=variant) for variant in variants}
+        out += [
+            table_row(scenario, variant, rows_by_variant, base)
+            for variant in variants
+            if rows_by_variant[variant]
+        ]
+    runs_with_violations = sum(bool(row["broken"]) for row in rows)
     note = "Rules checked (one answer each, what may not repeat runs once)"
-    return "\n".join([*out, "", f"{note}: {len(rows)} runs, {broken} broke one."]) + "\n"
+    return "\n".join([*out, "", f"{note}: {len(rows)} runs, {runs_with_violations} broke one."]) + "\n"
 
 
-def select(rows: list[Row], **wanted: object) -> dict[int, Row]:
-    """The rows with these values, by seed."""
-    return {row["seed"]: row for row in rows if all(row[key] == value for key, value in wanted.items())}
+def select(rows: list[Row], **values: object) -> dict[int, Row]:
+    """Return the rows with these values, by seed."""
+    return {row["seed"]: row for row in rows if all(row[key] == value for key, value in values.items())}
 
 
 def mean_of(rows: dict[int, Row], key: str) -> float:
-    """The mean of a value over the seeds."""
+    """Return the mean of a column over the seeds."""
     return float(np.mean([row[key] for row in rows.values()]))
 
 
-def table_row(scenario: str, way: str, by_way: dict[str, dict[int, Row]], base: str) -> str:
-    """One row of the page's table."""
-    rows, first = by_way[way], by_way[base]
-    both = sorted(rows.keys() & first.keys())
+def table_row(scenario: str, variant: str, rows_by_variant: dict[str, dict[int, Row]], base: str) -> str:
+    """Return one row of the table."""
+    rows, base_rows = rows_by_variant[variant], rows_by_variant[base]
+    common_seeds = sorted(rows.keys() & base_rows.keys())
 
-    def beside(key: str, scale: float, digits: int) -> str:
-        """The difference to the base, "" for the base itself."""
-        if way == base:
+    def difference(key: str, scale: float, digits: int) -> str:
+        """Return the difference to the base variant as text; "" for the base itself."""
+        if variant == base:
             return ""
-        return format_difference([scale * (rows[seed][key] - first[seed][key]) for seed in both], digits)
+        return format_difference(
+            [scale * (rows[seed][key] - base_rows[seed][key]) for seed in common_seeds], digits
+        )
 
     return (
-        f"| {scenario} | {way} | {len(rows)} | {100 * mean_of(rows, 'share'):.2f}{beside('share', 100, 2)} | "
-        f"{mean_of(rows, 'p99'):.0f}{beside('p99', 1, 0)} | {mean_of(rows, 'links'):.1f} | "
+        f"| {scenario} | {variant} | {len(rows)} | {100 * mean_of(rows, 'share'):.2f}{difference('share', 100, 2)} | "
+        f"{mean_of(rows, 'p99'):.0f}{difference('p99', 1, 0)} | {mean_of(rows, 'links'):.1f} | "
         f"{mean_of(rows, 'most links'):.0f} | {mean_of(rows, 'shakes'):.0f} | {mean_of(rows, 'probes'):.1f} | "
         f"{sum(row['fallen'] for row in rows.values())} | {mean_of(rows, 'moved'):.0f} |"
     )
@@ -308,40 +316,40 @@
     out: Path,
     make_page: Callable[[list[Row]], str],
 ) -> None:
-    """Run all tasks over processes, and write the results as they come."""
-    began, rows = time(), []
+    """Run all tasks in parallel processes; write the results after every `RUNS_PER_WRITE` runs."""
+    started_at, rows = time(), []
     with Pool(jobs) as pool:
         for row in pool.imap_unordered(run, tasks):
             rows.append(row)
             if len(rows) % RUNS_PER_WRITE == 0 or len(rows) == len(tasks):
                 out.with_suffix(".md").write_text(make_page(rows))
                 out.with_suffix(".json").write_text(json.dumps(rows) + "\n")
-    print(f"{time() - began:.0f} s")
+    print(f"{time() - started_at:.0f} s")
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("out", type=Path)
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--scenarios", nargs="*", default=list(SCENARIOS))
-    parser.add_argument("--ways", nargs="*", default=list(WAYS))
-    given = parser.parse_args()
-    given.out.mkdir(parents=True, exist_ok=True)
+    parser.add_argument("--ways", nargs="*", default=list(VARIANTS))
+    arguments = parser.parse_args()
+    arguments.out.mkdir(parents=True, exist_ok=True)
     tasks = [
-        (scenario, way, seed)
-        for seed in range(given.seeds)
-        for scenario in given.scenarios
-        for way in given.ways
+        (scenario, variant, seed)
+        for seed in range(arguments.seeds)
+        for scenario in arguments.scenarios
+        for variant in arguments.ways
     ]
 
     def make_page(rows: list[Row]) -> str:
-        """The page of the rows, in the order of the ways."""
-        rows.sort(key=lambda row: (row["scenario"], given.ways.index(row["way"]), row["seed"]))
-        return page(rows, given.ways[0])
+        """Return the page of the rows, sorted in the order of the variants."""
+        rows.sort(key=lambda row: (row["scenario"], arguments.ways.index(row["way"]), row["seed"]))
+        return results_page(rows, arguments.ways[0])
 
-    run_all(run_one, tasks, given.jobs, given.out / "subset-work", make_page)
+    run_all(run_one, tasks, arguments.jobs, arguments.out / "subset-work", make_page)
 
 
 if __name__ == "__main__":
--- a/experiments/subsets.py
+++ b/experiments/subsets.py
@@ -1,8 +1,11 @@
-"""The subset selection over a grid of sizes, and beside other strategies: `python experiments/subsets.py OUT`.
+"""Subset selection over a grid of sizes, and compared with other strategies: `python experiments/subsets.py OUT`.
 
-Writes OUT/subsets.md. `uneven`: the most loaded upstream over the mean of its capacity, with equal demand. `least`: the
-smallest subset. `moves`: pairs that change as one participant comes or goes, over its fair share of pairs, the worst of
-twelve events. `apart`: `uneven` where half of the balancers see one event more than the others, the worst of these.
+Writes OUT/subsets.md. Its columns, all with equal demand of the balancers:
+
+uneven: load of the most loaded upstream over the mean load for its capacity.
+least: size of the smallest subset.
+moves: pairs that change when one participant joins or leaves, over its fair share of pairs; the worst of twelve events.
+apart: `uneven` while half of the balancers have seen one event more than the others; the worst of these events.
 """
 
 import sys
@@ -33,9 +36,9 @@
 ]
 ZONED_SIZES = ((40, 60), (200, 100))
 COMPARED_SIZES = ((40, 60), (200, 100), (100, 300))
-EVENTS = 3  # of each kind: a balancer goes, comes, an upstream goes, comes
-MAX_PAIRS = 100_000  # beyond, there is one event of each kind
-TINY = 1e-12
+EVENTS = 3  # of each of four kinds: a balancer leaves, one joins, an upstream leaves, one joins
+MAX_PAIRS = 100_000  # larger sizes have one event of each kind
+TINY = 1e-12  # avoids a division by zero
 BALANCER, UPSTREAM = "b", "u"
 
 Strategy = Callable[[Sequence[Participant], Sequence[Participant]], Assignment]
@@ -52,32 +55,32 @@
     milliseconds: float
 
 
-def participant(kind: str, number: int, zones: int, is_weighted: bool) -> Participant:
-    """A balancer or an upstream; weighted upstreams have capacities from 1 to 4."""
-    weight = 1.0 + number * 7 % 4 if is_weighted and kind == UPSTREAM else 1.0
-    return Participant(f"{kind}{number}", f"z{number % zones}", weight)
+def participant(role: str, number: int, zones: int, is_weighted: bool) -> Participant:
+    """Return a balancer or an upstream; weighted upstreams have capacities from 1 to 4."""
+    weight = 1.0 + number * 7 % 4 if is_weighted and role == UPSTREAM else 1.0
+    return Participant(f"{role}{number}", f"z{number % zones}", weight)
 
 
-def participants(kind: str, count: int, zones: int, is_weighted: bool) -> list[Participant]:
-    """All of one kind, by name."""
-    return sorted((participant(kind, n, zones, is_weighted) for n in range(count)), key=lambda p: p.name)
+def participants(role: str, count: int, zones: int, is_weighted: bool) -> list[Participant]:
+    """Return all participants of a role, sorted by name."""
+    return sorted((participant(role, n, zones, is_weighted) for n in range(count)), key=lambda p: p.name)
 
 
 def imbalance(loads: np.ndarray, upstreams: Sequence[Participant]) -> float:
-    """The most loaded upstream over the mean of its capacity."""
+    """Return the load of the most loaded upstream over the mean load for its capacity."""
     return float((loads / normalized_weights(upstreams)).max())
 
 
-def imbalance_apart(one: Assignment, other: Assignment, upstreams: Sequence[Participant]) -> float:
-    """The imbalance where every second balancer goes by the other view."""
-    known = {name: number for number, name in enumerate(other.balancers)}
+def imbalance_apart(first: Assignment, other: Assignment, upstreams: Sequence[Participant]) -> float:
+    """Return the imbalance if every second balancer uses the other assignment."""
+    other_indices = {name: number for number, name in enumerate(other.balancers)}
     rows = []
-    for number, name in enumerate(one.balancers):
-        if number % 2 and name in known:
-            shares = other.shares[known[name]]
+    for number, name in enumerate(first.balancers):
+        if number % 2 and name in other_indices:
+            shares = other.shares[other_indices[name]]
             rows.append(shares / max(TINY, shares.sum()))
         else:
-            rows.append(one.shares[number] / one.shares[number].sum())
+            rows.append(first.shares[number] / first.shares[number].sum())
     return imbalance(sum(rows) / len(rows), upstreams)
 
 
@@ -90,48 +93,48 @@
         UPSTREAM: participants(UPSTREAM, upstream_count, zones, is_weighted),
     }
     upstreams = members[UPSTREAM]
-    began = perf_counter()
+    started_at = perf_counter()
     assignment = strategy(members[BALANCER], upstreams)
-    took = perf_counter() - began
+    duration = perf_counter() - started_at
     pairs = assignment.pairs()
-    moves, apart = [], []
+    moves, imbalances_apart = [], []
     for event in range(EVENTS if balancer_count * upstream_count <= MAX_PAIRS else 1):
-        for kind, unchanged in members.items():
-            fair = len(pairs) / len(unchanged)
-            less = unchanged[:event] + unchanged[event + 1 :]
-            newcomer = participant(kind, len(unchanged) + event, zones, is_weighted)
-            more = sorted([*unchanged, newcomer], key=lambda p: p.name)
-            for changed in filter(None, (less, more)):
-                after = {**members, kind: changed}
+        for role, unchanged in members.items():
+            fair_share = len(pairs) / len(unchanged)
+            without_one = unchanged[:event] + unchanged[event + 1 :]
+            newcomer = participant(role, len(unchanged) + event, zones, is_weighted)
+            with_newcomer = sorted([*unchanged, newcomer], key=lambda p: p.name)
+            for changed_participants in filter(None, (without_one, with_newcomer)):
+                after = {**members, role: changed_participants}
                 other = strategy(after[BALANCER], after[UPSTREAM])
-                moves.append(len(pairs ^ other.pairs()) / fair)
-                if kind == BALANCER:
-                    apart.append(imbalance_apart(assignment, other, upstreams))
+                moves.append(len(pairs ^ other.pairs()) / fair_share)
+                if role == BALANCER:
+                    imbalances_apart.append(imbalance_apart(assignment, other, upstreams))
     return Measurement(
         imbalance(assignment.shares.sum(axis=0), upstreams),
         int((assignment.shares > 0).sum(axis=1).min()),
         len(pairs) / len(upstreams),
         max(moves, default=0),
-        max(apart, default=1),
-        1e3 * took,
+        max(imbalances_apart, default=1),
+        1e3 * duration,
     )
 
 
-def table_row(name: str, found: Measurement) -> str:
-    """One row of a table."""
+def table_row(name: str, measurement: Measurement) -> str:
+    """Return one row of a table."""
     return (
-        f"| {name} | {found.imbalance:.2f} | {found.min_subset} | {found.balancers_per_upstream:.0f} | "
-        f"{found.moves:.1f} | {found.imbalance_apart:.2f} | {found.milliseconds:.0f} |"
+        f"| {name} | {measurement.imbalance:.2f} | {measurement.min_subset} | {measurement.balancers_per_upstream:.0f} | "
+        f"{measurement.moves:.1f} | {measurement.imbalance_apart:.2f} | {measurement.milliseconds:.0f} |"
     )
 
 
 def assign_zoned_subsets(balancers: Sequence[Participant], upstreams: Sequence[Participant]) -> Assignment:
-    """The selection that prefers upstreams of the same zone."""
+    """Return the selection that prefers upstreams of the same zone."""
     return assign_subsets(balancers, upstreams, zones=True)
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     columns = "uneven | least | balancers an upstream | moves | apart | ms |"
     ruler = "| --- | --- | --- | --- | --- | --- | --- |"
     out = [
@@ -145,8 +148,8 @@
         out.append(table_row(f"{balancers} x {upstreams}", measure(assign_subsets, balancers, upstreams)))
     for zones in (2, 4):
         for balancers, upstreams in ZONED_SIZES:
-            found = measure(assign_zoned_subsets, balancers, upstreams, zones, is_weighted=True)
-            out.append(table_row(f"{balancers} x {upstreams}, {zones} zones, weights 1 to 4", found))
+            measurement = measure(assign_zoned_subsets, balancers, upstreams, zones, is_weighted=True)
+            out.append(table_row(f"{balancers} x {upstreams}, {zones} zones, weights 1 to 4", measurement))
     for balancers, upstreams in COMPARED_SIZES:
         out += ["", f"## {balancers} x {upstreams}, beside other ways", "", f"| way | {columns}", ruler]
         out.append(table_row("**choice**", measure(assign_subsets, balancers, upstreams)))
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -114,10 +114,8 @@
     before, after = (json.loads((FOLDER / name).read_text()) for name in (STATE, "for-3-99"))
     for values in before["upstreams"].values():
         values[8] /= 2
-    for state in (
-        before,
-        after,
-    ):  # the program writes these lists in the order in which entries were last named
+    # These lists are written in the order in which entries were last named.
+    for state in (before, after):
         state["once"].sort()
         state["list"]["servers"].sort(key=lambda server: server["id"])
     assert after == before
