--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -72,7 +72,7 @@
     @property
     def key(self) -> tuple[int, float, bool, str]:
         """The cell of the results table that the run fills."""
-        return self.count, self.loss, self.has_stops, self.way
+        return self.count, self.loss, self.has_stops, self.variant
 
 
 def detect(task: DetectionTask) -> Row:
