--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -65,7 +65,7 @@
     state = _STATE_NAMES[raw["state"]]
     name = raw["id"]
     if not isinstance(name, str) or not name:
-        raise ValueError("id is missing or empty")
+        raise ValueError("no id")
     host_and_port = ("", 0) if state is EndpointState.REMOVED else parse_address(str(raw.get("addr")))
     started_ms = int(raw.get("started_ms") or 0)
     cell = int(raw.get("cell") or 0)
--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -61,7 +61,7 @@
             ValueError: The list service refused the watch.
         """
         if self.parser.get_status_code() != HTTP_OK:
-            raise ValueError("list service refused the watch")
+            raise ValueError("watch refused")
 
     def on_body(self, data: bytes) -> None:
         """Apply the messages that have been received in full.
@@ -77,7 +77,7 @@
                 self.endpoint_list.apply(orjson.loads(line), self.awaits_first_message)
                 self.awaits_first_message = False
         if len(self.partial_line) > MAX_LINE_BYTES:
-            raise ValueError("line exceeds the limit")
+            raise ValueError("too long a line")
 
     def on_message_complete(self) -> None:
         """End the watch.
@@ -85,7 +85,7 @@
         Raises:
             ValueError: Always, because the response to a watch has no regular end.
         """
-        raise ValueError("list service ended the watch")
+        raise ValueError("watch ended")
 
     def bytes_received(self, view: memoryview) -> None:
         """Parse received bytes; close the connection if they are invalid."""
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -189,7 +189,7 @@
             ProtocolError: A response to the request has been received already.
         """
         if self.status:
-            raise ProtocolError("second response to one request")  # it would be appended to the first
+            raise ProtocolError("more than was asked for")  # a second response, which would be appended
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.size = 0
@@ -212,7 +212,7 @@
             return
         self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
         if self.size > wire.MAX_HEAD_BYTES:
-            raise ProtocolError("response head exceeds the limit")
+            raise ProtocolError("too long a head")
         lower_name = name.lower()
         if lower_name == wire.LOAD_REPORT_HEADER:
             self.load_report = value
@@ -247,7 +247,7 @@
             self.ends_with_connection = is_unsized and wire.requests_close(self.connection_header)
             has_end = self.has_end_marker or self.ends_with_connection
             if not has_end and status not in STATUSES_WITHOUT_BODY:
-                raise ProtocolError("response body has no stated end or exceeds the limit")
+                raise ProtocolError("no length, or too long a body")
         if status == HTTP_OK and self.length is not None and self.length > wire.MAX_BUFFERED_BYTES:
             self.start_streaming()
 
@@ -264,7 +264,7 @@
             self.handler.unsized_response_started(self)
         self.size += len(data)
         if self.size > wire.MAX_BODY_BYTES:
-            raise ProtocolError("response body exceeds the limit")
+            raise ProtocolError("too long a body")
         if self.is_streaming:
             self.handler.response_part(data)
         elif self.size <= wire.MAX_BUFFERED_BYTES:
--- a/dahliabend/proxy/upstream_request.py
+++ b/dahliabend/proxy/upstream_request.py
@@ -164,7 +164,7 @@
         if now >= self.send_deadline:
             return Outcome.NOT_SENT
         if not self.endpoint.enabled:
-            self.failure_reason = "endpoint is draining, removed or excluded"
+            self.failure_reason = "not to be sent to any more"
             return Outcome.UNREACHABLE
         return None
 
--- a/dahliabend/transport/timers.py
+++ b/dahliabend/transport/timers.py
@@ -111,5 +111,5 @@
             try:
                 callback(*arguments)
             except Exception as error:  # a failed callback must not keep later timers from running
-                self.loop.call_exception_handler({"message": "timer callback failed", "exception": error})
+                self.loop.call_exception_handler({"message": "deadline", "exception": error})
         self.arm()
