--- a/dahliabend/cli/operator_file.py
+++ b/dahliabend/cli/operator_file.py
@@ -6,7 +6,7 @@
 from dahliabend.cli.output import json_option, print_json, print_table
 from dahliabend.routing_rules import comparison, explanation
 from dahliabend.routing_rules.explanation import NO_ROUTE_REASON, Explanation
-from dahliabend.routing_rules.loaded_file import DEFAULT_PLACE, LoadedFile, load_file, settings
+from dahliabend.routing_rules.loaded_file import DEFAULT_PLACE, LoadedFile, collect_settings, load_file
 
 EXIT_FINDINGS = 1
 TABLE_WIDTH = 160
@@ -16,7 +16,7 @@
 def load_file_or_exit(path: str) -> LoadedFile:
     """Load a file; if it has faults, print them and exit."""
     loaded = load_file(path)
-    if not loaded.is_usable:
+    if not loaded.has_no_faults:
         for fault in loaded.faults:
             click.echo(str(fault), err=True)
         raise click.exceptions.Exit(EXIT_FINDINGS)
@@ -44,13 +44,13 @@
         for fault in faults:
             click.echo(str(fault))
         for name, loaded in loaded_files.items():
-            if loaded.is_usable:
+            if loaded.has_no_faults:
                 click.echo(f"{name}: fine, {_describe_size(loaded)}")
     raise click.exceptions.Exit(EXIT_FINDINGS if faults else 0)
 
 
 def _describe_size(loaded: LoadedFile) -> str:
-    file = loaded.usable_file
+    file = loaded.decoded_file
     return f"{len(file.routes)} routes, {len(file.pools)} pools, {len(file.classes)} classes"
 
 
@@ -62,7 +62,7 @@
     """Show the settings of FILE, and the line that sets each of them."""
     shown = {
         key: setting
-        for key, setting in settings(load_file_or_exit(file)).items()
+        for key, setting in collect_settings(load_file_or_exit(file)).items()
         if with_defaults or setting.place != DEFAULT_PLACE
     }
     if as_json:
@@ -147,7 +147,7 @@
     """Show what a reload from OLD to NEW would change; exit with 1 if anything or if NEW has faults."""
     before = load_file_or_exit(old)
     after = load_file(new)
-    if not after.is_usable:
+    if not after.has_no_faults:
         for fault in after.faults:
             click.echo(f"refused: {fault}", err=True)
         raise click.exceptions.Exit(EXIT_FINDINGS)
--- a/dahliabend/cli/operators_api.py
+++ b/dahliabend/cli/operators_api.py
@@ -10,7 +10,7 @@
 from dahliabend.routing_rules.loaded_file import load_file
 
 REQUEST_TIMEOUT = 5.0  # seconds
-HTTP_OK = 200
+STATUS_OK = 200
 MAX_SECONDS_SHOWN = 100.0  # longer ages are shown in minutes
 
 balancer_argument = click.argument("where", metavar="FILE|HOST:PORT")
@@ -30,9 +30,9 @@
     except ValueError:
         pass
     loaded = load_file(where)
-    if not loaded.is_usable:
+    if not loaded.has_no_faults:
         raise click.ClickException("\n".join(map(str, loaded.faults)))
-    listener = loaded.usable_file.listeners.get("operators")
+    listener = loaded.decoded_file.listeners.get("operators")
     if listener is None:
         raise click.ClickException(
             f"{where}:1: listeners.operators: is missing: there is no admin API to query"
@@ -63,7 +63,7 @@
         raise click.ClickException(f"{host}:{port}: {error}") from None
     finally:
         connection.close()
-    if response.status != HTTP_OK:
+    if response.status != STATUS_OK:
         raise click.ClickException(f"{host}:{port}: {content.get('error', response.status)}")
     return content
 
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -14,23 +14,23 @@
 _EXAMPLE_UNITS = ("ms", "KiB", "/s", "%")  # the unit of each table above that errors propose
 
 
-def _parse_quantity(text: object, units: Mapping[str, float], what: str) -> float:
+def _parse_quantity(text: object, units: Mapping[str, float], quantity_name: str) -> float:
     """Convert a number with a unit to the unit whose factor is 1.
 
     Args:
         text: The number with its unit.
         units: The factor of each unit.
-        what: The name of the quantity, for errors.
+        quantity_name: The name of the quantity, for errors.
 
     Raises:
         FormatError: The text has another form, or a unit that is not in the table.
     """
     if not isinstance(text, str):
         unit = next(unit for unit in _EXAMPLE_UNITS if unit in units)
-        raise FormatError(f'{text!r} has no unit; {what} is written as "{text}{unit}"')
+        raise FormatError(f'{text!r} has no unit; {quantity_name} is written as "{text}{unit}"')
     match = _QUANTITY.fullmatch(text.strip())
     if match is None or match[2] not in units:
-        raise FormatError(f"{text!r} is no {what}: a number and one of {', '.join(units)}")
+        raise FormatError(f"{text!r} is no {quantity_name}: a number and one of {', '.join(units)}")
     return float(match[1]) * units[match[2]]
 
 
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -73,8 +73,8 @@
 def _parse_file(text: bytes, environment: Mapping[str, str], required_keys: frozenset[str]) -> ServerSettings:
     tree = msgspec.json.decode(text)
     file = msgspec.convert(tree, PlatformFile)
-    named_keys = _contained_keys(tree)
-    missing_keys = sorted(required_keys - named_keys)
+    present_keys = _present_keys(tree)
+    missing_keys = sorted(required_keys - present_keys)
     if missing_keys:
         raise ConfigurationError(missing_keys[0], "missing")
     policy_settings = make_policy_settings(file.settings, "settings.")
@@ -83,14 +83,14 @@
     _check_known_endpoints(file.known_endpoints)
     if file.log_level not in LOG_LEVELS:
         raise ConfigurationError("log", f"{file.log_level!r} is neither info nor debug")
-    return _make_server_settings(file, environment, policy_settings, named_keys)
+    return _make_server_settings(file, environment, policy_settings, present_keys)
 
 
 def _make_server_settings(
     file: PlatformFile,
     environment: Mapping[str, str],
     policy_settings: PolicySettings,
-    named_keys: frozenset[str],
+    present_keys: frozenset[str],
 ) -> ServerSettings:
     seed = _parse_seed(file.seed)
     descriptor = _inherited_descriptor(environment)
@@ -121,7 +121,7 @@
         max_in_flight=section.capabilities.max_in_flight,
         report_fields=_report_fields(section.load_report),
         unsupported_keys=_unsupported_keys(file),
-        named_keys=named_keys,
+        present_keys=present_keys,
         monotonic_offset=host_info.monotonic_ns() // 1000 - host_info.time_ns() // 1000,
     )
 
@@ -131,10 +131,10 @@
     return environment.get(variable) or text
 
 
-def _contained_keys(tree: dict[str, Any]) -> frozenset[str]:
+def _present_keys(tree: dict[str, Any]) -> frozenset[str]:
     """Return the dotted keys that a file contains, down to the keys of the tables in `settings`.
 
-    >>> sorted(_contained_keys({"listen": "", "settings": {"caps": {"most-hops": 1}, "fees": {}}}))
+    >>> sorted(_present_keys({"listen": "", "settings": {"caps": {"most-hops": 1}, "fees": {}}}))
     ['listen', 'settings', 'settings.caps', 'settings.caps.most-hops', 'settings.fees']
     """
     settings = tree.get("settings") or {}
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -36,7 +36,7 @@
         max_in_flight: The maximum number of requests in flight.
         report_fields: The names of the load report fields in health check responses.
         unsupported_keys: The keys of settings that enable features this program does not have.
-        named_keys: The dotted keys that the file contains.
+        present_keys: The dotted keys that the file contains.
         monotonic_offset: The machine's monotonic time minus Unix time.
     """
 
@@ -62,7 +62,7 @@
     max_in_flight: int
     report_fields: tuple[str, ...]
     unsupported_keys: tuple[str, ...]
-    named_keys: frozenset[str]
+    present_keys: frozenset[str]
     monotonic_offset: int
 
     @property
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -128,7 +128,7 @@
         elif self.watch is not None:
             self.close_previous_watch()
             self.previous_watch = self.watch
-            self.watch.ignore_data()
+            self.watch.stop_reporting_data()
         self.state = WatchState.BACKING_OFF
         self.watch = None
         self.open()
--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -10,7 +10,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 
 MAX_LINE_BYTES = 8 * 1024 * 1024
-HTTP_OK = 200
+STATUS_OK = 200
 
 
 class WatchConnection(Connection):
@@ -48,7 +48,7 @@
         after = b"&after=%d" % version if version >= 0 else b""
         self.write(b"GET /api/targets?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (after, host.encode()))
 
-    def ignore_data(self) -> None:
+    def stop_reporting_data(self) -> None:
         """Stop calling `on_data`; messages are still applied."""
         self.on_data = _do_nothing
 
@@ -60,7 +60,7 @@
         Raises:
             ValueError: The list service refused the watch.
         """
-        if self.parser.get_status_code() != HTTP_OK:
+        if self.parser.get_status_code() != STATUS_OK:
             raise ValueError("watch refused")
 
     def on_body(self, data: bytes) -> None:
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -11,8 +11,8 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import Timer, TimerQueue, clock
 
-MAX_REQUEST_BYTES = 8192  # of head and body together
-REQUEST_TIMEOUT = 2_500_000  # microseconds from connecting until the operator has read the response
+MAX_CALL_BYTES = 8192  # of head and body together
+CALL_TIMEOUT = 2_500_000  # microseconds from connecting until the operator has read the response
 
 
 class AdminResponse(NamedTuple):
@@ -31,25 +31,25 @@
         body: Request body, as far as it has been received.
         received_bytes: Bytes of head and body received so far.
         has_responded: Whether the response has been written.
-        timeout_timer: Aborts the connection after `REQUEST_TIMEOUT`.
+        timeout_timer: Aborts the connection after `CALL_TIMEOUT`.
     """
 
     def __init__(
         self,
         descriptors: DescriptorBudget,
         timers: TimerQueue,
-        handle_request: Callable[[bytes, bytes, bytes], AdminResponse],
+        handle_call: Callable[[bytes, bytes, bytes], AdminResponse],
     ) -> None:
         """Create a connection that is not connected to a transport yet.
 
         Args:
             descriptors: Owner of the connection's descriptor.
             timers: Timers of the process.
-            handle_request: Answers a call; takes its method, path and body.
+            handle_call: Answers a call; takes its method, path and body.
         """
         super().__init__(descriptors)
         self.timers = timers
-        self.handle_request = handle_request
+        self.handle_call = handle_call
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.body = b""
@@ -58,14 +58,14 @@
         self.timeout_timer: Timer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the call, which has to arrive within `REQUEST_TIMEOUT`.
+        """Wait for the call, which has to arrive within `CALL_TIMEOUT`.
 
         If another operator connects, the oldest connection that has not sent a call is evicted: otherwise a
         few silent connections would lock the operators out.
         """
         super().connection_made(transport)
         self.descriptors.mark_awaiting_request(self.handle, clock())
-        self.timeout_timer = self.timers.schedule(clock() + REQUEST_TIMEOUT, self.abort)
+        self.timeout_timer = self.timers.schedule(clock() + CALL_TIMEOUT, self.abort)
 
     def can_evict(self) -> bool:
         """Whether the connection can be closed without losing a call that has not been read yet."""
@@ -89,14 +89,14 @@
     def on_message_complete(self) -> None:
         """Answer the call, which has been received in full."""
         path = self.target.partition(b"?")[0]
-        self.send_response(self.handle_request(self.parser.get_method(), path, self.body))
+        self.send_response(self.handle_call(self.parser.get_method(), path, self.body))
 
     def bytes_received(self, view: memoryview) -> None:
         """Parse the call; bytes after it are discarded."""
         if self.has_responded:
             return
         self.received_bytes += len(view)
-        if self.received_bytes > MAX_REQUEST_BYTES:
+        if self.received_bytes > MAX_CALL_BYTES:
             self.send_response(AdminResponse(413, b"", b"too long\n"))
             return
         try:
@@ -116,7 +116,7 @@
 
         Closing the connection while a part of the call is unread could make the system discard the response
         before the operator reads it. The connection ends when the operator closes it or when
-        `REQUEST_TIMEOUT` is over.
+        `CALL_TIMEOUT` is over.
         """
         if self.has_responded and self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -11,8 +11,8 @@
 from dahliabend.http.serving_state import FLUSHING, LINGERING, SERVING, WAITING, ServingState
 from dahliabend.http.streaming import BodySource, StreamingBody
 from dahliabend.transport.descriptor_budget import DescriptorBudget
+from dahliabend.transport.disconnect_detection import DisconnectDetectingConnection
 from dahliabend.transport.handles import NO_HANDLE
-from dahliabend.transport.hangup_detection import HangupDetectingConnection
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, TimerQueue, clock
 
 # Microseconds.
@@ -24,7 +24,7 @@
 ALLOWED_METHODS = b"Allow: GET, POST\r\n"  # header line of a 405 response
 
 
-class ClientConnection(HangupDetectingConnection):
+class ClientConnection(DisconnectDetectingConnection):
     """The connection of one client. Requests are served one at a time, in the order received.
 
     Attributes:
@@ -43,7 +43,7 @@
         opened_at: Clock time (us) at which the connection was accepted; 0 from the first response on. It
             counts from accepting, so that a connection whose transport is not connected yet is not taken for
             idle.
-        stall_timer: Fires if a request is not received, or a response not read, in time.
+        timeout_timer: Fires if a request is not received, or a response not read, in time.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.upload: StreamingBody | None = None
         self.response: StreamedResponse | None = None
         self.opened_at = clock()
-        self.stall_timer: Timer | None = None
+        self.timeout_timer: Timer | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request.
@@ -76,7 +76,7 @@
     def limit_request_time(self, since: int) -> None:
         """Set the time limit for receiving the rest of a request, counted from clock time `since`."""
         self.descriptors.mark_awaiting_request(self.handle, since + SLOW_REQUEST_AGE)
-        self.stall_timer = self.timers.schedule(since + REQUEST_TIMEOUT, self.request_timed_out)
+        self.timeout_timer = self.timers.schedule(since + REQUEST_TIMEOUT, self.request_timed_out)
 
     @property
     def _is_serving(self) -> bool:
@@ -97,7 +97,7 @@
     def streaming_body_received(self, body: StreamingBody) -> None:
         """Cancel the time limit of the current upload, which has been received in full."""
         if body is self.upload:
-            self.timers.cancel(self.stall_timer)
+            self.timers.cancel(self.timeout_timer)
 
     # Requests
 
@@ -111,12 +111,12 @@
     def serve_next(self) -> None:
         """Serve the next request in the queue, if none is being served."""
         while self.queue and self.state is WAITING and not self.closed:
-            self.timers.cancel(self.stall_timer)
+            self.timers.cancel(self.timeout_timer)
             self.descriptors.mark_busy(self.handle)
             self.state = SERVING
             self.start_request(self.queue.popleft())
         # Stop reading from a client that pipelines: otherwise its requests would pile up in memory.
-        self.input_blocked = bool(self.queue or self.parser.error_status)
+        self.parsing_blocked = bool(self.queue or self.parser.error_status)
         if self.parser.error_status and not self.closed:
             if self.upload is not None:
                 self._fail_upload()
@@ -125,7 +125,7 @@
                 self._answer_parse_error()
                 return
         if self.parser.received_at:
-            self._limit_rest_of_request()
+            self._limit_begun_request()
 
     def _fail_upload(self) -> None:
         """Answer an error in a body that is already being streamed to an upstream.
@@ -146,14 +146,14 @@
         self._classify(b"", self.parser.target.partition(b"?")[0], {})
         self.send_error(self.parser.error_status)
 
-    def _limit_rest_of_request(self) -> None:
+    def _limit_begun_request(self) -> None:
         """Limit the time to receive the rest of a request that has begun.
 
         Without a limit, an incomplete request would hold its descriptor forever.
         """
         if self._is_serving and self.upload is None:
             return
-        if self.stall_timer is None or not self.stall_timer.is_pending:
+        if self.timeout_timer is None or not self.timeout_timer.is_pending:
             self.limit_request_time(self.parser.received_at)
 
     def start_request(self, request: ReceivedRequest) -> None:
@@ -246,11 +246,11 @@
             self._discard_upload()
         head = response_head(status, headers, self._connection_line(), len(body))
         self.state = FLUSHING
-        self.timers.cancel(self.stall_timer)
+        self.timers.cancel(self.timeout_timer)
         self.write(head, body)
         if self.state is FLUSHING:
             # A client that reads nothing would hold its descriptor and the response in memory forever.
-            self.stall_timer = self.timers.schedule(clock() + self.write_timeout, self.abort)
+            self.timeout_timer = self.timers.schedule(clock() + self.write_timeout, self.abort)
 
     def _connection_line(self) -> bytes:
         """Decide whether the connection stays open after the response; return the Connection header line.
@@ -279,7 +279,7 @@
             return
         self._discard_upload()
         self.response = StreamedResponse(source, length, self.parser.http_version)
-        self.timers.cancel(self.stall_timer)
+        self.timers.cancel(self.timeout_timer)
         self.write(self.response.head(headers, self._connection_line()))
 
     def send_part(self, data: bytes) -> None:
@@ -300,7 +300,7 @@
         self.dispatcher.count_response(self.class_name, 200)
         self.state = FLUSHING
         due = clock() + STREAM_TIMEOUT_FACTOR * self.write_timeout
-        self.stall_timer = self.timers.schedule(due, self.abort)
+        self.timeout_timer = self.timers.schedule(due, self.abort)
         self.write(response.terminator())
 
     def abort_response(self) -> None:
@@ -319,12 +319,12 @@
     def output_flushed(self) -> None:
         """Resume the source of a streamed response, or finish a response that has been sent in full."""
         if self.response is not None and self.response.source.reading_suspended:
-            self.response.source.continue_reading()
+            self.response.source.resume_reading()
         if self.state is not FLUSHING:
             return
         self._request_finished()
-        self.timers.cancel(self.stall_timer)
-        self.stall_timer = None
+        self.timers.cancel(self.timeout_timer)
+        self.timeout_timer = None
         if not self.keep_alive:
             self.linger()
             return
@@ -352,11 +352,11 @@
         """
         self.state = LINGERING
         self.parser.error_status = 0
-        self.input_blocked = False
+        self.parsing_blocked = False
         self.reading_suspended = False
         self.queue.clear()
         self.descriptors.mark_idle(self.handle, clock())
-        self.stall_timer = self.timers.schedule(clock() + self.write_timeout // LINGER_DIVISOR, self.abort)
+        self.timeout_timer = self.timers.schedule(clock() + self.write_timeout // LINGER_DIVISOR, self.abort)
         if self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
         self.timers.loop.call_soon(self.process_input)
@@ -370,7 +370,7 @@
             # While reading is suspended, the client is not the cause of the delay.
             due = clock() + BODY_PAUSE_TIMEOUT if self.reading_suspended else parser.body_deadline()
             if due > clock():
-                self.stall_timer = self.timers.schedule(due, self.request_timed_out)
+                self.timeout_timer = self.timers.schedule(due, self.request_timed_out)
                 return
         if not parser.received_at and not parser.error_status and not self.unread_input():
             self.close()  # the client never sent anything
@@ -394,16 +394,16 @@
         if self.state is not LINGERING and self.can_evict():
             self.close()
 
-    def continue_reading(self) -> None:
+    def resume_reading(self) -> None:
         """Resume reading in the next turn of the event loop, never in a call that dispatches or writes."""
-        self.timers.loop.call_soon(super().continue_reading)
+        self.timers.loop.call_soon(super().resume_reading)
 
     def connection_closed(self) -> None:
         """End the current request, and notify the dispatcher if it has not been answered."""
         self.parser.close()
         self.upload = None
         self.response = None
-        self.timers.cancel(self.stall_timer)
+        self.timers.cancel(self.timeout_timer)
         super().connection_closed()
         self._request_finished()
         handle = self.request_handle
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -42,7 +42,7 @@
         return b"/" + self.target[len(ABSOLUTE_PREFIX) :].partition(b"/")[2]
 
 
-class RequestSink(BodySource, Protocol):
+class RequestReceiver(BodySource, Protocol):
     """The connection that receives the parsed requests."""
 
     def request_received(self, request: ReceivedRequest) -> None:
@@ -59,7 +59,7 @@
     """Parses requests and enforces their size limits.
 
     Attributes:
-        sink: The connection that receives the requests.
+        receiver: The connection that receives the requests.
         error_status: Status of the first error; 0 if none. No request is reported after an error.
         received_at: Clock time (us) of the first byte of the current request; 0 between requests.
         unparsed_bytes: Bytes since the underlying parser last reported progress.
@@ -68,15 +68,15 @@
         fields: Values of its headers by name in lower case.
         connection_header: Values of its Connection headers, each preceded by a comma.
         body: Parts of its body, as long as the body is short enough to be buffered.
-        size: Bytes of its head; from the end of the head on, bytes of its body.
+        section_bytes: Bytes of its head; from the end of the head on, bytes of its body.
         streaming_body: Its body, once that is too long to be buffered.
         head_complete_at: Clock time (us) at which its head was complete; 0 before.
         last_body_byte_at: Clock time (us) at which body bytes were last received; until then, that of the
             head's end.
     """
 
-    def __init__(self, sink: RequestSink) -> None:
-        self.sink = sink
+    def __init__(self, receiver: RequestReceiver) -> None:
+        self.receiver = receiver
         self._http = httptools.HttpRequestParser(self)
         self.error_status = 0
         self.received_at = 0
@@ -89,7 +89,7 @@
         self.fields: dict[bytes, bytes] = {}
         self.connection_header = b""
         self.body: list[bytes] = []
-        self.size = 0
+        self.section_bytes = 0
         self.streaming_body: StreamingBody | None = None
         self.head_complete_at = 0
         self.last_body_byte_at = 0
@@ -115,7 +115,7 @@
 
     def body_deadline(self) -> int:
         """Return the clock time (us) by which more of the current body has to be received."""
-        pace_time = self.size * MICROSECONDS_PER_SECOND // MIN_BODY_BYTES_PER_SECOND
+        pace_time = self.section_bytes * MICROSECONDS_PER_SECOND // MIN_BODY_BYTES_PER_SECOND
         return min(
             self.head_complete_at + BODY_PAUSE_TIMEOUT + pace_time,
             self.last_body_byte_at + BODY_PAUSE_TIMEOUT,
@@ -125,7 +125,7 @@
         """Drop the reference to the connection, as each would keep the other from being freed."""
         self.streaming_body = None
         del self._http
-        del self.sink
+        del self.receiver
 
     # HTTP parser callbacks
 
@@ -137,16 +137,16 @@
     def on_url(self, data: bytes) -> None:
         """Append a part of the target."""
         self.target += data
-        self.size += len(data)
-        if self.size > wire.MAX_HEAD_BYTES:
+        self.section_bytes += len(data)
+        if self.section_bytes > wire.MAX_HEAD_BYTES:
             self.fail(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Record a header; trailers, which follow the body, are ignored."""
         if self.head_complete_at:
             return
-        self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
-        if self.size > wire.MAX_HEAD_BYTES:
+        self.section_bytes += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
+        if self.section_bytes > wire.MAX_HEAD_BYTES:
             self.fail(431)
         if self.error_status:
             return
@@ -155,14 +155,14 @@
         if lower_name == b"connection":
             self.connection_header += b"," + value
         elif lower_name == b"expect" and value.lower() == b"100-continue":
-            self.sink.continue_expected()
+            self.receiver.continue_expected()
         if lower_name in (wire.TRACE_ID_HEADER, wire.TIMEOUT_HEADER) and lower_name in self.fields:
             self.fail(400)  # with two values, it is unclear which one applies
         self.fields[lower_name] = value
 
     def on_headers_complete(self) -> None:
         """Check the body length, and stream the body if it is too long to be buffered."""
-        self.size = 0
+        self.section_bytes = 0
         self.unparsed_bytes = 0
         self.head_complete_at = clock()
         self.last_body_byte_at = self.head_complete_at
@@ -178,8 +178,8 @@
         """Buffer a part of the body, or pass it to the streaming body."""
         self.unparsed_bytes = 0
         self.last_body_byte_at = clock()
-        self.size += len(data)
-        if self.size > wire.MAX_BODY_BYTES:
+        self.section_bytes += len(data)
+        if self.section_bytes > wire.MAX_BODY_BYTES:
             self.fail(413)
         elif self.error_status:
             return
@@ -187,12 +187,12 @@
             self.streaming_body.feed(data)
         else:
             self.body.append(data)
-            if self.size > wire.MAX_BUFFERED_BYTES:
+            if self.section_bytes > wire.MAX_BUFFERED_BYTES:
                 self._start_streaming_body(None)
 
     def _start_streaming_body(self, length: int | None) -> None:
         """Report the request with a body that is still being received."""
-        self.streaming_body = StreamingBody(self.sink, length, self.body)
+        self.streaming_body = StreamingBody(self.receiver, length, self.body)
         self._report_request(self.streaming_body)
 
     def on_message_complete(self) -> None:
@@ -203,7 +203,7 @@
             self._report_request(b"".join(self.body))
         else:
             self.streaming_body.mark_complete()
-            self.sink.streaming_body_received(self.streaming_body)
+            self.receiver.streaming_body_received(self.streaming_body)
         self.received_at = 0
         self.unparsed_bytes = 0
 
@@ -215,7 +215,7 @@
             and self._http.get_http_version() == HTTP_1_1
         )
         headers = wire.end_to_end_headers(self.headers, self.connection_header)
-        self.sink.request_received(
+        self.receiver.request_received(
             ReceivedRequest(
                 self.received_at, self._http.get_method(), self.target, self.fields, headers, body, keep_alive
             )
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -23,9 +23,9 @@
         """Whether reading is suspended."""
 
     def suspend_reading(self) -> None:
-        """Stop reading until `continue_reading` is called."""
+        """Stop reading until `resume_reading` is called."""
 
-    def continue_reading(self) -> None:
+    def resume_reading(self) -> None:
         """Resume reading."""
 
 
@@ -58,7 +58,7 @@
         observer: Notified when the beginning of the body is no longer buffered.
         sink: The connection that the body is written to, if any.
         is_complete: Whether the whole body has been received.
-        is_prefix_discarded: Whether the beginning of the body is no longer buffered.
+        is_beginning_dropped: Whether the beginning of the body is no longer buffered.
         last_progress: Clock time (us) at which bytes were last received or sent.
         completed_at: Clock time (us) at which the last byte was received.
     """
@@ -71,7 +71,7 @@
         self.observer: BodyObserver | None = None
         self.sink: BodySink | None = None
         self.is_complete = False
-        self.is_prefix_discarded = False
+        self.is_beginning_dropped = False
         self.last_progress = clock()
         self.completed_at = self.last_progress
 
@@ -79,18 +79,18 @@
         """Buffer the next bytes, and write them to the sink if there is one."""
         self.size += len(data)
         self.last_progress = clock()
-        if not self.is_prefix_discarded:
+        if not self.is_beginning_dropped:
             if self.sink is None or self.size <= MAX_BUFFERED_BYTES:
                 self.parts.append(data)
             else:
-                self._discard_prefix()
+                self._drop_beginning()
         if self.sink is None:
             self.source.suspend_reading()
         else:
             self._write(self.sink, data)
 
-    def _discard_prefix(self) -> None:
-        self.is_prefix_discarded = True
+    def _drop_beginning(self) -> None:
+        self.is_beginning_dropped = True
         self.parts = []
         if self.observer is not None:
             self.observer.body_consumed()
@@ -110,7 +110,7 @@
         if self.is_complete:
             sink.finish_upload(self._terminator())
         else:
-            self.source.continue_reading()
+            self.source.resume_reading()
 
     def _write(self, sink: BodySink, data: bytes) -> None:
         if self.length is None:
@@ -128,7 +128,7 @@
         """Resume reading from the source, as the sink has sent all that was written."""
         self.last_progress = clock()
         if self.source.reading_suspended:
-            self.source.continue_reading()
+            self.source.resume_reading()
 
     def detach(self) -> None:
         """Forget the sink, which has closed or takes no more of the body."""
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -11,7 +11,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue
 
-HTTP_OK = 200
+STATUS_OK = 200
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
@@ -77,7 +77,7 @@
         """The timers, which know the event loop."""
 
 
-class ConnectionPool(Protocol):
+class ConnectionOwner(Protocol):
     """The owner of the connections to an upstream."""
 
     @property
@@ -95,7 +95,7 @@
     """One connection to an upstream.
 
     Attributes:
-        pool: Owner of the connection.
+        owner: Owner of the connection.
         handler: Owner of the request that awaits its response, if any.
         keep_alive: Whether the connection can carry another request.
         request_pending: Whether the request is still being written.
@@ -107,25 +107,25 @@
         parse_error: Why the response could not be parsed; empty if it could.
         headers: Names and values of the response headers, as received.
         body: Buffered parts of the response body.
-        size: Bytes of the response head; from the end of the head on, bytes of the body.
+        section_bytes: Bytes of the response head; from the end of the head on, bytes of the body.
         connection_header: Values of the response's Connection headers, each preceded by a comma.
         load_report: The upstream's load report, if any.
         not_executed: Whether the upstream says that it did not execute the request.
         length: Length of the response body in bytes, if the response states it.
         has_transfer_encoding: Whether the response has a Transfer-Encoding header.
-        has_end_marker: Whether the response is chunked or states a length within the limit.
+        has_usable_framing: Whether the response is chunked or states a length within the limit.
         ends_with_connection: Whether the body ends when the connection is closed.
     """
 
-    def __init__(self, descriptors: DescriptorBudget, pool: ConnectionPool) -> None:
+    def __init__(self, descriptors: DescriptorBudget, owner: ConnectionOwner) -> None:
         """Create a connection that is not connected yet; `dial` connects it.
 
         Args:
             descriptors: Owner of the connection's descriptor.
-            pool: Owner of the connection.
+            owner: Owner of the connection.
         """
         super().__init__(descriptors)
-        self.pool = pool
+        self.owner = owner
         self.handler: ResponseHandler | None = None
         self.keep_alive = True
         self.parser: httptools.HttpResponseParser
@@ -163,9 +163,9 @@
         if upload is not None:
             upload.attach(self)
 
-    def continue_reading(self) -> None:
+    def resume_reading(self) -> None:
         """Resume reading in the next turn of the event loop, never within a call that writes."""
-        self.pool.resources.timers.loop.call_soon(super().continue_reading)
+        self.owner.resources.timers.loop.call_soon(super().resume_reading)
 
     def finish_upload(self, terminator: bytes) -> None:
         """Write the terminator of a streamed request body."""
@@ -192,12 +192,12 @@
             raise ProtocolError("more than was asked for")  # a second response, which would be appended
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
-        self.size = 0
+        self.section_bytes = 0
         self.connection_header = b""
         self.load_report = b""
         self.not_executed = False
         self.length: int | None = None
-        self.has_end_marker = False
+        self.has_usable_framing = False
         self.head_complete = False
         self.ends_with_connection = False
         self.has_transfer_encoding = False
@@ -210,8 +210,8 @@
         """
         if self.head_complete:
             return
-        self.size += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
-        if self.size > wire.MAX_HEAD_BYTES:
+        self.section_bytes += len(name) + len(value) + wire.HEADER_OVERHEAD_BYTES
+        if self.section_bytes > wire.MAX_HEAD_BYTES:
             raise ProtocolError("too long a head")
         lower_name = name.lower()
         if lower_name == wire.LOAD_REPORT_HEADER:
@@ -222,10 +222,10 @@
             self.connection_header += b"," + value
         elif lower_name == b"content-length":
             self.length = int(value)
-            self.has_end_marker = self.length <= wire.MAX_BODY_BYTES
+            self.has_usable_framing = self.length <= wire.MAX_BODY_BYTES
         elif lower_name == b"transfer-encoding":
             self.has_transfer_encoding = True
-            self.has_end_marker = value.strip().lower().endswith(b"chunked")
+            self.has_usable_framing = value.strip().lower().endswith(b"chunked")
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -238,17 +238,17 @@
         Raises:
             ProtocolError: The end of the body is not stated, or the body is too long.
         """
-        self.size = 0
+        self.section_bytes = 0
         self.unparsed_bytes = 0
         status = self.parser.get_status_code()
-        self.head_complete = status >= HTTP_OK
+        self.head_complete = status >= STATUS_OK
         if self.head_complete:
             is_unsized = self.length is None and not self.has_transfer_encoding
             self.ends_with_connection = is_unsized and wire.requests_close(self.connection_header)
-            has_end = self.has_end_marker or self.ends_with_connection
+            has_end = self.has_usable_framing or self.ends_with_connection
             if not has_end and status not in STATUSES_WITHOUT_BODY:
                 raise ProtocolError("no length, or too long a body")
-        if status == HTTP_OK and self.length is not None and self.length > wire.MAX_BUFFERED_BYTES:
+        if status == STATUS_OK and self.length is not None and self.length > wire.MAX_BUFFERED_BYTES:
             self.start_streaming()
 
     def on_body(self, data: bytes) -> None:
@@ -260,16 +260,16 @@
         self.unparsed_bytes = 0
         if self.handler is None:
             return  # the request was cancelled
-        if not self.size and self.length is None:
+        if not self.section_bytes and self.length is None:
             self.handler.unsized_response_started(self)
-        self.size += len(data)
-        if self.size > wire.MAX_BODY_BYTES:
+        self.section_bytes += len(data)
+        if self.section_bytes > wire.MAX_BODY_BYTES:
             raise ProtocolError("too long a body")
         if self.is_streaming:
             self.handler.response_part(data)
-        elif self.size <= wire.MAX_BUFFERED_BYTES:
+        elif self.section_bytes <= wire.MAX_BUFFERED_BYTES:
             self.body.append(data)
-        elif self.parser.get_status_code() == HTTP_OK:
+        elif self.parser.get_status_code() == STATUS_OK:
             self.body.append(data)
             self.start_streaming()
 
@@ -289,7 +289,7 @@
     def on_message_complete(self) -> None:
         """Record the end of the response; interim responses such as 100 Continue are skipped."""
         status = self.parser.get_status_code()
-        if status >= HTTP_OK:
+        if status >= STATUS_OK:
             self.status = status
             # The parser knows only now whether the connection can stay open.
             self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
@@ -342,7 +342,7 @@
             not_executed=self.not_executed,
         )
         if self.keep_alive and self.is_flushed:
-            self.pool.return_connection(self)
+            self.owner.return_connection(self)
         else:
             self._detach_upload()
             self.abort()
@@ -365,7 +365,7 @@
     def connection_closed(self) -> None:
         """Remove the connection from the pool and report that there will be no response."""
         self.parser = None  # type: ignore[assignment]  # it holds references to this connection and its buffers
-        self.pool.remove_connection(self)
+        self.owner.remove_connection(self)
         request_written = self.is_flushed
         self._detach_upload()
         handler = self.handler
--- a/dahliabend/routing_rules/comparison.py
+++ b/dahliabend/routing_rules/comparison.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import TypedDict
 
-from dahliabend.routing_rules.loaded_file import LoadedFile, settings
+from dahliabend.routing_rules.loaded_file import LoadedFile, collect_settings
 
 RESTART_TABLES = ("listeners", "members")  # a reload does not apply changes in these tables,
 # except for these keys of `[members]`.
@@ -52,9 +52,9 @@
 
 def _values_by_stable_key(loaded: LoadedFile) -> dict[str, object]:
     """Return the values of settings by keys that do not depend on the order of routes."""
-    names = [route.name for route in loaded.usable_file.routes]
+    names = [route.name for route in loaded.decoded_file.routes]
     values = {}
-    for key, setting in settings(loaded).items():
+    for key, setting in collect_settings(loaded).items():
         if key.startswith("routes["):
             number, _, rest = key.removeprefix("routes[").partition("]")
             key = f"routes.{names[int(number)]}{rest}"
@@ -71,7 +71,7 @@
 def _effect(key: str, change_kind: ChangeKind, new: LoadedFile) -> str:
     table, _, rest = key.partition(".")
     name = rest.partition(".")[0]
-    file = new.usable_file
+    file = new.decoded_file
     if needs_restart(key):
         return "wants a restart; a reload passes it over"
     is_removed = change_kind is ChangeKind.REMOVED
--- a/dahliabend/routing_rules/compiled_route.py
+++ b/dahliabend/routing_rules/compiled_route.py
@@ -81,7 +81,7 @@
             chain.append(fallback)
         return chain
 
-    def candidate_pools(self, key: bytes, ready_share: Callable[[str], float]) -> list[str]:
+    def candidate_pools(self, key: bytes, ready_fraction: Callable[[str], float]) -> list[str]:
         """Return the pools that a request is offered to, in order: if one rejects it, the next is tried.
 
         A pool with too small a fraction of ready endpoints is left out. If this applies to all pools, the
@@ -89,12 +89,12 @@
 
         Args:
             key: Value of the header by which requests are split; empty for round robin.
-            ready_share: Returns the fraction of a pool's endpoints that are ready, by the pool's name.
+            ready_fraction: Returns the fraction of a pool's endpoints that are ready, by the pool's name.
         """
         first = self.split.pool_for_key(key) if key else self.split.next_pool()
         chain = self._fallback_chains[first]
         thresholds = self._fallback_thresholds
-        return [name for name in chain if ready_share(name) > thresholds[name]] or chain[:1]
+        return [name for name in chain if ready_fraction(name) > thresholds[name]] or chain[:1]
 
     def inherit_state(self, previous: "CompiledRoute") -> None:
         """Take over the state of the previous route of the same name, after a reload.
--- a/dahliabend/routing_rules/explanation.py
+++ b/dahliabend/routing_rules/explanation.py
@@ -69,7 +69,7 @@
     Returns:
         The explanation, or None if no route matches the request.
     """
-    file = loaded.usable_file
+    file = loaded.decoded_file
     lower_case_headers = {name.lower(): value for name, value in headers.items()}
     number = RouteTable(file.routes).find(method, path, lower_case_headers)
     if number is None:
--- a/dahliabend/routing_rules/loaded_file.py
+++ b/dahliabend/routing_rules/loaded_file.py
@@ -33,12 +33,12 @@
     faults: list[Fault] = field(default_factory=list)
 
     @property
-    def is_usable(self) -> bool:
+    def has_no_faults(self) -> bool:
         """Whether the file has no faults."""
         return self.file is not None and not self.faults
 
     @property
-    def usable_file(self) -> OperatorFile:
+    def decoded_file(self) -> OperatorFile:
         """The settings of a file that could be decoded.
 
         Raises:
@@ -83,7 +83,7 @@
     return f"{place.file}:{place.line}"
 
 
-def settings(loaded: LoadedFile) -> dict[str, Setting]:
+def collect_settings(loaded: LoadedFile) -> dict[str, Setting]:
     """Return every setting in force of a file without faults, by its key in the notation of the file."""
     settings_by_key = {}
     for key, value in _leaves(loaded.file, ()):
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -50,13 +50,13 @@
             del self._shares[name]
             self._demands.pop(name, None)
 
-    def report_received(self, at: int, origin: str, announcement: QuotaAnnouncement) -> None:
+    def announcement_received(self, at: int, origin: str, announcement: QuotaAnnouncement) -> None:
         """Store the share and demand that another balancer announces."""
         share = self._shares.get(announcement.limit)
         if share is not None:
             share.update_peer(at, origin, announcement.share, announcement.demand)
 
-    def reports(self) -> list[QuotaAnnouncement]:
+    def announcements(self) -> list[QuotaAnnouncement]:
         """Return the shares and demands to announce to the other balancers."""
         return [
             QuotaAnnouncement(name, round(share.share, WIRE_DIGITS), round(share.demand, WIRE_DIGITS))
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -50,7 +50,7 @@
         name: This member's name.
         address: The address that the other members send datagrams to.
         stored: The membership state that a predecessor stored; None if there is none.
-        failure_detector: The membership protocol, without I/O.
+        protocol: The membership protocol, without I/O.
         gossip: The exchange of health reports with other members; None if it is not configured.
         demand: The estimator of the requests to this balancer; None if its weight is configured.
         seed_list: The seeds from endpoint lists.
@@ -88,14 +88,14 @@
         self.stored = self._file.read() if self._file is not None else None
         if self.stored is not None:  # the generation must increase even if the clock was set back
             generation = max(generation, self.stored.generation + 1)
-        self.failure_detector = self._create_membership_protocol(generation, random)
+        self.protocol = self._create_membership_protocol(generation, random)
         self.transport = UdpTransport(
-            self.failure_detector, self._create_authenticator(settings), timers, self._log_event
+            self.protocol, self._create_authenticator(settings), timers, self._log_event
         )
         self.gossip: GossipExchange | None = None
         if settings.signals:
             self.gossip = GossipExchange(
-                self.failure_detector,
+                self.protocol,
                 self.transport,
                 timers,
                 random,
@@ -147,14 +147,14 @@
         """
         resumed = self.stored is not None and self.stored.handed_over
         if self.stored is not None and resumed:
-            self.failure_detector.restore(clock(), self.stored.snapshot())
+            self.protocol.restore(clock(), self.stored.snapshot())
         await self.transport.open(parse_address(self.settings.address), self.seeds())
         self.log(
             "membership.opened",
             name=self.name,
             address=self.settings.address,
             advertise=self.address,
-            generation=self.failure_detector.generation,
+            generation=self.protocol.generation,
             resumed=resumed,
         )
         if self.state is MemberState.NEW:
@@ -193,7 +193,7 @@
         """
         if self._file is None:
             return
-        self._file.write(self.failure_detector.snapshot(), handed_over=handed_over)
+        self._file.write(self.protocol.snapshot(), handed_over=handed_over)
         if not handed_over:
             self.timers.cancel(self._store_timer)
             interval = MAX_AGE_PERIODS * self.settings.period
@@ -221,10 +221,10 @@
         )
         # The content of key files may have changed under the same names.
         self.transport.authenticator = self._create_authenticator(settings)
-        current_weight = self.failure_detector.self_update.weight
+        current_weight = self.protocol.self_update.weight
         weight = settings.weight if self.demand is None else current_weight
         if settings.zone != before.zone or weight != current_weight:
-            self.failure_detector.update_self(clock(), zone=settings.zone, weight=weight)
+            self.protocol.update_self(clock(), zone=settings.zone, weight=weight)
         lists = (settings.seeds_file, settings.seeds_discovery)
         if lists != (before.seeds_file, before.seeds_discovery):
             self.seed_list.clear()
@@ -246,11 +246,11 @@
             return
         weight = self.demand.update(clock(), request_count)
         if weight is not None:
-            self.failure_detector.update_self(clock(), weight=weight)
+            self.protocol.update_self(clock(), weight=weight)
             self.log("demand.reported", weight=weight)
 
     def _update_seeds(self) -> None:
-        self.failure_detector.set_seeds(self.seeds())
+        self.protocol.set_seeds(self.seeds())
 
     def _log_event(self, event: Event) -> None:
         self.log(
@@ -265,19 +265,19 @@
 
     def view(self) -> MembershipView:
         """Return the current view of the cluster."""
-        return self.failure_detector.view(clock())
+        return self.protocol.view(clock())
 
     def last_stable_view(self) -> MembershipView | None:
         """Return the last view without suspected members; None if there was none."""
-        return self.failure_detector.last_stable_view(clock())
+        return self.protocol.last_stable_view(clock())
 
     def metrics(self) -> cluster_status.MembershipMetrics:
         """Return the metrics of membership."""
-        return cluster_status.membership_metrics(self.view(), self.failure_detector, self.transport)
+        return cluster_status.membership_metrics(self.view(), self.protocol, self.transport)
 
     def status(self) -> dict[str, Any]:
         """Return the members and metrics in the form of the admin call `/api/members`."""
-        protocol = self.failure_detector
+        protocol = self.protocol
         return {
             "name": self.name,
             **msgspec.to_builtins(self.metrics()),
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -29,13 +29,13 @@
     from dahliabend.server.shared_health_checks import SharedHealthChecks
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_SHOWN_SUSPICIONS = 16  # newest suspicions kept for the admin API
+MAX_SHOWN_REPORTED_FAILURES = 16  # newest suspicions kept for the admin API
 
 PoolRouters = Sequence[tuple[str, Router]]
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class ReportedFailure:
     """An upstream reported as failing by several other balancers, whose reports the policy has counted.
 
     Attributes:
@@ -89,7 +89,7 @@
         self.pools: Callable[[], PoolRouters] = tuple
         self.health_checks: SharedHealthChecks | None = None
         self.limits: ClusterLimits | None = None
-        self._suspicions: list[Suspicion] = []
+        self._reported_failures: list[ReportedFailure] = []
         self._timer: Any = None
         if health_check_period:
             self._share_health_checks(health_check_period)
@@ -109,8 +109,8 @@
             from dahliabend.server.cluster_limits import ClusterLimits
 
             self.limits = ClusterLimits(self.protocol.name, routes, self.log)
-            self.gossip.quotas = self.limits.reports
-            self.gossip.on_quota = self.limits.report_received
+            self.gossip.quotas = self.limits.announcements
+            self.gossip.on_quota = self.limits.announcement_received
         self.limits.update_routes()
 
     def record_outcome(self, pool: str, upstream: str, outcome: Outcome) -> None:
@@ -151,7 +151,7 @@
             "name": self.protocol.name,
             "own": _counts_as_dicts(self.gossip.counts(now)),
             "origins": origins,
-            "believed": [self._suspicion_as_dict(suspicion, now) for suspicion in self._suspicions],
+            "believed": [self._failure_as_dict(failure, now) for failure in self._reported_failures],
             "shares": self.limits.status() if self.limits is not None else [],
             "told": self.gossip.suspected_count,
             "unread": self.gossip.undecodable,
@@ -173,8 +173,8 @@
         }
         report = partial(_add_peer_report, balancer, indices)
         for suspected in self.gossip.report_suspected(now, pool, set(indices), members, report):
-            suspicion = Suspicion(pool, suspected.upstream, now, suspected.origins)
-            self._suspicions = [*self._suspicions[1 - MAX_SHOWN_SUSPICIONS :], suspicion]
+            failure = ReportedFailure(pool, suspected.upstream, now, suspected.origins)
+            self._reported_failures = [*self._reported_failures[1 - MAX_SHOWN_REPORTED_FAILURES :], failure]
             self.log("upstream.suspected", pool=pool, upstream=suspected.upstream, origins=suspected.origins)
 
     def _tick_health_checks(self, now: int, stable_view: MembershipView | None) -> None:
@@ -203,12 +203,12 @@
             self.protocol.send_user_message(member, message)
         self.transport.flush()
 
-    def _suspicion_as_dict(self, suspicion: Suspicion, now: int) -> dict[str, Any]:
+    def _failure_as_dict(self, failure: ReportedFailure, now: int) -> dict[str, Any]:
         return {
-            "pool": suspicion.pool,
-            "upstream": suspicion.upstream,
-            "origins": suspicion.origins,
-            "age_ms": (now - suspicion.at) // MICROSECONDS_PER_MILLISECOND,
+            "pool": failure.pool,
+            "upstream": failure.upstream,
+            "origins": failure.origins,
+            "age_ms": (now - failure.at) // MICROSECONDS_PER_MILLISECOND,
         }
 
 
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -24,17 +24,17 @@
     """The key of a process that uses the directory; keys sort by the start of their processes.
 
     Attributes:
-        generation: One more than the highest generation among the processes that were alive at its start.
+        start_order: One more than the highest generation among the processes that were alive at its start.
         process_id: The operating system's process id.
     """
 
-    generation: int
+    start_order: int
     process_id: int
 
 
 def _file_suffix(process: tuple[int, int]) -> str:
-    generation, process_id = process
-    return f"{generation}-{process_id}"
+    start_order, process_id = process
+    return f"{start_order}-{process_id}"
 
 
 class HotRestart:
@@ -65,7 +65,7 @@
         for name in self.directory.glob("for-*"):
             if not any(name.endswith(f"-{_file_suffix(key)}") for key in live):
                 self.directory.remove(name)
-        newest = max((key.generation for key in live), default=0)
+        newest = max((key.start_order for key in live), default=0)
         self.process_key = ProcessKey(newest + 1, host_info.process_id())
         self._alive_file = self.directory.create_locked(f"alive-{_file_suffix(self.process_key)}")
 
@@ -76,8 +76,8 @@
         """
         attempts_by_process = {}
         for name in self.directory.glob("alive-*-*"):
-            generation, process_id = name.split("-")[1:]
-            key = ProcessKey(int(generation), int(process_id))
+            start_order, process_id = name.split("-")[1:]
+            key = ProcessKey(int(start_order), int(process_id))
             if key == self.process_key:
                 continue
             in_flight = self.directory.read_locked(name)
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -54,7 +54,7 @@
     def requests(self) -> Sized:
         """The requests in flight."""
 
-    def shut_down_by(self, when: int) -> None:
+    def shut_down_by(self, deadline: int) -> None:
         """Give up, at this time in microseconds, the requests without a response."""
 
 
--- a/dahliabend/server/metrics.py
+++ b/dahliabend/server/metrics.py
@@ -7,7 +7,7 @@
 
 FULFILLED, THROTTLED, FAULTED, RELAYED = range(4)  # indices into the counters of a class
 COUNTER_NAMES = ("fulfilled", "throttled", "faulted", "relayed")  # names of these counters in the telemetry
-OK_STATUS = 200
+STATUS_OK = 200
 THROTTLED_STATUSES = (429, 503)
 
 
@@ -45,7 +45,7 @@
 
     def count_response(self, name: bytes, status: int) -> None:
         """Count a response to a client as fulfilled, throttled or faulted, by its HTTP status."""
-        counter = FULFILLED if status == OK_STATUS else THROTTLED if status in THROTTLED_STATUSES else FAULTED
+        counter = FULFILLED if status == STATUS_OK else THROTTLED if status in THROTTLED_STATUSES else FAULTED
         self.classes.setdefault(name, [0] * len(COUNTER_NAMES))[counter] += 1
 
     def count_attempt(self, name: bytes) -> None:
--- a/dahliabend/server/operator_file_loading.py
+++ b/dahliabend/server/operator_file_loading.py
@@ -53,7 +53,7 @@
         InvalidOperatorFileError: The file has faults or requires a library that is not installed.
     """
     loaded = load_file(path, environment=environment, read=host_info.read_file)
-    if loaded.file is None or not loaded.is_usable:
+    if loaded.file is None or not loaded.has_no_faults:
         raise InvalidOperatorFileError(loaded.faults)
     _check_required_libraries(loaded.file, loaded.source)
     return UsableFile(loaded, loaded.file)
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -46,7 +46,7 @@
         )
         self.environment = environment
         self._listener_descriptor = settings.listener_descriptor
-        self._named_keys = settings.named_keys
+        self._present_keys = settings.present_keys
         self._policy_inputs = settings.policy_inputs
         self.max_request_time = max(settings.class_deadlines)
         endpoint_resources = EndpointResources(
@@ -158,7 +158,7 @@
         An invalid file changes nothing.
         """
         reload_configuration(
-            lambda: reread_server_settings(self.environment, self._named_keys),
+            lambda: reread_server_settings(self.environment, self._present_keys),
             self._apply,
             lambda error: {"reason": str(error)},
             metrics=self.metrics,
@@ -167,7 +167,7 @@
 
     def _apply(self, settings: ServerSettings) -> dict[str, object]:
         self.log.verbose = settings.verbose
-        self._named_keys = settings.named_keys
+        self._present_keys = settings.present_keys
         self.discovery.change_address(settings.discovery)
         if settings.policy_inputs != self._policy_inputs:
             self._apply_policy_inputs(settings)
--- a/dahliabend/server/pool_settings.py
+++ b/dahliabend/server/pool_settings.py
@@ -83,7 +83,7 @@
         max_in_flight=MAX_IN_FLIGHT,
         report_fields=(),
         unsupported_keys=(),
-        named_keys=frozenset(),
+        present_keys=frozenset(),
         monotonic_offset=host_info.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
         - host_info.time_ns() // NANOSECONDS_PER_MICROSECOND,
     )
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -63,10 +63,10 @@
         reserved = ADMIN_DESCRIPTORS if admin_address else 0
         self.descriptors = DescriptorBudget(descriptor_limit - reserved)
         self.metrics = Metrics()
-        self.listener = Listener(self.timers, self.descriptors, self.accept_client)
+        self.listener = Listener(self.timers, self.descriptors, self.make_client_connection)
         self.admin_descriptors = DescriptorBudget(PROCESS_DESCRIPTORS + ADMIN_DESCRIPTORS)
         self.admin_api = AdminApi(self, log)
-        self.admin_listener = Listener(self.timers, self.admin_descriptors, self.accept_operator)
+        self.admin_listener = Listener(self.timers, self.admin_descriptors, self.make_admin_connection)
         self.lifecycle = Lifecycle(self, loop)
         self._evacuation_timer: Any = None
 
@@ -131,11 +131,11 @@
 
     # Clients
 
-    def accept_client(self) -> ClientConnection:
+    def make_client_connection(self) -> ClientConnection:
         """Create the protocol of a new client connection."""
         return ClientConnection(self.descriptors, self.timers, self.router, self.max_request_time)
 
-    def accept_operator(self) -> AdminConnection:
+    def make_admin_connection(self) -> AdminConnection:
         """Create the protocol of a new admin connection."""
         return AdminConnection(self.admin_descriptors, self.timers, self.admin_api)
 
--- a/dahliabend/server/shared_health_checks.py
+++ b/dahliabend/server/shared_health_checks.py
@@ -53,12 +53,12 @@
             clock(), task, lambda _, outcome: policy.health_check_finished(index, outcome)
         )
 
-    def tick(self, members: Iterable[Candidate], settled: bool, pools: Sequence[tuple[str, Router]]) -> None:
+    def tick(self, members: Iterable[Candidate], stable: bool, pools: Sequence[tuple[str, Router]]) -> None:
         """Run the checks that are due and leased by this balancer.
 
         Args:
             members: The name and zone of each balancer that is present.
-            settled: Whether the membership is stable enough to rely on `members`.
+            stable: Whether the membership is stable enough to rely on `members`.
             pools: The name and router of each pool with shared health checks.
         """
         self._targets = {
@@ -68,7 +68,7 @@
             if endpoint.state is EndpointState.READY
         }
         zones = {task: endpoint.zone for task, (_, endpoint) in self._targets.items()}
-        self.leased.tick(clock(), members, settled, zones)
+        self.leased.tick(clock(), members, stable, zones)
 
     def status(self) -> dict[str, Any]:
         """Return the holder, fencing token and last result of each lease, for the admin call `/api/turns`."""
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -37,7 +37,7 @@
         settings: schema.SubsetSettings,
         balancers: int,
         cluster: "ClusterMember | None",
-        instance_name: str,
+        fallback_name: str,
         timers: TimerQueue,
         log: EventLog,
     ) -> None:
@@ -48,7 +48,7 @@
             settings: The subset settings of the operator's file.
             balancers: The configured number of balancers.
             cluster: This balancer's membership of its cluster; None without `[members]`.
-            instance_name: The name of this balancer if it has neither a cluster nor an index.
+            fallback_name: The name of this balancer if it has neither a cluster nor an index.
             timers: The process's timers.
             log: The event log.
         """
@@ -58,7 +58,7 @@
         self.log = log
         self.subset = ActiveSubset()
         self._entries: dict[str, EndpointListEntry] = {}  # the whole endpoint list, by name
-        self._controller = _create_controller(settings, balancers, cluster, instance_name)
+        self._controller = _create_controller(settings, balancers, cluster, fallback_name)
         self._timer: Any = None
         self._update_periodically()
 
@@ -98,7 +98,7 @@
             "of": len(self._entries),
             "by": subset.source,
             "balancers": subset.balancers,
-            "wider": self._controller.extra,
+            "wider": self._controller.extra_count,
             "weights": weights,
         }
 
@@ -160,7 +160,7 @@
 
 
 def _create_controller(
-    settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", instance_name: str
+    settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", fallback_name: str
 ) -> SubsetController:
     index = settings.self_index
     controller_settings = SubsetControllerSettings(
@@ -171,14 +171,14 @@
         balancers=balancers,
         hold_time=settings.hold,
     )
-    controller = SubsetController(_own_participant(index, cluster, instance_name), controller_settings)
+    controller = SubsetController(_own_participant(index, cluster, fallback_name), controller_settings)
     if index is not None:  # the number of balancers and this one's index are configured: nothing to discover
         participants = [Participant(f"{number}") for number in range(balancers)]
         controller.update_view(clock(), participants, trusted=True)
     return controller
 
 
-def _own_participant(index: int | None, cluster: "ClusterMember | None", instance_name: str) -> Participant:
+def _own_participant(index: int | None, cluster: "ClusterMember | None", fallback_name: str) -> Participant:
     if cluster is not None:
         return Participant(cluster.name, cluster.settings.zone)
-    return Participant(instance_name if index is None else f"{index}")
+    return Participant(fallback_name if index is None else f"{index}")
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -84,7 +84,7 @@
         self.write_files(texts)
         loaded = self.load_file()
         file = loaded.file
-        if file is None or not loaded.is_usable:
+        if file is None or not loaded.has_no_faults:
             raise ValueError("; ".join(map(str, loaded.faults)))
         drain_time = min(pool.drain_notice_time for pool in file.pools.values())
         self.invariants = InvariantChecker(self.scheduler, self.recorder, {}, drain_time)
@@ -290,7 +290,7 @@
         """Replace the file and send the signal; pools that it adds are there by then."""
         self.write_files(texts)
         loaded = self.load_file()
-        if loaded.file is not None and loaded.is_usable:
+        if loaded.file is not None and loaded.has_no_faults:
             for name in loaded.file.pools:
                 self._add_pool(loaded.file, name)
             self._add_classes(loaded.file)
--- a/dahliabend/subsetting/controller.py
+++ b/dahliabend/subsetting/controller.py
@@ -57,7 +57,7 @@
         view: Views of the fleet.
         active: Upstreams in use, with the time at which each was added.
         target: The subset to move to.
-        extra: Number of upstreams used beyond the target while too few of the target are usable.
+        extra_count: Number of upstreams used beyond the target while too few of the target are usable.
     """
 
     def __init__(self, balancer: Participant, settings: SubsetControllerSettings) -> None:
@@ -69,7 +69,7 @@
         self.view = FleetView()
         self.active: dict[str, int] = {}
         self.target = TargetSubset()
-        self.extra = 0
+        self.extra_count = 0
         self._target_stale = True
         self._next_step_at = 0
         self._published: dict[str, float] = {}  # weights of the subset returned last
@@ -125,11 +125,11 @@
         """
         size = max(1, len(self.target.weights))
         max_extra = round(size * (self.settings.max_widening - 1))
-        if usable < self.settings.widen_threshold * size and self.extra < max_extra:
+        if usable < self.settings.widen_threshold * size and self.extra_count < max_extra:
             increase = max(1, round(size * self.settings.move_fraction))
-            self.extra = min(max_extra, self.extra + increase)
-        elif self.extra and usable >= size + self.extra - 1:
-            self.extra -= 1
+            self.extra_count = min(max_extra, self.extra_count + increase)
+        elif self.extra_count and usable >= size + self.extra_count - 1:
+            self.extra_count -= 1
 
     # Output
 
@@ -179,9 +179,9 @@
             self.target = compute_target(self.balancer, self.settings, views, self.eligible)
 
     def _widened_target(self) -> list[str]:
-        """Return the upstreams of the target, followed by the `extra` next ones of the ranking."""
+        """Return the upstreams of the target, followed by the `extra_count` next ones of the ranking."""
         others = [name for name in self.target.ranking if name not in self.target.weights]
-        return [*self.target.weights, *others[: self.extra]]
+        return [*self.target.weights, *others[: self.extra_count]]
 
     def _add(self, now: int, desired: list[str], missing: list[str], max_changes: int) -> list[str]:
         """Add missing upstreams: `max_changes` of them, or more if the subset is smaller than desired."""
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -35,9 +35,9 @@
         bytes_in_transport: Bytes of the send buffer that the transport has not finished reading.
         write_paused: Whether the transport has more bytes than it can write.
         write_failed: Whether the system refused a write.
-        input_blocked: Whether received bytes have to wait until earlier requests are answered.
+        parsing_blocked: Whether received bytes have to wait until earlier requests are answered.
         reading_suspended: Whether reading is stopped because the receiver of the bytes is slower.
-        reading_paused: Whether the transport has been told not to read.
+        is_transport_paused: Whether the transport has been told not to read.
         closed: Whether the connection is closed or being closed.
         transport: The transport; None before the connection is established and after it is lost.
         sock: The socket; None before it is connected, and after the connection is lost or reset.
@@ -54,9 +54,9 @@
         self.bytes_in_transport = 0
         self.write_paused = False
         self.write_failed = False
-        self.input_blocked = False
+        self.parsing_blocked = False
         self.reading_suspended = False
-        self.reading_paused = False
+        self.is_transport_paused = False
         self.closed = False
         self.transport: asyncio.Transport | None = None
         self.sock: socket.socket | None = None
@@ -97,21 +97,21 @@
     def process_input(self) -> None:
         """Pass on received bytes unless they have to wait; while the buffer is full, pause reading."""
         ring = self.receive_buffer
-        while ring.count and not self.input_blocked and not self.reading_suspended and not self.closed:
+        while ring.count and not self.parsing_blocked and not self.reading_suspended and not self.closed:
             view = ring.readable_view()
             self.bytes_received(view)
             ring.consume(len(view))
         must_pause = ring.count == ring.size or self.reading_suspended
         if must_pause:
             self.pause_transport()
-        elif self.reading_paused and self.transport is not None and not self.closed:
-            self.reading_paused = False
+        elif self.is_transport_paused and self.transport is not None and not self.closed:
+            self.is_transport_paused = False
             self.transport.resume_reading()
 
     def pause_transport(self) -> None:
         """Tell the transport not to read."""
-        if not self.reading_paused and self.transport is not None and not self.closed:
-            self.reading_paused = True
+        if not self.is_transport_paused and self.transport is not None and not self.closed:
+            self.is_transport_paused = True
             self.transport.pause_reading()
             self.transport_paused()
 
@@ -123,7 +123,7 @@
         self.reading_suspended = True
         self.pause_transport()
 
-    def continue_reading(self) -> None:
+    def resume_reading(self) -> None:
         """Undo `suspend_reading`."""
         if self.reading_suspended:
             self.reading_suspended = False
--- a/dahliabend/transport/hangup_detection.py
+++ b/dahliabend/transport/disconnect_detection.py
@@ -4,32 +4,34 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import Timer, TimerQueue, clock
 
-HANGUP_CHECK_INTERVAL = 50_000  # microseconds; a disconnect has to be noticed within 0.1 s
+DISCONNECT_CHECK_INTERVAL = 50_000  # microseconds; a disconnect has to be noticed within 0.1 s
 
 
-class HangupDetectingConnection(Connection):
+class DisconnectDetectingConnection(Connection):
     """A connection that is checked at intervals while its reading is paused.
 
     Attributes:
-        hangup_timer: Fires when the next check is due.
+        disconnect_timer: Fires when the next check is due.
     """
 
     def __init__(self, descriptors: DescriptorBudget, timers: TimerQueue) -> None:
         super().__init__(descriptors)
         self.timers = timers
-        self.hangup_timer: Timer | None = None
+        self.disconnect_timer: Timer | None = None
 
     def transport_paused(self) -> None:
         """Schedule the next check."""
-        self.timers.cancel(self.hangup_timer)
-        self.hangup_timer = self.timers.schedule(clock() + HANGUP_CHECK_INTERVAL, self.check_hangup)
+        self.timers.cancel(self.disconnect_timer)
+        self.disconnect_timer = self.timers.schedule(
+            clock() + DISCONNECT_CHECK_INTERVAL, self.check_for_disconnect
+        )
 
-    def check_hangup(self) -> None:
+    def check_for_disconnect(self) -> None:
         """Close the connection if the peer has disconnected.
 
         Otherwise the requests that the peer sent before would be served although nobody reads the responses.
         """
-        if not self.reading_paused or self.closed:
+        if not self.is_transport_paused or self.closed:
             return
         if self.peer_has_closed():
             self.abort()
@@ -38,4 +40,4 @@
 
     def connection_closed(self) -> None:
         """Cancel the next check."""
-        self.timers.cancel(self.hangup_timer)
+        self.timers.cancel(self.disconnect_timer)
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -12,7 +12,7 @@
 from dahliabend.config.operator_file.loader import load_source
 from dahliabend.routing_rules.comparison import diff
 from dahliabend.routing_rules.explanation import ExplainedValue, explain
-from dahliabend.routing_rules.loaded_file import load_file, settings
+from dahliabend.routing_rules.loaded_file import collect_settings, load_file
 
 ROOT = Path(__file__).parents[2]
 CORPUS_SIZE = 500
@@ -36,7 +36,7 @@
         generated = generate_operator_files(seed)
         loaded_file = load_file("file.toml", environment={}, read=generated.read)
         if not generated.kind:
-            assert loaded_file.is_usable, (seed, [str(fault) for fault in loaded_file.faults])
+            assert loaded_file.has_no_faults, (seed, [str(fault) for fault in loaded_file.faults])
             continue
         kinds.add(generated.kind)
         messages = [str(fault) for fault in loaded_file.faults]
@@ -46,7 +46,7 @@
             if fault.line == generated.line and generated.reason in fault.reason
         ]
         assert matching, (seed, generated.kind, generated.line, messages)
-        assert not loaded_file.is_usable, (seed, generated.kind, generated.line, messages)
+        assert not loaded_file.has_no_faults, (seed, generated.kind, generated.line, messages)
     assert len(kinds) == len(FAULTS)
 
 
@@ -82,9 +82,9 @@
     route = '[[routes]]\nname = "first"\npath = "/x"\nclass = "query"\npool = "a"\n'
     included = f"[classes.query]\nrevenue = 2.0\n{route}"
     loaded = load_texts(file='include = ["below.toml"]\n' + MINIMAL_FILE, below=included)
-    assert loaded.is_usable, loaded.faults
+    assert loaded.has_no_faults, loaded.faults
     assert [route.name for route in loaded.file.routes] == ["first", "all"]
-    shown_settings = settings(loaded)
+    shown_settings = collect_settings(loaded)
     assert shown_settings["classes.query.revenue"] == (2.0, "below.toml:2")
     assert shown_settings["routes[0].path"] == ("/x", "below.toml:5")
     assert shown_settings["routes[1].pool"] == ("a", "file.toml:12")
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -30,7 +30,7 @@
     feed(client, raw)
     feed(client, raw * (BUFFER_SIZE // len(raw)))
     feed(client, raw * 9)
-    assert client.input_blocked
+    assert client.parsing_blocked
     assert len(client.queue) <= BUFFER_SIZE // len(raw)
 
 
@@ -40,7 +40,7 @@
         transport, connected_at = FakeTransport(client), clock()
         for byte in sent:
             feed(client, bytes([byte]))
-        when, _, callback, _ = client.stall_timer
+        when, _, callback, _ = client.timeout_timer
         assert when <= connected_at + 3 * S - 250 * MS  # so that the response reaches the client within 3 s
         callback()
         assert transport.written[:12] == status
@@ -63,7 +63,7 @@
     client.parser.head_complete_at = client.parser.last_body_byte_at = connected_at - BODY_PAUSE_TIMEOUT // 2
     client.request_timed_out()
     assert not client.parser.error_status
-    assert client.stall_timer[0] >= connected_at + BODY_PAUSE_TIMEOUT // 2 - MS
+    assert client.timeout_timer[0] >= connected_at + BODY_PAUSE_TIMEOUT // 2 - MS
     client.parser.head_complete_at = client.parser.last_body_byte_at = connected_at - 2 * BODY_PAUSE_TIMEOUT
     client.request_timed_out()
     assert client.parser.error_status == 408 or client.transport.written.startswith(b"HTTP/1.1 408")
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -51,10 +51,10 @@
     assert limit.fraction == 0.25
     shares.tick({"me", "b"}, set(), False)
     assert limit.fraction <= 0.5
-    assert shares.reports()[0].limit == "r"
-    shares.report_received(1, "b", QuotaAnnouncement("r", 0.5, 0.5))
-    shares.report_received(1, "b", QuotaAnnouncement("gone", 0.5, 0.5))
+    assert shares.announcements()[0].limit == "r"
+    shares.announcement_received(1, "b", QuotaAnnouncement("r", 0.5, 0.5))
+    shares.announcement_received(1, "b", QuotaAnnouncement("gone", 0.5, 0.5))
     assert shares.status()[0]["others"] == {"b": pytest.approx(0.5)}
     routes.clear()
     shares.update_routes()
-    assert shares.reports() == []
+    assert shares.announcements() == []
--- a/tests/membership/test_cluster_member.py
+++ b/tests/membership/test_cluster_member.py
@@ -42,7 +42,7 @@
 def test_a_successor_restores_a_recent_snapshot_and_takes_only_seeds_from_an_old_one(tmp_path):
     before, _ = cluster_member(tmp_path)
     peer = Update("b2", 1, 0, MemberStatus.ALIVE, "127.0.0.1:7947")
-    before.failure_detector.store_update(1, peer, "joined")
+    before.protocol.store_update(1, peer, "joined")
     before.store(handed_over=True)
     after, _ = cluster_member(tmp_path)
     assert after.stored.handed_over
@@ -54,7 +54,7 @@
         (tmp_path / "b1.keep").write_bytes(msgspec.json.encode(snapshot))
         later, _ = cluster_member(tmp_path)
         assert not later.stored.handed_over
-        assert later.failure_detector.generation > before.failure_detector.generation
+        assert later.protocol.generation > before.protocol.generation
         assert later.seeds() == ["127.0.0.1:7947"]
 
 
@@ -92,9 +92,9 @@
             settings, str(tmp_path), TimerQueue(loop), DescriptorBudget(64), 1, lambda *_, **__: None
         )
         await member.open()
-        await wait_until(lambda: member.failure_detector.seeds == ["127.0.0.1:7"])
+        await wait_until(lambda: member.protocol.seeds == ["127.0.0.1:7"])
         registry.put({"id": "b7", "addr": "127.0.0.1:7", "state": "removed", "zone": "a"})
-        await wait_until(lambda: member.failure_detector.seeds == [])
+        await wait_until(lambda: member.protocol.seeds == [])
         member.close()
         for server in agent.servers:
             server.close()
@@ -107,15 +107,15 @@
     member.seed_list.endpoints_changed(
         [EndpointListEntry("b7", ("127.0.0.1", 7), EndpointState.READY, 0, 1.0, 0, "a")], full=True
     )
-    assert member.failure_detector.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
+    assert member.protocol.seeds == ["127.0.0.1:1", "127.0.0.1:7"]
     member.seed_list.endpoints_changed([], full=True)
-    assert member.failure_detector.seeds == ["127.0.0.1:1"]
+    assert member.protocol.seeds == ["127.0.0.1:1"]
 
 
 def test_metrics_with_dropped_datagrams_can_be_logged(tmp_path):
     """Guards against dictionary keys that the log's encoder rejects, which would fail each later line."""
     member, _ = cluster_member(tmp_path)
-    member.failure_detector.record_dropped(DropReason.REPLAYED)
+    member.protocol.record_dropped(DropReason.REPLAYED)
     metrics = member.metrics()
     line = orjson.dumps(msgspec.structs.asdict(metrics))  # with the field names, as in the log
     assert orjson.loads(line)["datagrams_dropped"] == {"replayed": 1}
--- a/tests/membership/test_members_table.py
+++ b/tests/membership/test_members_table.py
@@ -35,7 +35,7 @@
 
 
 def test_a_valid_members_table_is_accepted(tmp_path):
-    assert load(tmp_path, 'weight = 2.0\nperiod = "200ms"\ncut = "40%"').is_usable
+    assert load(tmp_path, 'weight = 2.0\nperiod = "200ms"\ncut = "40%"').has_no_faults
 
 
 @pytest.mark.parametrize(
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -120,7 +120,7 @@
 
 def answer_to(program: PlatformServer, text: str) -> str:
     """All that an admin connection writes once this has come in."""
-    operator = program.accept_operator()
+    operator = program.make_admin_connection()
     transport = FakeTransport(operator)
     feed_now(operator, text.encode())
     written = transport.take()
@@ -165,9 +165,9 @@
     cluster, exchange, now = program.cluster, program.cluster.gossip, clock()
     for name in ("b2", "b3", "b4", "b5"):
         alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
-        cluster.failure_detector.store_update(now, alive, "")
+        cluster.protocol.store_update(now, alive, "")
         if name == "b5":
-            cluster.failure_detector.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
+            cluster.protocol.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
         else:
             exchange.gossip.report_table.merge(
                 now, HealthReport(name, 1, 1, 0, 0, [UpstreamCounts("plain", "u-0", 200, 200)])
--- a/tests/pins/test_checker_corpus_messages.py
+++ b/tests/pins/test_checker_corpus_messages.py
@@ -14,7 +14,7 @@
     for seed in range(2 * len(FAULTS)):
         made = generate_operator_files(seed)
         plan = loaded_file.load_file("file.toml", environment={}, read=made.read)
-        lines += [f"seed {seed}: {'usable' if plan.is_usable else 'refused'}", *map(str, plan.faults)]
+        lines += [f"seed {seed}: {'usable' if plan.has_no_faults else 'refused'}", *map(str, plan.faults)]
     return "\n".join(lines) + "\n"
 
 
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -203,7 +203,7 @@
         successor = member(folder, log)
         assert successor.stored is not None
         assert successor.stored.handed_over
-        machine = successor.failure_detector
+        machine = successor.protocol
         machine.restore(7_000_000, successor.stored.snapshot())
         machine.send("10.0.0.2:7946", Ping(1, "b2"), [])
         found = {
@@ -232,7 +232,7 @@
         successor = member(tmp_path, LogLines())
     assert successor.stored is not None
     assert successor.stored.handed_over is goes_on
-    assert successor.failure_detector.generation == KEPT_AT + max(
+    assert successor.protocol.generation == KEPT_AT + max(
         later, 1_000_001
     )  # newer than the life that was kept
 
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -107,7 +107,7 @@
         "log is debug": node.verbose,
         "inherited descriptor": node.listener_descriptor,
         "shared directory": node.shared_directory,
-        "keys": sorted(node.named_keys),
+        "keys": sorted(node.present_keys),
         "settings.profiles.name": {name.decode(): index for name, index in node.class_indices.items()},
         "settings.profiles.hard-limit": list(node.class_deadlines),
         "settings.tenants.name": {name.decode(): index for name, index in node.tenant_indices.items()},
@@ -212,7 +212,7 @@
 def produce_reload_faults() -> str:
     """The message for each key that a running balancer's file had and the file read anew has not."""
     tree = json.loads(read_golden(INPUT))
-    needed = read_file(tree).named_keys
+    needed = read_file(tree).present_keys
     told = {}
     for path in paths(tree):
         name = ".".join(map(str, path))
--- a/tests/routing_rules/test_routing_rules.py
+++ b/tests/routing_rules/test_routing_rules.py
@@ -150,14 +150,14 @@
 """
 
 
-def usable_file(text=FILE):
+def decoded_file(text=FILE):
     loaded = load_file("f", environment={}, read=lambda _: text.encode())
-    assert loaded.is_usable, loaded.faults
+    assert loaded.has_no_faults, loaded.faults
     return loaded.file
 
 
 def test_a_pool_with_too_few_ready_endpoints_is_skipped_unless_all_pools_are():
-    file = usable_file()
+    file = decoded_file()
     compiled_route = CompiledRoute(file, file.routes[0], 0)
     key = next(k for n in range(99) if compiled_route.split.pool_for_key(k := b"%d" % n) == "next")
     for ready_shares, expected in (
@@ -171,7 +171,7 @@
 
 
 def test_a_reload_keeps_round_robin_state_and_requests_in_flight_of_routes_with_the_same_name():
-    file = usable_file(FILE.replace('split-by = "X-Customer"\n', ""))
+    file = decoded_file(FILE.replace('split-by = "X-Customer"\n', ""))
     previous = CompiledRoute(file, file.routes[0], 0)
     selected_pools = [previous.candidate_pools(b"", lambda _: 1.0)[0] for _ in range(2)]
     previous.limit.try_acquire(0)
--- a/tests/simulation/cluster/test_workload_model.py
+++ b/tests/simulation/cluster/test_workload_model.py
@@ -69,7 +69,7 @@
         model.upstreams_by_name[name].hung = True
     model.run(12 * S)
     # While all that it knows is silent nobody is set aside: without another sign it would never widen.
-    assert mine.controller.extra > 0
+    assert mine.controller.extra_count > 0
     assert (
         sum(not model.upstreams[u.index].hung and u.answered_at > 0 for u in mine.balancer.selection.ready)
         >= 4
