--- a/dahliabend/config/operator_file/schema.py
+++ b/dahliabend/config/operator_file/schema.py
@@ -97,9 +97,8 @@
     cancels: bool = True  # whether attempts may be cancelled
     idle: Duration = Duration(15 * SECOND)  # idle timeout of connections to upstreams
     dial_time: Duration = Duration(250 * MILLISECOND)
-    drain_notice_time: Duration = msgspec.field(  # grace period of an upstream that drains
-        name="grace", default=Duration(1_500 * MILLISECOND)
-    )
+    # Time for which a draining upstream may still be used. Only simulations check it.
+    drain_notice_time: Duration = msgspec.field(name="grace", default=Duration(1_500 * MILLISECOND))
     slow_start: SlowStartSettings = msgspec.field(name="cold", default_factory=SlowStartSettings)
     subset: SubsetSettings | None = None
 
--- a/dahliabend/config/operator_file/source.py
+++ b/dahliabend/config/operator_file/source.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """A mistake in a file, with its place. Faults sort by file and line."""
+    """A mistake in the configuration, with its place in a file. Faults sort by file and line."""
 
     file: str
     line: int
--- a/dahliabend/config/operator_file/units.py
+++ b/dahliabend/config/operator_file/units.py
@@ -14,23 +14,23 @@
 _EXAMPLE_UNITS = ("ms", "KiB", "/s", "%")  # the unit of each table above that errors propose
 
 
-def _parse_quantity(text: object, units: Mapping[str, float], quantity_name: str) -> float:
+def _parse_quantity(raw_value: object, units: Mapping[str, float], quantity_name: str) -> float:
     """Convert a number with a unit to the unit whose factor is 1.
 
     Args:
-        text: The number with its unit.
+        raw_value: The value in the file, expected to be text: a number with its unit.
         units: The factor of each unit.
         quantity_name: The name of the quantity, for errors.
 
     Raises:
-        FormatError: The text has another form, or a unit that is not in the table.
+        FormatError: The value has another form, or a unit that is not in the table.
     """
-    if not isinstance(text, str):
+    if not isinstance(raw_value, str):
         unit = next(unit for unit in _EXAMPLE_UNITS if unit in units)
-        raise FormatError(f'{text!r} has no unit; {quantity_name} is written as "{text}{unit}"')
-    match = _QUANTITY.fullmatch(text.strip())
+        raise FormatError(f'{raw_value!r} has no unit; {quantity_name} is written as "{raw_value}{unit}"')
+    match = _QUANTITY.fullmatch(raw_value.strip())
     if match is None or match[2] not in units:
-        raise FormatError(f"{text!r} is no {quantity_name}: a number and one of {', '.join(units)}")
+        raise FormatError(f"{raw_value!r} is no {quantity_name}: a number and one of {', '.join(units)}")
     return float(match[1]) * units[match[2]]
 
 
@@ -45,13 +45,13 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> Self:
+    def parse(cls, raw_value: object) -> Self:
         """Parse a number with one of the units us, ms, s, min, h.
 
         Raises:
-            FormatError: The value is not such a number.
+            FormatError: The value is not a number with one of these units.
         """
-        return cls(round(_parse_quantity(text, _DURATION_UNITS, "span of time")))
+        return cls(round(_parse_quantity(raw_value, _DURATION_UNITS, "span of time")))
 
     def __str__(self) -> str:
         for unit in ("s", "ms"):
@@ -70,13 +70,13 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> Self:
+    def parse(cls, raw_value: object) -> Self:
         """Parse a number with one of the units B, KiB, MiB, kB, MB.
 
         Raises:
-            FormatError: The value is not such a number.
+            FormatError: The value is not a number with one of these units.
         """
-        return cls(round(_parse_quantity(text, _SIZE_UNITS, "size")))
+        return cls(round(_parse_quantity(raw_value, _SIZE_UNITS, "size")))
 
     def __str__(self) -> str:
         for unit in ("MiB", "KiB"):
@@ -95,13 +95,13 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> Self:
+    def parse(cls, raw_value: object) -> Self:
         """Parse a number with one of the units /s, /min, /h.
 
         Raises:
-            FormatError: The value is not such a number.
+            FormatError: The value is not a number with one of these units.
         """
-        return cls(_parse_quantity(text, _RATE_UNITS, "rate"))
+        return cls(_parse_quantity(raw_value, _RATE_UNITS, "rate"))
 
     def __str__(self) -> str:
         return f"{float(self):g}/s"
@@ -117,20 +117,20 @@
     """
 
     @classmethod
-    def parse(cls, text: object) -> Self:
+    def parse(cls, raw_value: object) -> Self:
         """Parse a percentage or a number from 0 to 1.
 
         Raises:
             FormatError: The value is neither, or out of range.
         """
-        if isinstance(text, str):
-            value = _parse_quantity(text, _FRACTION_UNITS, "share")
-        elif isinstance(text, int | float) and not isinstance(text, bool):
-            value = float(text)
+        if isinstance(raw_value, str):
+            value = _parse_quantity(raw_value, _FRACTION_UNITS, "share")
+        elif isinstance(raw_value, int | float) and not isinstance(raw_value, bool):
+            value = float(raw_value)
         else:
-            raise FormatError(f"{text!r} is no share: a percentage, or a number from 0 to 1")
+            raise FormatError(f"{raw_value!r} is no share: a percentage, or a number from 0 to 1")
         if not 0 <= value <= 1:
-            raise FormatError(f"{text!r} is not between 0 and 1, or 0% and 100%")
+            raise FormatError(f"{raw_value!r} is not between 0 and 1, or 0% and 100%")
         return cls(value)
 
     def __str__(self) -> str:
--- a/dahliabend/config/platform.py
+++ b/dahliabend/config/platform.py
@@ -160,7 +160,7 @@
         if not profile.name or profile.name in names:
             raise ConfigurationError(f"{key}.name", f"{profile.name!r} is empty or used before")
         if profile.is_stream:
-            raise ConfigurationError(f"{key}.stream", "no streams on sockets")
+            raise ConfigurationError(f"{key}.stream", "streams are not supported")
         names.add(profile.name)
 
 
@@ -198,7 +198,7 @@
 
 
 def _unsupported_keys(file: PlatformFile) -> tuple[str, ...]:
-    """Return the keys of settings that enable features this program does not have on sockets."""
+    """Return the keys of settings that enable features which a running balancer does not have."""
     capabilities = file.settings.capabilities
     enabled = {
         "caps.max-streams": capabilities.max_streams > 1,
--- a/dahliabend/config/platform_schema.py
+++ b/dahliabend/config/platform_schema.py
@@ -66,7 +66,7 @@
 
 
 class ObjectiveSection(Struct):
-    """The weights of the objective by which a simulation run is scored."""
+    """The weights of the operators' goal, which the policy pursues and simulation runs are scored by."""
 
     overall_weight: float = field(name="whole", default=1.0)
     worst_class_weight: float = field(name="worst-class", default=0.0)
--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a balancer on sockets, independent of the file they come from."""
+"""The settings of a running balancer, independent of the file they come from."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """The settings of one balancer on sockets. Times are in microseconds.
+    """The settings of one running balancer. Times are in microseconds.
 
     Attributes:
         name: The name of this balancer in logs and among its peers.
--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -50,7 +50,7 @@
         """
 
     def endpoint_poll_failed(self) -> None:
-        """Handle a failed attempt to get the list, which is repeated without a further request."""
+        """Handle a failed attempt to get the list; the source of the list retries by itself."""
 
 
 def parse_endpoint(raw: dict[str, Any]) -> EndpointListEntry:
@@ -91,7 +91,7 @@
     def apply(self, message: dict[str, Any], first: bool) -> None:
         """Apply one message, unless it contains only changes that have been applied already.
 
-        A full list is applied whatever its version is, because the list service may have restarted its
+        A full list is applied whatever its version is, because the discovery service may have restarted its
         versions.
 
         Args:
--- a/dahliabend/discovery/watch.py
+++ b/dahliabend/discovery/watch.py
@@ -14,7 +14,8 @@
 # Microseconds.
 HEARTBEAT_INTERVAL = 2_000_000  # between the empty lines that are sent while nothing changes
 SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 9 // 8  # without a byte for so long, the watch is considered dead
-FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4  # shorter, because a working list service answers at once
+# From the request to the first byte; shorter, because a working discovery service answers at once.
+FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL // 4
 SHARED_FIRST_BYTE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 4  # a shared service may answer others first
 MIN_BACKOFF = HEARTBEAT_INTERVAL // 20  # before a watch is reopened
 MAX_BACKOFF = HEARTBEAT_INTERVAL // 2
@@ -35,7 +36,7 @@
     """Keeps one watch of the endpoint list open.
 
     Attributes:
-        address: Host and port of the list service.
+        address: Host and port of the discovery service.
         state: State of the watch.
         watch: The current watch, while CONNECTING, REQUESTED or ACTIVE.
         previous_watch: The watch at the previous address, until the current one is active.
@@ -43,7 +44,8 @@
         silence_timer: Fires if nothing is received in time.
         retry_timer: Fires when the next watch has to be opened.
         backoff: Longest delay in microseconds until the next watch.
-        first_attempt_finished: Whether a message was received, or the first attempt failed or timed out.
+        first_attempt_finished: Whether anything has been received, or the first attempt has failed or timed
+            out.
     """
 
     def __init__(
@@ -60,14 +62,14 @@
         """Create a client without a watch; `open` or `poll` opens the first one.
 
         Args:
-            address: Host and port of the list service.
+            address: Host and port of the discovery service.
             endpoint_list: Applies the messages.
             timers: Timers of the process.
             descriptors: Owner of the watches' descriptors.
             connect_timeout: Microseconds within which a connection has to be established.
             random: Returns numbers from 0 to 1, for the jitter of the backoff.
             log: Called with an event's name and its fields.
-            shared_service: Whether one list service answers all balancers, instead of an agent beside each.
+            shared_service: Whether one discovery service answers all balancers, not an agent beside each.
         """
         self.address = address
         self.endpoint_list = endpoint_list
@@ -104,7 +106,7 @@
             self.timers.schedule(clock() + FIRST_BYTE_TIMEOUT, self.first_attempt_timed_out)
 
     def poll(self) -> None:
-        """Open the first watch, as the policy needs the list.
+        """Open the first watch if none has been opened yet; called when the policy needs the list.
 
         A watch that waits for its backoff is left alone. If a second attempt were made beside that of the
         retry timer, each failure would cause two requests, and the clients would keep an overloaded list
@@ -114,7 +116,7 @@
             self.open()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Switch to another list service: any state but STOPPED to CONNECTING.
+        """Switch to another discovery service: any state but STOPPED to CONNECTING.
 
         An open watch stays open until the new one is active. Closing it earlier would leave a gap in which a
         drain is missed.
@@ -171,7 +173,7 @@
             self.connect_task.cancel()
 
     def first_attempt_timed_out(self) -> None:
-        """Stop waiting for the list before requests are served."""
+        """Let requests be served although nothing has been received from the discovery service."""
         self.first_attempt_finished = True
 
     # Progress and end of a watch
@@ -179,8 +181,8 @@
     def request_watch(self, watch: WatchConnection) -> None:
         """Send the request of an established watch: CONNECTING to REQUESTED."""
         self.state = WatchState.REQUESTED
-        # A watch requested while the list service was down receives nothing. Waiting for it as long as for a
-        # heartbeat would delay drains that other balancers are notified of meanwhile.
+        # A watch requested while the discovery service was down receives nothing. Waiting for it as long as
+        # for a heartbeat would delay drains that other balancers are notified of meanwhile.
         self.restart_silence_timer(self.first_byte_timeout)
         watch.send_request(f"{self.address[0]}:{self.address[1]}")
 
@@ -211,7 +213,7 @@
         self.state = WatchState.BACKING_OFF
         self.timers.cancel(self.silence_timer)
         self.log("watch.ended", version=self.endpoint_list.version, retry_in_ms=self.backoff // 1000)
-        # With jitter, so that not all balancers reconnect at once to a list service that failed under load.
+        # With jitter, so that not all balancers reconnect at once to a service that failed under load.
         wait = round(self.backoff * (1 + self.random()) / 2)
         self.backoff = min(MAX_BACKOFF, self.backoff * 2)
         self.retry_timer = self.timers.schedule(clock() + wait, self.open)
--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -49,7 +49,7 @@
         self.write(b"GET /api/targets?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (after, host.encode()))
 
     def stop_reporting_data(self) -> None:
-        """Stop calling `on_data`; messages are still applied."""
+        """Stop reporting received data by `on_data`; messages are still applied."""
         self.on_data = _do_nothing
 
     # Parser callbacks. An error raised in one of them ends the watch.
@@ -58,7 +58,7 @@
         """Check the response status.
 
         Raises:
-            ValueError: The list service refused the watch.
+            ValueError: The discovery service refused the watch.
         """
         if self.parser.get_status_code() != STATUS_OK:
             raise ValueError("watch refused")
--- a/dahliabend/http/admin_connection.py
+++ b/dahliabend/http/admin_connection.py
@@ -27,8 +27,8 @@
     """A connection that carries one admin call.
 
     Attributes:
-        target: Request target, as far as it has been received.
-        body: Request body, as far as it has been received.
+        target: Target of the call, as far as it has been received.
+        body: Body of the call, as far as it has been received.
         received_bytes: Bytes of head and body received so far.
         has_responded: Whether the response has been written.
         timeout_timer: Aborts the connection after `CALL_TIMEOUT`.
@@ -45,7 +45,7 @@
         Args:
             descriptors: Owner of the connection's descriptor.
             timers: Timers of the process.
-            handle_call: Answers a call; takes its method, path and body.
+            handle_call: Returns the response to an admin call, given its method, path and body.
         """
         super().__init__(descriptors)
         self.timers = timers
@@ -68,13 +68,13 @@
         self.timeout_timer = self.timers.schedule(clock() + CALL_TIMEOUT, self.abort)
 
     def can_evict(self) -> bool:
-        """Whether the connection can be closed without losing a call that has not been read yet."""
+        """Return whether the connection can be closed without losing a call that has not been read yet."""
         return not self.unread_input()
 
     # Parser callbacks
 
     def on_url(self, data: bytes) -> None:
-        """Append a part of the request target."""
+        """Append a part of the target of the call."""
         self.target += data
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -83,7 +83,7 @@
             self.write(CONTINUE)
 
     def on_body(self, data: bytes) -> None:
-        """Append a part of the request body."""
+        """Append a part of the body of the call."""
         self.body += data
 
     def on_message_complete(self) -> None:
@@ -114,7 +114,7 @@
     def output_flushed(self) -> None:
         """Shut down the sending side after the response.
 
-        Closing the connection while a part of the call is unread could make the system discard the response
+        Closing the connection while a part of the call is unread could make the kernel discard the response
         before the operator reads it. The connection ends when the operator closes it or when
         `CALL_TIMEOUT` is over.
         """
--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -16,7 +16,7 @@
 from dahliabend.transport.timers import MICROSECONDS_PER_MILLISECOND, Timer, TimerQueue, clock
 
 # Microseconds.
-REQUEST_TIMEOUT = 2_500_000  # to receive a request, the first counted from accepting; at most 3 s
+REQUEST_TIMEOUT = 2_500_000  # for receiving a request, the first one counted from accepting; not over 3 s
 SLOW_REQUEST_AGE = REQUEST_TIMEOUT // 8  # from this age on, an incomplete request can be evicted
 STREAM_TIMEOUT_FACTOR = 4  # write timeouts in which the rest of a streamed response has to be sent
 LINGER_DIVISOR = 4  # of the write timeout: time for the client to close after the final response
@@ -43,7 +43,7 @@
         opened_at: Clock time (us) at which the connection was accepted; 0 from the first response on. It
             counts from accepting, so that a connection whose transport is not connected yet is not taken for
             idle.
-        timeout_timer: Fires if a request is not received, or a response not read, in time.
+        timeout_timer: Fires when the time for receiving a request, sending a response or lingering is over.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self.limit_request_time(self.opened_at)
 
     def limit_request_time(self, since: int) -> None:
-        """Set the time limit for receiving the rest of a request, counted from clock time `since`."""
+        """Set the time limit for receiving the next request in full, counted from clock time `since`."""
         self.descriptors.mark_awaiting_request(self.handle, since + SLOW_REQUEST_AGE)
         self.timeout_timer = self.timers.schedule(since + REQUEST_TIMEOUT, self.request_timed_out)
 
@@ -147,7 +147,7 @@
         self.send_error(self.parser.error_status)
 
     def _limit_begun_request(self) -> None:
-        """Limit the time to receive the rest of a request that has begun.
+        """Set the time limit for receiving a request that has begun, unless one is set.
 
         Without a limit, an incomplete request would hold its descriptor forever.
         """
@@ -347,7 +347,7 @@
         """Shut down the sending side after the final response, and wait for the client to close.
 
         If the connection were closed at once, data that the client sends meanwhile, or that lies unread,
-        would make the system discard the response before the client reads it. A lingering connection can be
+        would make the kernel discard the response before the client reads it. A lingering connection can be
         evicted like an idle one.
         """
         self.state = LINGERING
@@ -379,7 +379,7 @@
             self.serve_next()
 
     def can_evict(self) -> bool:
-        """Whether closing the connection loses no request, received or unread."""
+        """Return whether closing the connection loses no request, received or unread."""
         return not (self._is_serving or self.queue or self.unread_input())
 
     def close_if_idle(self, opened_before: int) -> None:
--- a/dahliabend/http/dispatch.py
+++ b/dahliabend/http/dispatch.py
@@ -124,10 +124,10 @@
         """Handle the loss of a client whose request has not been answered yet."""
 
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Return whether requests can be served."""
 
     def closing(self) -> bool:
-        """Whether clients should close their connections and use another balancer."""
+        """Return whether clients should close their connections and use another balancer."""
 
     def request_opened(self) -> None:
         """Count a request of a known class as open."""
@@ -140,7 +140,7 @@
 
 
 def is_valid_trace_id_and_timeout(trace_id: bytes, timeout_ms: bytes) -> bool:
-    """Whether a trace id and a timeout, as returned by `Dispatcher.read_trace_id_and_timeout`, are valid."""
+    """Return whether a trace id and a timeout from `Dispatcher.read_trace_id_and_timeout` are valid."""
     if not 0 < len(trace_id) <= MAX_TRACE_ID_BYTES:
         return False
     return timeout_ms.isdigit() and len(timeout_ms) <= MAX_TIMEOUT_DIGITS and int(timeout_ms) > 0
--- a/dahliabend/http/headers.py
+++ b/dahliabend/http/headers.py
@@ -57,5 +57,5 @@
 
 
 def requests_close(connection_header: bytes) -> bool:
-    """Whether a Connection header asks to close the connection after its message."""
+    """Return whether a Connection header asks to close the connection after its message."""
     return b"close" in connection_header.lower()
--- a/dahliabend/http/request_parser.py
+++ b/dahliabend/http/request_parser.py
@@ -68,7 +68,7 @@
         fields: Values of its headers by name in lower case.
         connection_header: Values of its Connection headers, each preceded by a comma.
         body: Parts of its body, as long as the body is short enough to be buffered.
-        section_bytes: Bytes of its head; from the end of the head on, bytes of its body.
+        section_bytes: Bytes received of its current section: of the head, then of the body.
         streaming_body: Its body, once that is too long to be buffered.
         head_complete_at: Clock time (us) at which its head was complete; 0 before.
         last_body_byte_at: Clock time (us) at which body bytes were last received; until then, that of the
@@ -122,7 +122,7 @@
         )
 
     def close(self) -> None:
-        """Drop the reference to the connection, as each would keep the other from being freed."""
+        """Drop the references between parser and connection, which would keep both from being freed."""
         self.streaming_body = None
         del self._http
         del self.receiver
--- a/dahliabend/http/streaming.py
+++ b/dahliabend/http/streaming.py
@@ -12,7 +12,7 @@
     """An object that is notified when the beginning of a body is dropped, so that it cannot be resent."""
 
     def body_consumed(self) -> None:
-        """Handle the loss of the buffered beginning of the body."""
+        """Handle a body whose beginning has been dropped."""
 
 
 class BodySource(Protocol):
@@ -55,10 +55,10 @@
         length: Length of the body in bytes; None if it is received in chunks.
         parts: The buffered parts, from the beginning of the body.
         size: Bytes received so far.
-        observer: Notified when the beginning of the body is no longer buffered.
+        observer: Notified when the beginning of the body is dropped.
         sink: The connection that the body is written to, if any.
         is_complete: Whether the whole body has been received.
-        is_beginning_dropped: Whether the beginning of the body is no longer buffered.
+        is_beginning_dropped: Whether the beginning of the body has been dropped, so that it cannot be resent.
         last_progress: Clock time (us) at which bytes were last received or sent.
         completed_at: Clock time (us) at which the last byte was received.
     """
--- a/dahliabend/http/upstream_connection.py
+++ b/dahliabend/http/upstream_connection.py
@@ -41,7 +41,7 @@
     """
 
     def request_written(self) -> None:
-        """Handle the completed write of the request to the system; called before any other method."""
+        """Handle the completed write of the request to the kernel; called before any other method."""
 
     def unsized_response_started(self, connection: "UpstreamConnection") -> None:
         """Handle the first body bytes of a response of unknown length on this connection."""
@@ -82,7 +82,7 @@
 
     @property
     def resources(self) -> TimerOwner:
-        """The resources that all connections of the pool share."""
+        """The resources that all connections of the owner share."""
 
     def return_connection(self, connection: "UpstreamConnection") -> None:
         """Take back a connection that is free for the next request."""
@@ -107,13 +107,13 @@
         parse_error: Why the response could not be parsed; empty if it could.
         headers: Names and values of the response headers, as received.
         body: Buffered parts of the response body.
-        section_bytes: Bytes of the response head; from the end of the head on, bytes of the body.
+        section_bytes: Bytes received of the current section of the response: of the head, then of the body.
         connection_header: Values of the response's Connection headers, each preceded by a comma.
         load_report: The upstream's load report, if any.
         not_executed: Whether the upstream says that it did not execute the request.
         length: Length of the response body in bytes, if the response states it.
         has_transfer_encoding: Whether the response has a Transfer-Encoding header.
-        has_usable_framing: Whether the response is chunked or states a length within the limit.
+        has_usable_framing: Whether the head delimits the body: by chunks, or by a length within the limit.
         ends_with_connection: Whether the body ends when the connection is closed.
     """
 
@@ -136,7 +136,7 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the system has taken the whole request."""
+        """Whether the kernel has taken the whole request."""
         return self.upload is None and super().is_flushed
 
     def send_request(
@@ -173,7 +173,7 @@
         self.write(terminator)
 
     def output_flushed(self) -> None:
-        """Notify the upload or the handler that the system has taken all that was written."""
+        """Notify the upload or the handler that the kernel has taken all that was written."""
         if self.upload is not None:
             self.upload.sink_flushed()
         elif self.request_pending and self.handler is not None:
@@ -327,7 +327,7 @@
         return False
 
     def _complete_response(self) -> None:
-        """Hand the response to the handler, and return the connection to the pool or close it."""
+        """Hand the response to the handler, and return the connection to its owner or close it."""
         if self.handler is None:
             return  # the request was cancelled
         handler = self.handler
@@ -363,7 +363,7 @@
         return request_written
 
     def connection_closed(self) -> None:
-        """Remove the connection from the pool and report that there will be no response."""
+        """Remove the connection from its owner and report that there will be no response."""
         self.parser = None  # type: ignore[assignment]  # it holds references to this connection and its buffers
         self.owner.remove_connection(self)
         request_written = self.is_flushed
--- a/dahliabend/routing_rules/weighted_split.py
+++ b/dahliabend/routing_rules/weighted_split.py
@@ -13,7 +13,8 @@
 class WeightedSplit:
     """Splits requests among pools by weight.
 
-    The same key always selects the same pool; when weights change, only that share of the keys moves.
+    While the weights stay the same, a key always selects the same pool. When they change, only a part of the
+    keys as large as the change moves to another pool.
 
     >>> split = WeightedSplit(["main", "canary"], [90, 10])
     >>> split.pool_for_key(b"customer-7") == split.pool_for_key(b"customer-7")
--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -40,7 +40,7 @@
         self._last_tick = 0  # time of the last tick; 0 before the first one
 
     def update_routes(self) -> None:
-        """Start new routes with an equal share, as no reports have been received yet; drop removed routes."""
+        """Start new routes with an equal share, as nothing has been announced yet; drop removed routes."""
         current = {route.name: (route, balancers) for route, balancers in self.routes()}
         for name, (route, balancers) in current.items():
             if name not in self._shares:
--- a/dahliabend/server/endpoint_list_file.py
+++ b/dahliabend/server/endpoint_list_file.py
@@ -18,8 +18,8 @@
     The list is part of the operator's file, or is in a separate file that is watched for changes.
 
     Attributes:
-        first_attempt_finished: Always true: a discovery client sets it after its first contact, but a file is
-            read at once.
+        first_attempt_finished: Always true, because a file is read at once. A discovery client sets it once
+            anything has been received, or the first attempt has failed or timed out.
     """
 
     def __init__(self, endpoint_list: EndpointList, timers: TimerQueue, log: EventLog) -> None:
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -29,7 +29,7 @@
     from dahliabend.server.shared_health_checks import SharedHealthChecks
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_SHOWN_REPORTED_FAILURES = 16  # newest suspicions kept for the admin API
+MAX_SHOWN_REPORTED_FAILURES = 16  # the newest, kept for the admin API
 
 PoolRouters = Sequence[tuple[str, Router]]
 
@@ -125,7 +125,7 @@
         stable_view = self.protocol.last_stable_view(now)
         members = {member.name for member in view.members if member.is_reachable}
         for pool, router in self.pools():
-            self._report_suspected(now, pool, router, members)
+            self._pass_on_reported_failures(now, pool, router, members)
         self._tick_health_checks(now, stable_view)
         self._tick_limits(view, stable_view)
         self.gossip.tick(now, sorted(members))
@@ -136,7 +136,7 @@
         self.timers.cancel(self._timer)
 
     def status(self) -> dict[str, Any]:
-        """Return sent and received reports and suspicions in the form of the admin call `/api/signals`."""
+        """Return sent and received reports and reported failures, in the form of call `/api/signals`."""
         now = clock()
         origins = [
             {
@@ -162,7 +162,7 @@
         for message in messages:
             self.gossip.receive(clock(), message)
 
-    def _report_suspected(self, now: int, pool: str, router: Router, members: set[str]) -> None:
+    def _pass_on_reported_failures(self, now: int, pool: str, router: Router, members: set[str]) -> None:
         """Pass to a pool's policy the reports on upstreams that several other balancers report as failing."""
         balancer = router.balancer
         endpoints = router.table.endpoints
--- a/dahliabend/server/handover_state.py
+++ b/dahliabend/server/handover_state.py
@@ -1,6 +1,6 @@
 """Capturing the state that a process leaves for its successor, and restoring that of a predecessor.
 
-During an upgrade two versions of the program share this format, so its keys and their order must not change.
+In a hot restart two versions of the program may share this format: its keys and their order must not change.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def capture_state(router: Router, endpoint_list: EndpointList, discovery: DiscoveryClient) -> dict[str, Any]:
-    """Return the state of a running process, for a successor to restore."""
+    """Return the state of this process, for its successor to restore."""
     endpoints = {
         "version": endpoint_list.version,
         "full": True,
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -24,7 +24,7 @@
     """The key of a process that uses the directory; keys sort by the start of their processes.
 
     Attributes:
-        start_order: One more than the highest generation among the processes that were alive at its start.
+        start_order: One more than the highest start order among the processes that were alive at its start.
         process_id: The operating system's process id.
     """
 
@@ -40,7 +40,7 @@
 class HotRestart:
     """The shared directory, as one process reads and writes it.
 
-    A running process writes its state for its successor. Each exclusion is a file of its own, so that admin
+    A process writes its state for its successor. Each exclusion is a file of its own, so that admin
     calls to two processes can't overwrite each other's changes.
 
     Attributes:
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -55,7 +55,7 @@
         """The requests in flight."""
 
     def shut_down_by(self, deadline: int) -> None:
-        """Give up, at this time in microseconds, the requests without a response."""
+        """Begin to shut down: requests without a response at clock time `deadline` (us) are given up."""
 
 
 class StoppableServer(Protocol):
--- a/dahliabend/server/log.py
+++ b/dahliabend/server/log.py
@@ -19,7 +19,10 @@
         """Log an event with its fields."""
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event that is only logged at the level `debug`."""
+        """Log an event of detail.
+
+        The platform's log writes it only if it is verbose, the structured log at the event's own level.
+        """
 
 
 class Log:
@@ -81,7 +84,7 @@
             self.loop.call_soon(self.write)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event if the log is verbose."""
+        """Log an event of detail, if the log is verbose."""
         if self.verbose:
             self(event, **fields)
 
--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -43,7 +43,7 @@
 
     Attributes:
         dispatcher: Dispatches requests to the pools by the active routes.
-        cluster: This balancer's membership of its cluster; None if the file has no `[members]`.
+        cluster: This balancer as a member of its cluster; None if the file has no `[members]`.
         pools: The running pools.
     """
 
@@ -189,8 +189,9 @@
     def divide_shared_limits(self) -> None:
         """Reduce each shared limit to this balancer's share, and reset every other limit to its full value.
 
-        Limits that are not shared are reset because they may have been before a reload. Without gossip (after
-        a reload it may need a restart) shares are equal: no balancer may admit as much as all together.
+        A limit that is not shared now may have been shared before a reload, so it is reset. If gossip is not
+        running (enabling it in a reload takes effect after a restart), every balancer gets an equal share: no
+        balancer may admit as much as all together.
         """
         active = self._active_routes()
         shared = [route.shared for route in active.file.routes]
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -81,7 +81,7 @@
     # Start and shutdown
 
     async def prepare(self) -> None:
-        """Take over from the running process, if there is one, and start watching the endpoint list."""
+        """Take over from a predecessor, if one is running, and start watching the endpoint list."""
         if self.takeover is not None and not await self.takeover.take_over(
             self.handover_state, self.resume_from
         ):
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -100,7 +100,7 @@
 
         Args:
             resources: The components that all pools share.
-            cluster: This balancer's membership of its cluster; None without `[members]`.
+            cluster: This balancer as a member of its cluster; None without `[members]`.
         """
         self.resources = resources
         self.cluster = cluster
--- a/dahliabend/server/process_takeover.py
+++ b/dahliabend/server/process_takeover.py
@@ -1,4 +1,7 @@
-"""Takeover from an older process on the same listening socket, and operation beside it until it exits."""
+"""Hot restart: takeover from a predecessor on the same listening socket.
+
+Both processes run side by side until the predecessor exits.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +14,7 @@
 from dahliabend.transport.timers import TimerQueue, clock
 
 CHECK_INTERVAL = 100_000  # microseconds between two checks for other processes
-STATE_TIMEOUT = 1_000_000  # microseconds to wait for an older process to write its state
+STATE_TIMEOUT = 1_000_000  # microseconds to wait for a predecessor to write its state
 STATE_CHECKS_PER_INTERVAL = 4  # checks for the state in each CHECK_INTERVAL of that wait
 MICROSECONDS_PER_SECOND = 1e6
 FULL_SHARE = 1.0
@@ -38,21 +41,21 @@
         self.descriptors = descriptors
         self.timers = timers
         self.log = log
-        self._older: list[ProcessKey] = []
+        self._predecessors: list[ProcessKey] = []
         self._descriptors_shared = False
 
     async def take_over(
         self, capture_state: Callable[[], dict[str, Any]], restore_state: Callable[[dict[str, Any]], None]
     ) -> bool:
-        """Restore the state of the running process, if there is one, and start checking for other processes.
+        """Restore the state of a predecessor, if one is running, and start checking for other processes.
 
         Args:
             capture_state: Returns the state for a later successor.
-            restore_state: Restores the state of a predecessor.
+            restore_state: Restores that state.
 
         Returns:
-            False if the directory can't be used. The process then serves without it, and an upgrade loses the
-            state.
+            False if the directory can't be used. The process then serves without it, and a hot restart loses
+            the state.
         """
         try:
             self.directory.open()
@@ -60,7 +63,7 @@
             self.log("hot_restart.unavailable", reason=str(error))
             return False
         state = await self._wait_for_state()
-        if self._older and state:
+        if self._predecessors and state:
             try:
                 restore_state(state)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -76,7 +79,7 @@
         self._check_processes()
         deadline = clock() + STATE_TIMEOUT
         state: dict[str, Any] | None = None
-        while self._older and clock() < deadline:
+        while self._predecessors and clock() < deadline:
             state = self.directory.read_state()
             if state:
                 break
@@ -86,9 +89,9 @@
 
     def _check_periodically(self, capture_state: Callable[[], dict[str, Any]]) -> None:
         self.timers.schedule(clock() + CHECK_INTERVAL, self._check_periodically, capture_state)
-        newer = self._check_processes()
-        if newer:
-            self.directory.write_state_for(newer[-1], capture_state)
+        successors = self._check_processes()
+        if successors:
+            self.directory.write_state_for(successors[-1], capture_state)
 
     def _check_processes(self) -> list[ProcessKey]:
         """Adjust the descriptor share and attempt counts to the live processes, and apply their exclusions.
@@ -98,7 +101,7 @@
         """
         live = self.directory.live_processes()
         own_key = self.directory.process_key
-        self._older = [key for key in live if key < own_key]
+        self._predecessors = [key for key in live if key < own_key]
         self._share_descriptors(bool(live))
         if live:
             self.directory.publish_in_flight(self.router.attempts_in_flight())
--- a/dahliabend/server/server.py
+++ b/dahliabend/server/server.py
@@ -30,7 +30,7 @@
 
 
 class Server(ABC):
-    """A balancer on sockets, independent of the form of its configuration.
+    """A running balancer, independent of the form of its configuration.
 
     Attributes:
         router: The router of client requests; set by the subclass.
@@ -132,11 +132,11 @@
     # Clients
 
     def make_client_connection(self) -> ClientConnection:
-        """Create the protocol of a new client connection."""
+        """Create the connection object for a client that the listener accepts."""
         return ClientConnection(self.descriptors, self.timers, self.router, self.max_request_time)
 
     def make_admin_connection(self) -> AdminConnection:
-        """Create the protocol of a new admin connection."""
+        """Create the connection object for an operator that the listener accepts."""
         return AdminConnection(self.admin_descriptors, self.timers, self.admin_api)
 
     def client_connections(self, connections: Iterable[object]) -> list[ClientConnection]:
--- a/dahliabend/server/structured_log.py
+++ b/dahliabend/server/structured_log.py
@@ -117,7 +117,7 @@
         getattr(self.logger, level)(event, **fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event at its own level, which is not necessarily `debug`."""
+        """Log an event of detail like any other event, at its own level."""
         self.log_event(event, fields)
 
     def bind(self, **context: object) -> "BoundLog":
@@ -137,7 +137,7 @@
         self.log.log_event(event, self.context | fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event with its fields and the context, at its own level."""
+        """Log an event of detail like any other event, with its fields and the context, at its own level."""
         self.log.log_event(event, self.context | fields)
 
 
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -47,8 +47,8 @@
             router: The pool's router, which gets the subset as its whole list.
             settings: The subset settings of the operator's file.
             balancers: The configured number of balancers.
-            cluster: This balancer's membership of its cluster; None without `[members]`.
-            fallback_name: The name of this balancer if it has neither a cluster nor an index.
+            cluster: This balancer as a member of its cluster; None without `[members]`.
+            fallback_name: Stands for the name of this balancer if it has neither a cluster nor an index.
             timers: The process's timers.
             log: The event log.
         """
--- a/dahliabend/transport/connection.py
+++ b/dahliabend/transport/connection.py
@@ -12,9 +12,9 @@
 from dahliabend.transport.ring_buffer import RingBuffer
 
 BUFFER_SIZE = 8192  # bytes of each ring buffer
-# Bytes. Without a limit the system's buffer grows to megabytes. Bytes in it count as written, so a peer that
+# Bytes. Without a limit the kernel's buffer grows to megabytes. Bytes in it count as written, so a peer that
 # reads slowly would seem to make no progress while the buffer is emptied.
-SYSTEM_SEND_BUFFER_SIZE = 256 * 1024
+KERNEL_SEND_BUFFER_SIZE = 256 * 1024
 _LINGER_WITH_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a timeout of 0 s
 
 
@@ -34,7 +34,7 @@
         pending_bytes: Bytes of the pending pieces that are not in the send buffer yet.
         bytes_in_transport: Bytes of the send buffer that the transport has not finished reading.
         write_paused: Whether the transport has more bytes than it can write.
-        write_failed: Whether the system refused a write.
+        write_failed: Whether the kernel refused a write.
         parsing_blocked: Whether received bytes have to wait until earlier requests are answered.
         reading_suspended: Whether reading is stopped because the receiver of the bytes is slower.
         is_transport_paused: Whether the transport has been told not to read.
@@ -67,7 +67,7 @@
         """Process received bytes; the view is valid during the call only."""
 
     def output_flushed(self) -> None:
-        """Handle the completed write of all bytes to the system."""
+        """Handle the completed write of all bytes to the kernel."""
 
     def transport_paused(self) -> None:
         """Handle a pause in reading."""
@@ -133,12 +133,12 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the system has not taken yet."""
+        """Bytes that the kernel has not taken yet."""
         return self.pending_bytes + self.send_buffer.count
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the system has taken all written bytes."""
+        """Whether the kernel has taken all written bytes."""
         return not (self.write_paused or self.pending or self.send_buffer.count or self.write_failed)
 
     def write(self, *pieces: bytes) -> None:
@@ -151,7 +151,7 @@
         self.flush_pending()
 
     def flush_pending(self) -> None:
-        """Pass pending pieces to the system, as far as it takes them."""
+        """Pass pending pieces to the kernel, as far as it takes them."""
         ring = self.send_buffer
         while not self.write_paused and not self.closed and self.transport is not None:
             while self.pending and ring.count < ring.size:
@@ -167,7 +167,7 @@
             view = ring.readable_view()
             self.transport.write(view)
             if self.transport.is_closing():
-                self.write_failed = True  # the system refused the write
+                self.write_failed = True  # the kernel refused the write
                 return
             if self.write_paused:
                 self.bytes_in_transport = len(view)
@@ -192,7 +192,7 @@
         return False
 
     def can_evict(self) -> bool:
-        """Whether the connection, while idle, can be closed without losing a request."""
+        """Return whether the connection, while idle, can be closed without losing a request."""
         return True
 
     def unread_input(self) -> bool | None:
@@ -246,7 +246,8 @@
         self.closed = True
         self.release()
         if self.sock is not None:
-            with contextlib.suppress(OSError):  # the connection is down before `connection_closed` acts on it
+            # Shut down first, so that the peer is notified before `connection_closed` starts other work.
+            with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
         self.connection_closed()
         self.transport = None
@@ -267,7 +268,7 @@
     """Set the options that all connections need."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SYSTEM_SEND_BUFFER_SIZE)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_SEND_BUFFER_SIZE)
 
 
 async def dial(loop: asyncio.AbstractEventLoop, address: tuple[str, int], connection: Connection) -> None:
--- a/dahliabend/transport/descriptor_budget.py
+++ b/dahliabend/transport/descriptor_budget.py
@@ -15,14 +15,14 @@
     """What the budget needs from a connection."""
 
     def can_evict(self) -> bool:
-        """Whether closing the connection now loses no request."""
+        """Return whether closing the connection now loses no request."""
 
     def abort(self) -> None:
         """Close the connection at once."""
 
 
 class DescriptorBudget:
-    """Counts the descriptor of each connection from `register` until `release`, the only place that frees it.
+    """Counts one descriptor per connection, from `register` until `release`; only `release` frees it.
 
     Idle connections are kept in the order in which they became idle. If a new connection needs a descriptor
     and none is left, the oldest idle connection is evicted. If none is idle, a connection is evicted that has
--- a/dahliabend/transport/handles.py
+++ b/dahliabend/transport/handles.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots whose numbers are not reused."""
+"""A table whose slots are reused, but whose handles are not."""
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
--- a/dahliabend/transport/host_info.py
+++ b/dahliabend/transport/host_info.py
@@ -1,6 +1,7 @@
 """Operating system services that the program uses: clocks, sockets, files, and the runtime directory.
 
-All other code calls them through this module, so that `dahliabend.simulation` can replace them.
+Code that also runs in simulations calls them only through this module, so that `dahliabend.simulation` can
+replace them.
 """
 
 import os
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -10,7 +10,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 from dahliabend.transport.timers import TimerQueue, clock
 
-BACKLOG = 1024  # connections that may wait in the system's queue
+BACKLOG = 1024  # connections that may wait in the kernel's queue
 MAX_ACCEPTS_AT_ONCE = 64  # connections accepted before other events are handled
 RETRY_DELAY = 5_000  # microseconds until the next attempt to accept, if no descriptor is left
 
@@ -18,7 +18,7 @@
 class Listener:
     """Accepts connections as long as descriptors are available.
 
-    Further connections wait in the system's queue: if they were accepted and closed at once, requests that
+    Further connections wait in the kernel's queue: if they were accepted and closed at once, requests that
     their clients have sent already would be lost.
 
     Attributes:
@@ -124,7 +124,7 @@
     def close(self) -> None:
         """Stop accepting.
 
-        Connections that wait in the system's queue are still accepted, unless other processes share the
+        Connections that wait in the kernel's queue are still accepted, unless other processes share the
         socket and will accept them. Only this process's descriptor is closed: shutting the socket down would
         end it for all.
         """
--- a/dahliabend/transport/runtime_directory.py
+++ b/dahliabend/transport/runtime_directory.py
@@ -17,8 +17,8 @@
     def write(self, data: bytes) -> None:
         """Replace the content in place.
 
-        The file is written ten times a second; creating a new file each time would make the event loop wait
-        for a busy disk.
+        A process on a shared listening socket writes its file ten times a second; creating a new file each
+        time would make the event loop wait for a busy disk.
         """
         with contextlib.suppress(OSError):
             os.pwrite(self.descriptor, data, 0)
--- a/dahliabend/transport/timers.py
+++ b/dahliabend/transport/timers.py
@@ -73,7 +73,7 @@
         return timer
 
     def cancel(self, timer: list[Any] | None) -> None:
-        """Cancel a timer of `schedule`; None, and a timer that has run or was cancelled, are ignored."""
+        """Cancel a timer that `schedule` returned; None, or one that has run or was cancelled, is ignored."""
         if timer is None or timer[_CALLBACK] is None:
             return
         timer[_CALLBACK] = None
--- a/tests/discovery/test_list_service.py
+++ b/tests/discovery/test_discovery_service.py
@@ -1,4 +1,4 @@
-"""List services that refuse watches, restart their versions or are unavailable, over sockets."""
+"""Discovery services that refuse watches, restart their versions or are unavailable, over sockets."""
 
 import socket
 import time
@@ -21,7 +21,7 @@
 )
 
 
-class RefusingListService(Agent):
+class RefusingDiscoveryService(Agent):
     """Refuses every watch; `times` holds the time of each request."""
 
     def __init__(self):
@@ -34,16 +34,16 @@
         conn.sendall(answer(b"", "HTTP/1.1 503 Busy"))
 
 
-def test_a_list_service_that_refuses_is_retried_by_one_timer_with_backoff():
+def test_a_discovery_service_that_refuses_is_retried_by_one_timer_with_backoff():
     upstream = Upstream()
     settings = {"discovery": "on_request", "contract": {**CONF["contract"], "ask-within": 80.0}}
-    with closing(upstream), program(agent=(agent := RefusingListService()), ready=False, conf=settings):
+    with closing(upstream), program(agent=(agent := RefusingDiscoveryService()), ready=False, conf=settings):
         times = [agent.times.get(timeout=PATIENCE) for _ in range(8)]
         # The shortest delay before each retry is half of the backoff, which doubles from 100 ms up to 1 s.
         assert times[-1] - times[0] >= 0.05 + 0.1 + 0.2 + 0.4 + 3 * 0.5
 
 
-class RestartedListService(Agent):
+class RestartedDiscoveryService(Agent):
     """Restarts its versions after the first watch and answers the second one with changes only."""
 
     def serve(self, conn):
@@ -62,7 +62,7 @@
     with (
         closing(first_upstream),
         closing(second_upstream),
-        program(agent=(agent := RestartedListService(*lists))) as (address, _, _),
+        program(agent=(agent := RestartedDiscoveryService(*lists))) as (address, _, _),
     ):
         asked = [agent.asked.get(timeout=PATIENCE) for _ in range(3)]
         assert ["after" in path for path in asked] == [False, True, False]
