--- a/dahliabend/server/operator_file_server.py
+++ b/dahliabend/server/operator_file_server.py
@@ -43,7 +43,7 @@
 
     Attributes:
         dispatcher: Dispatches requests to the pools by the active routes.
-        cluster: This balancer as a member of its cluster; None if the file has no `[members]`.
+        cluster_member: This balancer as a member of its cluster; None if the file has no `[members]`.
         pools: The running pools.
     """
 
@@ -80,7 +80,7 @@
         )
         self.dispatcher = Dispatcher(self.metrics, log, seed)
         self.router = self.dispatcher
-        self.cluster = self._create_cluster_member(file, seed)
+        self.cluster_member = self._create_cluster_member(file, seed)
         resources = PoolResources(
             dispatcher=self.dispatcher,
             timers=self.timers,
@@ -91,9 +91,9 @@
             seed=seed,
             descriptor_limit=descriptor_limit,
         )
-        self.pools = PoolManager(resources, self.cluster)
-        if self.cluster is not None and self.cluster.gossip is not None:
-            self.cluster.gossip.pools = self.pools.active_routers
+        self.pools = PoolManager(resources, self.cluster_member)
+        if self.cluster_member is not None and self.cluster_member.gossip is not None:
+            self.cluster_member.gossip.pools = self.pools.active_routers
         self._apply_file(self.configuration)
 
     def _create_cluster_member(self, file: OperatorFile, seed: int) -> "ClusterMember | None":
@@ -114,11 +114,11 @@
             OSError: The server can't listen on one of its addresses.
         """
         await super().start()
-        if self.cluster is not None:
+        if self.cluster_member is not None:
             asyncio.get_running_loop().add_signal_handler(signal.SIGUSR2, self.hand_over)
-            await self.cluster.open()
-            if self.cluster.demand is not None:
-                self._report_demand_periodically(self.cluster)
+            await self.cluster_member.open()
+            if self.cluster_member.demand is not None:
+                self._report_demand_periodically(self.cluster_member)
 
     async def prepare(self) -> None:
         """Do nothing: the pools were opened when the file was applied."""
@@ -129,21 +129,21 @@
 
     def stop(self) -> None:
         """Leave the cluster and begin the graceful shutdown."""
-        if self.cluster is not None:
-            self.cluster.leave()
+        if self.cluster_member is not None:
+            self.cluster_member.leave()
         super().stop()
 
     def hand_over(self) -> None:
         """Begin the graceful shutdown, and let a successor continue as this member of the cluster."""
-        if self.cluster is not None:
-            self.cluster.hand_over()
+        if self.cluster_member is not None:
+            self.cluster_member.hand_over()
         self.stop()
 
     def close(self) -> None:
         """Close the pools and the cluster member."""
         self.pools.close()
-        if self.cluster is not None:
-            self.cluster.close()
+        if self.cluster_member is not None:
+            self.cluster_member.close()
 
     # Reload
 
@@ -164,8 +164,8 @@
         if CLIENT_LISTENER not in file.listeners:
             file.listeners.update(before.file.listeners)
         self._apply_file(configuration)
-        if self.cluster is not None and file.members is not None:
-            self.cluster.apply_settings(file.members)
+        if self.cluster_member is not None and file.members is not None:
+            self.cluster_member.apply_settings(file.members)
         restart_required = [change["key"] for change in changes if needs_restart(change["key"])]
         return {"changes": len(changes), "restart_required": restart_required}
 
@@ -200,8 +200,8 @@
                 route.limit.set_fraction(1.0)
         if not any(shared):
             return
-        if self.cluster is not None and self.cluster.gossip is not None:
-            self.cluster.share_limits(self.shared_limits)
+        if self.cluster_member is not None and self.cluster_member.gossip is not None:
+            self.cluster_member.share_limits(self.shared_limits)
             return
         for route, balancers in self.shared_limits():
             route.limit.set_fraction(1.0 / balancers)
@@ -237,12 +237,12 @@
                 ready=len(balancer.selection.ready),
                 retired=pool.retired,
             )
-        if self.cluster is not None and self.cluster.has_opened:
-            self.log("membership.metrics_reported", **msgspec.structs.asdict(self.cluster.metrics()))
+        if self.cluster_member is not None and self.cluster_member.has_opened:
+            self.log("membership.metrics_reported", **msgspec.structs.asdict(self.cluster_member.metrics()))
 
     def membership_status(self) -> dict[str, Any] | None:
         """Return the members of the cluster; None if the server is not a member of one."""
-        return self.cluster.status() if self.cluster is not None else None
+        return self.cluster_member.status() if self.cluster_member is not None else None
 
     def subset_status(self) -> dict[str, Any]:
         """Return, by pool, the subset of upstreams in use; pools without a subset are left out."""
@@ -250,22 +250,22 @@
 
     def gossip_status(self) -> dict[str, Any] | None:
         """Return the health reports exchanged with other balancers; None without health gossip."""
-        gossip = self.cluster.gossip if self.cluster is not None else None
+        gossip = self.cluster_member.gossip if self.cluster_member is not None else None
         return gossip.status() if gossip is not None else None
 
     def lease_status(self) -> dict[str, Any] | None:
         """Return the leases of shared health checks; None if health checks are not shared."""
-        gossip = self.cluster.gossip if self.cluster is not None else None
+        gossip = self.cluster_member.gossip if self.cluster_member is not None else None
         checks = gossip.health_checks if gossip is not None else None
         return checks.status() if checks is not None else None
 
-    def _report_demand_periodically(self, cluster: "ClusterMember") -> None:
+    def _report_demand_periodically(self, cluster_member: "ClusterMember") -> None:
         """Report the demand of pools with a subset to the other balancers, now and at intervals.
 
         The others choose their subsets so that the upstreams keep capacity for it.
         """
-        cluster.report_demand(self.pools.subset_request_count())
-        self.timers.schedule(clock() + DEMAND_INTERVAL, self._report_demand_periodically, cluster)
+        cluster_member.report_demand(self.pools.subset_request_count())
+        self.timers.schedule(clock() + DEMAND_INTERVAL, self._report_demand_periodically, cluster_member)
 
 
 def _describe_faults(error: ValueError) -> dict[str, object]:
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -83,7 +83,7 @@
     async def prepare(self) -> None:
         """Take over from a predecessor, if one is running, and start watching the endpoint list."""
         if self.takeover is not None and not await self.takeover.take_over(
-            self.handover_state, self.resume_from
+            self.capture_state, self.restore_state
         ):
             self.takeover = None
         self.discovery.open()
@@ -126,7 +126,7 @@
 
     # Hot restart
 
-    def resume_from(self, state: dict[str, Any]) -> None:
+    def restore_state(self, state: dict[str, Any]) -> None:
         """Restore the state of a predecessor.
 
         Raises:
@@ -135,8 +135,8 @@
         restored = restore_state(state, self.router, self.endpoint_list, self.discovery)
         self.log("hot_restart.resumed", restored=restored, upstreams=len(self.router.table.endpoints))
 
-    def handover_state(self) -> dict[str, Any]:
-        """Return the state of this process, for a successor to restore."""
+    def capture_state(self) -> dict[str, Any]:
+        """Return the state of this process, for its successor to restore."""
         return capture_state(self.router, self.endpoint_list, self.discovery)
 
     def exclude(self, name: str, excluded: bool) -> bool:
--- a/dahliabend/server/pool_manager.py
+++ b/dahliabend/server/pool_manager.py
@@ -95,15 +95,15 @@
 class PoolManager:
     """The running pools: opens those that a file adds, and closes removed ones after their last request."""
 
-    def __init__(self, resources: PoolResources, cluster: "ClusterMember | None") -> None:
+    def __init__(self, resources: PoolResources, cluster_member: "ClusterMember | None") -> None:
         """Create a manager without pools.
 
         Args:
             resources: The components that all pools share.
-            cluster: This balancer as a member of its cluster; None without `[members]`.
+            cluster_member: This balancer as a member of its cluster; None without `[members]`.
         """
         self.resources = resources
-        self.cluster = cluster
+        self.cluster_member = cluster_member
         self._running_pools: dict[int, RunningPool] = {}  # by the pool's number in the dispatcher
 
     def make_settings(self, file: OperatorFile) -> dict[str, PoolSettings]:
@@ -181,7 +181,7 @@
         table = EndpointTable(endpoint_resources)
         router = Router(settings, resources.timers, table, resources.metrics, log)
         table.close_expired_connections()
-        gossip = self.cluster.gossip if self.cluster is not None else None
+        gossip = self.cluster_member.gossip if self.cluster_member is not None else None
         if gossip is not None:
             router.on_attempt_finished = partial(gossip.record_outcome, name)
             if gossip.health_checks is not None:
@@ -217,7 +217,7 @@
             pool.router,
             subset,
             balancers,
-            self.cluster,
+            self.cluster_member,
             f"{resources.seed:x}",
             resources.timers,
             bind_pool(resources.log, pool.name),
--- a/dahliabend/server/subset_filter.py
+++ b/dahliabend/server/subset_filter.py
@@ -36,7 +36,7 @@
         router: Router,
         settings: schema.SubsetSettings,
         balancers: int,
-        cluster: "ClusterMember | None",
+        cluster_member: "ClusterMember | None",
         fallback_name: str,
         timers: TimerQueue,
         log: EventLog,
@@ -47,18 +47,18 @@
             router: The pool's router, which gets the subset as its whole list.
             settings: The subset settings of the operator's file.
             balancers: The configured number of balancers.
-            cluster: This balancer as a member of its cluster; None without `[members]`.
+            cluster_member: This balancer as a member of its cluster; None without `[members]`.
             fallback_name: Stands for the name of this balancer if it has neither a cluster nor an index.
             timers: The process's timers.
             log: The event log.
         """
         self.router = router
-        self.cluster = cluster
+        self.cluster_member = cluster_member
         self.timers = timers
         self.log = log
         self.subset = ActiveSubset()
         self._entries: dict[str, EndpointListEntry] = {}  # the whole endpoint list, by name
-        self._controller = _create_controller(settings, balancers, cluster, fallback_name)
+        self._controller = _create_controller(settings, balancers, cluster_member, fallback_name)
         self._timer: Any = None
         self._update_periodically()
 
@@ -110,10 +110,10 @@
     def _update_subset(self) -> bool:
         """Select the upstreams again; return whether the subset has changed."""
         now = clock()
-        if self.cluster is not None:
-            stable_view = self.cluster.last_stable_view()
+        if self.cluster_member is not None:
+            stable_view = self.cluster_member.last_stable_view()
             if stable_view is not None:
-                self._controller.update_membership(now, stable_view, self.cluster.view())
+                self._controller.update_membership(now, stable_view, self.cluster_member.view())
         if self.subset.weights:
             balancer = self.router.balancer
             usable = count_usable_endpoints(
@@ -160,7 +160,10 @@
 
 
 def _create_controller(
-    settings: schema.SubsetSettings, balancers: int, cluster: "ClusterMember | None", fallback_name: str
+    settings: schema.SubsetSettings,
+    balancers: int,
+    cluster_member: "ClusterMember | None",
+    fallback_name: str,
 ) -> SubsetController:
     index = settings.self_index
     controller_settings = SubsetControllerSettings(
@@ -171,14 +174,16 @@
         balancers=balancers,
         hold_time=settings.hold,
     )
-    controller = SubsetController(_own_participant(index, cluster, fallback_name), controller_settings)
+    controller = SubsetController(_own_participant(index, cluster_member, fallback_name), controller_settings)
     if index is not None:  # the number of balancers and this one's index are configured: nothing to discover
         participants = [Participant(f"{number}") for number in range(balancers)]
         controller.update_view(clock(), participants, trusted=True)
     return controller
 
 
-def _own_participant(index: int | None, cluster: "ClusterMember | None", fallback_name: str) -> Participant:
-    if cluster is not None:
-        return Participant(cluster.name, cluster.settings.zone)
+def _own_participant(
+    index: int | None, cluster_member: "ClusterMember | None", fallback_name: str
+) -> Participant:
+    if cluster_member is not None:
+        return Participant(cluster_member.name, cluster_member.settings.zone)
     return Participant(fallback_name if index is None else f"{index}")
--- a/dahliabend/transport/listener.py
+++ b/dahliabend/transport/listener.py
@@ -111,7 +111,7 @@
         task.add_done_callback(self.accept_tasks.discard)
 
     async def start(self, sock: socket.socket, connection: Connection) -> None:
-        """Connect an accepted socket to its protocol."""
+        """Connect an accepted socket to its connection object."""
         connection.sock = sock
         try:
             await self.timers.loop.connect_accepted_socket(lambda: connection, sock=sock)
--- a/tests/leases/test_shares.py
+++ b/tests/leases/test_shares.py
@@ -19,7 +19,7 @@
     file = SimpleNamespace(routes=routes, pools={"p": SimpleNamespace(balancers=4)})
     server = OperatorFileServer.__new__(OperatorFileServer)
     server.dispatcher = SimpleNamespace(routes=SimpleNamespace(file=file, compiled_routes=[route]))
-    server.cluster = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
+    server.cluster_member = None if gossip is None else SimpleNamespace(gossip=gossip, share_limits=gossip)
     return server, limit
 
 
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -162,12 +162,12 @@
 
 def hear_others(program: OperatorFileServer) -> None:
     """Fills what the fleet's calls show: members here and gone, their reports, beliefs and leased tasks."""
-    cluster, exchange, now = program.cluster, program.cluster.gossip, clock()
+    cluster_member, exchange, now = program.cluster_member, program.cluster_member.gossip, clock()
     for name in ("b2", "b3", "b4", "b5"):
         alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
-        cluster.protocol.store_update(now, alive, "")
+        cluster_member.protocol.store_update(now, alive, "")
         if name == "b5":
-            cluster.protocol.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
+            cluster_member.protocol.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
         else:
             exchange.gossip.report_table.merge(
                 now, HealthReport(name, 1, 1, 0, 0, [UpstreamCounts("plain", "u-0", 200, 200)])
@@ -232,7 +232,7 @@
     found = {}
     for title, text in (("members", OPERATOR_FILE), ("no members", WITHOUT_MEMBERS)):
         program = operator_program(directory, text)
-        if program.cluster is not None:
+        if program.cluster_member is not None:
             hear_others(program)
         for method, path in ALL_CALLS:
             if method == "GET":
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -69,7 +69,7 @@
         mine.process_key = (2, 12434)
         state = mine.read_state()
         assert state is not None
-        program.resume_from(state)
+        program.restore_state(state)
         decisions, upstreams = program.router.balancer, program.router.table.endpoints
         for index, u in sorted(decisions.selection.endpoints.items()):
             values[upstreams[index].name] = [
@@ -82,7 +82,7 @@
             limit.min_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
             decisions.outliers.fatal_idle_time, *decisions.deadlines.mean_latencies,
         ]  # fmt: skip
-        mine.write_state_for((3, 99), program.handover_state)
+        mine.write_state_for((3, 99), program.capture_state)
 
     asyncio.run(go_on())
     return (folder / "for-3-99").read_text(), log, values
