--- a/dahliabend/config/server_settings.py
+++ b/dahliabend/config/server_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a balancer on sockets, independent of the file they come from."""
+"""The settings of a running balancer, independent of the file they come from."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """The settings of one balancer on sockets. Times are in microseconds.
+    """The settings of one running balancer. Times are in microseconds.
 
     Attributes:
         name: The name of this balancer in logs and among its peers.
@@ -36,7 +36,7 @@
         max_in_flight: The maximum number of requests in flight.
         report_fields: The names of the load report fields in health check responses.
         unsupported_keys: The keys of settings that enable features this program does not have.
-        named_keys: The dotted keys that the file contains.
+        present_keys: The dotted keys that the file contains.
         monotonic_offset: The machine's monotonic time minus Unix time.
     """
 
@@ -62,7 +62,7 @@
     max_in_flight: int
     report_fields: tuple[str, ...]
     unsupported_keys: tuple[str, ...]
-    named_keys: frozenset[str]
+    present_keys: frozenset[str]
     monotonic_offset: int
 
     @property
--- a/dahliabend/discovery/endpoint_list.py
+++ b/dahliabend/discovery/endpoint_list.py
@@ -50,7 +50,7 @@
         """
 
     def endpoint_poll_failed(self) -> None:
-        """Handle a failed attempt to get the list, which is repeated without a further request."""
+        """Handle a failed attempt to get the list; the source of the list retries by itself."""
 
 
 def parse_endpoint(raw: dict[str, Any]) -> EndpointListEntry:
@@ -65,7 +65,7 @@
     state = _STATE_NAMES[raw["state"]]
     name = raw["id"]
     if not isinstance(name, str) or not name:
-        raise ValueError("id is missing or empty")
+        raise ValueError("no id")
     host_and_port = ("", 0) if state is EndpointState.REMOVED else parse_address(str(raw.get("addr")))
     started_ms = int(raw.get("started_ms") or 0)
     cell = int(raw.get("cell") or 0)
@@ -91,7 +91,7 @@
     def apply(self, message: dict[str, Any], first: bool) -> None:
         """Apply one message, unless it contains only changes that have been applied already.
 
-        A full list is applied whatever its version is, because the list service may have restarted its
+        A full list is applied whatever its version is, because the discovery service may have restarted its
         versions.
 
         Args:
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -46,7 +46,7 @@
         )
         self.environment = environment
         self._listener_descriptor = settings.listener_descriptor
-        self._named_keys = settings.named_keys
+        self._present_keys = settings.present_keys
         self._policy_inputs = settings.policy_inputs
         self.max_request_time = max(settings.class_deadlines)
         endpoint_resources = EndpointResources(
@@ -81,9 +81,9 @@
     # Start and shutdown
 
     async def prepare(self) -> None:
-        """Take over from the running process, if there is one, and start watching the endpoint list."""
+        """Take over from a predecessor, if one is running, and start watching the endpoint list."""
         if self.takeover is not None and not await self.takeover.take_over(
-            self.handover_state, self.resume_from
+            self.capture_state, self.restore_state
         ):
             self.takeover = None
         self.discovery.open()
@@ -126,7 +126,7 @@
 
     # Hot restart
 
-    def resume_from(self, state: dict[str, Any]) -> None:
+    def restore_state(self, state: dict[str, Any]) -> None:
         """Restore the state of a predecessor.
 
         Raises:
@@ -135,8 +135,8 @@
         restored = restore_state(state, self.router, self.endpoint_list, self.discovery)
         self.log("hot_restart.resumed", restored=restored, upstreams=len(self.router.table.endpoints))
 
-    def handover_state(self) -> dict[str, Any]:
-        """Return the state of this process, for a successor to restore."""
+    def capture_state(self) -> dict[str, Any]:
+        """Return the state of this process, for its successor to restore."""
         return capture_state(self.router, self.endpoint_list, self.discovery)
 
     def exclude(self, name: str, excluded: bool) -> bool:
@@ -158,7 +158,7 @@
         An invalid file changes nothing.
         """
         reload_configuration(
-            lambda: reread_server_settings(self.environment, self._named_keys),
+            lambda: reread_server_settings(self.environment, self._present_keys),
             self._apply,
             lambda error: {"reason": str(error)},
             metrics=self.metrics,
@@ -167,7 +167,7 @@
 
     def _apply(self, settings: ServerSettings) -> dict[str, object]:
         self.log.verbose = settings.verbose
-        self._named_keys = settings.named_keys
+        self._present_keys = settings.present_keys
         self.discovery.change_address(settings.discovery)
         if settings.policy_inputs != self._policy_inputs:
             self._apply_policy_inputs(settings)
--- a/tests/discovery/test_list_service.py
+++ b/tests/discovery/test_discovery_service.py
@@ -1,4 +1,4 @@
-"""List services that refuse watches, restart their versions or are unavailable, over sockets."""
+"""Discovery services that refuse watches, restart their versions or are unavailable, over sockets."""
 
 import socket
 import time
@@ -21,7 +21,7 @@
 )
 
 
-class RefusingListService(DiscoveryAgent):
+class RefusingDiscoveryService(DiscoveryAgent):
     """Refuses every watch; `times` holds the time of each request."""
 
     def __init__(self):
@@ -34,19 +34,19 @@
         conn.sendall(make_response(b"", "HTTP/1.1 503 Busy"))
 
 
-def test_a_list_service_that_refuses_is_retried_by_one_timer_with_backoff():
+def test_a_discovery_service_that_refuses_is_retried_by_one_timer_with_backoff():
     upstream = Upstream()
     settings = {"discovery": "on_request", "contract": {**CONF["contract"], "ask-within": 80.0}}
     with (
         closing(upstream),
-        start_balancer(agent=(agent := RefusingListService()), ready=False, settings=settings),
+        start_balancer(agent=(agent := RefusingDiscoveryService()), ready=False, settings=settings),
     ):
         times = [agent.times.get(timeout=PATIENCE) for _ in range(8)]
         # The shortest delay before each retry is half of the backoff, which doubles from 100 ms up to 1 s.
         assert times[-1] - times[0] >= 0.05 + 0.1 + 0.2 + 0.4 + 3 * 0.5
 
 
-class RestartedListService(DiscoveryAgent):
+class RestartedDiscoveryService(DiscoveryAgent):
     """Restarts its versions after the first watch and answers the second one with changes only."""
 
     def serve(self, conn):
@@ -69,7 +69,7 @@
     with (
         closing(first_upstream),
         closing(second_upstream),
-        start_balancer(agent=(agent := RestartedListService(*lists))) as (address, _, _),
+        start_balancer(agent=(agent := RestartedDiscoveryService(*lists))) as (address, _, _),
     ):
         asked = [agent.watch_requests.get(timeout=PATIENCE) for _ in range(3)]
         assert ["after" in path for path in asked] == [False, True, False]
--- a/tests/pins/test_admin_calls.py
+++ b/tests/pins/test_admin_calls.py
@@ -120,7 +120,7 @@
 
 def response_to(program: PlatformServer, text: str) -> str:
     """Return what a new admin connection writes after it has received a text."""
-    operator = program.accept_operator()
+    operator = program.make_admin_connection()
     transport = FakeTransport(operator)
     feed_at_once(operator, text.encode())
     written = transport.take_written()
@@ -162,12 +162,12 @@
 
 def add_cluster_state(program: OperatorFileServer) -> None:
     """Add the state that cluster calls show: present and departed members, health reports and leases."""
-    cluster, exchange, now = program.cluster, program.cluster.gossip, clock()
+    cluster_member, exchange, now = program.cluster_member, program.cluster_member.gossip, clock()
     for name in ("b2", "b3", "b4", "b5"):
         alive = Update(name, 1, 1, MemberStatus.ALIVE, f"127.0.0.1:{name[1:]}", unreachable_peers=("b9",))
-        cluster.failure_detector.store_update(now, alive, "")
+        cluster_member.protocol.store_update(now, alive, "")
         if name == "b5":
-            cluster.failure_detector.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
+            cluster_member.protocol.store_update(now, replace(alive, status=MemberStatus.LEFT), "")
         else:
             exchange.gossip.report_table.merge(
                 now, HealthReport(name, 1, 1, 0, 0, [UpstreamCounts("plain", "u-0", 200, 200)])
@@ -233,7 +233,7 @@
     results = {}
     for title, text in (("members", OPERATOR_FILE), ("no members", WITHOUT_MEMBERS)):
         program = operator_program(directory, text)
-        if program.cluster is not None:
+        if program.cluster_member is not None:
             add_cluster_state(program)
         for method, path in ALL_CALLS:
             if method == "GET":
--- a/tests/pins/test_handed_over_state.py
+++ b/tests/pins/test_handed_over_state.py
@@ -71,7 +71,7 @@
         hot_restart.process_key = (2, 12434)
         state = hot_restart.read_state()
         assert state is not None
-        program.resume_from(state)
+        program.restore_state(state)
         policy, upstreams = program.router.balancer, program.router.table.endpoints
         for index, u in sorted(policy.selection.endpoints.items()):
             values[upstreams[index].name] = [
@@ -84,7 +84,7 @@
             limit.min_latency_ratio, limit.mean_latency, limit.ticks, limit.is_overloaded,
             policy.outliers.fatal_idle_time, *policy.deadlines.mean_latencies,
         ]  # fmt: skip
-        hot_restart.write_state_for((3, 99), program.handover_state)
+        hot_restart.write_state_for((3, 99), program.capture_state)
 
     asyncio.run(resume())
     return (folder / "for-3-99").read_text(), log, values
@@ -206,7 +206,7 @@
         successor = new_member(folder, log)
         assert successor.stored is not None
         assert successor.stored.handed_over
-        protocol = successor.failure_detector
+        protocol = successor.protocol
         protocol.restore(7_000_000, successor.stored.snapshot())
         protocol.send("10.0.0.2:7946", Ping(1, "b2"), [])
         state = {
@@ -241,7 +241,7 @@
     assert successor.stored is not None
     assert successor.stored.handed_over is is_resumed
     # The generation must be newer than the stored one.
-    assert successor.failure_detector.generation == STORED_AT + max(age, 1_000_001)
+    assert successor.protocol.generation == STORED_AT + max(age, 1_000_001)
 
 
 if __name__ == "__main__":
--- a/tests/pins/test_platform_config.py
+++ b/tests/pins/test_platform_config.py
@@ -108,7 +108,7 @@
         "log is debug": settings.verbose,
         "inherited descriptor": settings.listener_descriptor,
         "shared directory": settings.shared_directory,
-        "keys": sorted(settings.named_keys),
+        "keys": sorted(settings.present_keys),
         "settings.profiles.name": {name.decode(): index for name, index in settings.class_indices.items()},
         "settings.profiles.hard-limit": list(settings.class_deadlines),
         "settings.tenants.name": {name.decode(): index for name, index in settings.tenant_indices.items()},
@@ -213,7 +213,7 @@
 def produce_reload_faults() -> str:
     """Return the message for each key that is missing from a reloaded file but was in the previous one."""
     tree = json.loads(read_golden(INPUT))
-    previous_keys = read_file(tree).named_keys
+    previous_keys = read_file(tree).present_keys
     messages = {}
     for path in paths(tree):
         name = ".".join(map(str, path))
--- a/tests/simulation/cluster/test_workload_model.py
+++ b/tests/simulation/cluster/test_workload_model.py
@@ -74,7 +74,7 @@
         model.upstreams_by_name[name].hung = True
     model.run(12 * S)
     # While no upstream responds, none is ejected; the missing responses alone have to widen the subset.
-    assert instance.controller.extra > 0
+    assert instance.controller.extra_count > 0
     answering = [u for u in instance.balancer.selection.ready if u.answered_at > 0]
     assert sum(not model.upstreams[u.index].hung for u in answering) >= 4
 
