--- a/dahliabend/discovery/watch_connection.py
+++ b/dahliabend/discovery/watch_connection.py
@@ -10,7 +10,7 @@
 from dahliabend.transport.descriptor_budget import DescriptorBudget
 
 MAX_LINE_BYTES = 8 * 1024 * 1024
-HTTP_OK = 200
+STATUS_OK = 200
 
 
 class WatchConnection(Connection):
@@ -48,8 +48,8 @@
         after = b"&after=%d" % version if version >= 0 else b""
         self.write(b"GET /api/targets?watch=1%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (after, host.encode()))
 
-    def ignore_data(self) -> None:
-        """Stop calling `on_data`; messages are still applied."""
+    def stop_reporting_data(self) -> None:
+        """Stop reporting received data by `on_data`; messages are still applied."""
         self.on_data = _do_nothing
 
     # Parser callbacks. An error raised in one of them ends the watch.
@@ -58,10 +58,10 @@
         """Check the response status.
 
         Raises:
-            ValueError: The list service refused the watch.
+            ValueError: The discovery service refused the watch.
         """
-        if self.parser.get_status_code() != HTTP_OK:
-            raise ValueError("list service refused the watch")
+        if self.parser.get_status_code() != STATUS_OK:
+            raise ValueError("watch refused")
 
     def on_body(self, data: bytes) -> None:
         """Apply the messages that have been received in full.
@@ -77,7 +77,7 @@
                 self.endpoint_list.apply(orjson.loads(line), self.awaits_first_message)
                 self.awaits_first_message = False
         if len(self.partial_line) > MAX_LINE_BYTES:
-            raise ValueError("line exceeds the limit")
+            raise ValueError("too long a line")
 
     def on_message_complete(self) -> None:
         """End the watch.
@@ -85,7 +85,7 @@
         Raises:
             ValueError: Always, because the response to a watch has no regular end.
         """
-        raise ValueError("list service ended the watch")
+        raise ValueError("watch ended")
 
     def bytes_received(self, view: memoryview) -> None:
         """Parse received bytes; close the connection if they are invalid."""
--- a/dahliabend/server/lifecycle.py
+++ b/dahliabend/server/lifecycle.py
@@ -54,8 +54,8 @@
     def requests(self) -> Sized:
         """The requests in flight."""
 
-    def shut_down_by(self, when: int) -> None:
-        """Give up, at this time in microseconds, the requests without a response."""
+    def shut_down_by(self, deadline: int) -> None:
+        """Begin to shut down: requests without a response at clock time `deadline` (us) are given up."""
 
 
 class StoppableServer(Protocol):
