--- a/dahliabend/server/cluster_limits.py
+++ b/dahliabend/server/cluster_limits.py
@@ -69,7 +69,7 @@
         Args:
             members: The names of the balancers that are present.
             left: The names of the balancers that have left gracefully.
-            partitioned: Whether a network partition may separate this balancer from others.
+            partitioned: Whether this balancer may be cut off from others by a network partition.
         """
         self.update_routes()
         now = clock()
--- a/dahliabend/server/clustering.py
+++ b/dahliabend/server/clustering.py
@@ -196,6 +196,7 @@
         self._file.write(self.protocol.snapshot(), handed_over=handed_over)
         if not handed_over:
             self.timers.cancel(self._store_timer)
+            # Written again when it becomes too old for a successor to continue from.
             interval = MAX_AGE_PERIODS * self.settings.period
             self._store_timer = self.timers.schedule(clock() + interval, self.store)
 
@@ -268,7 +269,7 @@
         return self.protocol.view(clock())
 
     def last_stable_view(self) -> MembershipView | None:
-        """Return the last view without suspected members; None if there was none."""
+        """Return the last stable view; None if there was none."""
         return self.protocol.last_stable_view(clock())
 
     def metrics(self) -> cluster_status.MembershipMetrics:
--- a/dahliabend/server/gossip_exchange.py
+++ b/dahliabend/server/gossip_exchange.py
@@ -118,7 +118,7 @@
         self.gossip.record_outcome(clock(), pool, upstream, outcome)
 
     def tick(self) -> None:
-        """Apply received reports, send this balancer's own, and schedule the next tick."""
+        """Evaluate the received reports, send this balancer's own, and schedule the next tick."""
         now = clock()
         self._timer = self.timers.schedule(now + GOSSIP_INTERVAL, self.tick)
         view = self.protocol.view(now)
@@ -163,7 +163,7 @@
             self.gossip.receive(clock(), message)
 
     def _pass_on_reported_failures(self, now: int, pool: str, router: Router, members: set[str]) -> None:
-        """Pass to a pool's policy the reports on upstreams that several other balancers report as failing."""
+        """Tell a pool's policy which upstreams several other balancers report as failing."""
         balancer = router.balancer
         endpoints = router.table.endpoints
         indices = {
--- a/dahliabend/server/hot_restart.py
+++ b/dahliabend/server/hot_restart.py
@@ -38,7 +38,7 @@
 
 
 class HotRestart:
-    """The shared directory, as one process reads and writes it.
+    """Access of one process to the directory that it shares with its predecessors and successors.
 
     A process writes its state for its successor. Each exclusion is a file of its own, so that admin
     calls to two processes can't overwrite each other's changes.
--- a/dahliabend/server/metrics.py
+++ b/dahliabend/server/metrics.py
@@ -14,7 +14,7 @@
 class Metrics:
     """Counters by request class (named as on the wire), and counters of the whole process.
 
-    A class keeps its counters after the settings have dropped it.
+    A class keeps its counters after the settings have dropped it, up to `MAX_CLASSES` classes in all.
 
     >>> metrics = Metrics()
     >>> metrics.count_response(b"a", 200), metrics.count_response(b"a", 429), metrics.count_attempt(b"a")
--- a/dahliabend/server/platform_server.py
+++ b/dahliabend/server/platform_server.py
@@ -1,4 +1,7 @@
-"""The server of a balancer that the platform's file configures: one router and one endpoint list."""
+"""The server of a balancer that the platform's file (PROXY_CONFIG) configures.
+
+It has one router and one endpoint list.
+"""
 
 import os
 from collections.abc import Mapping
--- a/dahliabend/server/startup.py
+++ b/dahliabend/server/startup.py
@@ -1,4 +1,4 @@
-"""Entry point of a server with the platform's configuration, the file at PROXY_CONFIG."""
+"""Entry point of a server that the platform's file configures; PROXY_CONFIG holds the path of that file."""
 
 import os
 import signal
