--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -1,7 +1,7 @@
 """A proxy for datagrams between instances that loses, delays, duplicates and blocks them.
 
-The proxy has an endpoint for each instance, whose address the instance advertises. A datagram from a to b
-arrives at b's endpoint and is forwarded to b from a's endpoint, so that b replies to that one. All faults are
+The proxy has a socket for each instance, whose address the instance advertises. A datagram from a to b
+arrives at b's proxy socket and is forwarded to b from a's, so that b replies to that one. All faults are
 drawn from one seeded generator.
 """
 
@@ -24,15 +24,15 @@
 
 
 class FaultProxy:
-    """The proxy. It owns the sockets of its endpoints from `open` until `close`."""
+    """The proxy. It owns its sockets from `open` until `close`."""
 
     def __init__(self, rng: Random, host: str = LOOPBACK) -> None:
         self.rng = rng
         self.host = host
         self.endpoints: list[ProxyEndpoint] = []
         self.blocked_links: set[Link] = set()
-        self.loss = 0.0  # fraction of datagrams that is lost
-        self.duplication = 0.0  # fraction of datagrams that arrives twice
+        self.loss = 0.0  # share of datagrams that is lost
+        self.duplication = 0.0  # share of datagrams that arrives twice
         self.mean_delay = 0  # microseconds
         self.max_extra_delay = 0  # microseconds
         self.in_transit = 0  # datagrams that wait for their delay
@@ -41,7 +41,7 @@
         self.tap: DatagramTap | None = None
 
     async def open(self, count: int) -> list[Address]:
-        """Open an endpoint for each of `count` instances, and return the addresses."""
+        """Open a socket for each of `count` instances, and return the addresses."""
         loop = asyncio.get_running_loop()
         for number in range(count):
             _, endpoint = await loop.create_datagram_endpoint(
@@ -59,7 +59,7 @@
         return next(senders, UNKNOWN_SENDER)
 
     def datagram_arrived(self, source: Address, receiver: int, payload: bytes) -> None:
-        """Drop a datagram that arrived at an instance's endpoint, or forward it after its delay."""
+        """Drop a datagram that arrived at an instance's proxy socket, or forward it after its delay."""
         sender = self._sender_at(source)
         is_lost = sender == UNKNOWN_SENDER or (sender, receiver) in self.blocked_links
         if is_lost or self.rng.random() < self.loss:
@@ -88,7 +88,7 @@
         self.forward(sender, receiver, payload)
 
     def forward(self, sender: int, receiver: int, payload: bytes) -> None:
-        """Send a datagram to its receiver from the sender's endpoint."""
+        """Send a datagram to its receiver from the sender's proxy socket."""
         transport = self.endpoints[sender].transport
         target = self.endpoints[receiver].target
         if target is not None and not transport.is_closing():
@@ -96,11 +96,11 @@
             transport.sendto(payload, target)
 
     def inject(self, receiver: int, payload: bytes) -> None:
-        """Send an instance a datagram that no other instance sent."""
+        """Send a foreign datagram to an instance, from that instance's own socket of the proxy."""
         self.forward(receiver, receiver, payload)
 
     def close(self) -> None:
-        """Close all endpoints."""
+        """Close all sockets."""
         for endpoint in self.endpoints:
             endpoint.transport.close()
 
--- a/dahliabend/process_tests/load.py
+++ b/dahliabend/process_tests/load.py
@@ -18,12 +18,12 @@
 S = 1_000_000  # microseconds in a second
 LOOPBACK = "127.0.0.1"
 DISCOVERY_DELAY = 20_000  # microseconds
-UPSTREAM_WORK = 3_000  # microseconds of a request, in the mean
+UPSTREAM_WORK = 3_000  # mean microseconds per request
 UPSTREAM_IDLE_TIMEOUT = 20 * S
 WARMUP_TIME = 4 * S
-INITIAL_CAPACITY = 0.2  # fraction of the full capacity at the start of the warm-up
+INITIAL_CAPACITY = 0.2  # share of the full capacity at the start of the warm-up
 UPSTREAM_CORES = 4
-SUBMIT_SHARE = 0.4  # fraction of requests that are not idempotent
+SUBMIT_SHARE = 0.4  # share of requests that are not idempotent
 FAULT_INTERVAL = (6, 15)  # seconds between upstream faults, minimum and maximum
 FAULT_TIME = 2.0  # seconds that an upstream fails or hangs
 RESTART_TIME = 0.5  # seconds between the end of a replaced upstream and its restart
@@ -79,7 +79,7 @@
     """Upstreams, discovery, clients that send requests to instances, and faults of the upstreams."""
 
     def __init__(self, rng: Random, rate: float, upstreams: int, ports: list[int]) -> None:
-        """Create the load generator.
+        """Create peers that do not listen yet.
 
         Args:
             rng: Generator of arrivals and faults.
--- a/dahliabend/process_tests/load_observer.py
+++ b/dahliabend/process_tests/load_observer.py
@@ -16,7 +16,7 @@
 REQUEST_TIMEOUT = 2 * S
 DRAIN_TIME = 1_500 * MS
 TOLERANCE = 400 * MS  # for a loaded machine
-EXCUSE_MARGIN = 1.0  # seconds before a request within which an interruption of its instance excuses it
+EXCUSE_MARGIN = 1.0  # seconds; an interruption excuses a request from this long before it, at any later time
 MAX_TEXT = 200  # characters of a violation text
 OK = 200
 
--- a/dahliabend/process_tests/processes.py
+++ b/dahliabend/process_tests/processes.py
@@ -17,7 +17,7 @@
 from dahliabend.simulation.cluster.script import ClusterScript
 from dahliabend.simulation.peers.operators import call
 
-START_TIMEOUT = 30.0  # seconds within which a process has to open its sockets, or to end
+START_TIMEOUT = 30.0  # seconds within which a process has to open its sockets or to end
 FIRST_PORT = 20_000
 LAST_PORT = 30_000  # exclusive; below the ephemeral ports of the system
 PORT_STRIDE = 97  # separates test processes that search for ports at the same time
@@ -121,7 +121,7 @@
 {pools}""")
 
     async def start(self) -> None:
-        """Start a process, without waiting for its sockets as `wait_until_open` does."""
+        """Start a process. `wait_until_open` waits for its sockets."""
         loop = asyncio.get_running_loop()
         self.opened = loop.create_future()
         self.process = await asyncio.create_subprocess_exec(
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -36,10 +36,10 @@
 
 CLOCK_CHECK_INTERVAL = 20_000  # microseconds between two checks for pauses of this process
 MAX_CLOCK_DELAY = 150_000  # microseconds by which such a check may be late
-BOUND_FACTOR = 4  # times the bound of a condition, so that random delays do not exceed the limit
+BOUND_FACTOR = 4  # a condition's time limit is its bound times this, as real processes have random delays
 MAX_PARALLEL_CALLS = 6  # to admin interfaces
 MAX_REPLAYED = 64  # datagrams kept for replay
-FAILING_SHARE = 0.9  # fraction of requests that fail at a failing upstream
+FAILING_SHARE = 0.9  # share of requests that fail at a failing upstream
 MIN_RATE = 0.01  # requests per second
 PORTS_PER_INSTANCE = 3  # for clients, the admin interface, and datagrams
 
--- a/dahliabend/simulation/attempt_invariants.py
+++ b/dahliabend/simulation/attempt_invariants.py
@@ -146,7 +146,7 @@
         """Report an attempt that breaks the order of its key.
 
         For each key, a process sends one attempt at a time, in the order in which the requests arrived. After
-        an attempt that may still run at its upstream, the next one waits for the key's pause.
+        an attempt that may still run at its upstream, the next one waits for the pause of the ordering key.
         """
         run = self.run
         key = request.key
--- a/dahliabend/simulation/balancer_faults.py
+++ b/dahliabend/simulation/balancer_faults.py
@@ -17,10 +17,10 @@
 
 RESTART_TIME = 200 * MS  # minimum from the end of a process to the start of the next
 READINESS_INTERVAL = 100 * MS  # between two readiness polls of a new process
-MAX_ADDED_ATTEMPTS = 4  # to the attempt limit of reloaded settings; times the fault's size
+MAX_ADDED_ATTEMPTS = 4  # added to the attempt limit on a reload; multiplied by the fault's size
 MAX_IDLE_ADMIN_CONNECTIONS = 20  # multiplied by the fault's size
-TRUNCATION_THRESHOLD = 0.4  # smaller faults truncate the configuration
-INCOMPLETENESS_THRESHOLD = 0.7  # other smaller faults remove a table, larger ones make a value invalid
+TRUNCATION_THRESHOLD = 0.4  # a fault below this size truncates the configuration
+INCOMPLETENESS_THRESHOLD = 0.7  # below this size a fault removes a table, from it on it makes a value invalid
 TARGET_MULTIPLIER = 97  # maps the fault's size to an upstream
 OK = 200
 
@@ -136,7 +136,7 @@
         successor = balancer.process
 
         def check_ready() -> None:
-            """Poll the new process if it still runs."""
+            """Start to poll the new process if it still runs."""
             if successor is not None and successor.alive:
                 simulation.spawn(simulation.poller_process, poll())
 
@@ -189,7 +189,7 @@
         return lambda: self._call_operator(balancer, "rejoin")
 
     def open_admin_connections(self, fault: Fault) -> Undo:
-        """Open connections to the admin interface on which no request or a malformed one is sent."""
+        """Connect clients to the admin interface that send no request or a malformed one."""
         simulation = self.simulation
         address = self._balancer(fault).admin_address
         count = 1 + int(MAX_IDLE_ADMIN_CONNECTIONS * fault.size)
@@ -199,7 +199,7 @@
 def open_malformed_connections(
     simulation: FaultEnvironment, process: Process, count: int, next_address: Callable[[], Address | None]
 ) -> Undo:
-    """Open connections of malformed clients, which stay until the returned function aborts them."""
+    """Connect clients that send nothing or malformed requests, until the returned function aborts them."""
     transports: list[asyncio.Transport] = []
 
     async def connect() -> None:
--- a/dahliabend/simulation/balancer_host.py
+++ b/dahliabend/simulation/balancer_host.py
@@ -22,7 +22,7 @@
 MIN_TERMINATION_TIME = 3_700_000  # microseconds from SIGTERM to SIGKILL
 MAX_COUNTED_DEADLINE = 3_000_000  # microseconds: longer deadlines do not extend the time until SIGKILL
 TERMINATION_MARGIN = 700_000  # microseconds until SIGKILL beyond the deadline of requests
-RESERVED_DESCRIPTORS = 4  # of the limit, not available for sockets
+RESERVED_DESCRIPTORS = 4  # descriptors of the limit that are not available for sockets
 FIRST_PROCESS_ID = 1_000
 LATE_VALUE = 0.25  # the share of a request's value that an answer after the latency objective earns
 MICROSECONDS_PER_MILLISECOND = 1_000
@@ -94,7 +94,7 @@
             name: the balancer's name.
             host: the IP address of the balancer and of its agent.
             registry: the endpoint list of its tier.
-            tier: 0 if the balancer serves clients, 1 if it serves upstreams.
+            tier: 0 if clients send requests to the balancer, 1 if upstreams do, as a sidecar.
             index: the index of the balancer in its tier.
         """
         self.simulation = simulation
@@ -224,7 +224,7 @@
 
 
 def platform_settings(simulation: SimulationEnvironment, tier: int, index: int) -> dict[str, Any]:
-    """Return the settings that the platform sends to a balancer, with their keys on the wire."""
+    """Return a balancer's settings in the format of the platform, which runs and configures balancers."""
     spec = simulation.spec
     load = simulation.load
     objective = spec.latency_objective / MICROSECONDS_PER_MILLISECOND
--- a/dahliabend/simulation/client_faults.py
+++ b/dahliabend/simulation/client_faults.py
@@ -39,7 +39,7 @@
         return None
 
     def flood(self, fault: Fault) -> Undo:
-        """Have some clients send more requests at once than a balancer reads ahead, and disconnect."""
+        """Have some clients pipeline more requests than a balancer reads at a time, and then disconnect."""
         simulation = self.simulation
         rng = simulation.rng_for("flood")
         for _ in range(1 + int(FLOODING_CLIENTS * fault.size)):
--- a/dahliabend/simulation/cluster/actual_history.py
+++ b/dahliabend/simulation/cluster/actual_history.py
@@ -1,6 +1,6 @@
-"""Ground truth of a run: which instances ran and which links worked at each time.
+"""Actual history of a run: which instances ran and which links worked at each time.
 
-The scenario runner records each change when it makes it; the invariants query the history afterwards.
+The script runner records each change when it makes it; the invariants query the history afterwards.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
     """The state of the cluster from the time `at` until the next moment."""
 
     at: int
-    running: frozenset[int]
+    running: frozenset[int]  # instances with a process, including stopped ones
     stopped: frozenset[int]
     blocked_links: frozenset[Link]
 
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -36,7 +36,7 @@
 IDLE_TIMEOUT = 15 * S  # of connections to upstreams
 LATENCY_OBJECTIVE = 1_500 * MS
 DEADLINE = 3 * S
-UNHEALTHY_FAILURE_SHARE = 0.5  # fraction of failing requests above which health checks fail
+UNHEALTHY_FAILURE_SHARE = 0.5  # share of failing requests above which health checks fail
 REQUEST_CLASSES = (
     RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, LATENCY_OBJECTIVE, DEADLINE, 1.0, 0.0),
     RequestClass(
@@ -165,7 +165,7 @@
 
     def _release_connection(self, upstream: int, outcome: Outcome) -> None:
         self.busy_connections[upstream] -= 1
-        # An upstream without an entry has left the endpoint list or the subset.
+        # An upstream without an entry in `idle_connections` has left the endpoint list or the subset.
         if outcome in REUSABLE_AFTER and upstream in self.idle_connections:
             self.idle_connections[upstream].append(self.model.now)
 
--- a/dahliabend/simulation/cluster/instance_environment.py
+++ b/dahliabend/simulation/cluster/instance_environment.py
@@ -26,7 +26,7 @@
 
     @property
     def served_share(self) -> float:
-        """The fraction of all requests that was served within the latency objective."""
+        """The share of all requests that was served within the latency objective."""
         return self.counts["served"] / max(1, self.counts["asked"])
 
 
--- a/dahliabend/simulation/cluster/invariants.py
+++ b/dahliabend/simulation/cluster/invariants.py
@@ -35,7 +35,8 @@
 
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
-    # Microseconds from the begin of each absence until the first observer, and until all, have detected it.
+    # Microseconds from the beginning of each absence until the first observer, and until all observers, have
+    # detected it.
     first: list[int] = field(default_factory=list)
     full: list[int] = field(default_factory=list)
     hours: float = 0.0  # run time, summed over the instances
@@ -109,9 +110,9 @@
         return self._absences[subject, observer]
 
     def check_deaths(self) -> None:
-        """Check that each instance declared dead was absent for the shortest suspicion."""
-        # By instance: when it noticed a pause of its own. Without a stop in the script, the machine that runs
-        # the test was overloaded, which is not a fault of the protocol.
+        """Check that each instance declared dead was absent for at least the minimum suspicion time."""
+        # By instance: when it noticed a pause of its own. Without a stop in the script, the computer that
+        # runs the test was overloaded, which is not a fault of the protocol.
         pauses: defaultdict[int, list[int]] = defaultdict(list)
         for change in self.changes:
             if change.kind == "paused":
@@ -136,7 +137,7 @@
     def check_detections(self) -> None:
         """Check that an instance absent for longer than the bound left the view of every observer.
 
-        Observers are the instances that ran during the whole absence.
+        Observers are the instances that were present during the absence, at most up to the bound.
         """
         views = self._view_changes()
         all_instances = range(self.actual_history.instance_count)
@@ -193,8 +194,8 @@
     ) -> list[tuple[int, bool]] | None:
         """Return the view changes of an observer since its start, None if it has no absence to notice.
 
-        An observer has none to notice if it started after the absence began, or did not have the subject in
-        its view by then.
+        An observer has none to notice if it started within the bound after the absence began, or did not have
+        the subject in its view when it began.
         """
         starts = self.actual_history.start_times.get(observer, [])
         if any(begin < at <= begin + bound for at in starts):
--- a/dahliabend/simulation/cluster/lease_search.py
+++ b/dahliabend/simulation/cluster/lease_search.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """A state of the whole system. Two states that differ only in their history are equal."""
+    """A state of the whole system. Two states are equal if they differ in older runs only."""
 
     now: int
     elections: tuple[ElectionValues, ...]
@@ -75,7 +75,7 @@
     stopped: int = NO_INSTANCE
     stopped_until: int = 0
     cut_link: tuple[int, int] = NO_LINK
-    runs: tuple[Run, ...] = ()  # the newest ones
+    runs: tuple[Run, ...] = ()  # the newest MAX_REMEMBERED_RUNS
 
 
 class Trace(NamedTuple):
--- a/dahliabend/simulation/cluster/membership_search.py
+++ b/dahliabend/simulation/cluster/membership_search.py
@@ -115,7 +115,8 @@
     deepest: int = 0
     violation: str = ""
     trace: list[str] = field(default_factory=list)
-    moves: Counter[str] = field(default_factory=Counter)  # number by the last word of the description
+    # Number of moves by kind, the last word of the description: delivered, lost, fires, stopped.
+    moves: Counter[str] = field(default_factory=Counter)
 
     def fail(self, violation: str, trace: Trace | None) -> "SearchResult":
         """Set the violation and the moves that led to it, and return the result."""
@@ -217,7 +218,7 @@
         start: The first state.
         depth: Maximum number of moves.
         check: Called with the states before and after a move; returns the violation or "".
-        max_states: Maximum number of states visited.
+        max_states: Maximum number of states remembered.
         settle_check_interval: Every n-th state at the maximum depth is checked for liveness; 0: none.
     """
     result = SearchResult(states=1)
@@ -258,7 +259,8 @@
     """Return the safety invariant that a move violated, "" if none.
 
     The invariants: no incarnation decreases; a refuted suspicion never leads to a death; no member is
-    declared dead without a full suspicion, nor by an instance that has just resumed.
+    declared dead without a suspicion, sooner than the minimum suspicion time after it, by an instance that
+    has just resumed, or by one whose view has not settled.
     """
     for name, machine in after.machines.items():
         old_machine = before.machines[name]
--- a/dahliabend/simulation/cluster/model.py
+++ b/dahliabend/simulation/cluster/model.py
@@ -1,7 +1,7 @@
 """Run of a cluster script on the simulated network.
 
 `ScenarioRunner` is the base class of this runner and of the one in `dahliabend.process_tests`: it holds the
-schedule, the ground truth and the membership changes that the instances reported.
+schedule, the actual history and the membership changes that the instances reported.
 """
 
 from random import Random
@@ -60,7 +60,7 @@
         return blocked
 
     def strongest_fault(self, what: str) -> Step | None:
-        """Return the worst link fault of the type `what` that is in force, None if there is none."""
+        """Return the strongest link fault of the type `what` that is in force, None if there is none."""
         steps = [step for step in self.link_faults if step.what == what]
         return max(steps, key=lambda step: (step.size, step.delay), default=None)
 
--- a/dahliabend/simulation/cluster/script.py
+++ b/dahliabend/simulation/cluster/script.py
@@ -17,7 +17,7 @@
 | `mend` | all faults in force are reverted |
 | `bad` | upstreams that fail nine attempts in ten |
 | `out` | condition: no other instance has those of `whom` in its view |
-| `agree` | condition: all instances that are not stopped have the same stable view: all running instances |
+| `agree` | condition: each instance that is not stopped has a stable view with exactly the running ones |
 | `even` | condition: `agree`, and all subsets together load each upstream alike; upstream faults end |
 | `believed` | condition: a balancer has acted on the health reports of others |
 """
@@ -57,12 +57,13 @@
     """One step of a script. All times are in microseconds."""
 
     what: What = "calm"
-    whom: list[int] = msgspec.field(default_factory=list)  # for link faults, empty means all
+    # Instances that the step acts on; of `cut`: the senders; unused by the other link faults.
+    whom: list[int] = msgspec.field(default_factory=list)
     # Of `cut`: only datagrams from `whom` to these are lost; empty means to all. Of `bad`: the upstreams.
     to: list[int] = msgspec.field(default_factory=list)
     # Of `split`: groups of instances without links between the groups.
     parts: list[list[int]] = msgspec.field(default_factory=list)
-    size: float = 0.0  # of `lose`, `double`: the fraction of datagrams
+    size: float = 0.0  # of `lose`, `double`: the share of datagrams
     delay: Duration = Duration(0)  # maximum, drawn uniformly: reorders datagrams
     span: Duration = Duration(0)  # 0: until `mend`, or to the end
     wait: Duration = Duration(0)
--- a/dahliabend/simulation/cluster/simulated_cluster.py
+++ b/dahliabend/simulation/cluster/simulated_cluster.py
@@ -1,7 +1,7 @@
 """Membership protocol instances on a simulated network with one virtual clock.
 
 The network delays, loses, duplicates and reorders datagrams. Links can be blocked in one direction, and
-instances can be paused or stopped.
+instances can be paused (as by SIGSTOP) or ended.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 
 S = 1_000_000  # microseconds in a second
 DEFAULT_DELAY = (200, 20_000)  # microseconds of a datagram: minimum, and maximum exclusive
-ANY_SEED = 1  # the default; the instances' generators then depend on name and generation only
+DEFAULT_SEED = 1  # with this seed, instances' generators depend on name and generation only
 
 
 class Datagram(NamedTuple):
@@ -43,7 +43,7 @@
     def __init__(
         self,
         count: int,
-        seed: int = ANY_SEED,
+        seed: int = DEFAULT_SEED,
         loss: float = 0.0,
         config: SwimConfig | None = None,
         start_instances: bool = True,
@@ -53,7 +53,7 @@
         Args:
             count: Number of instances; they are named b0, b1, and so on.
             seed: Seed of the network's and the instances' random generators.
-            loss: Fraction of datagrams that is lost.
+            loss: Share of datagrams that is lost.
             config: Settings of the membership protocol.
             start_instances: Whether to start the instances; False leaves the cluster empty.
         """
@@ -64,7 +64,7 @@
         self.seed = seed
         self.config = config or SwimConfig(sync_interval=10)
         self.delay = DEFAULT_DELAY
-        self.duplication = 0.0  # the fraction of datagrams that arrive twice
+        self.duplication = 0.0  # the share of datagrams that arrive twice
         self.in_transit: list[Datagram] = []
         self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver): all is lost
         self.paused_until: dict[str, int] = {}
@@ -86,7 +86,7 @@
         zone: str = "",
     ) -> MembershipProtocol:
         """Start an instance, from the snapshot of its predecessor if one is given."""
-        own_seed = f"{name} {generation}" if self.seed == ANY_SEED else f"{self.seed} {name} {generation}"
+        own_seed = f"{name} {generation}" if self.seed == DEFAULT_SEED else f"{self.seed} {name} {generation}"
         machine = MembershipProtocol(name, generation, name, self.config, Random(own_seed), zone)
         self.machines[name] = machine
         if state is not None:
@@ -102,7 +102,7 @@
         return self.machines.pop(name, None)
 
     def transmit(self, name: str) -> None:
-        """Process what an instance produced: set its timer, report its events, send its datagrams."""
+        """Set an instance's timer, report its events and send the datagrams that it produced."""
         machine = self.machines[name]
         if self.armed.get(name) != machine.timer_due:
             self.armed[name] = machine.timer_due
--- a/dahliabend/simulation/cluster/upstream_model.py
+++ b/dahliabend/simulation/cluster/upstream_model.py
@@ -1,4 +1,4 @@
-"""A simulated upstream with cores, a queue, a warm-up, and faults that can be switched on.
+"""A simulated upstream with cores, a limit of concurrent requests, a warm-up and faults.
 
 A request that was accepted is executed to its end, even if nobody waits for the response any more.
 """
@@ -24,7 +24,7 @@
     work: int = 200 * MS  # mean core time of a request; half of it is constant, half exponential
     depth: int = 6  # concurrent requests accepted for each core; more are rejected
     warmup_time: int = 8 * S
-    initial_capacity: float = 0.2  # fraction of the full capacity at the start of the warm-up
+    initial_capacity: float = 0.2  # share of the full capacity at the start of the warm-up
     # While warming up, an upstream hangs forever once the work that arrives in a window exceeds this multiple
     # of its capacity.
     overload_multiple: float = 4.0
@@ -62,7 +62,7 @@
         self.core_free_at = [0] * profile.cores  # a heap
         self.in_flight = 0
         # Faults
-        self.failing = 0.0  # fraction of requests that fail
+        self.failing = 0.0  # share of requests that fail
         self.slower = 1.0  # factor by which work takes longer
         self.hung = False  # accepts requests and never responds
         self.deaf_to: set[int] = set()  # balancers whose requests do not arrive
@@ -74,7 +74,7 @@
         self.is_overloaded = False
 
     def warmup_factor(self, now: int) -> float:
-        """Return the fraction of the full capacity that is available at a time."""
+        """Return the share of the full capacity that is available at a time."""
         profile = self.profile
         age = now - self.started_at
         if not self.started_at or age >= profile.warmup_time:
--- a/dahliabend/simulation/cluster/workload_model.py
+++ b/dahliabend/simulation/cluster/workload_model.py
@@ -3,7 +3,7 @@
 Each balancer has the real policy, membership and subsets; the upstreams are simulated. The load is open-loop:
 requests arrive whether or not earlier ones are answered. A seed gives the same arrivals with any settings, so
 that runs can be compared in pairs. Simulating one second of 40 balancers, 60 upstreams and 330 requests takes
-about 60 ms. Bytes are not simulated; `dahliabend emulate` covers the network code.
+about 60 ms. Bytes are not simulated; `dahliabend emulate` covers the program's network code.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 from dahliabend.subsetting.selection import Participant
 from dahliabend.subsetting.settings import SubsetControllerSettings
 
-MEMBERSHIP_STEP = 250 * MS  # by which the clock of the membership protocol follows that of the requests
+MEMBERSHIP_STEP = 250 * MS  # step in which the requests run first, then the membership protocol
 DISCOVERY_DELAY = 200 * MS, 1_500 * MS  # until a balancer receives a change of the endpoint list
 CLIENT_FAILOVER_TIME = 1 * S  # until clients stop sending to a balancer that has ended
-DRAIN_TIME = 3 * S  # of an upstream that is taken out
+DRAIN_TIME = 3 * S  # from an upstream's announcement as draining until its end
 SAMPLE_INTERVAL = S
-SUBMIT_SHARE = 0.3  # fraction of requests that are not idempotent
+SUBMIT_SHARE = 0.3  # share of requests that are not idempotent
 
 
 class WorkloadModel(ClusterModel):
@@ -79,7 +79,7 @@
         self.rate = rate
         self.subset = subset
         self.announces_demand = announces_demand
-        self.skewed_share = 0.0  # fraction of requests sent to the first balancer only
+        self.skewed_share = 0.0  # share of requests sent to the first balancer only
         self.has_gossip = has_gossip
         self.lies = lies or {}
         self.check_period = check_period
@@ -309,13 +309,13 @@
         metrics.samples.append({"at": self.clock, **self.counts})
 
     def finish(self) -> None:
-        """Stop the arrivals, run until all open requests are answered, and count overloaded upstreams."""
+        """Stop the arrivals, run until all deadlines have passed, and count overloaded upstreams."""
         self.is_finished = True
         self.run(DEADLINE + S)
         self.counts["fallen"] = sum(upstream.is_overloaded for upstream in self.upstreams)
 
     def reset_metrics(self) -> None:
-        """Clear the metrics; they cover requests that arrive from now on."""
+        """Clear all metrics but the violations; they cover requests that arrive from now on."""
         self.measured_since = self.clock
         metrics = self.metrics
         metrics.counts.clear()
--- a/dahliabend/simulation/discovery_faults.py
+++ b/dahliabend/simulation/discovery_faults.py
@@ -11,7 +11,7 @@
 OLD_ADDRESS_LIFETIME = 500 * MS  # for which an agent also listens at its old address
 REPEAT_THRESHOLD = 0.4  # watches are closed repeatedly if the fault's size is larger
 REPEAT_DELAYS = (60, 130, 300)  # milliseconds after the first close
-INVALID_UPDATE_RANGE = 100  # of the numbers that select an invalid update; multiplied by the fault's size
+INVALID_UPDATE_RANGE = 100  # the update's number is below this, in proportion to the fault's size
 
 
 class DiscoveryFaults:
@@ -83,7 +83,7 @@
     def restart_versions(self, fault: Fault) -> Undo:
         """Have the agent restart its versions.
 
-        Asked for the changes since a version from before, the agent then answers that there are none.
+        For a version from before the restart, the agent then reports no changes.
         """
         balancer = self._balancer(fault)
         balancer.agent_process.run(balancer.agent.restart_versions)
--- a/dahliabend/simulation/endpoint_invariants.py
+++ b/dahliabend/simulation/endpoint_invariants.py
@@ -84,7 +84,7 @@
     def forget_exclusions(self, balancer: str) -> None:
         """Forget a balancer's exclusions, since it restarts without the state of the previous process.
 
-        Exclusions survive only a hand-over between processes, by design.
+        By design, exclusions survive only an upgrade on a shared listener.
         """
         for use in [use for use in self._excluded_since if use[0] == balancer]:
             del self._excluded_since[use]
@@ -136,6 +136,6 @@
         self.run.report("bytes", f"{balancer} wrote to {upstream} what can't be read: {reason}")
 
     def upstream_overloaded(self, upstream: str, overload_factor: float) -> None:
-        """Report an upstream that failed because it got too much work while warming up."""
+        """Report an upstream that hangs for good because it got too much work while warming up."""
         text = f"{upstream} was sent {overload_factor:.1f} times what it bears while cold, and fell over"
         self.run.report("cold", text)
--- a/dahliabend/simulation/event_loop.py
+++ b/dahliabend/simulation/event_loop.py
@@ -217,7 +217,7 @@
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """An event loop on virtual time, with the methods that asyncio, the network code and the peers use."""
+    """An event loop on virtual time with the methods that asyncio, the balancer and the peers use."""
 
     network: LoopNetwork[Process]  # creates the loop's sockets; set by the code that builds the run
 
--- a/dahliabend/simulation/fault_environment.py
+++ b/dahliabend/simulation/fault_environment.py
@@ -33,7 +33,7 @@
         """Whether the load has ended, so that no new fault starts."""
 
     def zone_of(self, number: int) -> str:
-        """Return the zone for the number of an upstream or of a fault."""
+        """Return the zone of an upstream's number, or of the `whom` of a `cut-zone` fault."""
 
     def draw_request(self, rng: Random, load: LoadSpec) -> ClientRequest:
         """Draw a request and the behaviour of its client."""
--- a/dahliabend/simulation/leaks.py
+++ b/dahliabend/simulation/leaks.py
@@ -1,6 +1,6 @@
 """Checks that a run leaves nothing behind: descriptors, request slots, timers, tasks and buffered bytes.
 
-This is the only module of the package that reads internals of the program under test. It reads which
+This is the only module of the package that reads internals of the balancer's program. It reads which
 resources the program holds, never how it decided.
 """
 
@@ -16,12 +16,12 @@
 
 TOLERANCE = 6  # by which the timers, tasks and connections of an idle program may exceed what is expected
 RULE = "left behind"
-# Packages whose objects must not become more with uptime.
+# Packages whose objects must not grow in number with uptime.
 PROGRAM_PACKAGES = tuple(
     f"dahliabend.{name}" for name in ("transport", "http", "discovery", "proxy", "server", "policy")
 )
 
-Program = Any  # the program under test, whose internals are read
+Program = Any  # a balancer's program, whose internals are read
 
 
 class ObservedBalancer(Protocol):
@@ -127,7 +127,7 @@
             self._report_unless(not pending, process, f"{pending} connections that never came up")
 
     def _check_timers_and_tasks(self, process: Process, program: Program) -> None:
-        """Check that timers and tasks are hardly more than at the start."""
+        """Check that there are at most `TOLERANCE` more timers and tasks than at the start."""
         balancer = balancer_of(process.name)
         timers = count_timers(program)
         tasks = len(asyncio.all_tasks(process.loop))
--- a/dahliabend/simulation/network_profile.py
+++ b/dahliabend/simulation/network_profile.py
@@ -9,7 +9,7 @@
 
     delay: int = 250  # one way, inside a zone
     cross_zone_delay: int = 3_000
-    jitter: float = 0.3  # mean random addition to the delay, as a fraction of it
+    jitter: float = 0.3  # mean random addition to the delay, as a share of it
     bandwidth: int = 125  # bytes per microsecond, for each direction of a connection
     send_buffer: int = 256 * 1024  # bytes that may be written before the peer has received them
     receive_window: int = 64 * 1024  # bytes that may be unread or in flight
--- a/dahliabend/simulation/observed_run.py
+++ b/dahliabend/simulation/observed_run.py
@@ -7,7 +7,7 @@
 from dahliabend.simulation.connections import ConnectionEnd
 from dahliabend.simulation.event_loop import CLOCK_START, Scheduler
 
-TIME_TOLERANCE = 50_000  # microseconds: the tolerance of each time limit that is documented for operators
+TIME_TOLERANCE = 50_000  # microseconds added to each documented time limit before a violation is reported
 RETENTION = 60_000_000  # microseconds for which a finished request is kept
 MAX_VIOLATIONS = 20  # that are kept for a run
 MICROSECONDS_PER_SECOND = 1e6
@@ -26,7 +26,7 @@
 
     name: str
     semantics: str  # idempotent, deduplicated, at_most_once
-    group: str = "all"  # the upstreams that share deduplication: all, zone, cell
+    group: str = "all"  # deduplication scope, the upstreams that share deduplication: all, zone, cell
     deduplication_window: int = 0
     deadline: int = 0
     latency_objective: int = 0
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -41,7 +41,7 @@
 MAX_STEPS = 50_000_000
 MAX_SOCKETS = 4_096
 STARTUP_TIME = 1_000_000  # microseconds from the start until the load begins
-SETTLE_TIME = 23_000_000  # microseconds after the load, until nothing may be left of it
+SETTLE_TIME = 23_000_000  # microseconds after the load before leaks are checked
 SHUTDOWN_TIME = 5_000_000  # microseconds for the process to end after SIGTERM
 DISCOVERY_DELAY = 20_000  # microseconds
 DISCOVERED_ENDPOINTS = 3  # of a pool whose members the file does not list
@@ -51,6 +51,7 @@
 MICROSECONDS_PER_SECOND = 1e6
 FAULT_KINDS = ("hang", "slow", "fail", "reset", "crash", "garble", "refuse")
 # Faults that set an attribute of an upstream: the attribute, its value during the fault, and after it.
+# "crash" resets connections instead of responding; `kill` and `restart` end and start the process.
 BEHAVIOR_SWITCHES: Mapping[str, tuple[str, object, object]] = {
     "hang": ("hung", True, False),
     "slow": ("slower", 8.0, 1.0),
@@ -123,7 +124,7 @@
         return process
 
     def spawn(self, process: Process, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task in a process."""
+        """Start a coroutine as a task of a process."""
         task: asyncio.Task[Any] = process.run(process.loop.create_task, coroutine)
         return task
 
@@ -272,7 +273,7 @@
         self.start_upstream(EndpointSettings(id=name, address=address, zone=spec.zone, cell=spec.cell))
 
     def call_later(self, wait: int, act: Callable[..., object], *arguments: object) -> None:
-        """Schedule a call after so many microseconds."""
+        """Schedule a call after a delay in microseconds."""
         self.scheduler.call_at(self.scheduler.now + wait, None, act, *arguments)
 
     def _start_program(self) -> None:
--- a/dahliabend/simulation/peers/__init__.py
+++ b/dahliabend/simulation/peers/__init__.py
@@ -6,5 +6,5 @@
 
 from collections.abc import Callable
 
-# Called with the name and the values of an event: a simulation's `Recorder` or a substitute for it.
+# Called with the kind and the values of an event: a simulation's `Recorder` or a substitute for it.
 RecordEvent = Callable[..., None]
--- a/dahliabend/simulation/peers/client_request.py
+++ b/dahliabend/simulation/peers/client_request.py
@@ -12,8 +12,8 @@
 
     trace_id: str
     class_name: str
-    timeout: int
-    deadline: int = 0
+    timeout: int  # announced in the deadline header; the client disconnects some time after it
+    deadline: int = 0  # time within which a response is due; the client itself does not use it
     body: bytes = b""
     query_string: bytes = b""
     path: str = ""  # empty: a slash and the class name
--- a/dahliabend/simulation/peers/clients.py
+++ b/dahliabend/simulation/peers/clients.py
@@ -103,7 +103,7 @@
             request.on_finished(status)
 
     def retry(self, request: ClientRequest, status: int, retry_after: int) -> None:
-        """Retry a request with a new trace id; finish it if it succeeded or has no attempts left."""
+        """Finish a request that succeeded or has no attempts left; retry any other with a new trace id."""
         if status == OK or request.retry_count + 1 >= request.max_attempts:
             self.finish(request, status)
             return
@@ -128,7 +128,7 @@
         self.request: ClientRequest | None = None
         self.last_request: ClientRequest | None = None
         self.requests_sent = 0
-        self.is_request_sent = False  # whether the whole request has been written and, if it is large, read
+        self.is_request_sent = False  # whether the request has been written, and also read if it is large
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.disconnect_timer: asyncio.TimerHandle | None = None
         self.parser: httptools.HttpResponseParser | None = None
--- a/dahliabend/simulation/peers/discovery.py
+++ b/dahliabend/simulation/peers/discovery.py
@@ -138,7 +138,7 @@
     # Faults
 
     def end_silence(self) -> None:
-        """End the silence and send the missed changes on all open watches."""
+        """End the silence, send the missed changes on all watches and start those requested meanwhile."""
         self.silent = False
         for endpoint_id, state in self._withheld_states.items():
             self.recorder("had", self.name, endpoint_id, state)
--- a/dahliabend/simulation/peers/operators.py
+++ b/dahliabend/simulation/peers/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the admin interface and of health endpoints, each on a new connection."""
+"""HTTP calls of the admin interface and of readiness checks, each on a new connection."""
 
 import asyncio
 import json
--- a/dahliabend/simulation/peers/upstream.py
+++ b/dahliabend/simulation/peers/upstream.py
@@ -18,13 +18,13 @@
 SUBMIT_FACTOR = 1.5  # factor on the work of a query
 CHUNKED_SHARE = 0.2  # share of the successful responses with chunked encoding
 UNHEALTHY_FAILURE_SHARE = 0.5  # above this share of failing requests, health checks fail too
-FAILURE_TIME_DIVISOR = 50  # the duration of a failing request is the mean work divided by this
+FAILURE_TIME_DIVISOR = 50  # short requests of a failing upstream take the mean work divided by this
 MIN_WORK_DIVISOR = 8  # the minimum work of a request is the mean work divided by this
 UNLIMITED_CONNECTIONS = 1 << 20
 MICROSECONDS_PER_SECOND = 1e6
 REJECTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 5\r\n\r\nfull\n"
 FAILED_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nbad\n"
-ADMIN_PREFIX = b"/-/"  # prefix of the paths of health checks
+ADMIN_PREFIX = b"/-/"  # start of the paths of health checks
 
 
 class Arrival(NamedTuple):
@@ -84,13 +84,15 @@
         self.recent_arrivals: deque[Arrival] = deque()  # of the last overload_window, during the warm-up
         self.recent_work = 0
         self.answers_made = 0
-        # Calls the next tier, given a trace id, a class name and a callback that takes whether it succeeded.
+        # Calls the second tier with a trace id, a class name and a callback that takes whether it succeeded.
         self.call_next_tier: Callable[[str, str, Callable[[bool], None]], None] | None = None
         # Fault switches, which scenarios and tests set by name
         self.hung = False  # accepts requests and never answers
         self.draining = False  # rejects new requests
         self.mute = False  # executes requests, but resets the connection instead of responding
-        self.failing = 0.0  # share of requests that fail
+        # Share of requests that fail. The same share, drawn independently, is shortened by
+        # FAILURE_TIME_DIVISOR: a failing request may take its full time, a successful one the short time.
+        self.failing = 0.0
         self.garbled = 0.0  # share of successful responses that are sent invalid
         self.twice = 0.0  # share of successful responses that are sent twice
         self.slower = 1.0  # factor on the duration of work
--- a/dahliabend/simulation/peers/upstream_spec.py
+++ b/dahliabend/simulation/peers/upstream_spec.py
@@ -19,10 +19,10 @@
     mean_work: int = 8_000  # core time of a request
     warmup_time: int = 2_000_000
     initial_capacity: float = 0.4  # share of the full capacity at the start of the warm-up
-    overload_multiple: float = 4.0  # multiple of the warm-up capacity above which it fails for good
+    overload_multiple: float = 4.0  # multiple of the warm-up capacity above which it hangs for good
     overload_window: int = 1_000_000  # time over which arriving work is summed up
     idle_timeout: int = 2_000_000  # time after which idle connections are closed
     answers_health_checks: bool = True
     # Whether the overload limit counts requests instead of their work, for simulations with many balancers.
-    # Where N requests are allowed, the upstream fails above N + 2 sqrt(N) + 2 of them.
+    # Where N requests are allowed, the upstream hangs for good above N + 2 sqrt(N) + 2 of them.
     counts_requests: bool = False
--- a/dahliabend/simulation/recorder.py
+++ b/dahliabend/simulation/recorder.py
@@ -1,6 +1,6 @@
 """Records the events of a run that the peers and the network observe, and notifies subscribers of them.
 
-The invariants and the fault injection depend on these events alone, not on the state of the code under test.
+The invariants and the fault injection depend on these events alone, not on the balancer's state.
 
 The names of the event kinds are stored in scenario files and printed in time lines, so they must not change.
 Those that do not explain themselves mean:
@@ -14,13 +14,14 @@
 | `extra`, `spoilt` | a response is unexpected, unreadable |
 | `left` | a client disconnects |
 | `hop.head`, `hop.whole` | the head, the last byte of an attempt is written |
-| `hop.told` | an attempt has a deadline header |
+| `hop.told` | an attempt's head is written: the time that its deadline header announces, 0 without one |
 | `begun` | an attempt has completely arrived at its upstream |
 | `unrun` | an upstream rejects an attempt without executing it |
 | `effect`, `made` | an upstream executes a request, is about to answer it |
 | `done`, `gave` | an upstream answers, has sent all of its answer |
 | `torn` | an upstream resets a connection |
-| `toppled` | an upstream fails because it got too much work while warming up |
+| `toppled` | an upstream hangs for good because it got too much work while warming up |
+| `probed` | a health check has arrived at an upstream |
 | `had`, `told` | discovery knows, has announced an endpoint's state |
 | `said`, `yes` | an operator's call was answered, was successful |
 """
@@ -36,7 +37,7 @@
 
 MAX_STORED_EVENTS = 400_000  # later events only go into the digest
 DIGEST_BYTES = 12
-ADMIN_PREFIX = b"/-/"  # the start of the paths of health checks
+ADMIN_PREFIX = b"/-/"  # start of the paths of health checks
 
 Event = tuple[Any, ...]  # microseconds since the start, the event kind, and the values
 
@@ -117,7 +118,10 @@
             self.announced_ms = int(value)
 
     def on_headers_complete(self) -> None:
-        """Record the attempt's deadline and its head, unless it is a health check."""
+        """Record the time that the attempt announces, 0 without a deadline header, and its head.
+
+        Health checks are not recorded.
+        """
         if not self.path.startswith(ADMIN_PREFIX):
             number = self.end.number
             self.recorder("hop.told", self.trace_id, self.upstream, self.announced_ms)
--- a/dahliabend/simulation/scenario.py
+++ b/dahliabend/simulation/scenario.py
@@ -9,7 +9,7 @@
 | key or value | meaning |
 | --- | --- |
 | `whom` | the index of the fault's target |
-| `on`, `nth` | the recorder's event, and which of them, at which a fault begins |
+| `on`, `nth` | a fault begins at the `nth` recorded event of the kind `on` |
 | `behind` (world) | upstreams of a second tier |
 | `cold`, `cold-share`, `fall-multiple` | warm-up time, initial capacity, overload multiple of an upstream |
 | `may-probe`, `advises` | upstreams answer health checks; rejections carry Retry-After |
@@ -56,7 +56,7 @@
     "operator": ("exclude", "evacuate", "half-call"),
     "clients": ("crowd", "rude", "flood", "behind", "leave"),
 }  # fmt: skip
-# The group of each fault: what its `whom` counts, or what it affects.
+# What each fault affects, and what its `whom` is an index of.
 GROUP_OF: dict[str, str] = {what: group for group, kinds in FAULTS_BY_TARGET.items() for what in kinds}
 ATTEMPT_EVENTS = ("hop.head", "hop.whole", "begun", "made")
 TRIGGER_EVENTS = {
@@ -150,8 +150,8 @@
     idle_timeout: Duration = Duration(2 * S)
     connect_timeout: Duration = Duration(75 * MS)  # for a connection to an upstream
     deduplication_window: Duration = Duration(1_200 * MS)
-    order_pause: Duration = Duration(0)  # a key's pause after an attempt that may still run at its upstream
-    shares_listener: bool = False  # from the platform; processes also share a runtime directory
+    order_pause: Duration = Duration(0)  # pause of an ordering key after an attempt that may still run
+    shares_listener: bool = False  # processes of a balancer share a listener and a runtime directory
     admin: bool = True
     delay: Duration = Duration(250)
     cross_zone_delay: Duration = Duration(3 * MS)
--- a/dahliabend/simulation/scenario_generator.py
+++ b/dahliabend/simulation/scenario_generator.py
@@ -32,18 +32,18 @@
 ALL_FAULTS: tuple[FaultKind, ...] = tuple(kind for kinds in FAULTS_BY_TARGET.values() for kind in kinds)
 KINDS_BY_NAME: dict[str, FaultKind] = {kind: kind for kind in ALL_FAULTS}
 EDGE_FAULTS: tuple[FaultKind, ...] = ("stall", "hang", "crash", "reset", "end-watch")
-DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds relative to the end of a drain's grace period
-ORDERED_SHARE = 0.25  # of the seeds have requests with ordering keys
-LATER_FAULT_SHARE = 0.35  # of the seeds
-SHORT_DEADLINE_SHARE = 0.15  # of the seeds
-MANY_BALANCERS_SHARE = 0.18  # of the seeds, cumulative: includes the seeds with short deadlines
-EVENT_TRIGGER_SHARE = 0.2  # of the faults
-SLOW_START_SHARE = 0.4  # of the kills
-EDGE_FAULT_SHARE = 0.6  # of the drains and planned restarts
+DRAIN_EDGE_OFFSETS = (-1, 0, 1)  # microseconds relative to the end of an endpoint's drain time
+ORDERED_SHARE = 0.25  # share of the seeds whose requests have ordering keys
+LATER_FAULT_SHARE = 0.35  # share of the seeds
+SHORT_DEADLINE_SHARE = 0.15  # share of the seeds
+MANY_BALANCERS_THRESHOLD = 0.18  # draws from SHORT_DEADLINE_SHARE to this give many balancers
+EVENT_TRIGGER_SHARE = 0.2  # share of the faults that begin at an event
+SLOW_START_SHARE = 0.4  # share of the kills after which the new process stalls
+EDGE_FAULT_SHARE = 0.6  # share of the drains and planned restarts with a fault at the drain's end
 
 
 def draw(seed: int, kinds: tuple[str, ...] = ()) -> Scenario:
-    """Draw a scenario with one to three faults and what accompanies them.
+    """Draw a scenario with up to three independent faults, and the further faults that belong to them.
 
     Args:
         seed: of all random generators.
@@ -123,7 +123,7 @@
         world.deadline = Duration(700 * MS)
         world.latency_objective = Duration(300 * MS)
         world.deduplication_window = Duration(rng.choice((150, 400)) * MS)
-    elif drawn < MANY_BALANCERS_SHARE and not world.second_tier_upstreams and not world.shares_listener:
+    elif drawn < MANY_BALANCERS_THRESHOLD and not world.second_tier_upstreams and not world.shares_listener:
         world.balancers = rng.randint(20, 30)
         load.requests *= 3
         load.burst_share = 0.3
@@ -206,7 +206,7 @@
         span=Duration(rng.choice((100, 400, 900, 1_600)) * MS + rng.randrange(1_000)),
         size=round(rng.uniform(0.2, 1.0), 3),
     )
-    if fault_kind == "exclude":  # longer than the grace period, within which nothing is a violation
+    if fault_kind == "exclude":  # longer than the drain time, within which nothing is a violation
         fault.span = Duration(world.drain_time + rng.randrange(300, 1_500) * MS)
     if fault_kind == "crowd":
         fault.size = round(2 * fault.size, 3)
@@ -220,7 +220,7 @@
 
 
 def _draw_companion(rng: Random, world: WorldSpec, fault: Fault, kinds: Sequence[str]) -> list[Fault]:
-    """Draw a second fault: a slow start after a kill, or a fault at the end of a drain's grace period."""
+    """Draw a second fault: a slow start after a kill, or a fault at the end of a drain."""
     fault_kind = fault.what
     if fault_kind == "kill" and (not kinds or "stall" in kinds) and rng.random() < SLOW_START_SHARE:
         span = Duration(rng.randrange(60, 500) * MS)
--- a/dahliabend/simulation/shrink.py
+++ b/dahliabend/simulation/shrink.py
@@ -10,7 +10,7 @@
 
 MAX_RUNS = 400
 MIN_LENGTH = 500 * MS  # runs that are not longer are not halved
-LOAD_DIVISORS = (8, 4, 2)  # each yields half the requests if there are at least twice as many as it
+LOAD_DIVISORS = (8, 4, 2)  # half the requests are tried with each: n * (divisor // 2) // divisor
 COUNTS_REDUCED = ("balancers", "upstreams", "second_tier_upstreams", "zones", "cores")
 WORLD_DEFAULTS_TRIED = (
     "shares_listener", "max_descriptors", "idle_timeout", "send_buffer", "receive_window", "max_segment",
@@ -84,7 +84,10 @@
 
 
 def _with_less_load(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield the scenario with half the requests, and with a tenth less."""
+    """Yield the scenario with half the requests, computed with each divisor, and with a tenth less.
+
+    The halves are equal up to rounding; a divisor is left out if there are fewer than twice as many requests.
+    """
     load = scenario.load
     for divisor in LOAD_DIVISORS:
         if load.requests >= 2 * divisor:
--- a/dahliabend/simulation/simulated_host.py
+++ b/dahliabend/simulation/simulated_host.py
@@ -1,4 +1,4 @@
-"""The simulated host: the clocks, sockets, files and shared directories that the network code uses.
+"""The simulated host: the clocks, sockets, files and shared directories that the balancer's program uses.
 
 While the context of `SimulatedHost.installed` is active, its methods replace the functions of
 `dahliabend.transport.host_info`. Only one simulation can run at a time, in one thread.
--- a/dahliabend/simulation/sweep.py
+++ b/dahliabend/simulation/sweep.py
@@ -13,7 +13,7 @@
 from dahliabend.simulation.world import run_scenario
 
 SEEDS_PER_TASK = 20  # run by a worker process in one task
-SIMULATION_ERROR_RULE = "emulator"  # the rule under which errors of the simulation itself are counted
+SIMULATION_ERROR_RULE = "emulator"  # rule under which errors of the simulation itself are counted
 
 
 @dataclass(slots=True)
--- a/dahliabend/simulation/transports.py
+++ b/dahliabend/simulation/transports.py
@@ -1,7 +1,7 @@
-"""An asyncio transport over one end of a simulated connection, which behaves as uvloop's on sockets.
+"""An asyncio transport over one end of a simulated connection.
 
-A write goes into the send buffer at once. Bytes that do not fit are kept in the transport; above the
-high-water mark the protocol is paused.
+It behaves like uvloop's transport on a socket. A write goes into the send buffer at once. Bytes that
+do not fit are kept in the transport; above the high-water mark the protocol is paused.
 """
 
 import asyncio
--- a/dahliabend/simulation/upstream_host.py
+++ b/dahliabend/simulation/upstream_host.py
@@ -1,4 +1,7 @@
-"""An upstream of a simulation: its successive processes, and its entry in the endpoint list."""
+"""An upstream of a simulation: its successive processes, and its entry in the endpoint list.
+
+If there is a second tier, each upstream of the first tier calls it through a balancer of its own, a sidecar.
+"""
 
 import signal
 from collections.abc import Callable
@@ -30,7 +33,7 @@
         self.start_count = 0
         self.upstream: Upstream
         self.process: Process
-        self.sidecar: BalancerHost | None = None  # the balancer through which it calls the next tier
+        self.sidecar: BalancerHost | None = None  # through which it calls the second tier
         self.clients: Clients | None = None
 
     @property
@@ -61,7 +64,7 @@
             self.registry.put(self.discovery_entry())
 
     def start(self, *, needs_warmup: bool) -> None:
-        """Start a process, which warms up if `needs_warmup`, and the sidecar if it does not run."""
+        """Start a process, which warms up if `needs_warmup`, and its second-tier balancer if it is down."""
         simulation = self.simulation
         spec = self.spec
         self.start_count += 1
@@ -116,7 +119,7 @@
         call_once()
 
     def kill(self) -> None:
-        """Kill the upstream's process and its sidecar."""
+        """Kill the upstream's process and its second-tier balancer."""
         self.process.signal(signal.SIGKILL)
         if self.sidecar is not None and self.sidecar.alive:
             self.sidecar.kill()
--- a/dahliabend/simulation/world.py
+++ b/dahliabend/simulation/world.py
@@ -32,11 +32,11 @@
 from dahliabend.simulation.upstream_host import UpstreamHost
 
 STARTUP_TIME = 600_000  # microseconds from the start of the balancers to the start of the load
-SETTLE_TIME = 6_500_000  # microseconds after the load until nothing may be left of it, at least
+SETTLE_TIME = 6_500_000  # minimum microseconds after the load before leaks are checked
 SETTLE_MARGIN = 1_500_000  # microseconds beyond what deadlines and idle timeouts need
 SHUTDOWN_TIME = 4_500_000  # microseconds for the balancers to end after SIGTERM
 READINESS_INTERVAL = 250_000  # microseconds between two polls of the balancers' readiness
-MAX_EXACT_BALANCERS = 16  # with more, upstreams that warm up tolerate a random excess of work
+MAX_EXACT_BALANCERS = 16  # with more, upstreams that warm up count requests instead of their work
 LONG_BODY_SIZE = 120_000  # bytes
 BODY_SIZES = (0, 20, 600, 2_500)  # bytes
 CHUNK_INTERVALS = (2_000, 20_000, 60_000)  # microseconds between pieces of a request sent slowly
@@ -121,7 +121,7 @@
         return Random(f"{name} {self.scenario.seed}")
 
     def zone_of(self, number: int) -> str:
-        """Return the zone of an upstream, or of the target of a zone's fault, by number."""
+        """Return the zone of an upstream's number, or of the `whom` of a `cut-zone` fault."""
         return ZONE_NAMES[number % self.spec.zones]
 
     def _assign_zones(self) -> None:
@@ -189,6 +189,7 @@
             self.host.inherited[balancer.host] = sock.listen_queue
 
     def _build_sidecars(self) -> None:
+        """Create the balancers of the second tier, one for each upstream of the first, on its host."""
         if not self.spec.second_tier_upstreams:
             return
         for number, upstream in enumerate(self.upstreams[: self.spec.upstreams]):
@@ -204,6 +205,7 @@
             balancer.start()
 
     def _build_clients(self) -> None:
+        # The process that polls readiness and makes operators' calls; events have its name.
         self.poller_process = Process(self.scheduler, "front", POLLER_HOST, "a")
         self.poller_process.loop.network = self.network
         self.rotation = ConnectionRotation([balancer.address for balancer in self.balancers])
@@ -234,13 +236,13 @@
     # Execution
 
     def spawn(self, process: Process, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task in a process."""
+        """Start a coroutine as a task of a process."""
         process.loop.network = self.network
         task: asyncio.Task[Any] = process.run(process.loop.create_task, coroutine)
         return task
 
     def call_later(self, wait: int, act: Callable[..., object], *arguments: object) -> None:
-        """Schedule a call after so many microseconds."""
+        """Schedule a call after a delay in microseconds."""
         self.scheduler.call_at(self.scheduler.now + wait, None, act, *arguments)
 
     def poll_readiness(self) -> None:
