--- a/dahliabend/process_tests/fault_proxy.py
+++ b/dahliabend/process_tests/fault_proxy.py
@@ -1,7 +1,7 @@
 """A proxy for datagrams between instances that loses, delays, duplicates and blocks them.
 
-The proxy has an endpoint for each instance, whose address the instance advertises. A datagram from a to b
-arrives at b's endpoint and is forwarded to b from a's endpoint, so that b replies to that one. All faults are
+The proxy has a socket for each instance, whose address the instance advertises. A datagram from a to b
+arrives at b's proxy socket and is forwarded to b from a's, so that b replies to that one. All faults are
 drawn from one seeded generator.
 """
 
@@ -24,15 +24,15 @@
 
 
 class FaultProxy:
-    """The proxy. It owns the sockets of its endpoints from `open` until `close`."""
+    """The proxy. It owns its sockets from `open` until `close`."""
 
     def __init__(self, rng: Random, host: str = LOOPBACK) -> None:
         self.rng = rng
         self.host = host
-        self.endpoints: list[ProxyEndpoint] = []
+        self.sockets: list[ProxySocket] = []
         self.blocked_links: set[Link] = set()
-        self.loss = 0.0  # fraction of datagrams that is lost
-        self.duplication = 0.0  # fraction of datagrams that arrives twice
+        self.loss = 0.0  # share of datagrams that is lost
+        self.duplication = 0.0  # share of datagrams that arrives twice
         self.mean_delay = 0  # microseconds
         self.max_extra_delay = 0  # microseconds
         self.in_transit = 0  # datagrams that wait for their delay
@@ -41,25 +41,25 @@
         self.tap: DatagramTap | None = None
 
     async def open(self, count: int) -> list[Address]:
-        """Open an endpoint for each of `count` instances, and return the addresses."""
+        """Open a socket for each of `count` instances, and return the addresses."""
         loop = asyncio.get_running_loop()
         for number in range(count):
-            _, endpoint = await loop.create_datagram_endpoint(
-                partial(ProxyEndpoint, self, number), local_addr=(self.host, 0)
+            _, proxy_socket = await loop.create_datagram_endpoint(
+                partial(ProxySocket, self, number), local_addr=(self.host, 0)
             )
-            self.endpoints.append(endpoint)
-        return [endpoint.transport.get_extra_info("sockname") for endpoint in self.endpoints]
+            self.sockets.append(proxy_socket)
+        return [proxy_socket.transport.get_extra_info("sockname") for proxy_socket in self.sockets]
 
     def set_target(self, number: int, address: Address) -> None:
         """Set the address of an instance's own socket."""
-        self.endpoints[number].target = address
+        self.sockets[number].target = address
 
     def _sender_at(self, address: Address) -> int:
-        senders = (endpoint.number for endpoint in self.endpoints if endpoint.target == address)
+        senders = (proxy_socket.number for proxy_socket in self.sockets if proxy_socket.target == address)
         return next(senders, UNKNOWN_SENDER)
 
     def datagram_arrived(self, source: Address, receiver: int, payload: bytes) -> None:
-        """Drop a datagram that arrived at an instance's endpoint, or forward it after its delay."""
+        """Drop a datagram that arrived at an instance's proxy socket, or forward it after its delay."""
         sender = self._sender_at(source)
         is_lost = sender == UNKNOWN_SENDER or (sender, receiver) in self.blocked_links
         if is_lost or self.rng.random() < self.loss:
@@ -88,24 +88,24 @@
         self.forward(sender, receiver, payload)
 
     def forward(self, sender: int, receiver: int, payload: bytes) -> None:
-        """Send a datagram to its receiver from the sender's endpoint."""
-        transport = self.endpoints[sender].transport
-        target = self.endpoints[receiver].target
+        """Send a datagram to its receiver from the sender's proxy socket."""
+        transport = self.sockets[sender].transport
+        target = self.sockets[receiver].target
         if target is not None and not transport.is_closing():
             self.forwarded += 1
             transport.sendto(payload, target)
 
     def inject(self, receiver: int, payload: bytes) -> None:
-        """Send an instance a datagram that no other instance sent."""
+        """Send a foreign datagram to an instance, from that instance's own socket of the proxy."""
         self.forward(receiver, receiver, payload)
 
     def close(self) -> None:
-        """Close all endpoints."""
-        for endpoint in self.endpoints:
-            endpoint.transport.close()
+        """Close all sockets."""
+        for proxy_socket in self.sockets:
+            proxy_socket.transport.close()
 
 
-class ProxyEndpoint(asyncio.DatagramProtocol):
+class ProxySocket(asyncio.DatagramProtocol):
     """The proxy's socket for one instance."""
 
     def __init__(self, proxy: FaultProxy, number: int) -> None:
--- a/dahliabend/simulation/cluster/actual_history.py
+++ b/dahliabend/simulation/cluster/actual_history.py
@@ -1,6 +1,6 @@
-"""Ground truth of a run: which instances ran and which links worked at each time.
+"""Actual history of a run: which instances ran and which links worked at each time.
 
-The scenario runner records each change when it makes it; the invariants query the history afterwards.
+The run of the script records each change when it makes it; the invariants query the history afterwards.
 """
 
 from dataclasses import dataclass, field
@@ -14,19 +14,19 @@
     """The state of the cluster from the time `at` until the next moment."""
 
     at: int
-    running: frozenset[int]
+    running: frozenset[int]  # instances with a process, including stopped ones
     stopped: frozenset[int]
     blocked_links: frozenset[Link]
 
     @property
     def awake(self) -> frozenset[int]:
-        """The instances that run and are not stopped."""
+        """The running instances that are not stopped."""
         return self.running - self.stopped
 
 
 @dataclass(slots=True)
 class ActualHistory:
-    """The history of one run. Times are in microseconds of the runner's clock."""
+    """The history of one run. Times are in microseconds of the run's clock."""
 
     instance_count: int
     running_since: dict[int, int] = field(default_factory=dict)
--- a/dahliabend/simulation/cluster/upstream_model.py
+++ b/dahliabend/simulation/cluster/upstream_model.py
@@ -1,4 +1,4 @@
-"""A simulated upstream with cores, a queue, a warm-up, and faults that can be switched on.
+"""A simulated upstream with cores, a limit of concurrent requests, a warm-up and faults.
 
 A request that was accepted is executed to its end, even if nobody waits for the response any more.
 """
@@ -24,7 +24,7 @@
     work: int = 200 * MS  # mean core time of a request; half of it is constant, half exponential
     depth: int = 6  # concurrent requests accepted for each core; more are rejected
     warmup_time: int = 8 * S
-    initial_capacity: float = 0.2  # fraction of the full capacity at the start of the warm-up
+    initial_capacity: float = 0.2  # share of the full capacity at the start of the warm-up
     # While warming up, an upstream hangs forever once the work that arrives in a window exceeds this multiple
     # of its capacity.
     overload_multiple: float = 4.0
@@ -62,11 +62,11 @@
         self.core_free_at = [0] * profile.cores  # a heap
         self.in_flight = 0
         # Faults
-        self.failing = 0.0  # fraction of requests that fail
-        self.slower = 1.0  # factor by which work takes longer
-        self.hung = False  # accepts requests and never responds
-        self.deaf_to: set[int] = set()  # balancers whose requests do not arrive
-        self.is_gone = False
+        self.failure_share = 0.0  # share of requests that fail
+        self.work_factor = 1.0  # factor by which work takes longer
+        self.is_hung = False  # accepts requests and never responds
+        self.unreachable_from: set[int] = set()  # balancers whose requests do not arrive
+        self.has_ended = False
         self.is_silent = False  # its host is gone too, so that connections time out instead of being refused
         # Warm-up
         self.recent_arrivals: deque[Arrival] = deque()
@@ -74,7 +74,7 @@
         self.is_overloaded = False
 
     def warmup_factor(self, now: int) -> float:
-        """Return the fraction of the full capacity that is available at a time."""
+        """Return the share of the full capacity that is available at a time."""
         profile = self.profile
         age = now - self.started_at
         if not self.started_at or age >= profile.warmup_time:
@@ -91,32 +91,32 @@
         capacity = warmup_factor * profile.cores * profile.overload_window
         if self.recent_work > profile.overload_multiple * capacity:
             self.is_overloaded = True
-            self.hung = True
+            self.is_hung = True
 
     def request_arrived(self, now: int, source: int = -1) -> AttemptResult:
         """Process a request from the balancer `source`, and return how and when the attempt ends."""
-        if self.is_gone:
+        if self.has_ended:
             return AttemptResult(Outcome.UNREACHABLE, now)
-        if source in self.deaf_to:
+        if source in self.unreachable_from:
             return AttemptResult(None, now)
         work = round(self.profile.work * (0.5 + 0.5 * self.rng.expovariate(1.0)))
         warmup_factor = self.warmup_factor(now)
         if warmup_factor < 1.0:
             self.record_work(now, work, warmup_factor)
-        if self.hung:
+        if self.is_hung:
             return AttemptResult(None, now)
         if self.in_flight >= self.profile.depth * self.profile.cores:
             return AttemptResult(Outcome.REJECTED, now)
-        if self.failing and self.rng.random() < self.failing:
+        if self.failure_share and self.rng.random() < self.failure_share:
             return AttemptResult(Outcome.FAILED, now + self.profile.work // FAILURE_TIME_DIVISOR)
         self.in_flight += 1
-        end = max(now, heappop(self.core_free_at)) + round(work * self.slower / warmup_factor)
+        end = max(now, heappop(self.core_free_at)) + round(work * self.work_factor / warmup_factor)
         heappush(self.core_free_at, end)
         return AttemptResult(Outcome.SUCCEEDED, end)
 
     def end(self, now: int) -> None:
         """End the process; the caller has to reset the attempts in flight."""
-        self.is_gone = True
+        self.has_ended = True
         self.in_flight = 0
         self.core_free_at = [now] * self.profile.cores
         heapify(self.core_free_at)
--- a/dahliabend/simulation/discovery_faults.py
+++ b/dahliabend/simulation/discovery_faults.py
@@ -11,7 +11,7 @@
 OLD_ADDRESS_LIFETIME = 500 * MS  # for which an agent also listens at its old address
 REPEAT_THRESHOLD = 0.4  # watches are closed repeatedly if the fault's size is larger
 REPEAT_DELAYS = (60, 130, 300)  # milliseconds after the first close
-INVALID_UPDATE_RANGE = 100  # of the numbers that select an invalid update; multiplied by the fault's size
+INVALID_UPDATE_RANGE = 100  # the update's number is below this, in proportion to the fault's size
 
 
 class DiscoveryFaults:
@@ -24,7 +24,7 @@
             "silent": self.silence,
             "away": self.silence,
             "end-watch": self.close_watches,
-            "deaf": self.mute_watches,
+            "deaf": self.block_watches,
             "whole": self.send_full_lists,
             "anew": self.restart_versions,
             "wrong": self.send_invalid_update,
@@ -64,10 +64,10 @@
                 self.simulation.call_later(delay * MS, process.run, agent.close_watches)
         return None
 
-    def mute_watches(self, fault: Fault) -> Undo:
-        """Have the open watches deliver nothing any more, without closing them; new watches work."""
+    def block_watches(self, fault: Fault) -> Undo:
+        """Block the connections of the open watches without closing them; new watches work."""
         for watch in list(self._balancer(fault).agent.watches):
-            watch.mute()
+            watch.block()
         return None
 
     def send_full_lists(self, fault: Fault) -> Undo:
@@ -83,7 +83,7 @@
     def restart_versions(self, fault: Fault) -> Undo:
         """Have the agent restart its versions.
 
-        Asked for the changes since a version from before, the agent then answers that there are none.
+        For a version from before the restart, the agent then reports no changes.
         """
         balancer = self._balancer(fault)
         balancer.agent_process.run(balancer.agent.restart_versions)
@@ -105,7 +105,7 @@
         opening = balancer.agent.open(balancer.host, balancer.agent_port)
         simulation.spawn(balancer.agent_process, opening)
         balancer.write_config()
-        if balancer.alive:
+        if balancer.is_alive:
             balancer.signal(signal.SIGHUP)
         for server in old_servers:
             simulation.call_later(OLD_ADDRESS_LIFETIME, server.close)
--- a/dahliabend/simulation/operator_file_simulation.py
+++ b/dahliabend/simulation/operator_file_simulation.py
@@ -23,7 +23,7 @@
 from dahliabend.simulation.invariants import InvariantChecker
 from dahliabend.simulation.network import Network
 from dahliabend.simulation.network_profile import NetworkProfile
-from dahliabend.simulation.observed_run import ClassTally, RequestClassRules
+from dahliabend.simulation.observed_run import ClassTally, RequestClassSpec
 from dahliabend.simulation.peers.client_request import ClientRequest
 from dahliabend.simulation.peers.clients import Clients
 from dahliabend.simulation.peers.connection_rotation import ConnectionRotation
@@ -41,7 +41,7 @@
 MAX_STEPS = 50_000_000
 MAX_SOCKETS = 4_096
 STARTUP_TIME = 1_000_000  # microseconds from the start until the load begins
-SETTLE_TIME = 23_000_000  # microseconds after the load, until nothing may be left of it
+SETTLE_TIME = 23_000_000  # microseconds after the load before leaks are checked
 SHUTDOWN_TIME = 5_000_000  # microseconds for the process to end after SIGTERM
 DISCOVERY_DELAY = 20_000  # microseconds
 DISCOVERED_ENDPOINTS = 3  # of a pool whose members the file does not list
@@ -51,11 +51,12 @@
 MICROSECONDS_PER_SECOND = 1e6
 FAULT_KINDS = ("hang", "slow", "fail", "reset", "crash", "garble", "refuse")
 # Faults that set an attribute of an upstream: the attribute, its value during the fault, and after it.
+# "crash" resets connections instead of responding; `kill` and `restart` end and start the process.
 BEHAVIOR_SWITCHES: Mapping[str, tuple[str, object, object]] = {
     "hang": ("hung", True, False),
     "slow": ("slower", 8.0, 1.0),
     "fail": ("failing", 0.9, 0.0),
-    "crash": ("mute", True, False),
+    "crash": ("resets_instead_of_responding", True, False),
     "garble": ("garbled", 0.5, 0.0),
 }
 
@@ -123,7 +124,7 @@
         return process
 
     def spawn(self, process: Process, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Start a task in a process."""
+        """Start a coroutine as a task of a process."""
         task: asyncio.Task[Any] = process.run(process.loop.create_task, coroutine)
         return task
 
@@ -140,7 +141,7 @@
         for number, route in enumerate(file.routes):
             request_class = file.classes[route.class_]
             treatment = EffectiveTreatment(file, route, number)
-            self.invariants.classes[route.name] = RequestClassRules(
+            self.invariants.classes[route.name] = RequestClassSpec(
                 route.name,
                 SEMANTICS[request_class.effect],
                 request_class.group,
@@ -272,7 +273,7 @@
         self.start_upstream(EndpointSettings(id=name, address=address, zone=spec.zone, cell=spec.cell))
 
     def call_later(self, wait: int, act: Callable[..., object], *arguments: object) -> None:
-        """Schedule a call after so many microseconds."""
+        """Schedule a call after a delay in microseconds."""
         self.scheduler.call_at(self.scheduler.now + wait, None, act, *arguments)
 
     def _start_program(self) -> None:
@@ -319,7 +320,7 @@
                         self._check_leaks(pool)
                 self.process.signal(signal.SIGTERM)
                 self.scheduler.run_until(self.scheduler.now + SHUTDOWN_TIME)
-                if self.process.alive:
+                if self.process.is_alive:
                     self.invariants.report("left behind", "it did not end on SIGTERM")
         finally:
             self.scheduler.close()
--- a/experiments/fleets.py
+++ b/experiments/fleets.py
@@ -79,7 +79,9 @@
     """Kill one instance, and measure when the others notice."""
     variant, count, seed = task
     model = ClusterModel(
-        ClusterScript(seed=seed, instances=count), SwimConfig(**VARIANTS[variant]), starts_warm=True
+        ClusterScript(seed=seed, instances=count),
+        SwimConfig(**VARIANTS[variant]),
+        starts_with_full_membership=True,
     )
     for number in range(count):
         model.start_instance(number)
@@ -89,7 +91,7 @@
     cluster.run(CALM_TIME)
     rate = cluster.bytes / (CALM_TIME / S) / count
     killed_at, killed = cluster.now, cluster.rng.randrange(count)
-    model.stop_instance(killed)
+    model.end_instance(killed)
     removal_times: dict[int, int] = {}
     while cluster.now < killed_at + MAX_DETECTION_TIME and len(removal_times) < count - 1:
         cluster.run(S)
--- a/experiments/signals.py
+++ b/experiments/signals.py
@@ -30,7 +30,7 @@
     """How balancers report the health of upstreams to each other."""
 
     has_gossip: bool
-    lies: dict[int, str]  # kind of lie by number of the balancer, see `LyingGossip`
+    lie_types: dict[int, str]  # kind of lie by number of the balancer, see `LyingGossip`
     check_period: int  # period of leased health checks in microseconds; 0 disables them
 
 
@@ -39,10 +39,10 @@
     names = upstream_names(rng.sample(range(UPSTREAMS), UPSTREAMS // 3))
     upstreams = [model.upstreams_by_name[name] for name in names]
     for upstream in upstreams:
-        upstream.deaf_to = set(range(0, BALANCERS, 5))
+        upstream.unreachable_from = set(range(0, BALANCERS, 5))
     model.run(20 * S)
     for upstream in upstreams:
-        upstream.deaf_to = set()
+        upstream.unreachable_from = set()
 
 
 SCENARIOS: dict[str, Scenario] = {
@@ -76,7 +76,7 @@
         workload.VARIANTS["subsets"].subset if has_subsets else None,
         zones=workload.ZONES,
         has_gossip=VARIANTS[variant].has_gossip,
-        lies=VARIANTS[variant].lies,
+        lie_types=VARIANTS[variant].lie_types,
         check_period=VARIANTS[variant].check_period,
     )
     model.start()
--- a/experiments/subset_work.py
+++ b/experiments/subset_work.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from dahliabend.config.operator_file.units import Duration
-from dahliabend.simulation.cluster.script import ClusterScript, S, Step, What
+from dahliabend.simulation.cluster.script import ClusterScript, S, Step, StepAction
 from dahliabend.simulation.cluster.workload_model import (
     WorkloadModel,
     upstream_names,
@@ -65,7 +65,12 @@
 
 
 def apply_step(
-    model: WorkloadModel, what: What, whom: Iterable[int] = (), span: int = 0, wait: int = 0, **more: Any
+    model: WorkloadModel,
+    what: StepAction,
+    whom: Iterable[int] = (),
+    span: int = 0,
+    wait: int = 0,
+    **more: Any,
 ) -> None:
     """Apply a fault of the cluster, for `span` seconds, and let `wait` seconds pass."""
     model.apply_step(Step(what, whom=list(whom), span=Duration(span * S), **more))
@@ -88,13 +93,13 @@
     names = upstream_names(rng.sample(range(UPSTREAMS), 8))
     upstreams = [model.upstreams_by_name[name] for name in names]
     for upstream in upstreams[:4]:
-        upstream.failing = 0.8
+        upstream.failure_share = 0.8
     for upstream in upstreams[4:]:
-        upstream.slower = 3.0
+        upstream.work_factor = 3.0
     model.run(20 * S)
     for upstream in upstreams:
-        upstream.failing = 0.0
-        upstream.slower = 1.0
+        upstream.failure_share = 0.0
+        upstream.work_factor = 1.0
 
 
 def kill_third_of_balancers(model: WorkloadModel, rng: Random) -> None:
@@ -121,7 +126,7 @@
         upstream for upstream in model.upstreams_by_name.values() if int(upstream.name[1:]) % ZONES == lost
     ]
     for upstream in upstreams:
-        model.stop_upstream(upstream, is_silent=True)
+        model.end_upstream(upstream, is_silent=True)
     balancers = list(range(lost, BALANCERS, ZONES))
     apply_step(model, "kill", balancers, wait=12)
     for upstream in upstreams:
@@ -144,7 +149,7 @@
     """Replace six in ten upstreams within 7 s, while three of the others fail six in ten requests."""
     order = rng.sample(range(UPSTREAMS), UPSTREAMS)
     for name in upstream_names(order[-3:]):
-        model.upstreams_by_name[name].failing = 0.6
+        model.upstreams_by_name[name].failure_share = 0.6
     for number in order[: UPSTREAMS * 6 // 10]:
         replace_upstream(model, number)
         model.run(7 * S * 10 // (UPSTREAMS * 6))
@@ -164,17 +169,17 @@
     """Make upstreams hang for 12 s."""
     upstreams = [model.upstreams_by_name[name] for name in upstream_names(numbers)]
     for upstream in upstreams:
-        upstream.hung = True
+        upstream.is_hung = True
     model.run(12 * S)
     for upstream in upstreams:
-        upstream.hung = False
+        upstream.is_hung = False
 
 
 def flap_upstream(model: WorkloadModel, rng: Random) -> None:
     """Stop and start one upstream repeatedly for a minute, 1 s down in every 3 s."""
     name = f"u{rng.randrange(UPSTREAMS)}"
     for _ in range(20):
-        model.stop_upstream(model.upstreams_by_name[name])
+        model.end_upstream(model.upstreams_by_name[name])
         model.run(S)
         model.start_upstream(name)
         model.run(2 * S)
@@ -182,9 +187,9 @@
 
 def skew_traffic(model: WorkloadModel, _rng: Random) -> None:
     """Send a quarter of all requests to one balancer for 40 s, at 75% of the capacity of all upstreams."""
-    model.skewed_share = 1 / 4
+    model.first_balancer_share = 1 / 4
     model.run(40 * S)
-    model.skewed_share = 0.0
+    model.first_balancer_share = 0.0
 
 
 SCENARIOS: dict[str, Scenario] = {
