--- a/dahliabend/simulator_adapter/instance.py
+++ b/dahliabend/simulator_adapter/instance.py
@@ -34,7 +34,7 @@
     Attributes:
         number: The number that the simulator gave this instance.
         requests: Requests in flight, by the simulator's request number.
-        balancer: The policy, which takes all decisions.
+        balancer: The policy of this instance.
     """
 
     def __init__(self, number: int, seed: int, settings: bytes, encoded_actions: list[bytes]) -> None:
@@ -42,7 +42,7 @@
 
         Args:
             number: The number that the simulator gave this instance.
-            seed: The seed of its random numbers.
+            seed: The seed of the policy's random numbers.
             settings: JSON in the format of `config.policy_settings.read_policy_settings`.
             encoded_actions: The list to which the instance appends its encoded actions.
 
@@ -127,9 +127,8 @@
                 self.balancer.timer_fired(now, record.token)
             case HealthCheckFinished():
                 index = self._indices.get(record.address)
-                if (
-                    index is not None
-                ):  # an address that was in no list of this instance was never checked by it
+                # This instance never checks an address that was in none of its lists.
+                if index is not None:
                     self.balancer.health_check_finished(now, index, Outcome(record.outcome))
             case DiscoveryUpdate():
                 self._update_endpoints(now, record, endpoint_lists)
--- a/dahliabend/simulator_adapter/wire_format.py
+++ b/dahliabend/simulator_adapter/wire_format.py
@@ -149,9 +149,8 @@
     wire_name: str  # the simulator's name for the record, used in error messages
     record_type: type[Record]
     fixed_part: Struct
-    item_bytes: int = (
-        0  # size of each item after the fixed part, whose last field counts them; 0 if there are none
-    )
+    # Size of each item after the fixed part, whose last field is the number of items. 0: there are no items.
+    item_bytes: int = 0
 
 
 RECORD_FORMATS: dict[int, RecordFormat] = {
