--- a/dahliabend/http/client_connection.py
+++ b/dahliabend/http/client_connection.py
@@ -30,19 +30,16 @@
     Attributes:
         dispatcher: Serves the requests.
         write_timeout: Microseconds within which the client has to read a response.
-        parser: Parses the requests.
         queue: Received requests that wait behind the one being served.
         state: What the connection is doing.
         keep_alive: Whether the connection stays open after the current response.
         request_handle: Handle of the request that is being served; `NO_HANDLE` if the dispatcher has none.
         class_name: Name of that request's class until its response is sent; empty if the class is unknown.
-        on_request_finished: Called when that response has been sent or the connection closed; set by the
-            dispatcher.
+        on_request_finished: Called when the response is sent or the connection closed; set by the dispatcher.
         upload: The body of that request, if it is still being received.
         response: The response to that request, if it is streamed.
-        opened_at: Clock time (us) at which the connection was accepted; 0 from the first response on. It
-            counts from accepting, so that a connection whose transport is not connected yet is not taken for
-            idle.
+        opened_at: Clock time (us) of accepting, so that a connection whose transport is not connected yet is
+            not taken for idle; 0 from the first response on.
         timeout_timer: Fires when the time for receiving a request, sending a response or lingering is over.
     """
 
@@ -67,8 +64,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request.
 
-        A new connection is not treated as idle, even when descriptors are scarce: it was opened for a request
-        that may already have arrived, and closing it would lose that request.
+        A new connection is not idle, even when descriptors are scarce: the request that it was opened for may
+        already have arrived, and closing it would lose that request.
         """
         super().connection_made(transport)
         self.limit_request_time(self.opened_at)
@@ -147,14 +144,11 @@
         self.send_error(self.parser.error_status)
 
     def _limit_begun_request(self) -> None:
-        """Set the time limit for receiving a request that has begun, unless one is set.
-
-        Without a limit, an incomplete request would hold its descriptor forever.
-        """
+        """Set the time limit for receiving a request that has begun, unless one is set."""
         if self._is_serving and self.upload is None:
             return
         if self.timeout_timer is None or not self.timeout_timer.is_pending:
-            self.limit_request_time(self.parser.received_at)
+            self.limit_request_time(self.parser.received_at)  # else it would hold its descriptor forever
 
     def start_request(self, request: ReceivedRequest) -> None:
         """Answer a request, or pass it to the dispatcher."""
@@ -255,21 +249,17 @@
     def _connection_line(self) -> bytes:
         """Decide whether the connection stays open after the response; return the Connection header line.
 
-        While descriptors are scarce the connection is closed, because keeping it would make clients that wait
-        to be accepted miss their deadlines. It stays open if further requests have been received already:
-        closing it would lose them.
+        While descriptors are scarce the connection is closed, as clients that wait to be accepted would miss
+        their deadlines. It stays open if further requests have been received: closing it would lose them.
         """
         if self.keep_alive and not self.queue:
             self.keep_alive = not (self.dispatcher.closing() or self.descriptors.reserve_in_use)
         return b"" if self.keep_alive else CONNECTION_CLOSE
 
     def _discard_upload(self) -> None:
-        """Drop the upload; if it is incomplete, close the connection after the response.
-
-        The rest of a body that has been answered already has no use, and its end is not waited for.
-        """
+        """Drop the upload; if it is incomplete, close the connection after the response."""
         if self.upload is not None and not self.upload.is_complete:
-            self.keep_alive = False
+            self.keep_alive = False  # the rest of an answered body has no use: its end is not waited for
             self.parser.fail(413)
         self.upload = None
 
@@ -346,9 +336,8 @@
     def linger(self) -> None:
         """Shut down the sending side after the final response, and wait for the client to close.
 
-        If the connection were closed at once, data that the client sends meanwhile, or that lies unread,
-        would make the kernel discard the response before the client reads it. A lingering connection can be
-        evicted like an idle one.
+        If the connection were closed at once, data that lies unread or that the client sends meanwhile would
+        make the kernel discard the response unread. A lingering connection can be evicted like an idle one.
         """
         self.state = LINGERING
         self.parser.error_status = 0
@@ -385,9 +374,8 @@
     def close_if_idle(self, opened_before: int) -> None:
         """Close the connection if it is between requests.
 
-        Args:
-            opened_before: Clock time (us); a connection that was accepted later and has served no request
-                stays open, because the request that it was opened for is on its way.
+        If it was accepted after `opened_before` (clock time, us) and has served no request, it stays open,
+        because the request that it was opened for is on its way.
         """
         if self.opened_at >= opened_before or self.parser.received_at:
             return
--- a/dahliabend/policy/balancer.py
+++ b/dahliabend/policy/balancer.py
@@ -181,9 +181,9 @@
         return request
 
     def _queue(self, request: RequestState, now: int) -> None:
-        turns_ahead = self.key_queues.turns_ahead(request.key)
-        wait = self.deadlines.queue_wait(request.class_index, turns_ahead)
-        if turns_ahead and not self.admission.may_queue(request, now, wait):
+        queue_position = self.key_queues.queue_position(request.key)
+        wait = self.deadlines.queue_wait(request.class_index, queue_position)
+        if queue_position and not self.admission.may_queue(request, now, wait):
             self.give_up(request, wait)
         elif self.key_queues.join(request):
             self.send(request, now)
--- a/dahliabend/policy/deadlines.py
+++ b/dahliabend/policy/deadlines.py
@@ -53,12 +53,12 @@
         """
         return max(self.tick, round(self.mean_latencies[class_index]))
 
-    def queue_wait(self, class_index: int, turns_ahead: int) -> int:
-        """Return how long this many turns of a key take, assuming that all are of this class.
+    def queue_wait(self, class_index: int, queue_position: int) -> int:
+        """Return the wait of a request at this position of its key's queue, if all ahead are of this class.
 
         Used to keep out of the queue requests whose turn would come too late.
         """
-        return round(turns_ahead * self.mean_latencies[class_index])
+        return round(queue_position * self.mean_latencies[class_index])
 
     def can_wait(self, request: RequestState, now: int, wait: int = 0) -> bool:
         """Return whether a request could still be sent after waiting from `now` on.
--- a/dahliabend/policy/key_order.py
+++ b/dahliabend/policy/key_order.py
@@ -49,8 +49,11 @@
         for until, _ in self.pauses:
             self.port.set_timer(until, TimerToken.KEY_PAUSE)
 
-    def turns_ahead(self, key: int | bytes) -> int:
-        """Return how many turns precede a new request; the current request or the pause counts as one."""
+    def queue_position(self, key: int | bytes) -> int:
+        """Return the position in its key's queue that a request would get now; 0: its turn comes at once.
+
+        The current request or the pause counts as one.
+        """
         return len(self.queues[key].waiting) + 1 if key in self.queues else 0
 
     def join(self, request: RequestState) -> bool:
--- a/dahliabend/process_tests/runner.py
+++ b/dahliabend/process_tests/runner.py
@@ -212,15 +212,12 @@
     # Steps
 
     async def start(self, numbers: list[int]) -> None:
-        """Start instances at the same time, and wait until they have opened their sockets.
-
-        An instance is recorded as started only then, as no other can know it before.
-        """
+        """Start instances at the same time, and wait until they have opened their sockets."""
         for number in numbers:
             await self.instances[number].start()
         for number in numbers:
             await self.instances[number].wait_until_open()
-            self.actual_history.start(self.now, number)
+            self.actual_history.start(self.now, number)  # only now, as no other instance can know it before
 
     async def end(self, number: int, signal_number: int) -> None:
         """Record the end of an instance and end it by a signal."""
@@ -334,7 +331,7 @@
         if not step.until:
             return
         if step.until == "even" and self.load is not None:
-            await self.load.end_faults()
+            await self.load.end_faults()  # upstream faults change the subsets
         limit = self.now + BOUND_FACTOR * self.condition_bound(step)
         while not await self.condition_holds(step):
             if self.now >= limit:
@@ -383,10 +380,7 @@
         )
 
     async def _are_subsets_even(self) -> bool:
-        """Return whether the subsets together load each upstream alike.
-
-        Upstream faults have ended before, as they change the subsets.
-        """
+        """Return whether the subsets together load each upstream alike."""
         self.subsets = {}
         for instance in self.instances:
             if instance.is_awake:
--- a/dahliabend/simulation/cluster/balancer_instance.py
+++ b/dahliabend/simulation/cluster/balancer_instance.py
@@ -178,10 +178,7 @@
             self.answer(request, "served" if is_in_time else "late")
 
     def answer(self, request: PendingRequest, result: str) -> None:
-        """Answer a request and count the result.
-
-        Results are "served", "late", "rolled back" (rejected) and "abandoned" (failed).
-        """
+        """Answer a request; count it as "served", "late", "rolled back" (rejected), "abandoned" (failed)."""
         model = self.model
         if request.is_answered:
             model.report_violation("a second answer")
--- a/dahliabend/simulation/upstream_faults.py
+++ b/dahliabend/simulation/upstream_faults.py
@@ -84,9 +84,9 @@
         """Kill the upstream, and start it again when the fault ends; it then has to warm up."""
         host = self._host(fault)
         host.kill()
-        return lambda: self._restart_cold(host)
+        return lambda: self._restart_unwarmed(host)
 
-    def _restart_cold(self, host: UpstreamHost) -> None:
+    def _restart_unwarmed(self, host: UpstreamHost) -> None:
         if not host.process.is_alive:
             host.start(needs_warmup=True)
             host.publish("up")
@@ -122,7 +122,7 @@
             if host.process.is_alive:
                 host.publish("removed")
                 host.kill()
-                simulation.call_later(RESTART_TIME, self._restart_cold, host)
+                simulation.call_later(RESTART_TIME, self._restart_unwarmed, host)
 
         simulation.call_later(simulation.spec.drain_time + fault.span, end_process)
         return None
--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -378,12 +378,12 @@
 
 
 def ignore_key_order():
-    def turns_ahead(self, key):
+    def queue_position(self, key):
         if queue := self.queues.get(key):
             queue.current, queue.paused_until = None, 0
         return 0
 
-    return replace_attribute(KeyQueues, "turns_ahead", turns_ahead)
+    return replace_attribute(KeyQueues, "queue_position", queue_position)
 
 
 DEFECTS = {
