--- a/tests/simulation/defects.py
+++ b/tests/simulation/defects.py
@@ -219,7 +219,7 @@
 def forward_truncated_responses():
     def connection_closed(self):
         self.parser = None
-        self.pool.remove_connection(self)
+        self.owner.remove_connection(self)
         handler, self.handler = self.handler, None
         if handler is not None and getattr(self, "head_complete", False):
             handler.response_complete(UpstreamResponse(200, b"", b"".join(self.body), b"", False))
